--- a/crates/lab/examples/decisions.rs
+++ b/crates/lab/examples/decisions.rs
@@ -56,8 +56,13 @@
 
 impl Rig {
     fn new(nodes: u32, proxies: u32, seed: u64) -> Rig {
-        let class =
-            |repeat, worth| Class { aim: 750_000, limit: PATIENCE, repeat, worth, ..Class::default() };
+        let class = |repeat, value| Class {
+            target_latency: 750_000,
+            limit: PATIENCE,
+            repeat,
+            value,
+            ..Class::default()
+        };
         let settings = Settings {
             routers: proxies,
             classes: vec![class(Repeat::Retryable, 1.0), class(Repeat::Fragile, 3.0)],
--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -124,7 +124,7 @@
 impl Kept {
     fn from(self, plan: &mut Plan) {
         if self.marks {
-            plan.takes.clear();
+            plan.key_fractions.clear();
         }
         if self.terms {
             plan.solved.clear();
--- a/crates/lab/src/virtual_host/site.rs
+++ b/crates/lab/src/virtual_host/site.rs
@@ -20,7 +20,7 @@
     let s = world.scenario();
     let (p, r) = (&s.proxies, &s.rules);
     let class = |c: &world::scenario::ClientClass| Class {
-        aim: ms(c.aim_ms),
+        target_latency: ms(c.aim_ms),
         limit: ms(c.patience_ms),
         repeat: match c.repeat {
             Runs::Safe => Repeat::Retryable,
@@ -28,16 +28,16 @@
             Runs::Unsafe => Repeat::Fragile,
         },
         window: ms(c.window_ms),
-        worth: c.worth,
+        value: c.worth,
         ..Class::default()
     };
     Settings {
         routers: p.count,
-        me: proxy.0,
+        router_index: proxy.0,
         zone: ZoneId(world.proxies().get(proxy.0 as usize).copied().unwrap_or(0)),
         classes: s.clients.classes.iter().map(class).collect(),
         quotas: world.arrivals().quotas_per_s(),
-        over_share_worth: r.over_share_worth,
+        over_quota_value: r.over_share_worth,
         must_subscribe: false,
         origin_kind: Some(KindId((world.kinds().len() - 1) as u16)),
         columns: vec![Column::Errors, Column::Utilisation],
@@ -53,10 +53,10 @@
         keep_alive: seconds(idle_close(s)),
         period: ms(p.period_ms),
         answer_grace: ms(r.answer_grace_ms),
-        cold_from: r.cold_from,
-        cold_for: seconds(r.cold_s),
-        fall_multiple: r.fall_multiple,
-        fall_for: ms(r.fall_for_ms),
+        slow_start_from: r.cold_from,
+        slow_start_duration: seconds(r.cold_s),
+        overload_multiple: r.fall_multiple,
+        overload_window: ms(r.fall_for_ms),
         drain_grace: ms(r.drain_grace_ms),
         ..Settings::default()
     }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -129,7 +129,7 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let tenants = vec![Bucket { tokens: QUOTA_BURST, ..Bucket::default() }; settings.quotas.len()];
         let part = 1.0 / f64::from(settings.routers.max(1));
-        let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(0);
+        let aim = settings.classes.iter().map(|c| c.target_latency).min().unwrap_or(0);
         Balancer {
             rng: seed,
             tenants,
@@ -166,7 +166,7 @@
                 self.drain_origin(now, out);
                 out.push(Action::Timer { after: REFRESH, token: TICK });
             }
-            Event::Plan(plan) => self.plan = self.servers.planned(plan),
+            Event::Plan(plan) => self.plan = self.servers.apply_plan(plan),
             Event::Timer(ASK) => out.push(Action::Subscribe),
             Event::Timer(Token(id)) => self.parked_long(now, RequestId(id), out),
             Event::Probed { server, verdict, report, .. } => {
@@ -182,7 +182,7 @@
     fn members(&mut self, now: Micros, form: ListForm, entries: Vec<Member>, out: &mut Vec<Action>) {
         if form == ListForm::Failed {
             // Discovery is one small service for all routers: back off, spread by the seed.
-            let span = backoff(ASK_AGAIN, self.failed_calls, self.settings.ask_within);
+            let span = backoff(ASK_AGAIN, self.failed_calls, self.settings.discovery_retry_limit);
             let after = (span as f64 * (0.5 + self.random())) as Micros;
             self.failed_calls += 1;
             return out.extend(self.settings.must_subscribe.then_some(Action::Timer { after, token: ASK }));
@@ -207,7 +207,7 @@
             // Routers that start together must not call, or re-solve, in step.
             out.push(Action::Timer { after: (self.random() * REFRESH as f64) as Micros, token: TICK });
             if self.settings.must_subscribe {
-                let after = (self.random() * self.settings.ask_within as f64 / 4.0) as Micros;
+                let after = (self.random() * self.settings.discovery_retry_limit as f64 / 4.0) as Micros;
                 out.push(Action::Timer { after, token: ASK });
             }
         }
@@ -308,7 +308,7 @@
 
     /// The most that a weight of either side may be over that listed.
     fn scales(&self, far: f64) -> [f64; 2] {
-        let warmest = self.settings.cold_from.max(1.0);
+        let warmest = self.settings.slow_start_from.max(1.0);
         [warmest, warmest * far]
     }
 
@@ -441,9 +441,9 @@
         let begin_by = o.repeats_until();
         o.attempts.push(Attempt::sent(now, &s.member));
         // While much is refused, an answer past the aim takes a place: called off unless worth more than it.
-        let worth = self.answered >= o.class.late_worth * self.wanted && o.class.repeat == Repeat::Retryable;
+        let worth = self.answered >= o.class.late_value * self.wanted && o.class.repeat == Repeat::Retryable;
         let cap = worth && surplus >= UNANSWERED && !s.origin;
-        let aim = cap.then_some((o.taken + o.class.aim - now).max(o.class.aim / 2));
+        let aim = cap.then_some((o.taken + o.class.target_latency - now).max(o.class.target_latency / 2));
         let timeout = aim.or(self.patience(now, id, server));
         out.push(Action::Send { request: id, server, timeout, begin_by });
         self.probe(now, server, out);
@@ -454,7 +454,7 @@
     /// an origin with room; and what may run once has to have a place by then where it may go again.
     fn patience(&self, now: Micros, id: RequestId, server: ServerId) -> Option<Micros> {
         let (o, s) = (self.open.get(&id)?, self.servers.get(&server)?);
-        let half = o.class.aim / 2;
+        let half = o.class.target_latency / 2;
         let other = |x: &&Server| x.origin == s.origin && (s.origin || x.member.server != server);
         let place = || self.servers.values().filter(other).any(|x| self.permitted(now + half, o, x, None));
         let more = o.class.repeat == Repeat::Retryable || place();
@@ -483,7 +483,8 @@
         let attempt = open.and_then(|o| o.attempts.get_mut(usize::from(end.attempt)));
         let sent = attempt.as_ref().map_or(now - end.elapsed, |a| a.sent);
         let mine = attempt.filter(|a| a.verdict.is_none()).map(|a| a.verdict = Some(end.verdict)).is_some();
-        if let Some(turns) = key.and_then(|k| self.turns.get_mut(&k)).filter(|_| mine && end.may_run_on()) {
+        if let Some(turns) = key.and_then(|k| self.turns.get_mut(&k)).filter(|_| mine && end.may_still_run())
+        {
             turns.rest = now + self.settings.order_settle;
         }
         self.judge(now, &end, sent);
@@ -535,7 +536,7 @@
     /// What an outcome says of its server's health and speed.
     fn judge(&mut self, now: Micros, end: &Outcome, sent: Micros) {
         let jitter = 0.5 + self.random();
-        let (own, aim) = self.open.get(&end.request).map_or((0, 0), |o| (o.class.aim, o.counts()));
+        let (own, aim) = self.open.get(&end.request).map_or((0, 0), |o| (o.class.target_latency, o.counts()));
         let told = |s: &Server| (s.overtook(sent, end.verdict), usize::from(!s.origin));
         let (lone, first) = self.servers.get(&end.server).map_or((false, 0), told);
         if !lone && !end.no_place {
@@ -548,11 +549,11 @@
         let ending = s.ending(end, sent, late);
         // A zone that is out of reach says nothing of the rest of the fleet, nor of its own servers.
         let zone = self.zones.entry(s.member.zone).or_default();
-        zone.reach.heard(!s.origin && end.shows_life());
+        zone.reach.heard(!s.origin && end.process_responded());
         let lost = !s.origin && zone.reach.is_lost(now, silent);
         // A server that refused connections and answers now has too few; one that says nothing more is gone.
         s.refused += u32::from(end.verdict == Verdict::ConnectFailed && !lost);
-        let full = if end.shows_life() { std::mem::take(&mut s.refused) } else { 0 };
+        let full = if end.process_responded() { std::mem::take(&mut s.refused) } else { 0 };
         self.unconnected += (f64::from(full.min(1)) - self.unconnected) / CONNECT_MEMORY;
         let sample = Sample { now, sent, ending, out_at_send: s.gate.out(), kept_waiting };
         s.gate.ended(&sample);
--- a/src/choice/origin_fetches.rs
+++ b/src/choice/origin_fetches.rs
@@ -99,9 +99,9 @@
             let twice = now + (2.0 * self.origin_time.mean()) as Micros;
             let worth = |id: &RequestId| {
                 let (r, o) = (&self.open[id].request, &self.open[id]);
-                let part = if o.over { self.settings.over_share_worth } else { 1.0 };
+                let part = if o.over { self.settings.over_quota_value } else { 1.0 };
                 let waiting = self.fetches.get(&r.key).map_or(0, VecDeque::len).max(1) as f64;
-                let worth = if r.write { o.class.worth } else { waiting } * part;
+                let worth = if r.write { o.class.value } else { waiting } * part;
                 let asked = if r.write { 0.0 } else { self.asked.count(mix(r.key.0)) };
                 (r.deadline > twice, worth + ASKED_WORTH * asked)
             };
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -152,8 +152,8 @@
             upstream: Numbers::default(),
             pool: Pool::new(most_connections, &settings),
             marks: Marks::default(),
-            slow_starts: SlowStartLog::new(settings.cold_for, settings.fall_for),
-            starts: Starts::new(settings.cold_for),
+            slow_starts: SlowStartLog::new(settings.slow_start_duration, settings.overload_window),
+            starts: Starts::new(settings.slow_start_duration),
             spell: Spell::default(),
             events: VecDeque::new(),
             effects: Vec::new(),
@@ -186,11 +186,11 @@
             "settings: {} proxies, this is number {}; slow start from {:.2} over {:.1} s, at most {:.2} times the capacity \
              within {:.1} s",
             s.routers,
-            s.me,
-            s.cold_from,
-            s.cold_for as f64 / 1e6,
-            s.fall_multiple,
-            s.fall_for as f64 / 1e6,
+            s.router_index,
+            s.slow_start_from,
+            s.slow_start_duration as f64 / 1e6,
+            s.overload_multiple,
+            s.overload_window as f64 / 1e6,
         )
     }
 
@@ -251,8 +251,8 @@
 
     /// What there is to see now.
     pub fn survey(&self, now: Micros) -> Survey {
-        let sights = self.balancer.sights(now).map(|s| (s.server, s)).collect();
-        let origin = self.balancer.origin_sight(now);
+        let sights = self.balancer.server_statuses(now).map(|s| (s.server, s)).collect();
+        let origin = self.balancer.origin_status(now);
         self.marks.survey(&sights, origin, &self.pool.held(), self.revision)
     }
 
--- a/src/core/slow_start.rs
+++ b/src/core/slow_start.rs
@@ -4,7 +4,7 @@
 //! lines of all proxies up gives the load that a server bore while its capacity was reduced.
 
 use crate::codec::discovery::Listed;
-use crate::interface::{Member, Micros, Phase, ServerId, SlowStartSight};
+use crate::interface::{Member, Micros, Phase, ServerId, SlowStartStatus};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -42,7 +42,7 @@
     most: usize,
     most_at: Micros,
     /// What the decision module made of the server then.
-    sight: Option<SlowStartSight>,
+    sight: Option<SlowStartStatus>,
 }
 
 impl Row {
@@ -129,7 +129,7 @@
     }
 
     /// An attempt goes there.
-    pub fn sent(&mut self, now: Micros, server: ServerId, sight: impl FnOnce() -> Option<SlowStartSight>) {
+    pub fn sent(&mut self, now: Micros, server: ServerId, sight: impl FnOnce() -> Option<SlowStartStatus>) {
         let window = self.window;
         let Some(row) = self.rows.get_mut(&server) else { return };
         row.attempts += 1;
--- a/src/core/survey.rs
+++ b/src/core/survey.rs
@@ -88,7 +88,7 @@
     pub origin: bool,
     pub phase: Phase,
     /// What the module makes of it; nothing once it is gone.
-    pub sight: Option<Sight>,
+    pub sight: Option<ServerStatus>,
     pub connections: u32,
     pub ends: Ends,
     /// Since when `ends` counts.
@@ -100,7 +100,7 @@
 pub struct Survey {
     /// In the order of names.
     pub nodes: Vec<Seen>,
-    pub origin: Option<OriginSight>,
+    pub origin: Option<OriginStatus>,
     pub revision: Option<u64>,
     /// When discovery last said anything, and when it last told a list.
     pub heard: Option<Micros>,
@@ -190,8 +190,8 @@
 
     pub fn survey(
         &self,
-        sights: &BTreeMap<ServerId, Sight>,
-        origin: Option<OriginSight>,
+        sights: &BTreeMap<ServerId, ServerStatus>,
+        origin: Option<OriginStatus>,
         held: &BTreeMap<ServerId, u32>,
         revision: Option<u64>,
     ) -> Survey {
--- a/src/core/upstream.rs
+++ b/src/core/upstream.rs
@@ -35,10 +35,11 @@
             self.counters.fetched += 1;
             self.counters.spilled += u64::from(!stream.missed && stream.message.value.is_none());
         } else {
-            self.counters.cold += u64::from(self.marks.is_cold(server, now, self.settings.cold_for));
+            self.counters.cold +=
+                u64::from(self.marks.is_cold(server, now, self.settings.slow_start_duration));
         }
         let balancer = &self.balancer;
-        self.slow_starts.sent(now, server, || balancer.slow_start_sight(server));
+        self.slow_starts.sent(now, server, || balancer.slow_start_status(server));
         let expires = timeout.map_or(stream.deadline, |t| stream.deadline.min(now + t));
         let message = stream.message.clone();
         self.counters.upstream += 1;
@@ -48,7 +49,7 @@
             String::from_utf8_lossy(&message.id),
             self.pool.nodes.get(&server).map_or("?", |n| &n.name),
             (expires - now) / 1_000,
-            Ramp(self.balancer.slow_start_sight(server)),
+            Ramp(self.balancer.slow_start_status(server)),
         );
         self.launch(now, Some((id, attempt)), Some(message), server, expires, begin_by);
     }
@@ -359,7 +360,7 @@
 }
 
 /// What the module makes of the server that an attempt goes to, if that is in slow start.
-struct Ramp(Option<SlowStartSight>);
+struct Ramp(Option<SlowStartStatus>);
 
 impl std::fmt::Display for Ramp {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -8,7 +8,7 @@
 use crate::codec::discovery;
 use crate::core::{Ended, Record, Seen};
 use crate::interface::{
-    self, KindId, ListForm, Member, Micros, Phase, ServerId, Settings as Site, Solved, Verdict,
+    self, KindId, ListForm, Member, Micros, Phase, PlannedTerms, ServerId, Settings as Site, Verdict,
 };
 use limits::ledger;
 use plan::forwarder::{Config, Output};
@@ -118,7 +118,7 @@
             nodes: BTreeMap::new(),
             origins: BTreeSet::new(),
             origin_kind: site.origin_kind,
-            aims: site.classes.iter().map(|c| c.aim).collect(),
+            aims: site.classes.iter().map(|c| c.target_latency).collect(),
             even,
             out: Vec::new(),
             said: interface::Plan::default(),
@@ -285,7 +285,7 @@
     /// What stands, in the module's words.
     fn plan(&self, now: Micros) -> interface::Plan {
         let standing = self.machine.standing(now);
-        let solved = |(n, q, trust): &(Node, plan::solve::Queue, f64)| Solved {
+        let solved = |(n, q, trust): &(Node, plan::solve::Queue, f64)| PlannedTerms {
             server: ServerId(n.id),
             rho: q.rho,
             service: q.service,
@@ -294,7 +294,7 @@
             trust: *trust,
         };
         interface::Plan {
-            takes: standing.takes.iter().map(|(n, part)| (ServerId(n.id), *part)).collect(),
+            key_fractions: standing.takes.iter().map(|(n, part)| (ServerId(n.id), *part)).collect(),
             solved: standing.queues.iter().filter(|q| q.2 > 0.0).map(solved).collect(),
             trust: standing.given,
             quotas: standing.tenants,
--- a/src/features/snmp/sight.rs
+++ b/src/features/snmp/sight.rs
@@ -59,13 +59,13 @@
         Some(Health::Cold) => State::Cold,
         Some(Health::Draining) => State::Draining,
         Some(Health::Silent) => State::Silent,
-        Some(Health::LeftOut) => State::LeftOut,
+        Some(Health::Evicted) => State::LeftOut,
     }
 }
 
 fn ledger(survey: &Survey) -> Ledger {
     let Some(origin) = survey.origin else { return Ledger::default() };
-    let state = if !origin.within_reach || origin.window < CLOSED {
+    let state = if !origin.available || origin.window < CLOSED {
         LedgerState::Closed
     } else if origin.strain >= STRAINED {
         LedgerState::Strained
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub target_latency: Micros,
     /// The time a client waits in all, over its tries; one try's deadline is `Request::deadline`.
     pub limit: Micros,
     pub repeat: Repeat,
@@ -57,8 +57,8 @@
     /// The answer is streamed: `Event::First` tells that it has begun.
     pub streamed: bool,
     /// Worth of a request, and the part of it an answer after the aim still earns.
-    pub worth: f64,
-    pub late_worth: f64,
+    pub value: f64,
+    pub late_value: f64,
     /// Requests with one key run one at a time, in the order in which this router took them.
     pub keep_order: bool,
     /// The only zones and kinds of machine it may be sent to (the origin aside); `None` leaves them free.
@@ -69,14 +69,14 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            aim: 500_000,
+            target_latency: 500_000,
             limit: 1_000_000,
             repeat: Repeat::Retryable,
             group: Group::All,
             window: 0,
             streamed: false,
-            worth: 1.0,
-            late_worth: 0.0,
+            value: 1.0,
+            late_value: 0.0,
             keep_order: false,
             zones: None,
             kinds: None,
@@ -117,13 +117,13 @@
 pub struct Settings {
     /// How many routers there are, this one among them, and its number.
     pub routers: u32,
-    pub me: u32,
+    pub router_index: u32,
     pub zone: ZoneId,
     pub classes: Vec<Class>,
     /// Requests a second within each tenant's share, over all routers; infinite where there is none.
     pub quotas: Vec<f64>,
     /// Worth of a request beyond its tenant's share, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_value: f64,
     /// The list of servers is only told to those who ask.
     pub must_subscribe: bool,
     /// Kind of the list entries that are origins, where routers fetch for themselves (aside mode).
@@ -146,11 +146,11 @@
     pub period: Micros,
     /// Figures of the rules.
     pub answer_grace: Micros,
-    pub ask_within: Micros,
-    pub cold_from: f64,
-    pub cold_for: Micros,
-    pub fall_multiple: f64,
-    pub fall_for: Micros,
+    pub discovery_retry_limit: Micros,
+    pub slow_start_from: f64,
+    pub slow_start_duration: Micros,
+    pub overload_multiple: f64,
+    pub overload_window: Micros,
     /// Nothing new goes to a server later than this after the word that it drains or is gone.
     pub drain_grace: Micros,
     /// Idle connections to a draining server must be closed within this time; `None` where no rule asks it.
@@ -163,11 +163,11 @@
     fn default() -> Self {
         Settings {
             routers: 1,
-            me: 0,
+            router_index: 0,
             zone: ZoneId(0),
             classes: Vec::new(),
             quotas: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_value: 1.0,
             must_subscribe: false,
             origin_kind: None,
             columns: vec![Column::Utilisation],
@@ -183,11 +183,11 @@
             keep_alive: 15_000_000,
             period: 1_000,
             answer_grace: 5_000,
-            ask_within: 10_000_000,
-            cold_from: 0.2,
-            cold_for: 20_000_000,
-            fall_multiple: 3.0,
-            fall_for: 1_000_000,
+            discovery_retry_limit: 10_000_000,
+            slow_start_from: 0.2,
+            slow_start_duration: 20_000_000,
+            overload_multiple: 3.0,
+            overload_window: 1_000_000,
             drain_grace: 2_500_000,
             drain_close: None,
             order_settle: 0,
@@ -302,7 +302,7 @@
 
 impl Outcome {
     /// Whether the attempt may still run after this outcome.
-    pub fn may_run_on(&self) -> bool {
+    pub fn may_still_run(&self) -> bool {
         matches!(self.verdict, Verdict::Timeout | Verdict::Reset | Verdict::Cancelled)
     }
 
@@ -313,14 +313,14 @@
 
     /// Whether the server's process said something, be it that it would not. A refused connection may be that of a
     /// process that is gone, or of one that holds too many.
-    pub fn shows_life(&self) -> bool {
+    pub fn process_responded(&self) -> bool {
         matches!(self.verdict, Verdict::Served | Verdict::Miss | Verdict::Full | Verdict::Error)
     }
 }
 
 /// A server's terms as planners solved them for the fleet, and the trust in them, 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Solved {
+pub struct PlannedTerms {
     pub server: ServerId,
     pub rho: f64,
     pub service: f64,
@@ -334,8 +334,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
     /// Servers that take less than all of their keys, and the part that they take; 0 is silent or cut off.
-    pub takes: Vec<(ServerId, f64)>,
-    pub solved: Vec<Solved>,
+    pub key_fractions: Vec<(ServerId, f64)>,
+    pub solved: Vec<PlannedTerms>,
     /// Trust in the parts below, 0 to 1.
     pub trust: f64,
     /// This router's part of each tenant's quota, 0 to 1.
@@ -424,12 +424,12 @@
     /// Takes requests and says nothing.
     Silent,
     /// Failed in a row: tried by a part of the requests only.
-    LeftOut,
+    Evicted,
 }
 
 /// A server as the module sees it, for those who watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Sight {
+pub struct ServerStatus {
     pub server: ServerId,
     pub health: Health,
     /// Attempts out there.
@@ -440,9 +440,9 @@
 
 /// The origin as the module sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OriginSight {
+pub struct OriginStatus {
     /// Some origin is neither left out nor silent nor draining.
-    pub within_reach: bool,
+    pub available: bool,
     /// Attempts out there, how many may be, and requests that wait for a place.
     pub out: u32,
     pub window: f64,
@@ -456,7 +456,7 @@
 
 /// What the module makes of a server in slow start, for those who watch.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SlowStartSight {
+pub struct SlowStartStatus {
     /// The part of its capacity that it is sure to have by now, 0 to 1.
     pub ramp: f64,
     /// Attempts at hand for it at this router.
@@ -465,9 +465,9 @@
     pub rate: f64,
 }
 
-impl std::fmt::Display for SlowStartSight {
+impl std::fmt::Display for SlowStartStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let SlowStartSight { ramp, allowance, rate } = self;
+        let SlowStartStatus { ramp, allowance, rate } = self;
         write!(f, "ramp {ramp:.2} allowance {allowance:.2} rate {rate:.2}/s")
     }
 }
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -96,9 +96,9 @@
     }
 
     /// Takes over what planners say of each server, in place of what they said before; the rest of it comes back.
-    pub fn planned(&mut self, mut plan: Plan) -> Plan {
+    pub fn apply_plan(&mut self, mut plan: Plan) -> Plan {
         self.values_mut().for_each(|s| (s.avoid, s.solved) = (0.0, None));
-        for (id, part) in plan.takes.drain(..) {
+        for (id, part) in plan.key_fractions.drain(..) {
             if let Some(s) = self.get_mut(&id) {
                 s.avoid = 1.0 - part;
             }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -107,10 +107,10 @@
 impl SlowStart {
     pub fn new(settings: &Settings) -> Self {
         SlowStart {
-            from: settings.cold_from,
-            duration: settings.cold_for,
-            multiple: settings.fall_multiple.max(1.0),
-            window: settings.fall_for.max(1),
+            from: settings.slow_start_from,
+            duration: settings.slow_start_duration,
+            multiple: settings.overload_multiple.max(1.0),
+            window: settings.overload_window.max(1),
             ..SlowStart::default()
         }
     }
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -86,7 +86,7 @@
 
 #[test]
 fn the_ramp_rises_evenly_from_what_a_server_starts_with() {
-    let settings = Settings { cold_from: 0.2, cold_for: 20 * SECOND, ..Settings::default() };
+    let settings = Settings { slow_start_from: 0.2, slow_start_duration: 20 * SECOND, ..Settings::default() };
     let policy = SlowStart::new(&settings);
     let near = |age, part: f64| policy.ramp(age).is_some_and(|r| (r - part).abs() < 1e-9);
     assert!(near(0, 0.2) && near(10 * SECOND, 0.6) && near(15 * SECOND, 0.8));
--- a/src/state.rs
+++ b/src/state.rs
@@ -62,7 +62,7 @@
 
     /// With what planners solved in place of these, as far as it is trusted. `sure` is a utilisation that this
     /// router has seen itself just now: planners hear of it a second later.
-    pub fn planned(self, solved: Option<Solved>, sure: f64) -> Terms {
+    pub fn planned(self, solved: Option<PlannedTerms>, sure: f64) -> Terms {
         let Some(p) = solved else { return self };
         let to = |own: f64, said: f64| mixed(own, Some(said), p.trust);
         Terms {
@@ -150,7 +150,7 @@
     pub allowance: Allowance,
     /// What planners say: the part of its keys that it must not take, and its terms.
     pub avoid: f64,
-    pub solved: Option<Solved>,
+    pub solved: Option<PlannedTerms>,
 }
 
 impl Server {
@@ -236,7 +236,7 @@
         if self.over {
             0
         } else {
-            self.class.aim
+            self.class.target_latency
         }
     }
 
--- a/src/view.rs
+++ b/src/view.rs
@@ -2,31 +2,31 @@
 //! For the core's survey, and for who asks how much it keeps; who wants something decided goes through [`Balancer::handle`].
 
 use crate::choice::Balancer;
-use crate::interface::{Health, Micros, OriginSight, Phase, ServerId, Sight, SlowStartSight};
+use crate::interface::{Health, Micros, OriginStatus, Phase, ServerId, ServerStatus, SlowStartStatus};
 use crate::state::Server;
 use limits::Limit;
 
 impl Balancer {
     /// What it makes of each server, in the order of ids.
-    pub fn sights(&self, now: Micros) -> impl Iterator<Item = Sight> + '_ {
+    pub fn server_statuses(&self, now: Micros) -> impl Iterator<Item = ServerStatus> + '_ {
         self.servers.values().map(move |s| {
             let health = match s.member.phase {
-                Phase::Ready if s.evictions > 0 => Health::LeftOut,
+                Phase::Ready if s.evictions > 0 => Health::Evicted,
                 Phase::Ready if self.hangs(now, s) => Health::Silent,
                 Phase::Ready if s.cold => Health::Cold,
                 Phase::Ready => Health::Serving,
                 Phase::Draining | Phase::Gone => Health::Draining,
             };
             let rho = s.reported.map(|at| (s.rho, at));
-            Sight { server: s.member.server, health, out: s.gate.out(), rho }
+            ServerStatus { server: s.member.server, health, out: s.gate.out(), rho }
         })
     }
 
     /// What it makes of a server in slow start; none of any other.
-    pub fn slow_start_sight(&self, server: ServerId) -> Option<SlowStartSight> {
+    pub fn slow_start_status(&self, server: ServerId) -> Option<SlowStartStatus> {
         let s = self.servers.get(&server).filter(|s| s.cold)?;
         let ramp = if s.listed > 0.0 { s.weight / s.listed } else { 0.0 };
-        Some(SlowStartSight { ramp, allowance: s.allowance.attempts(), rate: self.slow_start_rate(s) })
+        Some(SlowStartStatus { ramp, allowance: s.allowance.attempts(), rate: self.slow_start_rate(s) })
     }
 
     /// Requests out at origins.
@@ -58,12 +58,12 @@
     }
 
     /// What it makes of the origin, if one is listed.
-    pub fn origin_sight(&self, now: Micros) -> Option<OriginSight> {
+    pub fn origin_status(&self, now: Micros) -> Option<OriginStatus> {
         let well = |s: &Server| s.weight > 0.0 && s.evictions == 0 && !self.hangs(now, s);
         let reach = self.servers.values().filter(|s| s.origin).map(well).max()?;
         let (o, pace) = (&self.origin, self.origin.pace().map(|pace| pace as Micros));
         let (window, strain, failing) = (o.limit(now), o.strain(), o.failing());
         let (out, waiting) = (self.fetching(), self.queue.len() as u32);
-        Some(OriginSight { within_reach: reach, out, window, waiting, pace, strain, failing })
+        Some(OriginStatus { available: reach, out, window, waiting, pace, strain, failing })
     }
 }
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -781,7 +781,7 @@
             limit: 2_000 * MS,
             repeat: Repeat::Dedup,
             window: window * MS,
-            aim: 2_000 * MS,
+            target_latency: 2_000 * MS,
             ..Class::default()
         };
         let mut known = list(Phase::Ready, 1);
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -329,7 +329,7 @@
             }
             r.pass(40 * MS);
         }
-        r.b.slow_start_sight(ServerId(4)).expect("it is in slow start").rate
+        r.b.slow_start_status(ServerId(4)).expect("it is in slow start").rate
     };
     let (alone, beside) = (rate_beside(0), rate_beside(9));
     assert!(alone > 1.0, "{alone}");
@@ -488,7 +488,7 @@
             }
             r.pass(5 * MS);
         }
-        let aim = settings().classes[0].aim;
+        let aim = settings().classes[0].target_latency;
         assert_eq!(caps.into_iter().collect::<Vec<_>>(), [capped.then_some(aim)]);
     }
 }
@@ -735,10 +735,10 @@
             })
             .collect::<Vec<_>>()
     };
-    assert!(first(1).iter().all(|t| *t < s.ask_within));
+    assert!(first(1).iter().all(|t| *t < s.discovery_retry_limit));
     assert_ne!(first(1), first(2));
     let mut r = Router::new(s.clone(), members(2));
-    assert!(r.pass(s.ask_within).contains(&Action::Subscribe));
+    assert!(r.pass(s.discovery_retry_limit).contains(&Action::Subscribe));
     let mut waits = Vec::new();
     for _ in 0..4 {
         let out = r.event(Event::Members { form: ListForm::Failed, entries: vec![] });
@@ -748,7 +748,7 @@
         }));
         assert!(r.pass(20 * S).contains(&Action::Subscribe));
     }
-    assert!(waits[3] > 2 * waits[0] && waits.iter().all(|w| *w <= 2 * s.ask_within), "{waits:?}");
+    assert!(waits[3] > 2 * waits[0] && waits.iter().all(|w| *w <= 2 * s.discovery_retry_limit), "{waits:?}");
 }
 
 #[test]
@@ -1079,7 +1079,7 @@
         [Action::Send { timeout: Some(t), .. }, ..] => *t,
         other => panic!("no patience in {other:?}"),
     };
-    assert!(patience <= Class::default().aim / 2);
+    assert!(patience <= Class::default().target_latency / 2);
     r.pass(patience / 2);
     assert_eq!(r.key(7), Some(home));
     r.pass(patience / 2);
@@ -1172,7 +1172,7 @@
 
 /// What planners say of one server, and nothing else.
 fn takes(server: u64, part: f64) -> Event {
-    Event::Plan(Plan { takes: vec![(ServerId(server), part)], ..Plan::default() })
+    Event::Plan(Plan { key_fractions: vec![(ServerId(server), part)], ..Plan::default() })
 }
 
 #[test]
@@ -1208,7 +1208,7 @@
 
 #[test]
 fn what_planners_solved_takes_the_place_of_own_terms_but_not_of_a_refusal_just_heard() {
-    let busy = |server| Solved {
+    let busy = |server| PlannedTerms {
         server: ServerId(server),
         rho: 0.95,
         service: 50_000.0,
@@ -1216,7 +1216,7 @@
         service_scv: 1.0,
         trust: 1.0,
     };
-    let spread = |solved: Vec<Solved>| {
+    let spread = |solved: Vec<PlannedTerms>| {
         let mut r = Router::new(settings(), members(2));
         r.event(Event::Plan(Plan { solved, ..Plan::default() }));
         r.pass(S);
@@ -1225,7 +1225,7 @@
     };
     assert!(!spread(vec![]), "without load a key keeps to its server");
     assert!(spread(vec![busy(1), busy(2)]), "a busy server's key is spread");
-    let faint = |s| Solved { trust: 0.0, ..busy(s) };
+    let faint = |s| PlannedTerms { trust: 0.0, ..busy(s) };
     assert!(!spread(vec![faint(1), faint(2)]), "without trust nothing changes");
 }
 
@@ -1270,7 +1270,7 @@
 
 /// A router before thirty servers of one zone and thirty of another, with seven requests a second for each.
 fn thin(zone: u16) -> Router {
-    let class = Class { aim: 630 * MS, limit: 1_670 * MS, ..Class::default() };
+    let class = Class { target_latency: 630 * MS, limit: 1_670 * MS, ..Class::default() };
     let settings =
         Settings { routers: 100, zone: ZoneId(zone), classes: vec![class], may_copy: true, ..settings() };
     let zoned = |m: Member| Member { zone: ZoneId((m.server.0 % 2) as u16), ..m };
@@ -1341,7 +1341,8 @@
 fn a_fleet_of_a_hundred_sends_a_cold_server_its_part() {
     let (mut cold, mut warm) = (0, 0);
     for router in 0..100u64 {
-        let settings = Settings { routers: 100, cold_from: 0.15, cold_for: 23 * S, ..settings() };
+        let settings =
+            Settings { routers: 100, slow_start_from: 0.15, slow_start_duration: 23 * S, ..settings() };
         let mut r = Router::new(settings, members(10));
         for n in 0..132 {
             r.pass(250 * MS);
@@ -1471,8 +1472,8 @@
     // Some routers get four times as much as others.
     let part = |n: usize| if n % 5 == 0 { 4.0 } else { 1.0 };
     {
-        let of = Settings { routers, cold_from: 0.15, cold_for: 23 * S, ..settings() };
-        let of = Settings { fall_multiple: multiple, fall_for: S, ..of };
+        let of = Settings { routers, slow_start_from: 0.15, slow_start_duration: 23 * S, ..settings() };
+        let of = Settings { overload_multiple: multiple, overload_window: S, ..of };
         let mut fleet: Vec<Router> = (0..routers).map(|_| Router::new(of.clone(), members(12))).collect();
         for (n, r) in fleet.iter_mut().enumerate() {
             r.b = Balancer::new(of.clone(), n as u64);
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -86,7 +86,7 @@
 /// Plays one world; how many attempts were written. `held` is what the core is told, `rules` what it is judged by.
 fn play(held: &Rules, rules: &Rules, fates: &[Fate]) -> Result<usize, String> {
     let class = Class {
-        aim: 400 * MS,
+        target_latency: 400 * MS,
         limit: 800 * MS,
         repeat: held.repeat,
         group: held.group,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -57,7 +57,7 @@
 fn settings(variant: u64) -> Settings {
     let bit = |n: u64| variant >> n & 1 == 1;
     let class = |repeat, group, limit: Micros| Class {
-        aim: limit / 2,
+        target_latency: limit / 2,
         limit,
         repeat,
         group,
@@ -90,9 +90,9 @@
         max_retry_after: Some(700 * MS).filter(|_| bit(1)),
         period: 2 * MS,
         answer_grace: 8 * MS,
-        cold_from: 0.2,
-        cold_for: 3_000 * MS,
-        fall_for: 1_000 * MS,
+        slow_start_from: 0.2,
+        slow_start_duration: 3_000 * MS,
+        overload_window: 1_000 * MS,
         ..Settings::default()
     }
 }
@@ -230,15 +230,15 @@
         let first_try = k.sent.is_empty();
         k.sent.push(Sent { server, zone: m.zone, cell: m.cell, at: self.now, verdict: None });
         self.check_turn(id, first_try);
-        if m.started.is_some_and(|t| self.now < t + self.settings.cold_for) && m.kind != ORIGIN {
-            let window = self.settings.fall_for;
+        if m.started.is_some_and(|t| self.now < t + self.settings.slow_start_duration) && m.kind != ORIGIN {
+            let window = self.settings.overload_window;
             let sends = self.cold_sends.entry(server).or_default();
             sends.push_back(self.now);
             while sends.front().is_some_and(|t| *t <= self.now - window) {
                 sends.pop_front();
             }
             // All warm servers have weight 1: one of them answered at most what all did in the busiest window.
-            let fair = self.most_answers as f64 * self.settings.fall_multiple;
+            let fair = self.most_answers as f64 * self.settings.overload_multiple;
             assert!(sends.len() as f64 <= fair + 1.0, "rule 4: {} sends to a cold server", sends.len());
         }
     }
@@ -261,7 +261,7 @@
         k.over |= verdict == Verdict::Served;
         if verdict == Verdict::Served {
             self.answers.push_back(self.now);
-            while self.answers.front().is_some_and(|t| *t <= self.now - self.settings.fall_for) {
+            while self.answers.front().is_some_and(|t| *t <= self.now - self.settings.overload_window) {
                 self.answers.pop_front();
             }
             self.most_answers = self.most_answers.max(self.answers.len());
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -147,7 +147,7 @@
     #[case] cut: bool,
 ) {
     let class = Class { repeat, group, window: window_ms * MS, ..Class::default() };
-    let half = class.aim / 2;
+    let half = class.target_latency / 2;
     let mut m = Module::new(aside(class), fleet(8, cell));
     m.learn(0, false);
     for _ in 0..20 {
@@ -167,7 +167,7 @@
     #[case] cut: bool,
 ) {
     let class = Class { repeat: Repeat::Dedup, window: window_ms * MS, ..Class::default() };
-    let half = class.aim / 2;
+    let half = class.target_latency / 2;
     let mut m = Module::new(aside(class), fleet(2, 1));
     m.learn(0, true);
     let (id, out) = m.ask(0, true, 1_000 * MS);
@@ -182,8 +182,8 @@
 /// fail all those whose class can wait.
 #[test]
 fn a_class_that_can_wait_is_not_held_to_the_aim_of_one_that_cannot() {
-    let short = Class { aim: 100 * MS, limit: 300 * MS, ..Class::default() };
-    let long = Class { aim: 8_000 * MS, limit: 20_000 * MS, ..Class::default() };
+    let short = Class { target_latency: 100 * MS, limit: 300 * MS, ..Class::default() };
+    let long = Class { target_latency: 8_000 * MS, limit: 20_000 * MS, ..Class::default() };
     let mut settings = aside(short);
     settings.classes.push(long);
     let mut m = Module::new(settings, fleet(2, 1));
@@ -203,7 +203,7 @@
             out.extend(sent(&m.pass(50 * MS)));
         }
     }
-    let origin = m.balancer.origin_sight(m.now).expect("an origin");
+    let origin = m.balancer.origin_status(m.now).expect("an origin");
     assert!(origin.failing < 0.01 && origin.window >= 4.0, "{origin:?}");
     assert_eq!(served, asked);
 }
@@ -579,8 +579,8 @@
 
 /// Requests of a class with an aim of 100 ms and a deadline of 600, one each 200 ms, before nodes that answer after
 /// 120 ms, and a part of them after 20: how many of 500 are served.
-fn served_late(late_worth: f64, quick: u64) -> usize {
-    let class = Class { aim: 100 * MS, limit: 600 * MS, late_worth, ..Class::default() };
+fn served_late(late_value: f64, quick: u64) -> usize {
+    let class = Class { target_latency: 100 * MS, limit: 600 * MS, late_value, ..Class::default() };
     let settings = Settings { classes: vec![class], may_copy: true, max_attempts: 4, ..Settings::default() };
     let mut m = Module::new(settings, fleet(8, 2));
     let mut served = 0;
