--- a/src/choice/estimates.rs
+++ b/src/choice/estimates.rs
@@ -15,13 +15,13 @@
     pub(super) fn probe(&mut self, now: Micros, server: ServerId, out: &mut Vec<Action>) {
         let asked = self.settings.may_probe && self.settings.reports == ReportSource::Probe;
         let Some(s) = self.servers.get_mut(&server).filter(|s| asked && !s.origin) else { return };
-        if self.probes >= 1.0 && s.probed.max(s.reported.unwrap_or(0)) + PROBE_AGAIN <= now {
-            (self.probes, s.probed) = (self.probes - 1.0, now);
+        if self.probe_budget >= 1.0 && s.probed.max(s.reported.unwrap_or(0)) + PROBE_INTERVAL <= now {
+            (self.probe_budget, s.probed) = (self.probe_budget - 1.0, now);
             out.push(Action::Probe { server });
         }
     }
 
-    pub(super) fn report(&mut self, now: Micros, server: ServerId, report: &[f32]) {
+    pub(super) fn record_report(&mut self, now: Micros, server: ServerId, report: &[f32]) {
         let Some(at) = self.settings.columns.iter().position(|c| *c == Column::Utilisation) else { return };
         let (Some(s), Some(&rho)) = (self.servers.get_mut(&server), report.get(at)) else { return };
         if rho.is_finite() && (0.0..=16.0).contains(&rho) {
@@ -30,27 +30,27 @@
     }
 
     pub(super) fn refresh(&mut self, now: Micros) {
-        let second = REFRESH as f64 / 1e6;
-        let keep = (-(REFRESH as f64) / MEMORY).exp();
-        self.split_quotas(keep.powf(MEMORY / QUOTA_MEMORY));
+        let second = REFRESH_INTERVAL as f64 / 1e6;
+        let keep = (-(REFRESH_INTERVAL as f64) / MEMORY).exp();
+        self.update_quota_fraction(keep.powf(MEMORY / QUOTA_MEMORY));
         let (mut all_served, mut all_warm) = (0.0, 0.0);
         for (id, zone) in &mut self.zones {
             let warm = self.servers.values().filter(|s| !s.origin && !s.cold && s.member.zone == *id);
             let served = std::mem::take(&mut zone.served) / second;
-            zone.warm = warm.map(|s| s.weight).sum();
-            zone.capacity.add(served, zone.warm, keep);
-            (all_served, all_warm) = (all_served + served, all_warm + zone.warm);
+            zone.warm_weight = warm.map(|s| s.weight).sum();
+            zone.capacity.add(served, zone.warm_weight, keep);
+            (all_served, all_warm) = (all_served + served, all_warm + zone.warm_weight);
         }
         self.capacity.add(all_served, all_warm, keep);
-        (self.wanted, self.answered) = (self.wanted * keep, self.answered * keep);
-        self.hints.decay(keep);
-        self.turns.retain(|_, t| !t.queue.is_empty() || t.rest > now);
+        (self.cache_demand, self.answered_in_time) = (self.cache_demand * keep, self.answered_in_time * keep);
+        self.hint_moments.decay(keep);
+        self.key_queues.retain(|_, t| !t.queue.is_empty() || t.paused_until > now);
         self.origin_time.decay(keep);
-        self.asked.fade(keep.powf(MEMORY / ASKED_MEMORY));
-        self.origin.learn(now, self.fetching());
-        self.slow_start.refresh(REFRESH);
+        self.popularity.fade(keep.powf(MEMORY / POPULARITY_MEMORY));
+        self.origin.learn(now, self.origin_attempts());
+        self.slow_start.refresh(REFRESH_INTERVAL);
         for s in self.servers.values_mut() {
-            s.gaps.decay(keep);
+            s.inter_arrivals.decay(keep);
             s.latency.decay(keep);
         }
         self.issue_allowances(now);
@@ -64,7 +64,7 @@
         let window = self.slow_start.window();
         for (server, rate) in rates {
             if let Some(s) = self.servers.get_mut(&server) {
-                s.allowance.issue(now, REFRESH, rate, window);
+                s.allowance.issue(now, REFRESH_INTERVAL, rate, window);
             }
         }
     }
@@ -76,7 +76,7 @@
 
     /// What warm caches of a zone were seen to do; where it has none, those of all zones.
     pub(super) fn observed_capacity(&self, zone: ZoneId) -> f64 {
-        match self.zones.get(&zone).filter(|z| z.warm > 0.0) {
+        match self.zones.get(&zone).filter(|z| z.warm_weight > 0.0) {
             Some(zone) => zone.capacity.get(),
             None => self.capacity.get(),
         }
@@ -88,31 +88,32 @@
         let (mut rho, mut known) = (RHO_PRIOR * 0.01, 0.01);
         for s in self.servers.values().filter(|s| !s.origin) {
             latency.pool(&s.latency);
-            gaps.pool(&s.gaps);
+            gaps.pool(&s.inter_arrivals);
             rho += truth(s) * s.rho;
             known += truth(s);
         }
-        let prior = self.aim as f64 / 4.0;
+        let prior = self.min_target_latency as f64 / 4.0;
         let (service, service_scv) = latency.shrunk(PRIOR_SAMPLES, prior, PRIOR_SCV);
-        self.long = long((service, service_scv));
+        self.long_latency = long_time((service, service_scv));
         let (gap, gap_scv) = gaps.shrunk(PRIOR_SAMPLES, 1e6, PRIOR_SCV);
         self.servers.change(self.settings.zone, |s| {
             // Silence is not health: an old report fades into the fleet's mean.
             let t = truth(s);
             let rho = (t * s.rho + (1.0 - t) * rho / known).clamp(0.0, RHO_MAX);
             let (service, service_scv) = s.latency.shrunk(PRIOR_SAMPLES, service, service_scv);
-            let arrival_scv = s.gaps.shrunk(PRIOR_SAMPLES, gap, gap_scv).1;
+            let arrival_scv = s.inter_arrivals.shrunk(PRIOR_SAMPLES, gap, gap_scv).1;
             let sure = if s.rho >= RHO_MAX { t * s.rho } else { 0.0 };
-            s.terms = Terms { rho, service, arrival_scv, service_scv }.planned(s.solved, sure);
+            s.terms = Terms { rho, service, arrival_scv, service_scv }.with_planned(s.planned_terms, sure);
             s.origin = Some(s.member.kind) == self.settings.origin_kind;
             let ramp = self.slow_start.ramp(s.member.age(now)).filter(|_| !s.origin);
             s.cold = ramp.is_some();
-            s.listed = Some(s.member.weight).filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
-            s.weight = if s.member.phase == Phase::Ready { s.listed * ramp.unwrap_or(1.0) } else { 0.0 };
+            s.listed_weight = Some(s.member.weight).filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
+            s.weight =
+                if s.member.phase == Phase::Ready { s.listed_weight * ramp.unwrap_or(1.0) } else { 0.0 };
         });
-        let far = self.far();
+        let far = self.remote_weight();
         let caches = || self.servers.values().filter(|s| !s.origin);
-        let weights = caches().map(|s| s.weight * self.nearness(s, far)).sum();
+        let weights = caches().map(|s| s.weight * self.zone_factor(s, far)).sum();
         let starting = caches().filter(|s| s.cold).count();
         self.slow_start.listed(weights, starting);
     }
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -84,7 +84,7 @@
             }
             let side = if s.member.zone == zone { NEAR } else { FAR };
             let placed = !s.origin && s.member.phase == Phase::Ready;
-            let place = Place { side, weight: s.listed, mixed: mix(id.0) };
+            let place = Place { side, weight: s.listed_weight, mixed: mix(id.0) };
             self.index.set(*slot, placed.then_some(place));
         }
         self.index.settle();
@@ -97,15 +97,15 @@
 
     /// Takes over what planners say of each server, in place of what they said before; the rest of it comes back.
     pub fn apply_plan(&mut self, mut plan: Plan) -> Plan {
-        self.values_mut().for_each(|s| (s.avoid, s.solved) = (0.0, None));
+        self.values_mut().for_each(|s| (s.avoided_fraction, s.planned_terms) = (0.0, None));
         for (id, part) in plan.key_fractions.drain(..) {
             if let Some(s) = self.get_mut(&id) {
-                s.avoid = 1.0 - part;
+                s.avoided_fraction = 1.0 - part;
             }
         }
         for terms in plan.solved.drain(..) {
             if let Some(s) = self.get_mut(&terms.server) {
-                s.solved = Some(terms);
+                s.planned_terms = Some(terms);
             }
         }
         plan
--- a/src/state.rs
+++ b/src/state.rs
@@ -56,44 +56,44 @@
 
 impl Terms {
     /// I = W_q/E[S] of the gathering queue, by Eq. 3.
-    pub fn index(&self) -> f64 {
+    pub fn congestion_index(&self) -> f64 {
         self.rho / (1.0 - self.rho) * (self.arrival_scv + self.service_scv) / 2.0
     }
 
     /// With what planners solved in place of these, as far as it is trusted. `sure` is a utilisation that this
     /// router has seen itself just now: planners hear of it a second later.
-    pub fn planned(self, solved: Option<PlannedTerms>, sure: f64) -> Terms {
-        let Some(p) = solved else { return self };
-        let to = |own: f64, said: f64| mixed(own, Some(said), p.trust);
+    pub fn with_planned(self, planned: Option<PlannedTerms>, sure: f64) -> Terms {
+        let Some(p) = planned else { return self };
+        let blended = |own: f64, planned: f64| blend(own, Some(planned), p.trust);
         Terms {
-            rho: to(self.rho, p.rho).max(sure),
-            service: to(self.service, p.service),
-            arrival_scv: to(self.arrival_scv, p.arrival_scv),
-            service_scv: to(self.service_scv, p.service_scv),
+            rho: blended(self.rho, p.rho).max(sure),
+            service: blended(self.service, p.service),
+            arrival_scv: blended(self.arrival_scv, p.arrival_scv),
+            service_scv: blended(self.service_scv, p.service_scv),
         }
     }
 }
 
 /// What planners say in place of an own figure, as far as it is trusted.
-fn mixed(own: f64, said: Option<f64>, trust: f64) -> f64 {
-    said.map_or(own, |said| own + (said - own) * trust)
+fn blend(own: f64, planned: Option<f64>, trust: f64) -> f64 {
+    planned.map_or(own, |planned| own + (planned - own) * trust)
 }
 
 impl Plan {
     /// The part of a tenant's quota that is this router's: what planners give adds to its own judgement and
     /// takes nothing from it. A bucket of few requests a second is over by chance too often to be held to a
     /// part that is just right (`docs/design/two-levels.md`, "Worth").
-    pub fn quota(&self, tenant: usize, own: f64) -> f64 {
-        mixed(own, self.quotas.get(tenant).copied(), self.trust).max(own)
+    pub fn quota_fraction(&self, tenant: usize, own: f64) -> f64 {
+        blend(own, self.quotas.get(tenant).copied(), self.trust).max(own)
     }
 
     /// What of its own part of a server in slow start it may use.
     pub fn cold(&self) -> f64 {
-        mixed(1.0, Some(self.cold), self.trust)
+        blend(1.0, Some(self.cold), self.trust)
     }
 
     /// Whether another fetch may go out beside so many; without trust only its own limit counts.
-    pub fn fetches(&self, out: u32) -> bool {
+    pub fn allows_fetch(&self, out: u32) -> bool {
         f64::from(out) * self.trust < self.fetches.max(1.0)
     }
 }
@@ -127,36 +127,36 @@
     pub cold: bool,
     /// Listed weight, as far as it makes sense; and that times the part of a cold start that is over, 0 for
     /// what is not ready.
-    pub listed: f64,
+    pub listed_weight: f64,
     pub weight: f64,
     pub rho: f64,
     pub reported: Option<Micros>,
     /// When a probe last went there.
     pub probed: Micros,
     /// What is out there, how much of it the server bears, and how long it has said nothing.
-    pub gate: Node,
-    pub gaps: Moments,
+    pub limiter: Node,
+    pub inter_arrivals: Moments,
     pub last_send: Option<Micros>,
     pub latency: Moments,
     pub terms: Terms,
     /// The latest send that it answered well.
-    pub answered: Micros,
+    pub last_answered_send: Micros,
     pub failures: u32,
     /// Connections that it refused since it last said something.
-    pub refused: u32,
+    pub refused_connections: u32,
     pub evictions: u32,
     pub evicted_until: Micros,
     /// What this router may still send it in slow start.
     pub allowance: Allowance,
     /// What planners say: the part of its keys that it must not take, and its terms.
-    pub avoid: f64,
-    pub solved: Option<PlannedTerms>,
+    pub avoided_fraction: f64,
+    pub planned_terms: Option<PlannedTerms>,
 }
 
 impl Server {
     /// Whether planners have this key go elsewhere: the same keys at every router.
     pub fn avoids(&self, key: u64) -> bool {
-        self.avoid > 0.0 && unit(mix(mix(key) ^ self.member.server.0)) < self.avoid
+        self.avoided_fraction > 0.0 && unit(mix(mix(key) ^ self.member.server.0)) < self.avoided_fraction
     }
 
     /// How an attempt there ended, as limits see it. One that ran out of time though a later one was answered
@@ -167,27 +167,27 @@
             Verdict::Served | Verdict::Miss => Ending::Slow,
             Verdict::Full if end.no_place => Ending::Broken,
             Verdict::Full | Verdict::Error => Ending::Refused,
-            Verdict::Timeout if !self.overtook(sent, end.verdict) => Ending::Silent,
+            Verdict::Timeout if !self.answered_later_send(sent, end.verdict) => Ending::Silent,
             _ => Ending::Broken,
         }
     }
 
     /// Whether an attempt ran out of time though one sent after it was answered: its connection fell silent or
     /// its answer was lost, and nothing is said of the server.
-    pub fn overtook(&self, sent: Micros, verdict: Verdict) -> bool {
-        verdict == Verdict::Timeout && self.answered > sent
+    pub fn answered_later_send(&self, sent: Micros, verdict: Verdict) -> bool {
+        verdict == Verdict::Timeout && self.last_answered_send > sent
     }
 }
 
 /// A zone's caches together: whether they are within reach, and what warm ones do of late.
 #[derive(Default)]
 pub struct Zone {
-    pub reach: Domain,
+    pub reachability: Domain,
     /// Requests that warm ones served since the last refresh, without misses.
     pub served: f64,
     pub capacity: ObservedCapacity,
     /// The weight of its warm caches.
-    pub warm: f64,
+    pub warm_weight: f64,
 }
 
 #[derive(Clone, Copy)]
@@ -206,52 +206,52 @@
 }
 
 /// A request without its final answer.
-pub struct Open {
+pub struct OpenRequest {
     pub request: Request,
     pub class: Class,
     pub taken: Micros,
-    pub over: bool,
+    pub over_quota: bool,
     pub attempts: Vec<Attempt>,
     /// Waits for its key's turn, for a fetch of its key here, or for a place at the origin.
-    pub parked: bool,
-    pub begun: bool,
+    pub queued: bool,
+    pub answering: bool,
 }
 
 /// The requests of a key that run in turn, as taken; who has its turn comes first and stays until it is over
 /// with no attempt out. And until when the key rests.
 #[derive(Default)]
-pub struct Turns {
+pub struct KeyQueue {
     pub queue: VecDeque<RequestId>,
-    pub rest: Micros,
+    pub paused_until: Micros,
 }
 
-impl Open {
+impl OpenRequest {
     /// The key in whose turns this request runs.
-    pub fn in_order(&self) -> Option<Key> {
+    pub fn ordered_key(&self) -> Option<Key> {
         Some(self.request.key).filter(|k| self.class.keep_order && *k != Key(0))
     }
 
     /// The time within which its answer counts for one in time: none over quota.
-    pub fn counts(&self) -> Micros {
-        if self.over {
+    pub fn on_time_limit(&self) -> Micros {
+        if self.over_quota {
             0
         } else {
             self.class.target_latency
         }
     }
 
-    pub fn is_out(&self) -> bool {
+    pub fn has_attempt_out(&self) -> bool {
         self.attempts.iter().any(|a| a.verdict.is_none())
     }
 
     /// The first attempt that may have run.
-    pub fn ran(&self) -> Option<&Attempt> {
+    pub fn first_possibly_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|a| !a.verdict.is_some_and(Verdict::never_ran))
     }
 
     /// Whether the class lets what may have run be sent to this server by `latest`.
-    pub fn repeats_at(&self, latest: Micros, s: &Server) -> bool {
-        match (self.class.repeat, self.ran()) {
+    pub fn may_repeat_on(&self, latest: Micros, s: &Server) -> bool {
+        match (self.class.repeat, self.first_possibly_run()) {
             (_, None) | (Repeat::Retryable, _) => true,
             (Repeat::Fragile, Some(_)) => false,
             (Repeat::Dedup, Some(a)) => {
@@ -260,37 +260,37 @@
                     Group::Zone => a.zone == s.member.zone,
                     Group::Cell => a.cell == s.member.cell,
                 };
-                same && self.repeats_until().is_none_or(|until| latest < until)
+                same && self.repeat_deadline().is_none_or(|until| latest < until)
             }
         }
     }
 
     /// Until when what may have run may be sent again; `None` where time sets no bound.
-    pub fn repeats_until(&self) -> Option<Micros> {
-        let ran = self.ran().filter(|_| self.class.repeat == Repeat::Dedup)?;
+    pub fn repeat_deadline(&self) -> Option<Micros> {
+        let ran = self.first_possibly_run().filter(|_| self.class.repeat == Repeat::Dedup)?;
         Some(ran.sent + self.class.window)
     }
 
     /// Placement: a bound class goes only to its servers, at every attempt; any class may use the origin.
-    pub fn placed_at(&self, s: &Server) -> bool {
+    pub fn placed_on(&self, s: &Server) -> bool {
         let zone = self.class.zones.as_ref().is_none_or(|z| z.contains(&s.member.zone));
         s.origin || (zone && self.class.kinds.as_ref().is_none_or(|k| k.contains(&s.member.kind)))
     }
 
-    pub fn missed_at(&self) -> Option<ServerId> {
+    pub fn missed_server(&self) -> Option<ServerId> {
         self.attempts.iter().find(|a| a.verdict == Some(Verdict::Miss)).map(|a| a.server)
     }
 }
 
 /// A time that few samples of this mean and squared coefficient of variation exceed: three deviations more.
-pub fn long((mean, scv): (f64, f64)) -> Micros {
+pub fn long_time((mean, scv): (f64, f64)) -> Micros {
     (mean * (1.0 + 3.0 * scv.sqrt())) as Micros
 }
 
 /// A router's part of the quotas, by the use of the tenants that hold the middle of them, taken to be within
 /// their share: what was asked lately, a fading sum over `second` of a second, against the quota. The sums fade
 /// by `keep`. 0 without quotas.
-pub fn middle_part(tenants: &mut [Bucket], quotas: &[f64], second: f64, keep: f64) -> f64 {
+pub fn median_quota_use(tenants: &mut [Bucket], quotas: &[f64], second: f64, keep: f64) -> f64 {
     let mut used: Vec<(f64, f64)> = Vec::with_capacity(tenants.len());
     for (b, q) in tenants.iter_mut().zip(quotas).filter(|(_, q)| **q > 0.0 && q.is_finite()) {
         used.push((b.asked / second / q, *q));
--- a/src/view.rs
+++ b/src/view.rs
@@ -12,26 +12,26 @@
         self.servers.values().map(move |s| {
             let health = match s.member.phase {
                 Phase::Ready if s.evictions > 0 => Health::Evicted,
-                Phase::Ready if self.hangs(now, s) => Health::Silent,
+                Phase::Ready if self.is_hung(now, s) => Health::Silent,
                 Phase::Ready if s.cold => Health::Cold,
                 Phase::Ready => Health::Serving,
                 Phase::Draining | Phase::Gone => Health::Draining,
             };
             let rho = s.reported.map(|at| (s.rho, at));
-            ServerStatus { server: s.member.server, health, out: s.gate.out(), rho }
+            ServerStatus { server: s.member.server, health, out: s.limiter.out(), rho }
         })
     }
 
     /// What it makes of a server in slow start; none of any other.
     pub fn slow_start_status(&self, server: ServerId) -> Option<SlowStartStatus> {
         let s = self.servers.get(&server).filter(|s| s.cold)?;
-        let ramp = if s.listed > 0.0 { s.weight / s.listed } else { 0.0 };
+        let ramp = if s.listed_weight > 0.0 { s.weight / s.listed_weight } else { 0.0 };
         Some(SlowStartStatus { ramp, allowance: s.allowance.attempts(), rate: self.slow_start_rate(s) })
     }
 
     /// Requests out at origins.
-    pub(crate) fn fetching(&self) -> u32 {
-        self.servers.origins().map(|s| s.gate.out()).sum()
+    pub(crate) fn origin_attempts(&self) -> u32 {
+        self.servers.origins().map(|s| s.limiter.out()).sum()
     }
 
     /// How many things each of its tables holds. What has a fixed size (limits, the sketch of popular keys) is none.
@@ -44,9 +44,9 @@
             ("module.lingering", self.lingering.len()),
             ("module.fetches", self.fetches.len()),
             ("module.fetches_waiting", self.fetches.values().map(|w| w.len()).sum()),
-            ("module.origin_queue", self.queue.len()),
-            ("module.turns", self.turns.len()),
-            ("module.turns_waiting", self.turns.values().map(|t| t.queue.len()).sum()),
+            ("module.origin_queue", self.origin_queue.len()),
+            ("module.turns", self.key_queues.len()),
+            ("module.turns_waiting", self.key_queues.values().map(|t| t.queue.len()).sum()),
             ("module.servers", self.servers.values().count()),
             ("module.server_slots", slots),
             ("module.zones", self.zones.len()),
@@ -59,11 +59,11 @@
 
     /// What it makes of the origin, if one is listed.
     pub fn origin_status(&self, now: Micros) -> Option<OriginStatus> {
-        let well = |s: &Server| s.weight > 0.0 && s.evictions == 0 && !self.hangs(now, s);
+        let well = |s: &Server| s.weight > 0.0 && s.evictions == 0 && !self.is_hung(now, s);
         let reach = self.servers.values().filter(|s| s.origin).map(well).max()?;
         let (o, pace) = (&self.origin, self.origin.pace().map(|pace| pace as Micros));
         let (window, strain, failing) = (o.limit(now), o.strain(), o.failing());
-        let (out, waiting) = (self.fetching(), self.queue.len() as u32);
+        let (out, waiting) = (self.origin_attempts(), self.origin_queue.len() as u32);
         Some(OriginStatus { available: reach, out, window, waiting, pace, strain, failing })
     }
 }
--- a/tests/equations.rs
+++ b/tests/equations.rs
@@ -14,7 +14,7 @@
 #[test]
 fn congestion_index_is_eq_3_over_the_service_time() {
     // 0.5 / 0.5 * (1 + 2) / 2
-    near(GATHERING.index(), 1.5);
+    near(GATHERING.congestion_index(), 1.5);
 }
 
 #[test]
