--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,6 +1,7 @@
-//! Every decision of a router: which cache server a request goes to, and when it is held, refused or
-//! tried again. The interface (settings, events, actions) is `src/interface.rs`; `docs/design.md` says
-//! what is kept of the paper's mechanism, what departs from it and when each departure acts.
+//! The decisions of a router: which cache server a request goes to, and when it is queued, refused
+//! or retried. The interface (settings, events, actions) is in `src/interface.rs`; `docs/design.md`
+//! lists which parts of the paper's mechanism are kept, what departs from it and when each departure
+//! applies.
 
 mod estimates;
 mod origin_fetches;
@@ -14,68 +15,84 @@
 use limits::{backoff, cold, Bucket, Budget, Extra, Ledger, Limit, Popular, Sample};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Candidates a key is spread over (d); 2 makes the shares of Eq. 7 as sharp as they get.
+/// Candidate servers over which a key is spread (d). With 2 the shares of Eq. 7 differ the most.
 pub const CANDIDATES: usize = 2;
-/// Candidates ranked a request: room for overflow past d and for servers already tried.
+/// Candidates ranked per request: leaves room to overflow past the first d and to skip servers
+/// already tried.
 const MAX_RANKED: usize = 6 * CANDIDATES;
 /// Congestion index from which a server counts as busy: the paper's "approaches 1".
 pub const CONGESTED: f64 = 1.0;
-/// And from which its keys are spread, while the origin has room for misses elsewhere: by then a server of
-/// several cores has a wait near its service time. It rises with the square of what room is lacking.
+/// Congestion index from which a server's keys are spread, while the origin has room for the extra
+/// misses: at this index a server with several cores has a wait near its service time. The effective
+/// threshold rises with the square of the room that the origin lacks.
 const SPREAD_THRESHOLD: f64 = 8.0;
-/// What a server of another zone counts for in the ranking while the origin has room for a second copy.
+/// Weight factor of servers in other zones while the origin has room for a second copy of a key.
 const REMOTE_WEIGHT: f64 = 0.05;
-/// The least room that counts.
+/// Lower bound of the origin's room in the index calculation.
 const MIN_ROOM: f64 = 1e-3;
-/// Utilisation is clamped here, so that 1 - rho never vanishes.
+/// Upper bound of utilisation, so that 1 - rho is never zero.
 const RHO_MAX: f64 = 0.98;
-/// Utilisation from which a candidate counts as saturated: nothing more fits.
+/// Utilisation from which a candidate counts as saturated and gets no more overflow.
 const RHO_SATURATED: f64 = 0.95;
-/// Re-solve period of the per-server terms, in us: several times a second, far above a request's cost.
+/// Interval at which the per-server terms are recalculated, in us: several times a second, and far
+/// above the cost of a request.
 const REFRESH_INTERVAL: Micros = 200_000;
-/// Samples that weigh as much as the pooled moments; about what a variance needs to mean anything.
+/// Number of samples that weigh as much as the pooled moments: about as many as a variance estimate
+/// needs.
 const PRIOR_SAMPLES: f64 = 8.0;
 /// Prior of every squared coefficient of variation: Poisson arrivals, exponential service.
 const PRIOR_SCV: f64 = 1.0;
-/// First stay of an evicted server outside, in us, and the longest.
+/// Duration of a server's first eviction and the longest one, in us.
 const MIN_EVICTION: Micros = 500_000;
 const MAX_EVICTION: Micros = 8_000_000;
-/// Failures in a row that evict; one that shows a dead process counts as this many.
+/// Consecutive failures after which a server is evicted; one that shows a dead process counts as
+/// this many.
 const FAILURES_TO_EVICT: u32 = 3;
-/// Further attempts and trials of evicted servers, as parts of the requests, and the burst of them.
+/// Retries and trial requests to evicted servers, as fractions of all requests, and the burst
+/// allowed for both.
 const RETRY_RATIO: f64 = 0.2;
 const TRIAL_RATIO: f64 = 0.1;
 const RETRY_BURST: f64 = 10.0;
-/// Reads fetched past full caches, as a part of those that missed: twice the usual fetches at most.
+/// Reads fetched from the origin because caches are full, as a fraction of the misses: at most twice
+/// the usual fetches.
 const SPILL_RATIO: f64 = 1.0;
-/// Part of the attempts refused a connection at which all are closed after use, and how many are looked at.
+/// Fraction of attempts with a refused connection at which every connection is closed after use, and
+/// the number of attempts averaged over.
 const REFUSED_CONNECTIONS_HIGH: f64 = 0.1;
 const CONNECT_MEMORY: f64 = 20.0;
-/// What probes may cost of the service, and the age in us from which a report is asked anew.
+/// Upper bound of the cost of probes, as a fraction of the service, and the age in us at which a
+/// load report is probed for again.
 const PROBE_COST_RATIO: f64 = 0.004;
 const PROBE_INTERVAL: Micros = 5 * REFRESH_INTERVAL;
-/// Silence with two or more out that tells of a hang, in us: longer than a busy server's pauses.
+/// Time without an answer, with two or more attempts out, after which a server counts as hung, in
+/// us. Longer than the pauses of a busy server.
 const HANG_SILENCE: Micros = 300_000;
-/// Memory of how often keys are asked for, in us, and what each ask lately is worth beside one that waits.
+/// Averaging time of key popularity, in us, and the value of a recent request for a key relative to
+/// one that is waiting for it.
 const POPULARITY_MEMORY: f64 = 10e6;
 const POPULARITY_VALUE: f64 = 0.3;
-/// Asks for a key within that memory that say nothing of how popular it is.
+/// Requests for a key within `POPULARITY_MEMORY` that may be chance and don't make it popular.
 const POPULARITY_NOISE: f64 = 2.0;
 /// First back-off after a failed discovery call, in us.
 const DISCOVERY_BACKOFF: Micros = 500_000;
-/// Memory of the tenants' use, in us, and requests a tenant may bunch at a quiet router without being over.
+/// Averaging time of tenants' usage, in us, and the burst that a tenant may send to a quiet router
+/// without exceeding its quota.
 const QUOTA_MEMORY: f64 = 10e6;
 const QUOTA_BURST: f64 = 5.0;
-/// Part of what wants a cache going without an answer in time from which the rest is refused early.
+/// Fraction of the demand for caches that is not answered in time at which load shedding starts.
 const SHED_THRESHOLD: f64 = 0.5;
-/// Sent for each answer in time while refusing: enough above 1 to find capacity that came back.
+/// Requests sent per request answered in time while shedding: enough above 1 to find capacity that
+/// has returned.
 const SEND_MARGIN: f64 = 1.2;
-/// Part refused at most: a fault that no refusal cures must not starve what still works.
+/// Upper bound of the fraction that is shed: a fault that shedding does not cure must not starve
+/// what still works.
 const MAX_SHED: f64 = 0.95;
-/// Part of the outcomes failing from which the fault lies behind the fleet, and how many are looked at.
+/// Failure rate of caches from which the cause is taken to lie behind the fleet, and the number of
+/// outcomes averaged over.
 const FLEET_FAILURE_RATE: f64 = 0.3;
 const FAILURE_MEMORY: f64 = 50.0;
-/// A server that planners have found silent is tried after this long, in us: its answer ends it for all.
+/// Interval of trial requests to a server that planners report as silent, in us: an answer clears
+/// the report for all routers.
 const MARKED_TRIAL_INTERVAL: Micros = 2_000_000;
 const REFRESH_TIMER: Token = Token(1 << 62);
 const SUBSCRIBE_TIMER: Token = Token(1 << 61);
@@ -86,42 +103,44 @@
     rng: u64,
     pub(crate) servers: Servers,
     pub(crate) open: BTreeMap<RequestId, OpenRequest>,
-    /// Quotas: a bucket a tenant, and the part of the quotas that is this router's.
+    /// Quotas: one token bucket per tenant, and the fraction of each quota that this router may use.
     pub(crate) tenants: Vec<Bucket>,
     quota_fraction: f64,
-    /// Hints lately.
+    /// Recent work hints of requests.
     hint_moments: Moments,
     slow_start: SlowStart,
-    /// What warm caches of all zones were seen to do.
+    /// Observed capacity of the warm caches of all zones.
     capacity: ObservedCapacity,
-    /// Requests within quota that wanted a cache lately, and those a cache answered within the aim.
+    /// Recent demand within quota for caches, and the part that caches answered within the target
+    /// latency.
     cache_demand: f64,
     answered_in_time: f64,
-    /// Part of the caches' outcomes that were errors or time-outs, lately.
+    /// Recent fraction of cache outcomes that were errors or time-outs.
     failure_rate: f64,
     retries: Budget,
     spills: Budget,
     trial_budget: f64,
     probe_budget: f64,
-    /// The time that few answers of the caches exceed, and the shortest aim of a class.
+    /// The latency that few cache answers exceed, and the shortest target latency of any class.
     long_latency: Micros,
     min_target_latency: Micros,
-    /// Part of the attempts that got no connection, lately.
+    /// Recent fraction of attempts whose connection was refused by a live server.
     refused_connection_rate: f64,
     pub(crate) zones: BTreeMap<ZoneId, Zone>,
-    /// Aside mode: the requests that wait for each key's fetch, its leader first; the queue for the origin,
-    /// and how much may be out there.
+    /// Aside mode: the requests that wait for each key's fetch, with the request that fetches first;
+    /// the queue for the origin; and the limit on origin requests.
     pub(crate) fetches: BTreeMap<Key, VecDeque<RequestId>>,
     pub(crate) origin_queue: Vec<RequestId>,
-    /// Keys in order: whose turn it is, and requests that are over while an attempt of theirs is out.
+    /// Keys with ordered requests: the queue of each key, and finished requests with an attempt
+    /// still out.
     pub(crate) key_queues: BTreeMap<Key, KeyQueue>,
     pub(crate) lingering: BTreeMap<RequestId, OpenRequest>,
     pub(crate) origin: Ledger,
-    /// The time that origins take, and how often keys are asked for, lately.
+    /// Recent response times of origins, and how often each key is requested.
     origin_time: Moments,
     popularity: Popular,
     discovery_failures: u32,
-    /// What planners say of this router's parts.
+    /// The latest information from planners about this router's shares.
     plan: Plan,
 }
 
@@ -181,7 +200,8 @@
 
     fn on_members(&mut self, now: Micros, form: ListForm, entries: Vec<Member>, out: &mut Vec<Action>) {
         if form == ListForm::Failed {
-            // Discovery is one small service for all routers: back off, spread by the seed.
+            // Discovery is one small service for all routers, so the retries back off and are spread
+            // by the seed.
             let span =
                 backoff(DISCOVERY_BACKOFF, self.discovery_failures, self.settings.discovery_retry_limit);
             let after = (span as f64 * (0.5 + self.random())) as Micros;
@@ -197,7 +217,8 @@
         }
         for member in entries {
             let (id, allowance) = (member.server, Allowance::new(self.random()));
-            // A restart under the same id is a new, cold process: nothing known of the old one holds.
+            // A restart under the same id is a new, cold process: nothing known about the old one
+            // applies.
             if self.servers.get(&id).is_none_or(|s| s.member.started != member.started) {
                 self.servers.insert(id, Server { allowance, ..Server::default() });
             }
@@ -207,7 +228,8 @@
         self.servers.retain(|_, s| s.member.phase != Phase::Gone);
         self.refresh_terms(now);
         if form == ListForm::Cached {
-            // Routers that start together must not call, or re-solve, in step.
+            // Routers that start together must not call discovery or recalculate at the same
+            // moments.
             out.push(Action::Timer {
                 after: (self.random() * REFRESH_INTERVAL as f64) as Micros,
                 token: REFRESH_TIMER,
@@ -219,9 +241,11 @@
         }
     }
 
-    /// Closing on drains: at the notice and at each later outcome there nothing idle stays connected. Nor,
-    /// for a part, where connections are refused: what idles is another router's refusal, and a router with a
-    /// few servers has few keys' copies. A new connection costs a handshake, a lost copy a fetch.
+    /// Closes idle connections to draining servers, when the notice arrives and after each later
+    /// outcome there. Also closes a fraction of them where connections are refused: an idle
+    /// connection there takes the place of another router's, and a router connected to few servers
+    /// reaches the copies of few keys. A new connection costs a handshake, a lost copy costs a
+    /// fetch.
     fn close_idle(&mut self, server: ServerId, out: &mut Vec<Action>) {
         let scarce = self.refused_connection_rate > 0.0
             && self.random() < self.refused_connection_rate / REFUSED_CONNECTIONS_HIGH;
@@ -237,7 +261,8 @@
         let class = self.settings.classes[usize::from(request.class.0)].clone();
         self.retries.request(now);
         if request.repeat {
-            // A client's own retry is work beside first attempts too: what it takes is not there for ours.
+            // A client's own retry adds to the load as a router's retry does, so it uses the same
+            // budget.
             self.retries.take(Extra::Return);
         }
         self.trial_budget = (self.trial_budget + TRIAL_RATIO).min(RETRY_BURST);
@@ -277,15 +302,16 @@
             median_quota_use(&mut self.tenants, &self.settings.quotas, second, keep).max(even);
     }
 
-    /// Whether a server may be sent a request now: listed ready, what may run twice where, its slow start.
-    /// Asked right before each send, since a request can have waited. `home` is where its key belongs.
+    /// Whether a server may receive a request now: it is listed as ready, the rules on repeats allow
+    /// it and slow start admits it. Checked right before each send, because a request may have
+    /// waited. `home` is the server to which its key belongs.
     fn permitted(&self, now: Micros, o: &OpenRequest, s: &Server, home: Option<ServerId>) -> bool {
         let allowed = o.may_repeat_on(now + self.settings.period, s) && o.placed_on(s);
         let open = allowed && s.weight > 0.0 && now < o.request.deadline && self.attempts_left(o) > 0;
         open && (!s.cold || self.slow_start_admits(now, o, s, home))
     }
 
-    /// Whether a server in slow start may be sent a request now.
+    /// Whether slow start admits a request to a server.
     fn slow_start_admits(&self, now: Micros, o: &OpenRequest, s: &Server, home: Option<ServerId>) -> bool {
         let first = o.attempts.is_empty() && home == Some(s.member.server);
         let popularity = (self.popularity.count(mix(o.request.key.0)) - POPULARITY_NOISE).max(0.0) * 1e6
@@ -298,7 +324,8 @@
         s.allowance.admits(now, demand, self.slow_start.window())
     }
 
-    /// Where a key belongs by the list alone, whatever is known of the servers, while any is in slow start.
+    /// The server to which a key belongs by the list alone, whatever its state; only computed while
+    /// a server is in slow start.
     fn home_server(&self, o: &OpenRequest, key: u64) -> Option<ServerId> {
         if !self.slow_start.is_on() {
             return None;
@@ -310,7 +337,7 @@
         best.first().map(|s| s.member.server)
     }
 
-    /// What servers of other zones count for: more as the origin has less room for a second copy.
+    /// Weight factor of servers in other zones: rises as the origin has less room for a second copy.
     fn remote_weight(&self) -> f64 {
         REMOTE_WEIGHT.powf(self.origin.room())
     }
@@ -323,7 +350,8 @@
         }
     }
 
-    /// The most that a weight of either side may be over that listed.
+    /// Upper bounds of a server's weight relative to its listed weight, for the local and for remote
+    /// zones.
     fn weight_scales(&self, far: f64) -> [f64; 2] {
         let warmest = self.settings.slow_start_from.max(1.0);
         [warmest, warmest * far]
@@ -333,10 +361,12 @@
         (self.settings.max_attempts as usize).saturating_sub(o.attempts.len())
     }
 
-    /// The next step of a request that has nothing out: an attempt, a wait for a fetch, or its answer.
+    /// The next step of a request without an attempt out: another attempt, a wait for a fetch, or
+    /// the final answer.
     fn advance(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id) else { return };
-        // Order: the first attempt waits until those taken before it are over and the key has rested.
+        // Ordered keys: the first attempt waits until earlier requests are finished and the key's
+        // pause is over.
         let turns = o.ordered_key().filter(|_| o.attempts.is_empty()).and_then(|k| self.key_queues.get(&k));
         let starts =
             turns.map_or(0, |t| if t.queue.front() == Some(&id) { t.paused_until } else { Micros::MAX });
@@ -358,19 +388,20 @@
         }
     }
 
-    /// Counts a request that wants a cache, but not before its first attempt had the time to be answered.
+    /// Counts a request as demand for a cache, once its first attempt has had time to be answered.
     fn count_cache_demand(&mut self, id: RequestId, ended: usize) {
         let first = self.open.get(&id).is_some_and(|o| !o.over_quota && o.attempts.len() == ended);
         self.cache_demand += f64::from(u8::from(first));
     }
 
-    /// The ready candidates of a key by weighted rendezvous hashing, best first: the same on all routers of a
-    /// zone with the same list, and a change of the list moves only keys it must. While the origin has room
-    /// for a copy in each zone, servers of others count for little; as it has less, all zones share one copy,
-    /// which is one of those that are there already.
+    /// The ready candidates of a key by weighted rendezvous hashing, best first. All routers of a
+    /// zone with the same list get the same order, and a list change moves only the keys that it
+    /// must. While the origin has room for a copy in each zone, servers in other zones weigh little;
+    /// as the room shrinks, all zones share one of the existing copies.
     fn ranked(&self, now: Micros, key: u64, want: usize, usable: impl Fn(&Server) -> bool) -> Vec<&Server> {
-        // Evicted servers are tried by a part of the requests: where most refuse to connect, or are dead, a
-        // router keeps to those it reaches. With none within reach the fault is elsewhere.
+        // Only a fraction of the requests try evicted servers: where most servers refuse connections
+        // or are dead, a router uses those that it can reach. If none is reachable the fault lies
+        // elsewhere and all are candidates.
         let within = |s: &Server| {
             let marked = s.avoids(key);
             let due = !marked || s.last_send.is_none_or(|t| t + MARKED_TRIAL_INTERVAL <= now);
@@ -391,12 +422,13 @@
         }
     }
 
-    /// Silence that tells of more than pauses.
+    /// Time without an answer that is longer than ordinary pauses.
     fn silence_limit(&self) -> Micros {
         HANG_SILENCE.max(self.long_latency)
     }
 
-    /// Whether a server takes requests and says nothing: known long before the first runs out of time.
+    /// Whether a server accepts requests and does not answer. Detected long before the first request
+    /// times out.
     pub(crate) fn is_hung(&self, now: Micros, s: &Server) -> bool {
         s.limiter.out() > 1 && s.limiter.silence(now) > HANG_SILENCE.max(self.long_latency / 2)
     }
@@ -413,24 +445,27 @@
                 && !o.attempts.iter().any(|a| a.server == s.member.server)
         };
         let first = *self.ranked(now, mix(key), 1, usable).first()?;
-        // Under strain a router sends a little more than its caches answered in time of late and refuses the
-        // rest early: queues past the aim serve nobody, and a cache waiting for a swamped origin looks idle
-        // by its cores. What is over quota goes first.
+        // Under overload a router sends slightly more than its caches recently answered in time and
+        // sheds the rest early: requests queued beyond the target latency serve nobody, and a cache
+        // that waits for an overloaded origin looks idle by its CPU. Requests over quota are shed
+        // first.
         let (index, surplus) = (first.terms.congestion_index(), self.excess_demand());
         let surplus =
             o.attempts.is_empty() && surplus >= SHED_THRESHOLD && (o.over_quota || refuse < surplus);
         if surplus && (index >= CONGESTED || self.failure_rate >= FLEET_FAILURE_RATE) {
             return None;
         }
-        // A copy elsewhere is a fetch more: without room for it the key stays with its first candidate.
+        // A copy on another server costs one more fetch: if the origin has no room for it, the key
+        // stays with its first candidate.
         let room = self.origin.room() * (1.0 - self.origin.failing());
         let index = index * room.powi(2).max(MIN_ROOM);
-        // The size cut falls from the mean hint as congestion grows past the threshold.
+        // The size cut-off falls from the mean hint as congestion grows past the threshold.
         let small = o.request.hint.is_some_and(|h| h < self.hint_moments.mean() * SPREAD_THRESHOLD / index);
         if index < SPREAD_THRESHOLD || small {
             return Some(first.member.server);
         }
-        // Overflow: a hot key can swamp its d candidates; the next d in rank order take over from them.
+        // Overflow: a hot key can saturate its d candidates; the next d in rank order then take
+        // over.
         let ranked = self.ranked(now, mix(key), MAX_RANKED, usable);
         let full = |w: &&[&Server]| w.iter().all(|s| s.terms.rho >= RHO_SATURATED);
         let window = ranked.chunks(CANDIDATES).find(|w| !full(w));
@@ -457,7 +492,8 @@
         }
         self.trial_budget -=
             f64::from(u8::from(s.evictions > 0 || s.avoided_fraction > 0.0)).min(self.trial_budget);
-        // A request far above the mean work draws as much more of a server's allowance.
+        // A request with far more than the mean work uses correspondingly more of a server's
+        // allowance.
         if s.cold {
             s.allowance
                 .spend(o.request.hint.map_or(1.0, |h| (h / self.hint_moments.mean().max(1.0)).max(1.0)));
@@ -465,7 +501,8 @@
         o.queued = false;
         let begin_by = o.repeat_deadline();
         o.attempts.push(Attempt::sent(now, &s.member));
-        // While much is refused, an answer past the aim takes a place: called off unless worth more than it.
+        // While much is shed, an answer after the target latency takes the place of another request:
+        // cut the attempt off at the target unless a late answer is worth more.
         let worth = self.answered_in_time >= o.class.late_value * self.cache_demand
             && o.class.repeat == Repeat::Retryable;
         let cap = worth && surplus >= SHED_THRESHOLD && !s.origin;
@@ -475,9 +512,10 @@
         self.probe(now, server, out);
     }
 
-    /// How long an attempt may take before another is made: where answers come well within the aim, one that
-    /// takes half of it sits on a connection that fell silent, or at a hung server. A second fetch wants
-    /// an origin with room; and what may run once has to have a place by then where it may go again.
+    /// Time after which an attempt is given up for another one. Where answers usually come well
+    /// within the target latency, an attempt that takes half of it is on a dead connection or at a
+    /// hung server. A second origin fetch needs an origin with room, and a request that must not run
+    /// twice needs a server to which it may still be sent by then.
     fn attempt_timeout(&self, now: Micros, id: RequestId, server: ServerId) -> Option<Micros> {
         let (o, s) = (self.open.get(&id)?, self.servers.get(&server)?);
         let half = o.class.target_latency / 2;
@@ -491,12 +529,14 @@
         (again && quick && self.attempts_left(o) > 0 && self.retries.left() >= 1.0).then_some(half)
     }
 
-    /// The part of what wants a cache beyond what caches answer in time, and so refused under strain.
+    /// Fraction of the demand for caches beyond what they answer in time, which is shed under
+    /// overload.
     fn excess_demand(&self) -> f64 {
         ((self.cache_demand - SEND_MARGIN * self.answered_in_time - 1.0) / self.cache_demand).min(MAX_SHED)
     }
 
-    /// Whether caches fail all over the fleet, or answer less than is wanted: another attempt adds to it.
+    /// Whether caches fail across the fleet or answer less than the demand: further attempts would
+    /// add to it.
     fn overloaded(&self) -> bool {
         self.failure_rate >= FLEET_FAILURE_RATE || self.excess_demand() >= SHED_THRESHOLD
     }
@@ -535,8 +575,9 @@
         self.drain_origin(now, out);
     }
 
-    /// Whether another attempt is in the budget: a broken connection is no load and takes nothing; nothing is
-    /// left to pay with where a time-out was all the time the request had, or no other may be made beside it.
+    /// Whether the budget allows another attempt. A broken connection adds no load and costs no
+    /// budget. There is no further attempt where a time-out used all the time of the request, or
+    /// where a second copy is not allowed.
     fn may_try_again(&mut self, now: Micros, id: RequestId, end: &Outcome) -> bool {
         let Some(o) = self.open.get(&id) else { return false };
         let (left, strained) = (o.request.deadline - now, self.overloaded());
@@ -545,14 +586,15 @@
                 let more = left > 2 * self.settings.period && self.settings.may_copy && !strained;
                 more && self.retries.take(Extra::Repeat)
             }
-            // Over quota it is served where there is room, and not tried elsewhere where there is none.
+            // Requests over quota are served where there is room and not retried where there is
+            // none.
             Verdict::Full if o.over_quota => false,
             _ if end.connection_failed() && !strained => true,
             _ => self.retries.take(Extra::Repeat),
         }
     }
 
-    /// Turned away or not answered in time: busy now, whatever the last report said.
+    /// Marks a server as busy after a refusal or a time-out, whatever its last report says.
     fn mark_busy(&mut self, now: Micros, server: ServerId, verdict: Verdict) {
         let busy = matches!(verdict, Verdict::Full | Verdict::Timeout);
         if let Some(s) = self.servers.get_mut(&server).filter(|_| busy) {
@@ -560,7 +602,7 @@
         }
     }
 
-    /// What an outcome says of its server's health and speed.
+    /// Updates the health and latency estimates of a server from an outcome.
     fn record_outcome(&mut self, now: Micros, end: &Outcome, sent: Micros) {
         let jitter = 0.5 + self.random();
         let (own, aim) =
@@ -571,16 +613,18 @@
             self.mark_busy(now, end.server, end.verdict);
         }
         self.count_cache_demand(end.request, first);
-        // Later than twice the shortest aim nobody waits for it, unless its own class does.
+        // After twice the shortest target latency nobody waits for an answer, unless its own class
+        // does.
         let (late, kept_waiting, silent) =
             ((self.min_target_latency * 2).max(own), !self.origin_queue.is_empty(), self.silence_limit());
         let Some(s) = self.servers.get_mut(&end.server) else { return };
         let ending = s.ending(end, sent, late);
-        // A zone that is out of reach says nothing of the rest of the fleet, nor of its own servers.
+        // An unreachable zone says nothing about the rest of the fleet, nor about its own servers.
         let zone = self.zones.entry(s.member.zone).or_default();
         zone.reachability.heard(!s.origin && end.process_responded());
         let lost = !s.origin && zone.reachability.is_lost(now, silent);
-        // A server that refused connections and answers now has too few; one that says nothing more is gone.
+        // A server that refused connections and answers now has too few of them; one that stays
+        // silent is gone.
         s.refused_connections += u32::from(end.verdict == Verdict::ConnectFailed && !lost);
         let full = if end.process_responded() { std::mem::take(&mut s.refused_connections) } else { 0 };
         self.refused_connection_rate +=
@@ -592,16 +636,18 @@
         if matches!(end.verdict, Verdict::Served | Verdict::Timeout) && !lone {
             s.latency.add(end.elapsed.max(0) as f64);
         }
-        // A process that answered a moment ago did not die: it was that connection.
+        // A process that answered a moment ago is alive: only that connection was lost.
         let alive = end.verdict == Verdict::Reset && s.last_answered_send + REFRESH_INTERVAL > now;
         let broken = matches!(end.verdict, Verdict::ConnectFailed | Verdict::Reset) && !alive && !lost;
-        // Errors and time-outs all over the fleet come from behind it, and moving keys would add misses.
+        // Errors and time-outs across the fleet are caused behind it, and moving keys would only add
+        // misses.
         s.failures += u32::from(broken || (bad && self.failure_rate < FLEET_FAILURE_RATE));
         if good {
             (s.failures, s.evictions, s.last_answered_send) = (0, 0, s.last_answered_send.max(sent));
         }
         if s.failures >= FAILURES_TO_EVICT {
-            // Failing or vanished, with its last report and its keys: out for a while, tried, out for longer.
+            // Failing or gone, still with its last report and its keys: evicted for a while, tried
+            // again, then evicted for longer.
             s.failures = FAILURES_TO_EVICT - 1;
             s.evicted_until =
                 now + (backoff(MIN_EVICTION, s.evictions, MAX_EVICTION) as f64 * jitter) as Micros;
@@ -615,19 +661,21 @@
             self.failure_rate += (f64::from(u8::from(bad)) - self.failure_rate) / FAILURE_MEMORY;
             self.retries.ended(&sample);
             self.answered_in_time += f64::from(u8::from(good && end.elapsed <= aim));
-            // A miss takes a part of the work of a hit that a router cannot know: a server answers many more
-            // of them than it can do requests of mean work, so none of them proves capacity.
+            // A miss takes an unknown fraction of the work of a hit. A server answers many more
+            // misses than requests of mean work, so misses are no evidence of capacity.
             zone.served += f64::from(u8::from(end.verdict == Verdict::Served && !s.cold));
         }
     }
 
-    /// The final answer to a request without one: a refusal where that promise is true.
+    /// Sends the final answer of a request that has none: a refusal if a repeat is safe, otherwise a
+    /// failure.
     fn finish(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let draw = self.random();
         let Some(o) = self.open.get(&id) else { return };
         let dropped = o.class.repeat == Repeat::Dedup && o.class.group == Group::All;
         let harmless = o.first_possibly_run().is_none() || o.class.repeat == Repeat::Retryable || dropped;
-        // Over quota stays away longest: it would come back into the same overload. Others come back spread.
+        // Requests over quota get the longest retry delay, as they would return into the same
+        // overload. The others return spread over time.
         let part = if o.over_quota { 1.0 } else { 0.25 + 0.5 * draw };
         let retry_after = self.settings.max_retry_after.map(|t| (t as f64 * part) as Micros);
         out.push(if harmless && !o.answering {
@@ -638,7 +686,8 @@
         self.close_request(now, id, out);
     }
 
-    /// Drops a finished request; those who waited for its fetch go on, and so does its key's next in order.
+    /// Removes a finished request; requests waiting for its fetch continue, and so does the next
+    /// request of its ordered key.
     fn close_request(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(o) = self.open.remove(&id) else { return };
         self.share_fetch(now, id, &o, out);
@@ -650,7 +699,7 @@
         }
     }
 
-    /// A request that is over, with nothing out, passes the turn of its key on.
+    /// Starts the next request of an ordered key after a finished request that has no attempt out.
     fn advance_key_queue(&mut self, now: Micros, id: RequestId, key: Option<Key>, out: &mut Vec<Action>) {
         let Some(turns) = key.and_then(|k| self.key_queues.get_mut(&k)) else { return };
         let had_it = turns.queue.front() == Some(&id);
--- a/src/choice/estimates.rs
+++ b/src/choice/estimates.rs
@@ -1,17 +1,18 @@
-//! What the router estimates of servers and re-solves on a timer: utilisation, moments of service and arrival
-//! times, observed capacity, and from them the terms by which servers are compared and the attempts issued in
-//! slow start.
+//! The router's estimates of servers, recalculated on a timer: utilisation, moments of service and
+//! inter-arrival times, observed capacity, and from these the terms by which servers are compared
+//! and the attempts issued in slow start.
 
 use super::*;
 
-/// Utilisation of a fleet that has reported nothing: no sign of congestion.
+/// Assumed utilisation of a fleet that has reported nothing: no sign of congestion.
 const RHO_PRIOR: f64 = 0.3;
-/// Memory of the moments and of a report's truth, in us: some report periods, shorter than a trouble.
+/// Averaging time of the moments, and decay time of a report's weight, in us: several report
+/// periods, and shorter than a typical fault.
 const MEMORY: f64 = 4e6;
 
 impl Balancer {
-    /// Where load is told to probes alone, one goes with a request to a server unknown of late: without it
-    /// rho stays the prior and no key is ever spread.
+    /// Where only probes return load reports, sends a probe along with a request to a server without
+    /// a recent report. Without it rho would stay at the prior and no key would ever be spread.
     pub(super) fn probe(&mut self, now: Micros, server: ServerId, out: &mut Vec<Action>) {
         let asked = self.settings.may_probe && self.settings.reports == ReportSource::Probe;
         let Some(s) = self.servers.get_mut(&server).filter(|s| asked && !s.origin) else { return };
@@ -69,12 +70,12 @@
         }
     }
 
-    /// Attempts a second that this router is issued at a server in slow start.
+    /// Attempts per second issued to this router at a server in slow start.
     pub(crate) fn slow_start_rate(&self, s: &Server) -> f64 {
         self.slow_start.rate(s.weight, self.observed_capacity(s.member.zone), self.plan.cold())
     }
 
-    /// What warm caches of a zone were seen to do; where it has none, those of all zones.
+    /// Observed capacity of the warm caches of a zone, or of all zones if it has none.
     pub(super) fn observed_capacity(&self, zone: ZoneId) -> f64 {
         match self.zones.get(&zone).filter(|z| z.warm_weight > 0.0) {
             Some(zone) => zone.capacity.get(),
@@ -97,7 +98,7 @@
         self.long_latency = long_time((service, service_scv));
         let (gap, gap_scv) = gaps.shrunk(PRIOR_SAMPLES, 1e6, PRIOR_SCV);
         self.servers.change(self.settings.zone, |s| {
-            // Silence is not health: an old report fades into the fleet's mean.
+            // A missing report is not a sign of health: an old report fades into the fleet's mean.
             let t = truth(s);
             let rho = (t * s.rho + (1.0 - t) * rho / known).clamp(0.0, RHO_MAX);
             let (service, service_scv) = s.latency.shrunk(PRIOR_SAMPLES, service, service_scv);
--- a/src/choice/origin_fetches.rs
+++ b/src/choice/origin_fetches.rs
@@ -1,10 +1,12 @@
-//! Fetches from the origin for requests that missed at the caches, where the router makes them: one fetch for
-//! a key serves all that wait for it, and what the origin has no room for is queued or goes without.
+//! Origin fetches for requests that missed at the caches, where the router makes them (aside mode).
+//! One fetch of a key serves all requests that wait for it; what the origin has no room for is
+//! queued or refused.
 
 use super::*;
 
 impl Balancer {
-    /// Those who waited for a finished request's fetch go to where its answer is kept.
+    /// Sends the requests that waited for a finished request's fetch to the cache that now holds its
+    /// answer.
     pub(super) fn share_fetch(&mut self, now: Micros, id: RequestId, o: &OpenRequest, out: &mut Vec<Action>) {
         let Some(waiting) = self.fetches.get_mut(&o.request.key).filter(|_| !o.request.write) else { return };
         if waiting.front() != Some(&id) {
@@ -14,7 +16,8 @@
         let stored = o.attempts.last().is_some_and(|a| a.verdict == Some(Verdict::Served));
         let keeper = o.missed_server().filter(|_| stored);
         for w in waiting.into_iter().skip(1) {
-            // The cache that should hold the key by now, if an attempt is left after it for the origin.
+            // The cache that should hold the key by now, if another attempt is left for the origin
+            // after it.
             let cache = self.open.get(&w).zip(keeper.and_then(|k| self.servers.get(&k)));
             match cache
                 .filter(|(o, s)| self.attempts_left(o) > 1 && self.permitted(now, o, s, None))
@@ -26,7 +29,7 @@
         }
     }
 
-    /// A parked request's timer: its key has rested, or its time is up.
+    /// Handles the timer of a waiting request: its key's pause is over, or its deadline has come.
     pub(super) fn on_wait_timer(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id).filter(|o| o.queued) else { return };
         let left = o.request.deadline - now;
@@ -40,8 +43,8 @@
         self.advance(now, id, out);
     }
 
-    /// A read within quota that caches turn away is fetched all the same, once, where the origin has room to
-    /// spare and nothing waits for it. Else its answer is due.
+    /// Fetches a read within quota that caches refused, once, if the origin has spare room and
+    /// nothing is queued for it. Otherwise gives the final answer.
     pub(super) fn spill(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let (origin, idle) = (self.settings.origin_kind.is_some(), self.origin_queue.is_empty());
         let spare = origin && idle && self.origin.spares(now, self.origin_attempts());
@@ -55,15 +58,17 @@
         }
     }
 
-    /// Takes a request to the origin, or lets it wait for the same key's fetch or for a place.
+    /// Sends a request to the origin, or queues it for the same key's fetch or for room at the
+    /// origin.
     pub(super) fn fetch(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(o) = self.open.get_mut(&id) else { return };
         o.queued = true;
         let (key, write, left) = (o.request.key, o.request.write, o.request.deadline - now);
         out.push(Action::Timer { after: (left - self.settings.period).max(0), token: Token(id.0) });
         if !write && key != Key(0) {
-            // A miss joins the fetch of its key that is out: the origin takes few. Till then who has most
-            // time left leads: what is fetched for a request that is over by then is kept nowhere.
+            // A miss joins a fetch of its key that is already out, as the origin can take few. Until
+            // it is sent, the request with the latest deadline leads: a fetch for a request that is
+            // over by then is not stored.
             let waiting = self.fetches.entry(key).or_default();
             waiting.retain(|w| *w != id);
             let leader = waiting.front().map_or(id, |w| *w);
@@ -74,7 +79,7 @@
                 self.origin_queue.push(id);
             } else {
                 waiting.push_back(id);
-                // Who waited behind a fetch that failed leads now, and waits for a place itself.
+                // A request that waited behind a failed fetch leads now and has to be queued itself.
                 let queued = !l.queued || self.origin_queue.contains(&leader);
                 self.origin_queue.extend((!queued).then_some(leader));
             }
@@ -84,7 +89,8 @@
         self.drain_origin(now, out);
     }
 
-    /// Gives up what waits for the origin without half the time left that it takes: asked in vain.
+    /// Gives up queued requests with less than half of the origin's usual response time left: their
+    /// fetch would be in vain.
     pub(super) fn drop_late_waiters(&mut self, now: Micros, out: &mut Vec<Action>) {
         let least = now + self.origin.pace().map_or(0, |pace| (pace / 2.0) as Micros);
         let late =
@@ -94,9 +100,10 @@
         late.into_iter().for_each(|id: RequestId| self.finish(now, id, out));
     }
 
-    /// Sends what waits for the origin while it takes more: first what has twice its usual time left, of that
-    /// what is worth most. A write is worth its class, a read all that wait for its key, and a part of those
-    /// that will ask for it; over quota it is worth as little as the site says.
+    /// Sends queued requests to the origin while it has room: first those with twice the usual
+    /// response time left, and among them the most valuable. The value of a write is that of its
+    /// class; the value of a read is the number of requests waiting for its key plus a fraction of
+    /// those expected. Requests over quota are scaled by `over_quota_value`.
     pub(super) fn drain_origin(&mut self, now: Micros, out: &mut Vec<Action>) {
         let takes = |m: &Self, out| m.origin.takes(now, out) && m.plan.allows_fetch(out);
         while !self.origin_queue.is_empty() && takes(self, self.origin_attempts()) {
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -1,8 +1,8 @@
-//! The listed servers, in slots: found by id in one step, gone through in the order of ids, origins apart, and
-//! caches placed in the [`placement::Index`].
+//! The listed servers, stored in slots: looked up by id in constant time, iterated in the order of
+//! ids, with origins kept separately and caches placed in the [`placement::Index`].
 //!
-//! It owns the slots and keeps the index in step with them. What a server is worth and whether it may be used is
-//! not decided here.
+//! This type owns the slots and keeps the index consistent with them. It does not decide a server's
+//! weight or whether it may be used.
 
 use crate::interface::*;
 use crate::numbers::Numbers;
@@ -14,7 +14,7 @@
     slots: Vec<Option<Server>>,
     free: Vec<u32>,
     found: Numbers<ServerId, u32>,
-    /// In the order of ids.
+    /// Sorted by id.
     order: Vec<(ServerId, u32)>,
     origins: Vec<u32>,
     index: Index,
@@ -29,7 +29,7 @@
         self.slots.get_mut(*self.found.get(id)? as usize)?.as_mut()
     }
 
-    /// Puts a server in, in place of one of this id.
+    /// Inserts a server, replacing one with the same id.
     pub fn insert(&mut self, id: ServerId, server: Server) {
         if let Some(s) = self.get_mut(&id) {
             *s = server;
@@ -44,7 +44,7 @@
         self.order.insert(self.order.partition_point(|(other, _)| *other < id), (id, slot));
     }
 
-    /// The one place where a slot is given back.
+    /// Keeps the servers for which `keep` returns true. Slots are only freed here.
     pub fn retain(&mut self, mut keep: impl FnMut(&ServerId, &Server) -> bool) {
         let Servers { slots, free, found, order, origins, index } = self;
         order.retain(|(id, slot)| {
@@ -62,18 +62,19 @@
         index.settle();
     }
 
-    /// Slots, used or free; those placed, keys whose candidates are kept, and changes of the placement that are.
+    /// The number of slots (used or free), placed servers, keys with cached candidates, and retained
+    /// placement changes.
     pub fn sizes(&self) -> [usize; 4] {
         let (keys, changes) = self.index.kept();
         [self.slots.len(), self.index.len(), keys, changes]
     }
 
-    /// All, in the order of ids.
+    /// All servers, in the order of ids.
     pub fn values(&self) -> impl Iterator<Item = &Server> {
         self.order.iter().filter_map(|(_, slot)| self.slots[*slot as usize].as_ref())
     }
 
-    /// Changes what `change` does to each, in the order of ids, and places them anew.
+    /// Applies `change` to each server, in the order of ids, and updates its placement.
     pub fn change(&mut self, zone: ZoneId, mut change: impl FnMut(&mut Server)) {
         self.origins.clear();
         for (id, slot) in &self.order {
@@ -90,12 +91,14 @@
         self.index.settle();
     }
 
-    /// All, in no order, to change anything but what decides where each is placed.
+    /// All servers, in no particular order. Callers must not change what determines a server's
+    /// placement.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Server> {
         self.slots.iter_mut().flatten()
     }
 
-    /// Takes over what planners say of each server, in place of what they said before; the rest of it comes back.
+    /// Applies the plan's per-server information, replacing the previous one, and returns the rest
+    /// of the plan.
     pub fn apply_plan(&mut self, mut plan: Plan) -> Plan {
         self.values_mut().for_each(|s| (s.avoided_fraction, s.planned_terms) = (0.0, None));
         for (id, part) in plan.key_fractions.drain(..) {
@@ -116,8 +119,8 @@
         self.origins.iter().filter_map(|slot| self.slots[*slot as usize].as_ref())
     }
 
-    /// The best caches for a key, by score over those that have a weight; a weight must not be above that listed
-    /// times the scale of its side, near or far.
+    /// The best caches for a key, by score, among those for which `weight` returns one. A weight
+    /// must not exceed the listed weight times the scale of the server's side, near or far.
     pub fn best(
         &self,
         key: u64,
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a router keeps, as plain data with its arithmetic: nothing is decided here.
+//! The state that a router keeps, as plain data with its arithmetic. No decisions are made here.
 
 use crate::interface::*;
 use crate::slow_start::Allowance;
@@ -36,9 +36,11 @@
         self.sum / self.n.max(f64::MIN_POSITIVE)
     }
 
-    /// Mean and squared coefficient of variation (Var/E^2), shrunk toward a prior that counts as `samples`.
+    /// Mean and squared coefficient of variation (Var/E^2), shrunk toward a prior that counts as
+    /// `samples`.
     pub fn shrunk(&self, samples: f64, mean: f64, scv: f64) -> (f64, f64) {
-        // Each is shrunk by itself: a prior mean far from the samples' is no variance of theirs.
+        // The two are shrunk separately: a prior mean far from the samples' mean is not variance of
+        // the samples.
         let (own, n) = (self.mean(), self.n + samples);
         let own_scv = if own > 0.0 { (self.squares / self.n / (own * own) - 1.0).max(0.0) } else { scv };
         ((self.sum + samples * mean) / n, (self.n * own_scv + samples * scv) / n)
@@ -60,8 +62,9 @@
         self.rho / (1.0 - self.rho) * (self.arrival_scv + self.service_scv) / 2.0
     }
 
-    /// With what planners solved in place of these, as far as it is trusted. `sure` is a utilisation that this
-    /// router has seen itself just now: planners hear of it a second later.
+    /// These terms blended with those from planners, by the trust in them. `sure` is a utilisation
+    /// that this router has just observed: planners learn of it a second later, so it is a lower
+    /// bound.
     pub fn with_planned(self, planned: Option<PlannedTerms>, sure: f64) -> Terms {
         let Some(p) = planned else { return self };
         let blended = |own: f64, planned: f64| blend(own, Some(planned), p.trust);
@@ -74,33 +77,34 @@
     }
 }
 
-/// What planners say in place of an own figure, as far as it is trusted.
+/// Blends a local value with one from planners, by the trust in the latter.
 fn blend(own: f64, planned: Option<f64>, trust: f64) -> f64 {
     planned.map_or(own, |planned| own + (planned - own) * trust)
 }
 
 impl Plan {
-    /// The part of a tenant's quota that is this router's: what planners give adds to its own judgement and
-    /// takes nothing from it. A bucket of few requests a second is over by chance too often to be held to a
-    /// part that is just right (`docs/design/two-levels.md`, "Worth").
+    /// This router's fraction of a tenant's quota: planners can raise its own estimate but not lower
+    /// it. A bucket with few requests per second overflows by chance too often to be held to an
+    /// exact fraction (`docs/design/two-levels.md`, "Worth").
     pub fn quota_fraction(&self, tenant: usize, own: f64) -> f64 {
         blend(own, self.quotas.get(tenant).copied(), self.trust).max(own)
     }
 
-    /// What of its own part of a server in slow start it may use.
+    /// Fraction of this router's share of servers in slow start that it may use.
     pub fn cold(&self) -> f64 {
         blend(1.0, Some(self.cold), self.trust)
     }
 
-    /// Whether another fetch may go out beside so many; without trust only its own limit counts.
+    /// Whether planners allow another fetch beside `out` others; without trust only the router's own
+    /// limit counts.
     pub fn allows_fetch(&self, out: u32) -> bool {
         f64::from(out) * self.trust < self.fetches.max(1.0)
     }
 }
 
-/// Each candidate's part of the key's spread traffic, the gathering queue first. Eq. 2 gives C_D^2 of the
-/// gathering queue; from R_i = 1/d Eq. 4 gives C_i^2, Eq. 5 the wait, Eq. 6 the queue; Eq. 7 averages the
-/// two ratios. R_i grows with the queue, so the part is (1 - R_i)/(d - 1).
+/// Each candidate's fraction of the key's spread traffic, the gathering queue first. Eq. 2 gives
+/// C_D^2 of the gathering queue; from R_i = 1/d Eq. 4 gives C_i^2, Eq. 5 the wait, Eq. 6 the queue;
+/// Eq. 7 averages the two ratios. R_i grows with the queue, so the fraction is (1 - R_i)/(d - 1).
 pub fn shares(terms: &[Terms]) -> Vec<f64> {
     let d = terms.len() as f64;
     if terms.len() < 2 {
@@ -112,55 +116,55 @@
     let queue = |t: &Terms| t.rho * t.rho / (1.0 - t.rho) * (routed + t.service_scv) / 2.0;
     let wait = |t: &Terms| t.service * t.rho / (1.0 - t.rho) * (routed + t.service_scv) / 2.0;
     let (queues, waits) = (terms.iter().map(queue).sum::<f64>(), terms.iter().map(wait).sum::<f64>());
-    // An idle fleet has no queue and no wait to divide by: equal parts.
+    // An idle fleet has no queue and no wait to divide by: equal fractions.
     let ratio = |x: f64, sum: f64| if sum > 0.0 && sum.is_finite() { x / sum } else { 1.0 / d };
     let r = |t: &Terms| (ratio(queue(t), queues) + ratio(wait(t), waits)) / 2.0;
     terms.iter().map(|t| (1.0 - r(t)) / (d - 1.0)).collect()
 }
 
-/// A listed server: what the list, its reports and its outcomes say of it.
+/// A listed server: its list entry, and what its reports and outcomes tell about it.
 #[derive(Default)]
 pub struct Server {
     pub member: Member,
-    /// An origin (aside mode), or a cache within its cold time.
+    /// Whether it is an origin (aside mode), or a cache in slow start.
     pub origin: bool,
     pub cold: bool,
-    /// Listed weight, as far as it makes sense; and that times the part of a cold start that is over, 0 for
-    /// what is not ready.
+    /// The listed weight, or 1 if that is not a positive number; and the listed weight scaled by the
+    /// slow start ramp, 0 if the server is not ready.
     pub listed_weight: f64,
     pub weight: f64,
     pub rho: f64,
     pub reported: Option<Micros>,
-    /// When a probe last went there.
+    /// When it was last sent a probe.
     pub probed: Micros,
-    /// What is out there, how much of it the server bears, and how long it has said nothing.
+    /// The attempts out there, the limit on them, and how long the server has not answered.
     pub limiter: Node,
     pub inter_arrivals: Moments,
     pub last_send: Option<Micros>,
     pub latency: Moments,
     pub terms: Terms,
-    /// The latest send that it answered well.
+    /// Send time of the latest attempt that it answered successfully.
     pub last_answered_send: Micros,
     pub failures: u32,
-    /// Connections that it refused since it last said something.
+    /// Connections refused since its last response.
     pub refused_connections: u32,
     pub evictions: u32,
     pub evicted_until: Micros,
-    /// What this router may still send it in slow start.
+    /// Attempts that this router may still send it in slow start.
     pub allowance: Allowance,
-    /// What planners say: the part of its keys that it must not take, and its terms.
+    /// From planners: the fraction of its keys that it must not get, and its terms.
     pub avoided_fraction: f64,
     pub planned_terms: Option<PlannedTerms>,
 }
 
 impl Server {
-    /// Whether planners have this key go elsewhere: the same keys at every router.
+    /// Whether planners exclude this key from the server: the same keys on every router.
     pub fn avoids(&self, key: u64) -> bool {
         self.avoided_fraction > 0.0 && unit(mix(mix(key) ^ self.member.server.0)) < self.avoided_fraction
     }
 
-    /// How an attempt there ended, as limits see it. One that ran out of time though a later one was answered
-    /// tells of its connection alone.
+    /// How an attempt ended, as the limiters classify it. A time-out although a later attempt was
+    /// answered only tells about its connection.
     pub fn ending(&self, end: &Outcome, sent: Micros, late: Micros) -> Ending {
         match end.verdict {
             Verdict::Served | Verdict::Miss if end.elapsed < late => Ending::InTime,
@@ -172,21 +176,21 @@
         }
     }
 
-    /// Whether an attempt ran out of time though one sent after it was answered: its connection fell silent or
-    /// its answer was lost, and nothing is said of the server.
+    /// Whether an attempt timed out although one sent after it was answered: its connection died or
+    /// its answer was lost, which says nothing about the server.
     pub fn answered_later_send(&self, sent: Micros, verdict: Verdict) -> bool {
         verdict == Verdict::Timeout && self.last_answered_send > sent
     }
 }
 
-/// A zone's caches together: whether they are within reach, and what warm ones do of late.
+/// The caches of a zone: whether they are reachable, and the recent work of the warm ones.
 #[derive(Default)]
 pub struct Zone {
     pub reachability: Domain,
-    /// Requests that warm ones served since the last refresh, without misses.
+    /// Requests served by warm caches since the last refresh, without misses.
     pub served: f64,
     pub capacity: ObservedCapacity,
-    /// The weight of its warm caches.
+    /// Total weight of its warm caches.
     pub warm_weight: f64,
 }
 
@@ -212,13 +216,13 @@
     pub taken: Micros,
     pub over_quota: bool,
     pub attempts: Vec<Attempt>,
-    /// Waits for its key's turn, for a fetch of its key here, or for a place at the origin.
+    /// Waits for its key's turn, for another request's fetch of its key, or for room at the origin.
     pub queued: bool,
     pub answering: bool,
 }
 
-/// The requests of a key that run in turn, as taken; who has its turn comes first and stays until it is over
-/// with no attempt out. And until when the key rests.
+/// The requests of an ordered key in order of arrival, and the time until which the key is paused.
+/// The first one runs and stays until it is finished and has no attempt out.
 #[derive(Default)]
 pub struct KeyQueue {
     pub queue: VecDeque<RequestId>,
@@ -226,12 +230,12 @@
 }
 
 impl OpenRequest {
-    /// The key in whose turns this request runs.
+    /// The key by which this request is ordered, if it is.
     pub fn ordered_key(&self) -> Option<Key> {
         Some(self.request.key).filter(|k| self.class.keep_order && *k != Key(0))
     }
 
-    /// The time within which its answer counts for one in time: none over quota.
+    /// Time within which its answer counts as in time: none if over quota.
     pub fn on_time_limit(&self) -> Micros {
         if self.over_quota {
             0
@@ -249,7 +253,7 @@
         self.attempts.iter().find(|a| !a.verdict.is_some_and(Verdict::never_ran))
     }
 
-    /// Whether the class lets what may have run be sent to this server by `latest`.
+    /// Whether a request that may have run may be sent to this server by `latest`.
     pub fn may_repeat_on(&self, latest: Micros, s: &Server) -> bool {
         match (self.class.repeat, self.first_possibly_run()) {
             (_, None) | (Repeat::Retryable, _) => true,
@@ -265,13 +269,14 @@
         }
     }
 
-    /// Until when what may have run may be sent again; `None` where time sets no bound.
+    /// Time until which a request that may have run may be sent again; `None` if there is no limit.
     pub fn repeat_deadline(&self) -> Option<Micros> {
         let ran = self.first_possibly_run().filter(|_| self.class.repeat == Repeat::Dedup)?;
         Some(ran.sent + self.class.window)
     }
 
-    /// Placement: a bound class goes only to its servers, at every attempt; any class may use the origin.
+    /// Placement: a class bound to zones or kinds only uses servers of those, at every attempt; any
+    /// class may use the origin.
     pub fn placed_on(&self, s: &Server) -> bool {
         let zone = self.class.zones.as_ref().is_none_or(|z| z.contains(&s.member.zone));
         s.origin || (zone && self.class.kinds.as_ref().is_none_or(|k| k.contains(&s.member.kind)))
@@ -282,14 +287,15 @@
     }
 }
 
-/// A time that few samples of this mean and squared coefficient of variation exceed: three deviations more.
+/// A duration that few samples with this mean and squared coefficient of variation exceed: the mean
+/// plus three standard deviations.
 pub fn long_time((mean, scv): (f64, f64)) -> Micros {
     (mean * (1.0 + 3.0 * scv.sqrt())) as Micros
 }
 
-/// A router's part of the quotas, by the use of the tenants that hold the middle of them, taken to be within
-/// their share: what was asked lately, a fading sum over `second` of a second, against the quota. The sums fade
-/// by `keep`. 0 without quotas.
+/// This router's fraction of the quotas: the weighted median, by quota, of each tenant's recent
+/// usage relative to its quota, as the median tenant is assumed to be within its share. `asked` is a
+/// decaying sum over `second` seconds and is decayed by `keep`. 0 without quotas.
 pub fn median_quota_use(tenants: &mut [Bucket], quotas: &[f64], second: f64, keep: f64) -> f64 {
     let mut used: Vec<(f64, f64)> = Vec::with_capacity(tenants.len());
     for (b, q) in tenants.iter_mut().zip(quotas).filter(|(_, q)| **q > 0.0 && q.is_finite()) {
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,5 +1,5 @@
-//! What the decision module shows to those who watch: it owns nothing, decides nothing and changes nothing.
-//! For the core's survey, and for who asks how much it keeps; who wants something decided goes through [`Balancer::handle`].
+//! Read-only views of the decision module for monitoring. Nothing is decided or changed here. Used
+//! by the core's survey and for table sizes; decisions go through [`Balancer::handle`].
 
 use crate::choice::Balancer;
 use crate::interface::{Health, Micros, OriginStatus, Phase, ServerId, ServerStatus, SlowStartStatus};
@@ -7,7 +7,7 @@
 use limits::Limit;
 
 impl Balancer {
-    /// What it makes of each server, in the order of ids.
+    /// The status of each server, in the order of ids.
     pub fn server_statuses(&self, now: Micros) -> impl Iterator<Item = ServerStatus> + '_ {
         self.servers.values().map(move |s| {
             let health = match s.member.phase {
@@ -22,19 +22,20 @@
         })
     }
 
-    /// What it makes of a server in slow start; none of any other.
+    /// The status of a server in slow start; `None` for any other.
     pub fn slow_start_status(&self, server: ServerId) -> Option<SlowStartStatus> {
         let s = self.servers.get(&server).filter(|s| s.cold)?;
         let ramp = if s.listed_weight > 0.0 { s.weight / s.listed_weight } else { 0.0 };
         Some(SlowStartStatus { ramp, allowance: s.allowance.attempts(), rate: self.slow_start_rate(s) })
     }
 
-    /// Requests out at origins.
+    /// Attempts out at origins.
     pub(crate) fn origin_attempts(&self) -> u32 {
         self.servers.origins().map(|s| s.limiter.out()).sum()
     }
 
-    /// How many things each of its tables holds. What has a fixed size (limits, the sketch of popular keys) is none.
+    /// The number of entries in each table. Structures of a fixed size (limits, the sketch of
+    /// popular keys) are left out.
     pub fn sizes(&self) -> [(&'static str, usize); 15] {
         let [slots, placed, keys, changes] = self.servers.sizes();
         let attempts = self.open.values().chain(self.lingering.values()).map(|o| o.attempts.len()).sum();
@@ -57,7 +58,7 @@
         ]
     }
 
-    /// What it makes of the origin, if one is listed.
+    /// The status of the origin, if one is listed.
     pub fn origin_status(&self, now: Micros) -> Option<OriginStatus> {
         let well = |s: &Server| s.weight > 0.0 && s.evictions == 0 && !self.is_hung(now, s);
         let reach = self.servers.values().filter(|s| s.origin).map(well).max()?;
