--- a/src/bin/trackshift-benchlink/main.rs
+++ b/src/bin/trackshift-benchlink/main.rs
@@ -1,5 +1,6 @@
-//! Speaks the simulator's wire on standard input and output for any number of instances of the decision
-//! module. Instances share nothing; everything decided is decided in `martenweir::choice`.
+//! Adapter between the simulator's binary protocol on standard input and output and any number of
+//! instances of the decision module. Instances share nothing; all decisions are made in
+//! `martenweir::choice`.
 
 mod wire;
 
@@ -10,10 +11,10 @@
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
-use wire::{Malformed, Reader, Record, HEAD};
+use wire::{Malformed, Reader, Record, HEADER_LEN};
 
-/// Bytes of record count and batch number, counted by a batch's length field.
-const COUNTS: usize = 8;
+/// Bytes of the record count and the batch number, which a batch's length field includes.
+const COUNTS_LEN: usize = 8;
 
 fn main() -> ExitCode {
     match serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
@@ -25,22 +26,22 @@
     }
 }
 
-/// Answers batch after batch until the input ends.
+/// Answers batches until the input ends.
 fn serve(input: &mut impl Read, output: &mut impl Write) -> Result<(), String> {
     let mut instances = BTreeMap::new();
     let (mut body, mut reply) = (Vec::new(), Vec::new());
     loop {
-        let mut head = [0; HEAD];
+        let mut head = [0; HEADER_LEN];
         match fill(input, &mut head)? {
             0 => return Ok(()),
-            HEAD => {}
+            HEADER_LEN => {}
             n => return Err(format!("the input ends within a batch header: record 0, byte {n}")),
         }
         let len = u32::from_be_bytes([head[8], head[9], head[10], head[11]]);
         body.clear();
         let got = input.by_ref().take(u64::from(len)).read_to_end(&mut body).map_err(|e| e.to_string())?;
         if got < len as usize {
-            return Err(format!("the input ends within a batch: record 0, byte {}", HEAD + got));
+            return Err(format!("the input ends within a batch: record 0, byte {}", HEADER_LEN + got));
         }
         reply.clear();
         reply.extend([0; 8]);
@@ -66,29 +67,30 @@
     Ok(n)
 }
 
-/// An instance, with what the adapter needs to check an event's positions.
+/// An instance of the decision module, with the data needed to validate its events.
 struct Instance {
     balancer: Balancer,
-    /// The time a client waits in all, by class: the deadline of a request that comes without one.
+    /// The total time that a client waits, per class: the deadline of a request without its own.
     limits: Vec<Micros>,
 }
 
 fn batch(
     instances: &mut BTreeMap<u32, Instance>,
-    head: &[u8; HEAD],
+    head: &[u8; HEADER_LEN],
     body: &[u8],
     reply: &mut Vec<u8>,
 ) -> Result<u32, Malformed> {
     let bad = |what: &str, record, offset| Malformed { what: what.into(), record, offset };
     let now = wire::clock(head).ok_or_else(|| bad("the clock is out of range", 0, 0))?;
-    let (count, seq) = wire::batch_head(body).ok_or_else(|| bad("the batch has no record count", 0, HEAD))?;
-    let mut reader = Reader::new(&body[COUNTS..], HEAD + COUNTS);
+    let (count, seq) =
+        wire::batch_head(body).ok_or_else(|| bad("the batch has no record count", 0, HEADER_LEN))?;
+    let mut reader = Reader::new(&body[COUNTS_LEN..], HEADER_LEN + COUNTS_LEN);
     let mut actions = Vec::new();
     for i in 0..count as usize {
         let (id, record) = reader.next(i)?;
         match record {
             Some(Record::Begin { seed, options }) => {
-                let settings = settings::read(options).map_err(|e| bad(&e, i, HEAD))?;
+                let settings = settings::read(options).map_err(|e| bad(&e, i, HEADER_LEN))?;
                 let limits = settings.classes.iter().map(|c| c.limit).collect();
                 instances.insert(id, Instance { balancer: Balancer::new(settings, seed), limits });
             }
@@ -99,7 +101,11 @@
                 let Some(instance) = instances.get_mut(&id) else { continue };
                 if let Event::Request(r) = &mut event {
                     let Some(limit) = instance.limits.get(usize::from(r.class.0)) else {
-                        return Err(bad(&format!("class {} is not in the settings", r.class.0), i, HEAD));
+                        return Err(bad(
+                            &format!("class {} is not in the settings", r.class.0),
+                            i,
+                            HEADER_LEN,
+                        ));
                     };
                     if r.deadline == 0 {
                         r.deadline = now + limit;
@@ -113,7 +119,7 @@
                         .map(String::as_str)
                         .or_else(|| panic.downcast_ref::<&str>().copied())
                         .unwrap_or("panic");
-                    wire::broken(reply, id, text);
+                    wire::instance_panicked(reply, id, text);
                     instances.remove(&id);
                     continue;
                 }
--- a/src/bin/trackshift-benchlink/wire.rs
+++ b/src/bin/trackshift-benchlink/wire.rs
@@ -1,8 +1,8 @@
-//! Records of the wire as events, actions as records. Big-endian, lengths checked before use.
+//! Decodes event records and encodes action records. Big-endian; lengths are checked before use.
 
 use martenweir::interface::*;
 
-/// What is wrong with a batch: the text, the record (from 0) and the byte offset in the batch.
+/// A malformed batch: the error, the index of the record (from 0) and the byte offset in the batch.
 #[derive(Debug)]
 pub struct Malformed {
     pub what: String,
@@ -10,22 +10,22 @@
     pub offset: usize,
 }
 
-/// An event record: for an instance, or about its life.
+/// An event record: an event for an instance, or the start or end of one.
 pub enum Record<'a> {
     Begin { seed: u64, options: &'a [u8] },
     Stop,
     Event(Event),
 }
 
-/// Bytes of the batch header up to and with the length field.
-pub const HEAD: usize = 12;
-const ENTRY: usize = 25;
-const LARGEST_MS: f64 = 1e12;
+/// Bytes of the batch header up to and including the length field.
+pub const HEADER_LEN: usize = 12;
+const ENTRY_LEN: usize = 25;
+const MAX_MS: f64 = 1e12;
 
 pub struct Reader<'a> {
     bytes: &'a [u8],
     at: usize,
-    /// Offset of `bytes` in the batch, and the number of the record being read.
+    /// Offset of `bytes` in the batch, and the index of the record being read.
     base: usize,
     record: usize,
 }
@@ -73,7 +73,7 @@
 
     fn micros(&mut self) -> Result<Micros, Malformed> {
         let ms = f64::from_be_bytes(self.array()?);
-        if ms.is_finite() && ms.abs() < LARGEST_MS {
+        if ms.is_finite() && ms.abs() < MAX_MS {
             Ok((ms * 1000.0).round() as Micros)
         } else {
             self.bad(format!("time {ms} is out of range"))
@@ -124,7 +124,7 @@
         })
     }
 
-    fn registry(&mut self) -> Result<Event, Malformed> {
+    fn read_list(&mut self) -> Result<Event, Malformed> {
         self.u64()?;
         let form = match self.u8()? {
             1 => ListForm::Delta,
@@ -134,14 +134,14 @@
             other => return self.bad(format!("form {other} of a registry is unknown")),
         };
         let n = self.u32()? as usize;
-        if n.checked_mul(ENTRY) != Some(self.bytes.len() - self.at) {
+        if n.checked_mul(ENTRY_LEN) != Some(self.bytes.len() - self.at) {
             return self.bad(format!("{n} entries do not fill their record"));
         }
         let entries = (0..n).map(|_| self.entry()).collect::<Result<_, _>>()?;
         Ok(Event::Members { form, entries })
     }
 
-    fn demand(&mut self) -> Result<Event, Malformed> {
+    fn read_request(&mut self) -> Result<Event, Malformed> {
         let id = RequestId(self.u64()?);
         let class = ClassId(self.u16()?);
         let flags = self.u8()?;
@@ -162,7 +162,7 @@
         }))
     }
 
-    fn ended(&mut self) -> Result<Event, Malformed> {
+    fn read_outcome(&mut self) -> Result<Event, Malformed> {
         Ok(Event::Outcome(Outcome {
             request: RequestId(self.u64()?),
             attempt: self.u8()?,
@@ -183,15 +183,15 @@
                 let n = self.u32()? as usize;
                 return Ok(Record::Begin { seed, options: self.take(n)? });
             }
-            20 => self.registry()?,
-            30 => self.demand()?,
+            20 => self.read_list()?,
+            30 => self.read_request()?,
             40 => {
                 let (request, attempt) = (RequestId(self.u64()?), self.u8()?);
                 self.server()?;
                 self.micros()?;
                 Event::First { request, attempt }
             }
-            50 => self.ended()?,
+            50 => self.read_outcome()?,
             60 => Event::ClientLeft(RequestId(self.u64()?)),
             70 => Event::Timer(Token(self.u64()?)),
             80 => Event::Probed {
@@ -204,8 +204,8 @@
         }))
     }
 
-    /// The next record and its instance; `None` at the end. A peer's message carries nothing for this
-    /// module and comes back as `None` in its place.
+    /// The next record and its instance. A message from a peer has no meaning for this module and is
+    /// returned as `None`.
     pub fn next(&mut self, record: usize) -> Result<(u32, Option<Record<'a>>), Malformed> {
         self.record = record;
         let code = self.u8()?;
@@ -253,7 +253,7 @@
     Some((word(0)?, word(4)?))
 }
 
-pub fn clock(head: &[u8; HEAD]) -> Option<Micros> {
+pub fn clock(head: &[u8; HEADER_LEN]) -> Option<Micros> {
     Reader::new(&head[..8], 0).micros().ok()
 }
 
@@ -303,8 +303,8 @@
     }
 }
 
-/// Declares an instance's decision code broken.
-pub fn broken(out: &mut Vec<u8>, instance: u32, text: &str) {
+/// Reports that an instance's decision code panicked.
+pub fn instance_panicked(out: &mut Vec<u8>, instance: u32, text: &str) {
     let mut n = text.len().min(usize::from(u16::MAX));
     while !text.is_char_boundary(n) {
         n -= 1;
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -327,7 +327,7 @@
     /// The server to which a key belongs by the list alone, whatever its state; only computed while
     /// a server is in slow start.
     fn home_server(&self, o: &OpenRequest, key: u64) -> Option<ServerId> {
-        if !self.slow_start.is_on() {
+        if !self.slow_start.is_active() {
             return None;
         }
         let far = self.remote_weight();
--- a/src/choice/estimates.rs
+++ b/src/choice/estimates.rs
@@ -116,6 +116,6 @@
         let caches = || self.servers.values().filter(|s| !s.origin);
         let weights = caches().map(|s| s.weight * self.zone_factor(s, far)).sum();
         let starting = caches().filter(|s| s.cold).count();
-        self.slow_start.listed(weights, starting);
+        self.slow_start.set_ranking(weights, starting);
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,8 @@
-//! The whole interface of the decision module: settings, events in, actions out.
+//! The interface of the decision module: settings, events in, actions out.
 //!
-//! Times are integer microseconds on the caller's clock, which never goes back. Ids carry no meaning.
+//! Times are integer microseconds on the caller's monotonic clock. Ids carry no meaning.
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
 macro_rules! id {
@@ -12,20 +12,20 @@
         pub struct $name(pub $of);
     };
 }
-id!(/** A client's request; each try of a client has an id of its own. */ RequestId, u64);
-id!(/** A server, as discovery names it. */ ServerId, u64);
-id!(/** The object a request is about; 0 is none. */ Key, u64);
-id!(/** Position in `Settings::classes`. */ ClassId, u16);
-id!(/** Position in `Settings::tenants`. */ TenantId, u32);
-id!(/** Position in the site's list of zones. */ ZoneId, u16);
-id!(/** Position in the site's list of machine kinds. */ KindId, u16);
+id!(/** A client's request; each try of a client has its own id. */ RequestId, u64);
+id!(/** A server, as identified by discovery. */ ServerId, u64);
+id!(/** The object that a request accesses; 0 means none. */ Key, u64);
+id!(/** Index into `Settings::classes`. */ ClassId, u16);
+id!(/** Index into `Settings::quotas`. */ TenantId, u32);
+id!(/** Index into the deployment's list of zones. */ ZoneId, u16);
+id!(/** Index into the deployment's list of machine kinds. */ KindId, u16);
 id!(/** A small set of servers that share which keyed requests they have seen. */ CellId, u16);
-id!(/** What a timer was set for; chosen by the module. */ Token, u64);
+id!(/** Identifies a timer; chosen by the module. */ Token, u64);
 
 /// What may be done with a request that may already have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Repeat {
-    /// Safe to run again anywhere.
+    /// Safe to run again on any server.
     #[default]
     Retryable,
     /// Servers of one `Group` drop repeats for `Class::window`.
@@ -43,25 +43,29 @@
     Cell,
 }
 
-/// A class of requests.
+/// A class of requests and its requirements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// An answer within this time earns the full value.
     pub target_latency: Micros,
-    /// The time a client waits in all, over its tries; one try's deadline is `Request::deadline`.
+    /// The total time that a client waits, over all its tries; the deadline of one try is
+    /// `Request::deadline`.
     pub limit: Micros,
     pub repeat: Repeat,
     pub group: Group,
-    /// How long a repeat is dropped, from the first send that may have run.
+    /// How long repeats are dropped, from the first send that may have run.
     pub window: Micros,
-    /// The answer is streamed: `Event::First` tells that it has begun.
+    /// The answer is streamed: `Event::First` reports its first part.
     pub streamed: bool,
-    /// Worth of a request, and the part of it an answer after the aim still earns.
+    /// Value of a request, and the fraction of it that an answer after the target latency still
+    /// earns.
     pub value: f64,
     pub late_value: f64,
-    /// Requests with one key run one at a time, in the order in which this router took them.
+    /// Requests with the same key run one at a time, in the order in which this router received
+    /// them.
     pub keep_order: bool,
-    /// The only zones and kinds of machine it may be sent to (the origin aside); `None` leaves them free.
+    /// The only zones and kinds of machine to which it may be sent (except the origin); `None`
+    /// allows all.
     pub zones: Option<Vec<ZoneId>>,
     pub kinds: Option<Vec<KindId>>,
 }
@@ -84,78 +88,80 @@
     }
 }
 
-/// Where load reports come from.
+/// Which messages carry load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportSource {
-    /// With outcomes and probe results.
+    /// Outcomes and probe results.
     #[default]
     Inline,
-    /// With probe results alone.
+    /// Probe results only.
     Probe,
     Off,
 }
 
-/// A value of a load report.
+/// A column of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Column {
     /// Fraction of the cores in use.
     Utilisation,
-    /// Recent service time in ms, without waiting.
+    /// Recent service time in ms, without queueing.
     ServiceMs,
     /// Requests being handled, and requests queued.
     InFlight,
     Waiting,
-    /// Requests and errors a second.
+    /// Requests and errors per second.
     Rate,
     Errors,
-    /// Anything this module has no use for.
+    /// A value that this module does not use.
     Other,
 }
 
-/// What a router is told at its start.
+/// The configuration of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many routers there are, this one among them, and its number.
+    /// The number of routers including this one, and its index.
     pub routers: u32,
     pub router_index: u32,
     pub zone: ZoneId,
     pub classes: Vec<Class>,
-    /// Requests a second within each tenant's share, over all routers; infinite where there is none.
+    /// Requests per second within each tenant's share, over all routers; infinite if there is no
+    /// quota.
     pub quotas: Vec<f64>,
-    /// Worth of a request beyond its tenant's share, as a fraction.
+    /// Value of a request beyond its tenant's share, as a fraction.
     pub over_quota_value: f64,
-    /// The list of servers is only told to those who ask.
+    /// The list of servers is only sent to subscribers.
     pub must_subscribe: bool,
-    /// Kind of the list entries that are origins, where routers fetch for themselves (aside mode).
+    /// Kind of the list entries that are origins, from which routers fetch themselves (aside mode).
     pub origin_kind: Option<KindId>,
     pub columns: Vec<Column>,
     pub reports: ReportSource,
-    /// What the site permits.
+    /// What the deployment permits.
     pub may_cancel: bool,
     pub may_probe: bool,
-    /// Price of a probe for each request, as a part of the service.
+    /// Cost of a probe, as a fraction of the service of a request.
     pub probe_price: f64,
     pub may_copy: bool,
     pub max_attempts: u32,
     pub max_open: u32,
-    /// Longest advice to stay away that clients honour; `None` where they hear none.
+    /// The longest retry delay that clients honour; `None` if they honour none.
     pub max_retry_after: Option<Micros>,
     pub connect_timeout: Micros,
     pub keep_alive: Micros,
-    /// Least time between two batches of events.
+    /// Minimum time between two batches of events.
     pub period: Micros,
-    /// Figures of the rules.
+    /// Parameters of the rules by which a deployment is judged.
     pub answer_grace: Micros,
     pub discovery_retry_limit: Micros,
     pub slow_start_from: f64,
     pub slow_start_duration: Micros,
     pub overload_multiple: f64,
     pub overload_window: Micros,
-    /// Nothing new goes to a server later than this after the word that it drains or is gone.
+    /// No new request goes to a server later than this after the notice that it is draining or gone.
     pub drain_grace: Micros,
-    /// Idle connections to a draining server must be closed within this time; `None` where no rule asks it.
+    /// Idle connections to a draining server must be closed within this time; `None` if no rule
+    /// requires it.
     pub drain_close: Option<Micros>,
-    /// How long a key in order rests after an attempt that may still run.
+    /// How long an ordered key pauses after an attempt that may still run.
     pub order_settle: Micros,
 }
 
@@ -195,16 +201,17 @@
     }
 }
 
-/// What a list event holds.
+/// The contents of a list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListForm {
     /// Changed entries only.
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as last held by this router, perhaps stale; the first event of an instance.
+    /// The complete list as last known to this router, possibly stale; the first event of an
+    /// instance.
     Cached,
-    /// A call failed or the subscription broke; no entries, the old list stands.
+    /// A call failed or the subscription broke; there are no entries and the old list stays in use.
     Failed,
 }
 
@@ -216,7 +223,7 @@
     Gone,
 }
 
-/// A list entry.
+/// An entry of the server list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Member {
     pub server: ServerId,
@@ -225,7 +232,7 @@
     pub cell: CellId,
     pub phase: Phase,
     pub weight: f64,
-    /// When it last started; `None` is long ago.
+    /// When it last started; `None` means long ago.
     pub started: Option<Micros>,
 }
 
@@ -235,13 +242,13 @@
         Member { server, weight: 1.0, ..Member::default() }
     }
 
-    /// How long ago it started.
+    /// The time since it started.
     pub fn age(&self, now: Micros) -> Micros {
         self.started.map_or(Micros::MAX, |t| (now - t).max(0))
     }
 }
 
-/// A request taken from a client.
+/// A request received from a client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
     pub id: RequestId,
@@ -249,11 +256,11 @@
     pub tenant: TenantId,
     pub key: Key,
     pub write: bool,
-    /// A client's repeat, where clients mark them.
+    /// Marked by the client as a retry, where clients do so.
     pub repeat: bool,
-    /// When the client gives this try up.
+    /// When the client gives up this try.
     pub deadline: Micros,
-    /// Expected work in microseconds of a standard core, where the site tells it.
+    /// Expected work in microseconds of a standard core, if known.
     pub hint: Option<f64>,
 }
 
@@ -263,7 +270,7 @@
     Served,
     /// The server answered with an error; the request may have run.
     Error,
-    /// Turned away unseen.
+    /// Refused by the server without being run.
     Full,
     Timeout,
     ConnectFailed,
@@ -271,18 +278,18 @@
     Cancelled,
     /// Never sent.
     Moot,
-    /// The cache lacks the key.
+    /// The cache does not hold the key.
     Miss,
 }
 
 impl Verdict {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this verdict proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Verdict::Full | Verdict::ConnectFailed | Verdict::Moot | Verdict::Miss)
     }
 }
 
-/// An attempt's outcome; exactly one for each `Action::Send`.
+/// The outcome of an attempt; exactly one for each `Action::Send`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
     pub request: RequestId,
@@ -290,35 +297,37 @@
     pub server: ServerId,
     pub verdict: Verdict,
     pub elapsed: Micros,
-    /// The request has had its final answer.
+    /// The request has received its final answer.
     pub finished: bool,
-    /// Turned away by a server that has no place for another connection: it closed the new one right behind that.
+    /// Refused by a server that has no room for another connection: it closed the new connection
+    /// right after its answer.
     pub no_place: bool,
     /// 1 hit, 2 miss, 3 miss while another fetch of the key is out.
     pub note: u32,
-    /// Values in the order of `Settings::columns`; empty where none came.
+    /// Values in the order of `Settings::columns`; empty if there was no report.
     pub report: Vec<f32>,
 }
 
 impl Outcome {
-    /// Whether the attempt may still run after this outcome.
+    /// Whether the attempt may still be running after this outcome.
     pub fn may_still_run(&self) -> bool {
         matches!(self.verdict, Verdict::Timeout | Verdict::Reset | Verdict::Cancelled)
     }
 
-    /// Whether it was the connection that failed: that is no load on the server, and says nothing of how busy it is.
+    /// Whether the connection failed: that puts no load on the server and does not show how busy it
+    /// is.
     pub fn connection_failed(&self) -> bool {
         matches!(self.verdict, Verdict::Reset | Verdict::ConnectFailed) || self.no_place
     }
 
-    /// Whether the server's process said something, be it that it would not. A refused connection may be that of a
-    /// process that is gone, or of one that holds too many.
+    /// Whether the server's process responded, even with a refusal. A refused connection may mean
+    /// that the process is gone or that it holds too many connections.
     pub fn process_responded(&self) -> bool {
         matches!(self.verdict, Verdict::Served | Verdict::Miss | Verdict::Full | Verdict::Error)
     }
 }
 
-/// A server's terms as planners solved them for the fleet, and the trust in them, 0 to 1.
+/// A server's terms as planners calculated them for the fleet, and the trust in them, 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlannedTerms {
     pub server: ServerId,
@@ -329,20 +338,21 @@
     pub trust: f64,
 }
 
-/// What planners say, faded by its age. Each takes the place of the one before; the default says nothing.
-/// It says nothing of readiness: that is the list's.
+/// Information from planners, weighted by its age. Each plan replaces the previous one; the default
+/// carries none. It says nothing about readiness, which only the list does.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Servers that take less than all of their keys, and the part that they take; 0 is silent or cut off.
+    /// Servers that take only a part of their keys, and that fraction; 0 for a server that is silent
+    /// or cut off.
     pub key_fractions: Vec<(ServerId, f64)>,
     pub solved: Vec<PlannedTerms>,
-    /// Trust in the parts below, 0 to 1.
+    /// Trust in the fields below, 0 to 1.
     pub trust: f64,
-    /// This router's part of each tenant's quota, 0 to 1.
+    /// This router's fraction of each tenant's quota, 0 to 1.
     pub quotas: Vec<f64>,
-    /// How much of its own part of servers in slow start it may use, 0 to 1.
+    /// Fraction of this router's share of servers in slow start that it may use, 0 to 1.
     pub cold: f64,
-    /// Its part of what may be out at origins, in requests.
+    /// This router's share of the fetches that may be out at origins, in requests.
     pub fetches: f64,
 }
 
@@ -359,7 +369,7 @@
     },
     Outcome(Outcome),
     ClientLeft(RequestId),
-    /// A request has less time than it came with: this router ends.
+    /// The deadline of a request has moved up because this router shuts down.
     Sooner(RequestId, Micros),
     Timer(Token),
     Probed {
@@ -368,15 +378,16 @@
         elapsed: Micros,
         report: Vec<f32>,
     },
-    /// What planners say stands now, where there are any.
+    /// The latest information from planners, where there are any.
     Plan(Plan),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; attempts of a request are numbered 0, 1, 2 ... in this order.
-    /// `None` lets it run until the client gives up. One that has not begun by `begin_by` never does: what may
-    /// have run before must not be sent again from then on.
+    /// Start an attempt; the attempts of a request are numbered 0, 1, 2 ... in this order. With
+    /// `timeout: None` it runs until the client gives up. An attempt that has not begun by
+    /// `begin_by` is never sent: a request that may have run before must not be repeated from then
+    /// on.
     Send {
         request: RequestId,
         server: ServerId,
@@ -388,12 +399,12 @@
         request: RequestId,
         attempt: u8,
     },
-    /// Final answer: turned away, trying again is harmless.
+    /// Final answer: refused, and safe to retry.
     Refuse {
         request: RequestId,
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, promising nothing.
+    /// Final answer: failed, with no promise about a retry.
     Fail {
         request: RequestId,
     },
@@ -408,60 +419,60 @@
     Release {
         server: ServerId,
     },
-    /// Ask discovery for the whole list once, or for changes from now on.
+    /// Request the whole list from discovery once, or subscribe to changes.
     List,
     Subscribe,
 }
 
-/// What the module makes of a server that is listed.
+/// The module's assessment of a listed server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     Serving,
-    /// Within its cold time.
+    /// In slow start.
     Cold,
     /// Listed as draining.
     Draining,
-    /// Takes requests and says nothing.
+    /// Accepts requests and does not answer.
     Silent,
-    /// Failed in a row: tried by a part of the requests only.
+    /// Evicted after consecutive failures: only a fraction of the requests try it.
     Evicted,
 }
 
-/// A server as the module sees it, for those who watch.
+/// The status of a server, for monitoring.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerStatus {
     pub server: ServerId,
     pub health: Health,
     /// Attempts out there.
     pub out: u32,
-    /// Utilisation as last reported, or as taken from a refusal or a time-out since, and when.
+    /// Utilisation as last reported, or as inferred from a later refusal or time-out, and when.
     pub rho: Option<(f64, Micros)>,
 }
 
-/// The origin as the module sees it.
+/// The status of the origin, for monitoring.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OriginStatus {
-    /// Some origin is neither left out nor silent nor draining.
+    /// At least one origin is not evicted, silent or draining.
     pub available: bool,
-    /// Attempts out there, how many may be, and requests that wait for a place.
+    /// Attempts out there, the limit on them, and requests queued for room.
     pub out: u32,
     pub window: f64,
     pub waiting: u32,
-    /// Mean time of its answers lately, and that over the best it has been.
+    /// Recent mean response time, and its ratio to the best one seen.
     pub pace: Option<Micros>,
     pub strain: f64,
-    /// The part of what was sent lately that was turned away or took too long.
+    /// Fraction of recent attempts that were refused or took too long.
     pub failing: f64,
 }
 
-/// What the module makes of a server in slow start, for those who watch.
+/// The status of a server in slow start, for monitoring.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartStatus {
-    /// The part of its capacity that it is sure to have by now, 0 to 1.
+    /// The fraction of its capacity that it is sure to have by now, 0 to 1.
     pub ramp: f64,
-    /// Attempts at hand for it at this router.
+    /// Attempts available for it at this router.
     pub allowance: f64,
-    /// Attempts a second that this router is issued there.
+    /// Attempts per second issued to this router for it.
     pub rate: f64,
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,12 +1,12 @@
-//! The settings, as the simulator's `begin` and the proxy's configuration hold them, as the module's
-//! `Settings`, and the names in them that only sockets need.
+//! Parses the settings, as the simulator's `begin` and the proxy's configuration contain them, into
+//! the module's `Settings`, together with the names that only the socket protocols need.
 
 use crate::interface::*;
 use serde_json::Value;
 
-type Read<T> = Result<T, String>;
+type ParseResult<T> = Result<T, String>;
 
-fn at<'a>(v: &'a Value, path: &str) -> Option<&'a Value> {
+fn lookup<'a>(v: &'a Value, path: &str) -> Option<&'a Value> {
     path.split('.').try_fold(v, |v, key| v.get(key)).filter(|v| !v.is_null())
 }
 
@@ -15,30 +15,30 @@
     path: &str,
     want: &str,
     as_t: impl Fn(&Value) -> Option<T>,
-) -> Read<Option<T>> {
+) -> ParseResult<Option<T>> {
     v.map(|v| as_t(v).ok_or_else(|| format!("settings: {path} is not {want}"))).transpose()
 }
 
-fn number(v: &Value, path: &str) -> Read<Option<f64>> {
-    typed(at(v, path), path, "a number of 0 or more", |v| v.as_f64().filter(|x| (0.0..1e12).contains(x)))
+fn number(v: &Value, path: &str) -> ParseResult<Option<f64>> {
+    typed(lookup(v, path), path, "a number of 0 or more", |v| v.as_f64().filter(|x| (0.0..1e12).contains(x)))
 }
 
-fn flag(v: &Value, path: &str) -> Read<Option<bool>> {
-    typed(at(v, path), path, "true or false", Value::as_bool)
+fn flag(v: &Value, path: &str) -> ParseResult<Option<bool>> {
+    typed(lookup(v, path), path, "true or false", Value::as_bool)
 }
 
-fn text(v: &Value, path: &str) -> Read<Option<String>> {
-    typed(at(v, path), path, "a text", |v| v.as_str().map(str::to_owned))
+fn text(v: &Value, path: &str) -> ParseResult<Option<String>> {
+    typed(lookup(v, path), path, "a string", |v| v.as_str().map(str::to_owned))
 }
 
-fn list<'a>(v: &'a Value, path: &str) -> Read<&'a [Value]> {
-    match at(v, path) {
+fn list<'a>(v: &'a Value, path: &str) -> ParseResult<&'a [Value]> {
+    match lookup(v, path) {
         None => Ok(&[]),
         Some(v) => v.as_array().map(Vec::as_slice).ok_or_else(|| format!("settings: {path} is not a list")),
     }
 }
 
-fn need<T>(v: Option<T>, path: &str) -> Read<T> {
+fn required<T>(v: Option<T>, path: &str) -> ParseResult<T> {
     v.ok_or_else(|| format!("settings: {path} is missing"))
 }
 
@@ -46,19 +46,19 @@
     (ms * 1000.0).round() as Micros
 }
 
-/// Names the list position in an error about an element.
-fn inside<T>(list: &str, i: usize, r: Read<T>) -> Read<T> {
+/// Adds the list index to an error about one of its elements.
+fn in_list_item<T>(list: &str, i: usize, r: ParseResult<T>) -> ParseResult<T> {
     r.map_err(|e| e.replacen("settings: ", &format!("settings: {list}[{i}]."), 1))
 }
 
-/// A list of positions in another list of the settings, where present.
-fn positions<T>(v: &Value, path: &str, id: impl Fn(u16) -> T) -> Read<Option<Vec<T>>> {
+/// An optional list of indices into another list of the settings.
+fn indices<T>(v: &Value, path: &str, id: impl Fn(u16) -> T) -> ParseResult<Option<Vec<T>>> {
     let one = |x: &Value| x.as_u64().and_then(|x| u16::try_from(x).ok()).map(&id);
-    typed(at(v, path), path, "a list of positions", |v| v.as_array()?.iter().map(one).collect())
+    typed(lookup(v, path), path, "a list of positions", |v| v.as_array()?.iter().map(one).collect())
 }
 
-fn class(v: &Value) -> Read<Class> {
-    let repeat = match need(text(v, "repeat")?, "repeat")?.as_str() {
+fn class(v: &Value) -> ParseResult<Class> {
+    let repeat = match required(text(v, "repeat")?, "repeat")?.as_str() {
         "retryable" => Repeat::Retryable,
         "dedup" => Repeat::Dedup,
         "fragile" => Repeat::Fragile,
@@ -71,8 +71,8 @@
         _ => return Err("settings: group is none of all, zone, cell".into()),
     };
     Ok(Class {
-        target_latency: micros(need(number(v, "onTimeMs")?, "onTimeMs")?),
-        limit: micros(need(number(v, "hardLimitMs")?, "hardLimitMs")?),
+        target_latency: micros(required(number(v, "onTimeMs")?, "onTimeMs")?),
+        limit: micros(required(number(v, "hardLimitMs")?, "hardLimitMs")?),
         repeat,
         group,
         window: micros(number(v, "windowMs")?.unwrap_or(0.0)),
@@ -80,17 +80,18 @@
         value: number(v, "points")?.unwrap_or(1.0),
         late_value: number(v, "lateValue")?.unwrap_or(0.0),
         keep_order: flag(v, "keepOrder")?.unwrap_or(false),
-        zones: positions(v, "zonesOnly", ZoneId)?,
-        kinds: positions(v, "flavorsOpen", KindId)?,
+        zones: indices(v, "zonesOnly", ZoneId)?,
+        kinds: indices(v, "flavorsOpen", KindId)?,
     })
 }
 
-/// Reads the settings; an error names the key.
-pub fn read(bytes: &[u8]) -> Read<Settings> {
+/// Parses the settings from JSON; an error names the key.
+pub fn read(bytes: &[u8]) -> ParseResult<Settings> {
     from_value(&serde_json::from_slice(bytes).map_err(|e| format!("settings: not JSON: {e}"))?)
 }
 
-/// The settings with the names that stand for positions in them: the simulator passes positions, sockets names.
+/// The settings with the names behind their indices: the simulator uses indices, the socket
+/// protocols use names.
 #[derive(Clone, Debug, Default)]
 pub struct Site {
     pub settings: Settings,
@@ -98,7 +99,7 @@
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    /// The names of `Settings::columns` in load reports on sockets.
+    /// The names of `Settings::columns` in load reports of the socket protocols.
     pub columns: Vec<String>,
 }
 
@@ -112,15 +113,15 @@
     }
 }
 
-/// Reads the settings of a configuration.
-pub fn site(v: &Value) -> Read<Site> {
+/// Parses the settings of a configuration.
+pub fn site(v: &Value) -> ParseResult<Site> {
     let settings = from_value(v)?;
     let names = |path: &str, key: Option<&str>| {
         let name = |x: &Value| key.map_or(Some(x), |k| x.get(k)).and_then(Value::as_str).map(str::to_owned);
         let named = list(v, path)?.iter().map(name).collect::<Option<Vec<_>>>();
-        named.ok_or_else(|| format!("settings: {path} holds something without a name"))
+        named.ok_or_else(|| format!("settings: {path} has an entry without a name"))
     };
-    let on_sockets = |c: String| match c.as_str() {
+    let socket_name = |c: String| match c.as_str() {
         "cpu" => "util".to_owned(),
         "avg_ms" => "latency_ms".to_owned(),
         "active" => "inflight".to_owned(),
@@ -135,16 +136,16 @@
         tenants: names("tenants", Some("name"))?,
         zones: names("zones", None)?,
         kinds: names("flavors", None)?,
-        columns: names("stats.columns", None)?.into_iter().map(on_sockets).collect(),
+        columns: names("stats.columns", None)?.into_iter().map(socket_name).collect(),
     })
 }
 
-fn from_value(v: &Value) -> Read<Settings> {
+fn from_value(v: &Value) -> ParseResult<Settings> {
     if !v.is_object() {
         return Err("settings: not a JSON object".into());
     }
-    let needed = |path: &str| need(number(v, path)?, path);
-    let ms = |path: &str| Ok::<_, String>(micros(needed(path)?));
+    let required_number = |path: &str| required(number(v, path)?, path);
+    let ms = |path: &str| Ok::<_, String>(micros(required_number(path)?));
     let ms_or = |path: &str, or: Micros| Ok::<_, String>(number(v, path)?.map_or(or, micros));
     let d = Settings::default();
 
@@ -155,14 +156,14 @@
     let classes = class_list
         .iter()
         .enumerate()
-        .map(|(i, c)| inside("classes", i, class(c)))
-        .collect::<Read<Vec<_>>>()?;
+        .map(|(i, c)| in_list_item("classes", i, class(c)))
+        .collect::<ParseResult<Vec<_>>>()?;
     let quotas = list(v, "tenants")?
         .iter()
         .enumerate()
-        // Without a figure there is no quota: not one of nothing.
-        .map(|(i, t)| inside("tenants", i, number(t, "quotaPerS").map(|q| q.unwrap_or(f64::INFINITY))))
-        .collect::<Read<Vec<_>>>()?;
+        // Without a value there is no quota, as opposed to a quota of 0.
+        .map(|(i, t)| in_list_item("tenants", i, number(t, "quotaPerS").map(|q| q.unwrap_or(f64::INFINITY))))
+        .collect::<ParseResult<Vec<_>>>()?;
     let columns = list(v, "stats.columns")?
         .iter()
         .map(|c| match c.as_str() {
@@ -187,7 +188,7 @@
         _ => return Err("settings: discovery is none of automatic, subscribe".into()),
     };
     let origin_kind = match text(v, "familyInfo.mode")?.as_deref() {
-        Some("aside") => Some(KindId(needed("familyInfo.originKind")? as u16)),
+        Some("aside") => Some(KindId(required_number("familyInfo.originKind")? as u16)),
         _ => None,
     };
     let max_retry_after = match flag(v, "limits.retryAfter")? {
@@ -209,8 +210,8 @@
         may_probe: flag(v, "limits.probes")?.unwrap_or(false),
         probe_price: number(v, "charges.probe")?.unwrap_or(0.0),
         may_copy: flag(v, "limits.secondCopies")?.unwrap_or(false),
-        // Attempts of a request are numbered in a byte, here and on the wire.
-        max_attempts: (needed("limits.maxAttempts")? as u32).min(u8::MAX.into()),
+        // Attempts of a request are numbered in one byte, here and on the wire.
+        max_attempts: (required_number("limits.maxAttempts")? as u32).min(u8::MAX.into()),
         max_open: number(v, "limits.maxOpen")?.map_or(d.max_open, |x| x as u32),
         max_retry_after,
         connect_timeout: ms_or("limits.dialTimeoutMs", d.connect_timeout)?,
@@ -218,9 +219,9 @@
         period: ms_or("periodMs", d.period)?,
         answer_grace: ms_or("rules.graceToAnswerMs", d.answer_grace)?,
         discovery_retry_limit: ms_or("rules.askWithinMs", d.discovery_retry_limit)?,
-        slow_start_from: needed("rules.coldFrom")?,
+        slow_start_from: required_number("rules.coldFrom")?,
         slow_start_duration: ms("rules.coldMs")?,
-        overload_multiple: needed("rules.fallMultiple")?,
+        overload_multiple: required_number("rules.fallMultiple")?,
         overload_window: ms("rules.overloadForMs")?,
         drain_grace: ms_or("rules.drainGraceMs", d.drain_grace)?,
         drain_close: number(v, "rules.drainCloseMs")?.map(micros),
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,68 +1,75 @@
-//! Slow start: how many attempts this router may make at a server that has just started, so that what all routers send it
-//! together stays under what overloads it.
+//! Slow start: limits the attempts that this router makes at a recently started server, so that the
+//! total from all routers stays below what overloads it.
 //!
-//! It owns the ramp, the routers' parts of a server's capacity and the allowance at each server; which server a request
-//! wants is decided elsewhere, and nothing here is heard of another router.
+//! This module owns the ramp, the router's share of a server's capacity and the allowance for each
+//! server. Which server a request prefers is decided elsewhere, and routers do not exchange
+//! information for it.
 //!
-//! A server with N attempts allowed within a window is overloaded by N + 2 √N + 2 of all routers. Two things keep the sum
-//! under that without a word between them:
+//! A server for which N attempts are allowed within a window is overloaded by N + 2 √N + 2 attempts
+//! from all routers. Two mechanisms keep the sum below that without communication:
 //!
-//! - **Rate.** Each router is issued attempts at its part of [`SHARE`] of N. The parts are what the router's own requests
-//!   make of what warm servers serve, misses left out, so they add up to one whatever each router gets. Nothing that is
-//!   learnt from a server in slow start raises the rate: its answers come quickly until the moment in which it is
-//!   overloaded, and many routers would raise theirs together.
-//! - **Stock.** What was issued and not used adds up over the routers too, and a disturbance has all of them spend it at
-//!   once. So an issued attempt is open to any request for a moment only ([`Allowance::FRESH`]). Later it is kept for
-//!   [`Demand::Expected`], which the list and the traffic bound by themselves: without that a router with a request for
-//!   the server every minute would never have an attempt at hand when it comes.
+//! - **Rate.** Each router is issued attempts at its share of [`SHARE`] of N. The share follows from
+//!   what warm servers serve of the router's own requests, not counting misses, so the shares add up
+//!   to one however traffic is distributed. Nothing learnt from a server in slow start raises the
+//!   rate: it answers quickly until the moment it is overloaded, and many routers would raise their
+//!   rates together.
+//! - **Stock.** Issued but unused attempts also add up over the routers, and after a disturbance all
+//!   of them would spend theirs at once. So any request may use an issued attempt for a short time
+//!   only ([`Allowance::FRESH`]). After that it is reserved for [`Demand::Expected`], which the list
+//!   and the traffic limit by themselves: without this reserve a router with one request per minute
+//!   for the server would never have an attempt available for it.
 //!
-//! Sources: token buckets; the fail-back rule of the deployment, from which the ramp, the multiple and the window come.
+//! Based on token buckets and on the deployment's fail-back rule, which defines the ramp, the
+//! multiple and the window.
 
 use crate::interface::{Micros, Settings};
 
-/// The part of the attempts that a server may be sent within a window that routers are issued together. What is left is for
-/// issued attempts that are still fresh as a window begins, for chance, and for a server that is slower than others of its
-/// weight.
+/// Fraction of the attempts that a server may receive within a window that is issued to all routers
+/// together. The rest covers attempts that are still fresh when a window begins, random variation,
+/// and servers slower than others of their weight.
 const SHARE: f64 = 0.7;
-/// Memory of the requests that this router gets, in us: short, so that a burst is known within a second.
-const TRAFFIC_MEMORY: f64 = 1e6;
+/// Averaging time of this router's request rate, in us: short, so that a burst is noticed within a
+/// second.
+const REQUEST_RATE_MEMORY: f64 = 1e6;
 
-/// Why a request wants a server in slow start.
+/// Why a request is sent to a server in slow start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Demand {
-    /// Its first attempt goes where its key belongs by the list, and no more of these come than the server may be sent.
+    /// Its first attempt goes to the server to which its key belongs by the list, and the rate of
+    /// such requests is within the rate issued.
     Expected,
-    /// Anything else: a further attempt, a request that other servers have no room for, a popular key.
+    /// Anything else: a further attempt, overflow from other servers, or a popular key.
     Excess,
 }
 
-/// What this router may still send one server.
+/// The attempts that this router may still send to one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Allowance {
-    /// Progress towards the next attempt that is issued, 0 to 1.
+    /// Progress towards the next issued attempt, 0 to 1.
     progress: f64,
-    /// Attempts at hand; negative after a request of far more than the mean work.
+    /// Attempts available; negative after a request with far more than the mean work.
     attempts: f64,
-    /// When the latest was issued.
+    /// When the latest attempt was issued.
     issued: Micros,
 }
 
 impl Allowance {
-    /// How long any request may use an attempt that was issued, as a part of the window.
+    /// How long any request may use an issued attempt, as a fraction of the window.
     const FRESH: f64 = 0.4;
 
-    /// A server is listed. `phase`, 0 to 1, is drawn by each router, so that they are issued their first attempts evenly
-    /// over the time that one takes.
+    /// Creates the allowance of a newly listed server. Each router draws `phase`, 0 to 1, at random,
+    /// so that the first attempts of all routers are spread evenly over the interval between two
+    /// attempts.
     pub fn new(phase: f64) -> Self {
         Allowance { progress: phase.clamp(0.0, 1.0), ..Allowance::default() }
     }
 
-    /// Attempts at hand.
+    /// Attempts available.
     pub fn attempts(&self) -> f64 {
         self.attempts
     }
 
-    /// Issues what has come in over the last `span` us at `rate` attempts a second.
+    /// Issues attempts for the last `span` us at `rate` attempts per second.
     pub fn issue(&mut self, now: Micros, span: Micros, rate: f64, window: Micros) {
         let rate = if rate.is_finite() { rate.max(0.0) } else { 0.0 };
         self.progress += rate * span as f64 / 1e6;
@@ -82,34 +89,36 @@
         self.attempts >= 1.0 && (fresh || demand == Demand::Expected)
     }
 
-    /// An attempt is made that draws as much as so many of mean work.
+    /// Records an attempt whose work is that of `work` mean requests.
     pub fn spend(&mut self, work: f64) {
         self.attempts -= work;
     }
 }
 
-/// The policy of one router.
+/// The slow start policy of one router.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    from: f64,
+    initial: f64,
     duration: Micros,
-    /// Attempts that a server may be sent within a window, as a multiple of what it can do, and the window.
-    multiple: f64,
+    /// Attempts that a server may receive within a window, as a multiple of its capacity, and the
+    /// window.
+    overload_multiple: f64,
     window: Micros,
-    /// Requests for caches since the last refresh, and a second lately.
+    /// Requests for caches since the last refresh, and their recent rate per second.
     requests: f64,
-    traffic: f64,
-    /// The weights of all servers that requests may go to, as this router ranks them, and how many are in slow start.
-    weights: f64,
-    starting: usize,
+    request_rate: f64,
+    /// Total weight of all servers that may receive requests, as this router ranks them, and how
+    /// many are in slow start.
+    total_weight: f64,
+    starting_servers: usize,
 }
 
 impl SlowStart {
     pub fn new(settings: &Settings) -> Self {
         SlowStart {
-            from: settings.slow_start_from,
+            initial: settings.slow_start_from,
             duration: settings.slow_start_duration,
-            multiple: settings.overload_multiple.max(1.0),
+            overload_multiple: settings.overload_multiple.max(1.0),
             window: settings.overload_window.max(1),
             ..SlowStart::default()
         }
@@ -120,52 +129,55 @@
         self.window
     }
 
-    /// The part of its capacity that a server of this age is sure to have, 0 to 1; `None` once it is warm.
+    /// Fraction of its capacity that a server of this age is sure to have, 0 to 1; `None` once it is
+    /// warm.
     pub fn ramp(&self, age: Micros) -> Option<f64> {
         let along = age as f64 / self.duration.max(1) as f64;
-        (age < self.duration).then(|| (self.from + (1.0 - self.from) * along).clamp(0.0, 1.0))
+        (age < self.duration).then(|| (self.initial + (1.0 - self.initial) * along).clamp(0.0, 1.0))
     }
 
-    /// Attempts a second that this router is issued at a server of this weight, its ramp in it, where it sees warm servers
-    /// of its zone serve `capacity` requests of mean work a second and unit of weight. `part` is what planners leave of it,
-    /// 0 to 1.
+    /// Attempts per second issued to this router for a server of this weight, its ramp included,
+    /// where warm servers of its zone serve `capacity` of this router's requests per second and unit
+    /// of weight, in requests of mean work. `part` is the fraction that planners leave, 0 to 1.
     pub fn rate(&self, weight: f64, capacity: f64, part: f64) -> f64 {
-        SHARE * self.multiple * weight * capacity * part
+        SHARE * self.overload_multiple * weight * capacity * part
     }
 
-    /// A request comes that wants a cache.
+    /// Counts a request that needs a cache.
     pub fn request(&mut self) {
         self.requests += 1.0;
     }
 
-    /// Takes in what came over the last `span` us.
+    /// Updates the request rate with the requests of the last `span` us.
     pub fn refresh(&mut self, span: Micros) {
-        let keep = (-(span as f64) / TRAFFIC_MEMORY).exp();
+        let keep = (-(span as f64) / REQUEST_RATE_MEMORY).exp();
         let lately = std::mem::take(&mut self.requests) * 1e6 / span.max(1) as f64;
-        self.traffic = keep * self.traffic + (1.0 - keep) * lately;
+        self.request_rate = keep * self.request_rate + (1.0 - keep) * lately;
     }
 
-    /// Takes over the sum of the weights by which servers are ranked, and how many of them are in slow start.
-    pub fn listed(&mut self, weights: f64, starting: usize) {
-        (self.weights, self.starting) = (weights, starting);
+    /// Sets the total of the weights by which servers are ranked, and the number of servers in slow
+    /// start.
+    pub fn set_ranking(&mut self, weights: f64, starting: usize) {
+        (self.total_weight, self.starting_servers) = (weights, starting);
     }
 
     /// Whether any server is in slow start.
-    pub fn is_on(&self) -> bool {
-        self.starting > 0
+    pub fn is_active(&self) -> bool {
+        self.starting_servers > 0
     }
 
-    /// The requests a second that belong to a server of this weight.
+    /// Requests per second that belong to a server of this weight.
     fn expected(&self, weight: f64) -> f64 {
-        if self.weights > 0.0 {
-            self.traffic * weight / self.weights
+        if self.total_weight > 0.0 {
+            self.request_rate * weight / self.total_weight
         } else {
             f64::INFINITY
         }
     }
 
-    /// What a first attempt is where its key belongs to the server: `weight` is that by which it is ranked, `rate` what
-    /// this router is issued there and `popularity` how often its key is asked for here, both a second.
+    /// Classifies a first attempt at the server to which its key belongs. `weight` is its ranking
+    /// weight, `rate` the attempts issued to this router for it, and `popularity` how often the key
+    /// is requested here, both per second.
     pub fn demand(&self, weight: f64, rate: f64, popularity: f64) -> Demand {
         if self.expected(weight) <= rate && popularity <= rate {
             Demand::Expected
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -1,19 +1,19 @@
 use super::*;
 
 const SECOND: Micros = 1_000_000;
-/// How often attempts are issued.
+/// Interval at which attempts are issued.
 const TICK: Micros = 200_000;
 const STEP: Micros = 10_000;
 
-/// A number from 0 to 1 that follows from two others.
+/// A pseudo-random number from 0 to 1, determined by two others.
 fn unit(a: u64, b: u64) -> f64 {
     let x = (a.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ b).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     ((x ^ (x >> 31)).wrapping_mul(0x94d0_49bb_1331_11eb) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// When each of so many routers makes an attempt at one server, all of them together allowed `n` within a second, where
-/// requests want it from `idle` on: each router has one every step.
-fn storm(routers: u64, n: f64, idle: Micros, seed: u64) -> Vec<Micros> {
+/// The times of the attempts that `routers` routers make at one server, which together are allowed
+/// `n` per second. Requests want it from `idle` on, and each router has one at every step.
+fn attempts_made(routers: u64, n: f64, idle: Micros, seed: u64) -> Vec<Micros> {
     let rate = SHARE * n / routers as f64;
     let mut all: Vec<Allowance> = (0..routers).map(|r| Allowance::new(unit(r, seed))).collect();
     let mut made = Vec::new();
@@ -42,7 +42,7 @@
     for routers in [1, 3, 12, 28, 60, 300, 900] {
         for n in [10.0, 20.0, 36.0, 62.0, 200.0] {
             for (idle, seed) in [(0, 1), (2 * SECOND, 2), (9 * SECOND, 3), (20 * SECOND, 4)] {
-                let most = most_within_a_second(&storm(routers, n, idle, seed));
+                let most = most_within_a_second(&attempts_made(routers, n, idle, seed));
                 let overloads = n + 2.0 * n.sqrt() + 2.0;
                 assert!(
                     (most as f64) < overloads,
@@ -56,7 +56,7 @@
 #[test]
 fn a_storm_gets_most_of_what_routers_are_issued() {
     for routers in [3, 28, 300] {
-        let made = storm(routers, 40.0, 5 * SECOND, 7).len() as f64;
+        let made = attempts_made(routers, 40.0, 5 * SECOND, 7).len() as f64;
         assert!(made > 0.8 * SHARE * 40.0 * 5.0, "{routers} routers: {made} in 5 s");
     }
 }
@@ -96,12 +96,12 @@
 #[test]
 fn requests_are_expected_while_no_more_of_them_come_than_are_issued() {
     let mut policy = SlowStart::new(&Settings::default());
-    policy.listed(10.0, 1);
+    policy.set_ranking(10.0, 1);
     for _ in 0..50 {
         (0..4).for_each(|_| policy.request());
         policy.refresh(TICK);
     }
-    // 20 a second, of which a server of weight 1 has a tenth.
+    // 20 per second, of which a tenth belongs to a server of weight 1.
     assert_eq!(policy.demand(1.0, 2.5, 0.0), Demand::Expected);
     assert_eq!(policy.demand(1.0, 1.5, 0.0), Demand::Excess, "the list sends it more than it may be sent");
     assert_eq!(policy.demand(1.0, 2.5, 3.0), Demand::Excess, "its key alone is asked for more often");
