--- a/src/bin/trackshift-benchlink/wire.rs
+++ b/src/bin/trackshift-benchlink/wire.rs
@@ -131,7 +131,7 @@
             0 => ListForm::Full,
             4 => ListForm::Cached,
             2 => ListForm::Failed,
-            other => return self.bad(format!("form {other} of a registry is unknown")),
+            other => return self.bad(format!("list form {other} is unknown")),
         };
         let n = self.u32()? as usize;
         if n.checked_mul(ENTRY_LEN) != Some(self.bytes.len() - self.at) {
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -367,11 +367,12 @@
         let Some(o) = self.open.get(&id) else { return };
         // Ordered keys: the first attempt waits until earlier requests are finished and the key's
         // pause is over.
-        let turns = o.ordered_key().filter(|_| o.attempts.is_empty()).and_then(|k| self.key_queues.get(&k));
-        let starts =
-            turns.map_or(0, |t| if t.queue.front() == Some(&id) { t.paused_until } else { Micros::MAX });
-        if starts > now {
-            let after = (starts.min(o.request.deadline - self.settings.period) - now).max(0);
+        let key_queue =
+            o.ordered_key().filter(|_| o.attempts.is_empty()).and_then(|k| self.key_queues.get(&k));
+        let start =
+            key_queue.map_or(0, |t| if t.queue.front() == Some(&id) { t.paused_until } else { Micros::MAX });
+        if start > now {
+            let after = (start.min(o.request.deadline - self.settings.period) - now).max(0);
             self.open.entry(id).and_modify(|o| o.queued = true);
             return out.push(Action::Timer { after, token: Token(id.0) });
         }
@@ -402,23 +403,23 @@
         // Only a fraction of the requests try evicted servers: where most servers refuse connections
         // or are dead, a router uses those that it can reach. If none is reachable the fault lies
         // elsewhere and all are candidates.
-        let within = |s: &Server| {
-            let marked = s.avoids(key);
-            let due = !marked || s.last_send.is_none_or(|t| t + MARKED_TRIAL_INTERVAL <= now);
-            let tried = due && s.evicted_until <= now && self.trial_budget >= 1.0;
-            let reached = self
+        let reachable = |s: &Server| {
+            let avoided = s.avoids(key);
+            let due = !avoided || s.last_send.is_none_or(|t| t + MARKED_TRIAL_INTERVAL <= now);
+            let on_trial = due && s.evicted_until <= now && self.trial_budget >= 1.0;
+            let in_reach = self
                 .zones
                 .get(&s.member.zone)
                 .is_none_or(|z| z.reachability.takes(now, self.silence_limit()));
-            reached && !self.is_hung(now, s) && (tried || (s.evictions == 0 && !marked))
+            in_reach && !self.is_hung(now, s) && (on_trial || (s.evictions == 0 && !avoided))
         };
         let far = self.remote_weight();
         let weight = |s: &Server| (s.weight > 0.0 && usable(s)).then(|| s.weight * self.zone_factor(s, far));
         let scales = self.weight_scales(far);
-        let reached = self.servers.best(key, want, scales, |s| weight(s).filter(|_| within(s)));
-        match reached.is_empty() {
+        let in_reach = self.servers.best(key, want, scales, |s| weight(s).filter(|_| reachable(s)));
+        match in_reach.is_empty() {
             true => self.servers.best(key, want, scales, weight),
-            false => reached,
+            false => in_reach,
         }
     }
 
@@ -449,10 +450,9 @@
         // sheds the rest early: requests queued beyond the target latency serve nobody, and a cache
         // that waits for an overloaded origin looks idle by its CPU. Requests over quota are shed
         // first.
-        let (index, surplus) = (first.terms.congestion_index(), self.excess_demand());
-        let surplus =
-            o.attempts.is_empty() && surplus >= SHED_THRESHOLD && (o.over_quota || refuse < surplus);
-        if surplus && (index >= CONGESTED || self.failure_rate >= FLEET_FAILURE_RATE) {
+        let (index, excess) = (first.terms.congestion_index(), self.excess_demand());
+        let excess = o.attempts.is_empty() && excess >= SHED_THRESHOLD && (o.over_quota || refuse < excess);
+        if excess && (index >= CONGESTED || self.failure_rate >= FLEET_FAILURE_RATE) {
             return None;
         }
         // A copy on another server costs one more fetch: if the origin has no room for it, the key
@@ -480,7 +480,7 @@
     }
 
     fn send(&mut self, now: Micros, id: RequestId, server: ServerId, out: &mut Vec<Action>) {
-        let (surplus, silent, draw) =
+        let (excess, silent, draw) =
             (self.excess_demand(), self.silence_limit(), unit(mix(self.rng ^ now as u64)));
         let (Some(o), Some(s)) = (self.open.get_mut(&id), self.servers.get_mut(&server)) else { return };
         if let Some(last) = s.last_send.replace(now) {
@@ -503,11 +503,11 @@
         o.attempts.push(Attempt::sent(now, &s.member));
         // While much is shed, an answer after the target latency takes the place of another request:
         // cut the attempt off at the target unless a late answer is worth more.
-        let worth = self.answered_in_time >= o.class.late_value * self.cache_demand
+        let prefer_in_time = self.answered_in_time >= o.class.late_value * self.cache_demand
             && o.class.repeat == Repeat::Retryable;
-        let cap = worth && surplus >= SHED_THRESHOLD && !s.origin;
-        let aim = cap.then_some((o.taken + o.class.target_latency - now).max(o.class.target_latency / 2));
-        let timeout = aim.or(self.attempt_timeout(now, id, server));
+        let cap = prefer_in_time && excess >= SHED_THRESHOLD && !s.origin;
+        let target = cap.then_some((o.taken + o.class.target_latency - now).max(o.class.target_latency / 2));
+        let timeout = target.or(self.attempt_timeout(now, id, server));
         out.push(Action::Send { request: id, server, timeout, begin_by });
         self.probe(now, server, out);
     }
@@ -548,11 +548,12 @@
         let key = open.as_ref().and_then(|o| o.ordered_key());
         let attempt = open.and_then(|o| o.attempts.get_mut(usize::from(end.attempt)));
         let sent = attempt.as_ref().map_or(now - end.elapsed, |a| a.sent);
-        let mine = attempt.filter(|a| a.verdict.is_none()).map(|a| a.verdict = Some(end.verdict)).is_some();
-        if let Some(turns) =
-            key.and_then(|k| self.key_queues.get_mut(&k)).filter(|_| mine && end.may_still_run())
+        let pending =
+            attempt.filter(|a| a.verdict.is_none()).map(|a| a.verdict = Some(end.verdict)).is_some();
+        if let Some(key_queue) =
+            key.and_then(|k| self.key_queues.get_mut(&k)).filter(|_| pending && end.may_still_run())
         {
-            turns.paused_until = now + self.settings.order_settle;
+            key_queue.paused_until = now + self.settings.order_settle;
         }
         self.record_outcome(now, &end, sent);
         self.close_idle(end.server, out);
@@ -560,13 +561,13 @@
             self.lingering.remove(&id);
             self.advance_key_queue(now, id, key, out);
         }
-        let mine = mine && self.open.contains_key(&id);
-        if mine && end.finished {
+        let pending = pending && self.open.contains_key(&id);
+        if pending && end.finished {
             self.close_request(now, id, out);
-        } else if mine && end.verdict == Verdict::Miss && self.settings.origin_kind.is_some() {
+        } else if pending && end.verdict == Verdict::Miss && self.settings.origin_kind.is_some() {
             self.spills.request(now);
             self.advance(now, id, out);
-        } else if mine {
+        } else if pending {
             match self.may_try_again(now, id, &end) {
                 true => self.advance(now, id, out),
                 false => self.spill(now, id, out),
@@ -580,16 +581,16 @@
     /// where a second copy is not allowed.
     fn may_try_again(&mut self, now: Micros, id: RequestId, end: &Outcome) -> bool {
         let Some(o) = self.open.get(&id) else { return false };
-        let (left, strained) = (o.request.deadline - now, self.overloaded());
+        let (left, overloaded) = (o.request.deadline - now, self.overloaded());
         match end.verdict {
             Verdict::Timeout | Verdict::Moot => {
-                let more = left > 2 * self.settings.period && self.settings.may_copy && !strained;
+                let more = left > 2 * self.settings.period && self.settings.may_copy && !overloaded;
                 more && self.retries.take(Extra::Repeat)
             }
             // Requests over quota are served where there is room and not retried where there is
             // none.
             Verdict::Full if o.over_quota => false,
-            _ if end.connection_failed() && !strained => true,
+            _ if end.connection_failed() && !overloaded => true,
             _ => self.retries.take(Extra::Repeat),
         }
     }
@@ -605,11 +606,11 @@
     /// Updates the health and latency estimates of a server from an outcome.
     fn record_outcome(&mut self, now: Micros, end: &Outcome, sent: Micros) {
         let jitter = 0.5 + self.random();
-        let (own, aim) =
+        let (own, on_time) =
             self.open.get(&end.request).map_or((0, 0), |o| (o.class.target_latency, o.on_time_limit()));
-        let told = |s: &Server| (s.answered_later_send(sent, end.verdict), usize::from(!s.origin));
-        let (lone, first) = self.servers.get(&end.server).map_or((false, 0), told);
-        if !lone && !end.no_place {
+        let connection_only = |s: &Server| (s.answered_later_send(sent, end.verdict), usize::from(!s.origin));
+        let (connection_fault, first) = self.servers.get(&end.server).map_or((false, 0), connection_only);
+        if !connection_fault && !end.no_place {
             self.mark_busy(now, end.server, end.verdict);
         }
         self.count_cache_demand(end.request, first);
@@ -631,9 +632,10 @@
             (f64::from(full.min(1)) - self.refused_connection_rate) / CONNECT_MEMORY;
         let sample = Sample { now, sent, ending, out_at_send: s.limiter.out(), kept_waiting };
         s.limiter.ended(&sample);
-        let (good, lone) = (matches!(end.verdict, Verdict::Served | Verdict::Miss), lone || lost);
-        let bad = matches!(end.verdict, Verdict::Error | Verdict::Timeout) && !lone;
-        if matches!(end.verdict, Verdict::Served | Verdict::Timeout) && !lone {
+        let (good, connection_fault) =
+            (matches!(end.verdict, Verdict::Served | Verdict::Miss), connection_fault || lost);
+        let bad = matches!(end.verdict, Verdict::Error | Verdict::Timeout) && !connection_fault;
+        if matches!(end.verdict, Verdict::Served | Verdict::Timeout) && !connection_fault {
             s.latency.add(end.elapsed.max(0) as f64);
         }
         // A process that answered a moment ago is alive: only that connection was lost.
@@ -660,7 +662,7 @@
         } else if good || bad {
             self.failure_rate += (f64::from(u8::from(bad)) - self.failure_rate) / FAILURE_MEMORY;
             self.retries.ended(&sample);
-            self.answered_in_time += f64::from(u8::from(good && end.elapsed <= aim));
+            self.answered_in_time += f64::from(u8::from(good && end.elapsed <= on_time));
             // A miss takes an unknown fraction of the work of a hit. A server answers many more
             // misses than requests of mean work, so misses are no evidence of capacity.
             zone.served += f64::from(u8::from(end.verdict == Verdict::Served && !s.cold));
@@ -701,10 +703,10 @@
 
     /// Starts the next request of an ordered key after a finished request that has no attempt out.
     fn advance_key_queue(&mut self, now: Micros, id: RequestId, key: Option<Key>, out: &mut Vec<Action>) {
-        let Some(turns) = key.and_then(|k| self.key_queues.get_mut(&k)) else { return };
-        let had_it = turns.queue.front() == Some(&id);
-        turns.queue.retain(|w| *w != id);
-        if let Some(next) = turns.queue.front().copied().filter(|_| had_it) {
+        let Some(key_queue) = key.and_then(|k| self.key_queues.get_mut(&k)) else { return };
+        let was_first = key_queue.queue.front() == Some(&id);
+        key_queue.queue.retain(|w| *w != id);
+        if let Some(next) = key_queue.queue.front().copied().filter(|_| was_first) {
             self.advance(now, next, out);
         }
     }
--- a/src/choice/estimates.rs
+++ b/src/choice/estimates.rs
@@ -84,14 +84,14 @@
     }
 
     pub(super) fn refresh_terms(&mut self, now: Micros) {
-        let truth = |s: &Server| s.reported.map_or(0.0, |at| (-((now - at) as f64) / MEMORY).exp());
+        let report_weight = |s: &Server| s.reported.map_or(0.0, |at| (-((now - at) as f64) / MEMORY).exp());
         let (mut latency, mut gaps) = (Moments::default(), Moments::default());
         let (mut rho, mut known) = (RHO_PRIOR * 0.01, 0.01);
         for s in self.servers.values().filter(|s| !s.origin) {
             latency.pool(&s.latency);
             gaps.pool(&s.inter_arrivals);
-            rho += truth(s) * s.rho;
-            known += truth(s);
+            rho += report_weight(s) * s.rho;
+            known += report_weight(s);
         }
         let prior = self.min_target_latency as f64 / 4.0;
         let (service, service_scv) = latency.shrunk(PRIOR_SAMPLES, prior, PRIOR_SCV);
@@ -99,12 +99,13 @@
         let (gap, gap_scv) = gaps.shrunk(PRIOR_SAMPLES, 1e6, PRIOR_SCV);
         self.servers.change(self.settings.zone, |s| {
             // A missing report is not a sign of health: an old report fades into the fleet's mean.
-            let t = truth(s);
+            let t = report_weight(s);
             let rho = (t * s.rho + (1.0 - t) * rho / known).clamp(0.0, RHO_MAX);
             let (service, service_scv) = s.latency.shrunk(PRIOR_SAMPLES, service, service_scv);
             let arrival_scv = s.inter_arrivals.shrunk(PRIOR_SAMPLES, gap, gap_scv).1;
-            let sure = if s.rho >= RHO_MAX { t * s.rho } else { 0.0 };
-            s.terms = Terms { rho, service, arrival_scv, service_scv }.with_planned(s.planned_terms, sure);
+            let observed = if s.rho >= RHO_MAX { t * s.rho } else { 0.0 };
+            s.terms =
+                Terms { rho, service, arrival_scv, service_scv }.with_planned(s.planned_terms, observed);
             s.origin = Some(s.member.kind) == self.settings.origin_kind;
             let ramp = self.slow_start.ramp(s.member.age(now)).filter(|_| !s.origin);
             s.cold = ramp.is_some();
--- a/src/choice/origin_fetches.rs
+++ b/src/choice/origin_fetches.rs
@@ -14,14 +14,14 @@
         }
         let waiting = self.fetches.remove(&o.request.key).unwrap_or_default();
         let stored = o.attempts.last().is_some_and(|a| a.verdict == Some(Verdict::Served));
-        let keeper = o.missed_server().filter(|_| stored);
+        let holder = o.missed_server().filter(|_| stored);
         for w in waiting.into_iter().skip(1) {
             // The cache that should hold the key by now, if another attempt is left for the origin
             // after it.
-            let cache = self.open.get(&w).zip(keeper.and_then(|k| self.servers.get(&k)));
+            let cache = self.open.get(&w).zip(holder.and_then(|k| self.servers.get(&k)));
             match cache
                 .filter(|(o, s)| self.attempts_left(o) > 1 && self.permitted(now, o, s, None))
-                .and(keeper)
+                .and(holder)
             {
                 Some(server) => self.send(now, w, server, out),
                 None => self.advance(now, w, out),
--- a/src/slow_start/tests.rs
+++ b/src/slow_start/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn routers_without_a_word_between_them_stay_under_what_overloads_a_server() {
+fn routers_without_communication_stay_below_what_overloads_a_server() {
     for routers in [1, 3, 12, 28, 60, 300, 900] {
         for n in [10.0, 20.0, 36.0, 62.0, 200.0] {
             for (idle, seed) in [(0, 1), (2 * SECOND, 2), (9 * SECOND, 3), (20 * SECOND, 4)] {
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_storm_gets_most_of_what_routers_are_issued() {
+fn a_burst_gets_most_of_the_attempts_issued() {
     for routers in [3, 28, 300] {
         let made = attempts_made(routers, 40.0, 5 * SECOND, 7).len() as f64;
         assert!(made > 0.8 * SHARE * 40.0 * 5.0, "{routers} routers: {made} in 5 s");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn an_attempt_that_is_no_longer_fresh_is_kept_for_the_keys_own_server() {
+fn an_old_attempt_is_reserved_for_expected_requests() {
     let mut allowance = Allowance::new(0.0);
     allowance.issue(SECOND, TICK, 5.0, SECOND);
     assert!(allowance.admits(SECOND, Demand::Excess, SECOND));
--- a/src/state.rs
+++ b/src/state.rs
@@ -62,14 +62,14 @@
         self.rho / (1.0 - self.rho) * (self.arrival_scv + self.service_scv) / 2.0
     }
 
-    /// These terms blended with those from planners, by the trust in them. `sure` is a utilisation
+    /// These terms blended with those from planners, by the trust in them. `observed` is a utilisation
     /// that this router has just observed: planners learn of it a second later, so it is a lower
     /// bound.
-    pub fn with_planned(self, planned: Option<PlannedTerms>, sure: f64) -> Terms {
+    pub fn with_planned(self, planned: Option<PlannedTerms>, observed: f64) -> Terms {
         let Some(p) = planned else { return self };
         let blended = |own: f64, planned: f64| blend(own, Some(planned), p.trust);
         Terms {
-            rho: blended(self.rho, p.rho).max(sure),
+            rho: blended(self.rho, p.rho).max(observed),
             service: blended(self.service, p.service),
             arrival_scv: blended(self.arrival_scv, p.arrival_scv),
             service_scv: blended(self.service_scv, p.service_scv),
--- a/tests/equations.rs
+++ b/tests/equations.rs
@@ -1,4 +1,4 @@
-//! The paper's equations against figures worked out by hand.
+//! The paper's equations compared with values calculated by hand.
 
 use martenweir::choice::shares;
 use martenweir::Terms;
@@ -33,7 +33,8 @@
 #[test]
 fn three_candidates_by_eqs_2_and_4_to_7() {
     // C_i^2 = 1.25 / 3 + 2 / 3 = 1.0833333.
-    // L = 0.7708333, 3.3333333, 0.0395833 (sum 4.14375); W = 15.4166667, 83.3333333, 0.9895833 (sum 99.7395833).
+    // L = 0.7708333, 3.3333333, 0.0395833 (sum 4.14375).
+    // W = 15.4166667, 83.3333333, 0.9895833 (sum 99.7395833).
     // R = (0.1860231 + 0.1545692) / 2, (0.8044244 + 0.8355091) / 2, (0.0095525 + 0.0099217) / 2.
     let s = shares(&[GATHERING, BUSY, IDLE]);
     near(s[0], (1.0 - 0.1702962) / 2.0);
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,4 +1,4 @@
-//! The module by events alone: what each decision is for, one small case each.
+//! Tests of the decision module through events alone: one small case per decision.
 
 use martenweir::choice::Balancer;
 use martenweir::interface::*;
@@ -46,7 +46,7 @@
         out
     }
 
-    /// Lets time pass, with the timers that come due.
+    /// Advances the time and fires the timers that come due.
     fn pass(&mut self, span: Micros) -> Vec<Action> {
         let (until, mut all) = (self.now + span, Vec::new());
         while let Some(i) = (0..self.timers.len()).min_by_key(|i| self.timers[*i].0) {
@@ -107,7 +107,7 @@
 }
 
 impl Router {
-    /// Ends the last attempt of a request at a server that has no place for another connection.
+    /// Ends the last attempt of a request at a server that has no room for another connection.
     fn end_without_place(&mut self, id: RequestId) -> Vec<Action> {
         let (request, attempt, server) = *self.sent.iter().rev().find(|s| s.0 == id).expect("an attempt");
         let (verdict, elapsed, report) = (Verdict::Full, MS, Vec::new());
@@ -244,13 +244,13 @@
 }
 
 #[test]
-fn a_vanished_server_is_left_alone_and_tried_again() {
+fn a_server_that_refuses_connections_is_evicted_and_tried_again() {
     let mut r = Router::new(settings(), members(4));
     let first = r.key(3).unwrap();
     let mut second = first;
     for _ in 0..3 {
         let (id, out) = r.ask(Request { key: Key(3), ..Request::default() });
-        assert_eq!(server(&out), Some(first), "one refused connection is no death");
+        assert_eq!(server(&out), Some(first), "one refused connection does not evict");
         second = server(&r.end(id, Verdict::ConnectFailed, MS, vec![])).unwrap();
         r.end(id, Verdict::Served, MS, vec![]);
     }
@@ -278,7 +278,7 @@
     let mut sent = 0;
     for _ in 0..100 {
         let (id, out) = r.ask(Request { key: Key(3), ..Request::default() });
-        // What is not refused goes where it always went.
+        // Requests that are not refused go to the same server as before.
         if server(&out).is_some() {
             assert_eq!(server(&out), Some(first));
             sent += 1;
@@ -288,7 +288,8 @@
     assert!(sent > 0);
 }
 
-/// Incident iaaaff7: in an overload the fair part of what is asked is more than a cold server can do.
+/// Incident iaaaff7: in an overload, a cold server's share of the requests received is more than it
+/// can handle, so its share is taken of the requests answered.
 #[test]
 fn a_cold_server_gets_its_part_of_what_warm_ones_answer_not_of_what_is_asked() {
     let started = Some(60 * S);
@@ -296,7 +297,7 @@
     entries[3].started = started;
     let mut r = Router::new(settings(), entries);
     let mut cold = 0;
-    // 500 requests a second, of which the caches answer a fifth.
+    // 500 requests per second, of which the caches answer a fifth.
     for k in 0..2_500u64 {
         let (id, out) = r.ask(Request { key: Key(k + 1), ..Request::default() });
         if let Some(to) = server(&out) {
@@ -306,19 +307,21 @@
         }
         r.pass(2 * MS);
     }
-    // 33 answers a second and warm server, 0.2 to 0.4 of them for the cold one, times 1.5, over 5 s.
+    // 33 answers per second and warm server, 0.2 to 0.4 of them for the cold one, times 1.5, over 5
+    // s.
     assert!(cold > 5 && cold < 100, "{cold}");
 }
 
-/// `scenarios/slow_start_burst.toml`: where misses take a tenth of the work of a hit, routers that counted each answer took
-/// servers for three times what they can do, and together overloaded those in slow start.
+/// `scenarios/slow_start_burst.toml`: a miss took a tenth of the work of a hit. Routers that counted
+/// every answer assumed three times the real capacity of servers and together overloaded those in
+/// slow start.
 #[test]
 fn misses_prove_no_capacity_of_servers_in_slow_start() {
     let rate_beside = |misses: u64| {
         let mut entries = members(4);
         entries[3].started = Some(60 * S);
         let mut r = Router::new(settings(), entries);
-        // 25 hits a second, beside so many misses each.
+        // 25 hits per second, each with `misses` misses beside it.
         for k in 0..250u64 {
             for n in 0..=misses {
                 let (id, out) = r.ask(Request { key: Key(k * 100 + n + 1), ..Request::default() });
@@ -333,7 +336,8 @@
     };
     let (alone, beside) = (rate_beside(0), rate_beside(9));
     assert!(alone > 1.0, "{alone}");
-    // A quarter of the keys belongs to the server in slow start: what it takes of the hits is not seen at warm ones.
+    // A quarter of the keys belongs to the server in slow start: hits there are not seen at warm
+    // servers.
     assert!(beside <= 4.0 / 3.0 * alone, "{beside} a second beside misses, {alone} without");
 }
 
@@ -356,7 +360,7 @@
     assert!(early < late && late > 30, "{early} early, {late} late");
 }
 
-/// Incident ia54d8b: routers of uneven traffic took an even part of the quotas for theirs.
+/// Incident ia54d8b: routers with uneven traffic were limited to even shares of the quotas.
 #[test]
 fn a_router_with_more_than_an_even_part_of_the_traffic_serves_it() {
     let s = Settings { routers: 100, quotas: vec![100.0, 100.0], ..settings() };
@@ -374,7 +378,7 @@
     assert!(served > 450, "{served} of 500");
 }
 
-/// casa-forms: what is over quota came back at once into the same overload.
+/// Scenario casa-forms: requests over quota returned at once into the same overload.
 #[test]
 fn over_quota_is_advised_to_stay_away_longer_than_what_is_within() {
     let max_retry_after = Some(800 * MS);
@@ -395,7 +399,7 @@
     }
     let one = |i: usize| advice[i].iter().copied().collect::<Vec<_>>();
     assert_eq!(one(1), vec![max_retry_after]);
-    // What is within comes back sooner, and not all at once.
+    // Requests within quota return sooner, but not all at once.
     let soon = |a: &Option<Micros>| a.is_some_and(|t| (200 * MS..600 * MS).contains(&t));
     assert!(one(0).len() > 10 && one(0).iter().all(soon), "{:?}", one(0));
 }
@@ -423,9 +427,10 @@
     }
 }
 
-/// The second figure is incident i705710: choked caches answer late though further candidates look free.
+/// The second utilisation is incident i705710: overloaded caches answer late although further
+/// candidates look idle.
 #[test]
-fn what_caches_cannot_answer_in_time_is_refused_early() {
+fn requests_beyond_what_caches_answer_in_time_are_refused_early() {
     for util in [1.0, 0.7] {
         let mut r = Router::new(settings(), members(4));
         let mut sent = 0;
@@ -433,7 +438,7 @@
             let (id, out) = r.ask(Request { key: Key(k + 1), ..Request::default() });
             if server(&out).is_some() {
                 sent += u32::from(k >= 500);
-                // One in four is answered within the aim.
+                // One in four is answered within the target latency.
                 let elapsed = if k % 4 == 0 { 100 * MS } else { 900 * MS };
                 r.end(id, Verdict::Served, elapsed, vec![util]);
             }
@@ -443,8 +448,9 @@
     }
 }
 
-/// adama-readings, hot key: a swamped server answers late, and its last report of better days fades toward the
-/// fleet's mean. Its time-outs say what its reports don't, and a router that could send elsewhere must not refuse.
+/// Scenario adama-readings with a hot key: an overloaded server answers late and its last, better
+/// report fades toward the fleet's mean. Its time-outs show what its reports don't, and a router
+/// that can use other servers must not refuse.
 #[test]
 fn a_server_that_lets_requests_time_out_is_spread_from_and_hardly_anything_is_refused() {
     let mut r = Router::new(settings(), members(8));
@@ -456,7 +462,7 @@
         match server(&out) {
             Some(to) if to == hot => {
                 kept += 1;
-                // Some answers still come, so that the server is not taken for dead.
+                // Some answers still arrive, so that the server is not evicted.
                 let verdict = if kept % 2 == 0 { Verdict::Timeout } else { Verdict::Served };
                 r.end(id, verdict, 400 * MS, vec![]);
             }
@@ -469,7 +475,8 @@
     assert!(refusals < 10, "{refusals} of 300 refused");
 }
 
-/// naro-records overload: while much is refused, work that is late anyway must not hold a place in a queue.
+/// Scenario naro-records with an overload: while much is refused, an attempt that is late anyway
+/// must not hold a place in a queue.
 #[test]
 fn attempts_are_called_off_at_the_aim_only_while_much_is_refused() {
     for (in_time, capped) in [(true, false), (false, true)] {
@@ -493,9 +500,10 @@
     }
 }
 
-/// Caches that wait for a swamped origin look idle by their cores (casa-forms, flush and burst together).
+/// Scenario casa-forms with a flush and a burst together: caches that wait for an overloaded origin
+/// look idle by their CPU.
 #[test]
-fn a_fleet_that_fails_for_the_most_part_is_sent_less_though_it_looks_idle() {
+fn a_mostly_failing_fleet_is_sent_less_although_it_looks_idle() {
     let mut r = Router::new(settings(), members(4));
     let mut sent = 0;
     for k in 0..1_000u64 {
@@ -545,14 +553,15 @@
     assert!(refused(&r.ask(write()).1));
 }
 
-/// A read of a key whose only cache turns it away: what is sent in the end.
+/// Sends a read whose only cache refuses it, and returns the server to which it is sent next.
 fn turned_away(r: &mut Router, request: Request) -> Option<ServerId> {
     let (id, _) = r.ask(request);
     server(&r.end(id, Verdict::Full, MS, vec![]))
 }
 
-/// A zone lost, the caches of the other full: the origin answered 1,300 reads a second at the pace of 500, and as many
-/// were refused each second as it could have answered besides.
+/// One zone was lost and the caches of the other were full: the origin answered 1,300 reads per
+/// second at the rate of 500, and as many were refused per second as it could have answered in
+/// addition.
 #[test]
 fn aside_a_read_that_caches_turn_away_is_fetched_while_the_origin_has_room_to_spare() {
     let (s, entries) = aside();
@@ -562,7 +571,7 @@
     assert_eq!(turned_away(&mut r, read(1)), Some(ORIGIN));
     assert_eq!(turned_away(&mut r, read(2)), None, "one is out, and nothing is known of the origin yet");
 
-    // It answers twenty in 20 ms each, one at a time, and then takes four times as long.
+    // The origin answers twenty in 20 ms each, one at a time, and then takes four times as long.
     let fetch = |r: &mut Router, time: Micros| {
         let (id, _) = r.ask(Request { write: true, ..Request::default() });
         r.pass(time);
@@ -571,20 +580,21 @@
     let mut r = one();
     (0..100).for_each(|_| fetch(&mut r, 20 * MS));
     assert_eq!(turned_away(&mut r, read(1)), Some(ORIGIN));
-    assert_eq!(turned_away(&mut r, read(2)), Some(ORIGIN), "it bears a multiple of what is usual");
+    assert_eq!(turned_away(&mut r, read(2)), Some(ORIGIN), "it handles a multiple of its usual load");
     r.pass(S);
     (0..40).for_each(|_| fetch(&mut r, 80 * MS));
-    assert_eq!(turned_away(&mut r, read(3)), None, "none while it is strained");
+    assert_eq!(turned_away(&mut r, read(3)), None, "none while it is overloaded");
 
-    // What is over its tenant's quota is worth little, and is not fetched so.
+    // Requests over quota have little value and are not fetched this way.
     let mut r = Router::new(Settings { quotas: vec![0.001], ..s.clone() }, entries[3..].to_vec());
-    (10..15).for_each(|k| assert!(r.key(k).is_some(), "what a tenant may bunch"));
+    (10..15).for_each(|k| assert!(r.key(k).is_some(), "within the burst of a tenant"));
     assert_eq!(turned_away(&mut r, read(1)), None);
     assert_eq!(turned_away(&mut r, Request { tenant: TenantId(1), ..read(1) }), Some(ORIGIN));
 }
 
-/// Guards the ledger of a fleet whose caches are all full: proxies that each fetch one at a time send it any number a
-/// second together. What is fetched past full caches is at most what misses, and a few kept back.
+/// Guards against a fleet whose caches are all full: proxies that each fetch one key at a time
+/// together send the origin an unlimited rate. The fetches past full caches are limited to the
+/// number of misses plus a small reserve.
 #[test]
 fn aside_no_more_is_fetched_past_full_caches_than_misses() {
     for (routers, kept) in [(1, 3), (100, 3), (200, 2)] {
@@ -593,7 +603,8 @@
         let fetched = |r: &mut Router, verdict: Verdict, times: u64| {
             let answered = (0..times).filter(|k| {
                 let (id, out) = r.ask(Request { key: Key(1 + k), ..Request::default() });
-                // Under strain some are refused early, and fetched without an attempt elsewhere.
+                // Under overload some are refused early and are fetched without an attempt at a
+                // cache.
                 let to = match server(&out) {
                     Some(to) if to != ORIGIN => server(&r.end(id, verdict, MS, vec![])),
                     to => to,
@@ -607,19 +618,21 @@
             });
             answered.count()
         };
-        assert_eq!(fetched(&mut r, Verdict::Full, 40), kept, "{routers} proxies: what is kept back");
+        assert_eq!(fetched(&mut r, Verdict::Full, 40), kept, "{routers} proxies: the reserve");
         r.pass(30 * S);
         assert_eq!(fetched(&mut r, Verdict::Miss, 2), 2);
-        assert_eq!(fetched(&mut r, Verdict::Full, 40), 2, "{routers} proxies: what has missed since");
+        assert_eq!(fetched(&mut r, Verdict::Full, 40), 2, "{routers} proxies: the misses since");
     }
 }
 
-/// citas-xela overload, origin slowed: every fetch was made for a request that ran out of time, and none was kept.
+/// Scenario citas-xela with an overload and a slow origin: every fetch was made for a request that
+/// then timed out, so no answer was stored.
 #[test]
 fn aside_places_at_the_origin_go_to_those_with_time_for_its_answer() {
     let (s, entries) = aside();
     let mut r = Router::new(s, entries);
-    // The origin takes 1.1 s of late, longer than anybody waits: one request at a time.
+    // The origin's recent response time is 1.1 s, longer than any client waits, with one request at
+    // a time.
     for _ in 0..20 {
         let (id, _) = r.ask(Request { write: true, ..Request::default() });
         r.end(id, Verdict::Served, 1_100 * MS, vec![]);
@@ -631,7 +644,8 @@
         assert_eq!(server(&r.end_note(id, Verdict::Miss, MS, vec![], 2)), None);
         id
     };
-    // Two wait for key 8, who came first has less time; key 9 has time for twice the origin's 1.1 s.
+    // Two requests wait for key 8, the first with less time; key 9 has time for twice the origin's
+    // 1.1 s.
     miss(&mut r, 8, 900 * MS);
     miss(&mut r, 8, 2_100 * MS);
     let long = miss(&mut r, 9, 2_900 * MS);
@@ -646,17 +660,18 @@
     assert_eq!(to(&next), Some(long));
     let mut next = r.end(long, Verdict::Served, 1_100 * MS, vec![]);
     next.extend(r.pass(700 * MS));
-    assert_eq!(to(&next), Some(RequestId(long.0 - 1)), "of key 8 the one with more time");
+    assert_eq!(to(&next), Some(RequestId(long.0 - 1)), "the request for key 8 with more time");
 }
 
-/// A client that retries after each refusal doubles the load by itself: the router's own repeats make room for it.
+/// A client that retries after each refusal doubles the load by itself, so its retries use the
+/// router's retry budget.
 #[test]
 fn marked_retries_of_clients_take_from_the_budget_of_further_attempts() {
     let further = |repeat| {
         let mut r = Router::new(settings(), members(8));
         (0..400u64)
             .filter(|k| {
-                // The others are answered, so that nothing is strained.
+                // The others are answered, so that the router is not overloaded.
                 let (id, _) = r.ask(Request { key: Key(k + 1), repeat, ..Request::default() });
                 let verdict = if k % 8 == 0 { Verdict::Error } else { Verdict::Served };
                 let again = server(&r.end(id, verdict, MS, vec![0.1])).is_some();
@@ -690,12 +705,12 @@
     let mut r = Router::new(settings(), members(3));
     for k in 0..20 {
         let (id, out) = r.ask(Request { key: Key(k + 1), ..Request::default() });
-        assert!(server(&out).is_some(), "refused though servers are listed");
+        assert!(server(&out).is_some(), "refused although servers are listed");
         r.end(id, Verdict::ConnectFailed, MS, vec![]);
     }
 }
 
-/// A leader whose attempt at the origin failed takes its place in the queue again.
+/// A request whose attempt at the origin failed joins the queue for it again.
 #[test]
 fn aside_a_failed_fetch_is_tried_again_and_every_waiter_is_answered() {
     let (s, entries) = aside();
@@ -707,7 +722,7 @@
     assert_eq!(server(&r.end(a, Verdict::Full, MS, vec![])), Some(ORIGIN));
     let out = r.end(a, Verdict::Error, MS, vec![]);
     assert!(out.contains(&Action::Refuse { request: a, retry_after: None }));
-    assert_eq!(server(&out), Some(ORIGIN), "the waiter takes over");
+    assert_eq!(server(&out), Some(ORIGIN), "the waiting request takes over");
 }
 
 #[test]
@@ -782,7 +797,8 @@
     Settings { classes: vec![class], order_settle: 50 * MS, ..settings() }
 }
 
-/// puerto-dock-sur, order: a second update of a key was sent while the first was not over.
+/// Scenario puerto-dock-sur, ordered keys: a second update of a key was sent before the first was
+/// finished.
 #[test]
 fn requests_of_a_key_in_order_run_one_at_a_time_as_taken() {
     let mut r = Router::new(in_order(), members(4));
@@ -792,9 +808,9 @@
     let (b, out) = ask(&mut r, 5);
     assert!(out.iter().all(|a| matches!(a, Action::Timer { .. })), "{out:?}");
     let (c, _) = ask(&mut r, 5);
-    assert!(server(&ask(&mut r, 6).1).is_some(), "another key is free");
-    assert!(server(&ask(&mut r, 0).1).is_some(), "and so is no key");
-    // Another try of the one whose turn it is comes before what was taken later.
+    assert!(server(&ask(&mut r, 6).1).is_some(), "another key does not wait");
+    assert!(server(&ask(&mut r, 0).1).is_some(), "nor does a request without a key");
+    // A retry of the request whose turn it is precedes later requests.
     assert_eq!(r.end(a, Verdict::Full, MS, vec![]).first(), Some(&send_of(&r, a)));
     assert_eq!(r.end(a, Verdict::Served, MS, vec![]), [send_of(&r, b)]);
     r.end(b, Verdict::Served, MS, vec![]);
@@ -806,7 +822,8 @@
     Action::Send { request, server, timeout: None, begin_by: None }
 }
 
-/// puerto-dock-sur, order: the next update went out 5 ms after an attempt that may have run on.
+/// Scenario puerto-dock-sur, ordered keys: the next update was sent 5 ms after an attempt that may
+/// still have been running.
 #[test]
 fn a_key_in_order_rests_after_an_attempt_that_may_still_run() {
     for verdict in [Verdict::Timeout, Verdict::Reset] {
@@ -820,7 +837,8 @@
     }
 }
 
-/// A client that leaves takes no attempt back: the key's next waits for its outcome, and then for the rest.
+/// A client that leaves does not cancel its attempt: the next request of the key waits for the
+/// outcome and for the pause.
 #[test]
 fn a_key_in_order_waits_for_an_attempt_whose_client_has_left() {
     let mut r = Router::new(in_order(), members(4));
@@ -853,7 +871,8 @@
     assert!(out.contains(&Action::Refuse { request: b, retry_after: None }), "{out:?}");
 }
 
-/// gandhinagar-counts, placement: a bound class went to a kind of machine not open to it.
+/// Scenario gandhinagar-counts, placement: a bound class was sent to a kind of machine that it must
+/// not use.
 #[test]
 fn a_bound_class_goes_only_to_its_servers_at_every_attempt() {
     let by_kind = Class { kinds: Some(vec![KindId(1)]), ..Class::default() };
@@ -882,7 +901,8 @@
     assert_eq!(server(&r.ask(Request { key: Key(9), write: true, ..Request::default() }).1), Some(ORIGIN));
 }
 
-/// registro-solar, closing on drains: an idle connection was still open 1.5 s after the notice.
+/// Scenario registro-solar, connection closing on drains: an idle connection was still open 1.5 s
+/// after the notice.
 #[test]
 fn idle_connections_to_a_draining_server_are_closed_at_the_notice_and_after_each_outcome() {
     for (drain_close, asked) in [(Some(1_500 * MS), true), (None, false)] {
@@ -897,15 +917,16 @@
     }
 }
 
-/// puerto-dock-sur big-2, gandhinagar-counts big-1: with most servers out of reach all of them were tried.
+/// Scenarios puerto-dock-sur big-2 and gandhinagar-counts big-1: with most servers unreachable,
+/// requests kept trying all of them.
 #[test]
-fn a_router_keeps_to_the_servers_within_reach() {
+fn a_router_uses_the_servers_that_it_can_reach() {
     let mut r = Router::new(settings(), members(10));
     let (mut failed, mut late) = (0, 0);
     for k in 0..600u64 {
         let (id, out) = r.ask(Request { key: Key(k % 90 + 1), ..Request::default() });
         let mut to = server(&out);
-        // Only three of ten accept a connection.
+        // Only three of ten accept connections.
         while to.is_some_and(|s| s.0 > 3) {
             (failed, late) = (failed + 1, late + u32::from(k >= 300));
             to = server(&r.end(id, Verdict::ConnectFailed, MS, vec![]));
@@ -915,11 +936,12 @@
         }
         r.pass(20 * MS);
     }
-    assert!(failed > 20 && (5..90).contains(&late), "{failed} failed, {late} of them in the later half");
+    assert!(failed > 20 && (5..90).contains(&late), "{failed} failed, {late} of them in the second half");
 }
 
-/// Standing test, join: of 20,516 reads not served within 5 s 13,108 had asked one node, which had no place for another
-/// connection. That is no load on it, so no budget bounds the way to the next, only the attempts of a request.
+/// Fleet test with joining nodes: of 20,516 reads not served within 5 s, 13,108 had been sent to one
+/// node that had no room for another connection. That is no load on the node, so retrying on the
+/// next one is limited only by the attempts of a request, not by the budget.
 #[test]
 fn a_read_whose_node_has_no_place_for_its_connection_goes_on_without_a_budget() {
     let attempts = |placeless: bool| {
@@ -939,7 +961,7 @@
         }
         all
     };
-    assert!(attempts(false)[40..].contains(&1), "a node that is busy: the budget is used up");
+    assert!(attempts(false)[40..].contains(&1), "a busy node: the budget is used up");
     assert!(attempts(true).iter().all(|n| *n == 2));
 
     let mut r = Router::new(settings(), members(12));
@@ -951,7 +973,8 @@
     assert!(refused(&r.end_without_place(id)), "its attempts are used up");
 }
 
-/// Idle connections kept where servers take few were other routers' refusals, and keys lost their caches.
+/// Idle connections kept to servers with few connections made those servers refuse other routers,
+/// and keys lost their caches.
 #[test]
 fn where_connections_are_refused_idle_ones_are_closed_after_use() {
     let mut r = Router::new(settings(), members(4));
@@ -975,7 +998,8 @@
     assert!(closes(Verdict::ConnectFailed) > 50);
 }
 
-/// registro-solar, gandhinagar-counts: load is told to probes alone; without one no hot key was ever spread.
+/// Scenarios registro-solar and gandhinagar-counts: only probes return load reports; without them no
+/// hot key was ever spread.
 #[test]
 fn a_probe_goes_with_a_request_to_a_server_unknown_of_late_and_its_report_spreads_a_key() {
     for (reports, may_probe) in
@@ -1002,13 +1026,14 @@
             r.pass(20 * MS);
         }
         let asked = reports == ReportSource::Probe && may_probe;
-        // 10 s, two servers of the key; 0.004 / 0.02 of 500 requests at most.
+        // 10 s, two servers for the key; at most 0.004 / 0.02 of 500 requests.
         assert_eq!((8..=25).contains(&probes), asked, "{probes} probes");
         assert_eq!(others > 100, asked, "{others} spread");
     }
 }
 
-/// A server says for nothing that it is full, but each time it is asked: what it bore is kept to instead.
+/// Learning that a server is full costs a request each time: the number of attempts that it handled
+/// is used as a limit instead.
 #[test]
 fn a_server_that_turned_a_request_away_is_not_asked_beyond_what_it_bore_until_it_answers() {
     let mut r = Router::new(settings(), members(8));
@@ -1018,10 +1043,10 @@
         (id, server(&out).unwrap())
     };
     let mut out: Vec<_> = (0..10).map(|_| ask(&mut r)).collect();
-    assert!(out.iter().all(|(_, to)| *to == home), "no limit before it turns anything away");
+    assert!(out.iter().all(|(_, to)| *to == home), "no limit before it refuses anything");
     r.end(out.pop().unwrap().0, Verdict::Full, MS, vec![]);
     r.end(out.pop().unwrap().0, Verdict::Served, MS, vec![0.1]);
-    // 9 of the 10 that were out, and a third more by the answer.
+    // 9 of the 10 that were out, and a third more after the answer.
     assert_eq!((ask(&mut r).1, ask(&mut r).1), (home, home), "8 and 9 are out");
     assert_ne!(ask(&mut r).1, home, "10 are out");
     for (id, _) in out {
@@ -1030,22 +1055,23 @@
     assert!((0..8).all(|_| ask(&mut r).1 == home));
 }
 
-/// A hang shows in what does not come, long before the first request there runs out of time.
+/// A hung server is detected by missing answers, long before the first request there times out.
 #[test]
-fn a_server_that_says_nothing_is_left_out_before_anything_runs_out_of_time() {
+fn a_hung_server_is_avoided_before_any_request_times_out() {
     let mut r = Router::new(settings(), members(8));
     let home = r.key(7).unwrap();
     let ask = |r: &mut Router| server(&r.ask(Request { key: Key(7), ..Request::default() }).1).unwrap();
     assert_eq!((ask(&mut r), ask(&mut r)), (home, home));
     r.pass(200 * MS);
-    assert_eq!(ask(&mut r), home, "a busy server pauses for as long");
+    assert_eq!(ask(&mut r), home, "a busy server may pause this long");
     r.pass(200 * MS);
     assert_ne!(ask(&mut r), home);
 }
 
-/// puerto-dock-sur at full size: 322 routers with one request each at the origin kept it at its limit.
+/// Scenario puerto-dock-sur at full size: 322 routers with one request each at the origin kept it at
+/// its limit.
 #[test]
-fn aside_a_slow_origin_is_left_to_rest_between_two_requests_of_a_router() {
+fn aside_a_slow_origin_gets_a_pause_between_two_requests_of_a_router() {
     let (s, entries) = aside();
     let mut r = Router::new(s, entries);
     let (mut ended, mut waited, mut late) = (0, 0, 0);
@@ -1053,7 +1079,7 @@
         if step % 8 == 0 {
             r.ask(Request { key: Key(step), write: true, deadline: r.now + 900 * MS, ..Request::default() });
         }
-        // Nothing is answered in the 900 ms that anybody waits.
+        // Nothing is answered within the 900 ms that clients wait.
         waited += u32::from(r.sent.len() > ended);
         if waited == 18 {
             r.end(r.sent[ended].0, Verdict::Timeout, 900 * MS, vec![]);
@@ -1061,11 +1087,11 @@
         }
         r.pass(50 * MS);
     }
-    assert!((3..40).contains(&late), "{late} of 60 sent in the later half");
+    assert!((3..40).contains(&late), "{late} of 60 sent in the second half");
 }
 
-/// rate+silent+leave: a connection fell silent and its request waited there for all its time, and then its node was
-/// taken for swamped though it answered all others.
+/// Scenario rate+silent+leave: a connection died and its request waited on it for all its time; its
+/// node was then taken for overloaded although it answered all other requests.
 #[test]
 fn an_attempt_on_a_connection_that_fell_silent_goes_elsewhere_and_says_nothing_of_its_server() {
     let mut r = Router::new(Settings { may_copy: true, ..settings() }, members(4));
@@ -1077,7 +1103,7 @@
     let (id, out) = r.ask(Request { key: Key(7), ..Request::default() });
     let patience = match out.as_slice() {
         [Action::Send { timeout: Some(t), .. }, ..] => *t,
-        other => panic!("no patience in {other:?}"),
+        other => panic!("no timeout in {other:?}"),
     };
     assert!(patience <= Class::default().target_latency / 2);
     r.pass(patience / 2);
@@ -1090,8 +1116,8 @@
     assert_eq!(r.key(7), Some(home));
 }
 
-/// rate+silent+leave: a fetch failed, its leader lined up behind one who had more time, and that one was in no queue:
-/// all who wanted the key waited till their time was up.
+/// Scenario rate+silent+leave: a fetch failed and its request queued behind one with more time,
+/// which was in no queue itself: all requests for the key waited until their deadlines.
 #[test]
 fn aside_who_waited_behind_a_fetch_that_failed_leads_the_next() {
     let (s, entries) = aside();
@@ -1110,9 +1136,10 @@
     );
 }
 
-/// rate+silent+leave: answers that broke off kept the limit at a few, with hundreds waiting for an idle origin.
+/// Scenario rate+silent+leave: broken responses kept the origin's limit at a few, with hundreds
+/// waiting for an idle origin.
 #[test]
-fn aside_answers_that_break_off_do_not_narrow_the_way_to_the_origin() {
+fn aside_broken_responses_do_not_lower_the_limit_of_the_origin() {
     let (s, entries) = aside();
     let mut r = Router::new(s, entries);
     let out_at = |r: &Router, ended: usize| r.sent.len() - ended;
@@ -1127,7 +1154,7 @@
             });
         }
         most = if n < 300 { 0 } else { most.max(out_at(&r, ended)) };
-        // Twenty times a round trip's work is there; an answer in six breaks off.
+        // Twenty times one round trip's work is waiting; one answer in six breaks off.
         if n % 4 == 0 {
             for _ in 0..out_at(&r, ended) {
                 let verdict = if ended % 6 == 0 { Verdict::Reset } else { Verdict::Served };
@@ -1140,14 +1167,15 @@
     assert!(most > 20, "{most} out at most");
 }
 
-/// A calm start: nothing had had the time to be answered, all of it counted as unanswered, and a third was refused.
+/// On a start with little load nothing had yet had time to be answered; all requests counted as
+/// unanswered and a third was refused.
 #[test]
-fn what_is_out_and_not_yet_due_is_no_reason_to_refuse() {
+fn attempts_that_are_not_yet_due_cause_no_refusals() {
     let mut r = Router::new(settings(), members(4));
     let refusals = (0..40u64).filter(|k| {
         let (id, out) = r.ask(Request { key: Key(k + 1), ..Request::default() });
         if *k == 0 {
-            // One server turns a request away, and its keys look congested.
+            // One server refuses a request, and its keys look congested.
             r.end(id, Verdict::Full, MS, vec![]);
         }
         r.pass(2 * MS);
@@ -1156,7 +1184,8 @@
     assert_eq!(refusals.count(), 0);
 }
 
-/// wide+reset+stale: a fifth of the attempts were broken off, and the budget against overload refused the rest.
+/// Scenario wide+reset+stale: a fifth of the attempts broke off, and the retry budget against
+/// overload refused the rest.
 #[test]
 fn broken_connections_take_nothing_from_the_budget_of_further_attempts() {
     let mut r = Router::new(settings(), members(8));
@@ -1170,8 +1199,8 @@
     }
 }
 
-/// What planners say of one server, and nothing else.
-fn takes(server: u64, part: f64) -> Event {
+/// A plan about one server and nothing else.
+fn key_fraction_plan(server: u64, part: f64) -> Event {
     Event::Plan(Plan { key_fractions: vec![(ServerId(server), part)], ..Plan::default() })
 }
 
@@ -1180,15 +1209,15 @@
     let mut r = Router::new(settings(), members(3));
     let before: Vec<_> = (1..=100).map(|k| r.key(k)).collect();
     assert!(before.contains(&Some(ServerId(2))));
-    r.event(takes(2, 0.0));
+    r.event(key_fraction_plan(2, 0.0));
     let marked: Vec<_> = (1..=100).map(|k| r.key(k)).collect();
     assert!(!marked.contains(&Some(ServerId(2))));
     let others = |to: &&Option<ServerId>| **to != Some(ServerId(2));
     let stay = before.iter().zip(&marked).filter(|(b, _)| others(b));
-    assert!(stay.clone().all(|(b, m)| b == m), "keys of other servers move");
+    assert!(stay.clone().all(|(b, m)| b == m), "keys of other servers moved");
     r.pass(3 * S);
     let tried = (1..=100).filter(|k| r.key(*k) == Some(ServerId(2))).count();
-    assert_eq!(tried, 1, "a trial each time that it has been left alone for long");
+    assert_eq!(tried, 1, "one trial per interval");
     r.event(Event::Plan(Plan::default()));
     assert_eq!((1..=100).map(|k| r.key(k)).collect::<Vec<_>>(), before);
 }
@@ -1197,7 +1226,7 @@
 fn a_server_that_comes_back_takes_its_keys_in_parts_that_only_grow() {
     let mut r = Router::new(settings(), members(3));
     let mut at = |part: f64| -> Vec<u64> {
-        r.event(takes(2, part));
+        r.event(key_fraction_plan(2, part));
         (1..=400).filter(|k| r.key(*k) == Some(ServerId(2))).collect()
     };
     let (third, most, all) = (at(0.3), at(0.8), at(1.0));
@@ -1254,7 +1283,7 @@
         for k in 0..1_000u64 {
             let tenant = TenantId((k % 3) as u32);
             let (id, out) = r.ask(Request { key: Key(k + 1), tenant, ..Request::default() });
-            // Turned away, it is tried elsewhere if it is within quota.
+            // A refused request is retried elsewhere if it is within quota.
             if server(&out).is_some() && server(&r.end(id, Verdict::Full, MS, vec![])).is_some() {
                 served += u32::from(tenant == TenantId(2));
                 r.end(id, Verdict::Served, 10 * MS, vec![0.1]);
@@ -1268,8 +1297,9 @@
     assert_eq!(served(0.0, 1.0), own);
 }
 
-/// A router before thirty servers of one zone and thirty of another, with seven requests a second for each.
-fn thin(zone: u16) -> Router {
+/// A router with thirty servers in each of two zones and about seven requests per second for each
+/// zone.
+fn low_traffic_router(zone: u16) -> Router {
     let class = Class { target_latency: 630 * MS, limit: 1_670 * MS, ..Class::default() };
     let settings =
         Settings { routers: 100, zone: ZoneId(zone), classes: vec![class], may_copy: true, ..settings() };
@@ -1277,9 +1307,10 @@
     Router::new(settings, members(60).into_iter().map(zoned).collect())
 }
 
-/// Asks for keys that nobody asked for before, each 70 ms, and answers all but what goes to zone 0, which is cut
-/// off: it ends like `verdict`. How many were sent there in each second, and how many were refused.
-fn with_a_zone_cut(r: &mut Router, verdict: Verdict, seconds: usize) -> (Vec<usize>, usize) {
+/// Requests a new key every 70 ms and answers all but the attempts in zone 0, which is unreachable:
+/// they end with `verdict`. Returns the attempts there in each second, and the number of refused
+/// requests.
+fn run_with_zone_unreachable(r: &mut Router, verdict: Verdict, seconds: usize) -> (Vec<usize>, usize) {
     let (mut to_cut, mut no) = (vec![0; seconds], 0);
     for n in 0..seconds * 14 {
         r.pass(70 * MS);
@@ -1299,20 +1330,21 @@
     (to_cut, no)
 }
 
-/// Three failures in a row at each of thirty servers, each asked every four seconds, were known after the trouble.
+/// Three consecutive failures at each of thirty servers, each used once every four seconds, were
+/// only reached after the fault was over.
 #[test]
-fn a_zone_that_is_out_of_reach_is_left_alone_within_a_second_by_a_router_that_sees_little() {
-    let mut r = thin(0);
+fn a_router_with_little_traffic_avoids_an_unreachable_zone_within_a_second() {
+    let mut r = low_traffic_router(0);
     (0..60).for_each(|_| {
         r.pass(70 * MS);
         let key = r.next + 1_000_000;
         r.key(key);
     });
-    let (to_cut, _) = with_a_zone_cut(&mut r, Verdict::ConnectFailed, 8);
-    assert!(to_cut[0] > 0, "it was in use");
+    let (to_cut, _) = run_with_zone_unreachable(&mut r, Verdict::ConnectFailed, 8);
+    assert!(to_cut[0] > 0, "the zone was in use");
     assert!(to_cut[2..].iter().all(|n| *n <= 2), "{to_cut:?}");
-    assert!(to_cut[2..].iter().sum::<usize>() >= 1, "and is tried: {to_cut:?}");
-    // The first answer from there ends it, for all its servers.
+    assert!(to_cut[2..].iter().sum::<usize>() >= 1, "it is still tried: {to_cut:?}");
+    // The first answer from the zone makes all its servers usable again.
     let mut found = 0;
     for _ in 0..140 {
         r.pass(70 * MS);
@@ -1322,21 +1354,23 @@
     assert!(found > 50, "{found}");
 }
 
-/// Time-outs of half the fleet were taken for a fault behind all of it, and requests refused that had a server.
+/// Time-outs at half the fleet were taken for a fault behind all of it, and requests that had a
+/// usable server were refused.
 #[test]
-fn a_zone_that_is_out_of_reach_has_nothing_refused_elsewhere() {
-    let mut r = thin(0);
+fn an_unreachable_zone_causes_no_refusals_elsewhere() {
+    let mut r = low_traffic_router(0);
     (0..60).for_each(|_| {
         r.pass(70 * MS);
         let key = r.next + 1_000_000;
         r.key(key);
     });
-    let (_, refused) = with_a_zone_cut(&mut r, Verdict::Timeout, 8);
+    let (_, refused) = run_with_zone_unreachable(&mut r, Verdict::Timeout, 8);
     assert!(refused <= 2, "{refused} of 112");
 }
 
-/// A hundred routers with a request for a cold server every few seconds: what its part of the keys comes to is
-/// served there, though each router alone has less than one send for it at a time; and no more than that.
+/// A hundred routers, each with a request for a cold server every few seconds: the server gets the
+/// share of the traffic for its keys, and no more, although each router alone is issued less than
+/// one attempt for it at a time.
 #[test]
 fn a_fleet_of_a_hundred_sends_a_cold_server_its_part() {
     let (mut cold, mut warm) = (0, 0);
@@ -1355,13 +1389,14 @@
             warm += u32::from(n >= 80 && to == Some(ServerId(5)));
         }
     }
-    // Its weight rises from 0.52 to 1 of a warm server's in the last 13 s: 0.76 on the mean.
+    // Its weight rises from 0.52 to 1 of a warm server's in the last 13 s: 0.76 on average.
     let part = f64::from(cold) / f64::from(warm);
     assert!((0.55..0.85).contains(&part), "{part}: {cold} of {warm}");
 }
 
-/// Connections to servers that are gone were taken for servers that hold too many, and all idle ones closed: a
-/// fleet that lost some servers made a handshake for each request at the rest.
+/// Refused connections to dead servers were taken for servers with too many connections, and all
+/// idle connections were closed: a fleet that lost some servers made one handshake per request at
+/// the others.
 #[test]
 fn servers_that_are_gone_close_no_connection_elsewhere() {
     let mut r = Router::new(settings(), members(10));
@@ -1381,15 +1416,15 @@
     assert_eq!(closed, 0);
 }
 
-/// Twenty and thirty routers, unevenly asked, before servers that come back cold and others that join under a burst.
-/// Cold servers take long and never say no here.
+/// Twenty and thirty routers with uneven traffic, servers that restart cold, and others that join
+/// during a burst. Cold servers answer slowly when overloaded and never refuse.
 #[test]
-fn a_fleet_of_twenty_or_thirty_keeps_cold_servers_under_what_brings_them_down() {
+fn a_fleet_of_twenty_or_thirty_does_not_overload_cold_servers() {
     let (joins, chance) = (FOUR, (|n| 2.0 * n.sqrt() + 2.0) as fn(f64) -> f64);
-    for (routers, can) in [20, 30].into_iter().flat_map(|n| [(n, 10.0), (n, 20.0), (n, 60.0)]) {
+    for (routers, capacity) in [20, 30].into_iter().flat_map(|n| [(n, 10.0), (n, 20.0), (n, 60.0)]) {
         slow_start_under_a_burst(&Burst {
             routers,
-            can,
+            capacity,
             multiple: 3.0,
             quick: false,
             turns_away: false,
@@ -1399,15 +1434,15 @@
     }
 }
 
-/// Incident 437179: servers in slow start answer as quickly as warm ones until they are overloaded, and twice what one
-/// can do does that.
+/// Incident 437179: servers in slow start answer as quickly as warm ones until they are overloaded,
+/// which happens at twice their capacity.
 #[test]
-fn quick_answers_of_servers_in_slow_start_have_no_fleet_send_them_more() {
+fn quick_answers_of_servers_in_slow_start_do_not_raise_their_load() {
     let (joins, chance) = (FOUR, chance_of_calls as fn(f64) -> f64);
-    for (routers, can) in [3, 28, 60].into_iter().flat_map(|n| [(n, 20.0), (n, 65.0)]) {
+    for (routers, capacity) in [3, 28, 60].into_iter().flat_map(|n| [(n, 20.0), (n, 65.0)]) {
         slow_start_under_a_burst(&Burst {
             routers,
-            can,
+            capacity,
             multiple: 2.0,
             quick: true,
             turns_away: true,
@@ -1417,15 +1452,15 @@
     }
 }
 
-/// Eight more restart while four are in slow start, so that hardly any server is warm.
+/// Eight more servers restart while four are in slow start, so that hardly any is warm.
 #[test]
 fn servers_in_slow_start_are_not_overloaded_where_nearly_all_are() {
     let joins: &[(u64, &[u64])] = &[(200, &[1, 2, 3, 4]), (230, &[5, 6, 7, 8]), (250, &[9, 10, 11])];
-    for (routers, can) in [20, 30].into_iter().flat_map(|n| [(n, 20.0), (n, 63.0)]) {
+    for (routers, capacity) in [20, 30].into_iter().flat_map(|n| [(n, 20.0), (n, 63.0)]) {
         for (multiple, quick) in [(2.0, true), (3.0, false)] {
             slow_start_under_a_burst(&Burst {
                 routers,
-                can,
+                capacity,
                 multiple,
                 quick,
                 turns_away: true,
@@ -1438,38 +1473,38 @@
 
 /// Four servers that restart.
 const FOUR: &[(u64, &[u64])] = &[(200, &[1, 2, 3, 4])];
-/// Servers that join in the burst.
+/// Servers that join during the burst.
 const JOINS: &[(u64, &[u64])] = &[(260, &[13, 14])];
 
-/// Routers that are asked unevenly, and servers that start before a burst of half as much again.
+/// Routers with uneven traffic, and servers that start before a burst of half as much traffic again.
 struct Burst {
     routers: u32,
-    /// Requests a second that a warm server can do.
-    can: f64,
-    /// What overloads a server, as a multiple of what it can do.
+    /// Requests per second that a warm server can handle.
+    capacity: f64,
+    /// The load that overloads a server, as a multiple of its capacity.
     multiple: f64,
-    /// Servers answer as quickly when they are sent more than they can do.
+    /// Servers answer quickly even when they receive more than their capacity.
     quick: bool,
-    /// Warm servers turn away what is more than they can do.
+    /// Warm servers refuse requests beyond their capacity.
     turns_away: bool,
-    /// Steps of 50 ms at which servers start, beside [`JOINS`].
+    /// Steps of 50 ms at which servers start, in addition to [`JOINS`].
     joins: &'static [(u64, &'static [u64])],
-    /// What chance may add to so many calls.
+    /// Tolerance for random variation, by the number of requests.
     chance: fn(f64) -> f64,
 }
 
-/// Chance as the standing test has it: more of it where calls are few.
+/// Tolerance for random variation as in the fleet tests: wider where there are few requests.
 fn chance_of_calls(n: f64) -> f64 {
     let times = if n < 30.0 { 3.0 } else { 2.0 };
     times * n.sqrt() + times
 }
 
-/// What all routers send a server within the time that the settings name stays under what brings it down, chance put aside
-/// as the standing test does.
+/// Checks that the attempts of all routers at a server in slow start, within any window, stay below
+/// what overloads it, with the tolerance of the fleet tests.
 fn slow_start_under_a_burst(play: &Burst) {
-    let Burst { routers, can, multiple, quick, turns_away, joins: plan, chance } = *play;
+    let Burst { routers, capacity, multiple, quick, turns_away, joins: plan, chance } = *play;
     let sequence = |n: u64| (n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 11) as f64 / (1u64 << 53) as f64;
-    // Some routers get four times as much as others.
+    // Some routers get four times as much traffic as others.
     let part = |n: usize| if n % 5 == 0 { 4.0 } else { 1.0 };
     {
         let of = Settings { routers, slow_start_from: 0.15, slow_start_duration: 23 * S, ..settings() };
@@ -1479,7 +1514,7 @@
             r.b = Balancer::new(of.clone(), n as u64);
             r.event(Event::Members { form: ListForm::Cached, entries: members(12) });
         }
-        // When cold ones have started, and what was sent to each server.
+        // The start times of cold servers, and the attempts sent to each server.
         let mut started = std::collections::BTreeMap::new();
         let mut sent: std::collections::BTreeMap<u64, Vec<Micros>> = Default::default();
         let (mut asks, mut credit) = (0, vec![0.0; fleet.len()]);
@@ -1503,25 +1538,26 @@
             let burst = if (240..440).contains(&step) { 1.5 } else { 1.0 };
             for (n, r) in fleet.iter_mut().enumerate() {
                 r.pass(now - r.now);
-                credit[n] += 0.7 * can * 12.0 * burst * 0.05 * part(n) / parts;
+                credit[n] += 0.7 * capacity * 12.0 * burst * 0.05 * part(n) / parts;
                 while credit[n] >= 1.0 {
                     credit[n] -= 1.0;
                     asks += 1;
-                    // Some keys are asked for far more often than others.
+                    // Some keys are requested far more often than others.
                     let key = Key((sequence(asks).powi(3) * 2_000.0) as u64 + 1);
                     let (id, mut out) = r.ask(Request { key, ..Request::default() });
                     while let Some(to) = server(&out) {
                         let all = sent.entry(to.0).or_default();
                         all.push(now);
-                        // What it cannot do within a second takes long; it falls before it says no.
+                        // Requests beyond a server's capacity within a second take long; a cold one is
+                        // overloaded before it refuses any.
                         let lately = all.iter().rev().take_while(|at| **at > now - S).count();
                         let warm = warmth(to.0, now) >= 1.0;
-                        if turns_away && warm && lately as f64 > can {
+                        if turns_away && warm && lately as f64 > capacity {
                             all.pop();
                             out = r.end(id, Verdict::Full, MS, vec![]);
                             continue;
                         }
-                        let slow = !quick && lately as f64 > can * warmth(to.0, now);
+                        let slow = !quick && lately as f64 > capacity * warmth(to.0, now);
                         let elapsed = if slow { 400 * MS } else { 10 * MS };
                         out = r.end(id, Verdict::Served, elapsed, vec![]);
                     }
@@ -1533,12 +1569,12 @@
             assert!(to.len() > 20, "{routers} routers: server {id} gets {} in all", to.len());
             for (n, at) in to.iter().enumerate().filter(|(_, at)| **at < since + 23 * S) {
                 let within = to[n..].iter().take_while(|t| **t < at + S).count() as f64;
-                let allowed = multiple * can * (0.15 + 0.85 * (at - since) as f64 / (23 * S) as f64);
-                let falls = allowed + chance(allowed);
+                let allowed = multiple * capacity * (0.15 + 0.85 * (at - since) as f64 / (23 * S) as f64);
+                let limit = allowed + chance(allowed);
                 let when = (at - since) / MS;
                 assert!(
-                    within <= falls,
-                    "{routers} routers, {can}/s: {within} within 1 s from {when} ms on, {falls:.1} bring it down"
+                    within <= limit,
+                    "{routers} routers, {capacity}/s: {within} within 1 s from {when} ms on, limit {limit:.1}"
                 );
             }
         }
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -1,6 +1,7 @@
-//! The rules on repeats and copies over small worlds, all of them: each effect, group and window of a class, second
-//! copies on and off, and each sequence of what becomes of a request's attempts, through the core on a made-up clock.
-//! The checker sees what is written and closed, and knows nothing of the module.
+//! Exhaustive test of the rules on repeats and copies in small cases: each kind of repeat, group and
+//! window of a class, second copies on and off, and each sequence of ends of a request's attempts,
+//! through the core on a simulated clock. The checker only sees what is written and closed, and
+//! knows nothing of the decision module.
 
 use martenweir::codec::discovery::{Cluster, Listed};
 use martenweir::core::*;
@@ -9,31 +10,31 @@
 
 const MS: Micros = 1_000;
 
-/// What becomes of an attempt.
+/// How an attempt ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum AttemptEnd {
     Error,
     Full,
     Reset,
-    /// Broken before its last byte.
+    /// The connection breaks before the last byte of the request is written.
     Cut,
     Refused,
-    /// Its connection comes up just before the dial time-out, and is reset under it.
+    /// The connection is established just before the connect time-out and then reset.
     Late,
-    /// Its connection never comes up, or nothing is said on it.
-    Undialled,
+    /// The connection is never established, or nothing is received on it.
+    NoConnection,
     Silent,
 }
 
-const FATES: [Fate; 8] = [
-    Fate::Error,
-    Fate::Full,
-    Fate::Reset,
-    Fate::Cut,
-    Fate::Refused,
-    Fate::Late,
-    Fate::Undialled,
-    Fate::Silent,
+const ATTEMPT_ENDS: [AttemptEnd; 8] = [
+    AttemptEnd::Error,
+    AttemptEnd::Full,
+    AttemptEnd::Reset,
+    AttemptEnd::Cut,
+    AttemptEnd::Refused,
+    AttemptEnd::Late,
+    AttemptEnd::NoConnection,
+    AttemptEnd::Silent,
 ];
 
 #[derive(Clone, Debug)]
@@ -61,7 +62,7 @@
     (1..=6).map(member).collect()
 }
 
-/// Whether an attempt may be written now, with what is known of those before.
+/// Whether an attempt may be written now, given what is known of the previous ones.
 fn may_write(rules: &Rules, before: &[Attempt], to: &Member, now: Micros) -> Result<(), String> {
     if !rules.copies && before.iter().any(|a| a.out) {
         return Err("two attempts out".into());
@@ -83,19 +84,20 @@
     Ok(())
 }
 
-/// Plays one world; how many attempts were written. `held` is what the core is told, `rules` what it is judged by.
-fn play(held: &Rules, rules: &Rules, fates: &[Fate]) -> Result<usize, String> {
+/// Runs one case and returns the number of attempts written. `configured` is what the core is told,
+/// `rules` what it is checked against.
+fn run_case(configured: &Rules, rules: &Rules, ends: &[AttemptEnd]) -> Result<usize, String> {
     let class = Class {
         target_latency: 400 * MS,
         limit: 800 * MS,
-        repeat: held.repeat,
-        group: held.group,
-        window: held.window,
+        repeat: configured.repeat,
+        group: configured.group,
+        window: configured.window,
         ..Class::default()
     };
     let settings = Settings {
         classes: vec![class],
-        may_copy: held.copies,
+        may_copy: configured.copies,
         max_attempts: 4,
         period: 5 * MS,
         ..Settings::default()
@@ -114,7 +116,7 @@
     let ask = Ask { downstream, place, class, tenant, key, repeat, patience, hint, message };
     core.input(now, Input::Stream(ask));
     let end = now + 900 * MS;
-    let mut dials: Vec<(ConnectionId, Member, Fate)> = Vec::new();
+    let mut dials: Vec<(ConnectionId, Member, AttemptEnd)> = Vec::new();
     let (mut attempts, mut answers): (Vec<Attempt>, _) = (Vec::new(), 0);
     let mut due: Vec<(Micros, Input)> = Vec::new();
     let reply = |verdict| Reply {
@@ -130,20 +132,21 @@
             match effect {
                 Effect::Dial { connection: c, address, .. } => {
                     let member = members().remove(usize::from(address.port()) - 1);
-                    // Each attempt goes to another node, so each has a dial of its own.
-                    let fate = fates.get(dials.len()).copied().unwrap_or(Fate::Error);
-                    dials.push((c, member, fate));
-                    match fate {
-                        Fate::Refused => due.push((now, Input::Broken(c, Stage::Idle))),
-                        Fate::Late => due.push((now + 245 * MS, Input::Connected(c))),
-                        Fate::Undialled => {}
-                        // Heard of since it was sent: given up, its connection may wait for the late answer.
-                        Fate::Silent => due.push((now + 5 * MS, Input::Connected(c))),
+                    // Each attempt goes to another node, so each has its own dial.
+                    let attempt_end = ends.get(dials.len()).copied().unwrap_or(AttemptEnd::Error);
+                    dials.push((c, member, attempt_end));
+                    match attempt_end {
+                        AttemptEnd::Refused => due.push((now, Input::Broken(c, Stage::Idle))),
+                        AttemptEnd::Late => due.push((now + 245 * MS, Input::Connected(c))),
+                        AttemptEnd::NoConnection => {}
+                        // Connected after the send: when the attempt is given up, its connection may wait
+                        // for the late answer.
+                        AttemptEnd::Silent => due.push((now + 5 * MS, Input::Connected(c))),
                         _ => due.push((now, Input::Connected(c))),
                     }
                 }
                 Effect::Write { connection: c, .. } => {
-                    let (_, member, fate) = dials.iter().find(|d| d.0 == c).cloned().expect("dialled");
+                    let (_, member, attempt_end) = dials.iter().find(|d| d.0 == c).cloned().expect("dialled");
                     may_write(rules, &attempts, &member, now)?;
                     attempts.push(Attempt {
                         connection: c,
@@ -152,11 +155,11 @@
                         may_have_run: true,
                         out: true,
                     });
-                    let then = match fate {
-                        Fate::Error => Input::Replied(c, reply(Verdict::Error)),
-                        Fate::Full => Input::Replied(c, reply(Verdict::Full)),
-                        Fate::Reset | Fate::Late => Input::Broken(c, Stage::Reading),
-                        Fate::Cut => Input::Broken(c, Stage::Writing),
+                    let then = match attempt_end {
+                        AttemptEnd::Error => Input::Replied(c, reply(Verdict::Error)),
+                        AttemptEnd::Full => Input::Replied(c, reply(Verdict::Full)),
+                        AttemptEnd::Reset | AttemptEnd::Late => Input::Broken(c, Stage::Reading),
+                        AttemptEnd::Cut => Input::Broken(c, Stage::Writing),
                         _ => continue,
                     };
                     due.push((now + 20 * MS, then));
@@ -201,7 +204,7 @@
     }
 }
 
-fn worlds() -> Vec<Rules> {
+fn rule_sets() -> Vec<Rules> {
     let mut all = Vec::new();
     for copies in [false, true] {
         let rules = |repeat, group, window| Rules { repeat, group, window, copies };
@@ -214,46 +217,48 @@
     all
 }
 
-/// All sequences for which a world breaks a rule, and how many attempts were written in all.
-fn broken(held: &Rules, rules: &Rules) -> (Vec<String>, usize) {
-    let (mut broken, mut written) = (Vec::new(), 0);
-    for n in 0..FATES.len().pow(3) {
-        let fates = [FATES[n % 8], FATES[n / 8 % 8], FATES[n / 64]];
-        match play(held, rules, &fates) {
+/// All sequences of ends that violate a rule, and the total number of attempts written.
+fn violations(configured: &Rules, rules: &Rules) -> (Vec<String>, usize) {
+    let (mut violating, mut written) = (Vec::new(), 0);
+    for n in 0..ATTEMPT_ENDS.len().pow(3) {
+        let ends = [ATTEMPT_ENDS[n % 8], ATTEMPT_ENDS[n / 8 % 8], ATTEMPT_ENDS[n / 64]];
+        match run_case(configured, rules, &ends) {
             Ok(n) => written += n,
-            Err(why) => broken.push(format!("{rules:?} {fates:?}: {why}")),
+            Err(why) => violating.push(format!("{rules:?} {ends:?}: {why}")),
         }
     }
-    (broken, written)
+    (violating, written)
 }
 
 #[test]
-fn no_world_breaks_a_rule_on_repeats() {
-    for rules in worlds() {
-        let (broken, written) = broken(&rules, &rules);
-        assert!(broken.is_empty(), "{} worlds: {}", broken.len(), broken[0]);
-        // Not for want of repeats: 512 worlds, and most have more than one attempt.
+fn no_case_violates_a_rule_on_repeats() {
+    for rules in rule_sets() {
+        let (violating, written) = violations(&rules, &rules);
+        assert!(violating.is_empty(), "{} cases: {}", violating.len(), violating[0]);
+        // Makes sure that repeats happened: 512 cases, and most have more than one attempt.
         assert!(written > 512, "{rules:?}: {written} attempts");
     }
 }
 
-/// The checker itself: a core that is told less than the rules it is judged by breaks each of them.
+/// Tests the checker itself: a core that is configured with weaker rules than it is checked against
+/// violates each of them.
 #[test]
-fn each_rule_is_seen_to_be_broken() {
-    let held = Rules { repeat: Repeat::Dedup, group: Group::All, window: 4_000 * MS, copies: true };
+fn the_checker_detects_a_violation_of_each_rule() {
+    let configured = Rules { repeat: Repeat::Dedup, group: Group::All, window: 4_000 * MS, copies: true };
     let breaks = |rules: Rules, why: &str| {
-        let (broken, _) = broken(&held, &rules);
-        assert!(broken.iter().any(|b| b.contains(why)), "{why}: {} worlds", broken.len());
+        let (violating, _) = violations(&configured, &rules);
+        assert!(violating.iter().any(|b| b.contains(why)), "{why}: {} cases", violating.len());
     };
-    breaks(Rules { repeat: Repeat::Fragile, ..held.clone() }, "never run twice");
-    breaks(Rules { repeat: Repeat::Fragile, ..held.clone() }, "refused what may have run");
-    breaks(Rules { group: Group::Zone, ..held.clone() }, "outside the group");
-    breaks(Rules { group: Group::Cell, ..held.clone() }, "outside the group");
-    breaks(Rules { window: 150 * MS, ..held.clone() }, "past the window");
-    // None of these worlds makes a second copy: the module has seen no answers, and waits for each attempt.
+    breaks(Rules { repeat: Repeat::Fragile, ..configured.clone() }, "never run twice");
+    breaks(Rules { repeat: Repeat::Fragile, ..configured.clone() }, "refused what may have run");
+    breaks(Rules { group: Group::Zone, ..configured.clone() }, "outside the group");
+    breaks(Rules { group: Group::Cell, ..configured.clone() }, "outside the group");
+    breaks(Rules { window: 150 * MS, ..configured.clone() }, "past the window");
+    // None of these cases makes a second copy: the module has seen no answers and waits for each
+    // attempt.
     let to = members().remove(0);
     let (connection, member) = (ConnectionId(1), to.clone());
     let out = Attempt { connection, member, sent: 0, may_have_run: true, out: true };
-    let rules = Rules { copies: false, repeat: Repeat::Retryable, ..held };
+    let rules = Rules { copies: false, repeat: Repeat::Retryable, ..configured };
     assert_eq!(may_write(&rules, &[out], &to, 0), Err("two attempts out".into()));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Long random but legal event sequences under varied settings: the four rules as far as one router can see
-//! them, and the same actions for the same events.
+//! Long random but valid event sequences under varied settings. Checks the rules as far as they are
+//! visible to one router, and that the same events give the same actions.
 
 use martenweir::choice::Balancer;
 use martenweir::interface::*;
@@ -10,7 +10,7 @@
 const MS: Micros = 1_000;
 const ORIGIN: KindId = KindId(9);
 
-/// Random numbers of the sequence itself.
+/// Random numbers that determine the event sequence.
 struct Dice(u64);
 
 impl Dice {
@@ -42,16 +42,18 @@
     balancer: Balancer,
     requests: BTreeMap<RequestId, Known>,
     members: BTreeMap<ServerId, Member>,
-    ever: u64,
+    next_id: u64,
     timers: BTreeSet<(Micros, u64, Token)>,
     cold_sends: BTreeMap<ServerId, VecDeque<Micros>>,
     answers: VecDeque<Micros>,
     most_answers: usize,
     log: Vec<Action>,
-    /// Rule 5: the requests of each key in order, as taken, and until when the key rests.
+    /// Rule 5: the requests of each key in order of arrival, and the time until which the key is
+    /// paused.
     turns: BTreeMap<Key, (Vec<RequestId>, Micros)>,
-    /// Rule 7: draining servers whose idle connections are not closed since the notice or the last outcome.
-    unclosed: BTreeSet<ServerId>,
+    /// Rule 7: draining servers whose idle connections have not been closed since the notice or the
+    /// last outcome.
+    awaiting_close: BTreeSet<ServerId>,
 }
 
 fn settings(variant: u64) -> Settings {
@@ -107,14 +109,14 @@
             now: 1_000_000 * MS,
             requests: BTreeMap::new(),
             members: BTreeMap::new(),
-            ever: 0,
+            next_id: 0,
             timers: BTreeSet::new(),
             cold_sends: BTreeMap::new(),
             answers: VecDeque::new(),
             most_answers: 0,
             log: vec![],
             turns: BTreeMap::new(),
-            unclosed: BTreeSet::new(),
+            awaiting_close: BTreeSet::new(),
         };
         let mut entries: Vec<_> = (0..5).map(|_| w.member()).collect();
         if w.settings.origin_kind.is_some() {
@@ -125,10 +127,10 @@
     }
 
     fn member(&mut self) -> Member {
-        self.ever += 1;
+        self.next_id += 1;
         let fresh = self.dice.roll(3) == 0;
         Member {
-            server: ServerId(self.ever),
+            server: ServerId(self.next_id),
             zone: ZoneId(self.dice.roll(2) as u16),
             cell: CellId(self.dice.roll(3) as u16),
             kind: KindId(self.dice.roll(2) as u16),
@@ -145,7 +147,7 @@
         for m in &entries {
             self.members.insert(m.server, m.clone());
             if m.phase == Phase::Draining && self.settings.drain_close.is_some() {
-                self.unclosed.insert(m.server);
+                self.awaiting_close.insert(m.server);
             }
         }
         self.event(Event::Members { form, entries });
@@ -158,15 +160,20 @@
             self.check(a);
         }
         self.log.extend(out);
-        // Closed in the batch of the notice or outcome: well within any time a rule states.
-        assert!(self.unclosed.is_empty(), "rule 7: idle connections to {:?} stay open", self.unclosed);
+        // They must be closed in the batch of the notice or outcome, which is within any time that a
+        // rule allows.
+        assert!(
+            self.awaiting_close.is_empty(),
+            "rule 7: idle connections to {:?} stay open",
+            self.awaiting_close
+        );
     }
 
     fn check(&mut self, a: &Action) {
         match a {
             Action::Timer { after, token } => {
                 assert!(*after >= 0);
-                // Never in the batch now being answered.
+                // A timer never fires within the current batch.
                 let at = (self.now + after).max(self.now + 1);
                 self.timers.insert((at, self.log.len() as u64, *token));
             }
@@ -183,7 +190,7 @@
                     Repeat::Dedup => !ran || class.group == Group::All,
                     Repeat::Fragile => !ran,
                 };
-                assert!(harmless, "rule 2: refused what may have run");
+                assert!(harmless, "rule 2: refused a request that may have run");
             }
             Action::Fail { request } => {
                 let k = self.requests.get_mut(request).expect("known");
@@ -194,7 +201,7 @@
             Action::Probe { .. } => assert!(self.settings.may_probe),
             Action::Subscribe => assert!(self.settings.must_subscribe),
             Action::Release { server } => {
-                self.unclosed.remove(server);
+                self.awaiting_close.remove(server);
             }
             Action::List => {}
         }
@@ -202,28 +209,28 @@
 
     fn check_send(&mut self, id: RequestId, server: ServerId) {
         let m = self.members.get(&server).expect("a listed server").clone();
-        assert_eq!(m.phase, Phase::Ready, "rule 3: sent to what drains or is gone");
+        assert_eq!(m.phase, Phase::Ready, "rule 3: sent to a server that is draining or gone");
         let k = self.requests.get_mut(&id).expect("known");
-        assert!(!k.over, "rule 1: sent after the end");
+        assert!(!k.over, "rule 1: sent after the final answer");
         assert!(k.sent.len() < self.settings.max_attempts as usize);
         let class = &self.settings.classes[usize::from(k.request.class.0)];
         let zone = class.zones.as_ref().is_none_or(|z| z.contains(&m.zone));
         let kind = class.kinds.as_ref().is_none_or(|k| k.contains(&m.kind));
-        assert!(m.kind == ORIGIN || (zone && kind), "rule 6: sent where its class must not go");
+        assert!(m.kind == ORIGIN || (zone && kind), "rule 6: sent to a server that its class must not use");
         let out = k.sent.iter().any(|s| s.verdict.is_none());
         assert!(!out || self.settings.may_copy, "rule 2: overlapping attempts");
         if let Some(first) = k.sent.iter().find(|s| !s.verdict.is_some_and(Verdict::never_ran)) {
             match class.repeat {
                 Repeat::Retryable => {}
-                Repeat::Fragile => panic!("rule 2: sent again what must never run twice"),
+                Repeat::Fragile => panic!("rule 2: repeated a request that must never run twice"),
                 Repeat::Dedup => {
-                    assert!(self.now <= first.at + class.window, "rule 2: past the window");
+                    assert!(self.now <= first.at + class.window, "rule 2: repeated after the window");
                     let same = match class.group {
                         Group::All => true,
                         Group::Zone => first.zone == m.zone,
                         Group::Cell => first.cell == m.cell,
                     };
-                    assert!(same, "rule 2: outside the group");
+                    assert!(same, "rule 2: repeated outside the group");
                 }
             }
         }
@@ -237,21 +244,23 @@
             while sends.front().is_some_and(|t| *t <= self.now - window) {
                 sends.pop_front();
             }
-            // All warm servers have weight 1: one of them answered at most what all did in the busiest window.
+            // All warm servers have weight 1: one of them answered at most as many as all together
+            // in the busiest window.
             let fair = self.most_answers as f64 * self.settings.overload_multiple;
             assert!(sends.len() as f64 <= fair + 1.0, "rule 4: {} sends to a cold server", sends.len());
         }
     }
 
-    /// Rule 5: all taken earlier for this key are over, with no attempt out, and the key has rested.
+    /// Rule 5: all earlier requests for this key are finished, with no attempt out, and the key's
+    /// pause is over.
     fn check_turn(&self, id: RequestId, first_try: bool) {
         let Some((taken, rest)) = self.turns.get(&self.requests[&id].request.key) else { return };
         let Some(at) = taken.iter().position(|t| *t == id) else { return };
         for earlier in taken[..at].iter().filter_map(|t| self.requests.get(t)) {
             let out = earlier.sent.iter().any(|s| s.verdict.is_none());
-            assert!(earlier.over && !out, "rule 5: out of turn");
+            assert!(earlier.over && !out, "rule 5: sent before an earlier request ended");
         }
-        assert!(!first_try || *rest <= self.now, "rule 5: the key does not rest");
+        assert!(!first_try || *rest <= self.now, "rule 5: sent during the key's pause");
     }
 
     fn outcome(&mut self, id: RequestId, attempt: usize, verdict: Verdict) {
@@ -275,7 +284,7 @@
         }
         let draining = self.members.get(&server).is_some_and(|m| m.phase == Phase::Draining);
         if draining && self.settings.drain_close.is_some() {
-            self.unclosed.insert(server);
+            self.awaiting_close.insert(server);
         }
         let k = &self.requests[&id];
         let s = &k.sent[attempt];
@@ -298,7 +307,7 @@
         self.event(Event::Outcome(end));
     }
 
-    fn flying(&self) -> Vec<(RequestId, usize)> {
+    fn pending_attempts(&self) -> Vec<(RequestId, usize)> {
         let all = self.requests.iter().flat_map(|(id, k)| k.sent.iter().enumerate().map(move |s| (*id, s)));
         all.filter(|(_, (_, s))| s.verdict.is_none()).map(|(id, (n, _))| (id, n)).collect()
     }
@@ -309,7 +318,7 @@
             self.timers.remove(&t);
             self.event(Event::Timer(t.2));
         }
-        for (id, n) in self.flying() {
+        for (id, n) in self.pending_attempts() {
             // An attempt runs until the client gives up.
             if self.requests[&id].request.deadline <= self.now {
                 self.outcome(id, n, Verdict::Timeout);
@@ -334,24 +343,24 @@
         }
         for (id, k) in &self.requests {
             let late = self.now > k.request.deadline + self.settings.answer_grace;
-            assert!(k.over || !late, "rule 1: {id:?} has no answer in its time");
+            assert!(k.over || !late, "rule 1: {id:?} has no answer by its deadline");
         }
         self.requests.retain(|_, k| !k.over || k.sent.iter().any(|s| s.verdict.is_none()));
     }
 
     fn ask(&mut self) {
-        self.ever += 1;
+        self.next_id += 1;
         let class = self.dice.roll(self.settings.classes.len() as u64) as u16;
         let limit = self.settings.classes[usize::from(class)].limit;
         let request = Request {
-            id: RequestId(self.ever),
+            id: RequestId(self.next_id),
             class: ClassId(class),
             tenant: TenantId(self.dice.roll(2) as u32),
             key: Key(self.dice.roll(12)),
             write: class > 0,
             repeat: false,
             deadline: self.now + limit * (3 + self.dice.roll(8) as Micros) / 10,
-            hint: Some(1e4 + self.dice.roll(100_000) as f64).filter(|_| self.ever % 3 > 0),
+            hint: Some(1e4 + self.dice.roll(100_000) as f64).filter(|_| self.next_id % 3 > 0),
         };
         if self.settings.classes[usize::from(class)].keep_order && request.key != Key(0) {
             self.turns.entry(request.key).or_default().0.push(request.id);
@@ -361,11 +370,11 @@
     }
 
     fn end_one(&mut self) {
-        let flying = self.flying();
-        if flying.is_empty() {
+        let pending_attempts = self.pending_attempts();
+        if pending_attempts.is_empty() {
             return;
         }
-        let (id, n) = flying[self.dice.roll(flying.len() as u64) as usize];
+        let (id, n) = pending_attempts[self.dice.roll(pending_attempts.len() as u64) as usize];
         let verdict = match self.dice.roll(12) {
             0 => Verdict::Error,
             1 => Verdict::Full,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,5 +1,5 @@
-//! Settings of other customers: what the module, the core and the readers make of figures and names far from those
-//! of any one deployment.
+//! Settings of other deployments: how the module, the core and the parsers handle values and names
+//! far from those of any one deployment.
 
 use martenweir::choice::Balancer;
 use martenweir::codec::discovery::{self, Cluster, Listed};
@@ -13,7 +13,7 @@
 
 const MS: Micros = 1_000;
 
-/// The module alone, with attempts that end as told.
+/// The decision module alone, with attempts that end as the test specifies.
 struct Module {
     balancer: Balancer,
     now: Micros,
@@ -21,7 +21,7 @@
     timers: Vec<(Micros, Token)>,
 }
 
-/// An attempt: its request, its server and the time it has.
+/// An attempt: its request, its server and its timeout.
 type Sent = (RequestId, ServerId, Option<Micros>);
 
 impl Module {
@@ -81,12 +81,13 @@
             finished: verdict == Verdict::Served,
             no_place: false,
             note: 0,
-            // Nothing is busy.
+            // No server is busy.
             report: vec![0.1],
         }))
     }
 
-    /// Lets it see answers of a few milliseconds, so that half an aim is long.
+    /// Provides answers of a few milliseconds, so that half the target latency is long in
+    /// comparison.
     fn learn(&mut self, class: u16, write: bool) {
         for _ in 0..100 {
             let (id, out) = self.ask(class, write, 1_000 * MS);
@@ -106,7 +107,7 @@
     })
 }
 
-/// So many nodes, with one zone and one cell for every so many of them, and an origin.
+/// `nodes` nodes, with one zone and one cell per `cell` nodes, and an origin.
 fn fleet(nodes: u64, cell: u64) -> Vec<Member> {
     let node = |i: u64| Member {
         zone: ZoneId((i / cell) as u16),
@@ -128,8 +129,8 @@
     }
 }
 
-/// An attempt is cut short for another one only where there can be another: what was given up at half the aim would
-/// have been answered.
+/// An attempt is cut short for another one only if another is possible: attempts given up at half
+/// the target latency would otherwise have been answered.
 #[rstest]
 #[case::safe(Repeat::Retryable, Group::All, 0, 1, true)]
 #[case::once(Repeat::Fragile, Group::All, 60_000, 4, false)]
@@ -158,7 +159,7 @@
     }
 }
 
-/// And a write, which can only go to the origin again.
+/// The same for a write, which can only be repeated at the origin.
 #[rstest]
 #[case::for_long(2_000, true)]
 #[case::for_less_than_half_the_aim(200, false)]
@@ -178,8 +179,8 @@
     assert_eq!(sent(&again).is_some(), cut, "{again:?}");
 }
 
-/// An answer within the aim of its class is in time, whatever another class's aim is: else the origin would seem to
-/// fail all those whose class can wait.
+/// An answer within the target latency of its class is in time, whatever the target of another
+/// class: otherwise the origin would seem to fail all requests of a class that can wait.
 #[test]
 fn a_class_that_can_wait_is_not_held_to_the_aim_of_one_that_cannot() {
     let short = Class { target_latency: 100 * MS, limit: 300 * MS, ..Class::default() };
@@ -189,7 +190,7 @@
     let mut m = Module::new(settings, fleet(2, 1));
     let (mut asked, mut served) = (0, 0);
     for _ in 0..40 {
-        // Four at once, and the origin answers all that reach it after 600 ms.
+        // Four at once; the origin answers each request that reaches it after 600 ms.
         let all: Vec<_> = (0..4).map(|_| m.ask(1, true, 20_000 * MS)).collect();
         asked += all.len();
         let mut out: Vec<Sent> = all.iter().filter_map(|(_, out)| sent(out)).collect();
@@ -208,27 +209,29 @@
     assert_eq!(served, asked);
 }
 
-/// The settings of a deployment with every key that the wire names, those that only cost something left out.
-fn whole() -> Value {
+/// The settings of a deployment with every key of the protocol, except those that only affect cost.
+fn full_settings() -> Value {
     json!({
         "balancers": 3, "me": 1, "zone": 1, "periodMs": 5.0, "discovery": "subscribe", "overShareWorth": 0.2,
         "worthBy": "request", "workload": "cache", "weights": "nominal", "stages": ["x"], "tier": 0,
         "zones": ["a", "b"], "flavors": ["small", "origin"],
-        "classes": [{"name": "pay", "onTimeMs": 100.0, "hardLimitMs": 300.0, "repeat": "dedup", "group": "cell",
-            "windowMs": 200.0, "points": 2.0, "lateValue": 0.1, "streamed": false, "aimStretch": 0.5}],
+        "classes": [{"name": "pay", "onTimeMs": 100.0, "hardLimitMs": 300.0, "repeat": "dedup",
+            "group": "cell", "windowMs": 200.0, "points": 2.0, "lateValue": 0.1, "streamed": false,
+            "aimStretch": 0.5}],
         "tenants": [{"name": "pay", "quotaPerS": 5.0, "share": 1.0}],
         "clients": {"marksRetry": true},
         "familyInfo": {"mode": "aside", "originKind": 1, "originFallMultiple": 2.5, "originFallMs": 3000.0},
         "charges": {"probe": 0.014},
         "limits": {"cancelling": true, "dialTimeoutMs": 60.0, "keepaliveMs": 1000.0, "maxAttempts": 2,
-            "maxOpen": 100, "maxRetryAfterMs": 900.0, "probes": true, "retryAfter": true, "secondCopies": true},
+            "maxOpen": 100, "maxRetryAfterMs": 900.0, "probes": true, "retryAfter": true,
+            "secondCopies": true},
         "rules": {"askWithinMs": 10000.0, "coldFrom": 0.15, "coldMs": 23000.0, "drainGraceMs": 500.0,
             "fallMultiple": 3.0, "graceToAnswerMs": 20.0, "overloadForMs": 1000.0},
         "stats": {"columns": ["err_rps", "cpu"], "source": "inline"}
     })
 }
 
-/// Pointers to all that is in it, and to what holds others as well.
+/// Collects JSON pointers to all values, containers included.
 fn pointers(v: &Value, at: &str, all: &mut Vec<String>) {
     let inner: Vec<(String, &Value)> = match v {
         Value::Object(map) => map.iter().map(|(key, v)| (format!("{at}/{key}"), v)).collect(),
@@ -243,12 +246,12 @@
 
 fn read(v: &Value) -> Result<Site, String> {
     let site = settings::site(v)?;
-    // The simulator's way in reads the same.
+    // The simulator's entry point parses the same.
     assert_eq!(settings::read(v.to_string().as_bytes()).as_ref(), Ok(&site.settings));
     Ok(site)
 }
 
-/// Without these nothing can be kept to; each is named.
+/// Required keys; an error names the missing one.
 const NEEDED: [&str; 10] = [
     "/classes",
     "/classes/0",
@@ -264,14 +267,14 @@
 
 #[test]
 fn settings_without_any_one_of_their_optional_keys_are_read_and_lacking_ones_are_named() {
-    let (whole, mut all) = (whole(), Vec::new());
+    let (whole, mut all) = (full_settings(), Vec::new());
     assert!(read(&whole).is_ok());
     pointers(&whole, "", &mut all);
     for pointer in &all {
         let (parent, key) = pointer.rsplit_once('/').expect("a key");
         for null in [false, true] {
             let mut v = whole.clone();
-            match v.pointer_mut(parent).expect("it is there") {
+            match v.pointer_mut(parent).expect("it exists") {
                 Value::Object(map) if null => drop(map.insert(key.to_owned(), Value::Null)),
                 Value::Object(map) => drop(map.remove(key)),
                 Value::Array(list) => drop(list.remove(0)),
@@ -281,7 +284,7 @@
                 ["/limits", "/rules", "/rules/overloadForMs", "/familyInfo/originKind", "/tenants/0/name"];
             let needed = NEEDED.contains(&pointer.as_str()) || more.contains(&pointer.as_str());
             match read(&v) {
-                Ok(_) => assert!(!needed, "{pointer} was taken for read"),
+                Ok(_) => assert!(!needed, "{pointer} is required but was accepted as missing"),
                 Err(told) => {
                     let last = pointer.trim_end_matches("/0").rsplit('/').next().expect("a key");
                     let part = if key == "0" || !needed { last } else { key };
@@ -299,8 +302,8 @@
 }
 
 #[test]
-fn unknown_keys_are_nothing_to_it() {
-    let (whole, mut all) = (whole(), Vec::new());
+fn unknown_keys_are_ignored() {
+    let (whole, mut all) = (full_settings(), Vec::new());
     pointers(&whole, "", &mut all);
     let mut more = whole.clone();
     for pointer in all.iter().map(String::as_str).chain([""]) {
@@ -311,8 +314,9 @@
     assert_eq!(read(&more).expect("sound").settings, read(&whole).expect("sound").settings);
 }
 
-/// A proxy that has such settings: a request of each class, told to end at once or in time, whatever the figures.
-fn lives(settings: &Settings, told: &str) {
+/// Runs a proxy with these settings and checks that one request of each class is answered once and
+/// in time, whatever the values.
+fn runs_with(settings: &Settings, told: &str) {
     let now = 1_000_000 * MS;
     let node = |i: u64, kind: u16| Listed {
         member: Member { kind: KindId(kind), cell: CellId(i as u16), ..Member::ready(ServerId(i)) },
@@ -341,7 +345,7 @@
         );
     }
     let mut answered = 0;
-    // Nobody answers, and some connections come up.
+    // No node answers, and only some connections are established.
     for ms in 0..=500 {
         let now = now + ms * MS;
         core.tick(now);
@@ -362,12 +366,12 @@
             }
         }
     }
-    assert_eq!(answered, 4, "{told}: each has its one answer within 200 ms after its time");
+    assert_eq!(answered, 4, "{told}: each gets one answer within 200 ms of its deadline");
 }
 
 #[test]
 fn a_proxy_lives_with_each_figure_at_both_ends_of_its_range() {
-    let (whole, mut all) = (whole(), Vec::new());
+    let (whole, mut all) = (full_settings(), Vec::new());
     pointers(&whole, "", &mut all);
     let numbers = all.iter().filter(|p| whole.pointer(p).is_some_and(Value::is_number));
     let mut read_in_all = 0;
@@ -385,20 +389,21 @@
             for mode in ["aside", "through"] {
                 let mut v = whole.clone();
                 v["familyInfo"]["mode"] = mode.into();
-                *v.pointer_mut(pointer).expect("it is there") = figure.clone();
+                *v.pointer_mut(pointer).expect("it exists") = figure.clone();
                 let told = format!("{pointer} = {figure}, {mode}");
                 let site = read(&v).expect(&told);
                 read_in_all += 1;
-                // A tick of more than a tenth of a second keeps no time of this fleet.
+                // With a tick of more than a tenth of a second the deadlines of these cases cannot
+                // be kept.
                 if pointer == "/periodMs" && figure.as_f64() > Some(50.0) {
                     continue;
                 }
-                lives(&site.settings, &told);
+                runs_with(&site.settings, &told);
             }
         }
         for wrong in [json!(-1), json!("1"), json!(true), json!(1e12), json!([1])] {
             let mut v = whole.clone();
-            *v.pointer_mut(pointer).expect("it is there") = wrong.clone();
+            *v.pointer_mut(pointer).expect("it exists") = wrong.clone();
             if let Err(told) = read(&v) {
                 assert!(told.starts_with("settings: "), "{told}");
             }
@@ -416,9 +421,10 @@
 ) {
     for bits in 0..32 {
         let bit = |i: u32| bits >> i & 1 == 1;
-        let mut v = whole();
-        let class = json!({"name": "pay", "onTimeMs": if bit(3) { 100.0 } else { 5_000.0 }, "hardLimitMs": 300.0,
-            "repeat": repeat, "group": group, "windowMs": if bit(4) { 50.0 } else { 60_000.0 }});
+        let mut v = full_settings();
+        let class = json!({"name": "pay", "onTimeMs": if bit(3) { 100.0 } else { 5_000.0 },
+            "hardLimitMs": 300.0, "repeat": repeat, "group": group,
+            "windowMs": if bit(4) { 50.0 } else { 60_000.0 }});
         v["classes"] = json!([class]);
         v["stats"]["source"] = source.into();
         v["familyInfo"]["mode"] = mode.into();
@@ -429,15 +435,15 @@
         if bit(1) {
             v.as_object_mut().expect("an object").remove("tenants");
         }
-        lives(&read(&v).expect("sound").settings, &v.to_string());
+        runs_with(&read(&v).expect("sound").settings, &v.to_string());
     }
 }
 
-/// Attempts are numbered in a byte: where the settings allow more of them than that, a request that no node takes
-/// would begin to count anew.
+/// Attempts are numbered in one byte: if the settings allowed more, the numbering of a request that
+/// no node accepts would start again.
 #[test]
 fn attempts_are_never_more_than_their_number_has_room_for() {
-    let mut v = whole();
+    let mut v = full_settings();
     for (told, most) in [(1, 1), (4, 4), (255, 255), (256, 255), (100_000, 255)] {
         v["limits"]["maxAttempts"] = told.into();
         v["classes"][0]["repeat"] = "retryable".into();
@@ -455,10 +461,10 @@
     }
 }
 
-/// Requests of the first tenant, one each 20 ms, for so long: how many of them come to more than one attempt when the
-/// first is turned away. Over quota none does.
+/// Requests of the first tenant, one every 20 ms: returns how many are tried again when the first
+/// attempt is refused. Over quota none is.
 fn tried_again(tenants: Value) -> usize {
-    let mut v = whole();
+    let mut v = full_settings();
     v["tenants"] = tenants;
     v["classes"][0]["repeat"] = "retryable".into();
     let mut m = Module::new(read(&v).expect("sound").settings, fleet(4, 1));
@@ -467,7 +473,7 @@
         m.pass(20 * MS);
         let (id, out) = m.ask(0, false, 300 * MS);
         let (_, server, _) = sent(&out).expect("it is sent");
-        // Most are served, so that there is a budget for the others.
+        // Most are served, so that there is a retry budget for the others.
         let verdict = if i % 10 == 9 { Verdict::Full } else { Verdict::Served };
         again += usize::from(sent(&m.end((id, server), 0, verdict, MS)).is_some());
     }
@@ -481,10 +487,11 @@
     assert_eq!(tried_again(json!([{"name": "pay"}, {"name": "pay-now", "quotaPerS": 1.0}])), 10);
     assert_eq!(tried_again(json!([])), 10);
     assert_eq!(tried_again(named(1e6.into())), 10);
-    assert_eq!(tried_again(named(0.into())), 0, "a quota of nothing is one");
+    assert_eq!(tried_again(named(0.into())), 0, "a quota of 0 is a quota");
 }
 
-/// The zones that a list names and the settings do not: each one by itself, none of them one of the settings'.
+/// Zones that a list names and the settings do not are each distinct, from each other and from those
+/// in the settings.
 #[test]
 fn zones_that_the_settings_lack_are_not_taken_for_one_another() {
     let site =
@@ -500,17 +507,17 @@
         let all: Vec<ZoneId> = others.iter().map(|name| zone(&site, json!(name))).collect();
         for (i, one) in all.iter().enumerate() {
             assert!(usize::from(one.0) >= site.zones.len(), "{one:?}");
-            assert_eq!(*one, zone(&site, json!(others[i])), "the same each time");
+            assert_eq!(*one, zone(&site, json!(others[i])), "it is the same each time");
             assert!(all[..i].iter().all(|other| other != one), "{}: {all:?}", others[i]);
         }
         if !site.zones.is_empty() {
             assert_eq!(zone(&site, json!("north")), ZoneId(0));
         }
-        assert_eq!(zone(&site, Value::Null), zone(&site, json!(7)), "without a name there is one");
+        assert_eq!(zone(&site, Value::Null), zone(&site, json!(7)), "zones without a name are equal");
     }
 }
 
-/// Whoever waits for an answer is never closed for want of doing anything, however long its request has.
+/// A client waiting for an answer is never closed as idle, however long its request may take.
 #[test]
 fn a_client_that_waits_for_its_answer_is_not_idle() {
     let limits = Limits { descriptors: 256, memory: 192 << 20, side_ports: 0 };
@@ -523,7 +530,7 @@
     for s in 0..3_600 {
         assert_eq!((door.due(s * 1_000 * MS), door.next(s * 1_000 * MS)), (None, None));
     }
-    // Answered and idle it has its time from then on; asking once more ends that.
+    // Once answered, the idle time-out starts; another request ends it.
     let now = 3_600_000 * MS;
     door.shows(now, id, served);
     assert_eq!(door.due(now + 50_000 * MS), None);
@@ -545,7 +552,8 @@
     })
 }
 
-/// A time many turns of the timers' wheel ahead comes when it is due, with the shortest tick and the longest.
+/// A timer many turns of the timer wheel ahead fires on time, with the shortest tick and the
+/// longest.
 #[rstest]
 fn a_long_deadline_is_kept_with_any_tick(
     #[values(1, 5, 50)] tick_ms: Micros,
@@ -569,7 +577,7 @@
         if effects.iter().any(|e| matches!(e, Effect::Answer { .. })) {
             break;
         }
-        // As the owner does: when the core wants to be called.
+        // Like the owner task: calls the core when it asks to be called.
         now = core.next().max(now + 1);
         core.tick(now);
     }
@@ -577,8 +585,8 @@
     assert!((-2 * tick_ms - 1..=tick_ms).contains(&late_ms), "{late_ms} ms late");
 }
 
-/// Requests of a class with an aim of 100 ms and a deadline of 600, one each 200 ms, before nodes that answer after
-/// 120 ms, and a part of them after 20: how many of 500 are served.
+/// Requests of a class with a target latency of 100 ms and a deadline of 600, one every 200 ms, with
+/// nodes that answer after 120 ms and some of them after 20: returns how many of 500 are served.
 fn served_late(late_value: f64, quick: u64) -> usize {
     let class = Class { target_latency: 100 * MS, limit: 600 * MS, late_value, ..Class::default() };
     let settings = Settings { classes: vec![class], may_copy: true, max_attempts: 4, ..Settings::default() };
@@ -601,18 +609,19 @@
     served
 }
 
-/// Where answers past the aim are worth something, an aim that few keep is no reason to call the others off.
+/// Where late answers have a value, a target latency that few meet is no reason to cut off the
+/// others.
 #[rstest]
 #[case::none_in_time(0)]
 #[case::some_in_time(2)]
-fn what_is_worth_something_late_is_not_called_off_for_what_is_never_in_time(#[case] quick: u64) {
+fn late_answers_with_a_value_are_not_cut_off(#[case] quick: u64) {
     assert_eq!(served_late(0.5, quick), 500);
-    // Worth nothing late, it makes room.
+    // Late answers without value are cut off to make room.
     assert!(served_late(0.0, quick) < 250);
 }
 
-/// What may have run goes out again within the time that nodes drop its repeat for, however long it waits for a
-/// connection: the dial time-out may be longer than that.
+/// A request that may have run is only sent again within the window in which nodes drop its repeat,
+/// however long it waits for a connection: the connect time-out may be longer than that.
 #[rstest]
 #[case::in_time(50, true)]
 #[case::too_late(500, false)]
@@ -652,10 +661,11 @@
     core.tick(now);
     core.take_effects();
     core.input(now, Input::Broken(first, Stage::Reading));
-    let second = dialled(&core.take_effects()).expect("it may go again");
+    let second = dialled(&core.take_effects()).expect("it may be sent again");
     now += up_after_ms * MS;
     core.tick(now);
-    // What may not go out any more is answered at that moment, whether or not its connection comes up.
+    // A request that may not be sent any more is answered at once, whether or not its connection is
+    // established.
     let mut effects = core.take_effects();
     assert!(!written(&effects));
     core.input(now, Input::Connected(second));
