--- a/crates/cost/src/request.rs
+++ b/crates/cost/src/request.rs
@@ -4,7 +4,7 @@
 use crate::{counting, fleet, key, settings, SECOND};
 use martenweir::codec::{discovery, resp};
 use martenweir::core::{Answer, Core, DownstreamId, Effect, Input, Job, Message};
-use martenweir::core::{Ask, ConnectionId, Reply};
+use martenweir::core::{ConnectionId, NewStream, Reply};
 use martenweir::interface::*;
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -92,7 +92,7 @@
         let words: [&[u8]; 4] = [b"CACHE.GET", name.as_bytes(), id.as_bytes(), b"c=lookup,t=one,d=900"];
         resp::put_command(&mut command, &words);
         let words = self.counted(0, |_| stage_parse(&command));
-        let ask = Ask {
+        let ask = NewStream {
             downstream: DownstreamId(n % self.downstreams),
             place: n / self.downstreams,
             class: ClassId((n % 3) as u16),
@@ -143,7 +143,7 @@
     }
 
     #[inline(never)]
-    fn stage_decide(&mut self, ask: Ask) {
+    fn stage_decide(&mut self, ask: NewStream) {
         self.core.input(self.now, Input::Stream(ask));
     }
 
--- a/crates/lab/src/capacity/roles/discovery.rs
+++ b/crates/lab/src/capacity/roles/discovery.rs
@@ -4,7 +4,7 @@
 use super::super::result::Mechanism;
 use super::super::{Axis, Fault, Kind, Level, Measured, Quantity, Role, Series, Size};
 use super::{halves, lists, users};
-use martenweir::codec::discovery::{object, Cluster, Objects, Piece, LINE};
+use martenweir::codec::discovery::{parse_list, Cluster, ObjectSplitter, WatchItem, LINE};
 use martenweir::codec::http;
 use martenweir::settings::Site;
 
@@ -72,11 +72,11 @@
     let (piece, _) = http::chunk(chunk, LINE)
         .map_err(|m| Fault::broken(m.0))?
         .ok_or_else(|| Fault::broken("half a chunk"))?;
-    let mut objects = Objects::default();
+    let mut objects = ObjectSplitter::default();
     objects.feed(&piece);
     match objects.piece().map_err(Fault::broken)? {
-        Some(Piece::Object(text)) => {
-            let (list, odd) = object(&text, site).map_err(Fault::broken)?;
+        Some(WatchItem::Object(text)) => {
+            let (list, odd) = parse_list(&text, site).map_err(Fault::broken)?;
             odd.map_or(Ok(list), |odd| Err(Fault::broken(odd)))
         }
         _ => Err(Fault::broken("no list")),
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -213,7 +213,7 @@
             clock,
             specs: BTreeMap::new(),
             planners: Planners::new(),
-            nodes: nodes.iter().map(|n| (discovery::number(n.as_bytes()), n.clone())).collect(),
+            nodes: nodes.iter().map(|n| (discovery::hash_id(n.as_bytes()), n.clone())).collect(),
             names: planners.iter().chain(&forwarders).cloned().collect(),
             forwarders,
         };
--- a/crates/lab/src/loopback/clients/attempt.rs
+++ b/crates/lab/src/loopback/clients/attempt.rs
@@ -18,7 +18,7 @@
 /// idle, and the command has crossed that. By the protocol it is sent once more on a new one.
 const CROSSED: Micros = 20_000;
 /// The longest answer: a value with all around it.
-const ANSWER: usize = resp::VALUE + 4096;
+const ANSWER: usize = resp::MAX_VALUE + 4096;
 
 #[derive(Debug)]
 pub(super) struct Caller {
--- a/crates/lab/src/loopback/cost/always.rs
+++ b/crates/lab/src/loopback/cost/always.rs
@@ -90,7 +90,7 @@
 
 impl Always {
     pub fn start(threads: usize, nodes: usize, protocol: Protocol, value_bytes: usize) -> io::Result<Self> {
-        let value = vec![b'v'; value_bytes.clamp(1, resp::VALUE)];
+        let value = vec![b'v'; value_bytes.clamp(1, resp::MAX_VALUE)];
         Threads::start(threads, nodes, move |socket| hit(socket, protocol, value.clone())).map(Always)
     }
 
--- a/crates/lab/src/loopback/cost/protocol.rs
+++ b/crates/lab/src/loopback/cost/protocol.rs
@@ -6,7 +6,7 @@
 use martenweir::codec::Malformed;
 use memcached::{frame, Limits, Opcode, Request, Response, Status, Step};
 
-const LIMITS: Limits = Limits { key: frame::KEY, value: resp::VALUE };
+const LIMITS: Limits = Limits { key: frame::KEY, value: resp::MAX_VALUE };
 
 /// What clients or nodes speak.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
--- a/crates/lab/src/loopback/socket/speech.rs
+++ b/crates/lab/src/loopback/socket/speech.rs
@@ -10,7 +10,7 @@
 
 /// The longest line of an HTTP request, and the most bytes of its head.
 const LINE: usize = 8 * 1024;
-const HEAD: usize = http::HEAD;
+const HEAD: usize = http::MAX_HEAD;
 const HEADERS: usize = 64;
 
 /// What somebody speaks who listens.
@@ -145,7 +145,7 @@
         Some(n) if n.bytes().all(|b| b.is_ascii_digit()) => n.parse().unwrap_or(usize::MAX),
         Some(_) => usize::MAX,
     };
-    if length > resp::VALUE {
+    if length > resp::MAX_VALUE {
         return Err(Malformed("an invalid or oversized content-length"));
     }
     let Some(body) = bytes.get(at..at + length) else { return Ok(None) };
@@ -237,7 +237,7 @@
         let mut part = || u64::from_str_radix(parts.next()?, 16).ok();
         let (of, work, bytes) = (TryNo(part()?), part()?, part()?);
         let (work, bytes) = (u32::try_from(work).ok()?, u32::try_from(bytes).ok()?);
-        (parts.next().is_none() && bytes as usize <= resp::VALUE).then_some(TryId { of, work, bytes })
+        (parts.next().is_none() && bytes as usize <= resp::MAX_VALUE).then_some(TryId { of, work, bytes })
     }
 
     pub fn write(self) -> String {
@@ -248,7 +248,7 @@
 /// The value that is made for a try: it names the key and the try, so that whoever gets it can tell whose it is.
 pub fn value(key: &[u8], id: &[u8], bytes: usize) -> Vec<u8> {
     let mut value = [key, b" ", id, b" "].concat();
-    value.resize(bytes.clamp(value.len(), resp::VALUE.max(value.len())), b'.');
+    value.resize(bytes.clamp(value.len(), resp::MAX_VALUE.max(value.len())), b'.');
     value
 }
 
--- a/crates/lab/src/loopback/stage/tries.rs
+++ b/crates/lab/src/loopback/stage/tries.rs
@@ -56,7 +56,7 @@
         let (key, properties) = (format!("{:016x}", r.key), p.write());
         let mut out = Vec::new();
         if class.is_some_and(|c| c.write) {
-            let value = vec![b'v'; (r.bytes as usize).clamp(1, resp::VALUE)];
+            let value = vec![b'v'; (r.bytes as usize).clamp(1, resp::MAX_VALUE)];
             let words: [&[u8]; 5] =
                 [b"CACHE.SET", key.as_bytes(), id.as_bytes(), properties.as_bytes(), &value];
             resp::put_command(&mut out, &words);
--- a/crates/lab/src/virtual_host/engine.rs
+++ b/crates/lab/src/virtual_host/engine.rs
@@ -6,7 +6,7 @@
 use super::site;
 use super::subject::{Start, Subject, Subjects};
 use martenweir::core::{
-    Answer as Said, Ask as Stream, ConnectionId, DownstreamId, Effect, Input, Job, Message,
+    Answer as Said, ConnectionId, DownstreamId, Effect, Input, Job, Message, NewStream as Stream,
 };
 use martenweir::core::{Reply, Stage};
 use martenweir::interface::{ClassId, Key, Micros, Settings, TenantId, Verdict};
@@ -348,7 +348,7 @@
             Said::Value(value) => (Final::Served { made_for: made_for(value) }, TryEnd::Served),
             Said::Busy(after) => (Final::Refused, TryEnd::Refused(*after)),
             // Every key exists in this world: that one is nowhere is no good answer.
-            Said::Absent | Said::Failed | Said::Late | Said::Taken => (Final::Failed, TryEnd::Failed),
+            Said::Absent | Said::Failed | Said::Late | Said::DuplicateId => (Final::Failed, TryEnd::Failed),
         };
         self.world.tell(at, Fact::Answered { proxy, of, how });
         if let Some(lobby) = self.proxies[proxy.0 as usize].lobby.as_mut() {
@@ -482,7 +482,8 @@
                 }
                 Effect::Watch { after } => self.queue.plan(at + 1, Event::Listed(proxy, life, after)),
                 // A job is written whole at once here.
-                Effect::Withdraw { .. } | Effect::Note(_) | Effect::Ended(_) | Effect::Seen(_) => {}
+                Effect::Withdraw { .. } | Effect::Note(_) | Effect::StreamEnded(_) | Effect::NodeEvent(_) => {
+                }
             }
         }
         self.effects = effects;
--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -7,7 +7,7 @@
 //! same words and by the same model of links as `lab fleet` has for real processes.
 
 use super::{Start, Subject, Subjects};
-use martenweir::core::survey::Size;
+use martenweir::core::status::Size;
 use martenweir::core::{Core, Effect, Input};
 use martenweir::features::forwarder::{rules, Forwarding, Settings, Wish};
 use martenweir::interface::{Micros, Plan};
@@ -363,7 +363,7 @@
         let made = Forwarding::new(s.now.max(1), settings, &name, &s.settings, known, s.seed);
         let mut core = Core::new(s.now, s.settings, s.seed, s.most_connections, s.known);
         let Ok(forwarding) = made else { return Box::new(core) };
-        (core.watched, core.observed) = (true, true);
+        (core.wants_node_events, core.wants_records) = (true, true);
         Box::new(Planned {
             core,
             forwarding,
@@ -457,11 +457,11 @@
         self.core.swap_effects(into);
         let (forwarding, now) = (&mut self.forwarding, self.now);
         into.retain(|effect| match effect {
-            Effect::Seen(seen) => {
+            Effect::NodeEvent(seen) => {
                 forwarding.seen(now, seen.clone());
                 false
             }
-            Effect::Ended(record) => {
+            Effect::StreamEnded(record) => {
                 forwarding.record(record);
                 false
             }
--- a/crates/lab/src/virtual_host/planted.rs
+++ b/crates/lab/src/virtual_host/planted.rs
@@ -6,7 +6,7 @@
 
 use super::subject::{Real, Start, Subject, Subjects};
 use martenweir::codec::discovery::Cluster;
-use martenweir::core::survey::Size;
+use martenweir::core::status::Size;
 use martenweir::core::{Answer, ConnectionId, Effect, Input, Job, Message};
 use martenweir::interface::{Micros, Phase, Verdict};
 use std::collections::BTreeMap;
--- a/crates/lab/src/virtual_host/site.rs
+++ b/crates/lab/src/virtual_host/site.rs
@@ -1,6 +1,6 @@
 //! A world in the proxy's words: its settings, and discovery's lists.
 
-use martenweir::codec::discovery::{number, Cluster, Listed};
+use martenweir::codec::discovery::{hash_id, Cluster, Listed};
 use martenweir::interface::*;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use world::discovery::Entry;
@@ -91,7 +91,7 @@
     let listed = |e: &Entry| {
         let m = world.member(e.node);
         let member = Member {
-            server: ServerId(number(m.name.as_bytes())),
+            server: ServerId(hash_id(m.name.as_bytes())),
             zone: ZoneId(m.hall),
             kind: KindId(m.kind_no),
             cell: CellId(0),
--- a/crates/lab/src/virtual_host/subject.rs
+++ b/crates/lab/src/virtual_host/subject.rs
@@ -1,7 +1,7 @@
 //! What the engine drives: the proxy's core, or something in its place that fails in a known way.
 
 use martenweir::codec::discovery::Cluster;
-use martenweir::core::survey::Size;
+use martenweir::core::status::Size;
 use martenweir::core::{Core, Effect, Input};
 use martenweir::interface::{Micros, Settings};
 use world::facts::ProxyNo;
--- a/src/codec/discovery.rs
+++ b/src/codec/discovery.rs
@@ -30,7 +30,7 @@
 }
 
 /// An id as a number that is the same at every proxy and every start (FNV-1a, mixed).
-pub fn number(id: &[u8]) -> u64 {
+pub fn hash_id(id: &[u8]) -> u64 {
     let h =
         id.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3));
     crate::state::mix(h).max(1)
@@ -47,7 +47,7 @@
     let named = position(names, v, "locality");
     let free = u64::from(u16::MAX).saturating_sub(names.len() as u64);
     match v.get("locality").and_then(Value::as_str).filter(|_| named == u16::MAX && free > 0) {
-        Some(other) => (names.len() as u64 + number(other.as_bytes()) % free) as u16,
+        Some(other) => (names.len() as u64 + hash_id(other.as_bytes()) % free) as u16,
         None => named,
     }
 }
@@ -81,7 +81,7 @@
     let started = v.get("up_since_ms").and_then(Value::as_f64).filter(|ms| (0.0..1e14).contains(ms));
     let weight = v.get("size").and_then(Value::as_f64).filter(|size| *size > 0.0);
     let member = Member {
-        server: ServerId(number(name.as_bytes())),
+        server: ServerId(hash_id(name.as_bytes())),
         zone: ZoneId(zone(&site.zones, v)),
         kind: KindId(position(&site.kinds, v, "flavor")),
         cell: CellId(v.get("cell").and_then(Value::as_u64).unwrap_or(0) as u16),
@@ -94,7 +94,7 @@
 }
 
 /// A list, and what of it could not be read, in a line.
-pub fn cluster(v: &Value, site: &Site) -> Result<(Cluster, Option<String>), String> {
+pub fn list_from_json(v: &Value, site: &Site) -> Result<(Cluster, Option<String>), String> {
     let members = v.get("members").and_then(Value::as_array).ok_or("a list without members")?;
     let (nodes, odd): (Vec<_>, Vec<_>) = members.iter().map(|m| node(m, site)).unzip();
     let mut odd = odd.into_iter().flatten();
@@ -111,13 +111,13 @@
     Ok((list, odd))
 }
 
-pub fn object(bytes: &[u8], site: &Site) -> Result<(Cluster, Option<String>), String> {
-    cluster(&serde_json::from_slice(bytes).map_err(|e| e.to_string())?, site)
+pub fn parse_list(bytes: &[u8], site: &Site) -> Result<(Cluster, Option<String>), String> {
+    list_from_json(&serde_json::from_slice(bytes).map_err(|e| e.to_string())?, site)
 }
 
 /// What stands in a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Piece {
+pub enum WatchItem {
     Object(Vec<u8>),
     /// An empty line.
     Blank,
@@ -125,7 +125,7 @@
 
 /// Cuts a watch into its objects, whatever white space is in and between them. Each byte is looked at once.
 #[derive(Debug, Default)]
-pub struct Objects {
+pub struct ObjectSplitter {
     /// What has come of the object that is not whole, and how much of it was looked at.
     held: Vec<u8>,
     at: usize,
@@ -138,13 +138,13 @@
     fine: usize,
 }
 
-impl Objects {
+impl ObjectSplitter {
     pub fn feed(&mut self, bytes: &[u8]) {
         self.held.extend_from_slice(bytes);
     }
 
     /// The next piece, if it has come; an error if what comes is no object, or one of more than [`LINE`] bytes.
-    pub fn piece(&mut self) -> Result<Option<Piece>, String> {
+    pub fn piece(&mut self) -> Result<Option<WatchItem>, String> {
         while let Some(&byte) = self.held.get(self.at) {
             self.at += 1;
             if self.depth == 0 {
@@ -153,7 +153,7 @@
                         self.held.drain(..self.at - 1);
                         (self.at, self.depth, self.fine) = (1, 1, 1);
                     }
-                    b'\n' if !std::mem::take(&mut self.spoken) => return Ok(Some(Piece::Blank)),
+                    b'\n' if !std::mem::take(&mut self.spoken) => return Ok(Some(WatchItem::Blank)),
                     b' ' | b'\t' | b'\r' | b'\n' => {}
                     _ => return Err("no object".into()),
                 }
@@ -174,7 +174,7 @@
                 self.spoken = true;
                 let rest = self.held.split_off(self.at);
                 self.at = 0;
-                return Ok(Some(Piece::Object(std::mem::replace(&mut self.held, rest))));
+                return Ok(Some(WatchItem::Object(std::mem::replace(&mut self.held, rest))));
             }
             if self.at > LINE {
                 return Err("an object is too long".into());
--- a/src/codec/discovery/tests.rs
+++ b/src/codec/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-fn pieces(parts: &[&[u8]]) -> Result<Vec<Piece>, String> {
-    let (mut objects, mut all) = (Objects::default(), Vec::new());
+fn pieces(parts: &[&[u8]]) -> Result<Vec<WatchItem>, String> {
+    let (mut objects, mut all) = (ObjectSplitter::default(), Vec::new());
     for part in parts {
         objects.feed(part);
         while let Some(piece) = objects.piece()? {
@@ -11,8 +11,8 @@
     Ok(all)
 }
 
-fn object(text: &str) -> Piece {
-    Piece::Object(text.as_bytes().to_vec())
+fn object(text: &str) -> WatchItem {
+    WatchItem::Object(text.as_bytes().to_vec())
 }
 
 #[test]
@@ -20,12 +20,12 @@
     let text = "{\"a\":1}\n\n{\r\n  \"b\": [\n {\"c\": \"}\\\"{\"}\r\n ]\n}\r\n\r\n {\"d\":2}{\"e\":3} \n \n";
     let wanted = vec![
         object("{\"a\":1}"),
-        Piece::Blank,
+        WatchItem::Blank,
         object("{\r\n  \"b\": [\n {\"c\": \"}\\\"{\"}\r\n ]\n}"),
-        Piece::Blank,
+        WatchItem::Blank,
         object("{\"d\":2}"),
         object("{\"e\":3}"),
-        Piece::Blank,
+        WatchItem::Blank,
     ];
     for size in 1..=text.len() {
         let parts: Vec<&[u8]> = text.as_bytes().chunks(size).collect();
@@ -60,7 +60,7 @@
             {"id":"c","phase":"DELETED"}, 7, {"host_port":"127.0.0.1:1","phase":"SERVING"}, {"id":5}, {"id":"d"},
             {"id":"e","host_port":"127.0.0.1:1","phase":"SERVING","size":-2,"up_since_ms":-1e300,"cell":"x"},
             {"id":"f","host_port":"127.0.0.1:1","phase":"DRAINING"}]}"#;
-    let (list, odd) = super::object(text, &Site::default()).expect("a list");
+    let (list, odd) = super::parse_list(text, &Site::default()).expect("a list");
     let phases: Vec<_> = list.nodes.iter().map(|l| (&*l.name, l.member.phase)).collect();
     let (draining, gone) = (Phase::Draining, Phase::Gone);
     let wanted = [
--- a/src/codec/http.rs
+++ b/src/codec/http.rs
@@ -7,7 +7,7 @@
 /// Responses with a status of 1xx before the final one.
 const INTERIM: usize = 8;
 /// The most bytes of a head: a peer that has sent more without ending it is malformed.
-pub const HEAD: usize = 16 * 1024;
+pub const MAX_HEAD: usize = 16 * 1024;
 
 /// How the end of a body is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,7 +20,7 @@
 
 /// What may follow the bytes that have come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rest {
+pub enum PeerState {
     /// More bytes, or the end.
     Open,
     /// Nothing: the peer has closed in order. A reset is no such end.
@@ -58,7 +58,7 @@
     };
     let (mut lengths, mut chunked) = (None, false);
     loop {
-        if at > HEAD || head.headers.len() > HEADERS {
+        if at > MAX_HEAD || head.headers.len() > HEADERS {
             return Err(Malformed("the headers are too long"));
         }
         let Some((text, taken)) = line(&bytes[at..], LINE)? else { return Ok(None) };
@@ -116,7 +116,7 @@
             if text.is_empty() {
                 return Ok(Some((Vec::new(), end)));
             }
-            if end - at > HEAD {
+            if end - at > MAX_HEAD {
                 return Err(Malformed("the trailers are too long"));
             }
         }
@@ -149,7 +149,7 @@
 ///
 /// A body without a length is whole once the peer has closed in order (RFC 9112, section 6.3). One that is empty then is
 /// none: what broke off behind the head looks the same.
-pub fn response(bytes: &[u8], most: usize, rest: Rest) -> Parsed<(Head, Vec<u8>)> {
+pub fn response(bytes: &[u8], most: usize, rest: PeerState) -> Parsed<(Head, Vec<u8>)> {
     let Some((head, mut at)) = final_head(bytes, most)? else { return Ok(None) };
     match head.framing {
         Framing::Length(n) => match bytes.get(at..at + n) {
@@ -175,7 +175,7 @@
             if body.len() > most {
                 return Err(Malformed("an oversized body"));
             }
-            let whole = rest == Rest::Closed && !body.is_empty();
+            let whole = rest == PeerState::Closed && !body.is_empty();
             Ok(whole.then(|| ((head, body.to_vec()), bytes.len())))
         }
     }
--- a/src/codec/resp.rs
+++ b/src/codec/resp.rs
@@ -3,11 +3,11 @@
 use super::{length, line, Malformed, Parsed};
 
 /// The longest value, the longest other word, and the most words of a command.
-pub const VALUE: usize = 64 * 1024;
-pub const WORD: usize = 4 * 1024;
-pub const WORDS: usize = 8;
+pub const MAX_VALUE: usize = 64 * 1024;
+pub const MAX_WORD: usize = 4 * 1024;
+pub const MAX_WORDS: usize = 8;
 /// The most bytes a command takes: who has sent more than this has sent a whole one or a malformed one.
-pub const COMMAND: usize = VALUE + WORDS * (WORD + 16);
+pub const MAX_COMMAND: usize = MAX_VALUE + MAX_WORDS * (MAX_WORD + 16);
 const LINE: usize = 1024;
 /// A bulk string that is null.
 pub const NULL: &[u8] = b"$-1\r\n";
@@ -20,12 +20,12 @@
     }
     let Some((head, mut at)) = line(bytes, 16)? else { return Ok(None) };
     let n = head.get(1..).unwrap_or_default();
-    let n = length(n, WORDS).ok_or(Malformed("invalid number of words"))?;
+    let n = length(n, MAX_WORDS).ok_or(Malformed("invalid number of words"))?;
     let mut words = Vec::with_capacity(n);
     for i in 0..n {
         let Some((head, taken)) = line(&bytes[at..], 16)? else { return Ok(None) };
         let len = head.strip_prefix(b"$").ok_or(Malformed("expected a bulk string"))?;
-        let most = if i + 1 == n { VALUE } else { WORD };
+        let most = if i + 1 == n { MAX_VALUE } else { MAX_WORD };
         let len = length(len, most).ok_or(Malformed("invalid or oversized bulk length"))?;
         at += taken;
         let Some(word) = bulk(&bytes[at..], len)? else { return Ok(None) };
@@ -59,7 +59,7 @@
         match head.strip_prefix(b"$") {
             Some(b"-1") => Ok(Some((None, 0))),
             Some(len) => {
-                let len = length(len, VALUE).ok_or(Malformed("invalid or oversized bulk length"))?;
+                let len = length(len, MAX_VALUE).ok_or(Malformed("invalid or oversized bulk length"))?;
                 Ok(bulk(bytes, len)?.map(|b| (Some(b.to_vec()), len + 2)))
             }
             None if head == b"*-1" => Ok(Some((None, 0))),
@@ -76,7 +76,7 @@
         }
         b'*' if rest == b"-1" => Reply::Bulk(None),
         b'*' => {
-            let n = length(rest, WORDS).ok_or(Malformed("invalid array length"))?;
+            let n = length(rest, MAX_WORDS).ok_or(Malformed("invalid array length"))?;
             let mut items = Vec::with_capacity(n);
             for _ in 0..n {
                 let Some((head, taken)) = line(&bytes[at..], LINE)? else { return Ok(None) };
--- a/src/commands/change.rs
+++ b/src/commands/change.rs
@@ -140,7 +140,7 @@
     if purge.is_empty() {
         return Err("nothing to submit: --purge, --setting or --reset".into());
     }
-    let key = |name: &String| discovery::number(name.as_bytes()).to_be_bytes();
+    let key = |name: &String| discovery::hash_id(name.as_bytes()).to_be_bytes();
     let change = |name| New { topic: PURGES, key: 0, body: key(name).iter().take(KEY).copied().collect() };
     Ok(purge.iter().map(change).collect())
 }
--- a/src/commands/figurestest.rs
+++ b/src/commands/figurestest.rs
@@ -1,7 +1,7 @@
 //! `martenweir figurestest [FILE]`: sends one of each figure, as the file says or in statsd to standard
 //! error. It fails where a batch is lost or the target does not take it.
 
-use crate::core::{Course, Ended, Record};
+use crate::core::{Record, StreamDetails, StreamOutcome};
 use crate::features::figures::{Figures, Gauges, Settings, Sink};
 use crate::features::file;
 use crate::interface::{ClassId, TenantId};
@@ -40,13 +40,13 @@
         ..Site::default()
     };
     let figures = Figures::new(settings, Rc::new(site));
-    let ends = [Ended::Served, Ended::Refused, Ended::Failed, Ended::Left];
+    let ends = [StreamOutcome::Served, StreamOutcome::Refused, StreamOutcome::Failed, StreamOutcome::Left];
     for (class, ended, note) in ends.into_iter().enumerate().map(|(i, e)| (i as u16 % 2, e, 1 + i as u32 % 3))
     {
         let note = if class == 0 { note } else { 0 };
         let (tenant, message, node) = (TenantId(0), Rc::default(), None);
-        let (class, course, time, at) = (ClassId(class), Course::default(), 14_000, 0);
-        figures.record(&Record { class, tenant, message, node, note, ended, course, time, at });
+        let (class, details, time, at) = (ClassId(class), StreamDetails::default(), 14_000, 0);
+        figures.record(&Record { class, tenant, message, node, note, ended, details, time, at });
     }
     figures.flush(Gauges::default());
     let all = async {
--- a/src/commands/mget.rs
+++ b/src/commands/mget.rs
@@ -98,7 +98,7 @@
     let head = line(from)?;
     let Some(digits) = head.strip_prefix('$') else { return Ok(head) };
     let invalid = || io::Error::new(ErrorKind::InvalidData, "an answer that is no multi-get's");
-    let n = length(digits.as_bytes(), resp::VALUE).ok_or_else(invalid)?;
+    let n = length(digits.as_bytes(), resp::MAX_VALUE).ok_or_else(invalid)?;
     let mut value = vec![0; n + 2];
     from.read_exact(&mut value)?;
     Ok(String::from_utf8_lossy(&value[..n]).into_owned())
--- a/src/commands/plan.rs
+++ b/src/commands/plan.rs
@@ -49,7 +49,7 @@
         None => BTreeMap::new(),
         Some(path) => {
             let known = config::load(path)?.known.nodes;
-            known.iter().map(|l| (discovery::number(l.name.as_bytes()), l.name.to_string())).collect()
+            known.iter().map(|l| (discovery::hash_id(l.name.as_bytes()), l.name.to_string())).collect()
         }
     };
     let shown = ask(address).map_err(|e| format!("plan: {address}: {e}"))?;
--- a/src/config.rs
+++ b/src/config.rs
@@ -38,7 +38,7 @@
     let site = settings::site(v.get("settings").ok_or("settings is missing")?)?;
     // Discovery tells the list soon: an old one that cannot be read is no reason not to start.
     let none = || Cluster { revision: 0, complete: true, nodes: Vec::new() };
-    let known = v.get("known").map(|known| discovery::cluster(known, &site));
+    let known = v.get("known").map(|known| discovery::list_from_json(known, &site));
     let (known, odd) = known.unwrap_or_else(|| Ok((none(), None))).unwrap_or_else(|why| (none(), Some(why)));
     let seed = v.get("seed").and_then(Value::as_str).unwrap_or_default();
     let sockets = v.pointer("/limits/sockets").map(|n| n.as_u64().filter(|n| *n >= 64));
@@ -49,7 +49,7 @@
         listen: address("listen", "NODE_LISTEN")?,
         discovery: address("discovery", "NODE_DISCOVERY")?,
         // Any text will do; on the platform it is hexadecimal.
-        seed: u64::from_str_radix(seed, 16).unwrap_or_else(|_| discovery::number(seed.as_bytes())),
+        seed: u64::from_str_radix(seed, 16).unwrap_or_else(|_| discovery::hash_id(seed.as_bytes())),
         sockets: sockets.unwrap_or(Some(1024)).ok_or("limits.sockets is not a number of 64 or more")?
             as usize,
         memory: (memory * 1024.0 * 1024.0) as usize,
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -27,7 +27,7 @@
 
 /// A stream as a downstream's protocol hands it over.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct NewStream {
     pub downstream: DownstreamId,
     /// Its place among the streams of its downstream.
     pub place: u64,
@@ -53,7 +53,7 @@
     /// It ran out of time.
     Late,
     /// Not taken: its id is that of an open stream.
-    Taken,
+    DuplicateId,
 }
 
 /// What goes out on a connection.
@@ -79,7 +79,7 @@
 
 /// How a stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ended {
+pub enum StreamOutcome {
     Served,
     Refused,
     Failed,
@@ -87,20 +87,20 @@
     Left,
 }
 
-impl Ended {
+impl StreamOutcome {
     /// As lines and figures name it.
     pub fn name(self) -> &'static str {
         match self {
-            Ended::Served => "served",
-            Ended::Refused => "refused",
-            Ended::Failed => "failed",
-            Ended::Left => "left",
+            StreamOutcome::Served => "served",
+            StreamOutcome::Refused => "refused",
+            StreamOutcome::Failed => "failed",
+            StreamOutcome::Left => "left",
         }
     }
 }
 
 /// How a node says that a read went: [`Outcome::note`] counts these from 1.
-pub const READS: [&str; 3] = ["hit", "miss", "pending"];
+pub const READ_RESULTS: [&str; 3] = ["hit", "miss", "pending"];
 
 /// Why a stream was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -117,7 +117,7 @@
 
 /// What became of a stream on its way, beside its end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Course {
+pub struct StreamDetails {
     /// Another upstream request was made after one had failed.
     pub retried: bool,
     /// It missed, and a cache served it then, which another stream's fetch had filled.
@@ -135,8 +135,8 @@
     pub node: Option<Rc<str>>,
     /// How a node said that the read went, as in [`Outcome::note`].
     pub note: u32,
-    pub ended: Ended,
-    pub course: Course,
+    pub ended: StreamOutcome,
+    pub details: StreamDetails,
     /// How long it took, and when it was over.
     pub time: Micros,
     pub at: Micros,
@@ -145,23 +145,23 @@
 impl Record {
     /// `hit`, `miss` or `pending`, where a node said so.
     pub fn read(&self) -> Option<&'static str> {
-        READS.get((self.note as usize).checked_sub(1)?).copied()
+        READ_RESULTS.get((self.note as usize).checked_sub(1)?).copied()
     }
 }
 
 /// What goes on at nodes, for whoever joins it with what others see.
 #[derive(Clone, Debug)]
-pub enum Seen {
+pub enum NodeEvent {
     /// A list, or what changed in it, with the nodes' names.
     Listed { revision: u64, form: ListForm, nodes: Vec<(Member, Rc<str>)> },
     /// A stream was taken.
-    Asked { class: ClassId, tenant: TenantId, write: bool },
+    StreamTaken { class: ClassId, tenant: TenantId, write: bool },
     /// An upstream request or a probe was made.
     Sent(ServerId),
     /// One ended, with the utilisation that the node reported.
     Ended { server: ServerId, verdict: Verdict, elapsed: Micros, load: Option<f32> },
     /// A node gave an answer that nobody waits for any more.
-    Heard(ServerId),
+    LateAnswer(ServerId),
 }
 
 /// How far a connection was with its job when it broke.
@@ -180,7 +180,7 @@
 pub enum Input {
     /// What planners say.
     Plan(Plan),
-    Stream(Ask),
+    Stream(NewStream),
     DownstreamClosed(DownstreamId),
     Connected(ConnectionId),
     Broken(ConnectionId, Stage),
@@ -190,12 +190,12 @@
     /// A list, or `None` for a sign of life.
     Cluster(Option<Cluster>),
     /// A list of the watch before, while the present one has told nothing.
-    Earlier(Cluster),
+    PreviousWatch(Cluster),
     WatchEnded,
     /// Discovery is to be found elsewhere now.
-    Moved,
+    DiscoveryMoved,
     /// The proxy ends: whatever was taken has its answer by then, also what came before and could have taken longer.
-    Ends(Micros),
+    ShutdownBy(Micros),
 }
 
 /// What the core has its host do.
@@ -228,9 +228,9 @@
     },
     Note(String),
     /// A stream has ended; handed out only if somebody listens.
-    Ended(Record),
+    StreamEnded(Record),
     /// Something goes on at a node; handed out only if somebody watches.
-    Seen(Seen),
+    NodeEvent(NodeEvent),
 }
 
 /// Counted since the start, for the log.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -6,22 +6,22 @@
 mod pool;
 mod slow_start;
 mod starts;
-pub mod survey;
+pub mod status;
 mod upstream;
 mod watch;
 mod wheel;
 
 use crate::choice::Balancer;
 use crate::codec::discovery::{Cluster, Listed};
+use crate::id_map::IdMap;
 use crate::interface::*;
-use crate::numbers::Numbers;
 pub use messages::*;
 use pool::{Pool, Turn};
 use slow_start::SlowStartLog;
 use starts::Starts;
+use status::{ClusterStatus, Marks, Spell};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::rc::Rc;
-use survey::{Marks, Spell, Survey};
 use tracing::debug;
 use watch::Watch;
 use wheel::Wheel;
@@ -77,7 +77,7 @@
     /// An upstream request missed, or failed; and what comes of that.
     missed: bool,
     failed: bool,
-    course: Course,
+    details: StreamDetails,
     message: Rc<Message>,
 }
 
@@ -106,11 +106,11 @@
     balancer: Balancer,
     settings: Settings,
     wheel: Wheel<Due>,
-    streams: Numbers<RequestId, Stream>,
+    streams: IdMap<RequestId, Stream>,
     by_downstream: BTreeSet<(DownstreamId, RequestId)>,
     /// The ids of open streams as downstreams gave them; none where a protocol has no ids.
     ids: HashSet<Vec<u8>>,
-    upstream: Numbers<UpstreamId, UpstreamRequest>,
+    upstream: IdMap<UpstreamId, UpstreamRequest>,
     pool: Pool,
     /// What is known of each node for those who watch.
     marks: Marks,
@@ -136,9 +136,9 @@
     ends: Option<Micros>,
     pub counters: Counters,
     /// Somebody wants the records of streams.
-    pub observed: bool,
+    pub wants_records: bool,
     /// Somebody wants to hear what goes on at nodes.
-    pub watched: bool,
+    pub wants_node_events: bool,
 }
 
 impl Core {
@@ -146,10 +146,10 @@
         let mut core = Core {
             balancer: Balancer::new(settings.clone(), seed),
             wheel: Wheel::new(settings.period, now),
-            streams: Numbers::default(),
+            streams: IdMap::default(),
             by_downstream: BTreeSet::new(),
             ids: HashSet::new(),
-            upstream: Numbers::default(),
+            upstream: IdMap::default(),
             pool: Pool::new(most_connections, &settings),
             marks: Marks::default(),
             slow_starts: SlowStartLog::new(settings.cold_for, settings.fall_for),
@@ -167,8 +167,8 @@
             list_heard: None,
             ends: None,
             counters: Counters::default(),
-            observed: false,
-            watched: false,
+            wants_records: false,
+            wants_node_events: false,
             settings,
         };
         core.effects.push(Effect::Note(core.settings_line()));
@@ -210,7 +210,7 @@
     }
 
     /// Discovery has told the list since the start.
-    pub fn told(&self) -> bool {
+    pub fn has_list(&self) -> bool {
         self.told
     }
 
@@ -240,20 +240,20 @@
 
     /// Whether a downstream has a stream without its answer.
     pub fn busy(&self, downstream: DownstreamId) -> bool {
-        self.open_of(downstream) > 0
+        self.open_streams_of(downstream) > 0
     }
 
     /// How many streams without their answer a downstream has.
-    pub fn open_of(&self, downstream: DownstreamId) -> usize {
+    pub fn open_streams_of(&self, downstream: DownstreamId) -> usize {
         let from = (downstream, RequestId(0));
         self.by_downstream.range(from..).take_while(|(d, _)| *d == downstream).count()
     }
 
     /// What there is to see now.
-    pub fn survey(&self, now: Micros) -> Survey {
+    pub fn status(&self, now: Micros) -> ClusterStatus {
         let sights = self.balancer.sights(now).map(|s| (s.server, s)).collect();
         let origin = self.balancer.origin_sight(now);
-        self.marks.survey(&sights, origin, &self.pool.held(), self.revision)
+        self.marks.status(&sights, origin, &self.pool.held(), self.revision)
     }
 
     pub fn input(&mut self, now: Micros, input: Input) {
@@ -270,7 +270,7 @@
                     self.counters.left_unsent += u64::from(!self.is_out(id));
                     let Some(stream) = self.end_stream(now, id) else { continue };
                     self.left.insert(id, stream.attempts);
-                    self.record(now, &stream, Ended::Left);
+                    self.record(now, &stream, StreamOutcome::Left);
                 }
             }
             Input::Connected(c) => {
@@ -292,7 +292,7 @@
                     self.cluster(now, list, form);
                 }
             }
-            Input::Earlier(list) => {
+            Input::PreviousWatch(list) => {
                 // Told all the same; but its revision may be another discovery's, and it is no sign of life.
                 self.counters.lists += 1;
                 let (form, revision) = (form(&list), self.revision);
@@ -306,13 +306,13 @@
                 }
                 self.rewatch(now);
             }
-            Input::Moved => {
+            Input::DiscoveryMoved => {
                 // The new one counts its revisions for itself, so the whole list is asked for.
                 self.watch.moved(now);
                 self.revision = None;
                 self.call(now, None);
             }
-            Input::Ends(at) => self.end_by(now, at),
+            Input::ShutdownBy(at) => self.end_by(now, at),
         }
         self.settle(now);
     }
@@ -458,14 +458,14 @@
 
     // ---- streams
 
-    fn ask(&mut self, now: Micros, ask: Ask) {
+    fn ask(&mut self, now: Micros, ask: NewStream) {
         let id = RequestId(self.id());
         self.counters.taken += 1;
         let patience = self.ends.map_or(ask.patience, |at| ask.patience.min(at - now));
         // A tick early: timers are coarse, and the answer has a way to go.
         let deadline = now + (patience - self.settings.period).max(0);
         let write = ask.message.value.is_some();
-        self.see(|| Seen::Asked { class: ask.class, tenant: ask.tenant, write });
+        self.see(|| NodeEvent::StreamTaken { class: ask.class, tenant: ask.tenant, write });
         let (downstream, place, message) = (ask.downstream, ask.place, ask.message);
         let stream = Stream {
             downstream,
@@ -479,16 +479,16 @@
             note: 0,
             missed: false,
             failed: false,
-            course: Course::default(),
+            details: StreamDetails::default(),
             message: message.clone(),
         };
         // A node would take the second for a repeat, and one's answer could come to the other.
         if self.ids.contains(&message.id) {
-            return self.reply(now, &stream, Answer::Taken);
+            return self.reply(now, &stream, Answer::DuplicateId);
         }
         if self.streams.len() >= self.settings.max_open as usize {
-            let full = Course { refused: Some(Refusal::Full), ..Course::default() };
-            let stream = Stream { course: full, ..stream };
+            let full = StreamDetails { refused: Some(Refusal::Full), ..StreamDetails::default() };
+            let stream = Stream { details: full, ..stream };
             return self.reply(now, &stream, Answer::Busy(self.settings.max_retry_after));
         }
         if !message.id.is_empty() {
@@ -533,9 +533,9 @@
     }
 
     /// Tells what goes on at nodes to whoever watches.
-    fn see(&mut self, seen: impl FnOnce() -> Seen) {
-        if self.watched {
-            self.effects.push(Effect::Seen(seen()));
+    fn see(&mut self, seen: impl FnOnce() -> NodeEvent) {
+        if self.wants_node_events {
+            self.effects.push(Effect::NodeEvent(seen()));
         }
     }
 
@@ -578,7 +578,7 @@
     }
 
     /// Counts why a stream was refused, if it was, and tells of its end whoever listens.
-    fn record(&mut self, now: Micros, stream: &Stream, ended: Ended) {
+    fn record(&mut self, now: Micros, stream: &Stream, ended: StreamOutcome) {
         let refused = self.refusal(stream, ended);
         let counter = match refused {
             Some(Refusal::Full) => Some(&mut self.counters.refused_full),
@@ -597,25 +597,25 @@
             stream.attempts,
             refused.map(|why| format!(": {why:?}")).unwrap_or_default(),
         );
-        if !self.observed {
+        if !self.wants_records {
             return;
         }
         let node = stream.server.and_then(|s| self.pool.nodes.get(&s));
-        self.effects.push(Effect::Ended(Record {
+        self.effects.push(Effect::StreamEnded(Record {
             class: stream.class,
             tenant: stream.tenant,
             message: stream.message.clone(),
             node: node.map(|n| n.name.clone()),
             note: stream.note,
             ended,
-            course: Course { refused, ..stream.course },
+            details: StreamDetails { refused, ..stream.details },
             time: now - stream.taken,
             at: now,
         }));
     }
 
     /// Why a stream was refused, if it was.
-    fn refusal(&self, stream: &Stream, ended: Ended) -> Option<Refusal> {
+    fn refusal(&self, stream: &Stream, ended: StreamOutcome) -> Option<Refusal> {
         let write = stream.message.value.is_some() && self.settings.origin_kind.is_some();
         // A read may get there without a miss, where its nodes are full.
         let asked = stream.missed || stream.server.is_some_and(|s| self.marks.is_origin(s));
@@ -624,22 +624,24 @@
             0 => Refusal::NotSent,
             _ => Refusal::Attempts,
         };
-        (ended == Ended::Refused).then(|| stream.course.refused.unwrap_or(why))
+        (ended == StreamOutcome::Refused).then(|| stream.details.refused.unwrap_or(why))
     }
 
     /// A final answer on its way to its downstream, counted.
     fn reply(&mut self, now: Micros, stream: &Stream, answer: Answer) {
         let (ended, counter) = match answer {
-            Answer::Value(_) | Answer::Absent => (Ended::Served, &mut self.counters.served),
-            Answer::Busy(_) => (Ended::Refused, &mut self.counters.refused),
-            Answer::Failed | Answer::Late | Answer::Taken => (Ended::Failed, &mut self.counters.failed),
+            Answer::Value(_) | Answer::Absent => (StreamOutcome::Served, &mut self.counters.served),
+            Answer::Busy(_) => (StreamOutcome::Refused, &mut self.counters.refused),
+            Answer::Failed | Answer::Late | Answer::DuplicateId => {
+                (StreamOutcome::Failed, &mut self.counters.failed)
+            }
         };
         *counter += 1;
         match ended {
-            Ended::Refused | Ended::Failed => {
+            StreamOutcome::Refused | StreamOutcome::Failed => {
                 self.counters.refused_all += u64::from(self.spell.turned_away(now));
             }
-            Ended::Served | Ended::Left => {}
+            StreamOutcome::Served | StreamOutcome::Left => {}
         }
         self.record(now, stream, ended);
         let (downstream, place) = (stream.downstream, stream.place);
@@ -655,7 +657,7 @@
         }
         self.revision = Some(list.revision);
         let named = |l: &Listed| (l.member.clone(), l.name.clone());
-        self.see(|| Seen::Listed {
+        self.see(|| NodeEvent::Listed {
             revision: list.revision,
             form,
             nodes: list.nodes.iter().map(named).collect(),
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -3,11 +3,11 @@
 //! The order of the tables differs from one process to the next, so what comes out of more than one node is put in
 //! order first: the same inputs give the same effects.
 
-use super::survey::Size;
+use super::status::Size;
 use super::{ConnectionId, UpstreamId};
 use crate::codec::discovery::Listed;
+use crate::id_map::IdMap;
 use crate::interface::*;
-use crate::numbers::Numbers;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -87,8 +87,8 @@
 }
 
 pub(super) struct Pool {
-    pub nodes: Numbers<ServerId, Node>,
-    slots: Numbers<ConnectionId, Slot>,
+    pub nodes: IdMap<ServerId, Node>,
+    slots: IdMap<ConnectionId, Slot>,
     /// All that idle, the longest first.
     idle: BTreeSet<(Micros, ConnectionId)>,
     last_turn: Turn,
@@ -108,7 +108,7 @@
         // counts from its last word, and this from when the connection has settled.
         let idle_for = IDLE.min(settings.keep_alive * 3 / 4 - 2 * settings.period - SETTLE).max(0);
         let spare_for = (idle_for * SPARED / proxies).min(idle_for);
-        let (nodes, slots, idle) = (Numbers::default(), Numbers::default(), BTreeSet::new());
+        let (nodes, slots, idle) = (IdMap::default(), IdMap::default(), BTreeSet::new());
         let before_dial = (BEFORE_DIAL * proxies).min(settings.connect_timeout / 2);
         // Less than a tick is nothing that could be waited for.
         let before_dial = if before_dial < settings.period { 0 } else { before_dial };
--- a/src/core/survey.rs
+++ b/src/core/status.rs
@@ -70,7 +70,7 @@
 
 /// Upstream requests, by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ends {
+pub struct OutcomeCounts {
     pub served: u64,
     pub missed: u64,
     pub refused: u64,
@@ -80,7 +80,7 @@
 
 /// A node, for those who watch.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct NodeStatus {
     pub name: Rc<str>,
     pub address: SocketAddr,
     pub zone: ZoneId,
@@ -90,16 +90,16 @@
     /// What the module makes of it; nothing once it is gone.
     pub sight: Option<Sight>,
     pub connections: u32,
-    pub ends: Ends,
+    pub ends: OutcomeCounts,
     /// Since when `ends` counts.
     pub since: Micros,
 }
 
 /// What there is to see at a moment.
 #[derive(Clone, Debug)]
-pub struct Survey {
+pub struct ClusterStatus {
     /// In the order of names.
-    pub nodes: Vec<Seen>,
+    pub nodes: Vec<NodeStatus>,
     pub origin: Option<OriginSight>,
     pub revision: Option<u64>,
     /// When discovery last said anything, and when it last told a list.
@@ -114,7 +114,7 @@
     origin: bool,
     /// Since when it is not listed.
     gone: Option<Micros>,
-    ends: Ends,
+    ends: OutcomeCounts,
     since: Micros,
 }
 
@@ -147,7 +147,8 @@
             if self.rows.len() >= ROWS && !self.rows.contains_key(&id) {
                 continue;
             }
-            let (ends, since) = self.rows.get(&id).map_or((Ends::default(), now), |m| (m.ends, m.since));
+            let (ends, since) =
+                self.rows.get(&id).map_or((OutcomeCounts::default(), now), |m| (m.ends, m.since));
             let gone = (member.phase == Phase::Gone).then_some(now);
             let gone = gone.and(self.rows.get(&id).and_then(|m| m.gone).or(gone));
             let (address, name, member) = (*address, name.clone(), member.clone());
@@ -188,14 +189,14 @@
         self.rows.get(&server).is_some_and(|m| m.member.age(now) < cold_for)
     }
 
-    pub fn survey(
+    pub fn status(
         &self,
         sights: &BTreeMap<ServerId, Sight>,
         origin: Option<OriginSight>,
         held: &BTreeMap<ServerId, u32>,
         revision: Option<u64>,
-    ) -> Survey {
-        let seen = |(id, m): (&ServerId, &Mark)| Seen {
+    ) -> ClusterStatus {
+        let seen = |(id, m): (&ServerId, &Mark)| NodeStatus {
             name: m.name.clone(),
             address: m.address,
             zone: m.member.zone,
@@ -207,8 +208,8 @@
             ends: m.ends,
             since: m.since,
         };
-        let mut nodes: Vec<Seen> = self.rows.iter().map(seen).collect();
+        let mut nodes: Vec<NodeStatus> = self.rows.iter().map(seen).collect();
         nodes.sort_by(|a, b| a.name.cmp(&b.name));
-        Survey { nodes, origin, revision, heard: self.heard, told: self.told }
+        ClusterStatus { nodes, origin, revision, heard: self.heard, told: self.told }
     }
 }
--- a/src/core/upstream.rs
+++ b/src/core/upstream.rs
@@ -30,7 +30,7 @@
         let attempt = stream.attempts;
         stream.attempts += 1;
         stream.server = Some(server);
-        stream.course.retried |= stream.failed;
+        stream.details.retried |= stream.failed;
         if self.marks.is_origin(server) {
             self.counters.fetched += 1;
             self.counters.spilled += u64::from(!stream.missed && stream.message.value.is_none());
@@ -62,7 +62,7 @@
         expires: Micros,
         begin_by: Option<Micros>,
     ) {
-        self.see(|| Seen::Sent(server));
+        self.see(|| NodeEvent::Sent(server));
         let id = match stream {
             Some(attempt) => UpstreamId::attempt(attempt),
             None => UpstreamId::probe(self.id()),
@@ -256,7 +256,7 @@
         self.pool.heard(server, now);
         match carried {
             Some(id) => self.end(now, id, reply.verdict, Some(reply)),
-            None => self.see(|| Seen::Heard(server)),
+            None => self.see(|| NodeEvent::LateAnswer(server)),
         }
         if keep {
             let settled = self.pool.answered(c, now);
@@ -308,8 +308,8 @@
         let no_place = reply.as_ref().is_some_and(|r| r.no_place);
         let (value, note, report) = reply.map_or_else(Default::default, |r| (r.value, r.note, r.report));
         let (server, elapsed) = (u.server, now - u.sent);
-        let load = if self.watched { self.load(&report) } else { None };
-        self.see(|| Seen::Ended { server, verdict, elapsed, load });
+        let load = if self.wants_node_events { self.load(&report) } else { None };
+        self.see(|| NodeEvent::Ended { server, verdict, elapsed, load });
         // A miss of the origin is an answer: nobody has such a key.
         let kind = self.pool.nodes.get(&server).map(|n| n.kind);
         let absent = verdict == Verdict::Miss && kind.is_some() && kind == self.settings.origin_kind;
@@ -331,7 +331,7 @@
             match verdict {
                 Verdict::Served => {
                     asked.server = Some(server);
-                    asked.course.joined = asked.missed && !self.marks.is_origin(server);
+                    asked.details.joined = asked.missed && !self.marks.is_origin(server);
                 }
                 // A node that does not say how a miss came about has missed all the same.
                 Verdict::Miss => (asked.note, asked.missed) = (MISS, true),
--- a/src/door/rank.rs
+++ b/src/door/rank.rs
@@ -1,6 +1,6 @@
 //! What a downstream shows, and how it ranks among those that may have to go.
 
-use crate::core::Ask;
+use crate::core::NewStream;
 
 /// What a downstream is up to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -42,7 +42,7 @@
 
 impl Shown {
     /// A command became a stream, or several.
-    pub fn asked(&mut self, ask: &Ask) {
+    pub fn asked(&mut self, ask: &NewStream) {
         self.asks += 1;
         self.tenant = Some(ask.tenant.0);
         self.waits = Waits::Answer;
--- a/src/features/control.rs
+++ b/src/features/control.rs
@@ -16,7 +16,7 @@
 use crate::interface::Micros;
 use crate::net::framed::{self, Outbox, Word};
 use crate::net::unmapped;
-use crate::signals::{Asked, Signals};
+use crate::signals::{SignalRequest, Signals};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -173,8 +173,8 @@
     let _signals = executor.spawn(async move {
         loop {
             let news = match signals.next().await {
-                Asked::Reload => News::Reload,
-                Asked::End => News::End,
+                SignalRequest::Reload => News::Reload,
+                SignalRequest::End => News::End,
             };
             let _ = queue.send(news).await;
         }
--- a/src/features/control/settings.rs
+++ b/src/features/control/settings.rs
@@ -97,7 +97,7 @@
 
 /// A proxy's name as a follower's.
 pub fn follower(name: &str) -> FollowerId {
-    FollowerId(discovery::number(name.as_bytes()))
+    FollowerId(discovery::hash_id(name.as_bytes()))
 }
 
 /// The names in a file, one a line, `#` before a comment.
--- a/src/features/figures.rs
+++ b/src/features/figures.rs
@@ -1,7 +1,7 @@
 //! figures: counters, gauges and timers for a collector, in batches. Counters are summed until they are
 //! flushed; every latency has a line. Whatever the target does, nobody waits for it.
 
-use crate::core::{Ended, Record};
+use crate::core::{Record, StreamOutcome};
 use crate::interface::{ClassId, Micros, TenantId};
 use crate::log::writer::Writer;
 use crate::settings::Site;
@@ -215,7 +215,7 @@
         if let Some(read) = record.read() {
             count("reads", read);
         }
-        if record.ended == Ended::Served {
+        if record.ended == StreamOutcome::Served {
             let tags = self.tags(record.class, record.tenant);
             let ms = (record.time / 1000).max(0) as u64;
             let ready = state.ready.len();
--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -2,11 +2,11 @@
 //! as the module's event. It owns the [`plan::Forwarder`] of this proxy and the names of its nodes; no socket
 //! and no clock, so that virtual time can drive it too. Without `planner` lines there is none.
 //!
-//! Feed it [`Seen`] and [`Record`]s, what planners' connections say, and [`Forwarding::tick`] at
+//! Feed it [`NodeEvent`] and [`Record`]s, what planners' connections say, and [`Forwarding::tick`] at
 //! [`Forwarding::next`]; carry out its [`Wish`]es.
 
 use crate::codec::discovery;
-use crate::core::{Ended, Record, Seen};
+use crate::core::{NodeEvent, Record, StreamOutcome};
 use crate::interface::{
     self, KindId, ListForm, Member, Micros, Phase, ServerId, Settings as Site, Solved, Verdict,
 };
@@ -98,7 +98,7 @@
         let rules = rules(settings.forwarders, site);
         let even = rules.even();
         let config = Config {
-            id: ForwarderId(discovery::number(name.as_bytes())),
+            id: ForwarderId(discovery::hash_id(name.as_bytes())),
             life: now.unsigned_abs(),
             hall: hall(site.zone),
             tenants: site.quotas.len(),
@@ -135,26 +135,26 @@
     }
 
     /// Something went on at a node.
-    pub fn seen(&mut self, now: Micros, seen: Seen) {
+    pub fn seen(&mut self, now: Micros, seen: NodeEvent) {
         match seen {
-            Seen::Listed { revision, form, nodes } => self.list(now, revision, form, nodes),
-            Seen::Asked { class, tenant, write } => {
+            NodeEvent::Listed { revision, form, nodes } => self.list(now, revision, form, nodes),
+            NodeEvent::StreamTaken { class, tenant, write } => {
                 self.machine.eyes().asked(tenant.0 as usize, usize::from(class.0));
                 if write && self.origin_kind.is_some() {
                     self.machine.eyes().wanted();
                 }
             }
-            Seen::Sent(server) if self.origins.contains(&server) => self.machine.eyes().fetched(),
-            Seen::Sent(server) => {
+            NodeEvent::Sent(server) if self.origins.contains(&server) => self.machine.eyes().fetched(),
+            NodeEvent::Sent(server) => {
                 if let Some(node) = self.nodes.get(&server) {
                     self.machine.eyes().sent(now, *node);
                 }
             }
-            Seen::Ended { server, verdict, elapsed, .. } if self.origins.contains(&server) => {
+            NodeEvent::Ended { server, verdict, elapsed, .. } if self.origins.contains(&server) => {
                 let answered = matches!(verdict, Verdict::Served | Verdict::Miss).then_some(elapsed);
                 self.machine.eyes().fetch_ended(answered);
             }
-            Seen::Ended { server, verdict: end, elapsed, load } => {
+            NodeEvent::Ended { server, verdict: end, elapsed, load } => {
                 let Some(node) = self.nodes.get(&server).copied() else { return };
                 let eyes = self.machine.eyes();
                 eyes.ended(now, node, verdict(end), elapsed);
@@ -165,7 +165,7 @@
                     eyes.wanted();
                 }
             }
-            Seen::Heard(server) => {
+            NodeEvent::LateAnswer(server) => {
                 if let Some(node) = self.nodes.get(&server) {
                     self.machine.eyes().load(now, *node, None);
                 }
@@ -178,8 +178,8 @@
         let (tenant, class) = (record.tenant.0 as usize, usize::from(record.class.0));
         let aim = self.aims.get(class).copied().unwrap_or(Micros::MAX);
         match record.ended {
-            Ended::Served if record.time <= aim => self.machine.eyes().served(tenant, class),
-            Ended::Refused => self.machine.eyes().refused(tenant, class),
+            StreamOutcome::Served if record.time <= aim => self.machine.eyes().served(tenant, class),
+            StreamOutcome::Refused => self.machine.eyes().refused(tenant, class),
             _ => {}
         }
     }
--- a/src/features/multiget.rs
+++ b/src/features/multiget.rs
@@ -1,8 +1,8 @@
 //! multi-get: several reads in one command, on a port of their own. It is another protocol before the same
-//! core: each read is an [`Ask`] like any other, and the answers are put together here.
+//! core: each read is a [`NewStream`] like any other, and the answers are put together here.
 
 use crate::codec::resp;
-use crate::core::{Answer, Ask, DownstreamId};
+use crate::core::{Answer, DownstreamId, NewStream};
 use crate::interface::Repeat;
 use crate::net::protocol::{self, error, Parsed, Protocol};
 use crate::net::vocabulary::Vocabulary;
@@ -42,7 +42,7 @@
     wanted: usize,
     taken: usize,
     bytes: usize,
-    asks: Vec<Ask>,
+    asks: Vec<NewStream>,
     /// Why none of it will be asked; the rest is read all the same, to stay in step.
     fault: Option<String>,
 }
@@ -117,7 +117,7 @@
     ) -> Parsed {
         let Some(batch) = &mut self.batch else { return self.begin(downstream, first, command) };
         batch.bytes += bytes;
-        if batch.bytes > resp::COMMAND + batch.wanted * READ {
+        if batch.bytes > resp::MAX_COMMAND + batch.wanted * READ {
             return Parsed::Close(error("ERR the reads are too long"));
         }
         let read = read(&self.words, downstream, first + batch.taken as u64, command);
@@ -180,7 +180,7 @@
     downstream: DownstreamId,
     place: u64,
     command: Vec<Vec<u8>>,
-) -> Result<Ask, &'static str> {
+) -> Result<NewStream, &'static str> {
     let verb = command.first().map(Vec::as_slice).unwrap_or_default();
     if !verb.eq_ignore_ascii_case(b"CACHE.GET") {
         return Err("not CACHE.GET");
--- a/src/features/planner.rs
+++ b/src/features/planner.rs
@@ -6,7 +6,7 @@
 use crate::interface::Micros;
 use crate::net::framed::{self, Outbox};
 use crate::net::unmapped;
-use crate::signals::{Asked, Signals};
+use crate::signals::{SignalRequest, Signals};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -105,7 +105,7 @@
     let _signals = executor.spawn(async move {
         loop {
             // There is nothing to read again.
-            if signals.next().await == Asked::End {
+            if signals.next().await == SignalRequest::End {
                 let _ = queue.send(News::End).await;
             }
         }
--- a/src/features/snmp/mod.rs
+++ b/src/features/snmp/mod.rs
@@ -11,7 +11,7 @@
 
 pub use settings::{Lines, Settings};
 
-use crate::core::{Ended, Record, Refusal};
+use crate::core::{Record, Refusal, StreamOutcome};
 use crate::interface::Micros;
 use crate::net::uninterrupted;
 use crate::settings::Site;
@@ -118,25 +118,25 @@
 
     /// A stream has ended.
     pub fn record(&self, record: &Record) {
-        let reason = match record.course.refused {
+        let reason = match record.details.refused {
             Some(Refusal::Full) => Reason::Full,
             Some(Refusal::NotSent) => Reason::NotSent,
             Some(Refusal::Origin) => Reason::Ledger,
             Some(Refusal::Attempts) | None => Reason::Attempts,
         };
         let ended = match record.ended {
-            Ended::Served => tally::Ended::Served,
-            Ended::Refused => tally::Ended::Refused(reason),
-            Ended::Failed => tally::Ended::Failed,
-            Ended::Left => tally::Ended::Left,
+            StreamOutcome::Served => tally::Ended::Served,
+            StreamOutcome::Refused => tally::Ended::Refused(reason),
+            StreamOutcome::Failed => tally::Ended::Failed,
+            StreamOutcome::Left => tally::Ended::Left,
         };
         let stream = Stream {
             class: usize::from(record.class.0),
             tenant: record.tenant.0 as usize,
             ended,
             time: record.time,
-            retried: record.course.retried,
-            joined: record.course.joined,
+            retried: record.details.retried,
+            joined: record.details.joined,
         };
         self.tally.borrow_mut().ended(record.at, stream);
     }
@@ -152,7 +152,7 @@
     }
 
     /// Publishes what there is to see, and hands on what changed since.
-    pub fn publish(&self, now: Micros, survey: crate::core::survey::Survey, owned: Owned) {
+    pub fn publish(&self, now: Micros, survey: crate::core::status::ClusterStatus, owned: Owned) {
         let mut tally = self.tally.borrow_mut();
         let snapshot = Rc::new(self.sight.borrow_mut().take(now, survey, &mut tally, owned));
         if owned.ready {
--- a/src/features/snmp/sight.rs
+++ b/src/features/snmp/sight.rs
@@ -1,6 +1,6 @@
 //! What the core lets be seen, as the snapshot that the agent shows.
 
-use crate::core::survey::{Seen, Survey};
+use crate::core::status::{ClusterStatus, NodeStatus};
 use crate::core::Counters;
 use crate::interface::{Health, Micros, Phase};
 use crate::settings::Site;
@@ -52,7 +52,7 @@
     }
 }
 
-fn state(seen: &Seen) -> State {
+fn state(seen: &NodeStatus) -> State {
     match seen.sight.map(|s| s.health) {
         None => State::Gone,
         Some(Health::Serving) => State::Serving,
@@ -63,7 +63,7 @@
     }
 }
 
-fn ledger(survey: &Survey) -> Ledger {
+fn ledger(survey: &ClusterStatus) -> Ledger {
     let Some(origin) = survey.origin else { return Ledger::default() };
     let state = if !origin.within_reach || origin.window < CLOSED {
         LedgerState::Closed
@@ -92,7 +92,7 @@
         }
     }
 
-    fn node(&mut self, now: Micros, seen: Seen) -> Node {
+    fn node(&mut self, now: Micros, seen: NodeStatus) -> Node {
         let (phase, state) = (phase(seen.phase), state(&seen));
         let last = self.changed.entry(seen.name.clone()).or_insert((phase, state, seen.since));
         if (last.0, last.1) != (phase, state) {
@@ -121,9 +121,9 @@
     }
 
     /// The snapshot of this moment.
-    pub fn take(&mut self, now: Micros, survey: Survey, tally: &mut Tally, o: Owned) -> Snapshot {
+    pub fn take(&mut self, now: Micros, survey: ClusterStatus, tally: &mut Tally, o: Owned) -> Snapshot {
         let ledger = ledger(&survey);
-        let Survey { nodes, revision, heard, told, .. } = survey;
+        let ClusterStatus { nodes, revision, heard, told, .. } = survey;
         let nodes: Vec<Node> = nodes.into_iter().map(|seen| self.node(now, seen)).collect();
         if self.changed.len() > nodes.len() {
             self.changed.retain(|name, _| nodes.binary_search_by(|n| n.name.cmp(name)).is_ok());
--- a/src/features/tap.rs
+++ b/src/features/tap.rs
@@ -167,7 +167,7 @@
 
     /// A request follows from its id alone into the sample: every proxy picks the same, none draws.
     fn sampled(&self, record: &Record) -> bool {
-        let part = (discovery::number(&record.message.id) >> 11) as f64 / (1u64 << 53) as f64;
+        let part = (discovery::hash_id(&record.message.id) >> 11) as f64 / (1u64 << 53) as f64;
         part < self.settings.sample
     }
 
--- a/src/numbers.rs
+++ b/src/id_map.rs
@@ -8,12 +8,12 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 
-pub(crate) type Numbers<K, V> = HashMap<K, V, BuildHasherDefault<Mixed>>;
+pub(crate) type IdMap<K, V> = HashMap<K, V, BuildHasherDefault<MixHasher>>;
 
 #[derive(Default)]
-pub(crate) struct Mixed(u64);
+pub(crate) struct MixHasher(u64);
 
-impl Hasher for Mixed {
+impl Hasher for MixHasher {
     fn finish(&self) -> u64 {
         self.0
     }
--- a/src/net/cluster.rs
+++ b/src/net/cluster.rs
@@ -1,7 +1,7 @@
 //! Discovery: a watch on the list of nodes. When and from where to watch is the core's.
 
 use super::{read, tell, write_all, Heard, News, Note, Queue};
-use crate::codec::discovery::{self, Objects, Piece};
+use crate::codec::discovery::{self, ObjectSplitter, WatchItem};
 use crate::codec::http;
 use crate::settings::Site;
 use async_io::Async;
@@ -41,7 +41,7 @@
     let path = format!("{PATH}?watch=1{after}");
     http::put_request(&mut out, "GET", path.as_bytes(), &address.to_string(), &[], None);
     write_all(&socket, &out).await.map_err(failed)?;
-    let (mut input, mut body) = (Vec::new(), Objects::default());
+    let (mut input, mut body) = (Vec::new(), ObjectSplitter::default());
     let mut begun = false;
     loop {
         if read(&socket, &mut input).await.map_err(failed)? == 0 {
@@ -67,9 +67,9 @@
         }
         while let Some(piece) = body.piece()? {
             let list = match piece {
-                Piece::Blank => None,
-                Piece::Object(text) => {
-                    let (list, odd) = discovery::object(&text, site)?;
+                WatchItem::Blank => None,
+                WatchItem::Object(text) => {
+                    let (list, odd) = discovery::parse_list(&text, site)?;
                     if let Some(odd) = odd {
                         tell(queue, Note::new("odd_entry", format!("discovery lists {odd}")).why(odd)).await;
                     }
--- a/src/net/memcached/answers.rs
+++ b/src/net/memcached/answers.rs
@@ -52,10 +52,10 @@
             }
             Answer::Late if write => (Status::TEMPORARY, "out of time, it may have run".to_owned()),
             Answer::Late => (Status::TEMPORARY, "out of time".to_owned()),
-            Answer::Failed | Answer::Taken if write => {
+            Answer::Failed | Answer::DuplicateId if write => {
                 (Status::INTERNAL, "failed, it may have run".to_owned())
             }
-            Answer::Failed | Answer::Taken => (Status::INTERNAL, "failed".to_owned()),
+            Answer::Failed | Answer::DuplicateId => (Status::INTERNAL, "failed".to_owned()),
         };
         error(self.opcode, self.opaque, status, &text)
     }
--- a/src/net/memcached/front.rs
+++ b/src/net/memcached/front.rs
@@ -25,7 +25,7 @@
 const OPEN: usize = 1024;
 /// The longest body of a frame that is refused but passed over; behind a longer one the connection is closed.
 const PASSED_OVER: u32 = 1024 * 1024;
-const LIMITS: Limits = Limits { key: frame::KEY, value: resp::VALUE };
+const LIMITS: Limits = Limits { key: frame::KEY, value: resp::MAX_VALUE };
 const TEXT: &[u8] = b"ERROR this port speaks the memcached binary protocol\r\n";
 
 /// One connection.
--- a/src/net/memcached/mod.rs
+++ b/src/net/memcached/mod.rs
@@ -3,13 +3,13 @@
 //!
 //! What it owns: what the protocol's commands mean here ([`words`]), how outcomes are told in it
 //! ([`answers`]), who may ask ([`logins`]) and what may be looked up ([`stats`]). A read or a write becomes
-//! an [`Ask`] like any other; what becomes of it is the module's, here as on every port.
+//! a [`NewStream`] like any other; what becomes of it is the module's, here as on every port.
 //!
 //! When not to use it: for RESP, and for the text protocol, which is told off in a line. It keeps no values,
 //! so commands that need one kept (ADD, INCR, TOUCH …) are not supported. docs/design/memcached.md has the
 //! table.
 //!
-//! [`Ask`]: crate::core::Ask
+//! [`NewStream`]: crate::core::NewStream
 
 pub mod answers;
 mod arrivals;
@@ -92,7 +92,7 @@
                 false => Ok(at),
             }
         };
-        let servers = nodes.ids.iter().map(|id| ServerId(crate::codec::discovery::number(id.as_bytes())));
+        let servers = nodes.ids.iter().map(|id| ServerId(crate::codec::discovery::hash_id(id.as_bytes())));
         Ok(Speakers {
             kinds: nodes.kinds.iter().map(kind).collect::<Result<_, _>>()?,
             servers: servers.collect(),
--- a/src/net/memcached/node.rs
+++ b/src/net/memcached/node.rs
@@ -11,7 +11,7 @@
 use crate::interface::Verdict;
 use memcached::{frame, Fault, Limits, Opcode, Request, Status, Step};
 
-const LIMITS: Limits = Limits { key: frame::KEY, value: resp::VALUE };
+const LIMITS: Limits = Limits { key: frame::KEY, value: resp::MAX_VALUE };
 
 /// The request that a job is; `None` for what this protocol cannot say.
 fn request(job: &Job, number: u32) -> Option<Request<'_>> {
--- a/src/net/memcached/words.rs
+++ b/src/net/memcached/words.rs
@@ -11,8 +11,8 @@
 //! | idempotency key | the CAS of a write, with all that the write says |
 
 use super::Settings;
-use crate::codec::discovery::number;
-use crate::core::{Ask, DownstreamId, Message};
+use crate::codec::discovery::hash_id;
+use crate::core::{DownstreamId, Message, NewStream};
 use crate::interface::*;
 use crate::net::vocabulary;
 use crate::settings::Site;
@@ -115,7 +115,7 @@
         tenant: &Tenant,
         request: &Request,
         waited: Duration,
-    ) -> Result<Ask, Unasked> {
+    ) -> Result<NewStream, Unasked> {
         let write = request.opcode.loud() == Opcode::SET;
         let of = match (write, &self.writes) {
             (false, _) => &self.reads,
@@ -152,7 +152,7 @@
             properties: properties.into_bytes(),
             value: write.then(|| request.value.to_vec()),
         };
-        Ok(Ask {
+        Ok(NewStream {
             downstream,
             place,
             class: of.class,
@@ -182,7 +182,7 @@
         said.extend_from_slice(&(part.len() as u64).to_be_bytes());
         said.extend_from_slice(part);
     }
-    format!("{:016x}{:016x}", request.cas, number(&said))
+    format!("{:016x}{:016x}", request.cas, hash_id(&said))
 }
 
 #[cfg(test)]
--- a/src/net/origin.rs
+++ b/src/net/origin.rs
@@ -2,7 +2,7 @@
 //! came but for the time: it is told what is left, as every node is.
 
 use super::upstream::properties;
-use crate::codec::http::{self, Rest};
+use crate::codec::http::{self, PeerState};
 use crate::codec::{self, resp, Parsed};
 use crate::core::{Job, Reply};
 use crate::interface::Verdict;
@@ -22,8 +22,8 @@
     }
 }
 
-pub(super) fn reply(bytes: &[u8], job: &Job, columns: &[String], rest: Rest) -> Parsed<Reply> {
-    let response = http::response(bytes, resp::VALUE, rest)?;
+pub(super) fn reply(bytes: &[u8], job: &Job, columns: &[String], rest: PeerState) -> Parsed<Reply> {
+    let response = http::response(bytes, resp::MAX_VALUE, rest)?;
     let Some(((head, value), taken)) = response else { return Ok(None) };
     let never_ran = head.header("X-Never-Ran") == Some(b"1");
     let read = matches!(job, Job::Stream { message, .. } if message.value.is_none());
--- a/src/net/protocol.rs
+++ b/src/net/protocol.rs
@@ -9,16 +9,16 @@
 //! [`Link`]: super::downstream::Link
 
 use crate::codec::resp;
-use crate::core::{Answer, Ask, DownstreamId};
+use crate::core::{Answer, DownstreamId, NewStream};
 use std::time::Duration;
 
 /// A command as a local reply or a stream.
 #[derive(Debug)]
 pub enum Parsed {
     Local(Vec<u8>),
-    Ask(Box<Ask>),
+    Ask(Box<NewStream>),
     /// One answer from several streams, which [`Protocol::put`] makes of theirs.
-    Asks(Vec<Ask>),
+    Asks(Vec<NewStream>),
     /// A part of a command: more of them make it whole.
     More,
     /// A local reply that costs whoever caused it time: it goes out after so long, and nothing more is taken
@@ -42,7 +42,7 @@
 
     /// The most bytes of a command: as many are read ahead at the least.
     fn longest(&self) -> usize {
-        resp::COMMAND
+        resp::MAX_COMMAND
     }
 
     /// So many bytes have come, just now.
@@ -98,7 +98,7 @@
         Answer::Busy(Some(after)) if after >= 1000 => error(&format!("BUSY {}", after / 1000)),
         Answer::Busy(_) => error("BUSY"),
         Answer::Failed | Answer::Late => error("ERR failed"),
-        Answer::Taken => error("ERR the id of an open request"),
+        Answer::DuplicateId => error("ERR the id of an open request"),
     }
 }
 
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -2,9 +2,9 @@
 
 use super::memcached::node as memcached;
 use super::{consume, origin, peek, read, tell, write_all, Note, Queue};
-use crate::codec::http::Rest;
+use crate::codec::http::PeerState;
 use crate::codec::{self, resp, Malformed, Parsed};
-use crate::core::{ConnectionId, Input, Job, Reply, Stage, READS};
+use crate::core::{ConnectionId, Input, Job, Reply, Stage, READ_RESULTS};
 use crate::interface::Verdict;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
@@ -48,7 +48,7 @@
     }
 
     /// The reply that has come, if it is whole.
-    fn reply(self, bytes: &[u8], turn: &Turn, rest: Rest) -> Parsed<Reply> {
+    fn reply(self, bytes: &[u8], turn: &Turn, rest: PeerState) -> Parsed<Reply> {
         let Turn { job, columns, number, .. } = *turn;
         let probe = matches!(job, Job::Probe);
         match self {
@@ -88,7 +88,7 @@
 
 /// How a read went, as the module counts it; `None` for a word that no node says.
 fn note(how: Option<&[u8]>) -> Option<u32> {
-    how.map_or(Some(0), |how| READS.iter().position(|w| w.as_bytes() == how).map(|at| at as u32 + 1))
+    how.map_or(Some(0), |how| READ_RESULTS.iter().position(|w| w.as_bytes() == how).map(|at| at as u32 + 1))
 }
 
 fn reply(reply: resp::Reply, probe: bool, columns: &[String]) -> Reply {
@@ -265,7 +265,7 @@
             // Not its last byte was written, so it never ran. A node may turn a job away before it has heard all of
             // it; what else it says by then is no answer to it.
             let _ = future::poll_once(read(&self.socket, &mut self.input)).await;
-            return match self.dialect.reply(&self.input, &turn, Rest::Open) {
+            return match self.dialect.reply(&self.input, &turn, PeerState::Open) {
                 Ok(Some((r, _))) if r.verdict == Verdict::Full => Ok(Reply { keep: false, ..r }),
                 _ => Err((Stage::Writing, None)),
             };
@@ -275,8 +275,8 @@
         consume(&mut self.output, written);
         loop {
             let rest = match read(&self.socket, &mut self.input).await {
-                Ok(1..) => Rest::Open,
-                Ok(0) => Rest::Closed,
+                Ok(1..) => PeerState::Open,
+                Ok(0) => PeerState::Closed,
                 Err(_) => return Err((Stage::Reading, None)),
             };
             let parsed = self.dialect.reply(&self.input, &turn, rest);
@@ -289,7 +289,7 @@
                 }
                 return Ok(reply);
             }
-            if rest == Rest::Closed {
+            if rest == PeerState::Closed {
                 return Err((Stage::Reading, None));
             }
         }
--- a/src/net/vocabulary.rs
+++ b/src/net/vocabulary.rs
@@ -4,7 +4,7 @@
 
 use super::protocol::{array, error, Parsed, Protocol};
 use crate::codec::discovery;
-use crate::core::{Ask, DownstreamId, Message};
+use crate::core::{DownstreamId, Message, NewStream};
 use crate::interface::*;
 use crate::settings::Site;
 use std::cell::Cell;
@@ -26,7 +26,7 @@
 /// The key as a number: as written where it is hexadecimal, else hashed.
 pub(crate) fn key(text: &[u8]) -> Key {
     let hex = std::str::from_utf8(text).ok().filter(|t| t.len() <= 16 && !t.starts_with('+'));
-    Key(hex.and_then(|t| u64::from_str_radix(t, 16).ok()).unwrap_or_else(|| discovery::number(text)).max(1))
+    Key(hex.and_then(|t| u64::from_str_radix(t, 16).ok()).unwrap_or_else(|| discovery::hash_id(text)).max(1))
 }
 
 impl Vocabulary {
@@ -54,7 +54,7 @@
         downstream: DownstreamId,
         place: u64,
         words: Vec<Vec<u8>>,
-    ) -> Result<Ask, &'static str> {
+    ) -> Result<NewStream, &'static str> {
         let mut words = words.into_iter();
         let mut word = || words.next().unwrap_or_default();
         let (verb, name, id, properties) = (word(), word(), word(), word());
@@ -85,7 +85,7 @@
         let limit = self.site.settings.classes.get(class).map_or(0.0, |c| c.limit as f64 / 1000.0);
         let patience = patience.filter(|d| (1.0..=LONGEST.max(limit)).contains(d)).ok_or("invalid d")?;
         let hint = value_of("hint").and_then(|h| h.parse::<f64>().ok()).filter(|h| *h > 0.0 && h.is_finite());
-        Ok(Ask {
+        Ok(NewStream {
             downstream,
             place,
             class: ClassId(class as u16),
--- a/src/owner/discovery.rs
+++ b/src/owner/discovery.rs
@@ -56,7 +56,7 @@
             Heard::Answered if present => Some(Input::Cluster(None)),
             Heard::Told(list) if present => Some(Input::Cluster(list)),
             Heard::Ended if present => Some(Input::WatchEnded),
-            Heard::Told(Some(list)) if !self.spoken => Some(Input::Earlier(list)),
+            Heard::Told(Some(list)) if !self.spoken => Some(Input::PreviousWatch(list)),
             Heard::Answered | Heard::Told(_) | Heard::Ended => None,
         }
     }
--- a/src/owner/discovery/tests.rs
+++ b/src/owner/discovery/tests.rs
@@ -16,12 +16,12 @@
     assert!(matches!(d.hear(1, told(2)), Some(Input::Cluster(Some(_)))));
     d.watch(None, &executor, &queue, &site);
     assert!(d.before.is_some(), "till the present one speaks");
-    assert!(matches!(d.hear(1, told(3)), Some(Input::Earlier(_))));
+    assert!(matches!(d.hear(1, told(3)), Some(Input::PreviousWatch(_))));
     assert!(d.hear(1, Heard::Told(None)).is_none() && d.hear(1, Heard::Ended).is_none());
     // A call without an answer gives way to the next; the watch that has spoken does not.
     d.watch(None, &executor, &queue, &site);
     assert!(d.hear(2, Heard::Ended).is_none() && d.before.is_some());
-    assert!(matches!(d.hear(1, told(4)), Some(Input::Earlier(_))));
+    assert!(matches!(d.hear(1, told(4)), Some(Input::PreviousWatch(_))));
     assert!(matches!(d.hear(3, Heard::Answered), Some(Input::Cluster(None))) && d.before.is_some());
     assert!(matches!(d.hear(3, told(1)), Some(Input::Cluster(Some(_)))) && d.before.is_none());
     assert!(d.hear(1, told(5)).is_none() && d.hear(2, told(5)).is_none());
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -20,7 +20,7 @@
 mod upstreams;
 
 use crate::clock::Clock;
-use crate::codec::discovery::number;
+use crate::codec::discovery::hash_id;
 use crate::config::Config;
 use crate::core::{Core, DownstreamId, Effect, Input};
 use crate::door::ending::Ending;
@@ -38,7 +38,7 @@
 use crate::net::vocabulary::Vocabulary;
 use crate::net::{Caller, News, Port, Queue};
 use crate::settings::Site;
-use crate::signals::{Asked, Signals};
+use crate::signals::{SignalRequest, Signals};
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -113,7 +113,7 @@
     let now = clock.now();
     let site = Rc::new(config.site);
     // Ids that are made here must differ between proxies, also where no seed is configured.
-    let seed = config.seed ^ number(config.name.as_bytes()) ^ now as u64;
+    let seed = config.seed ^ hash_id(config.name.as_bytes()) ^ now as u64;
     let limits =
         Limits { descriptors: config.sockets, memory: config.memory, side_ports: bound.side_ports() };
     let door = features.door.clone();
@@ -167,8 +167,8 @@
     let _signals = executor.spawn(async move {
         loop {
             let news = match signals.next().await {
-                Asked::Reload => News::Reload,
-                Asked::End => News::End,
+                SignalRequest::Reload => News::Reload,
+                SignalRequest::End => News::End,
             };
             let _ = queue.send(news).await;
         }
@@ -190,8 +190,8 @@
         loop {
             // All that has happened comes before the timers: an answer that is here is no time-out.
             let now = self.clock.now();
-            self.core.observed = self.side.listens() || self.planners.is_some();
-            self.core.watched = self.planners.is_some();
+            self.core.wants_records = self.side.listens() || self.planners.is_some();
+            self.core.wants_node_events = self.planners.is_some();
             self.core.limit_connections(self.door.most_nodes(self.ports.open()));
             for _ in 0..AT_ONCE {
                 let Ok(one) = news.try_recv() else { break };
@@ -294,7 +294,7 @@
                     if let Some(snmp) = self.side.snmp() {
                         snmp.reloaded();
                     }
-                    self.core.input(now, Input::Moved);
+                    self.core.input(now, Input::DiscoveryMoved);
                 }
             }
             News::End if self.ending.is_some() => {}
@@ -303,7 +303,7 @@
                 info!(event = "told_to_end", streams, "told to end: {streams} streams open");
                 let longest = self.site.settings.classes.iter().map(|class| class.limit).max();
                 let ending = Ending::new(now, longest);
-                self.core.input(now, Input::Ends(ending.answered()));
+                self.core.input(now, Input::ShutdownBy(ending.answered()));
                 self.ending = Some(ending);
             }
         }
@@ -312,7 +312,7 @@
     /// `PING` is answered `+PONG` from the moment that there is a list.
     fn look_ready(&mut self, now: Micros) {
         let waited = now - self.started >= PATIENCE && self.core.serving() > 0;
-        if !self.words.ready.get() && (self.core.told() || waited) {
+        if !self.words.ready.get() && (self.core.has_list() || waited) {
             self.words.ready.set(true);
             info!(event = "ready", "ready");
         }
@@ -379,7 +379,7 @@
 
     fn close(&mut self, id: DownstreamId, why: Why) {
         self.door.gone(id, why);
-        self.core.counters.unanswered += self.core.open_of(id) as u64;
+        self.core.counters.unanswered += self.core.open_streams_of(id) as u64;
         self.drop_downstream(id);
     }
 
@@ -412,13 +412,13 @@
                     self.discovery.watch(after, &self.executor, &self.queue, &self.site);
                 }
                 Effect::Note(text) => info!(event = "core", "{text}"),
-                Effect::Ended(record) => {
+                Effect::StreamEnded(record) => {
                     self.side.record(&record);
                     if let Some(planners) = &mut self.planners {
                         planners.forwarding.record(&record);
                     }
                 }
-                Effect::Seen(seen) => {
+                Effect::NodeEvent(seen) => {
                     let now = self.clock.now();
                     if let Some(planners) = &mut self.planners {
                         planners.forwarding.seen(now, seen);
@@ -470,7 +470,7 @@
             streams: self.core.open_streams(),
             counters: self.core.counters,
         };
-        snmp.publish(now, self.core.survey(now), owned);
+        snmp.publish(now, self.core.status(now), owned);
     }
 
     /// What is open, and what has happened since this was asked last.
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -4,8 +4,8 @@
 //! It owns the slots and keeps the index in step with them. What a server is worth and whether it may be used is
 //! not decided here.
 
+use crate::id_map::IdMap;
 use crate::interface::*;
-use crate::numbers::Numbers;
 use crate::state::{mix, Server};
 use placement::{Best, Index, Place, FAR, NEAR};
 
@@ -13,7 +13,7 @@
 pub struct Servers {
     slots: Vec<Option<Server>>,
     free: Vec<u32>,
-    found: Numbers<ServerId, u32>,
+    found: IdMap<ServerId, u32>,
     /// In the order of ids.
     order: Vec<(ServerId, u32)>,
     origins: Vec<u32>,
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -19,7 +19,7 @@
 
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum SignalRequest {
     /// SIGTERM or SIGINT.
     End,
     /// SIGHUP.
@@ -52,13 +52,13 @@
     }
 
     /// Waits for the next one; an end comes before a reload.
-    pub async fn next(&self) -> Asked {
+    pub async fn next(&self) -> SignalRequest {
         loop {
             if self.end.swap(false, Ordering::SeqCst) {
-                return Asked::End;
+                return SignalRequest::End;
             }
             if self.reload.swap(false, Ordering::SeqCst) {
-                return Asked::Reload;
+                return SignalRequest::Reload;
             }
             let look = async {
                 Timer::after(LOOK).await;
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -76,7 +76,7 @@
         let tenant = TenantId(0);
         let message = Rc::new(Message::default());
         let (place, repeat, hint) = (0, false, None);
-        self.input(Input::Stream(Ask {
+        self.input(Input::Stream(NewStream {
             downstream,
             place,
             class,
@@ -168,26 +168,26 @@
 fn a_stream_ends_with_one_record_if_somebody_listens() {
     let records = |effects: Vec<Effect>| -> Vec<Record> {
         let record = |e| match e {
-            Effect::Ended(record) => Some(record),
+            Effect::StreamEnded(record) => Some(record),
             _ => None,
         };
         effects.into_iter().filter_map(record).collect()
     };
     for observed in [false, true] {
         let mut p = Proxy::new();
-        p.core.observed = observed;
+        p.core.wants_records = observed;
         let c = dialled(&p.ask(1_000 * MS)).expect("a dial");
         p.input(Input::Connected(c));
         p.pass(20 * MS);
         let told = records(p.input(Input::Replied(c, Reply { note: 1, ..served() })));
         assert_eq!(told.len(), usize::from(observed));
         for r in &told {
-            assert_eq!((r.ended, r.read(), r.time), (Ended::Served, Some("hit"), 20 * MS));
+            assert_eq!((r.ended, r.read(), r.time), (StreamOutcome::Served, Some("hit"), 20 * MS));
             assert_eq!((r.node.as_deref(), r.at), (Some("s-1"), p.now));
         }
         p.ask(1_000 * MS);
         let told = records(p.input(Input::DownstreamClosed(DownstreamId(1))));
-        assert_eq!(told.iter().map(|r| r.ended).collect::<Vec<_>>(), [Ended::Left; 1][..told.len()]);
+        assert_eq!(told.iter().map(|r| r.ended).collect::<Vec<_>>(), [StreamOutcome::Left; 1][..told.len()]);
         assert_eq!(told.len(), usize::from(observed));
     }
 }
@@ -360,9 +360,9 @@
 fn what_the_watch_before_tells_holds_and_leaves_the_present_call_as_it_is() {
     let mut p = Proxy::new();
     let watched = |e: &Effect| matches!(e, Effect::Watch { after: None });
-    assert!(has(&p.input(Input::Moved), watched));
+    assert!(has(&p.input(Input::DiscoveryMoved), watched));
     let c = dialled(&p.ask(1_000 * MS)).expect("a dial");
-    p.input(Input::Earlier(list(Phase::Draining, 41)));
+    p.input(Input::PreviousWatch(list(Phase::Draining, 41)));
     assert!(!written(&p.input(Input::Connected(c))), "the node drains");
     let effects = p.pass(1_250 * MS);
     assert!(has(&effects, watched), "the call has no answer still, and asks for the whole list again");
@@ -826,7 +826,7 @@
         let mut dialled = Vec::new();
         for key in 0..200 {
             let message = Rc::new(Message { id: vec![key], ..Message::default() });
-            let stream = Ask {
+            let stream = NewStream {
                 downstream: DownstreamId(u64::from(key)),
                 place: 0,
                 class: ClassId(0),
@@ -869,7 +869,7 @@
     let member = Member { kind: KindId(1), ..Member::ready(ServerId(2)) };
     known.nodes.push(Listed { member, address: known.nodes[0].address, name: "s-2".into() });
     let mut p = Proxy { core: Core::new(now, settings, 1, 100, known), now };
-    p.core.observed = true;
+    p.core.wants_records = true;
     p.core.take_effects();
     p
 }
@@ -881,7 +881,7 @@
     let miss = || Reply { verdict: Verdict::Miss, value: Vec::new(), ..served() };
     let joined = |effects: &[Effect]| {
         effects.iter().find_map(|e| match e {
-            Effect::Ended(record) => Some(record.course.joined),
+            Effect::StreamEnded(record) => Some(record.details.joined),
             _ => None,
         })
     };
@@ -899,7 +899,7 @@
     assert!(written(&effects), "the second goes to the cache again");
     assert_eq!(joined(&effects), Some(false));
     assert_eq!(joined(&p.input(Input::Replied(cache, served()))), Some(true));
-    let nodes = p.core.survey(p.now).nodes;
+    let nodes = p.core.status(p.now).nodes;
     let ends: Vec<_> = nodes.iter().map(|n| (&*n.name, n.origin, n.ends.served, n.ends.missed)).collect();
     assert_eq!(ends, [("s-1", false, 1, 2), ("s-2", true, 1, 0)]);
 }
@@ -932,7 +932,7 @@
     p.input(Input::Connected(c));
     p.input(Input::Replied(c, served()));
     let row = |p: &Proxy| {
-        let nodes = p.core.survey(p.now).nodes;
+        let nodes = p.core.status(p.now).nodes;
         nodes.first().map(|n| (n.phase, n.sight.is_some(), n.ends.served, n.since))
     };
     let began = p.now;
@@ -967,7 +967,7 @@
     assert!(dialled(&p.ask_for(Key(9), 60_000 * MS)).is_some());
     assert_eq!(p.core.open_streams(), 4);
     let ends = p.now + 200 * MS;
-    p.input(Input::Ends(ends));
+    p.input(Input::ShutdownBy(ends));
     // The fifth comes after that, with an hour to wait.
     p.ask_for(Key(10), 3_600_000 * MS);
     let effects = p.pass(200 * MS);
@@ -995,7 +995,7 @@
     let cache = dialled(&p.ask(60_000 * MS)).expect("a dial");
     p.pass(20 * MS);
     let ends = p.now + 300 * MS;
-    p.input(Input::Ends(ends));
+    p.input(Input::ShutdownBy(ends));
     p.pass(30 * MS);
     let first = told(&p.input(Input::Connected(cache))).expect("it waited for the connection");
     assert_eq!(first, ends - 5 * MS - p.now, "a tick less than what is left");
@@ -1061,7 +1061,7 @@
 #[test]
 fn the_open_streams_of_a_downstream_are_counted_till_they_are_answered() {
     let mut p = Proxy::new();
-    let open = |p: &Proxy| [1, 2, 3].map(|id| p.core.open_of(DownstreamId(id)));
+    let open = |p: &Proxy| [1, 2, 3].map(|id| p.core.open_streams_of(DownstreamId(id)));
     let c = dialled(&p.ask(1_000 * MS)).expect("a dial");
     p.ask_from(DownstreamId(2), Key(8), 1_000 * MS);
     p.ask_from(DownstreamId(2), Key(9), 1_000 * MS);
--- a/tests/memcached.rs
+++ b/tests/memcached.rs
@@ -1,7 +1,7 @@
 //! The memcached port without sockets: bytes in, streams and answers out; and one connection of it by hand.
 
 use async_executor::LocalExecutor;
-use martenweir::core::{Answer, Ask, DownstreamId, Input};
+use martenweir::core::{Answer, DownstreamId, Input, NewStream};
 use martenweir::door::Side;
 use martenweir::net::accept::Socket;
 use martenweir::net::downstream::{serve, Link, Moved, Order, Progress, Waits};
@@ -59,7 +59,7 @@
     all
 }
 
-fn asks(parsed: &[Parsed]) -> Vec<&Ask> {
+fn asks(parsed: &[Parsed]) -> Vec<&NewStream> {
     parsed.iter().filter_map(|p| if let Parsed::Ask(ask) = p { Some(&**ask) } else { None }).collect()
 }
 
@@ -95,7 +95,7 @@
 #[case::read_refused(read(b"k"), Answer::Busy(Some(500_000)), Some(Status::BUSY))]
 #[case::read_failed(read(b"k"), Answer::Failed, Some(Status::INTERNAL))]
 #[case::read_late(read(b"k"), Answer::Late, Some(Status::TEMPORARY))]
-#[case::read_twice(read(b"k"), Answer::Taken, Some(Status::INTERNAL))]
+#[case::read_twice(read(b"k"), Answer::DuplicateId, Some(Status::INTERNAL))]
 #[case::write_served(write(b"v", 1), Answer::Value(b"receipt".to_vec()), None)]
 #[case::write_refused(write(b"v", 1), Answer::Busy(None), Some(Status::BUSY))]
 #[case::write_failed(write(b"v", 1), Answer::Failed, Some(Status::INTERNAL))]
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -111,7 +111,7 @@
     let (downstream, class, tenant) = (DownstreamId(1), ClassId(0), TenantId(0));
     let message = Rc::new(Message::default());
     let (place, repeat, hint, key, patience) = (0, false, None, Key(7), 800 * MS);
-    let ask = Ask { downstream, place, class, tenant, key, repeat, patience, hint, message };
+    let ask = NewStream { downstream, place, class, tenant, key, repeat, patience, hint, message };
     core.input(now, Input::Stream(ask));
     let end = now + 900 * MS;
     let mut dials: Vec<(ConnectionId, Member, Fate)> = Vec::new();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,7 +3,7 @@
 
 use martenweir::choice::Balancer;
 use martenweir::codec::discovery::{self, Cluster, Listed};
-use martenweir::core::{Answer, Ask, Core, DownstreamId, Effect, Input, Message, Stage};
+use martenweir::core::{Answer, Core, DownstreamId, Effect, Input, Message, NewStream, Stage};
 use martenweir::door::{self, Door, Limits, Shown, Side, Waits};
 use martenweir::interface::*;
 use martenweir::settings::{self, Site};
@@ -327,7 +327,7 @@
         let class = ClassId((place % settings.classes.len() as u64) as u16);
         core.input(
             now,
-            Input::Stream(Ask {
+            Input::Stream(NewStream {
                 downstream: DownstreamId(1),
                 place,
                 class,
@@ -353,7 +353,10 @@
                 Effect::Dial { connection, .. } => core.input(now, Input::Broken(connection, Stage::Idle)),
                 Effect::Answer { answer, .. } => {
                     answered += 1;
-                    assert!(!matches!(answer, Answer::Value(_) | Answer::Absent | Answer::Taken), "{told}");
+                    assert!(
+                        !matches!(answer, Answer::Value(_) | Answer::Absent | Answer::DuplicateId),
+                        "{told}"
+                    );
                     if settings.max_retry_after.is_none() {
                         assert!(!matches!(answer, Answer::Busy(Some(_))), "{told}: {answer:?}");
                     }
@@ -493,7 +496,7 @@
         let mut member = json!({"id": "s", "host_port": "127.0.0.1:1", "phase": "SERVING", "flavor": "x"});
         member["locality"] = locality;
         let list = json!({"revision": 1, "complete": true, "members": [member]});
-        discovery::object(list.to_string().as_bytes(), site).expect("a list").0.nodes[0].member.zone
+        discovery::parse_list(list.to_string().as_bytes(), site).expect("a list").0.nodes[0].member.zone
     };
     for site in [site(&[]), site(&["north"]), site(&["north", "north-2", "north"])] {
         let others = ["north-1", "north-22", "nort", "North", "south", "", "\u{5317}"];
@@ -532,7 +535,7 @@
 }
 
 fn asked(patience: Micros) -> Input {
-    Input::Stream(Ask {
+    Input::Stream(NewStream {
         downstream: DownstreamId(1),
         place: 0,
         class: ClassId(0),
--- a/tests/upstream.rs
+++ b/tests/upstream.rs
@@ -2,7 +2,7 @@
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use martenweir::codec::http::{self, Rest};
+use martenweir::codec::http::{self, PeerState};
 use martenweir::core::{ConnectionId, Input, Job, Message, Stage};
 use martenweir::interface::Verdict;
 use martenweir::net::upstream::{carry, Dialect};
@@ -125,7 +125,7 @@
     let response = |trailers: usize| {
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n";
         let bytes = [&head[..], &b"a: b\r\n".repeat(trailers)].concat();
-        http::response(&bytes, 1024, Rest::Open).map(|whole| whole.is_some())
+        http::response(&bytes, 1024, PeerState::Open).map(|whole| whole.is_some())
     };
     assert_eq!((response(100), response(4_000).is_err()), (Ok(false), true));
 }
@@ -193,9 +193,9 @@
         let bytes = [&b"HTTP/1.1 200 OK\r\n\r\n"[..], &b"x".repeat(length)].concat();
         http::response(&bytes, 1024, rest).map(|whole| whole.is_some())
     };
-    assert_eq!(response(1024, Rest::Open), Ok(false));
-    assert_eq!(response(1024, Rest::Closed), Ok(true));
-    assert!(response(1025, Rest::Open).is_err() && response(1025, Rest::Closed).is_err());
+    assert_eq!(response(1024, PeerState::Open), Ok(false));
+    assert_eq!(response(1024, PeerState::Closed), Ok(true));
+    assert!(response(1025, PeerState::Open).is_err() && response(1025, PeerState::Closed).is_err());
 }
 
 /// Guards the module's beliefs: a report with a value that is no load counts for nothing, not even in part.
