--- a/crates/dissemination/src/change.rs
+++ b/crates/dissemination/src/change.rs
@@ -14,7 +14,7 @@
     pub number: u64,
     /// What it sets, on a [`Register`](crate::TopicKind::Register) topic; else 0.
     pub key: u32,
-    /// At most [`bounds::BODY`] bytes.
+    /// At most [`bounds::MAX_BODY_BYTES`] bytes.
     pub body: Rc<[u8]>,
 }
 
@@ -23,7 +23,7 @@
 pub struct Head {
     /// The last change's.
     pub number: u64,
-    /// See [`Head::then`].
+    /// See [`Head::advance`].
     #[serde(with = "postcard::fixint::le")]
     pub digest: u32,
 }
@@ -31,7 +31,7 @@
 impl Head {
     /// The head after one more change: the digest is the CRC-32 of the one before, key and body.
     #[must_use]
-    pub fn then(self, key: u32, body: &[u8]) -> Head {
+    pub fn advance(self, key: u32, body: &[u8]) -> Head {
         let mut hasher = crc32fast::Hasher::new();
         hasher.update(&self.digest.to_le_bytes());
         hasher.update(&key.to_le_bytes());
@@ -61,14 +61,14 @@
 
 /// What a follower holds, to be kept over its restarts. Without it a follower starts from nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct SavedState {
     /// The epoch in which it holds it.
     pub epoch: u32,
     /// Streams of which it holds anything.
     pub heads: Vec<(StreamId, Head)>,
 }
 
-/// The last number held of each stream. It holds [`bounds::STREAMS`] at most.
+/// The last number held of each stream. It holds [`bounds::MAX_STREAMS`] at most.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Position(BTreeMap<StreamId, u64>);
 
@@ -127,10 +127,10 @@
         self.iter().filter_map(gain).collect()
     }
 
-    /// Adds what [`Position::gains`] said. A number beyond [`bounds::NUMBER`] is cut to it.
+    /// Adds what [`Position::gains`] said. A number beyond [`bounds::MAX_NUMBER`] is cut to it.
     pub fn gain(&mut self, gains: &[(StreamId, u64)]) {
         for (stream, more) in gains {
-            self.raise(*stream, self.get(*stream).saturating_add(*more).min(bounds::NUMBER));
+            self.raise(*stream, self.get(*stream).saturating_add(*more).min(bounds::MAX_NUMBER));
         }
     }
 }
@@ -256,34 +256,34 @@
     /// Whether all of its figures are within their bounds and agree with each other; else what is not.
     pub fn check(&self) -> Result<(), &'static str> {
         let rule = |holds: bool, what| if holds { Ok(()) } else { Err(what) };
-        rule(self.after <= bounds::NUMBER, "a number beyond reason")?;
+        rule(self.after <= bounds::MAX_NUMBER, "a number beyond reason")?;
         match &self.content {
             Content::Even { width, bytes } => {
                 let width = usize::from(*width);
                 rule(width > 0 && !bytes.is_empty() && bytes.len() % width == 0, "changes of no even size")?;
-                rule(bytes.len() / width <= bounds::CHANGES, "too many changes")
+                rule(bytes.len() / width <= bounds::MAX_CHANGES, "too many changes")
             }
             Content::Bodies(bodies) => {
                 rule(!bodies.is_empty(), "a piece without changes")?;
-                rule(bodies.len() <= bounds::CHANGES, "too many changes")?;
-                rule(bodies.iter().all(|b| b.len() <= bounds::BODY), "a change too large")
+                rule(bodies.len() <= bounds::MAX_CHANGES, "too many changes")?;
+                rule(bodies.iter().all(|b| b.len() <= bounds::MAX_BODY_BYTES), "a change too large")
             }
             Content::Mark { upto } => {
-                rule(*upto <= bounds::NUMBER, "a number beyond reason")?;
+                rule(*upto <= bounds::MAX_NUMBER, "a number beyond reason")?;
                 rule(*upto > self.after, "a piece that ends before it begins")
             }
             Content::Entries { entries, .. } => {
                 rule(!entries.is_empty(), "a piece without changes")?;
-                rule(entries.len() <= bounds::CHANGES, "too many changes")?;
-                rule(entries.iter().all(|e| e.body.len() <= bounds::BODY), "a change too large")?;
+                rule(entries.len() <= bounds::MAX_CHANGES, "too many changes")?;
+                rule(entries.iter().all(|e| e.body.len() <= bounds::MAX_BODY_BYTES), "a change too large")?;
                 let numbers = || entries.iter().map(|e| u64::from(e.offset));
                 rule(numbers().zip(numbers().skip(1)).all(|(a, b)| a < b), "changes out of order")?;
                 rule(numbers().all(|n| n > 0), "changes out of order")
             }
             Content::Part { number, whole, offset, bytes, .. } => {
-                rule(*number <= bounds::NUMBER, "a number beyond reason")?;
+                rule(*number <= bounds::MAX_NUMBER, "a number beyond reason")?;
                 rule(*number > self.after, "a piece that ends before it begins")?;
-                rule(usize::from(*whole) <= bounds::BODY, "a change too large")?;
+                rule(usize::from(*whole) <= bounds::MAX_BODY_BYTES, "a change too large")?;
                 let end = usize::from(*offset) + bytes.len();
                 rule(!bytes.is_empty() && end <= usize::from(*whole), "a part outside of its change")
             }
@@ -295,25 +295,25 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fit {
     /// Nothing in it is new.
-    Known,
+    AlreadyHeld,
     /// Something before it lacks.
     Gap,
     /// It is not of the same history, or its bytes are wrong.
-    Differs,
+    Mismatch,
     /// A part: it goes on, as far as can be said before the change is whole.
     Part,
     /// What is new in it, and the head after it.
-    Fits(Piece, Head),
+    Continues(Piece, Head),
 }
 
 impl Piece {
     /// How it goes on from a head. Changes that follow each other are proven by their digests; a mark is taken at
     /// its word, and so is the digest after changes that were left out.
-    pub fn onto(&self, head: Head) -> Fit {
+    pub fn continue_from(&self, head: Head) -> Fit {
         let upto = self.upto();
         if upto <= head.number {
             let other = upto == head.number && !matches!(self.content, Content::Part { .. });
-            return if other && self.digest != head.digest { Fit::Differs } else { Fit::Known };
+            return if other && self.digest != head.digest { Fit::Mismatch } else { Fit::AlreadyHeld };
         }
         if self.after > head.number {
             return Fit::Gap;
@@ -328,19 +328,19 @@
             }
             Content::Bodies(bodies) => Content::Bodies(bodies.iter().skip(skip).cloned().collect()),
             Content::Entries { check: said, entries } => {
-                if check(entries) != *said {
-                    return Fit::Differs;
+                if entries_checksum(entries) != *said {
+                    return Fit::Mismatch;
                 }
                 let new = entries.iter().filter(|e| u64::from(e.offset) > skip as u64);
                 let rebase = |e: &Entry| Entry { offset: e.offset - skip as u32, ..e.clone() };
                 let entries: Vec<Entry> = new.map(rebase).collect();
-                Content::Entries { check: check(&entries), entries }
+                Content::Entries { check: entries_checksum(&entries), entries }
             }
         };
         let piece = Piece { stream: self.stream, after: head.number, digest: self.digest, content };
         match piece.walk(head) {
-            Some(end) if end.digest == self.digest => Fit::Fits(piece, end),
-            _ => Fit::Differs,
+            Some(end) if end.digest == self.digest => Fit::Continues(piece, end),
+            _ => Fit::Mismatch,
         }
     }
 
@@ -350,17 +350,17 @@
             if let Content::Mark { upto } = self.content {
                 return Some(Head { number: upto, digest: self.digest });
             }
-            return Some(self.changes().fold(head, |at, (_, key, body)| at.then(key, body)));
+            return Some(self.changes().fold(head, |at, (_, key, body)| at.advance(key, body)));
         };
         entries.iter().try_fold(head, |at, e| {
             let said = Head { number: self.after + u64::from(e.offset), digest: e.digest };
-            (said.number > at.number + 1 || at.then(e.key, &e.body) == said).then_some(said)
+            (said.number > at.number + 1 || at.advance(e.key, &e.body) == said).then_some(said)
         })
     }
 }
 
 /// The CRC-32 over entries that [`Content::Entries`] carries.
-pub fn check(entries: &[Entry]) -> u32 {
+pub fn entries_checksum(entries: &[Entry]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for e in entries {
         hasher.update(&e.offset.to_le_bytes());
--- a/crates/dissemination/src/control.rs
+++ b/crates/dissemination/src/control.rs
@@ -1,13 +1,13 @@
 //! A control machine: it holds every stream, knows what a majority of the stores holds, and carries that to its
 //! followers. The first ones of the list are stores as well: they take submissions and number them.
 //!
-//! What it holds: of each stream [`Rules::retained`] changes or [`Rules::retained_bytes`], and a register's last
-//! values; 64 instants of each stream; [`bounds::POLLS`] polls. Of each other control machine one connection and a
+//! What it holds: of each stream [`Rules::retained_changes`] changes or [`Rules::retained_bytes`], and a register's last
+//! values; 64 instants of each stream; [`bounds::MAX_POLLS`] polls. Of each other control machine one connection and a
 //! position; of each follower some positions and two buckets, about 1 KB, and no queue: what it is sent comes out
 //! of the common log. Of each waiting submission and question one entry.
 //!
-//! What it sends: to each other control machine a poll and an answer every [`Rules::poll`]. To each follower a beat
-//! every [`Rules::beat`], to each primary follower a batch with it, all of it within the rate of its bucket: no
+//! What it sends: to each other control machine a poll and an answer every [`Rules::poll_interval`]. To each follower a beat
+//! every [`Rules::beat_interval`], to each primary follower a batch with it, all of it within the rate of its bucket: no
 //! second has more than [`Rules::primary_rate`] bytes, or [`Rules::secondary_rate`].
 //!
 //! What a change costs: at the store that takes it one record, one message to each other control machine, and one
@@ -17,11 +17,11 @@
 
 use crate::bucket::Bucket;
 use crate::change::{Content, Position};
-use crate::frame::{self, Refused};
+use crate::frame::{self, CloseReason};
 use crate::log::Log;
-use crate::message::{Ack, Beat, Hello, Message, Told};
+use crate::message::{Ack, Beat, Hello, Message, StatusReport};
 use crate::quorum::Quorum;
-use crate::rules::Planted;
+use crate::rules::InjectedFault;
 use crate::{
     bounds, ControlId, FollowerId, Head, Micros, PeerId, Piece, Record, Rules, StreamId, TopicKind, SECOND,
 };
@@ -47,14 +47,14 @@
 const CATCHING_UP: u64 = 2;
 /// Names of followers that refused a change in an answer.
 const REFUSERS: usize = 1024;
-/// Changes refused by any follower that are remembered for [`Shown::refused`].
+/// Changes refused by any follower that are remembered for [`Stats::refused`].
 const REFUSED: usize = 64;
 /// The lease is over for all after a thousandth more of it: clocks drift by 200 ppm at most.
 const DRIFT: Micros = 1000;
 
 /// Who a connection is with, as the host knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Who {
+pub enum ConnectionKind {
     /// A control machine that we dialled.
     Control(ControlId),
     /// Somebody who dialled us. What it is, its first message says.
@@ -72,51 +72,51 @@
     /// stores say so.
     Persist(Vec<Record>),
     /// Say why, as [`frame::refusal`], and close. No [`Control::down`] need follow.
-    Close(PeerId, Refused),
+    Close(PeerId, CloseReason),
 }
 
 /// Figures for logs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Shown {
+pub struct Stats {
     /// What is held, and what of it a majority of the stores is known to hold.
     pub held: Position,
-    /// See [`Shown::held`].
+    /// See [`Stats::held`].
     pub committed: Position,
     /// Everything acknowledged before this instant is held; none if no majority was heard since the start.
     pub fresh: Option<Micros>,
     /// Whether this is a store and takes submissions.
-    pub takes: bool,
+    pub accepting: bool,
     /// Connections: other control machines, followers whose primary this is, whose secondary, clients, and such
     /// that have not said who they are.
     pub controls: usize,
-    /// See [`Shown::controls`].
+    /// See [`Stats::controls`].
     pub primaries: usize,
-    /// See [`Shown::controls`].
+    /// See [`Stats::controls`].
     pub secondaries: usize,
-    /// See [`Shown::controls`].
+    /// See [`Stats::controls`].
     pub clients: usize,
-    /// See [`Shown::controls`].
-    pub strangers: usize,
+    /// See [`Stats::controls`].
+    pub unidentified: usize,
     /// Submissions that wait for a majority.
     pub pending: usize,
     /// Since the start: submissions taken, refused, acknowledged.
-    pub taken: u64,
-    /// See [`Shown::taken`].
+    pub accepted: u64,
+    /// See [`Stats::accepted`].
     pub busy: u64,
-    /// See [`Shown::taken`].
+    /// See [`Stats::accepted`].
     pub acknowledged: u64,
     /// Since the start: bytes of frames to followers, marks sent to them, parts of large changes.
     pub bytes: u64,
-    /// See [`Shown::bytes`].
+    /// See [`Stats::bytes`].
     pub marks: u64,
-    /// See [`Shown::bytes`].
+    /// See [`Stats::bytes`].
     pub parts: u64,
     /// Since the start: followers closed for silence, refused for room, and whose history differed.
-    pub silent: u64,
-    /// See [`Shown::silent`].
-    pub room: u64,
-    /// See [`Shown::silent`].
-    pub differs: u64,
+    pub timed_out: u64,
+    /// See [`Stats::timed_out`].
+    pub at_capacity: u64,
+    /// See [`Stats::timed_out`].
+    pub history_mismatches: u64,
     /// Streams of which another control machine sent what does not fit here. It wants an operator.
     pub conflicts: Vec<StreamId>,
     /// Changes that a follower could not put in force, and how many named each; the latest ones.
@@ -124,7 +124,7 @@
 }
 
 /// Figures do nothing: states that differ by them alone go on alike, so they have the same hash.
-impl Hash for Shown {
+impl Hash for Stats {
     fn hash<H: Hasher>(&self, _: &mut H) {}
 }
 
@@ -226,7 +226,7 @@
     asked: u32,
     conflicts: BTreeSet<StreamId>,
     refused: VecDeque<(StreamId, u64, u32)>,
-    figures: Shown,
+    figures: Stats,
 }
 
 impl Control {
@@ -257,10 +257,10 @@
         }
         logs.values_mut().for_each(Log::restored);
         let held = logs.iter().map(|(stream, log)| (*stream, log.head().number)).collect();
-        let whole = i64::from(rules.primary_rate) * i64::from(rules.fill) / 1000;
+        let whole = i64::from(rules.primary_rate) * i64::from(rules.change_share) / 1000;
         let rate = u32::try_from(whole / i64::from(rules.stores)).unwrap_or(u32::MAX).max(1);
-        let depth = u32::try_from(i64::from(rate) * rules.behind / SECOND).unwrap_or(u32::MAX).max(1);
-        let slot = rules.beat / SLOTS as Micros;
+        let depth = u32::try_from(i64::from(rate) * rules.max_backlog / SECOND).unwrap_or(u32::MAX).max(1);
+        let slot = rules.beat_interval / SLOTS as Micros;
         let mut control = Control {
             me,
             roster: roster.into_iter().collect(),
@@ -276,7 +276,7 @@
             slots_at: std::array::from_fn(|s| now + slot * (s as Micros + 1)),
             poll_at: now,
             empty,
-            counts: !empty || rules.is(Planted::NoRecovery),
+            counts: !empty || rules.is(InjectedFault::NoRecovery),
             takes: false,
             heard: BTreeSet::new(),
             admission: Bucket::new(now, rate, depth),
@@ -286,7 +286,7 @@
             asked: 0,
             conflicts: BTreeSet::new(),
             refused: VecDeque::new(),
-            figures: Shown::default(),
+            figures: Stats::default(),
             rules,
         };
         if control.rules.is_store(me) {
@@ -298,15 +298,15 @@
     }
 
     /// A connection is up.
-    pub fn up(&mut self, now: Micros, peer: PeerId, who: Who, out: &mut Vec<Output>) {
+    pub fn up(&mut self, now: Micros, peer: PeerId, who: ConnectionKind, out: &mut Vec<Output>) {
         let strangers = self.peers.values().filter(|p| matches!(p, Peer::Stranger { .. })).count();
         let dialled = match who {
-            Who::Control(id) => Some(id),
-            Who::Accepted if strangers >= self.rules.strangers => {
-                self.figures.room += 1;
-                return out.push(Output::Close(peer, Refused::Room));
+            ConnectionKind::Control(id) => Some(id),
+            ConnectionKind::Accepted if strangers >= self.rules.max_unidentified => {
+                self.figures.at_capacity += 1;
+                return out.push(Output::Close(peer, CloseReason::NoCapacity));
             }
-            Who::Accepted => None,
+            ConnectionKind::Accepted => None,
         };
         self.peers.insert(peer, Peer::Stranger { since: now, dialled });
         if dialled.is_some() {
@@ -321,14 +321,15 @@
     }
 
     /// A message came. On an error the host says why and closes; no [`Control::down`] need follow.
-    pub fn message(
+    pub fn handle_message(
         &mut self,
         now: Micros,
         peer: PeerId,
         message: &Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
-        let done = message.check().map_err(Refused::Bounds).and_then(|()| self.hear(now, peer, message, out));
+    ) -> Result<(), CloseReason> {
+        let done =
+            message.check().map_err(CloseReason::Bounds).and_then(|()| self.hear(now, peer, message, out));
         if done.is_err() {
             self.forget(now, peer);
         }
@@ -338,7 +339,7 @@
     /// Time passed.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         if now >= self.poll_at {
-            self.poll_at = now + self.rules.poll;
+            self.poll_at = now + self.rules.poll_interval;
             self.sweep(now, out);
             self.poll(now, out);
             self.seek(now, out);
@@ -346,7 +347,7 @@
         }
         for slot in 0..SLOTS {
             if now >= self.slots_at[slot] {
-                self.slots_at[slot] = now + self.rules.beat;
+                self.slots_at[slot] = now + self.rules.beat_interval;
                 self.serve(now, slot, out);
             }
         }
@@ -354,13 +355,13 @@
     }
 
     /// When [`Control::tick`] is due.
-    pub fn next(&self) -> Micros {
+    pub fn next_tick(&self) -> Micros {
         let questions = self.questions.values().map(|q| q.until);
         self.slots_at.into_iter().chain([self.poll_at]).chain(questions).min().unwrap_or(self.poll_at)
     }
 
     /// The list of followers has changed.
-    pub fn roster(&mut self, roster: Vec<FollowerId>) {
+    pub fn set_roster(&mut self, roster: Vec<FollowerId>) {
         self.roster = roster.into_iter().collect();
     }
 
@@ -380,23 +381,23 @@
     }
 
     /// Figures for logs.
-    pub fn shown(&self, _now: Micros) -> Shown {
+    pub fn stats(&self, _now: Micros) -> Stats {
         let followers = || {
             self.peers.values().filter_map(|p| match p {
                 Peer::Follower(c) => Some(c.primary),
                 _ => None,
             })
         };
-        Shown {
+        Stats {
             held: self.held.clone(),
             committed: self.quorum.committed().clone(),
             fresh: self.quorum.fresh(),
-            takes: self.takes,
+            accepting: self.takes,
             controls: self.links.len(),
             primaries: followers().filter(|p| *p).count(),
             secondaries: followers().filter(|p| !*p).count(),
             clients: self.clients(),
-            strangers: self.peers.values().filter(|p| matches!(p, Peer::Stranger { .. })).count(),
+            unidentified: self.peers.values().filter(|p| matches!(p, Peer::Stranger { .. })).count(),
             pending: self.pending.values().map(VecDeque::len).sum(),
             conflicts: self.conflicts.iter().copied().collect(),
             refused: self.refused.iter().copied().collect(),
@@ -432,14 +433,14 @@
         }
     }
 
-    fn close(&mut self, now: Micros, peer: PeerId, why: Refused, out: &mut Vec<Output>) {
+    fn close(&mut self, now: Micros, peer: PeerId, why: CloseReason, out: &mut Vec<Output>) {
         self.forget(now, peer);
         out.push(Output::Close(peer, why));
     }
 
     /// Closes who has been silent for too long, and dials control machines.
     fn sweep(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let gone = self.rules.gone;
+        let gone = self.rules.idle_timeout;
         let silent = |p: &Peer| match p {
             Peer::Stranger { since, .. } => now - since > gone,
             Peer::Control(id) => self.links.get(id).is_none_or(|l| now - l.heard > gone),
@@ -450,13 +451,13 @@
         let silent: Vec<PeerId> = self.peers.iter().filter(|(_, p)| silent(p)).map(|(id, _)| *id).collect();
         for peer in silent {
             if matches!(self.peers.get(&peer), Some(Peer::Follower(_))) {
-                self.figures.silent += 1;
+                self.figures.timed_out += 1;
             }
-            self.close(now, peer, Refused::Silent, out);
+            self.close(now, peer, CloseReason::Timeout, out);
         }
         for (id, at) in &mut self.dials {
             if *at <= now && !self.links.contains_key(id) {
-                *at = now + self.rules.dial;
+                *at = now + self.rules.min_redial_delay;
                 out.push(Output::Dial(*id));
             }
         }
@@ -484,8 +485,8 @@
             if want.held != held {
                 (want.held, want.since) = (held, now);
             }
-            let due = now - want.since >= self.rules.poll;
-            if due && want.asked.is_none_or(|at| now - at >= self.rules.gap) {
+            let due = now - want.since >= self.rules.poll_interval;
+            if due && want.asked.is_none_or(|at| now - at >= self.rules.gap_timeout) {
                 self.pull(now, stream, None, out);
             }
         }
@@ -495,7 +496,8 @@
     fn pull(&mut self, now: Micros, stream: StreamId, from: Option<ControlId>, out: &mut Vec<Output>) {
         let held = self.held.get(stream);
         let has = |id: &ControlId| self.quorum.reported(*id).is_some_and(|p| p.get(stream) > held);
-        let lively = self.links.iter().filter(|(id, l)| now - l.heard <= self.rules.silence && has(id));
+        let lively =
+            self.links.iter().filter(|(id, l)| now - l.heard <= self.rules.silence_timeout && has(id));
         let lively: Vec<(ControlId, PeerId)> = lively.map(|(id, l)| (*id, l.peer)).collect();
         let Some(want) = self.wants.get_mut(&stream) else { return };
         let named = lively.iter().find(|l| Some(l.0) == from);
@@ -512,8 +514,8 @@
         peer: PeerId,
         message: &Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
-        let unexpected = Err(Refused::Unexpected(message.name()));
+    ) -> Result<(), CloseReason> {
+        let unexpected = Err(CloseReason::Unexpected(message.name()));
         match self.peers.get_mut(&peer) {
             None => unexpected,
             Some(Peer::Stranger { dialled, .. }) => {
@@ -522,9 +524,9 @@
                     Message::Control { epoch, id } => self.link(now, peer, dialled, *epoch, *id, out),
                     Message::Hello(_) if dialled.is_none() => {
                         let (taken, rate) = (self.followers(), self.rules.secondary_rate);
-                        if taken >= self.rules.followers {
-                            self.figures.room += 1;
-                            return Err(Refused::Room);
+                        if taken >= self.rules.max_followers {
+                            self.figures.at_capacity += 1;
+                            return Err(CloseReason::NoCapacity);
                         }
                         let carried = Carried::new(now, &self.rules, self.bucket(now, rate));
                         self.peers.insert(peer, Peer::Follower(Box::new(carried)));
@@ -532,11 +534,11 @@
                         self.follower(now, peer, message, out)
                     }
                     Message::Submit { .. } | Message::Status { .. } if dialled.is_none() => {
-                        if self.clients() >= self.rules.clients {
-                            self.figures.room += 1;
-                            return Err(Refused::Room);
+                        if self.clients() >= self.rules.max_clients {
+                            self.figures.at_capacity += 1;
+                            return Err(CloseReason::NoCapacity);
                         }
-                        let words = Bucket::new(now, self.rules.messages, self.rules.messages);
+                        let words = Bucket::new(now, self.rules.message_rate, self.rules.message_rate);
                         self.peers.insert(peer, Peer::Client { heard: now, words });
                         self.client(now, peer, message, out)
                     }
@@ -553,7 +555,7 @@
             Some(Peer::Follower(carried)) => {
                 carried.heard = now;
                 if carried.words.level(now) < 1 {
-                    return Err(Refused::Flood);
+                    return Err(CloseReason::TooManyMessages);
                 }
                 carried.words.take(now, 1);
                 self.follower(now, peer, message, out)
@@ -563,7 +565,7 @@
                 // A submission has a bucket of its own, which does not close.
                 if !matches!(message, Message::Submit { .. }) {
                     if words.level(now) < 1 {
-                        return Err(Refused::Flood);
+                        return Err(CloseReason::TooManyMessages);
                     }
                     words.take(now, 1);
                 }
@@ -580,7 +582,7 @@
     /// than beats, and no more bytes than the rate. It begins with a debt, for another control machine may have sent
     /// its last a moment ago.
     fn bucket(&self, now: Micros, rate: u32) -> Bucket {
-        let depth = i64::from(rate) * self.rules.beat / SECOND;
+        let depth = i64::from(rate) * self.rules.beat_interval / SECOND;
         Bucket::owing(now, rate, u32::try_from(depth).unwrap_or(u32::MAX))
     }
 
@@ -594,15 +596,15 @@
         epoch: u32,
         id: ControlId,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), CloseReason> {
         if epoch != self.rules.epoch {
-            return Err(Refused::Epoch(epoch, self.rules.epoch));
+            return Err(CloseReason::Epoch(epoch, self.rules.epoch));
         }
         if id.0 >= self.rules.controls || id == self.me || dialled.is_some_and(|d| d != id) {
-            return Err(Refused::Bounds("not the control machine that should be there"));
+            return Err(CloseReason::Bounds("not the control machine that should be there"));
         }
         if let Some(old) = self.links.get(&id).map(|l| l.peer) {
-            self.close(now, old, Refused::Replaced, out);
+            self.close(now, old, CloseReason::Replaced, out);
         }
         self.peers.insert(peer, Peer::Control(id));
         self.links.insert(id, Link { peer, heard: now });
@@ -622,7 +624,7 @@
         peer: PeerId,
         message: &Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), CloseReason> {
         match message {
             Message::Poll { token } => {
                 let (token, counts, position) = (*token, self.counts, self.held.clone());
@@ -630,7 +632,7 @@
             }
             Message::Polled { token, counts, position } => {
                 if position.iter().any(|(stream, _)| !self.logs.contains_key(&stream)) {
-                    return Err(Refused::Bounds("a stream that there is not"));
+                    return Err(CloseReason::Bounds("a stream that there is not"));
                 }
                 if self.rules.is_store(id) {
                     self.quorum.answer(now, &self.rules, *token, id, *counts, position);
@@ -640,14 +642,14 @@
             }
             Message::Holds { stream, number } => {
                 if !self.logs.contains_key(stream) || !self.rules.is_store(id) {
-                    return Err(Refused::Bounds("a stream that there is not"));
+                    return Err(CloseReason::Bounds("a stream that there is not"));
                 }
                 self.quorum.report(now, &self.rules, id, *stream, *number);
                 self.settle(now, out);
             }
             Message::Batch(pieces) => self.batch(now, id, pieces, out)?,
             Message::Pull { stream, after } => {
-                let log = self.logs.get(stream).ok_or(Refused::Bounds("a stream that there is not"))?;
+                let log = self.logs.get(stream).ok_or(CloseReason::Bounds("a stream that there is not"))?;
                 if let Some(piece) = log.piece(*after, log.head().number, BULK, None) {
                     out.push(Output::Send(peer, Rc::new(Message::Batch(vec![piece]))));
                 }
@@ -655,9 +657,14 @@
             Message::Count { token, stream, number } => {
                 let (have, refused) = self.count(*stream, *number);
                 let refused: Vec<FollowerId> = refused.into_iter().take(REFUSERS).collect();
-                let chunks = have.len().div_ceil(bounds::NAMES).max(1);
+                let chunks = have.len().div_ceil(bounds::MAX_NAMES).max(1);
                 for chunk in 0..chunks {
-                    let have = have.iter().skip(chunk * bounds::NAMES).take(bounds::NAMES).copied().collect();
+                    let have = have
+                        .iter()
+                        .skip(chunk * bounds::MAX_NAMES)
+                        .take(bounds::MAX_NAMES)
+                        .copied()
+                        .collect();
                     let refused = if chunk == 0 { refused.clone() } else { Vec::new() };
                     let (token, last) = (*token, chunk + 1 == chunks);
                     out.push(Output::Send(peer, Rc::new(Message::Counted { token, have, refused, last })));
@@ -674,7 +681,7 @@
                 }
                 self.answer_questions(now, out);
             }
-            other => return Err(Refused::Unexpected(other.name())),
+            other => return Err(CloseReason::Unexpected(other.name())),
         }
         Ok(())
     }
@@ -686,10 +693,10 @@
         id: ControlId,
         pieces: &[Piece],
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), CloseReason> {
         for piece in pieces {
             let stream = piece.stream;
-            let log = self.logs.get_mut(&stream).ok_or(Refused::Bounds("a stream that there is not"))?;
+            let log = self.logs.get_mut(&stream).ok_or(CloseReason::Bounds("a stream that there is not"))?;
             // What this store numbers it takes from others only until it numbers on.
             let own = stream.store == self.me && self.takes;
             let before = log.head().number;
@@ -726,7 +733,7 @@
     fn settle(&mut self, now: Micros, out: &mut Vec<Output>) {
         let committed = self.quorum.committed();
         for (stream, held) in self.held.iter() {
-            let uncommitted = self.rules.is(Planted::Uncommitted);
+            let uncommitted = self.rules.is(InjectedFault::Uncommitted);
             let passable = if uncommitted { held } else { held.min(committed.get(stream)) };
             self.passable.raise(stream, passable);
         }
@@ -764,7 +771,7 @@
                 p.iter().filter(mine).all(|(stream, number)| self.held.get(stream) >= number)
             })
         };
-        if self.rules.is(Planted::NoRecovery) || (self.heard.len() >= need && holds(!self.empty)) {
+        if self.rules.is(InjectedFault::NoRecovery) || (self.heard.len() >= need && holds(!self.empty)) {
             (self.takes, self.counts) = (true, true);
         }
     }
@@ -777,13 +784,13 @@
         peer: PeerId,
         message: &Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), CloseReason> {
         match message {
             Message::Submit { token, topic, key, body } if self.rules.is_store(self.me) => {
                 let stream = StreamId { topic: *topic, store: self.me };
-                let kind = self.rules.kind(*topic).ok_or(Refused::Bounds("a topic that there is not"))?;
-                if body.len() > self.rules.change {
-                    return Err(Refused::Bounds("a change too large"));
+                let kind = self.rules.kind(*topic).ok_or(CloseReason::Bounds("a topic that there is not"))?;
+                if body.len() > self.rules.max_change_bytes {
+                    return Err(CloseReason::Bounds("a change too large"));
                 }
                 match self.admit(now, stream, kind, *key, body.len()) {
                     Ok(()) => self.take(now, stream, kind, *key, body, (peer, *token), out),
@@ -799,7 +806,7 @@
                 self.question(now, peer, (*token, *stream, *number, *from), out);
                 Ok(())
             }
-            other => Err(Refused::Unexpected(other.name())),
+            other => Err(CloseReason::Unexpected(other.name())),
         }
     }
 
@@ -815,20 +822,20 @@
         let lively = self
             .links
             .iter()
-            .filter(|(id, l)| self.rules.is_store(**id) && now - l.heard <= self.rules.silence);
+            .filter(|(id, l)| self.rules.is_store(**id) && now - l.heard <= self.rules.silence_timeout);
         if !self.takes || lively.count() + 1 < self.rules.majority() {
-            return Err(self.rules.silence);
+            return Err(self.rules.silence_timeout);
         }
-        let Some(log) = self.logs.get(&stream) else { return Err(self.rules.silence) };
-        if kind == TopicKind::Register && log.keys() >= self.rules.keys && !log.has_key(key) {
+        let Some(log) = self.logs.get(&stream) else { return Err(self.rules.silence_timeout) };
+        if kind == TopicKind::Register && log.keys() >= self.rules.max_keys && !log.has_key(key) {
             return Err(60 * SECOND);
         }
-        if self.pending.values().map(VecDeque::len).sum::<usize>() >= self.rules.pending {
-            return Err(self.rules.poll);
+        if self.pending.values().map(VecDeque::len).sum::<usize>() >= self.rules.max_pending {
+            return Err(self.rules.poll_interval);
         }
         let cost = cost(kind, bytes);
         if cost > self.depth && !self.takes_large(now) {
-            return Err(self.rules.silence);
+            return Err(self.rules.silence_timeout);
         }
         match self.admission.wait(now, cost) {
             0 => {
@@ -855,7 +862,7 @@
     /// Whether this store takes changes that are larger than what it takes in advance: the first that is heard
     /// does. One at a time is carried well within the lease, beside all else; five at once would not be.
     fn takes_large(&self, now: Micros) -> bool {
-        let lively = |l: &Link| now - l.heard <= self.rules.silence;
+        let lively = |l: &Link| now - l.heard <= self.rules.silence_timeout;
         !(0..self.me.0).any(|id| self.links.get(&ControlId(id)).is_some_and(lively))
     }
 
@@ -874,7 +881,7 @@
         let key = if kind == TopicKind::Register { key } else { 0 };
         let record = log.append(key, body.clone());
         let number = log.head().number;
-        self.figures.taken += 1;
+        self.figures.accepted += 1;
         self.held.set(stream, number);
         out.push(Output::Persist(vec![record]));
         if let Some(piece) = log.piece(number - 1, number, BULK, None) {
@@ -893,8 +900,8 @@
         (token, stream, number, from): (u32, StreamId, u64, FollowerId),
         out: &mut Vec<Output>,
     ) {
-        if self.questions.len() >= self.rules.questions {
-            let after = ms(self.rules.count);
+        if self.questions.len() >= self.rules.max_status_queries {
+            let after = ms(self.rules.count_timeout);
             return out.push(Output::Send(peer, Rc::new(Message::Busy { token, after })));
         }
         self.asked = self.asked.wrapping_add(1);
@@ -910,7 +917,7 @@
             stream,
             number,
             from,
-            until: now + self.rules.count,
+            until: now + self.rules.count_timeout,
             have: have.into_iter().filter(listed).collect(),
             refused: refused.into_iter().filter(listed).collect(),
             waits,
@@ -926,7 +933,7 @@
         for peer in self.peers.values() {
             let Peer::Follower(c) = peer else { continue };
             let proven = c.welcome && !c.unproven.contains_key(&stream) && !c.differs.contains(&stream);
-            let holds = if self.rules.is(Planted::CountsSent) { &c.sent } else { &c.told };
+            let holds = if self.rules.is(InjectedFault::CountsSent) { &c.sent } else { &c.told };
             if c.primary && proven && holds.get(stream) >= number {
                 have.push(c.id);
                 if c.refused.contains(&(stream, number)) {
@@ -945,14 +952,14 @@
             let Some(q) = self.questions.remove(&token) else { continue };
             let age = self.quorum.age(now, q.stream, q.number);
             let missing = self.roster.range(q.from..).filter(|f| !q.have.contains(f));
-            let told = Told {
+            let told = StatusReport {
                 token: q.token,
                 committed: age.is_some(),
                 since: ms(age.unwrap_or(0)),
                 followers: self.roster.len() as u32,
                 have: q.have.len() as u32,
                 lapsed: age.is_some_and(|a| a > self.rules.lease + self.rules.lease / DRIFT),
-                missing: missing.copied().take(bounds::NAMES).collect(),
+                missing: missing.copied().take(bounds::MAX_NAMES).collect(),
                 refused: q.refused.into_iter().take(REFUSERS).collect(),
                 unheard: q.unheard.union(&q.waits).copied().collect(),
             };
@@ -968,7 +975,7 @@
         peer: PeerId,
         message: &Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), CloseReason> {
         match message {
             Message::Hello(hello) => self.greet(now, peer, hello, out),
             Message::Ack(ack) => self.ack(now, peer, ack),
@@ -976,7 +983,7 @@
                 let (limit, known) = (self.passable.get(*stream), self.logs.contains_key(stream));
                 let Some(Peer::Follower(c)) = self.peers.get_mut(&peer) else { return Ok(()) };
                 if !known {
-                    return Err(Refused::Bounds("a stream that there is not"));
+                    return Err(CloseReason::Bounds("a stream that there is not"));
                 }
                 if !c.differs.contains(stream) {
                     c.parts.remove(stream);
@@ -985,7 +992,7 @@
                 }
                 Ok(())
             }
-            other => Err(Refused::Unexpected(other.name())),
+            other => Err(CloseReason::Unexpected(other.name())),
         }
     }
 
@@ -995,15 +1002,15 @@
         peer: PeerId,
         hello: &Hello,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), CloseReason> {
         if hello.heads.iter().any(|(stream, _)| !self.logs.contains_key(stream)) {
-            return Err(Refused::Bounds("a stream that there is not"));
+            return Err(CloseReason::Bounds("a stream that there is not"));
         }
         let same = |(id, p): (&PeerId, &Peer)| {
             matches!(p, Peer::Follower(c) if c.id == hello.id && c.welcome && *id != peer).then_some(*id)
         };
         if let Some(old) = self.peers.iter().find_map(same) {
-            self.close(now, old, Refused::Replaced, out);
+            self.close(now, old, CloseReason::Replaced, out);
         }
         let rate = if hello.primary { self.rules.primary_rate } else { self.rules.secondary_rate };
         let (epoch, bucket) = (self.rules.epoch, self.bucket(now, rate));
@@ -1049,7 +1056,7 @@
             ours.is_none()
         });
         for (stream, number) in differs {
-            self.figures.differs += 1;
+            self.figures.history_mismatches += 1;
             c.differs.insert(stream);
             let message = Message::Differs { stream, number };
             c.bucket.take(now, frame::size(&message));
@@ -1057,10 +1064,10 @@
         }
     }
 
-    fn ack(&mut self, now: Micros, peer: PeerId, ack: &Ack) -> Result<(), Refused> {
+    fn ack(&mut self, now: Micros, peer: PeerId, ack: &Ack) -> Result<(), CloseReason> {
         let unknown = |(stream, _): &(StreamId, u64)| !self.logs.contains_key(stream);
         if ack.gains.iter().any(unknown) || ack.refused.iter().any(unknown) {
-            return Err(Refused::Bounds("a stream that there is not"));
+            return Err(CloseReason::Bounds("a stream that there is not"));
         }
         let rate = if ack.primary { self.rules.primary_rate } else { self.rules.secondary_rate };
         let bucket = self.bucket(now, rate);
@@ -1089,7 +1096,7 @@
                 continue;
             }
             c.refused.push_back((*stream, *number));
-            if c.refused.len() > bounds::REFUSED {
+            if c.refused.len() > bounds::MAX_REFUSED {
                 c.refused.pop_front();
             }
             match self.refused.iter_mut().find(|r| (r.0, r.1) == (*stream, *number)) {
@@ -1187,7 +1194,7 @@
             }
         };
         let rate = if c.primary { self.rules.primary_rate } else { self.rules.secondary_rate };
-        let behind = i64::from(rate).saturating_mul(self.rules.behind) / SECOND;
+        let behind = i64::from(rate).saturating_mul(self.rules.max_backlog) / SECOND;
         let behind = u64::try_from(behind).unwrap_or(0);
         let lacks = self.logs.iter().filter(|(s, _)| c.sent.get(**s) < limit(**s) && !c.differs.contains(s));
         let mut lacks: Vec<(u64, &StreamId, &Log)> =
@@ -1267,7 +1274,7 @@
             current: false,
             refused: VecDeque::new(),
             bucket,
-            words: Bucket::new(now, rules.messages, rules.messages),
+            words: Bucket::new(now, rules.message_rate, rules.message_rate),
         }
     }
 }
@@ -1283,7 +1290,7 @@
 
 fn piece_size(piece: &Piece) -> usize {
     let flavor = postcard::ser_flavors::Size::default();
-    postcard::serialize_with_flavor(piece, flavor).unwrap_or(bounds::FRAME)
+    postcard::serialize_with_flavor(piece, flavor).unwrap_or(bounds::MAX_FRAME_BYTES)
 }
 
 fn slot(peer: PeerId) -> usize {
--- a/crates/dissemination/src/follower.rs
+++ b/crates/dissemination/src/follower.rs
@@ -1,12 +1,12 @@
 //! A proxy's side: it holds two connections to control machines, applies what it is sent, once and in order, and
 //! knows by its own clock as of when it holds everything that was acknowledged.
 //!
-//! What it holds: a number and a digest of each stream, two connections with [`bounds::CHALLENGES`] challenges and
+//! What it holds: a number and a digest of each stream, two connections with [`bounds::MAX_CHALLENGES`] challenges and
 //! three positions each, of each stream at most one change that is not whole yet; 64 KB at the most, 10 KB as a
 //! rule.
 //!
-//! What it sends: to its primary an ack of 10 to 50 bytes every [`Rules::ack`], and after changes at most one every
-//! [`Rules::beat`]; to its secondary an ack of 8 bytes every [`Rules::ack`]. All of it within [`Rules::own_rate`],
+//! What it sends: to its primary an ack of 10 to 50 bytes every [`Rules::ack_interval`], and after changes at most one every
+//! [`Rules::beat_interval`]; to its secondary an ack of 8 bytes every [`Rules::ack_interval`]. All of it within [`Rules::follower_rate`],
 //! except hellos, which are as rare as new connections.
 //!
 //! Why it is sound: a beat says "who holds all that I showed you is as fresh as your challenge less this age". The
@@ -15,11 +15,11 @@
 //! Clocks may differ in rate by 200 ppm: over a lease that is 1.4 ms, for which the lease has room.
 
 use crate::bucket::Bucket;
-use crate::change::{self, Content, Entry, Fit, Head, Kept, Piece, Position};
-use crate::frame::{self, Refused};
+use crate::change::{self, Content, Entry, Fit, Head, Piece, Position, SavedState};
+use crate::frame::{self, CloseReason};
 use crate::message::{Ack, Beat, Hello, Message};
 use crate::order::spread;
-use crate::rules::Planted;
+use crate::rules::InjectedFault;
 use crate::{bounds, ControlId, FollowerId, Micros, Rules, StreamId, TopicKind, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -34,7 +34,7 @@
     Send(ControlId, Message),
     /// Say why, as [`frame::refusal`], and close, also one that is only being opened. No [`Follower::down`] need
     /// follow.
-    Close(ControlId, Refused),
+    Close(ControlId, CloseReason),
     /// Apply this: changes in order, or a mark: whatever is held of the topic from before now is stale.
     Apply(Piece),
     /// What is held of a stream is not what was said by the stores. Of a set's topic, whatever is held from before
@@ -169,14 +169,14 @@
 }
 
 impl Follower {
-    /// One that begins. `order` is as [`order::order`](crate::order::order) gives it; `life` differs from one start
+    /// One that begins. `order` is as [`order::preference_order`](crate::order::preference_order) gives it; `life` differs from one start
     /// to the next. It fails on rules or an order that do not fit.
     pub fn new(
         now: Micros,
         rules: Rules,
         me: FollowerId,
         order: Vec<ControlId>,
-        kept: Option<Kept>,
+        kept: Option<SavedState>,
         life: u64,
     ) -> Result<Self, &'static str> {
         rules.check()?;
@@ -186,12 +186,12 @@
         }
         let kept = kept.unwrap_or_default();
         let known = |(stream, head): &(StreamId, Head)| {
-            let sane = (1..=bounds::NUMBER).contains(&head.number);
+            let sane = (1..=bounds::MAX_NUMBER).contains(&head.number);
             sane && rules.kind(stream.topic).is_some() && rules.is_store(stream.store)
         };
         let heads: BTreeMap<StreamId, Head> = kept.heads.into_iter().filter(known).collect();
-        let own = i64::from(rules.own_rate) * SECOND / (SECOND + rules.beat);
-        let depth = i64::from(rules.own_rate) - own;
+        let own = i64::from(rules.follower_rate) * SECOND / (SECOND + rules.beat_interval);
+        let depth = i64::from(rules.follower_rate) - own;
         let bytes = |n: i64| u32::try_from(n).unwrap_or(u32::MAX);
         Ok(Follower {
             bucket: Bucket::new(now, bytes(own), bytes(depth)),
@@ -223,7 +223,7 @@
     /// A connection that was asked for is up.
     pub fn up(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         let Some(conn) = self.conns.get_mut(&control) else {
-            return out.push(Output::Close(control, Refused::Left));
+            return out.push(Output::Close(control, CloseReason::NoLongerNeeded));
         };
         (conn.up, conn.since, conn.heard) = (true, now, now);
         self.greet(now, control, out);
@@ -238,22 +238,22 @@
     }
 
     /// A message came. On an error the host says why and closes; no [`Follower::down`] need follow.
-    pub fn message(
+    pub fn handle_message(
         &mut self,
         now: Micros,
         control: ControlId,
         message: &Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), CloseReason> {
         if !self.conns.get(&control).is_some_and(|c| c.up) {
-            return Err(Refused::Unexpected(message.name()));
+            return Err(CloseReason::Unexpected(message.name()));
         }
         self.figures.bytes_in += frame::size(message) as u64;
         let done =
-            message.check().map_err(Refused::Bounds).and_then(|()| self.hear(now, control, message, out));
+            message.check().map_err(CloseReason::Bounds).and_then(|()| self.hear(now, control, message, out));
         if let Err(why) = &done {
             // Who says what is wrong is asked again last.
-            let wrong = !matches!(why, Refused::Room | Refused::ByPeer(_));
+            let wrong = !matches!(why, CloseReason::NoCapacity | CloseReason::ByPeer(_));
             self.lose(now, control, wrong);
         }
         self.look(now, out);
@@ -264,10 +264,10 @@
     }
 
     /// The host could not put a change in force. It counts as applied, and control machines are told.
-    pub fn refused(&mut self, stream: StreamId, number: u64) {
+    pub fn report_refused(&mut self, stream: StreamId, number: u64) {
         self.refused.push_back((stream, number));
         self.refusals += 1;
-        if self.refused.len() > bounds::REFUSED {
+        if self.refused.len() > bounds::MAX_REFUSED {
             self.refused.pop_front();
         }
         self.news = true;
@@ -289,18 +289,19 @@
     }
 
     /// When [`Follower::tick`] is due.
-    pub fn next(&self) -> Micros {
-        let beat = self.rules.beat;
+    pub fn next_tick(&self) -> Micros {
+        let beat = self.rules.beat_interval;
         if self.greets {
             return self.ticked + 1000;
         }
         let conns = self.conns.iter().flat_map(|(id, c)| {
             let ack = c.up.then(|| {
-                c.acked + if self.news && self.primary == Some(*id) { beat } else { self.rules.ack }
+                c.acked + if self.news && self.primary == Some(*id) { beat } else { self.rules.ack_interval }
             });
-            [Some(c.heard + self.rules.silence + 1), ack]
+            [Some(c.heard + self.rules.silence_timeout + 1), ack]
         });
-        let lacks = self.lacks.values().map(|l| l.asked.unwrap_or(l.since).max(l.since) + self.rules.gap);
+        let lacks =
+            self.lacks.values().map(|l| l.asked.unwrap_or(l.since).max(l.since) + self.rules.gap_timeout);
         let lease = self.fresh.filter(|_| self.service).map(|f| f + self.rules.lease + 1);
         let open = self.primary.is_none() || self.secondary.is_none();
         let dials = self.order.iter().filter(|c| open && !self.conns.contains_key(c));
@@ -313,7 +314,7 @@
     /// Whether it may serve: everything acknowledged a lease ago is applied.
     pub fn in_service(&self, now: Micros) -> bool {
         let lease = self.rules.lease;
-        self.fresh.is_some_and(|f| self.rules.is(Planted::NoLease) || now - f <= lease)
+        self.fresh.is_some_and(|f| self.rules.is(InjectedFault::NoLease) || now - f <= lease)
     }
 
     /// What is applied.
@@ -332,12 +333,12 @@
     }
 
     /// What it holds, for its next start.
-    pub fn kept(&self) -> Kept {
-        Kept { epoch: self.epoch, heads: self.heads.iter().map(|(s, h)| (*s, *h)).collect() }
+    pub fn saved_state(&self) -> SavedState {
+        SavedState { epoch: self.epoch, heads: self.heads.iter().map(|(s, h)| (*s, *h)).collect() }
     }
 
     /// Figures for logs.
-    pub fn shown(&self, now: Micros) -> Shown {
+    pub fn stats(&self, now: Micros) -> Shown {
         let who = |c: Option<ControlId>| c.map(|c| (c, self.conns.get(&c).is_some_and(|c| c.up)));
         Shown {
             primary: who(self.primary),
@@ -386,32 +387,36 @@
             *place = place.filter(|c| *c != control);
         }
         let wait = self.waits.entry(control).or_default();
-        let span = self.rules.dial.saturating_mul(1 << wait.tries.min(16)).min(self.rules.dial_most);
-        let span = if wrong { self.rules.dial_most } else { span };
+        let span = self
+            .rules
+            .min_redial_delay
+            .saturating_mul(1 << wait.tries.min(16))
+            .min(self.rules.max_redial_delay);
+        let span = if wrong { self.rules.max_redial_delay } else { span };
         wait.until = Some(now + span / 2 + spread((self.me, control, wait.tries), span / 2));
         wait.tries = wait.tries.saturating_add(1);
     }
 
-    fn close(&mut self, now: Micros, control: ControlId, why: Refused, out: &mut Vec<Output>) {
+    fn close(&mut self, now: Micros, control: ControlId, why: CloseReason, out: &mut Vec<Output>) {
         self.lose(now, control, false);
         out.push(Output::Close(control, why));
     }
 
     /// A host that was held up itself has not heard, though there may be what waits to be read.
     fn excuse(&mut self, now: Micros) {
-        let due = self.next().max(self.ticked + self.rules.beat);
+        let due = self.next_tick().max(self.ticked + self.rules.beat_interval);
         let late = now - due;
-        if late > self.rules.beat {
+        if late > self.rules.beat_interval {
             self.conns.values_mut().for_each(|c| c.heard = (c.heard + late).min(now));
         }
     }
 
     /// Leaves control machines that say nothing.
     fn silence(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let silent = self.conns.iter().filter(|(_, c)| now - c.heard > self.rules.silence);
+        let silent = self.conns.iter().filter(|(_, c)| now - c.heard > self.rules.silence_timeout);
         let silent: Vec<ControlId> = silent.map(|(id, _)| *id).collect();
         for control in silent {
-            self.close(now, control, Refused::Silent, out);
+            self.close(now, control, CloseReason::Timeout, out);
         }
     }
 
@@ -422,8 +427,8 @@
             return;
         };
         let knows = first.claimed.unwrap_or(first.since);
-        if second.claimed.is_some_and(|c| c - knows > 2 * self.rules.silence) {
-            self.close(now, primary, Refused::Left, out);
+        if second.claimed.is_some_and(|c| c - knows > 2 * self.rules.silence_timeout) {
+            self.close(now, primary, CloseReason::NoLongerNeeded, out);
         }
     }
 
@@ -445,14 +450,16 @@
                 *lack = Lack { held, part, since: now, asked: lack.asked };
             }
             let (since, asked) = (lack.since, lack.asked);
-            if now - since < self.rules.gap || asked.is_some_and(|at| now - at < self.rules.gap) {
+            if now - since < self.rules.gap_timeout
+                || asked.is_some_and(|at| now - at < self.rules.gap_timeout)
+            {
                 continue;
             }
             let has = |c: &ControlId| {
                 self.conns.get(c).is_some_and(|c| c.hellos == 0 && c.shown.get(stream) > held)
             };
             let second = self.secondary.filter(has);
-            stuck |= second.is_some() && now - since >= self.rules.silence + self.rules.gap;
+            stuck |= second.is_some() && now - since >= self.rules.silence_timeout + self.rules.gap_timeout;
             let Some(from) = second.or(self.primary.filter(has)) else { continue };
             lack.asked = Some(now);
             self.figures.pulls += 1;
@@ -462,7 +469,7 @@
             self.send(now, from, Message::Pull { stream, after: held }, out);
         }
         if let Some(primary) = self.primary.filter(|_| stuck) {
-            self.close(now, primary, Refused::Left, out);
+            self.close(now, primary, CloseReason::NoLongerNeeded, out);
         }
     }
 
@@ -493,7 +500,7 @@
     fn acks(&mut self, now: Micros, out: &mut Vec<Output>) {
         let due = |(id, c): (&ControlId, &Conn)| {
             let news = self.news && self.primary == Some(*id);
-            let every = if news { self.rules.beat } else { self.rules.ack };
+            let every = if news { self.rules.beat_interval } else { self.rules.ack_interval };
             (c.up && now - c.acked >= every).then_some(*id)
         };
         let due: Vec<ControlId> = self.conns.iter().filter_map(due).collect();
@@ -532,11 +539,11 @@
         control: ControlId,
         message: &Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), CloseReason> {
         match message {
             Message::Welcome { epoch, control: id } => {
                 if *id != control {
-                    return Err(Refused::Bounds("not the control machine that should be there"));
+                    return Err(CloseReason::Bounds("not the control machine that should be there"));
                 }
                 self.welcome(now, control, *epoch, out)
             }
@@ -548,7 +555,7 @@
                 }
                 Ok(())
             }
-            other => Err(Refused::Unexpected(other.name())),
+            other => Err(CloseReason::Unexpected(other.name())),
         }
     }
 
@@ -562,16 +569,16 @@
         control: ControlId,
         epoch: u32,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), CloseReason> {
         let Some(conn) = self.conns.get_mut(&control).filter(|c| c.hellos > 0) else {
-            return Err(Refused::Unexpected("a welcome"));
+            return Err(CloseReason::Unexpected("a welcome"));
         };
         (conn.hellos, conn.heard) = (conn.hellos - 1, now);
         if conn.hellos > 0 {
             return Ok(());
         }
         if epoch < self.epoch {
-            return Err(Refused::Epoch(epoch, self.epoch));
+            return Err(CloseReason::Epoch(epoch, self.epoch));
         }
         if epoch > self.epoch {
             let streams: Vec<StreamId> = self.heads.keys().copied().collect();
@@ -613,9 +620,9 @@
         }
     }
 
-    fn beat(&mut self, now: Micros, control: ControlId, beat: &Beat) -> Result<(), Refused> {
+    fn beat(&mut self, now: Micros, control: ControlId, beat: &Beat) -> Result<(), CloseReason> {
         if beat.gains.iter().any(|(stream, _)| !self.knows(*stream)) {
-            return Err(Refused::Bounds("a stream that there is not"));
+            return Err(CloseReason::Bounds("a stream that there is not"));
         }
         let Some(conn) = self.conns.get_mut(&control) else { return Ok(()) };
         conn.heard = now;
@@ -627,7 +634,7 @@
         let Some(sent) = conn.challenges.iter().find(|c| c.0 == beat.echo).map(|c| c.1) else {
             return Ok(());
         };
-        let sent = if self.rules.is(Planted::FreshAtBeat) { now } else { sent };
+        let sent = if self.rules.is(InjectedFault::FreshAtBeat) { now } else { sent };
         let instant = sent - Micros::from(age) * 1000;
         conn.claimed = conn.claimed.max(Some(instant));
         conn.last = Some((instant, conn.shown.clone()));
@@ -647,16 +654,16 @@
         control: ControlId,
         piece: &Piece,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), CloseReason> {
         let kind = self.rules.kind(piece.stream.topic).filter(|_| self.rules.is_store(piece.stream.store));
         let fits = match (&piece.content, kind) {
-            (_, None) => return Err(Refused::Bounds("a stream that there is not")),
+            (_, None) => return Err(CloseReason::Bounds("a stream that there is not")),
             (Content::Entries { .. }, kind) => kind == Some(TopicKind::Register),
             (Content::Part { .. }, _) => true,
             (_, kind) => kind == Some(TopicKind::Set),
         };
         if !fits {
-            return Err(Refused::Bounds("a piece of another kind of topic"));
+            return Err(CloseReason::Bounds("a piece of another kind of topic"));
         }
         let stream = piece.stream;
         let head = self.heads.get(&stream).copied().unwrap_or_default();
@@ -670,18 +677,18 @@
         }
         let fit = self.plant(piece, head);
         match fit {
-            Fit::Known => Ok(()),
+            Fit::AlreadyHeld => Ok(()),
             Fit::Gap => Ok(()),
             Fit::Part => match self.part(control, piece, head) {
                 Some(whole) => self.piece(now, control, &whole, out),
                 None => Ok(()),
             },
-            Fit::Differs => {
+            Fit::Mismatch => {
                 self.figures.misfits += 1;
                 self.doubt(control, stream, out);
-                Err(Refused::Differs)
+                Err(CloseReason::HistoryMismatch)
             }
-            Fit::Fits(piece, head) => {
+            Fit::Continues(piece, head) => {
                 self.figures.applied += piece.changes().count() as u64;
                 self.figures.marks += u64::from(piece.is_mark());
                 self.heads.insert(stream, head);
@@ -697,13 +704,15 @@
 
     /// How a piece goes on from a head, with what tests plant.
     fn plant(&self, piece: &Piece, head: Head) -> Fit {
-        let fit = piece.onto(head);
+        let fit = piece.continue_from(head);
         let end = Head { number: piece.upto(), digest: piece.digest };
         match fit {
-            Fit::Known if self.rules.is(Planted::Twice) && end == head => Fit::Fits(piece.clone(), end),
-            Fit::Gap if self.rules.is(Planted::Gaps) => Fit::Fits(piece.clone(), end),
-            Fit::Differs if self.rules.is(Planted::NoDigest) && end.number > head.number => {
-                Fit::Fits(piece.clone(), end)
+            Fit::AlreadyHeld if self.rules.is(InjectedFault::Twice) && end == head => {
+                Fit::Continues(piece.clone(), end)
+            }
+            Fit::Gap if self.rules.is(InjectedFault::Gaps) => Fit::Continues(piece.clone(), end),
+            Fit::Mismatch if self.rules.is(InjectedFault::NoDigest) && end.number > head.number => {
+                Fit::Continues(piece.clone(), end)
             }
             fit => fit,
         }
@@ -751,7 +760,7 @@
             TopicKind::Register => {
                 let offset = u32::try_from(held.number - head.number).ok()?;
                 let entries = vec![Entry { offset, key: held.key, digest, body }];
-                Content::Entries { check: change::check(&entries), entries }
+                Content::Entries { check: change::entries_checksum(&entries), entries }
             }
         };
         Some(Piece { stream, after: head.number, digest: held.digest, content })
@@ -762,7 +771,7 @@
         for conn in self.conns.values_mut() {
             for _ in 0..2 {
                 conn.waits = conn.waits.take().or_else(|| conn.last.take());
-                let uncovered = self.rules.is(Planted::FreshUncovered);
+                let uncovered = self.rules.is(InjectedFault::FreshUncovered);
                 if let Some((instant, _)) = conn.waits.take_if(|w| uncovered || self.position.covers(&w.1)) {
                     self.fresh = self.fresh.max(Some(instant));
                 }
@@ -800,7 +809,7 @@
     fn challenge(&mut self, now: Micros) -> u32 {
         self.challenge = self.challenge.wrapping_add(1);
         self.challenges.push_back((self.challenge, now));
-        if self.challenges.len() > bounds::CHALLENGES {
+        if self.challenges.len() > bounds::MAX_CHALLENGES {
             self.challenges.pop_front();
         }
         self.challenge
--- a/crates/dissemination/src/frame.rs
+++ b/crates/dissemination/src/frame.rs
@@ -20,16 +20,16 @@
 
 /// Why a connection cannot go on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
-pub enum Refused {
+pub enum CloseReason {
     /// A version that this build does not speak.
     #[error("version {0} is not spoken here, {VERSION} is")]
     Version(u8),
     /// A frame of no or too great a length.
-    #[error("a frame of {0} bytes, 1 to {most} are taken", most = bounds::FRAME)]
+    #[error("a frame of {0} bytes, 1 to {most} are taken", most = bounds::MAX_FRAME_BYTES)]
     Length(u32),
     /// A body that is no message.
     #[error("a frame that cannot be read")]
-    Garbage,
+    Malformed,
     /// A message beyond its bounds.
     #[error("{0}")]
     Bounds(&'static str),
@@ -41,38 +41,38 @@
     Unexpected(&'static str),
     /// More messages than a peer may send.
     #[error("more messages than a peer may send")]
-    Flood,
+    TooManyMessages,
     /// No room for another peer.
     #[error("no room for another peer")]
-    Room,
+    NoCapacity,
     /// An epoch that is over, or that has not begun here.
     #[error("epoch {0} is not in force here, {1} is")]
     Epoch(u32, u32),
     /// A history that is not ours.
     #[error("changes that do not fit those before them")]
-    Differs,
+    HistoryMismatch,
     /// Nothing was heard for too long.
     #[error("silent for too long")]
-    Silent,
+    Timeout,
     /// Another connection has taken the place of this one.
     #[error("another connection has taken this one's place")]
     Replaced,
     /// Another control machine serves better.
     #[error("no longer needed")]
-    Left,
+    NoLongerNeeded,
 }
 
 /// A message as a frame. It fails on what no machine of this package makes: a message beyond its bounds.
-pub fn encode(message: &Message) -> Result<Vec<u8>, Refused> {
-    message.check().map_err(Refused::Bounds)?;
-    let body = postcard::to_allocvec(message).map_err(|_| Refused::Garbage)?;
+pub fn encode(message: &Message) -> Result<Vec<u8>, CloseReason> {
+    message.check().map_err(CloseReason::Bounds)?;
+    let body = postcard::to_allocvec(message).map_err(|_| CloseReason::Malformed)?;
     framed(VERSION, &body)
 }
 
 /// A reason as a frame, to be sent before a connection is closed.
-pub fn refusal(reason: &Refused) -> Vec<u8> {
+pub fn refusal(reason: &CloseReason) -> Vec<u8> {
     let mut text = reason.to_string();
-    let end = (0..=bounds::REASON).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
+    let end = (0..=bounds::MAX_REASON_BYTES).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
     text.truncate(end);
     framed(REFUSAL, text.as_bytes()).unwrap_or_default()
 }
@@ -80,7 +80,7 @@
 /// Bytes of a message's frame.
 pub fn size(message: &Message) -> usize {
     let flavor = postcard::ser_flavors::Size::default();
-    let body = postcard::serialize_with_flavor(message, flavor).unwrap_or(bounds::FRAME) + 1;
+    let body = postcard::serialize_with_flavor(message, flavor).unwrap_or(bounds::MAX_FRAME_BYTES) + 1;
     body + header(body)
 }
 
@@ -93,10 +93,10 @@
     }
 }
 
-fn framed(version: u8, body: &[u8]) -> Result<Vec<u8>, Refused> {
+fn framed(version: u8, body: &[u8]) -> Result<Vec<u8>, CloseReason> {
     let length = body.len() + 1;
-    if length > bounds::FRAME {
-        return Err(Refused::Length(u32::try_from(length).unwrap_or(u32::MAX)));
+    if length > bounds::MAX_FRAME_BYTES {
+        return Err(CloseReason::Length(u32::try_from(length).unwrap_or(u32::MAX)));
     }
     let mut bytes = Vec::with_capacity(length + LENGTH);
     let mut left = length;
@@ -114,12 +114,12 @@
 #[derive(Clone, Debug, Default)]
 pub struct Reader {
     held: Vec<u8>,
-    broken: Option<Refused>,
+    broken: Option<CloseReason>,
 }
 
 impl Reader {
     /// Takes bytes off the front of `bytes` until a message is whole; `None` when all are taken before that.
-    pub fn read(&mut self, bytes: &mut &[u8]) -> Result<Option<Message>, Refused> {
+    pub fn read(&mut self, bytes: &mut &[u8]) -> Result<Option<Message>, CloseReason> {
         if let Some(why) = &self.broken {
             return Err(why.clone());
         }
@@ -136,7 +136,7 @@
         self.held.len()
     }
 
-    fn frame(&mut self, bytes: &mut &[u8]) -> Result<Option<Message>, Refused> {
+    fn frame(&mut self, bytes: &mut &[u8]) -> Result<Option<Message>, CloseReason> {
         let Some((head, length)) = self.length(bytes)? else { return Ok(None) };
         // The version comes first, so that a long frame of a version that is not spoken is not waited for.
         if !self.fill(head + 1, bytes) {
@@ -145,22 +145,23 @@
         let version = self.held.get(head).copied().unwrap_or(REFUSAL);
         match version {
             VERSION => {}
-            REFUSAL if length <= bounds::REASON + 1 => {}
-            REFUSAL => return Err(Refused::Length(length as u32)),
-            other => return Err(Refused::Version(other)),
+            REFUSAL if length <= bounds::MAX_REASON_BYTES + 1 => {}
+            REFUSAL => return Err(CloseReason::Length(length as u32)),
+            other => return Err(CloseReason::Version(other)),
         }
         if !self.fill(head + length, bytes) {
             return Ok(None);
         }
         let body = self.held.get(head + 1..).unwrap_or_default();
         if version == REFUSAL {
-            return Err(Refused::ByPeer(String::from_utf8_lossy(body).into_owned()));
+            return Err(CloseReason::ByPeer(String::from_utf8_lossy(body).into_owned()));
         }
-        let (message, rest) = postcard::take_from_bytes::<Message>(body).map_err(|_| Refused::Garbage)?;
+        let (message, rest) =
+            postcard::take_from_bytes::<Message>(body).map_err(|_| CloseReason::Malformed)?;
         if !rest.is_empty() {
-            return Err(Refused::Garbage);
+            return Err(CloseReason::Malformed);
         }
-        message.check().map_err(Refused::Bounds)?;
+        message.check().map_err(CloseReason::Bounds)?;
         self.held.clear();
         // A rare large frame does not stay for the life of a connection.
         self.held.shrink_to(4096);
@@ -168,7 +169,7 @@
     }
 
     /// Bytes of the header's length, and the length that it says.
-    fn length(&mut self, bytes: &mut &[u8]) -> Result<Option<(usize, usize)>, Refused> {
+    fn length(&mut self, bytes: &mut &[u8]) -> Result<Option<(usize, usize)>, CloseReason> {
         let mut length = 0usize;
         for at in 0..LENGTH {
             if !self.fill(at + 1, bytes) {
@@ -178,12 +179,12 @@
             length |= usize::from(byte & 0x7f) << (7 * at);
             if byte & 0x80 == 0 {
                 return match length {
-                    1..=bounds::FRAME if header(length) == at + 1 => Ok(Some((at + 1, length))),
-                    _ => Err(Refused::Length(length as u32)),
+                    1..=bounds::MAX_FRAME_BYTES if header(length) == at + 1 => Ok(Some((at + 1, length))),
+                    _ => Err(CloseReason::Length(length as u32)),
                 };
             }
         }
-        Err(Refused::Length(length as u32))
+        Err(CloseReason::Length(length as u32))
     }
 
     /// Whether `upto` bytes are held, after taking what lacks.
--- a/crates/dissemination/src/ids.rs
+++ b/crates/dissemination/src/ids.rs
@@ -3,7 +3,7 @@
 use crate::bounds;
 use serde::{Deserialize, Serialize};
 
-/// A control machine: its place in the list of control machines, below [`bounds::CONTROLS`].
+/// A control machine: its place in the list of control machines, below [`bounds::MAX_CONTROLS`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ControlId(pub u8);
 
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "u8", into = "u8")]
 pub struct StreamId {
-    /// Position in [`Rules::topics`](crate::Rules::topics), below [`bounds::TOPICS`].
+    /// Position in [`Rules::topics`](crate::Rules::topics), below [`bounds::MAX_TOPICS`].
     pub topic: u8,
     /// Who numbers it.
     pub store: ControlId,
@@ -23,12 +23,12 @@
 
 impl From<u8> for StreamId {
     fn from(byte: u8) -> Self {
-        StreamId { topic: byte / bounds::CONTROLS, store: ControlId(byte % bounds::CONTROLS) }
+        StreamId { topic: byte / bounds::MAX_CONTROLS, store: ControlId(byte % bounds::MAX_CONTROLS) }
     }
 }
 
 impl From<StreamId> for u8 {
     fn from(stream: StreamId) -> u8 {
-        stream.topic % bounds::TOPICS * bounds::CONTROLS + stream.store.0 % bounds::CONTROLS
+        stream.topic % bounds::MAX_TOPICS * bounds::MAX_CONTROLS + stream.store.0 % bounds::MAX_CONTROLS
     }
 }
--- a/crates/dissemination/src/lib.rs
+++ b/crates/dissemination/src/lib.rs
@@ -33,12 +33,12 @@
 pub mod quorum;
 pub mod rules;
 
-pub use change::{Change, Content, Head, Kept, Piece, Position, Record};
+pub use change::{Change, Content, Head, Piece, Position, Record, SavedState};
 pub use control::Control;
 pub use follower::Follower;
 pub use ids::{ControlId, FollowerId, StreamId};
 pub use message::Message;
-pub use order::Place;
+pub use order::Location;
 pub use rules::{Rules, TopicKind};
 
 /// A point in time or a span, in microseconds. The zero of the clock has no meaning.
--- a/crates/dissemination/src/log.rs
+++ b/crates/dissemination/src/log.rs
@@ -84,7 +84,7 @@
 
     /// Adds one at the end.
     pub fn append(&mut self, key: u32, body: Rc<[u8]>) -> Record {
-        let head = self.head.then(key, &body);
+        let head = self.head.advance(key, &body);
         let total = self.total(self.head.number) + body.len() as u64 + 1;
         self.held.insert(head.number, Held { key, body: body.clone(), digest: head.digest, total });
         if self.kind == TopicKind::Register {
@@ -96,22 +96,22 @@
 
     /// Takes what is new in a piece, and says what is to be written down; nothing if nothing is new. It fails if
     /// the piece does not fit what is held.
-    pub fn take(&mut self, piece: &Piece) -> Result<Vec<Record>, Refused> {
+    pub fn take(&mut self, piece: &Piece) -> Result<Vec<Record>, PieceRejected> {
         let kind = match piece.content {
             Content::Entries { .. } => TopicKind::Register,
             Content::Even { .. } | Content::Bodies(_) | Content::Mark { .. } => TopicKind::Set,
-            Content::Part { .. } => return Err(Refused),
+            Content::Part { .. } => return Err(PieceRejected),
         };
         if kind != self.kind {
-            return Err(Refused);
+            return Err(PieceRejected);
         }
-        let (piece, end) = match piece.onto(self.head) {
-            Fit::Known if self.digest(piece.upto()).is_some_and(|d| d != piece.digest) => {
-                return Err(Refused)
+        let (piece, end) = match piece.continue_from(self.head) {
+            Fit::AlreadyHeld if self.digest(piece.upto()).is_some_and(|d| d != piece.digest) => {
+                return Err(PieceRejected)
             }
-            Fit::Known | Fit::Gap => return Ok(Vec::new()),
-            Fit::Differs | Fit::Part => return Err(Refused),
-            Fit::Fits(piece, end) => (piece, end),
+            Fit::AlreadyHeld | Fit::Gap => return Ok(Vec::new()),
+            Fit::Mismatch | Fit::Part => return Err(PieceRejected),
+            Fit::Continues(piece, end) => (piece, end),
         };
         let follows = piece.changes().zip(piece.after + 1..).all(|(c, number)| c.0 == number);
         if !piece.is_mark() && follows {
@@ -164,7 +164,7 @@
 
     /// Drops what is held beyond the rules, up to a number at most.
     pub fn compact(&mut self, rules: &Rules, upto: u64) {
-        let over = (self.head.number - self.horizon.number).saturating_sub(rules.retained as u64);
+        let over = (self.head.number - self.horizon.number).saturating_sub(rules.retained_changes as u64);
         self.drop_to(upto.min(self.horizon.number + over));
         while self.horizon.number < upto
             && self.bytes(self.horizon.number, self.head.number) > rules.retained_bytes as u64
@@ -183,7 +183,7 @@
         match record {
             Record::Change(change, _) if change.number <= self.head.number => {}
             Record::Change(change, digest) => {
-                let next = self.head.then(change.key, &change.body);
+                let next = self.head.advance(change.key, &change.body);
                 if self.loose.is_empty() && change.number == next.number {
                     if next.digest != digest {
                         return Err(BROKEN);
@@ -248,7 +248,7 @@
         let room = budget.checked_sub(head)?;
         let take = |cost: &dyn Fn(&u64, &Held) -> Option<usize>| {
             let mut left = room;
-            let fits = range.clone().take(bounds::CHANGES).take_while(|(n, h)| {
+            let fits = range.clone().take(bounds::MAX_CHANGES).take_while(|(n, h)| {
                 cost(n, h).and_then(|c| left.checked_sub(c)).inspect(|l| left = *l).is_some()
             });
             fits.count()
@@ -285,7 +285,7 @@
                     Some(Entry { offset, key: h.key, digest: h.digest, body: h.body.clone() })
                 };
                 let entries: Vec<Entry> = range.take(count).map_while(entry).collect();
-                Content::Entries { check: change::check(&entries), entries }
+                Content::Entries { check: change::entries_checksum(&entries), entries }
             }
         };
         let mut piece = Piece { stream: self.stream, after, digest: 0, content };
@@ -311,7 +311,7 @@
 
 /// A piece that does not fit what is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused;
+pub struct PieceRejected;
 
 /// Bytes of a number on the wire.
 fn varint(number: u64) -> usize {
--- a/crates/dissemination/src/message.rs
+++ b/crates/dissemination/src/message.rs
@@ -54,7 +54,7 @@
 
 /// A majority's word on how far a change has come.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Told {
+pub struct StatusReport {
     /// The question's.
     pub token: u32,
     /// Whether a majority of the stores is known to hold it.
@@ -63,7 +63,7 @@
     pub since: u32,
     /// Followers on the list, and of them those known to have it.
     pub followers: u32,
-    /// See [`Told::followers`].
+    /// See [`StatusReport::followers`].
     pub have: u32,
     /// Whether those not known to have it are out of service: the lease has passed since it was committed.
     pub lapsed: bool,
@@ -75,7 +75,7 @@
     pub unheard: Vec<ControlId>,
 }
 
-impl Told {
+impl StatusReport {
     /// Whether every follower on the list is known to have it.
     pub fn all(&self) -> bool {
         self.committed && self.have == self.followers
@@ -170,7 +170,7 @@
         topic: u8,
         /// See [`Change::key`](crate::Change::key).
         key: u32,
-        /// At most [`bounds::BODY`] bytes.
+        /// At most [`bounds::MAX_BODY_BYTES`] bytes.
         body: Rc<[u8]>,
     },
     /// Taken and held by a majority of the stores.
@@ -201,7 +201,7 @@
         from: FollowerId,
     },
     /// The answer.
-    Told(Told),
+    Told(StatusReport),
 }
 
 impl Message {
@@ -231,21 +231,21 @@
 
     /// Whether every count and figure is within its bounds; else what is not.
     pub fn check(&self) -> Result<(), &'static str> {
-        let number = |n: u64| rule(n <= bounds::NUMBER, "a number beyond reason");
-        let control = |c: ControlId| rule(c.0 < bounds::CONTROLS, "a control machine beyond the most");
-        let names = |n: &[FollowerId]| rule(n.len() <= bounds::NAMES, "too many names");
+        let number = |n: u64| rule(n <= bounds::MAX_NUMBER, "a number beyond reason");
+        let control = |c: ControlId| rule(c.0 < bounds::MAX_CONTROLS, "a control machine beyond the most");
+        let names = |n: &[FollowerId]| rule(n.len() <= bounds::MAX_NAMES, "too many names");
         match self {
             Message::Batch(pieces) => {
-                rule(pieces.len() <= bounds::PIECES, "too many pieces")?;
+                rule(pieces.len() <= bounds::MAX_PIECES, "too many pieces")?;
                 pieces.iter().try_for_each(Piece::check)
             }
-            Message::Beat(b) => rule(b.gains.len() <= bounds::STREAMS, "too many streams"),
+            Message::Beat(b) => rule(b.gains.len() <= bounds::MAX_STREAMS, "too many streams"),
             Message::Ack(a) => {
-                rule(a.gains.len() <= bounds::STREAMS, "too many streams")?;
-                rule(a.refused.len() <= bounds::REFUSED, "too many refused changes")
+                rule(a.gains.len() <= bounds::MAX_STREAMS, "too many streams")?;
+                rule(a.refused.len() <= bounds::MAX_REFUSED, "too many refused changes")
             }
             Message::Hello(h) => {
-                rule(h.heads.len() <= bounds::STREAMS, "too many streams")?;
+                rule(h.heads.len() <= bounds::MAX_STREAMS, "too many streams")?;
                 h.heads.iter().try_for_each(|(_, head)| number(head.number))
             }
             Message::Welcome { control: id, .. } | Message::Control { id, .. } => control(*id),
@@ -256,13 +256,13 @@
             Message::Polled { position, .. } => position.iter().try_for_each(|(_, n)| number(n)),
             Message::Counted { have, refused, .. } => names(have).and_then(|()| names(refused)),
             Message::Submit { topic, body, .. } => {
-                rule(*topic < bounds::TOPICS, "a topic beyond the most")?;
-                rule(body.len() <= bounds::BODY, "a change too large")
+                rule(*topic < bounds::MAX_TOPICS, "a topic beyond the most")?;
+                rule(body.len() <= bounds::MAX_BODY_BYTES, "a change too large")
             }
             Message::Told(t) => {
                 names(&t.missing)?;
                 names(&t.refused)?;
-                rule(t.unheard.len() <= usize::from(bounds::CONTROLS), "too many control machines")
+                rule(t.unheard.len() <= usize::from(bounds::MAX_CONTROLS), "too many control machines")
             }
             Message::Poll { .. } | Message::Busy { .. } => Ok(()),
         }
--- a/crates/dissemination/src/order.rs
+++ b/crates/dissemination/src/order.rs
@@ -15,7 +15,7 @@
 
 /// Where a machine stands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place {
+pub struct Location {
     /// Which region.
     pub region: u16,
     /// Which zone, over all regions.
@@ -25,8 +25,8 @@
 }
 
 /// All control machines, by the place of each in the list, in the order in which a follower turns to them.
-pub fn order(follower: FollowerId, place: Place, controls: &[Place]) -> Vec<ControlId> {
-    let score = |(c, at): (u8, &Place)| {
+pub fn preference_order(follower: FollowerId, place: Location, controls: &[Location]) -> Vec<ControlId> {
+    let score = |(c, at): (u8, &Location)| {
         let weight = match at {
             at if at.zone == place.zone => ZONE,
             at if at.region == place.region => REGION,
--- a/crates/dissemination/src/quorum.rs
+++ b/crates/dissemination/src/quorum.rs
@@ -6,7 +6,7 @@
 //! holds what no majority will ever hold stops nobody.
 
 use crate::change::Position;
-use crate::rules::Planted;
+use crate::rules::InjectedFault;
 use crate::{bounds, ControlId, Micros, Rules, StreamId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -82,7 +82,7 @@
         self.reported.entry(store).or_default().raise(stream, number);
         let mut numbers: Vec<u64> = self.reported.values().map(|p| p.get(stream)).collect();
         numbers.sort_unstable_by(|a, b| b.cmp(a));
-        let majority = if rules.is(Planted::AckAlone) { 1 } else { rules.majority() };
+        let majority = if rules.is(InjectedFault::AckAlone) { 1 } else { rules.majority() };
         let common = numbers.get(majority - 1).copied().unwrap_or(0);
         if common > self.committed.get(stream) {
             self.committed.raise(stream, common);
@@ -98,7 +98,7 @@
     pub fn begin(&mut self, now: Micros) -> u32 {
         self.token = self.token.wrapping_add(1).max(1);
         self.polls.push_back(Poll { token: self.token, start: now, answers: BTreeMap::new() });
-        if self.polls.len() > bounds::POLLS {
+        if self.polls.len() > bounds::MAX_POLLS {
             self.polls.pop_front();
         }
         self.token
@@ -125,11 +125,11 @@
 
     /// Whether the fresh instant has moved on, now that this much is held and committed.
     pub fn settle(&mut self, now: Micros, rules: &Rules, passable: &Position) {
-        let majority = if rules.is(Planted::PollOfOne) { 1 } else { rules.majority() };
+        let majority = if rules.is(InjectedFault::PollOfOne) { 1 } else { rules.majority() };
         let whole = |p: &Poll| p.answers.values().filter(|a| passable.covers(a)).count() >= majority;
         let Some(at) = self.polls.iter().rposition(whole) else { return };
         let start = self.polls.get(at).map(|p| p.start);
-        self.fresh = if rules.is(Planted::FreshAtAnswer) { Some(now) } else { self.fresh.max(start) };
+        self.fresh = if rules.is(InjectedFault::FreshAtAnswer) { Some(now) } else { self.fresh.max(start) };
         self.polls.drain(..=at);
     }
 }
--- a/crates/dissemination/tests/admission.rs
+++ b/crates/dissemination/tests/admission.rs
@@ -155,7 +155,7 @@
 
 #[test]
 fn what_is_held_stays_within_the_rules() {
-    let rules = Rules { controls: 3, stores: 3, retained: 40, keys: 20, ..Rules::default() };
+    let rules = Rules { controls: 3, stores: 3, retained_changes: 40, max_keys: 20, ..Rules::default() };
     let mut world = World::new(rules, 1);
     world.run(2 * SECOND);
     for token in 0..400u32 {
--- a/crates/dissemination/tests/explore.rs
+++ b/crates/dissemination/tests/explore.rs
@@ -12,7 +12,7 @@
 
 mod world;
 
-use dissemination::rules::Planted;
+use dissemination::rules::InjectedFault;
 use dissemination::{ControlId, StreamId};
 use rstest::rstest;
 use std::collections::HashMap;
@@ -238,7 +238,7 @@
     }
 }
 
-fn explore(faults: usize, planted: Option<Planted>, until: Option<Broken>) -> Explored {
+fn explore(faults: usize, planted: Option<InjectedFault>, until: Option<Broken>) -> Explored {
     let world = World::new(rules(CONTROLS as u8, CONTROLS as u8, planted), FOLLOWERS);
     let mut run = Run { world, faults: vec![], away: vec![] };
     while run.world.hops < START {
@@ -273,19 +273,19 @@
 
 /// The search ends at the first that it finds; the fault is planted in every machine.
 #[rstest]
-#[case::ack_alone(Planted::AckAlone, 1, Broken::Fresh)]
-#[case::uncommitted(Planted::Uncommitted, 2, Broken::Lost)]
-#[case::no_recovery(Planted::NoRecovery, 1, Broken::Lost)]
-#[case::poll_of_one(Planted::PollOfOne, 1, Broken::Fresh)]
-#[case::fresh_at_answer(Planted::FreshAtAnswer, 2, Broken::Fresh)]
-#[case::fresh_at_beat(Planted::FreshAtBeat, 1, Broken::Fresh)]
-#[case::fresh_uncovered(Planted::FreshUncovered, 1, Broken::Fresh)]
-#[case::no_lease(Planted::NoLease, 1, Broken::Lease)]
-#[case::twice(Planted::Twice, 1, Broken::Twice)]
-#[case::no_digest(Planted::NoDigest, 1, Broken::Bytes)]
-#[case::counts_sent(Planted::CountsSent, 1, Broken::Count)]
+#[case::ack_alone(InjectedFault::AckAlone, 1, Broken::Fresh)]
+#[case::uncommitted(InjectedFault::Uncommitted, 2, Broken::Lost)]
+#[case::no_recovery(InjectedFault::NoRecovery, 1, Broken::Lost)]
+#[case::poll_of_one(InjectedFault::PollOfOne, 1, Broken::Fresh)]
+#[case::fresh_at_answer(InjectedFault::FreshAtAnswer, 2, Broken::Fresh)]
+#[case::fresh_at_beat(InjectedFault::FreshAtBeat, 1, Broken::Fresh)]
+#[case::fresh_uncovered(InjectedFault::FreshUncovered, 1, Broken::Fresh)]
+#[case::no_lease(InjectedFault::NoLease, 1, Broken::Lease)]
+#[case::twice(InjectedFault::Twice, 1, Broken::Twice)]
+#[case::no_digest(InjectedFault::NoDigest, 1, Broken::Bytes)]
+#[case::counts_sent(InjectedFault::CountsSent, 1, Broken::Count)]
 fn each_guard_is_missed_when_it_is_gone(
-    #[case] planted: Planted,
+    #[case] planted: InjectedFault,
     #[case] faults: usize,
     #[case] what: Broken,
 ) {
--- a/crates/dissemination/tests/follower.rs
+++ b/crates/dissemination/tests/follower.rs
@@ -2,9 +2,10 @@
 
 mod world;
 
-use dissemination::rules::Planted;
+use dissemination::rules::InjectedFault;
 use dissemination::{
-    follower, Content, ControlId, Follower, FollowerId, Head, Kept, Message, Piece, Record, Rules, StreamId,
+    follower, Content, ControlId, Follower, FollowerId, Head, Message, Piece, Record, Rules, SavedState,
+    StreamId,
 };
 use rstest::rstest;
 use std::rc::Rc;
@@ -29,7 +30,7 @@
 }
 
 fn figures(world: &World, f: usize) -> dissemination::follower::Shown {
-    world.followers[f].as_ref().expect("it runs").shown(world.now)
+    world.followers[f].as_ref().expect("it runs").stats(world.now)
 }
 
 #[test]
@@ -62,7 +63,7 @@
     assert_eq!(world.verdict, Ok(()));
     // That stream alone.
     assert_eq!(world.applied[0].stale, 1);
-    assert!(world.controls.iter().flatten().map(|c| c.shown(world.now).differs).sum::<u64>() >= 2);
+    assert!(world.controls.iter().flatten().map(|c| c.stats(world.now).history_mismatches).sum::<u64>() >= 2);
 }
 
 #[rstest]
@@ -83,7 +84,7 @@
 /// in epoch 2, one is forgotten.
 fn restored() -> World {
     let mut world = started(2);
-    let kept: Vec<Kept> = (0..2).map(|f| world.kill_follower(f)).collect();
+    let kept: Vec<SavedState> = (0..2).map(|f| world.kill_follower(f)).collect();
     (0..3).for_each(|c| world.kill_control(c));
     for (f, kept) in kept.into_iter().enumerate() {
         world.start_follower(f, Some(kept));
@@ -137,7 +138,7 @@
 }
 
 /// What a follower applies of three pieces, of which the second comes last.
-fn fed(planted: Option<Planted>) -> Vec<u64> {
+fn fed(planted: Option<InjectedFault>) -> Vec<u64> {
     let mut follower = Follower::new(0, rules(2, 2, planted), FollowerId(1), vec![ControlId(0)], None, 1)
         .expect("sound rules");
     let mut out = vec![];
@@ -146,7 +147,7 @@
     let welcome = Message::Welcome { epoch: 1, control: ControlId(0) };
     let heads: Vec<Head> = (1..=3u8)
         .scan(Head::default(), |h, b| {
-            *h = h.then(0, &[b]);
+            *h = h.advance(0, &[b]);
             Some(*h)
         })
         .collect();
@@ -156,7 +157,7 @@
         Message::Batch(vec![Piece { stream: SET, after, digest, content }])
     };
     for message in [welcome, piece(1), piece(3), piece(2), piece(3)] {
-        follower.message(3, ControlId(0), &message, &mut out).expect("sound words");
+        follower.handle_message(3, ControlId(0), &message, &mut out).expect("sound words");
     }
     let applied = |o: follower::Output| match o {
         follower::Output::Apply(piece) => Some(piece.upto()),
@@ -168,7 +169,7 @@
 #[test]
 fn nothing_is_applied_over_a_gap() {
     assert_eq!(fed(None), [1, 2, 3]);
-    assert_eq!(fed(Some(Planted::Gaps)), [1, 3], "the guard is what keeps it so");
+    assert_eq!(fed(Some(InjectedFault::Gaps)), [1, 3], "the guard is what keeps it so");
 }
 
 #[test]
@@ -193,7 +194,7 @@
     let shown = figures(&world, 0);
     assert_eq!((shown.primary, shown.secondary), (Some((ControlId(0), true)), Some((ControlId(1), true))));
     world.ills[0].frozen = true;
-    let silence = (world.rules.silence / world::HOP) as usize;
+    let silence = (world.rules.silence_timeout / world::HOP) as usize;
     world.run(silence + 6);
     let shown = figures(&world, 0);
     assert_eq!((shown.primary, shown.secondary), (Some((ControlId(1), true)), Some((ControlId(2), true))));
@@ -242,7 +243,7 @@
     world.run(200);
     assert!(world.applied[0].bodies.get(&(at, 1)) == Some(&large), "it came whole");
     assert_eq!(world.applied[0].marks, 0);
-    let parts: u64 = world.controls.iter().flatten().map(|c| c.shown(world.now).parts).sum();
+    let parts: u64 = world.controls.iter().flatten().map(|c| c.stats(world.now).parts).sum();
     assert!(parts >= 7, "{parts} parts");
     world.judge_whole();
     assert_eq!(world.verdict, Ok(()));
@@ -280,7 +281,7 @@
     world.run(20);
     let number = world.applied[0].upto[&REGISTER];
     for f in 0..2 {
-        world.followers[f].as_mut().expect("it runs").refused(REGISTER, number);
+        world.followers[f].as_mut().expect("it runs").report_refused(REGISTER, number);
     }
     world.submit(0, 1, 78, 61);
     world.run(40);
@@ -290,7 +291,7 @@
     assert!(told.all());
     assert_eq!(told.refused, [FollowerId(0), FollowerId(1)]);
     let named: u32 =
-        world.controls.iter().flatten().flat_map(|c| c.shown(world.now).refused).map(|r| r.2).sum();
+        world.controls.iter().flatten().flat_map(|c| c.stats(world.now).refused).map(|r| r.2).sum();
     assert_eq!(named, 2);
     world.judge_whole();
     assert_eq!(world.verdict, Ok(()));
@@ -354,7 +355,7 @@
     assert!(new(vec![ControlId(1), ControlId(1)], None).is_err());
     assert!(new(vec![ControlId(3)], None).is_err());
     let beyond = StreamId { topic: 3, store: ControlId(9) };
-    let kept = Kept { epoch: 1, heads: vec![(beyond, Head { number: 4, digest: 4 })] };
+    let kept = SavedState { epoch: 1, heads: vec![(beyond, Head { number: 4, digest: 4 })] };
     assert_eq!(new(vec![ControlId(0)], Some(kept)), Ok(0), "of a stream that there is not nothing is held");
     assert_eq!(body(1).len(), 6);
 }
--- a/crates/dissemination/tests/frame.rs
+++ b/crates/dissemination/tests/frame.rs
@@ -1,8 +1,8 @@
 //! Frames: every message comes back, garbage is refused, and nothing is held beyond bounds.
 
 use dissemination::change::{self, Content, Entry, Fit, Head, Piece, Position};
-use dissemination::frame::{encode, refusal, size, Reader, Refused, VERSION};
-use dissemination::message::{Ack, Beat, Hello, Message, Told};
+use dissemination::frame::{encode, refusal, size, CloseReason, Reader, VERSION};
+use dissemination::message::{Ack, Beat, Hello, Message, StatusReport};
 use dissemination::{bounds, ControlId, FollowerId, StreamId};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -17,7 +17,7 @@
 }
 
 fn number() -> impl Strategy<Value = u64> {
-    prop_oneof![0..300u64, 0..=bounds::NUMBER]
+    prop_oneof![0..300u64, 0..=bounds::MAX_NUMBER]
 }
 
 fn names() -> impl Strategy<Value = Vec<FollowerId>> {
@@ -38,7 +38,7 @@
                 Entry { offset: at, key, digest, body }
             })
             .collect();
-        Content::Entries { check: change::check(&entries), entries }
+        Content::Entries { check: change::entries_checksum(&entries), entries }
     })
 }
 
@@ -50,21 +50,17 @@
     let part = (bytes(50), 0..50u16, any::<u32>()).prop_map(|(b, offset, check)| {
         let bytes = if b.is_empty() { Rc::from([1u8]) } else { b };
         let whole = offset + bytes.len() as u16;
-        Content::Part { number: bounds::NUMBER, key: check, whole, offset, check, bytes }
+        Content::Part { number: bounds::MAX_NUMBER, key: check, whole, offset, check, bytes }
     });
     let content = prop_oneof![
         even,
         vec(bytes(40), 1..6).prop_map(Content::Bodies),
-        Just(Content::Mark { upto: bounds::NUMBER }),
+        Just(Content::Mark { upto: bounds::MAX_NUMBER }),
         entries(),
         part,
     ];
-    (stream(), 0..bounds::NUMBER, any::<u32>(), content).prop_map(|(stream, after, digest, content)| Piece {
-        stream,
-        after,
-        digest,
-        content,
-    })
+    (stream(), 0..bounds::MAX_NUMBER, any::<u32>(), content)
+        .prop_map(|(stream, after, digest, content)| Piece { stream, after, digest, content })
 }
 
 fn message() -> impl Strategy<Value = Message> {
@@ -83,7 +79,7 @@
     let told = (any::<u32>(), any::<(bool, bool)>(), names(), names(), vec(0..64u8, 0..9)).prop_map(
         |(n, (committed, lapsed), missing, refused, unheard)| {
             let unheard = unheard.into_iter().map(ControlId).collect();
-            Message::Told(Told {
+            Message::Told(StatusReport {
                 token: n,
                 committed,
                 since: n,
@@ -184,9 +180,9 @@
         if let Ok(Some(Message::Batch(pieces))) = Reader::default().read(&mut &bytes[..]) {
             for piece in pieces {
                 let head = Head { number: piece.after.saturating_add(1), digest: 1 };
-                let fits = matches!(piece.onto(head), Fit::Fits(p, h) if p.upto() <= piece.upto() && h.number == p.upto());
-                prop_assert!(fits || !matches!(piece.onto(head), Fit::Fits(..)));
-                prop_assert!(piece.changes().count() <= bounds::CHANGES);
+                let fits = matches!(piece.continue_from(head), Fit::Continues(p, h) if p.upto() <= piece.upto() && h.number == p.upto());
+                prop_assert!(fits || !matches!(piece.continue_from(head), Fit::Continues(..)));
+                prop_assert!(piece.changes().count() <= bounds::MAX_CHANGES);
             }
         }
     }
@@ -195,7 +191,7 @@
     fn a_piece_that_overlaps_is_cut_to_what_is_new(widths in vec(1..9usize, 1..12), skip in 0..12usize, register: bool) {
         let bodies: Vec<Rc<[u8]>> = widths.iter().map(|w| Rc::from(vec![*w as u8; *w])).collect();
         let heads: Vec<Head> = bodies.iter().enumerate().scan(Head { number: 7, digest: 3 }, |at, (i, b)| {
-            *at = at.then(if register { i as u32 } else { 0 }, b);
+            *at = at.advance(if register { i as u32 } else { 0 }, b);
             Some(*at)
         }).collect();
         let content = if register {
@@ -203,7 +199,7 @@
             let entries: Vec<Entry> = numbered
                 .map(|((b, h), i)| Entry { offset: i + 1, key: i, digest: h.digest, body: b.clone() })
                 .collect();
-            Content::Entries { check: change::check(&entries), entries }
+            Content::Entries { check: change::entries_checksum(&entries), entries }
         } else {
             Content::Bodies(bodies.clone())
         };
@@ -212,9 +208,9 @@
         prop_assert_eq!(piece.check(), Ok(()));
         let skip = skip.min(bodies.len());
         let from = if skip == 0 { Head { number: 7, digest: 3 } } else { heads[skip - 1] };
-        match piece.onto(from) {
-            Fit::Known => prop_assert_eq!(skip, bodies.len()),
-            Fit::Fits(new, end) => {
+        match piece.continue_from(from) {
+            Fit::AlreadyHeld => prop_assert_eq!(skip, bodies.len()),
+            Fit::Continues(new, end) => {
                 prop_assert_eq!(end, last);
                 prop_assert_eq!(new.check(), Ok(()));
                 let got: Vec<(u64, Vec<u8>)> = new.changes().map(|(n, _, b)| (n, b.to_vec())).collect();
@@ -224,7 +220,7 @@
             other => prop_assert!(false, "{other:?}"),
         }
         let other = Head { digest: from.digest ^ 1, ..from };
-        prop_assert_eq!(piece.onto(other), Fit::Differs);
+        prop_assert_eq!(piece.continue_from(other), Fit::Mismatch);
     }
 }
 
@@ -238,30 +234,30 @@
     // The same length in two bytes is none.
     let mut long = vec![beat[0] | 0x80, 0];
     long.extend(&beat[1..]);
-    assert_eq!(Reader::default().read(&mut &long[..]), Err(Refused::Length(u32::from(beat[0]))));
-    assert_eq!(Reader::default().read(&mut &[0u8][..]), Err(Refused::Length(0)));
-    assert_eq!(Reader::default().read(&mut &[0xff, 0xff, 0xff][..]), Err(Refused::Length((1 << 21) - 1)));
-    let over = bounds::FRAME as u32 + 1;
+    assert_eq!(Reader::default().read(&mut &long[..]), Err(CloseReason::Length(u32::from(beat[0]))));
+    assert_eq!(Reader::default().read(&mut &[0u8][..]), Err(CloseReason::Length(0)));
+    assert_eq!(Reader::default().read(&mut &[0xff, 0xff, 0xff][..]), Err(CloseReason::Length((1 << 21) - 1)));
+    let over = bounds::MAX_FRAME_BYTES as u32 + 1;
     let bytes = [over as u8 | 0x80, (over >> 7) as u8 | 0x80, (over >> 14) as u8];
-    assert_eq!(Reader::default().read(&mut &bytes[..]), Err(Refused::Length(over)));
+    assert_eq!(Reader::default().read(&mut &bytes[..]), Err(CloseReason::Length(over)));
 }
 
 #[test]
 fn a_refusal_is_understood_and_other_versions_are_not() {
-    let bytes = refusal(&Refused::Room);
+    let bytes = refusal(&CloseReason::NoCapacity);
     let why = Reader::default().read(&mut &bytes[..]);
-    assert_eq!(why, Err(Refused::ByPeer(Refused::Room.to_string())));
-    let long = refusal(&Refused::ByPeer("é".repeat(4000)));
-    assert!(long.len() <= bounds::REASON + 4);
-    assert!(matches!(Reader::default().read(&mut &long[..]), Err(Refused::ByPeer(_))));
-    assert_eq!(Reader::default().read(&mut &[200, 1, 7][..]), Err(Refused::Version(7)));
+    assert_eq!(why, Err(CloseReason::ByPeer(CloseReason::NoCapacity.to_string())));
+    let long = refusal(&CloseReason::ByPeer("é".repeat(4000)));
+    assert!(long.len() <= bounds::MAX_REASON_BYTES + 4);
+    assert!(matches!(Reader::default().read(&mut &long[..]), Err(CloseReason::ByPeer(_))));
+    assert_eq!(Reader::default().read(&mut &[200, 1, 7][..]), Err(CloseReason::Version(7)));
 }
 
 #[test]
 fn messages_beyond_bounds_are_not_encoded() {
-    let body: Rc<[u8]> = Rc::from(vec![0; bounds::BODY + 1]);
+    let body: Rc<[u8]> = Rc::from(vec![0; bounds::MAX_BODY_BYTES + 1]);
     let submit = Message::Submit { token: 0, topic: 0, key: 0, body: body.clone() };
-    assert_eq!(encode(&submit), Err(Refused::Bounds("a change too large")));
+    assert_eq!(encode(&submit), Err(CloseReason::Bounds("a change too large")));
     let piece =
         |content| Message::Batch(vec![Piece { stream: StreamId::from(0), after: 5, digest: 0, content }]);
     let bad = [
@@ -270,7 +266,7 @@
         Content::Bodies(vec![]),
         Content::Bodies(vec![body]),
         Content::Mark { upto: 5 },
-        Content::Mark { upto: bounds::NUMBER + 1 },
+        Content::Mark { upto: bounds::MAX_NUMBER + 1 },
         Content::Entries { check: 0, entries: vec![] },
         Content::Entries {
             check: 0,
@@ -284,6 +280,6 @@
     ];
     for content in bad {
         let message = piece(content);
-        assert!(matches!(encode(&message), Err(Refused::Bounds(_))), "{message:?}");
+        assert!(matches!(encode(&message), Err(CloseReason::Bounds(_))), "{message:?}");
     }
 }
--- a/crates/dissemination/tests/order.rs
+++ b/crates/dissemination/tests/order.rs
@@ -1,17 +1,17 @@
 //! Which control machines followers turn to.
 
-use dissemination::order::order;
-use dissemination::{ControlId, FollowerId, Place};
+use dissemination::order::preference_order;
+use dissemination::{ControlId, FollowerId, Location};
 use std::collections::BTreeSet;
 
 /// 33 regions, 82 zones, 670 sites, and 24 control machines in the first zones of 24 regions.
-fn places() -> (Vec<Place>, Vec<Place>) {
-    let zone = |z: u16| Place { region: z % 33, zone: z, site: 0 };
-    let sites = (0..670u16).map(|s| Place { site: s, ..zone(s % 82) }).collect();
+fn places() -> (Vec<Location>, Vec<Location>) {
+    let zone = |z: u16| Location { region: z % 33, zone: z, site: 0 };
+    let sites = (0..670u16).map(|s| Location { site: s, ..zone(s % 82) }).collect();
     (sites, (0..24).map(zone).collect())
 }
 
-fn followers(n: u64) -> impl Iterator<Item = (FollowerId, Place)> {
+fn followers(n: u64) -> impl Iterator<Item = (FollowerId, Location)> {
     let (sites, _) = places();
     (0..n).map(move |f| (FollowerId(f.wrapping_mul(0x9e37_79b9_7f4a_7c15)), sites[f as usize % sites.len()]))
 }
@@ -20,8 +20,8 @@
 fn every_order_has_each_control_machine_once_and_is_the_same_again() {
     let (_, controls) = places();
     for (id, place) in followers(300) {
-        let first = order(id, place, &controls);
-        assert_eq!(first, order(id, place, &controls));
+        let first = preference_order(id, place, &controls);
+        assert_eq!(first, preference_order(id, place, &controls));
         assert_eq!(first.len(), 24);
         assert_eq!(first.iter().copied().collect::<BTreeSet<_>>(), (0..24).map(ControlId).collect());
     }
@@ -30,17 +30,17 @@
 #[test]
 fn neighbours_in_an_order_stand_in_different_zones() {
     // Eight zones with three control machines each; and one zone that has most.
-    let even: Vec<Place> = (0..24).map(|c| Place { region: c % 4, zone: c % 8, site: c }).collect();
-    let uneven: Vec<Place> =
-        (0..24u16).map(|c| Place { region: 0, zone: c.saturating_sub(13), site: c }).collect();
+    let even: Vec<Location> = (0..24).map(|c| Location { region: c % 4, zone: c % 8, site: c }).collect();
+    let uneven: Vec<Location> =
+        (0..24u16).map(|c| Location { region: 0, zone: c.saturating_sub(13), site: c }).collect();
     for (id, _) in followers(500) {
-        let place = Place { region: 1, zone: 1, site: 700 };
+        let place = Location { region: 1, zone: 1, site: 700 };
         for controls in [&even, &uneven] {
-            let order = order(id, place, controls);
+            let order = preference_order(id, place, controls);
             let zone = |c: &ControlId| controls[usize::from(c.0)].zone;
             assert_ne!(zone(&order[0]), zone(&order[1]));
         }
-        let all = order(id, place, &even);
+        let all = preference_order(id, place, &even);
         let same =
             all.windows(2).filter(|w| even[usize::from(w[0].0)].zone == even[usize::from(w[1].0)].zone);
         // Only the last few may have none of another zone left.
@@ -52,7 +52,7 @@
 fn the_load_is_even_and_stays_so_when_any_one_is_gone() {
     let (_, controls) = places();
     let orders: Vec<Vec<ControlId>> =
-        followers(11_000).map(|(id, place)| order(id, place, &controls)).collect();
+        followers(11_000).map(|(id, place)| preference_order(id, place, &controls)).collect();
     let load = |gone: Option<ControlId>, rank: usize| {
         let mut load = vec![0usize; 24];
         for o in &orders {
@@ -78,7 +78,7 @@
 fn the_near_come_first_more_often_than_by_chance() {
     let (_, controls) = places();
     let near = followers(11_000).filter(|(id, place)| {
-        let first = order(*id, *place, &controls)[0];
+        let first = preference_order(*id, *place, &controls)[0];
         controls[usize::from(first.0)].region == place.region
     });
     // Three quarters of the sites have one control machine in their region; by chance it is first once in 24.
--- a/crates/dissemination/tests/store.rs
+++ b/crates/dissemination/tests/store.rs
@@ -82,7 +82,7 @@
     assert_eq!(world.acknowledged.len(), 50);
     world.start_control(2);
     world.run(40);
-    let held = |c: usize| world.controls[c].as_ref().expect("it runs").shown(world.now).held;
+    let held = |c: usize| world.controls[c].as_ref().expect("it runs").stats(world.now).held;
     assert_eq!(held(2), held(0));
     let records = |c: usize| world.controls[c].as_ref().expect("it runs").records();
     assert_eq!(records(2), records(0));
@@ -111,7 +111,7 @@
 
 #[test]
 fn behind_the_horizon_stands_a_mark_for_a_set_and_the_last_values_for_a_register() {
-    let rules = Rules { retained: 8, ..rules(3, 3, None) };
+    let rules = Rules { retained_changes: 8, ..rules(3, 3, None) };
     let mut world = World::new(rules, 1);
     world.run(15);
     world.kill_control(2);
--- a/crates/dissemination/tests/world/mod.rs
+++ b/crates/dissemination/tests/world/mod.rs
@@ -4,10 +4,10 @@
 //! In a hop each connection hands over what was queued when the hop began, and machines whose time has come tick.
 #![allow(dead_code)]
 
-use dissemination::control::{self, Who};
+use dissemination::control::{self, ConnectionKind};
 use dissemination::follower;
-use dissemination::message::Told;
-use dissemination::rules::Planted;
+use dissemination::message::StatusReport;
+use dissemination::rules::InjectedFault;
 use dissemination::{
     Content, Control, ControlId, Follower, FollowerId, Message, Micros, PeerId, Piece, Record, Rules,
     StreamId, TopicKind,
@@ -22,26 +22,26 @@
 pub type At = (StreamId, u64);
 
 /// Short times, in hops; the relations are those of the defaults.
-pub fn rules(controls: u8, stores: u8, planted: Option<Planted>) -> Rules {
+pub fn rules(controls: u8, stores: u8, injected_fault: Option<InjectedFault>) -> Rules {
     let rules = Rules {
         controls,
         stores,
         topics: vec![TopicKind::Set, TopicKind::Register],
-        beat: 5 * HOP,
-        poll: 5 * HOP,
-        ack: 5 * HOP,
+        beat_interval: 5 * HOP,
+        poll_interval: 5 * HOP,
+        ack_interval: 5 * HOP,
         lease: 35 * HOP,
-        silence: 12 * HOP,
-        gap: 6 * HOP,
-        gone: 25 * HOP,
-        dial: 5 * HOP,
-        dial_most: 20 * HOP,
+        silence_timeout: 12 * HOP,
+        gap_timeout: 6 * HOP,
+        idle_timeout: 25 * HOP,
+        min_redial_delay: 5 * HOP,
+        max_redial_delay: 20 * HOP,
         primary_rate: 8000,
         secondary_rate: 4000,
-        own_rate: 4000,
-        count: 10 * HOP,
-        messages: 1000,
-        planted,
+        follower_rate: 4000,
+        count_timeout: 10 * HOP,
+        message_rate: 1000,
+        injected_fault,
         ..Rules::default()
     };
     rules.check().expect("sound rules");
@@ -135,7 +135,7 @@
     /// What was acknowledged, and when.
     pub acknowledged: BTreeMap<At, (Rc<[u8]>, Micros)>,
     pub busy: Vec<(u32, u32)>,
-    pub told: Vec<Told>,
+    pub told: Vec<StatusReport>,
     /// The bodies that any follower applied, the first time.
     pub seen: BTreeMap<(StreamId, u64), Rc<[u8]>>,
     asked: BTreeMap<u32, (StreamId, u64)>,
@@ -198,7 +198,7 @@
         self.controls[c] = Some(control.expect("sound rules and records"));
     }
 
-    pub fn start_follower(&mut self, f: usize, kept: Option<dissemination::Kept>) {
+    pub fn start_follower(&mut self, f: usize, kept: Option<dissemination::SavedState>) {
         self.lives[f] += 1;
         let (id, order) = (FollowerId(f as u64), self.orders[f].clone());
         let applied = &mut self.applied[f];
@@ -218,8 +218,8 @@
         self.drop_wires(End::Control(c));
     }
 
-    pub fn kill_follower(&mut self, f: usize) -> dissemination::Kept {
-        let kept = self.followers[f].take().map(|f| f.kept()).unwrap_or_default();
+    pub fn kill_follower(&mut self, f: usize) -> dissemination::SavedState {
+        let kept = self.followers[f].take().map(|f| f.saved_state()).unwrap_or_default();
         self.drop_wires(End::Follower(f));
         kept
     }
@@ -287,7 +287,7 @@
         for c in 0..self.controls.len() {
             let mut out = vec![];
             let Some(control) = self.controls[c].as_mut().filter(|_| !self.ills[c].frozen) else { continue };
-            if control.next() <= self.now {
+            if control.next_tick() <= self.now {
                 control.tick(self.now, &mut out);
             }
             self.control_does(c, out);
@@ -295,7 +295,7 @@
         for f in 0..self.followers.len() {
             let mut out = vec![];
             let Some(follower) = self.followers[f].as_mut() else { continue };
-            if follower.next() <= self.now {
+            if follower.next_tick() <= self.now {
                 follower.tick(self.now, &mut out);
             }
             self.follower_does(f, out);
@@ -361,7 +361,7 @@
             End::Control(c) => {
                 let mut out = vec![];
                 let Some(control) = self.controls[c].as_mut() else { return };
-                let done = control.message(self.now, id, &message, &mut out);
+                let done = control.handle_message(self.now, id, &message, &mut out);
                 self.control_does(c, out);
                 if let Err(why) = done {
                     self.quarrel(format!("{to:?} of {from:?}: {why}"));
@@ -373,7 +373,7 @@
                 let mut out = vec![];
                 let Some(follower) = self.followers[f].as_mut() else { return };
                 self.bytes_to[f] += dissemination::frame::size(&message) as u64;
-                let done = follower.message(self.now, ControlId(c as u8), &message, &mut out);
+                let done = follower.handle_message(self.now, ControlId(c as u8), &message, &mut out);
                 self.follower_does(f, out);
                 if let Err(why) = done {
                     self.quarrel(format!("{to:?} of {from:?}: {why}"));
@@ -439,14 +439,14 @@
         self.wires.insert(id, wire);
         let mut out = vec![];
         if let Some(control) = self.controls[to].as_mut() {
-            control.up(self.now, id, Who::Accepted, &mut out);
+            control.up(self.now, id, ConnectionKind::Accepted, &mut out);
         }
         self.control_does(to, out);
         match from {
             End::Control(c) => {
                 let mut out = vec![];
                 if let Some(control) = self.controls[c].as_mut() {
-                    control.up(self.now, id, Who::Control(ControlId(to as u8)), &mut out);
+                    control.up(self.now, id, ConnectionKind::Control(ControlId(to as u8)), &mut out);
                 }
                 self.control_does(c, out);
             }
--- a/crates/lab/src/dissemination/engine.rs
+++ b/crates/lab/src/dissemination/engine.rs
@@ -12,12 +12,12 @@
 use super::scenario::{Act, Hang, Keeps, Part, Scenario, FAULT, LOAD, S, WARM};
 use super::Node;
 use crate::virtual_host::queue::Queue;
-use dissemination::control::{Output as Told, Who};
+use dissemination::control::{ConnectionKind, Output as Told};
 use dissemination::follower::Output as Done;
 use dissemination::{
-    frame, order, Change, Control, ControlId, Follower, FollowerId, Head, Kept, Message, Micros,
+    frame, order, Change, Control, ControlId, Follower, FollowerId, Head, Message, Micros, SavedState,
 };
-use dissemination::{Place, Record, Rules, StreamId, TopicKind};
+use dissemination::{Location, Record, Rules, StreamId, TopicKind};
 use rand::RngExt;
 use rustix::time::{clock_gettime, ClockId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -144,8 +144,8 @@
     links: Vec<(ControlId, Conn)>,
     tick_at: Micros,
     life: u64,
-    kept: Option<Kept>,
-    note: Option<Kept>,
+    kept: Option<SavedState>,
+    note: Option<SavedState>,
     dark: bool,
 }
 
@@ -375,7 +375,7 @@
     /// What a proxy's machine shows; for a line.
     pub fn shown(&self, proxy: usize) -> String {
         let p = &self.proxies[proxy];
-        let machine = p.machine.as_ref().map(|m| m.shown(p.clock.local(self.now)));
+        let machine = p.machine.as_ref().map(|m| m.stats(p.clock.local(self.now)));
         format!("proxy {proxy} at {:?}: {machine:?} links {:?}", p.spot, p.links)
     }
 
@@ -390,8 +390,8 @@
     }
 
     /// Streams as places of followers and of control machines.
-    fn place(spot: Spot) -> Place {
-        Place { region: spot.region, zone: spot.zone, site: spot.site }
+    fn place(spot: Spot) -> Location {
+        Location { region: spot.region, zone: spot.zone, site: spot.site }
     }
 
     fn handle(&mut self, event: Event) {
@@ -482,7 +482,7 @@
         if self.proxies[n].machine.is_some() {
             return;
         }
-        let places: Vec<Place> = self.controls.iter().map(|c| Self::place(c.spot)).collect();
+        let places: Vec<Location> = self.controls.iter().map(|c| Self::place(c.spot)).collect();
         let epoch = self.rules.epoch;
         let p = &mut self.proxies[n];
         let kept = match keeps {
@@ -504,7 +504,7 @@
         p.life += 1;
         let life = mix(p.life ^ p.id.0);
         let now = p.clock.local(self.now);
-        let order = order::order(p.id, Self::place(p.spot), &places);
+        let order = order::preference_order(p.id, Self::place(p.spot), &places);
         let rules = self.rules.clone();
         let Ok(machine) = Follower::new(now, rules, p.id, order, kept, life) else { return };
         p.machine = Some(machine);
@@ -615,14 +615,14 @@
                         let (from, upto) = (piece.after, piece.upto());
                         if stream == piece.stream && from < number && number <= upto && !piece.is_mark() {
                             if let Some(machine) = &mut self.proxies[n].machine {
-                                machine.refused(stream, number);
+                                machine.report_refused(stream, number);
                                 self.judge.refuses(n);
                             }
                         }
                     }
                 }
                 Done::Stale(stream) => {
-                    let epoch = self.proxies[n].machine.as_ref().map_or(0, |m| m.kept().epoch);
+                    let epoch = self.proxies[n].machine.as_ref().map_or(0, |m| m.saved_state().epoch);
                     self.judge.stale(self.now, n, stream, epoch);
                 }
                 Done::OutOfService | Done::InService => {}
@@ -633,7 +633,7 @@
         let Some(machine) = &p.machine else { return };
         let local = p.clock.local(self.now);
         let serves = machine.in_service(local);
-        let next = p.clock.instant(machine.next()).max(self.now + AGAIN);
+        let next = p.clock.instant(machine.next_tick()).max(self.now + AGAIN);
         if next < p.tick_at {
             p.tick_at = next;
             self.queue.plan(next, Event::Tick(Node::Proxy(n as u32), next));
@@ -686,7 +686,7 @@
         self.outs = outs;
         let c = &mut self.controls[n];
         let Some(machine) = &c.machine else { return };
-        let next = c.clock.instant(machine.next()).max(self.now + AGAIN);
+        let next = c.clock.instant(machine.next_tick()).max(self.now + AGAIN);
         if next < c.tick_at {
             c.tick_at = next;
             self.queue.plan(next, Event::Tick(Node::Control(n as u8), next));
@@ -887,8 +887,8 @@
                     return;
                 }
                 let who = match (end, peer) {
-                    (End::Dialler, Node::Control(other)) => Who::Control(ControlId(other)),
-                    _ => Who::Accepted,
+                    (End::Dialler, Node::Control(other)) => ConnectionKind::Control(ControlId(other)),
+                    _ => ConnectionKind::Accepted,
                 };
                 let (now, out) = (c.clock.local(self.now), &mut self.outs);
                 let Some(machine) = &mut c.machine else { return self.close(conn, end) };
@@ -1065,7 +1065,7 @@
                 }
                 let (now, out) = (c.clock.local(self.now), &mut self.outs);
                 let Some(machine) = &mut c.machine else { return };
-                let taken = self.meters[1].run(|| machine.message(now, conn, &message, out));
+                let taken = self.meters[1].run(|| machine.handle_message(now, conn, &message, out));
                 self.settle_control(usize::from(n));
                 if let Err(why) = taken {
                     let kind = match peer {
@@ -1087,7 +1087,8 @@
                 let p = &mut self.proxies[n];
                 let (now, out) = (p.clock.local(self.now), &mut self.dones);
                 let Some(machine) = &mut p.machine else { return };
-                let taken = self.meters[0].run(|| machine.message(now, ControlId(control), &message, out));
+                let taken =
+                    self.meters[0].run(|| machine.handle_message(now, ControlId(control), &message, out));
                 if let Err(why) = &taken {
                     *self.closed.entry(format!("by a proxy: {why}")).or_default() += 1;
                     self.refuse(conn, end, frame::refusal(why).len());
@@ -1298,7 +1299,7 @@
                 }
             }
             Act::Note(n) => {
-                self.proxies[n].note = self.proxies[n].machine.as_ref().map(Follower::kept);
+                self.proxies[n].note = self.proxies[n].machine.as_ref().map(Follower::saved_state);
             }
             Act::Copy => self.controls.iter_mut().for_each(|c| c.copy = c.disk.clone()),
             Act::Restore => {
@@ -1331,7 +1332,7 @@
             }
             Act::Load(factor) => self.factor = factor,
             Act::Largest => {
-                let mut body = vec![0u8; self.rules.change];
+                let mut body = vec![0u8; self.rules.max_change_bytes];
                 self.load.fill(&mut body[..]);
                 self.submit(1, LARGEST_KEY, Rc::from(body), What::Largest);
             }
@@ -1356,7 +1357,7 @@
                 self.before(n as usize);
                 let p = &mut self.proxies[n as usize];
                 if let Some(machine) = p.machine.take() {
-                    p.kept = Some(machine.kept());
+                    p.kept = Some(machine.saved_state());
                 }
                 p.dark = dark;
                 self.judge.ends(self.now, n as usize);
--- a/crates/lab/src/dissemination/judge.rs
+++ b/crates/lab/src/dissemination/judge.rs
@@ -620,7 +620,7 @@
         at: Micros,
         epoch: u32,
         of: (StreamId, u64),
-        told: &dissemination::message::Told,
+        told: &dissemination::message::StatusReport,
     ) {
         let place = self.place(of.0);
         let Some(position) = self.epochs.iter().position(|(e, _)| *e == epoch) else { return };
--- a/crates/lab/tests/dissemination.rs
+++ b/crates/lab/tests/dissemination.rs
@@ -1,8 +1,8 @@
 //! The dissemination of changes to a small fleet in virtual time, under the faults that the large runs play, judged
 //! from outside; and that the judges find what is planted.
 
-use dissemination::message::Told;
-use dissemination::rules::Planted;
+use dissemination::message::StatusReport;
+use dissemination::rules::InjectedFault;
 use dissemination::{ControlId, StreamId};
 use lab::dissemination::engine::{Setting, World};
 use lab::dissemination::figures::{report, Report};
@@ -96,13 +96,13 @@
 }
 
 #[rstest]
-#[case::no_lease(Planted::NoLease, "region_cut", Rule::Missing)]
-#[case::fresh_uncovered(Planted::FreshUncovered, "zone", Rule::Missing)]
-#[case::twice(Planted::Twice, "control_still", Rule::Order)]
-fn the_judges_find_what_is_planted(#[case] fault: Planted, #[case] name: &str, #[case] rule: Rule) {
+#[case::no_lease(InjectedFault::NoLease, "region_cut", Rule::Missing)]
+#[case::fresh_uncovered(InjectedFault::FreshUncovered, "zone", Rule::Missing)]
+#[case::twice(InjectedFault::Twice, "control_still", Rule::Order)]
+fn the_judges_find_what_is_planted(#[case] fault: InjectedFault, #[case] name: &str, #[case] rule: Rule) {
     let found = (40..44).any(|seed| {
         let mut setting = Setting::new(PROXIES, seed);
-        setting.rules.planted = Some(fault);
+        setting.rules.injected_fault = Some(fault);
         broke(&play(name, setting), rule)
     });
     assert!(found, "{fault:?} was not found by {}", rule.name());
@@ -113,7 +113,7 @@
     let rules = Setting::new(PROXIES, 1).rules;
     let mut judge = Judge::new(Bounds::default(), rules.topics, rules.stores, 3, 1, 0);
     let stream = StreamId { topic: 0, store: ControlId(0) };
-    let told = Told { committed: true, followers: 3, have: 1, ..Told::default() };
+    let told = StatusReport { committed: true, followers: 3, have: 1, ..StatusReport::default() };
     judge.status(0, 1, (stream, 1), &told);
     assert_eq!(judge.tally.broken.get(&Rule::All), Some(&1));
 }
--- a/src/commands/change.rs
+++ b/src/commands/change.rs
@@ -10,7 +10,7 @@
 use crate::features::file;
 use crate::features::follower::applier;
 use dissemination::frame::{self, Reader};
-use dissemination::message::Told;
+use dissemination::message::StatusReport;
 use dissemination::{ControlId, FollowerId, Message, StreamId};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
@@ -274,15 +274,15 @@
     let mut parts = change.split('.');
     let mut part = || parts.next().and_then(|p| p.parse::<u64>().ok()).ok_or_else(wrong);
     let (topic, store, number) = (part()?, part()?, part()?);
-    let fits = topic < u64::from(dissemination::bounds::TOPICS) && store < settings::MOST as u64;
-    if parts.next().is_some() || !fits || !(1..=dissemination::bounds::NUMBER).contains(&number) {
+    let fits = topic < u64::from(dissemination::bounds::MAX_TOPICS) && store < settings::MOST as u64;
+    if parts.next().is_some() || !fits || !(1..=dissemination::bounds::MAX_NUMBER).contains(&number) {
         return Err(wrong());
     }
     Ok((StreamId { topic: topic as u8, store: ControlId(store as u8) }, number))
 }
 
 /// What the first control machine that answers says of a change, with all that it names.
-fn told(machines: &mut [Machine], (stream, number): (StreamId, u64)) -> Result<Told, String> {
+fn told(machines: &mut [Machine], (stream, number): (StreamId, u64)) -> Result<StatusReport, String> {
     let mut why = String::new();
     for machine in machines {
         let mut ask = |from| {
@@ -329,12 +329,12 @@
 }
 
 /// Whether every proxy that serves has it.
-fn done(told: &Told) -> bool {
+fn done(told: &StatusReport) -> bool {
     told.all() || (told.committed && told.lapsed)
 }
 
-fn show(change: &str, told: &Told, names: &BTreeMap<FollowerId, String>) -> Result<(), String> {
-    let Told { committed, since, followers, have, .. } = told;
+fn show(change: &str, told: &StatusReport, names: &BTreeMap<FollowerId, String>) -> Result<(), String> {
+    let StatusReport { committed, since, followers, have, .. } = told;
     match committed {
         true => say(&format!(
             "change {change}: a majority of the stores has it, known for {:.1} s",
--- a/src/features/control.rs
+++ b/src/features/control.rs
@@ -20,8 +20,8 @@
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
-use dissemination::control::{Output, Who};
-use dissemination::frame::{self, Refused};
+use dissemination::control::{ConnectionKind, Output};
+use dissemination::frame::{self, CloseReason};
 use dissemination::{Control, ControlId, FollowerId, Message, PeerId, Record, StreamId};
 use futures_lite::future;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -242,7 +242,7 @@
                     return;
                 }
             }
-            if self.control.next() <= now {
+            if self.control.next_tick() <= now {
                 let mut out = Vec::new();
                 self.control.tick(now, &mut out);
                 self.carry_out(now, out);
@@ -253,7 +253,7 @@
                 future::yield_now().await;
                 continue;
             }
-            timer.set_at(clock.instant(self.control.next().min(now + LOOK)));
+            timer.set_at(clock.instant(self.control.next_tick().min(now + LOOK)));
             let tick = async {
                 (&mut timer).await;
                 None
@@ -288,12 +288,12 @@
             Word::Up => {
                 p.up = true;
                 if let Some(control) = p.dialled {
-                    self.control.up(now, peer, Who::Control(control), out);
+                    self.control.up(now, peer, ConnectionKind::Control(control), out);
                 }
             }
             Word::Said(_) if p.closing => {}
             Word::Said(message) => {
-                if let Err(why) = self.control.message(now, peer, &message, out) {
+                if let Err(why) = self.control.handle_message(now, peer, &message, out) {
                     self.refuse(peer, &why);
                 }
             }
@@ -333,7 +333,7 @@
         });
         let new = Peer { address, dialled: None, up: true, outbox, closing: false, _task: task };
         self.peers.insert(peer, new);
-        self.control.up(now, peer, Who::Accepted, out);
+        self.control.up(now, peer, ConnectionKind::Accepted, out);
     }
 
     /// Opens a connection to another control machine; one that is only being opened there gives way.
@@ -350,7 +350,7 @@
     }
 
     /// Tells a peer why its connection is closed; the core knows it no more.
-    fn refuse(&mut self, peer: PeerId, why: &Refused) {
+    fn refuse(&mut self, peer: PeerId, why: &CloseReason) {
         let Some(p) = self.peers.get_mut(&peer) else { return };
         let (address, said) = (p.address, p.outbox.last(frame::refusal(why)));
         p.closing = true;
@@ -465,7 +465,7 @@
             Ok(names) => {
                 let followers = names.len();
                 info!(event = "reloaded", followers, "reloaded: {followers} followers");
-                self.control.roster(names.into_keys().collect());
+                self.control.set_roster(names.into_keys().collect());
             }
             Err(why) => warn!(event = "not_reloaded", why, "not reloaded, the old list stays: {why}"),
         }
@@ -485,22 +485,22 @@
             return;
         }
         self.looked = now;
-        let shown = self.control.shown(now);
-        if shown.takes != std::mem::replace(&mut self.takes, shown.takes) {
-            match shown.takes {
+        let stats = self.control.stats(now);
+        if stats.accepting != std::mem::replace(&mut self.takes, stats.accepting) {
+            match stats.accepting {
                 true => info!(event = "takes", "takes submissions"),
                 false => warn!(event = "takes_none", "takes no submissions"),
             }
         }
         // Known within the lease: who has no fresh instant is of no use to followers.
-        let fresh = shown.fresh.is_some_and(|at| now - at < 2_000_000);
+        let fresh = stats.fresh.is_some_and(|at| now - at < 2_000_000);
         if fresh != std::mem::replace(&mut self.fresh, fresh) {
             match fresh {
                 true => info!(event = "fresh", "hears a majority of the stores"),
                 false => warn!(event = "not_fresh", "hears no majority of the stores"),
             }
         }
-        for of in shown.conflicts.iter().filter(|s| !self.conflicts.contains(s)).copied().collect::<Vec<_>>()
+        for of in stats.conflicts.iter().filter(|s| !self.conflicts.contains(s)).copied().collect::<Vec<_>>()
         {
             let name = stream(of);
             self.line(|| {
@@ -511,9 +511,9 @@
                 );
             });
         }
-        self.conflicts = shown.conflicts.iter().copied().collect();
+        self.conflicts = stats.conflicts.iter().copied().collect();
         let refused: BTreeSet<_> =
-            shown.refused.iter().map(|(stream, number, _)| (*stream, *number)).collect();
+            stats.refused.iter().map(|(stream, number, _)| (*stream, *number)).collect();
         for (of, number) in refused.difference(&self.refused).copied().collect::<Vec<_>>() {
             let name = stream(of);
             self.line(|| {
@@ -534,7 +534,7 @@
     }
 
     fn figures(&mut self, now: Micros) {
-        let s = self.control.shown(now);
+        let s = self.control.stats(now);
         let age_ms = s.fresh.map(|at| (now - at) / 1000);
         let held: u64 = s.held.iter().map(|(_, number)| number).sum();
         let committed: u64 = s.committed.iter().map(|(_, number)| number).sum();
@@ -544,38 +544,38 @@
             held,
             committed,
             age_ms,
-            takes = s.takes,
+            takes = s.accepting,
             controls = s.controls,
             primaries = s.primaries,
             secondaries = s.secondaries,
             clients = s.clients,
-            strangers = s.strangers,
+            strangers = s.unidentified,
             pending = s.pending,
-            taken = s.taken,
+            taken = s.accepted,
             busy = s.busy,
             acknowledged = s.acknowledged,
             bytes = s.bytes,
             marks = s.marks,
-            silent = s.silent,
-            room = s.room,
-            differs = s.differs,
+            silent = s.timed_out,
+            room = s.at_capacity,
+            differs = s.history_mismatches,
             "held {held} committed {committed} fresh {age}; taken {} busy {} acknowledged {} pending {}; \
              to followers: bytes {} marks {}; closed: silent {} room {} differs {}; open: controls {} primaries {} \
              secondaries {} clients {} strangers {}",
-            s.taken,
+            s.accepted,
             s.busy,
             s.acknowledged,
             s.pending,
             s.bytes,
             s.marks,
-            s.silent,
-            s.room,
-            s.differs,
+            s.timed_out,
+            s.at_capacity,
+            s.history_mismatches,
             s.controls,
             s.primaries,
             s.secondaries,
             s.clients,
-            s.strangers,
+            s.unidentified,
         );
         let left = std::mem::take(&mut self.lines).saturating_sub(LINES);
         if left > 0 {
--- a/src/features/control/settings.rs
+++ b/src/features/control/settings.rs
@@ -1,13 +1,13 @@
 //! The lines about control machines in our own file, which control machines and proxies share.
 
 use crate::codec::discovery;
-use dissemination::{bounds, ControlId, FollowerId, Place, Rules};
+use dissemination::{bounds, ControlId, FollowerId, Location, Rules};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 /// Control machines on the list.
-pub const MOST: usize = bounds::CONTROLS as usize;
+pub const MOST: usize = bounds::MAX_CONTROLS as usize;
 /// Stores, where the list is long enough and the file says nothing else.
 const STORES: u8 = 5;
 /// The longest list of followers, in bytes and names.
@@ -57,20 +57,20 @@
 
     /// Where the control machines stand, and where one stands that is told by its names. Numbers mean something
     /// beside each other only.
-    pub fn places(&self, own: Option<&[String; 3]>) -> (Vec<Place>, Place) {
+    pub fn places(&self, own: Option<&[String; 3]>) -> (Vec<Location>, Location) {
         let mut known: BTreeMap<Vec<String>, u16> = BTreeMap::new();
         let mut number = |names: &[String]| {
             let next = known.len() as u16;
             *known.entry(names.to_vec()).or_insert(next)
         };
-        let mut place = |[region, zone, site]: &[String; 3]| Place {
+        let mut place = |[region, zone, site]: &[String; 3]| Location {
             region: number(std::slice::from_ref(region)),
             zone: number(&[region.clone(), zone.clone()]),
             site: number(&[region.clone(), zone.clone(), site.clone()]),
         };
         let all = self.listed.iter().map(|l| place(&l.place)).collect();
         // Of one that stands nowhere nothing is near.
-        let nowhere = Place { region: u16::MAX, zone: u16::MAX, site: u16::MAX };
+        let nowhere = Location { region: u16::MAX, zone: u16::MAX, site: u16::MAX };
         (all, own.map_or(nowhere, place))
     }
 }
--- a/src/features/follower.rs
+++ b/src/features/follower.rs
@@ -12,7 +12,7 @@
 use crate::interface::Micros;
 use applier::{Applier, Refusal};
 use dissemination::follower::Output;
-use dissemination::frame::Refused;
+use dissemination::frame::CloseReason;
 use dissemination::{order, ControlId, Follower, Message, Piece, StreamId, TopicKind};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
     Dial(ControlId),
     Send(ControlId, Message),
     /// Tell it why and close its connection, also one that is only being opened.
-    Close(ControlId, Refused),
+    Close(ControlId, CloseReason),
 }
 
 /// See the file's comment.
@@ -71,7 +71,7 @@
         let rules = settings.controls.rules()?;
         let (me, topics) = (settings::follower(name), rules.topics.clone());
         let (places, place) = settings.controls.places(settings.place.as_ref());
-        let order = order::order(me, place, &places);
+        let order = order::preference_order(me, place, &places);
         let (controls, first) = (order.len(), order.first().map_or(0, |c| c.0));
         let id = me.0;
         info!(
@@ -118,7 +118,7 @@
     /// A control machine has said something.
     pub fn said(&mut self, now: Micros, control: ControlId, message: &Message) {
         let welcome = matches!(message, Message::Welcome { .. });
-        match self.machine.message(now, control, message, &mut self.out) {
+        match self.machine.handle_message(now, control, message, &mut self.out) {
             Err(why) => {
                 self.trouble(control, &why.to_string());
                 self.out.push(Output::Close(control, why));
@@ -138,7 +138,7 @@
 
     /// When [`Following::tick`] has something to do.
     pub fn next(&self) -> Micros {
-        self.machine.next()
+        self.machine.next_tick()
     }
 
     /// Whether everything that was acknowledged a lease ago is applied.
@@ -148,7 +148,7 @@
 
     /// Does what is due, and hands out what is to be done.
     pub fn tick(&mut self, now: Micros, wishes: &mut Vec<Wish>) {
-        if self.machine.next() <= now {
+        if self.machine.next_tick() <= now {
             self.machine.tick(now, &mut self.out);
         }
         for output in std::mem::take(&mut self.out) {
@@ -156,7 +156,7 @@
                 Output::Dial(control) => wishes.push(Wish::Dial(control)),
                 Output::Send(control, message) => wishes.push(Wish::Send(control, message)),
                 Output::Close(control, why) => {
-                    if !matches!(why, Refused::Left) {
+                    if !matches!(why, CloseReason::NoLongerNeeded) {
                         self.trouble(control, &why.to_string());
                     }
                     wishes.push(Wish::Close(control, why));
@@ -221,7 +221,7 @@
             }),
             Err(Refusal(why)) => {
                 self.refused += 1;
-                self.machine.refused(of, number);
+                self.machine.report_refused(of, number);
                 self.line(|| {
                     warn!(
                         event = "change_refused",
@@ -256,7 +256,7 @@
     }
 
     fn figures(&mut self, now: Micros) {
-        let s = self.machine.shown(now);
+        let s = self.machine.stats(now);
         let number = |of: Option<(ControlId, bool)>| of.filter(|(_, up)| *up).map(|(c, _)| c.0);
         let (primary, secondary) = (number(s.primary), number(s.secondary));
         let held: u64 = self.machine.position().iter().map(|(_, number)| number).sum();
--- a/src/net/framed/changes.rs
+++ b/src/net/framed/changes.rs
@@ -1,7 +1,7 @@
 //! The frames between control machines, followers and whoever submits changes ([`dissemination::frame`]).
 
 use super::{Allowance, Framed};
-use dissemination::frame::{self, Reader, Refused};
+use dissemination::frame::{self, CloseReason, Reader};
 use dissemination::{bounds, Message};
 use std::time::Instant;
 
@@ -11,28 +11,28 @@
 
 impl Framed for Message {
     type Reader = Reader;
-    type Refused = Refused;
+    type Refused = CloseReason;
     /// The largest frame fits four times.
-    const WAITING: usize = 4 * bounds::FRAME;
+    const WAITING: usize = 4 * bounds::MAX_FRAME_BYTES;
 
-    fn read(reader: &mut Reader, bytes: &mut &[u8]) -> Result<Option<Self>, Refused> {
+    fn read(reader: &mut Reader, bytes: &mut &[u8]) -> Result<Option<Self>, CloseReason> {
         reader.read(bytes)
     }
 
-    fn refusal(why: &Refused) -> Vec<u8> {
+    fn refusal(why: &CloseReason) -> Vec<u8> {
         frame::refusal(why)
     }
 
-    fn is_by_peer(why: &Refused) -> bool {
-        matches!(why, Refused::ByPeer(_))
+    fn is_by_peer(why: &CloseReason) -> bool {
+        matches!(why, CloseReason::ByPeer(_))
     }
 
-    fn flood() -> Refused {
-        Refused::Flood
+    fn flood() -> CloseReason {
+        CloseReason::TooManyMessages
     }
 
-    fn unexpected(what: &'static str) -> Refused {
-        Refused::Unexpected(what)
+    fn unexpected(what: &'static str) -> CloseReason {
+        CloseReason::Unexpected(what)
     }
 
     fn admits(allowance: &mut Allowance, now: Instant) -> bool {
--- a/src/owner/controls.rs
+++ b/src/owner/controls.rs
@@ -6,7 +6,7 @@
 use crate::net::framed::{self, Outbox, Word};
 use crate::net::{News, Queue};
 use async_executor::{LocalExecutor, Task};
-use dissemination::frame::{self, Refused};
+use dissemination::frame::{self, CloseReason};
 use dissemination::{ControlId, Message};
 use std::collections::BTreeMap;
 use tracing::warn;
@@ -75,7 +75,7 @@
         self.open.insert(control, Connection { number, outbox, _task: task });
     }
 
-    fn close(&mut self, control: ControlId, why: &Refused) {
+    fn close(&mut self, control: ControlId, why: &CloseReason) {
         let Some(connection) = self.open.remove(&control) else { return };
         if self.leaving.len() < LEAVING && connection.outbox.last(frame::refusal(why)) {
             self.leaving.insert(connection.number, connection);
--- a/tests/dissemination.rs
+++ b/tests/dissemination.rs
@@ -2,7 +2,7 @@
 //! connection between them through a link whose directions are cut apart. Every wait is for an event or for an answer
 //! of the command line, with a generous bound; verdicts are on what is told and counted.
 
-use dissemination::frame::{Reader, Refused};
+use dissemination::frame::{CloseReason, Reader};
 use lab::fleet::links::{Condition, Links};
 use lab::fleet::log::{Line, Log, Mark, Wanted};
 use lab::fleet::processes::{Processes, Spec};
@@ -439,7 +439,7 @@
 }
 
 /// What a control machine tells a peer before it closes.
-fn last_words(mut socket: TcpStream) -> Refused {
+fn last_words(mut socket: TcpStream) -> CloseReason {
     socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     let (mut reader, mut bytes) = (Reader::default(), [0; 4096]);
     loop {
@@ -464,7 +464,7 @@
     let fleet = Fleet::new(1);
     let mut stranger = TcpStream::connect(fleet.controls[0]).expect("a connection");
     stranger.write_all(&[2, 9, 0]).expect("it is written");
-    assert_eq!(last_words(stranger), Refused::ByPeer("version 9 is not spoken here, 1 is".into()));
+    assert_eq!(last_words(stranger), CloseReason::ByPeer("version 9 is not spoken here, 1 is".into()));
     let change = fleet.submit(&["--purge", "a"]).remove(0);
     fleet.wait_for_all(&change);
     fleet.end();
