--- a/crates/cost/src/counting.rs
+++ b/crates/cost/src/counting.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 
 /// See the file's comment.
-pub struct Counting;
+pub struct CountingAllocator;
 
 thread_local! {
     static MADE: Cell<u64> = const { Cell::new(0) };
@@ -20,7 +20,7 @@
 }
 
 // SAFETY: every call goes to `System` as it came; the counters are plain cells that never allocate.
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         count(1, layout.size() as i64);
         // SAFETY: the caller keeps the contract of `alloc`.
@@ -41,11 +41,11 @@
 }
 
 /// Allocations of this thread so far; a reallocation is one.
-pub fn made() -> u64 {
+pub fn allocations() -> u64 {
     MADE.get()
 }
 
 /// Bytes that this thread holds, less what it freed for others.
-pub fn held() -> i64 {
+pub fn bytes_held() -> i64 {
     HELD.get()
 }
--- a/crates/cost/src/decision.rs
+++ b/crates/cost/src/decision.rs
@@ -54,7 +54,7 @@
         self.asked += 1;
         self.now += STEP;
         let id = RequestId(self.asked);
-        let key = if new { Key(crate::mixed(!self.asked)) } else { key(self.asked) };
+        let key = if new { Key(crate::mix(!self.asked)) } else { key(self.asked) };
         let request = Request { id, key, deadline: self.now + SECOND, ..Request::default() };
         self.balancer.handle(self.now, Event::Request(request), &mut self.out);
         let server = self.out.iter().find_map(|a| match a {
--- a/crates/cost/src/lib.rs
+++ b/crates/cost/src/lib.rs
@@ -20,7 +20,7 @@
 pub const KEYS: u64 = 20_000;
 
 /// A number from a number, well mixed (SplitMix64).
-pub fn mixed(x: u64) -> u64 {
+pub fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -30,8 +30,8 @@
 /// The n-th key that is asked for, by popularity: the rank is drawn so that its logarithm is even, close to
 /// Zipf's law with exponent 1.
 pub fn key(n: u64) -> Key {
-    let u = (mixed(n) >> 11) as f64 / (1u64 << 53) as f64;
-    Key(mixed((KEYS as f64).powf(u) as u64).max(1))
+    let u = (mix(n) >> 11) as f64 / (1u64 << 53) as f64;
+    Key(mix((KEYS as f64).powf(u) as u64).max(1))
 }
 
 /// The settings of a site with three zones, an origin and reports with answers.
@@ -54,8 +54,8 @@
         zone: ZoneId((n % 3) as u16),
         kind: KindId((n % 2) as u16),
         weight: if n.is_multiple_of(2) { 1.0 } else { 2.0 },
-        ..Member::ready(ServerId(mixed(n)))
+        ..Member::ready(ServerId(mix(n)))
     };
-    let origin = Member { kind: KindId(9), ..Member::ready(ServerId(mixed(u64::MAX))) };
+    let origin = Member { kind: KindId(9), ..Member::ready(ServerId(mix(u64::MAX))) };
     (1..=nodes).map(node).chain([origin]).collect()
 }
--- a/crates/cost/src/main.rs
+++ b/crates/cost/src/main.rs
@@ -1,14 +1,14 @@
 //! `cost`: plays the ledger's worlds; `crates/cost/ledger` runs it under callgrind.
 
 use clap::{Parser, Subcommand};
-use cost::counting::{held, made, Counting};
+use cost::counting::{allocations, bytes_held, CountingAllocator};
 use cost::decision::Router;
 use cost::request::{Proxy, STAGES};
 use martenweir::interface::ListForm;
 use std::time::Instant;
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[derive(Parser)]
 #[command(about = "What a request costs, by stage and by size")]
@@ -46,26 +46,26 @@
 fn main() {
     match Arguments::parse().what {
         What::Decision { nodes, rounds, new } => {
-            let before = held();
+            let before = bytes_held();
             let mut router = Router::new(nodes);
-            let listed = held() - before;
+            let listed = bytes_held() - before;
             router.run(rounds, new);
-            let (since, allocations) = (Instant::now(), made());
+            let (since, allocated_before) = (Instant::now(), allocations());
             router.run(rounds, new);
-            let (ns, allocations) = (since.elapsed().as_nanos(), made() - allocations);
+            let (ns, allocated) = (since.elapsed().as_nanos(), allocations() - allocated_before);
             let each = |x: f64| x / rounds as f64;
             println!(
                 "nodes={nodes} ns={:.0} allocations={:.2} refused={} bytes_listed={listed} bytes_after={}",
                 each(ns as f64),
-                each(allocations as f64),
+                each(allocated as f64),
                 router.refused,
-                held() - before
+                bytes_held() - before
             );
         }
         What::Request { nodes, downstreams, rounds } => {
-            let before = held();
+            let before = bytes_held();
             let mut proxy = Proxy::new(nodes, downstreams);
-            let listed = held() - before;
+            let listed = bytes_held() - before;
             proxy.run(rounds.max(2 * downstreams));
             proxy.reset();
             let since = Instant::now();
@@ -75,7 +75,7 @@
             for (name, made) in STAGES.iter().zip(proxy.made) {
                 print!(" {}={:.2}", name.replace(' ', "_"), made as f64 / rounds as f64);
             }
-            println!(" bytes_listed={listed} bytes_after={}", held() - before);
+            println!(" bytes_listed={listed} bytes_after={}", bytes_held() - before);
         }
         What::Turns { nodes, rounds } => {
             let mut router = Router::new(nodes);
--- a/crates/cost/src/request.rs
+++ b/crates/cost/src/request.rs
@@ -78,9 +78,9 @@
     }
 
     fn counted<T>(&mut self, stage: usize, what: impl FnOnce(&mut Self) -> T) -> T {
-        let before = counting::made();
+        let before = counting::allocations();
         let result = what(self);
-        self.made[stage] += counting::made() - before;
+        self.made[stage] += counting::allocations() - before;
         result
     }
 
--- a/crates/cost/tests/flat.rs
+++ b/crates/cost/tests/flat.rs
@@ -1,10 +1,10 @@
 //! What a request allocates, by stage: the same count on every run, and the same at every size.
 
-use cost::counting::{held, Counting};
+use cost::counting::{bytes_held, CountingAllocator};
 use cost::request::Proxy;
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const ROUNDS: u64 = 4_000;
 
@@ -42,10 +42,10 @@
 
 #[test]
 fn what_the_core_holds_for_popular_keys_and_open_streams_is_bounded() {
-    let before = held();
+    let before = bytes_held();
     let mut proxy = Proxy::new(1_000, 1_024);
     // Most of the 20,000 keys come, more than lists are kept for.
     proxy.run(200_000);
-    let held = held() - before;
+    let held = bytes_held() - before;
     assert!(held < 32 << 20, "{held} bytes");
 }
--- a/crates/lab/examples/dissemination.rs
+++ b/crates/lab/examples/dissemination.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 
 #[global_allocator]
-static ALLOCATOR: cost::counting::Counting = cost::counting::Counting;
+static ALLOCATOR: cost::counting::CountingAllocator = cost::counting::CountingAllocator;
 
 #[derive(Parser)]
 struct Arguments {
--- a/crates/lab/src/capacity/meter.rs
+++ b/crates/lab/src/capacity/meter.rs
@@ -1,6 +1,7 @@
 //! What a piece of work takes: processor time and allocations of this thread.
 //!
-//! Allocations are counted only in a program whose global allocator is [`cost::counting::Counting`], as that of `lab`
+//! Allocations are counted only in a program whose global allocator is [`cost::counting::CountingAllocator`],
+//! as that of `lab`
 //! is. Elsewhere they are told as not measured, never as none.
 
 use cost::counting;
@@ -24,10 +25,10 @@
 impl Taken {
     /// Does the work, and adds what it takes.
     pub fn by<T>(&mut self, work: impl FnOnce() -> T) -> T {
-        let (made, from) = (counting::made(), cpu());
+        let (made, from) = (counting::allocations(), cpu());
         let done = work();
         self.cpu += cpu().saturating_sub(from);
-        self.made += counting::made() - made;
+        self.made += counting::allocations() - made;
         done
     }
 
@@ -40,9 +41,9 @@
 
 /// Whether this program's allocator counts.
 pub fn counts() -> bool {
-    let before = counting::made();
+    let before = counting::allocations();
     drop(std::hint::black_box(Box::new(0_u64)));
-    counting::made() > before
+    counting::allocations() > before
 }
 
 /// A number of allocations or allocated bytes, where they are counted.
@@ -52,7 +53,7 @@
 
 /// Bytes that this thread holds.
 pub fn held() -> i64 {
-    counting::held()
+    counting::bytes_held()
 }
 
 /// Bytes that go with a value.
--- a/crates/lab/src/dissemination/mod.rs
+++ b/crates/lab/src/dissemination/mod.rs
@@ -47,8 +47,8 @@
     pub baseline: Option<baseline::Report>,
 }
 
-/// Plays a scenario. Heaps are measured where the program's allocator is [`counting::Counting`]. It fails on rules that
-/// do not fit.
+/// Plays a scenario. Heaps are measured where the program's allocator is [`counting::CountingAllocator`].
+/// It fails on rules that do not fit.
 pub fn measure(setting: Setting, scenario: Scenario, baseline: bool) -> Result<Measured, &'static str> {
     let baseline = if baseline { Some(baseline::play(&setting, scenario.clone())?) } else { None };
     let from = Instant::now();
@@ -56,9 +56,9 @@
     world.play();
     let took = from.elapsed().as_secs_f64();
     let freed = |work: &mut dyn FnMut()| {
-        let before = counting::held();
+        let before = counting::bytes_held();
         work();
-        u64::try_from(before - counting::held()).ok().filter(|b| *b > 0)
+        u64::try_from(before - counting::bytes_held()).ok().filter(|b| *b > 0)
     };
     Ok(Measured { dissemination: figures::report(world, took, &freed), baseline })
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -7,7 +7,7 @@
 
 /// Counts for `lab capacity`; two additions to cells of the thread for each allocation.
 #[global_allocator]
-static ALLOCATOR: cost::counting::Counting = cost::counting::Counting;
+static ALLOCATOR: cost::counting::CountingAllocator = cost::counting::CountingAllocator;
 
 fn main() -> ExitCode {
     // The proxies of a run on loopback are this same program, started by itself.
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! `lab capacity` on small fleets: what it fits, and whether what it works out holds at a larger size that it did not see.
 //! The verdict hangs on counts alone, which are the same on every run.
 
-use cost::counting::Counting;
+use cost::counting::CountingAllocator;
 use lab::capacity::fit::{Fits, Form, Observed};
 use lab::capacity::{meter, roles, Axis, Series, Size};
 use rstest::rstest;
@@ -9,7 +9,7 @@
 use std::process::{Command, Output};
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 const SEED: u64 = 7;
 
--- a/crates/limits/benches/fast_path.rs
+++ b/crates/limits/benches/fast_path.rs
@@ -14,10 +14,10 @@
     c.bench_function(name, |b| {
         b.iter(|| {
             (now, i) = (now + STEP, i.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1));
-            let takes = limit.takes(now, 3);
+            let takes = limit.allows(now, 3);
             limit.sent(now, 4);
             // A few in a hundred are given up, so that what that costs is in it.
-            let ending = if i >> 58 < 2 { Ending::Silent } else { Ending::InTime };
+            let ending = if i >> 58 < 2 { Ending::Abandoned } else { Ending::InTime };
             let time = 80_000 + (i >> 48) as Micros;
             limit.ended(black_box(&Sample {
                 now,
@@ -48,10 +48,10 @@
             let sample =
                 Sample { now, sent: now - 1, ending: Ending::InTime, out_at_send: 1, kept_waiting: false };
             budget.ended(black_box(&sample));
-            black_box(budget.take(Extra::Repeat))
+            black_box(budget.take(Extra::Retry))
         })
     });
-    let mut queue = Queue::new(256, Law::new(100_000, 500_000));
+    let mut queue = Queue::new(256, CoDel::new(100_000, 500_000));
     c.bench_function("codel", |b| {
         b.iter(|| {
             now += STEP;
@@ -64,13 +64,13 @@
 fn all(c: &mut Criterion) {
     let range = Range::from(4.0);
     limit(c, "aimd", Aimd::default());
-    limit(c, "ledger", Ledger::default());
-    limit(c, "node", Node::default());
+    limit(c, "ledger", OriginLimit::default());
+    limit(c, "node", NodeLimit::default());
     limit(c, "gradient", Gradient::new(range));
     limit(c, "vegas", Vegas::new(range));
     limit(c, "throughput", Throughput::new(range));
-    let warming = Warming { started: 0, from: 0.15, over: 23_000_000, multiple: 3.0, window: 1_000_000 };
-    limit(c, "cold", Cold::new(0, warming, 5_000.0, 0.5));
+    let warming = WarmUp { started: 0, from: 0.15, over: 23_000_000, multiple: 3.0, window: 1_000_000 };
+    limit(c, "cold", ColdBudget::new(0, warming, 5_000.0, 0.5));
     others(c);
 }
 
--- a/crates/limits/examples/side_by_side.rs
+++ b/crates/limits/examples/side_by_side.rs
@@ -5,7 +5,7 @@
 //! the limit's.
 
 use limits::model::{run, Day, Figures, Line, Setup, Trouble, What};
-use limits::{Aimd, Gradient, Ledger, Limit, Micros, Range, Sample, Throughput, Vegas};
+use limits::{Aimd, Gradient, Limit, Micros, OriginLimit, Range, Sample, Throughput, Vegas};
 
 const SECOND: Micros = 1_000_000;
 const PROXIES: [u32; 3] = [2, 16, 64];
@@ -45,14 +45,14 @@
     ("gradient", |p| Box::new(Gradient::new(range(p))), Line::BEFORE),
     ("throughput", |p| Box::new(Throughput::new(range(p))), Line::BEFORE),
     ("vegas", |p| Box::new(Vegas::new(range(p))), Line::BEFORE),
-    ("ledger", |_| Box::new(Ledger::default()), Line { late: Line::SERVICE.late, ..Line::BEFORE }),
+    ("ledger", |_| Box::new(OriginLimit::default()), Line { late: Line::SERVICE.late, ..Line::BEFORE }),
     ("20, served", |p| Box::new(Fixed(20.0 / f64::from(p))), Line::SERVICE),
     ("aimd, served", |_| Box::new(Aimd::default()), Line { late: Line::BEFORE.late, ..Line::SERVICE }),
     ("vegas, served", |p| Box::new(Vegas::new(range(p))), Line::SERVICE),
-    ("ledger, served", |_| Box::new(Ledger::default()), Line::SERVICE),
+    ("ledger, served", |_| Box::new(OriginLimit::default()), Line::SERVICE),
     ("vegas, shed", |p| Box::new(Vegas::new(range(p))), SHED),
     ("vegas, codel", |p| Box::new(Vegas::new(range(p))), CODEL),
-    ("ledger, served, shed", |_| Box::new(Ledger::default()), BOTH),
+    ("ledger, served, shed", |_| Box::new(OriginLimit::default()), BOTH),
 ];
 
 /// Days of 50 s.
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -35,11 +35,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Extra {
     /// Another attempt after one that failed.
-    Repeat,
+    Retry,
     /// A second copy beside an attempt that is out.
-    Copy,
+    SecondCopy,
     /// A retry of a client's own, where clients mark them.
-    Return,
+    ClientRetry,
 }
 
 /// See the file's comment.
@@ -82,7 +82,7 @@
 
     /// Takes an extra, if there is one.
     pub fn take(&mut self, extra: Extra) -> bool {
-        let left = if extra == Extra::Copy { self.depth / 2.0 } else { 0.0 };
+        let left = if extra == Extra::SecondCopy { self.depth / 2.0 } else { 0.0 };
         let some = self.tokens - left >= 1.0;
         self.tokens -= f64::from(u8::from(some));
         some
--- a/crates/limits/src/codel.rs
+++ b/crates/limits/src/codel.rs
@@ -4,7 +4,7 @@
 //! Use it for what waits for room at a thing that is at its limit. Under strain the oldest are the least
 //! likely to be answered in time, so the newest go first, and the oldest are refused while there is still
 //! time to return. Do not use it for work that must keep its order, or where nobody may be refused. A queue
-//! with an order of its own (by worth, say) can use the [`Law`] alone, fed with the age of its oldest.
+//! with an order of its own (by worth, say) can use the [`CoDel`] alone, fed with the age of its oldest.
 //!
 //! Strain is a standing queue: the oldest has waited `target` or longer at every look for `interval`. From
 //! then on the oldest is shed, and another after `interval / sqrt(n)` while it lasts. What has waited a whole
@@ -27,7 +27,7 @@
 
 /// When the oldest of a queue is shed. See the file's comment.
 #[derive(Clone, Debug)]
-pub struct Law {
+pub struct CoDel {
     target: Micros,
     interval: Micros,
     /// Since when the oldest has waited long at every look.
@@ -37,11 +37,11 @@
     next: Micros,
 }
 
-impl Law {
+impl CoDel {
     /// Waits of `target` are harmless; none of `interval` is wanted, and within it a burst must have passed.
     pub fn new(target: Micros, interval: Micros) -> Self {
         let (target, interval) = (target.max(1), interval.max(1));
-        Law { target, interval, above: None, strained: false, count: 0, next: 0 }
+        CoDel { target, interval, above: None, strained: false, count: 0, next: 0 }
     }
 
     /// Whether a queue stands that does not pass.
@@ -51,7 +51,7 @@
 
     /// Looks at the queue, whose oldest came at `oldest`; whether that one is to be shed now. To be called
     /// again until it is not.
-    pub fn sheds(&mut self, now: Micros, oldest: Option<Micros>) -> bool {
+    pub fn should_drop(&mut self, now: Micros, oldest: Option<Micros>) -> bool {
         let age = oldest.map_or(0, |t| now.saturating_sub(t));
         if age < self.target {
             (self.above, self.strained) = (None, false);
@@ -69,13 +69,13 @@
         let due = self.strained && now >= self.next;
         if due {
             self.count = self.count.saturating_add(1);
-            self.next = self.next.max(now).saturating_add(self.pace());
+            self.next = self.next.max(now).saturating_add(self.drop_interval());
         }
         due || age >= self.interval
     }
 
     /// When to look again though nothing was put in or taken out, for a queue whose oldest came at `oldest`.
-    pub fn look_at(&self, oldest: Micros) -> Micros {
+    pub fn next_check(&self, oldest: Micros) -> Micros {
         let longest = oldest.saturating_add(self.interval);
         match (self.strained, self.above) {
             (true, _) => longest.min(self.next),
@@ -84,7 +84,7 @@
         }
     }
 
-    fn pace(&self) -> Micros {
+    fn drop_interval(&self) -> Micros {
         (self.interval as f64 / f64::from(self.count.max(1)).sqrt()) as Micros
     }
 }
@@ -95,12 +95,12 @@
 pub struct Queue<T> {
     line: VecDeque<(Micros, T)>,
     places: usize,
-    law: Law,
+    law: CoDel,
 }
 
 impl<T> Queue<T> {
     /// A queue of so many places, all of them made now.
-    pub fn new(places: usize, law: Law) -> Self {
+    pub fn new(places: usize, law: CoDel) -> Self {
         Queue { line: VecDeque::with_capacity(places), places, law }
     }
 
@@ -124,7 +124,7 @@
     /// Takes out one that has waited too long, to be refused.
     pub fn shed(&mut self, now: Micros) -> Option<T> {
         let oldest = self.line.front().map(|(t, _)| *t);
-        self.law.sheds(now, oldest).then(|| self.line.pop_front()).flatten().map(|(_, item)| item)
+        self.law.should_drop(now, oldest).then(|| self.line.pop_front()).flatten().map(|(_, item)| item)
     }
 
     /// Takes out the one to be served next: the oldest, or the newest under strain.
@@ -134,8 +134,8 @@
     }
 
     /// When [`Queue::shed`] is to be called again though nothing happens.
-    pub fn look_at(&self) -> Option<Micros> {
-        self.line.front().map(|(t, _)| self.law.look_at(*t))
+    pub fn next_check(&self) -> Option<Micros> {
+        self.line.front().map(|(t, _)| self.law.next_check(*t))
     }
 
     /// How many wait.
--- a/crates/limits/src/cold.rs
+++ b/crates/limits/src/cold.rs
@@ -38,7 +38,7 @@
 
 /// How a server warms, and what brings it down.
 #[derive(Clone, Copy, Debug)]
-pub struct Warming {
+pub struct WarmUp {
     /// When it started.
     pub started: Micros,
     /// The part of its full capacity that it has then, 0 to 1.
@@ -51,7 +51,7 @@
     pub window: Micros,
 }
 
-impl Warming {
+impl WarmUp {
     /// The part of its full capacity that the server is sure to have.
     pub fn capacity(&self, now: Micros) -> f64 {
         let age = now.saturating_sub(self.started).max(0) as f64 / self.over.max(1) as f64;
@@ -61,8 +61,8 @@
 
 /// See the file's comment.
 #[derive(Clone, Debug)]
-pub struct Cold {
-    warming: Warming,
+pub struct ColdBudget {
+    warming: WarmUp,
     /// What this proxy may count on of the full capacity, in requests a second.
     full: f64,
     /// Work sent in each slice, a ring, and the slice that is the latest.
@@ -71,13 +71,13 @@
     rest: Rest,
 }
 
-impl Cold {
+impl ColdBudget {
     /// A budget for a server heard of at `now`. `full` is this proxy's part of what it does when warm, in
     /// requests a second, less what is left to chance; `phase`, 0 to 1, spreads proxies.
-    pub fn new(now: Micros, warming: Warming, full: f64, phase: f64) -> Self {
-        let mut cold = Cold { warming, full: 0.0, sent: [0.0; KEPT], latest: 0, rest: Rest::default() };
+    pub fn new(now: Micros, warming: WarmUp, full: f64, phase: f64) -> Self {
+        let mut cold = ColdBudget { warming, full: 0.0, sent: [0.0; KEPT], latest: 0, rest: Rest::default() };
         cold.latest = cold.slice(now);
-        cold.learn(full);
+        cold.set_full_rate(full);
         if cold.budget(now) < 1.0 {
             cold.rest.lasting(now, cold.alone(now) * phase);
         }
@@ -85,17 +85,17 @@
     }
 
     /// Takes a new figure for this proxy's part of the full capacity, in requests a second.
-    pub fn learn(&mut self, full: f64) {
+    pub fn set_full_rate(&mut self, full: f64) {
         self.full = if full.is_finite() { full.max(0.0) } else { 0.0 };
     }
 
     /// What may be sent now, in requests.
-    pub fn room(&self, now: Micros) -> f64 {
+    pub fn available(&self, now: Micros) -> f64 {
         (self.budget(now) - self.counted(now)).max(0.0)
     }
 
     /// Counts work that is sent, in requests. It is counted whether there was room or not.
-    pub fn spend(&mut self, now: Micros, work: f64) {
+    pub fn record(&mut self, now: Micros, work: f64) {
         let slice = self.slice(now);
         // A clock that went back: what is counted becomes the latest.
         for step in 0..slice.saturating_sub(self.latest).clamp(0, KEPT as i64) {
@@ -142,21 +142,21 @@
     }
 }
 
-impl Limit for Cold {
+impl Limit for ColdBudget {
     fn sent(&mut self, now: Micros, _out: u32) {
-        self.spend(now, 1.0);
+        self.record(now, 1.0);
     }
 
     fn ended(&mut self, _sample: &Sample) {}
 
     fn limit(&self, now: Micros) -> f64 {
-        self.room(now)
+        self.available(now)
     }
 
-    fn takes(&self, now: Micros, _out: u32) -> bool {
+    fn allows(&self, now: Micros, _out: u32) -> bool {
         match self.budget(now) < 1.0 {
             true => self.full > 0.0 && self.counted(now) <= 0.0 && self.rest.over(now),
-            false => self.room(now) >= 1.0,
+            false => self.available(now) >= 1.0,
         }
     }
 }
--- a/crates/limits/src/domain.rs
+++ b/crates/limits/src/domain.rs
@@ -28,7 +28,7 @@
 
 /// See the file's comment.
 #[derive(Clone, Debug, Default)]
-pub struct Domain {
+pub struct FailureDomain {
     /// Distinct nodes asked since the last sign of life, and when the first of them was.
     asked: [Option<u64>; NODES],
     since: Micros,
@@ -37,7 +37,7 @@
     next: Micros,
 }
 
-impl Domain {
+impl FailureDomain {
     /// A node of it is asked. `draw` from 0 to 1 spreads the tries of many proxies, if it is lost by then.
     pub fn sent(&mut self, now: Micros, node: u64, patience: Micros, draw: f64) {
         if self.is_lost(now, patience) {
@@ -56,9 +56,9 @@
     }
 
     /// Something asked of it has ended, with or without a sign of life: an answer, whatever it says.
-    pub fn heard(&mut self, life: bool) {
+    pub fn ended(&mut self, life: bool) {
         if life {
-            *self = Domain::default();
+            *self = FailureDomain::default();
         }
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Whether its nodes may be used: it is there, or a try is due.
-    pub fn takes(&self, now: Micros, patience: Micros) -> bool {
+    pub fn allows(&self, now: Micros, patience: Micros) -> bool {
         !self.is_lost(now, patience) || now >= self.next
     }
 }
--- a/crates/limits/src/domain/tests.rs
+++ b/crates/limits/src/domain/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_hall_is_lost_after_four_silent_nodes_and_found_by_one_answer() {
-    let mut hall = Domain::default();
+    let mut hall = FailureDomain::default();
     for node in 0..3 {
         hall.sent(i64::from(node as u8) * 50_000, node, LONG, 0.5);
     }
@@ -13,13 +13,13 @@
     assert!(!hall.is_lost(10_000_000, LONG), "one asked twice is one");
     hall.sent(10_000_000, 3, LONG, 0.5);
     assert!(hall.is_lost(10_000_000, LONG));
-    hall.heard(true);
+    hall.ended(true);
     assert!(!hall.is_lost(20_000_000, LONG));
 }
 
 #[test]
 fn a_busy_hall_that_has_not_had_its_time_is_there() {
-    let mut hall = Domain::default();
+    let mut hall = FailureDomain::default();
     (0..30).for_each(|node| hall.sent(0, node, LONG, 0.5));
     assert!(!hall.is_lost(LONG, LONG));
     assert!(hall.is_lost(LONG + 1, LONG));
@@ -31,12 +31,12 @@
 fn a_fleet_tries_a_lost_hall_a_bounded_number_of_times() {
     let (mut sent, mut found) = (Vec::new(), Vec::new());
     for proxy in 0..100u64 {
-        let mut hall = Domain::default();
+        let mut hall = FailureDomain::default();
         let mut at = 0;
         for k in 0u64.. {
             at += 140_000;
             let draw = (proxy * 37 + k * 61) % 100;
-            if hall.takes(at, LONG) {
+            if hall.allows(at, LONG) {
                 if at >= 20_000_000 {
                     found.push(at);
                     break;
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -7,7 +7,7 @@
 //! | file | guards by | use it for |
 //! | --- | --- | --- |
 //! | [`aimd`] | slow answers, additive up, multiplicative down | a baseline to compare with |
-//! | [`ledger`] | the time of answers against its best, and what is usually out | the ledger: in service |
+//! | [`origin`] | the time of answers against its best, and what is usually out | the ledger: in service |
 //! | [`node`] | what it turns away, and its silence | each cache node: in service |
 //! | [`gradient`] | usual time over present time | one of many alike, with short trouble |
 //! | [`vegas`] | the part of the time that is waiting, told from slowness | a ledger |
@@ -40,10 +40,10 @@
 pub mod domain;
 mod ghosts;
 pub mod gradient;
-pub mod ledger;
 #[cfg(feature = "model")]
 pub mod model;
 pub mod node;
+pub mod origin;
 pub mod popular;
 mod rest;
 mod round;
@@ -54,13 +54,13 @@
 pub use backoff::backoff;
 pub use bucket::Bucket;
 pub use budget::{Budget, Extra};
-pub use codel::{Law, Queue};
-pub use cold::{Cold, Warming};
-pub use domain::Domain;
+pub use codel::{CoDel, Queue};
+pub use cold::{ColdBudget, WarmUp};
+pub use domain::FailureDomain;
 pub use gradient::Gradient;
-pub use ledger::Ledger;
-pub use node::Node;
-pub use popular::Popular;
+pub use node::NodeLimit;
+pub use origin::OriginLimit;
+pub use popular::PopularityCounter;
 pub use round::Range;
 pub use throughput::Throughput;
 pub use vegas::{Vegas, Waiting};
@@ -89,7 +89,7 @@
     Broken,
     /// Given up without an answer. It may still be at work there, so it goes on counting for a while; and
     /// if its client left before an answer was due, it says nothing else.
-    Silent,
+    Abandoned,
 }
 
 impl Ending {
@@ -100,7 +100,7 @@
 
     /// Whether too much work may be the reason that nothing came of it.
     pub fn failed(self) -> bool {
-        matches!(self, Ending::Refused | Ending::Silent)
+        matches!(self, Ending::Refused | Ending::Abandoned)
     }
 }
 
@@ -137,14 +137,14 @@
     /// A request has ended. Each that was sent ends once, in any order.
     fn ended(&mut self, sample: &Sample);
 
-    /// To be told a few times a second how many are out. Only [`Ledger`] learns from it.
-    fn learn(&mut self, _now: Micros, _out: u32) {}
+    /// To be told a few times a second how many are out. Only [`OriginLimit`] learns from it.
+    fn observe_in_flight(&mut self, _now: Micros, _out: u32) {}
 
     /// How many may be out. Under 1, one at a time with rests between.
     fn limit(&self, now: Micros) -> f64;
 
     /// Whether another may be sent while `out` are out.
-    fn takes(&self, now: Micros, out: u32) -> bool {
+    fn allows(&self, now: Micros, out: u32) -> bool {
         f64::from(out) < self.limit(now).max(1.0)
     }
 }
--- a/crates/limits/src/model/proxy.rs
+++ b/crates/limits/src/model/proxy.rs
@@ -1,7 +1,7 @@
 //! One proxy of the model: which tries wait for which fetch, what waits for room at the ledger, and what is
 //! out there. Owns its limit; sends nothing itself.
 
-use crate::codel::{Law, Queue};
+use crate::codel::{CoDel, Queue};
 use crate::{Ending, Limit, Micros, Sample};
 use std::collections::BTreeMap;
 
@@ -45,7 +45,7 @@
 
 enum Waiting {
     /// With the times at which they came.
-    Worth(Vec<(Micros, Call)>, Option<Law>),
+    Worth(Vec<(Micros, Call)>, Option<CoDel>),
     Codel(Queue<Call>),
 }
 
@@ -78,11 +78,11 @@
 
 impl Proxy {
     pub fn new(epoch: u32, hall: u32, nodes: u32, line: Line, limit: Box<dyn Limit>) -> Self {
-        let law = line.delays.map(|(target, interval)| Law::new(target, interval));
+        let law = line.delays.map(|(target, interval)| CoDel::new(target, interval));
         let line = match line.by_worth {
             true => Waiting::Worth(Vec::new(), law),
             // Without delays nobody is refused: no wait is long.
-            false => Waiting::Codel(Queue::new(PLACES, law.unwrap_or(Law::new(Micros::MAX, Micros::MAX)))),
+            false => Waiting::Codel(Queue::new(PLACES, law.unwrap_or(CoDel::new(Micros::MAX, Micros::MAX)))),
         };
         let health = vec![Health::default(); nodes as usize];
         Proxy {
@@ -147,7 +147,7 @@
         match &mut self.line {
             Waiting::Worth(line, law) => {
                 let oldest = line.first().map(|(came, _)| *came);
-                if !law.as_mut().is_some_and(|law| law.sheds(now, oldest)) {
+                if !law.as_mut().is_some_and(|law| law.should_drop(now, oldest)) {
                     return None;
                 }
                 // A read before a write, as far as there are reads.
@@ -174,7 +174,7 @@
         if !self.waits() {
             return None;
         }
-        if !self.limit.takes(now, self.out) {
+        if !self.limit.allows(now, self.out) {
             self.pressed = Some(now);
             return None;
         }
@@ -188,7 +188,7 @@
         let call = match &mut self.line {
             Waiting::Worth(line, law) => {
                 // Of equals the last one looked at: the oldest, or the newest under strain.
-                let strained = law.as_ref().is_some_and(Law::strained);
+                let strained = law.as_ref().is_some_and(CoDel::strained);
                 let best = match strained {
                     true => (0..line.len()).max_by_key(|i| worth(&line[*i].1)),
                     false => (0..line.len()).rev().max_by_key(|i| worth(&line[*i].1)),
--- a/crates/limits/src/model/run.rs
+++ b/crates/limits/src/model/run.rs
@@ -211,7 +211,7 @@
                 let limits = self.proxies.iter().map(one).sum();
                 if self.figures.trace.len() % 2 == 0 {
                     let now = self.now;
-                    self.proxies.iter_mut().for_each(|p| p.limit.learn(now, p.out));
+                    self.proxies.iter_mut().for_each(|p| p.limit.observe_in_flight(now, p.out));
                 }
                 self.figures.trace.push(Trace { limits, first, last, held });
                 if self.now + TENTH < self.day.setup.length {
@@ -289,7 +289,7 @@
         self.attempts[a].over = true;
         let Attempt { sent, out, .. } = self.attempts[a];
         self.figures.silent += 1;
-        self.proxies[proxy].ended(self.now, sent, out, Ending::Silent);
+        self.proxies[proxy].ended(self.now, sent, out, Ending::Abandoned);
         // Who waits behind it gets an attempt of its own.
         if let Some(refused) = others.then(|| self.proxies[proxy].lines_up(self.now, call)).flatten() {
             self.finish_call(proxy, refused, false);
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -7,7 +7,7 @@
 //! nothing. From then on a limit spares it the asking: [`CUT`] of what was out when it said so, and
 //! [`RISE`] more a round of answers.
 //!
-//! A hang shows in what does not come. While something is out, [`Node::silence`] counts from the last sign of
+//! A hang shows in what does not come. While something is out, [`NodeLimit::silence`] counts from the last sign of
 //! life or, if that is later, from the first thing sent after a time with nothing out. A pause of a busy node
 //! looks the same at first, so who asks has to allow for one.
 //!
@@ -31,14 +31,14 @@
 
 /// See the file's comment.
 #[derive(Clone, Debug, Default)]
-pub struct Node {
+pub struct NodeLimit {
     limit: Option<f64>,
     /// Out now, and since when nothing was heard while something was.
     out: u32,
     unheard: Option<Micros>,
 }
 
-impl Node {
+impl NodeLimit {
     /// How many are out.
     pub fn out(&self) -> u32 {
         self.out
@@ -50,7 +50,7 @@
     }
 }
 
-impl Limit for Node {
+impl Limit for NodeLimit {
     fn sent(&mut self, now: Micros, out: u32) {
         self.out = out;
         self.unheard = self.unheard.or(Some(now));
@@ -60,7 +60,7 @@
         let out = f64::from(self.out.max(1));
         self.out = self.out.saturating_sub(1);
         // What was given up, or found no connection, is no sign of life.
-        if !matches!(s.ending, Ending::Silent | Ending::Broken) {
+        if !matches!(s.ending, Ending::Abandoned | Ending::Broken) {
             self.unheard = Some(s.now);
         }
         self.unheard = self.unheard.filter(|_| self.out > 0);
--- a/crates/limits/src/ledger.rs
+++ b/crates/limits/src/origin.rs
@@ -8,19 +8,19 @@
 //! How much a ledger works on at a time does not change when it gets slower; how much it answers does. So
 //! this limit never takes a long answer for a reason to send less. It measures two things:
 //!
-//! - [`Ledger::strain`]: the time of its answers lately over the best they have been, whatever made it longer.
+//! - [`OriginLimit::latency_ratio`]: the time of its answers lately over the best they have been, whatever made it longer.
 //! - What is out while there is no strain: the usual. The ledger surely bears that, also when it is slow, and
-//!   [`TIMES`] as much, since it is built for a multiple of what a warm fleet leaves to it.
+//!   [`USUAL_MULTIPLE`] as much, since it is built for a multiple of what a warm fleet leaves to it.
 //!
 //! Without strain the limit rises quickly while it is pressed (a fleet that starts cold needs that), and what
-//! of it goes unused sinks to [`TIMES`] the usual: many proxies whose limits are all far above what they send
+//! of it goes unused sinks to [`USUAL_MULTIPLE`] the usual: many proxies whose limits are all far above what they send
 //! would notice a slow ledger only once it had stopped. Under strain it falls there, also below one, and
 //! creeps from there, one more out a round of answers at the most. Whatever the strain, it falls when a part of the attempts is turned away or takes longer than anybody waits. Each
 //! proxy measures its own usual, so that one with ten times the traffic of the others gets ten times their
 //! part, and none has to know how many there are.
 //!
-//! - At the start: [`START`] may be out, or a fleet's part of [`FLEET`]; the best time is what the first answers take.
-//! - After [`QUIET`] without an answer or a failure: nothing fades but the best time, which a calm ledger
+//! - At the start: [`START`] may be out, or a fleet's part of [`FLEET_START`]; the best time is what the first answers take.
+//! - After [`IDLE_SECONDS`] without an answer or a failure: nothing fades but the best time, which a calm ledger
 //!   tells again with its next answers.
 //! - When all answers are errors: falls to one at a time, and under that it rests between two.
 //! - Broken connections change nothing. A clock that goes back ends a rest.
@@ -37,15 +37,15 @@
 pub const START: f64 = 4.0;
 /// And of a fleet together, as long as that leaves one to each. Thin proxies keep what they start with for long: one
 /// with an answer a second knows no best time for ten.
-pub const FLEET: f64 = 16.0;
+pub const FLEET_START: f64 = 16.0;
 /// What may be out at least, unless more is usual: up to one, so that a ledger that was out of reach for a
 /// while is found again at once. Under one it rests between two.
-pub const LEAST: f64 = 0.3;
+pub const MIN_LIMIT: f64 = 0.3;
 /// Out at most: descriptors end before.
-pub const MOST: f64 = 256.0;
+pub const MAX_LIMIT: f64 = 256.0;
 /// How much of the usual may be out under strain. The operators' ledger bears 2 to 3.2 times the fetches that
 /// a warm fleet leaves to it.
-pub const TIMES: f64 = 2.5;
+pub const USUAL_MULTIPLE: f64 = 2.5;
 /// Strain up to which there is room, and from which there is none.
 const CALM: f64 = 1.5;
 const STRAINED: f64 = 3.0;
@@ -55,10 +55,10 @@
 const QUICK: f64 = 0.2;
 /// The part of the limit that has to be out for it to be pressed; one under two is if something waits.
 const PRESSED: f64 = 0.5;
-/// What an unused limit loses a second of what it is above [`TIMES`] the usual.
+/// What an unused limit loses a second of what it is above [`USUAL_MULTIPLE`] the usual.
 const SINK: f64 = 0.3;
 /// Seconds without an end after which nothing sinks and nothing is learnt.
-pub const QUIET: f64 = 10.0;
+pub const IDLE_SECONDS: f64 = 10.0;
 /// What a limit under strain gains by an answer at the most, as a part: one of less than a few has a round of
 /// one answer, and many proxies that each doubled by one would double what is out in all.
 const CREEP: f64 = 0.15;
@@ -82,7 +82,7 @@
 
 /// See the file's comment.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct OriginLimit {
     limit: f64,
     /// The part of the ends that were failures, lately.
     failing: f64,
@@ -101,9 +101,9 @@
     rest: Rest,
 }
 
-impl Default for Ledger {
+impl Default for OriginLimit {
     fn default() -> Self {
-        Ledger {
+        OriginLimit {
             limit: START,
             failing: 0.0,
             pace: 0.0,
@@ -119,20 +119,20 @@
     }
 }
 
-impl Ledger {
+impl OriginLimit {
     /// That of one of so many proxies.
-    pub fn of_fleet(proxies: u32) -> Self {
-        let limit = (FLEET / f64::from(proxies.max(1))).clamp(1.0, START);
-        Ledger { limit, ..Ledger::default() }
+    pub fn for_fleet(proxies: u32) -> Self {
+        let limit = (FLEET_START / f64::from(proxies.max(1))).clamp(1.0, START);
+        OriginLimit { limit, ..OriginLimit::default() }
     }
 
     /// Mean time of an answer lately, in us; `None` before the first.
-    pub fn pace(&self) -> Option<f64> {
+    pub fn mean_latency(&self) -> Option<f64> {
         (self.answers > 0.0).then_some(self.pace)
     }
 
     /// How many times longer its answers take than at their best; 1 till the best is known.
-    pub fn strain(&self) -> f64 {
+    pub fn latency_ratio(&self) -> f64 {
         if self.best.is_finite() {
             self.pace / self.best.max(1.0)
         } else {
@@ -142,25 +142,25 @@
 
     /// How much room it has for work that could be left undone, from 1 to none: second copies in another
     /// hall, spreading a key.
-    pub fn room(&self) -> f64 {
-        ((STRAINED - self.strain()) / (STRAINED - CALM)).clamp(0.0, 1.0)
+    pub fn headroom(&self) -> f64 {
+        ((STRAINED - self.latency_ratio()) / (STRAINED - CALM)).clamp(0.0, 1.0)
     }
 
     /// The part of what was sent lately that was turned away, or took longer than anybody waits, 0 to 1.
-    pub fn failing(&self) -> f64 {
+    pub fn failure_ratio(&self) -> f64 {
         self.failing
     }
 
     /// Whether it has room to spare for work that needs it only because something else is full: no strain, and less
     /// out than it surely bears, whatever the limit has risen to. A fleet whose caches all turn reads away at once
-    /// sends it no more than [`TIMES`] what it usually does; what is learnt from late answers comes too late for that.
-    pub fn spares(&self, now: Micros, out: u32) -> bool {
-        self.room() >= 1.0 && self.takes(now, out) && f64::from(out) < self.bears().max(1.0)
+    /// sends it no more than [`USUAL_MULTIPLE`] what it usually does; what is learnt from late answers comes too late for that.
+    pub fn has_spare_capacity(&self, now: Micros, out: u32) -> bool {
+        self.headroom() >= 1.0 && self.allows(now, out) && f64::from(out) < self.bears().max(1.0)
     }
 
     /// What the ledger surely bears of this proxy.
     fn bears(&self) -> f64 {
-        (TIMES * self.usual()).max(LEAST)
+        (USUAL_MULTIPLE * self.usual()).max(MIN_LIMIT)
     }
 
     /// What is out without strain. Nothing is known before a second of it.
@@ -174,7 +174,7 @@
     }
 }
 
-impl Limit for Ledger {
+impl Limit for OriginLimit {
     fn sent(&mut self, _now: Micros, _out: u32) {}
 
     fn ended(&mut self, s: &Sample) {
@@ -194,7 +194,7 @@
         }
         let failed = s.ending != Ending::InTime;
         self.failing += (f64::from(u8::from(failed)) - self.failing) / ENDS;
-        let (l, strain) = (self.limit, self.strain());
+        let (l, strain) = (self.limit, self.latency_ratio());
         let pressed = if l < 2.0 { s.kept_waiting } else { f64::from(s.out_at_send) >= l * PRESSED };
         let usual = self.usual();
         let bears = self.bears();
@@ -209,17 +209,17 @@
         } else {
             l + (l * CREEP).min(1.0 / l)
         };
-        self.limit = self.limit.clamp(usual.clamp(LEAST, 1.0), MOST);
+        self.limit = self.limit.clamp(usual.clamp(MIN_LIMIT, 1.0), MAX_LIMIT);
         self.rest.after(s.now, s.elapsed(), self.limit);
     }
 
-    fn learn(&mut self, now: Micros, out: u32) {
+    fn observe_in_flight(&mut self, now: Micros, out: u32) {
         let seconds = self.learnt.replace(now).map_or(0.0, |at| (now.saturating_sub(at)) as f64 / 1e6);
         // A clock that went back, or a long pause, is one step.
         let seconds = seconds.clamp(0.0, 1.0);
         self.best *= 1.0 + FORGET * seconds;
         self.quiet += seconds;
-        if self.strain() <= CALM && self.best.is_finite() && self.quiet < QUIET {
+        if self.latency_ratio() <= CALM && self.best.is_finite() && self.quiet < IDLE_SECONDS {
             let keep = (-seconds / USUAL).exp();
             let (sum, over) = self.usual;
             self.usual = (sum * keep + f64::from(out) * seconds, over * keep + seconds);
@@ -233,7 +233,7 @@
         self.limit
     }
 
-    fn takes(&self, now: Micros, out: u32) -> bool {
+    fn allows(&self, now: Micros, out: u32) -> bool {
         f64::from(out) < self.limit.max(1.0) && self.rest.over(now)
     }
 }
--- a/crates/limits/src/popular.rs
+++ b/crates/limits/src/popular.rs
@@ -16,21 +16,21 @@
 
 /// See the file's comment.
 #[derive(Clone, Debug)]
-pub struct Popular {
+pub struct PopularityCounter {
     /// What is in a cell is to be multiplied with `scale`, so that fading costs nothing.
     cells: Vec<f32>,
     scale: f64,
 }
 
-impl Default for Popular {
+impl Default for PopularityCounter {
     fn default() -> Self {
-        Popular { cells: vec![0.0; ROWS * CELLS], scale: 1.0 }
+        PopularityCounter { cells: vec![0.0; ROWS * CELLS], scale: 1.0 }
     }
 }
 
-impl Popular {
+impl PopularityCounter {
     /// Counts a request for the key with this hash. Its bits must be well mixed.
-    pub fn ask(&mut self, hash: u64) {
+    pub fn record(&mut self, hash: u64) {
         let one = (1.0 / self.scale) as f32;
         for at in places(hash) {
             self.cells[at] += one;
@@ -44,7 +44,7 @@
     }
 
     /// Leaves this part of all that was counted, above 0 and up to 1.
-    pub fn fade(&mut self, keep: f64) {
+    pub fn decay(&mut self, keep: f64) {
         self.scale *= if keep > 0.0 { keep.min(1.0) } else { 1.0 };
         if self.scale < 1e-12 {
             // Seldom: the cells take over what the scale has gathered, before an f32 runs out of range.
--- a/crates/limits/src/round.rs
+++ b/crates/limits/src/round.rs
@@ -192,7 +192,7 @@
             return None;
         }
         let log_time = (time as f64).ln();
-        if s.ending == Ending::Silent {
+        if s.ending == Ending::Abandoned {
             self.ghosts.gave_up(s.now, s.sent, self.usual().unwrap_or(0));
             // Given up so early that an answer was hardly due: its client left, and nothing is said.
             if self.level.known > 0.0 && log_time < self.level.mean + DUE.ln() {
--- a/crates/limits/src/vegas.rs
+++ b/crates/limits/src/vegas.rs
@@ -188,7 +188,7 @@
         }
     }
 
-    fn takes(&self, now: Micros, out: u32) -> bool {
+    fn allows(&self, now: Micros, out: u32) -> bool {
         let ghosts = if self.failing.dark() { 0 } else { self.round.ghosts(now) };
         f64::from(out.saturating_add(ghosts)) < self.limit(now).max(1.0) && self.rest.over(now)
     }
--- a/crates/limits/tests/adaptive.rs
+++ b/crates/limits/tests/adaptive.rs
@@ -11,7 +11,7 @@
 /// The four, with the least that each may fall to.
 fn all() -> Vec<(&'static str, Box<dyn Limit>, f64)> {
     vec![
-        ("aimd", Box::new(Aimd::default()), limits::aimd::LEAST),
+        ("aimd", Box::new(Aimd::default()), limits::aimd::MIN_LIMIT),
         ("gradient", Box::new(Gradient::new(RANGE)), RANGE.least),
         ("vegas", Box::new(Vegas::new(RANGE)), RANGE.least),
         ("throughput", Box::new(Throughput::new(RANGE)), RANGE.least),
@@ -19,7 +19,7 @@
 }
 
 fn ending(n: u8) -> Ending {
-    [Ending::InTime, Ending::Slow, Ending::Refused, Ending::Broken, Ending::Silent][usize::from(n) % 5]
+    [Ending::InTime, Ending::Slow, Ending::Refused, Ending::Broken, Ending::Abandoned][usize::from(n) % 5]
 }
 
 /// Sends as many as the limit takes and ends each after `time`, for `span`; gives how many were sent, and the
@@ -31,7 +31,7 @@
             let Some((sent, out_at_send)) = out.pop_front() else { break };
             limit.ended(&Sample { now, sent, ending, out_at_send, kept_waiting: true });
         }
-        while limit.takes(now, out.len() as u32) && out.len() < 200 {
+        while limit.allows(now, out.len() as u32) && out.len() < 200 {
             limit.sent(now, out.len() as u32 + 1);
             out.push_back((now, out.len() as u32 + 1));
             sent += 1;
@@ -58,7 +58,7 @@
                 let l = limit.limit(now);
                 prop_assert!(l.is_finite() && l >= least && l <= 4096.0, "{name}: {l}");
             }
-            let takes = |t| limit.takes(t, 0);
+            let takes = |t| limit.allows(t, 0);
             prop_assert!(takes(later) || takes(later + 3 * SECOND), "{name} is locked up");
         }
     }
@@ -87,7 +87,7 @@
 #[test]
 fn a_limit_that_is_fed_errors_alone_goes_on_trying_one_at_a_time_and_comes_back_with_the_answers() {
     for (name, mut limit, _) in all() {
-        for (ending, time) in [(Ending::Silent, 300 * MS), (Ending::Refused, 2 * MS)] {
+        for (ending, time) in [(Ending::Abandoned, 300 * MS), (Ending::Refused, 2 * MS)] {
             feed(&mut *limit, 0, 10 * SECOND, 50 * MS, Ending::InTime);
             feed(&mut *limit, 10 * SECOND, 20 * SECOND, time, ending);
             let (tried, out) = feed(&mut *limit, 30 * SECOND, 10 * SECOND, time, ending);
@@ -126,7 +126,7 @@
             limit.sent(now, 1);
             // Four answered and two given up for each ninety-four that broke.
             let ending = match i % 100 {
-                0 | 50 => Ending::Silent,
+                0 | 50 => Ending::Abandoned,
                 n if n % 25 == 1 => Ending::InTime,
                 _ => Ending::Broken,
             };
@@ -140,12 +140,12 @@
 fn after_a_minute_of_silence_a_limit_is_as_new_but_for_the_baseline() {
     for (name, mut limit, _) in all() {
         let (time, ending) =
-            if name == "aimd" { (50 * MS, Ending::InTime) } else { (300 * MS, Ending::Silent) };
+            if name == "aimd" { (50 * MS, Ending::InTime) } else { (300 * MS, Ending::Abandoned) };
         feed(&mut *limit, 0, 10 * SECOND, time, ending);
         let before = limit.limit(10 * SECOND);
         assert_ne!(before, RANGE.start, "{name}");
         let after = limit.limit(70 * SECOND);
-        assert!(limit.takes(70 * SECOND, 0), "{name}");
+        assert!(limit.allows(70 * SECOND, 0), "{name}");
         limit.sent(70 * SECOND, 1);
         assert_eq!(after, limit.limit(70 * SECOND), "{name}: the first send changes nothing more");
         match name {
@@ -165,7 +165,7 @@
         for i in 0..400 {
             let now = 5 * SECOND + i * 10 * MS;
             limit.sent(now, 1);
-            let ending = Ending::Silent;
+            let ending = Ending::Abandoned;
             limit.ended(&Sample { now: now + 9 * MS, sent: now, ending, out_at_send: 1, kept_waiting: true });
         }
         assert!(limit.limit(9 * SECOND) >= before * 0.8, "{name}: {} of {before}", limit.limit(9 * SECOND));
@@ -182,14 +182,14 @@
     ended(&mut limit, 100 * MS, 0, Ending::InTime);
     limit.sent(100 * MS, 1);
     limit.sent(110 * MS, 2);
-    ended(&mut limit, 250 * MS, 100 * MS, Ending::Silent);
-    assert!(!limit.takes(260 * MS, 1), "one is out, one given up is at work: two in all");
+    ended(&mut limit, 250 * MS, 100 * MS, Ending::Abandoned);
+    assert!(!limit.allows(260 * MS, 1), "one is out, one given up is at work: two in all");
     ended(&mut limit, 270 * MS, 110 * MS, Ending::InTime);
-    assert!(limit.takes(280 * MS, 1), "the later one overtook it, or it is done");
+    assert!(limit.allows(280 * MS, 1), "the later one overtook it, or it is done");
     limit.sent(300 * MS, 1);
-    ended(&mut limit, 400 * MS, 300 * MS, Ending::Silent);
-    assert!(!limit.takes(410 * MS, 1));
-    assert!(limit.takes(700 * MS, 1), "it does not count for ever");
+    ended(&mut limit, 400 * MS, 300 * MS, Ending::Abandoned);
+    assert!(!limit.allows(410 * MS, 1));
+    assert!(limit.allows(700 * MS, 1), "it does not count for ever");
 }
 
 /// Lognormal times of mean 113 ms, by a fixed sequence of normal quantiles in scrambled order, changed by
@@ -253,7 +253,7 @@
     // The part slow is 0.262, 0.2358, 0.21222, then 0.190998: no longer a fifth.
     close(after(&[Ending::InTime]), 3.825 + 1.0 / 3.825);
     for _ in 0..200 {
-        after(&[Ending::Silent]);
+        after(&[Ending::Abandoned]);
     }
     close(after(&[Ending::Refused]), 0.3);
     close(after(&[Ending::InTime]), 0.6);
--- a/crates/limits/tests/codel.rs
+++ b/crates/limits/tests/codel.rs
@@ -1,12 +1,12 @@
 //! The queue with controlled delay: when it sheds, in what order it serves, and what a clock does to it.
 
-use limits::{Law, Queue};
+use limits::{CoDel, Queue};
 use proptest::prelude::*;
 
 const MS: i64 = 1000;
 
 fn queue() -> Queue<u32> {
-    Queue::new(100, Law::new(50 * MS, 500 * MS))
+    Queue::new(100, CoDel::new(50 * MS, 500 * MS))
 }
 
 /// When each went and when it came, in ms.
@@ -73,13 +73,13 @@
 
 #[test]
 fn a_full_queue_turns_the_newest_away_while_calm_and_the_oldest_under_strain() {
-    let mut queue = Queue::new(2, Law::new(50 * MS, 500 * MS));
+    let mut queue = Queue::new(2, CoDel::new(50 * MS, 500 * MS));
     assert_eq!((queue.push(0, 1), queue.push(0, 2), queue.push(0, 3)), (None, None, Some(3)));
     assert_eq!(queue.shed(100 * MS), None);
     assert_eq!(queue.shed(600 * MS), Some(1));
     assert!(queue.strained());
     assert_eq!((queue.push(600 * MS, 4), queue.push(600 * MS, 5)), (None, Some(2)));
-    assert_eq!(Queue::new(0, Law::new(1, 1)).push(0, 7), Some(7));
+    assert_eq!(Queue::new(0, CoDel::new(1, 1)).push(0, 7), Some(7));
 }
 
 proptest! {
@@ -101,7 +101,7 @@
             while let Some(x) = queue.shed(now) {
                 out.push(x);
             }
-            if let Some(at) = queue.look_at().filter(|at| *at > now && i != back) {
+            if let Some(at) = queue.next_check().filter(|at| *at > now && i != back) {
                 prop_assert!(at - now <= 601_000_000, "a look is due within the longest wait");
             }
         }
--- a/crates/limits/tests/given.rs
+++ b/crates/limits/tests/given.rs
@@ -9,8 +9,8 @@
     Sample { now, sent: now - 1000, ending, out_at_send: 1, kept_waiting: false }
 }
 
-fn warming(started: Micros) -> Warming {
-    Warming { started, from: 0.15, over: 23 * SECOND, multiple: 3.0, window: SECOND }
+fn warming(started: Micros) -> WarmUp {
+    WarmUp { started, from: 0.15, over: 23 * SECOND, multiple: 3.0, window: SECOND }
 }
 
 proptest! {
@@ -51,9 +51,9 @@
                 (1, 1) => budget.ended(&end(now, Ending::Slow)),
                 (1, 2) => budget.ended(&end(now, Ending::Refused)),
                 (1, 3) => budget.ended(&end(now, Ending::Broken)),
-                (1, _) => budget.ended(&end(now, Ending::Silent)),
-                (2, _) => extras += f64::from(u8::from(budget.take(Extra::Copy))),
-                _ => extras += f64::from(u8::from(budget.take(Extra::Repeat))),
+                (1, _) => budget.ended(&end(now, Ending::Abandoned)),
+                (2, _) => extras += f64::from(u8::from(budget.take(Extra::SecondCopy))),
+                _ => extras += f64::from(u8::from(budget.take(Extra::Retry))),
             }
             prop_assert!(extras <= depth + part * requests + 1e-6 && budget.left() <= depth);
         }
@@ -66,11 +66,11 @@
         gaps in prop::collection::vec(0i64..200_000, 1..400), full in 0.0f64..40.0, phase in 0.0f64..1.0,
     ) {
         let w = warming(5 * SECOND);
-        let (mut cold, mut now) = (Cold::new(w.started, w, full, phase), w.started);
+        let (mut cold, mut now) = (ColdBudget::new(w.started, w, full, phase), w.started);
         let mut sent = Vec::new();
         for gap in gaps {
             now += gap;
-            if cold.takes(now, 0) {
+            if cold.allows(now, 0) {
                 cold.sent(now, 1);
                 sent.push(now);
             }
@@ -86,17 +86,17 @@
     #[test]
     fn clocks_that_step_neither_panic_nor_lock_up(times in prop::collection::vec(any::<i64>(), 1..60)) {
         let (mut bucket, mut budget) = (Bucket::default(), Budget::new(0.2, 10.0));
-        let mut cold = Cold::new(0, warming(0), 10.0, 0.5);
+        let mut cold = ColdBudget::new(0, warming(0), 10.0, 0.5);
         for now in times {
             bucket.take(now, 5.0, 5.0);
             bucket.wait(now, 5.0, 5.0);
             budget.request(now);
-            budget.ended(&end(now.saturating_add(1000), Ending::Silent));
-            cold.takes(now, 0);
+            budget.ended(&end(now.saturating_add(1000), Ending::Abandoned));
+            cold.allows(now, 0);
             cold.sent(now, 1);
             prop_assert!(bucket.tokens <= 5.0 && bucket.tokens >= 0.0 && budget.left() <= 10.0);
             let later = now.saturating_add(3 * SECOND);
-            prop_assert!(later == i64::MAX || cold.takes(later, 0));
+            prop_assert!(later == i64::MAX || cold.allows(later, 0));
             prop_assert!(bucket.clone().take(later, 5.0, 5.0) || later == i64::MAX);
         }
     }
@@ -106,10 +106,10 @@
 fn a_thin_part_of_a_cold_server_is_one_request_each_so_many_windows() {
     // A sixty-fourth of 30 a second: 0.2 in the first second's window, one each 4.7 s at first.
     let w = warming(0);
-    let mut cold = Cold::new(0, w, 30.0 / 64.0, 0.5);
+    let mut cold = ColdBudget::new(0, w, 30.0 / 64.0, 0.5);
     let mut sent = Vec::new();
     for now in (0..23 * SECOND).step_by(10_000) {
-        if cold.takes(now, 0) {
+        if cold.allows(now, 0) {
             cold.sent(now, 1);
             sent.push(now);
         }
@@ -121,38 +121,39 @@
 
 #[test]
 fn a_clock_that_goes_back_gives_a_cold_server_no_second_budget() {
-    let mut cold = Cold::new(0, warming(0), 20.0, 0.0);
-    let mut send = |now| (0..100).filter(|_| cold.takes(now, 0).then(|| cold.sent(now, 1)).is_some()).count();
+    let mut cold = ColdBudget::new(0, warming(0), 20.0, 0.0);
+    let mut send =
+        |now| (0..100).filter(|_| cold.allows(now, 0).then(|| cold.sent(now, 1)).is_some()).count();
     assert!(send(10 * SECOND) > 20);
     assert_eq!(send(9 * SECOND), 0, "what was sent a moment ago still counts");
     cold.sent(9 * SECOND, 1);
     assert_eq!(
-        (0..100).filter(|_| cold.takes(9 * SECOND, 0)).count(),
+        (0..100).filter(|_| cold.allows(9 * SECOND, 0)).count(),
         0,
         "and after it was moved to the new time"
     );
-    assert!(cold.takes(11 * SECOND, 0));
+    assert!(cold.allows(11 * SECOND, 0));
 }
 
 #[test]
 fn nothing_is_sent_to_a_cold_server_that_has_no_known_capacity_until_it_is_learnt() {
-    let mut cold = Cold::new(0, warming(0), 0.0, 0.0);
-    assert!(!cold.takes(2 * SECOND, 0));
-    cold.learn(20.0);
-    assert!(cold.takes(2 * SECOND, 0));
-    cold.learn(f64::NAN);
-    assert!(!cold.takes(3 * SECOND, 0));
+    let mut cold = ColdBudget::new(0, warming(0), 0.0, 0.0);
+    assert!(!cold.allows(2 * SECOND, 0));
+    cold.set_full_rate(20.0);
+    assert!(cold.allows(2 * SECOND, 0));
+    cold.set_full_rate(f64::NAN);
+    assert!(!cold.allows(3 * SECOND, 0));
 }
 
 #[test]
 fn a_budget_shrinks_under_strain_and_is_back_when_it_ends() {
     let mut budget = Budget::new(0.2, 10.0);
-    (0..100).for_each(|i| budget.ended(&end(i, Ending::Silent)));
+    (0..100).for_each(|i| budget.ended(&end(i, Ending::Abandoned)));
     (0..100).for_each(|i| budget.request(i));
-    assert!(!budget.take(Extra::Repeat), "nothing while all fails");
+    assert!(!budget.take(Extra::Retry), "nothing while all fails");
     (0..200).for_each(|i| budget.ended(&end(i, Ending::InTime)));
     (0..100).for_each(|i| budget.request(i));
-    assert!(budget.take(Extra::Repeat));
+    assert!(budget.take(Extra::Retry));
     assert!(budget.left() > 8.0);
 }
 
@@ -162,9 +163,9 @@
     let mut extras = 0;
     for i in 0..2000 {
         budget.request(i);
-        let ending = if i % 5 == 0 { Ending::Silent } else { Ending::InTime };
+        let ending = if i % 5 == 0 { Ending::Abandoned } else { Ending::InTime };
         budget.ended(&end(i, ending));
-        extras += u32::from(i >= 1000 && budget.take(Extra::Repeat));
+        extras += u32::from(i >= 1000 && budget.take(Extra::Retry));
     }
     assert!((70..130).contains(&extras), "{extras} of 1000, 200 if nothing failed");
 }
@@ -174,14 +175,14 @@
     let mut budget = Budget::new(1.0, 10.0);
     (0..100).for_each(|i| budget.ended(&end(i, Ending::Refused)));
     budget.request(9 * SECOND);
-    assert!(!budget.take(Extra::Repeat));
+    assert!(!budget.take(Extra::Retry));
     budget.request(11 * SECOND);
-    assert!(budget.take(Extra::Repeat));
+    assert!(budget.take(Extra::Retry));
 }
 
 #[test]
 fn copies_leave_half_of_a_budget_to_repeats() {
     let mut budget = Budget::new(0.0, 10.0);
-    assert_eq!((0..20).filter(|_| budget.take(Extra::Copy)).count(), 5);
-    assert_eq!((0..20).filter(|_| budget.take(Extra::Repeat)).count(), 5);
+    assert_eq!((0..20).filter(|_| budget.take(Extra::SecondCopy)).count(), 5);
+    assert_eq!((0..20).filter(|_| budget.take(Extra::Retry)).count(), 5);
 }
--- a/crates/limits/tests/node.rs
+++ b/crates/limits/tests/node.rs
@@ -5,21 +5,21 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn end(node: &mut Node, now: Micros, ending: Ending) {
+fn end(node: &mut NodeLimit, now: Micros, ending: Ending) {
     let sample = Sample { now, sent: now - 50_000, ending, out_at_send: 1, kept_waiting: false };
     node.ended(&sample);
 }
 
-fn send(node: &mut Node, now: Micros, count: u32) {
+fn send(node: &mut NodeLimit, now: Micros, count: u32) {
     (0..count).for_each(|_| node.sent(now, node.out() + 1));
 }
 
 #[test]
 fn a_node_that_never_turned_anything_away_has_no_limit() {
-    let mut node = Node::default();
+    let mut node = NodeLimit::default();
     send(&mut node, 0, 500);
-    assert!(node.limit(0).is_infinite() && node.takes(0, 500));
-    for ending in [Ending::InTime, Ending::Slow, Ending::Broken, Ending::Silent] {
+    assert!(node.limit(0).is_infinite() && node.allows(0, 500));
+    for ending in [Ending::InTime, Ending::Slow, Ending::Broken, Ending::Abandoned] {
         end(&mut node, SECOND, ending);
         assert!(node.limit(SECOND).is_infinite(), "{ending:?}");
     }
@@ -27,11 +27,11 @@
 
 #[test]
 fn being_turned_away_leaves_nine_tenths_of_what_was_out_and_answers_raise_it_by_three_a_round() {
-    let mut node = Node::default();
+    let mut node = NodeLimit::default();
     send(&mut node, 0, 20);
     end(&mut node, 10, Ending::Refused);
     assert!((node.limit(10) - 18.0).abs() < 1e-9);
-    assert!(!node.takes(10, 18) && node.takes(10, 17));
+    assert!(!node.allows(10, 18) && node.allows(10, 17));
     // A round: as many answers as are out, with that many out all the while.
     for i in 0..18 {
         let room = 19 - node.out();
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_node_that_has_room_again_is_free_again() {
-    let mut node = Node::default();
+    let mut node = NodeLimit::default();
     send(&mut node, 0, 4);
     end(&mut node, 10, Ending::Refused);
     let mut rounds = 0;
@@ -61,11 +61,11 @@
 
 #[test]
 fn a_hang_shows_from_the_last_sign_of_life_and_ends_with_the_next() {
-    let mut node = Node::default();
+    let mut node = NodeLimit::default();
     send(&mut node, 0, 3);
     end(&mut node, 100, Ending::InTime);
     assert_eq!(node.silence(700_100), 700_000);
-    end(&mut node, 800_000, Ending::Silent);
+    end(&mut node, 800_000, Ending::Abandoned);
     assert_eq!(node.silence(900_000), 899_900, "what was given up is no sign of life");
     end(&mut node, 900_000, Ending::Refused);
     assert_eq!((node.out(), node.silence(950_000)), (0, 0), "nothing is out");
@@ -73,7 +73,7 @@
 
 #[test]
 fn an_idle_node_is_not_silent_and_a_send_after_idling_counts_from_itself() {
-    let mut node = Node::default();
+    let mut node = NodeLimit::default();
     send(&mut node, 0, 1);
     end(&mut node, 1000, Ending::InTime);
     assert_eq!(node.silence(60 * SECOND), 0);
@@ -90,8 +90,8 @@
     fn a_node_counts_what_is_out_and_never_locks_up(
         steps in prop::collection::vec((any::<bool>(), 0u8..5, -SECOND..SECOND), 0..200),
     ) {
-        let endings = [Ending::InTime, Ending::Slow, Ending::Refused, Ending::Broken, Ending::Silent];
-        let (mut node, mut out, mut now) = (Node::default(), 0u32, 0);
+        let endings = [Ending::InTime, Ending::Slow, Ending::Refused, Ending::Broken, Ending::Abandoned];
+        let (mut node, mut out, mut now) = (NodeLimit::default(), 0u32, 0);
         for (sends, how, step) in steps {
             now += step;
             if sends || out == 0 {
@@ -102,7 +102,7 @@
                 out -= 1;
             }
             prop_assert_eq!(node.out(), out);
-            prop_assert!(node.takes(now, 0) && node.limit(now) >= 1.0);
+            prop_assert!(node.allows(now, 0) && node.limit(now) >= 1.0);
             prop_assert!(node.silence(now) >= 0 && (out > 0 || node.silence(now) == 0));
         }
     }
--- a/crates/limits/tests/ledger.rs
+++ b/crates/limits/tests/origin.rs
@@ -1,4 +1,4 @@
-//! What [`Ledger`] says of its page, step by step and whatever it is fed. The days on which many of them stand
+//! What [`OriginLimit`] says of its page, step by step and whatever it is fed. The days on which many of them stand
 //! before one ledger are in `scenarios.rs`.
 
 use limits::*;
@@ -9,7 +9,7 @@
 
 /// A ledger's limit, its clock and what it was told to be out.
 struct Fed {
-    limit: Ledger,
+    limit: OriginLimit,
     now: Micros,
     out: u32,
 }
@@ -17,7 +17,7 @@
 impl Fed {
     /// One that has seen calm answers of `time` with four out for 20 s: pressed, so up to twice that.
     fn calm(time: Micros) -> Self {
-        let mut fed = Fed { limit: Ledger::default(), now: 0, out: 4 };
+        let mut fed = Fed { limit: OriginLimit::default(), now: 0, out: 4 };
         fed.answers(20 * SECOND, time);
         fed
     }
@@ -26,7 +26,7 @@
     fn ends(&mut self, span: Micros, time: Micros, ending: impl Fn(i64) -> Ending) {
         for i in 0..span / (25 * MS) {
             self.now += 25 * MS;
-            self.limit.learn(self.now, self.out);
+            self.limit.observe_in_flight(self.now, self.out);
             self.limit.sent(self.now - time, self.out);
             self.limit.ended(&Sample {
                 now: self.now,
@@ -42,10 +42,10 @@
         self.ends(span, time, |_| Ending::InTime);
     }
 
-    fn silent(&mut self, span: Micros) {
+    fn idle(&mut self, span: Micros) {
         for _ in 0..span / (200 * MS) {
             self.now += 200 * MS;
-            self.limit.learn(self.now, 0);
+            self.limit.observe_in_flight(self.now, 0);
         }
     }
 
@@ -57,16 +57,16 @@
 #[test]
 fn strain_and_room_follow_the_time_of_answers_and_come_back_with_it() {
     let mut fed = Fed::calm(100 * MS);
-    assert!((fed.limit.strain() - 1.0).abs() < 0.05 && fed.limit.room() == 1.0);
+    assert!((fed.limit.latency_ratio() - 1.0).abs() < 0.05 && fed.limit.headroom() == 1.0);
     fed.answers(2 * SECOND, 225 * MS);
-    assert!((2.2..2.3).contains(&fed.limit.strain()), "{}", fed.limit.strain());
-    assert!((0.45..0.55).contains(&fed.limit.room()), "half way from 1.5 to 3: {}", fed.limit.room());
+    assert!((2.2..2.3).contains(&fed.limit.latency_ratio()), "{}", fed.limit.latency_ratio());
+    assert!((0.45..0.55).contains(&fed.limit.headroom()), "half way from 1.5 to 3: {}", fed.limit.headroom());
     fed.answers(2 * SECOND, 400 * MS);
-    assert_eq!(fed.limit.room(), 0.0);
+    assert_eq!(fed.limit.headroom(), 0.0);
     fed.answers(SECOND, 100 * MS);
-    assert_eq!(fed.limit.room(), 1.0, "a second of good answers is enough");
+    assert_eq!(fed.limit.headroom(), 1.0, "a second of good answers is enough");
     fed.answers(2 * SECOND, 100 * MS);
-    assert!((99_000.0..110_000.0).contains(&fed.limit.pace().unwrap()));
+    assert!((99_000.0..110_000.0).contains(&fed.limit.mean_latency().unwrap()));
 }
 
 #[test]
@@ -80,16 +80,16 @@
 
 #[test]
 fn a_limit_of_thin_traffic_goes_below_one_under_strain_and_rests() {
-    let mut fed = Fed { limit: Ledger::default(), now: 0, out: 1 };
+    let mut fed = Fed { limit: OriginLimit::default(), now: 0, out: 1 };
     for _ in 0..40 {
         // One answer a second of 100 ms: a tenth of one is out.
         fed.answers(25 * MS, 100 * MS);
-        (0..4).for_each(|_| fed.silent(200 * MS));
+        (0..4).for_each(|_| fed.idle(200 * MS));
     }
     fed.answers(2 * SECOND, 400 * MS);
     assert!(fed.is() < 0.5, "{}", fed.is());
-    assert!(!fed.limit.takes(fed.now, 0), "it rests after an answer");
-    assert!(fed.limit.takes(fed.now + 2 * SECOND, 0), "and not for ever");
+    assert!(!fed.limit.allows(fed.now, 0), "it rests after an answer");
+    assert!(fed.limit.allows(fed.now + 2 * SECOND, 0), "and not for ever");
 }
 
 #[test]
@@ -105,24 +105,24 @@
 #[test]
 fn a_minute_of_silence_changes_nothing_but_what_the_first_seconds_forget() {
     let mut fed = Fed::calm(100 * MS);
-    fed.silent(limits::ledger::QUIET as Micros * SECOND);
+    fed.idle(limits::origin::IDLE_SECONDS as Micros * SECOND);
     let before = fed.is();
     assert!(before >= 4.0, "{before}");
-    fed.silent(60 * SECOND);
+    fed.idle(60 * SECOND);
     assert_eq!(fed.is(), before);
-    assert!(fed.limit.takes(fed.now, 3));
+    assert!(fed.limit.allows(fed.now, 3));
     fed.out = 4;
     fed.answers(SECOND, 100 * MS);
-    assert_eq!(fed.limit.room(), 1.0);
+    assert_eq!(fed.limit.headroom(), 1.0);
 }
 
 #[test]
 fn errors_alone_leave_one_at_a_time_and_answers_bring_it_back_at_once() {
-    for ending in [Ending::Silent, Ending::Refused, Ending::Slow] {
+    for ending in [Ending::Abandoned, Ending::Refused, Ending::Slow] {
         let mut fed = Fed::calm(100 * MS);
         fed.ends(20 * SECOND, 300 * MS, |_| ending);
-        assert!(fed.is() <= 1.0 && !fed.limit.takes(fed.now, 1), "{ending:?}: {}", fed.is());
-        assert!(fed.limit.takes(fed.now + 2 * SECOND, 0), "{ending:?}: it tries again");
+        assert!(fed.is() <= 1.0 && !fed.limit.allows(fed.now, 1), "{ending:?}: {}", fed.is());
+        assert!(fed.limit.allows(fed.now + 2 * SECOND, 0), "{ending:?}: it tries again");
         fed.answers(2 * SECOND, 100 * MS);
         assert!(fed.is() >= 4.0, "{ending:?}: {} after two seconds of answers", fed.is());
     }
@@ -134,7 +134,7 @@
         let mut fed = Fed::calm(100 * MS);
         let ending = move |i: i64| if i % of == 0 { Ending::Refused } else { Ending::InTime };
         fed.ends(20 * SECOND, 100 * MS, ending);
-        (fed.is(), fed.limit.failing())
+        (fed.is(), fed.limit.failure_ratio())
     };
     let (tenth, third) = (part(10), part(3));
     assert!(tenth.0 >= 7.9 && tenth.1 < 0.2, "{tenth:?}");
@@ -145,18 +145,18 @@
 fn broken_connections_change_nothing() {
     let mut fed = Fed::calm(100 * MS);
     let sample = |now| Sample { now, sent: 0, ending: Ending::Broken, out_at_send: 9, kept_waiting: true };
-    let before = (fed.is(), fed.limit.pace(), fed.limit.failing());
+    let before = (fed.is(), fed.limit.mean_latency(), fed.limit.failure_ratio());
     (0..100).for_each(|i| fed.limit.ended(&sample(fed.now + i)));
-    assert_eq!(before, (fed.is(), fed.limit.pace(), fed.limit.failing()));
+    assert_eq!(before, (fed.is(), fed.limit.mean_latency(), fed.limit.failure_ratio()));
 }
 
 #[test]
 fn a_ledger_that_is_slower_for_good_is_believed_within_minutes() {
     let mut fed = Fed::calm(100 * MS);
     fed.answers(20 * SECOND, 140 * MS);
-    let then = fed.limit.strain();
+    let then = fed.limit.latency_ratio();
     fed.answers(300 * SECOND, 140 * MS);
-    assert!(then > 1.3 && fed.limit.strain() < 1.05, "{then}, then {}", fed.limit.strain());
+    assert!(then > 1.3 && fed.limit.latency_ratio() < 1.05, "{then}, then {}", fed.limit.latency_ratio());
 }
 
 #[test]
@@ -166,7 +166,7 @@
         let before = fed.is();
         fed.now += step;
         fed.answers(2 * SECOND, 100 * MS);
-        assert!(fed.limit.takes(fed.now, 3) && fed.limit.room() == 1.0);
+        assert!(fed.limit.allows(fed.now, 3) && fed.limit.headroom() == 1.0);
         assert!(fed.is() > before * 0.7, "{before}, then {} after a step of {step}", fed.is());
     }
 }
@@ -178,19 +178,19 @@
         fed in prop::collection::vec(any::<(i64, i64, u8, u32, bool)>(), 0..80),
         near in any::<bool>(), later in 0i64..1_000_000_000_000,
     ) {
-        let endings = [Ending::InTime, Ending::Slow, Ending::Refused, Ending::Broken, Ending::Silent];
-        let mut limit = Ledger::default();
+        let endings = [Ending::InTime, Ending::Slow, Ending::Refused, Ending::Broken, Ending::Abandoned];
+        let mut limit = OriginLimit::default();
         for (now, sent, how, out, kept_waiting) in fed {
             let within = if near { 100 * SECOND } else { Micros::MAX };
             let (now, sent, ending) = (now % within, sent % within, endings[usize::from(how) % 5]);
-            limit.learn(now, out);
+            limit.observe_in_flight(now, out);
             limit.sent(sent, out);
             limit.ended(&Sample { now, sent, ending, out_at_send: out, kept_waiting });
             let l = limit.limit(now);
-            prop_assert!((limits::ledger::LEAST..=limits::ledger::MOST).contains(&l), "{l}");
-            prop_assert!(limit.strain().is_finite() && (0.0..=1.0).contains(&limit.room()));
-            prop_assert!((0.0..=1.0).contains(&limit.failing()));
+            prop_assert!((limits::origin::MIN_LIMIT..=limits::origin::MAX_LIMIT).contains(&l), "{l}");
+            prop_assert!(limit.latency_ratio().is_finite() && (0.0..=1.0).contains(&limit.headroom()));
+            prop_assert!((0.0..=1.0).contains(&limit.failure_ratio()));
         }
-        prop_assert!(limit.takes(later, 0) || limit.takes(later + 3 * SECOND, 0), "locked up");
+        prop_assert!(limit.allows(later, 0) || limit.allows(later + 3 * SECOND, 0), "locked up");
     }
 }
--- a/crates/limits/tests/popular.rs
+++ b/crates/limits/tests/popular.rs
@@ -1,6 +1,6 @@
 //! How often keys were asked for: never too low, fades, and keeps to its table.
 
-use limits::Popular;
+use limits::PopularityCounter;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -18,15 +18,15 @@
     fn a_count_is_never_below_the_true_one(
         steps in prop::collection::vec((0u64..300, 0u8..20), 1..600), spread in any::<bool>(),
     ) {
-        let (mut popular, mut truth) = (Popular::default(), BTreeMap::<u64, f64>::new());
+        let (mut popular, mut truth) = (PopularityCounter::default(), BTreeMap::<u64, f64>::new());
         for (key, what) in steps {
             // Without the mixing many keys share all cells but those of one row.
             let hash = if spread { mix(key) } else { key << 54 };
             if what == 0 {
-                popular.fade(0.5);
+                popular.decay(0.5);
                 truth.values_mut().for_each(|n| *n *= 0.5);
             } else {
-                popular.ask(hash);
+                popular.record(hash);
                 *truth.entry(hash).or_default() += 1.0;
             }
         }
@@ -38,8 +38,8 @@
 
 #[test]
 fn counts_of_a_day_of_keys_are_seldom_too_high() {
-    let mut popular = Popular::default();
-    (0..1000).for_each(|key| popular.ask(mix(key)));
+    let mut popular = PopularityCounter::default();
+    (0..1000).for_each(|key| popular.record(mix(key)));
     let high = (0..1000).filter(|key| popular.count(mix(*key)) > 1.5).count();
     assert!(high < 1000 / 5, "{high} of 1000 keys asked for once");
     let unasked = (1000..2000).filter(|key| popular.count(mix(*key)) > 0.5).count();
@@ -48,24 +48,24 @@
 
 #[test]
 fn what_was_asked_long_ago_fades_away_and_what_is_asked_now_counts_in_full() {
-    let mut popular = Popular::default();
-    (0..1000).for_each(|_| popular.ask(mix(1)));
+    let mut popular = PopularityCounter::default();
+    (0..1000).for_each(|_| popular.record(mix(1)));
     // 200 s of the proxy's fading, through many rewrites of the cells.
-    (0..1000).for_each(|_| popular.fade(0.98));
+    (0..1000).for_each(|_| popular.decay(0.98));
     assert!(popular.count(mix(1)) < 1e-5, "{}", popular.count(mix(1)));
-    (0..3).for_each(|_| popular.ask(mix(2)));
+    (0..3).for_each(|_| popular.record(mix(2)));
     assert!((popular.count(mix(2)) - 3.0).abs() < 0.01, "{}", popular.count(mix(2)));
     for _ in 0..100_000 {
-        popular.fade(0.9);
-        popular.ask(mix(3));
+        popular.decay(0.9);
+        popular.record(mix(3));
     }
     assert!((popular.count(mix(3)) - 10.0).abs() < 0.1, "1/(1 - 0.9): {}", popular.count(mix(3)));
 }
 
 #[test]
 fn a_fade_that_makes_no_sense_forgets_nothing_and_breaks_nothing() {
-    let mut popular = Popular::default();
-    popular.ask(mix(1));
-    [0.0, -1.0, 2.0, f64::NAN, f64::INFINITY].into_iter().for_each(|keep| popular.fade(keep));
+    let mut popular = PopularityCounter::default();
+    popular.record(mix(1));
+    [0.0, -1.0, 2.0, f64::NAN, f64::INFINITY].into_iter().for_each(|keep| popular.decay(keep));
     assert!((popular.count(mix(1)) - 1.0).abs() < 1e-6, "{}", popular.count(mix(1)));
 }
--- a/crates/limits/tests/scenarios.rs
+++ b/crates/limits/tests/scenarios.rs
@@ -32,7 +32,7 @@
     Box::new(Throughput::new(range(proxies)))
 }
 fn in_service(_: u32) -> Box<dyn Limit> {
-    Box::new(Ledger::default())
+    Box::new(OriginLimit::default())
 }
 
 /// Reads alone, each of a key of its own, at a part of what the ledger can do.
@@ -158,7 +158,7 @@
     at_least("served of uneven traffic", play(heavy, 9, CODEL, make).worth(10 * SECOND, 40 * SECOND), 0.97)
 }
 
-/// Two to seven times slower, in the line in service. The limit holds on to [`limits::ledger::TIMES`] the usual,
+/// Two to seven times slower, in the line in service. The limit holds on to [`limits::origin::USUAL_MULTIPLE`] the usual,
 /// so up to that slowness all is served that the ledger has room for, and beyond it most of that part.
 fn slow_service(make: Make) -> Result<(), String> {
     for (proxies, times, load, least) in [
@@ -277,7 +277,7 @@
 }
 
 /// The limit in service, never told what is out.
-struct Deaf(Ledger);
+struct Deaf(OriginLimit);
 
 impl Limit for Deaf {
     fn sent(&mut self, now: Micros, out: u32) {
@@ -292,7 +292,7 @@
 }
 
 fn never_learns(_: u32) -> Box<dyn Limit> {
-    Box::new(Deaf(Ledger::default()))
+    Box::new(Deaf(OriginLimit::default()))
 }
 
 /// Falls for every answer that takes longer than 250 ms.
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -10,7 +10,7 @@
 //! answer is exactly what ranking all nodes gives, since two things hold of a key's list of candidates:
 //!
 //! - It holds every node whose score at its full weight lies under a floor. The floor is set so that it holds
-//!   about [`LISTED`] nodes of each side; a node is let in by comparing its hash with a bound of its own, so
+//!   about [`LIST_SIZES`] nodes of each side; a node is let in by comparing its hash with a bound of its own, so
 //!   that a pass over the fleet takes no logarithm but for those that get in.
 //! - No weight is ever above the full one times a scale that the asker tells. So what is not in the list
 //!   scores the floor over the scale at least, and the best of the list are the best of all as long as they
@@ -21,22 +21,22 @@
 //! what it has missed when it is asked for next, and is made anew if that is too much. So nothing is rebuilt
 //! while a list of nodes is taken over, and the work for a change is spread over the requests that need it.
 //!
-//! Bounds: [`KEPT`] lists of keys, [`LOG`] changes. Equal calls give equal results, whatever is kept.
+//! Bounds: [`MAX_CACHED_LISTS`] lists of keys, [`MAX_LOGGED_CHANGES`] changes. Equal calls give equal results, whatever is kept.
 
-mod kept;
+mod list_cache;
 mod side;
 
-use kept::{Kept, List};
+use list_cache::{List, ListCache};
 use side::Side;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 
 /// Nodes that a list holds of each side, about, as long as that is enough; then more.
-pub const LISTED: [f64; 3] = [8.0, 32.0, 128.0];
+pub const LIST_SIZES: [f64; 3] = [8.0, 32.0, 128.0];
 /// Keys whose lists are kept.
-pub const KEPT: usize = 16_384;
+pub const MAX_CACHED_LISTS: usize = 16_384;
 /// Changes of the fleet that a kept list may be behind.
-pub const LOG: usize = 512;
+pub const MAX_LOGGED_CHANGES: usize = 512;
 /// The sides.
 pub const NEAR: usize = 0;
 /// See [`NEAR`].
@@ -57,9 +57,9 @@
     ((x >> 11) as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// What a node's score for a key is before it is divided by the weight. `mixed` is `mix` of the node's id.
-fn distance(key: u64, mixed: u64) -> f64 {
-    -unit(mix(key ^ mixed)).ln()
+/// What a node's score for a key is before it is divided by the weight. `id_hash` is `mix` of the node's id.
+fn distance(key: u64, id_hash: u64) -> f64 {
+    -unit(mix(key ^ id_hash)).ln()
 }
 
 /// A node as it is placed.
@@ -70,12 +70,12 @@
     /// Its weight at most, above 0 and finite; what the asker's scale multiplies.
     pub weight: f64,
     /// `mix` of its id.
-    pub mixed: u64,
+    pub id_hash: u64,
 }
 
 /// One of the best: its score, its id and its slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Best {
+pub struct Ranked {
     /// The score, lowest first; of equal ones the lower id.
     pub score: f64,
     /// The node's id.
@@ -84,8 +84,8 @@
     pub slot: u32,
 }
 
-impl Best {
-    fn before(&self, other: &Best) -> bool {
+impl Ranked {
+    fn before(&self, other: &Ranked) -> bool {
         self.score < other.score || (self.score == other.score && self.id < other.id)
     }
 }
@@ -93,7 +93,7 @@
 /// What has changed.
 #[derive(Clone, Copy, Debug)]
 enum Change {
-    Added(u32, Place, [u64; LISTED.len()]),
+    Added(u32, Place, [u64; LIST_SIZES.len()]),
     Removed(u32),
 }
 
@@ -107,7 +107,7 @@
     /// Changes since the start, and times that all lists were made useless.
     changes: u64,
     epoch: u64,
-    kept: RefCell<Kept>,
+    kept: RefCell<ListCache>,
 }
 
 impl Index {
@@ -139,14 +139,14 @@
 
     fn note(&mut self, change: Change) {
         self.changes += 1;
-        if self.log.len() == LOG {
+        if self.log.len() == MAX_LOGGED_CHANGES {
             self.log.pop_front();
         }
         self.log.push_back(change);
     }
 
     /// To be called when a batch of changes is over: sets the floors anew where the fleet has become another.
-    pub fn settle(&mut self) {
+    pub fn update_floors(&mut self) {
         let mut anew = false;
         for side in self.sides.iter_mut().filter(|s| s.drifted()) {
             side.set_floors();
@@ -164,7 +164,7 @@
     }
 
     /// Keys whose lists are kept, and changes that the log holds.
-    pub fn kept(&self) -> (usize, usize) {
+    pub fn cache_sizes(&self) -> (usize, usize) {
         (self.kept.borrow().len(), self.log.len())
     }
 
@@ -182,7 +182,7 @@
         want: usize,
         scales: [f64; 2],
         mut score: impl FnMut(u32, f64) -> Option<(f64, u64)>,
-        best: &mut Vec<Best>,
+        best: &mut Vec<Ranked>,
     ) {
         best.clear();
         if want == 0 {
@@ -195,7 +195,7 @@
             if self.best_of(list, want, scales, &mut score, best) {
                 return;
             }
-            if list.level + 1 >= LISTED.len() {
+            if list.level + 1 >= LIST_SIZES.len() {
                 break;
             }
             list.level += 1;
@@ -203,7 +203,7 @@
         }
         best.clear();
         for side in &self.sides {
-            side.each(|slot, mixed| consider(best, want, slot, distance(key, mixed), &mut score));
+            side.each(|slot, id_hash| consider(best, want, slot, distance(key, id_hash), &mut score));
         }
     }
 
@@ -214,7 +214,7 @@
         want: usize,
         scales: [f64; 2],
         score: &mut impl FnMut(u32, f64) -> Option<(f64, u64)>,
-        best: &mut Vec<Best>,
+        best: &mut Vec<Ranked>,
     ) -> bool {
         best.clear();
         let mut unlisted = f64::INFINITY;
@@ -242,7 +242,7 @@
             match change {
                 Change::Removed(slot) => list.remove(*slot),
                 Change::Added(slot, place, bounds) => {
-                    if mix(list.key ^ place.mixed) >= bounds[list.level] {
+                    if mix(list.key ^ place.id_hash) >= bounds[list.level] {
                         list.insert(*slot, place);
                     }
                 }
@@ -262,14 +262,14 @@
 
 /// Puts a node among the best, if it is one.
 fn consider(
-    best: &mut Vec<Best>,
+    best: &mut Vec<Ranked>,
     want: usize,
     slot: u32,
     distance: f64,
     score: &mut impl FnMut(u32, f64) -> Option<(f64, u64)>,
 ) {
     let Some((score, id)) = score(slot, distance) else { return };
-    let one = Best { score, id, slot };
+    let one = Ranked { score, id, slot };
     if best.len() < want || best.last().is_some_and(|last| one.before(last)) {
         best.truncate(want - 1);
         best.insert(best.partition_point(|b| b.before(&one)), one);
--- a/crates/placement/src/kept.rs
+++ b/crates/placement/src/list_cache.rs
@@ -1,6 +1,6 @@
 //! Lists of candidates that are kept for keys that come again.
 
-use crate::{distance, Place, KEPT, MARGIN};
+use crate::{distance, Place, MARGIN, MAX_CACHED_LISTS};
 use std::ops::Range;
 
 /// Cells that remember a key seen once: where another list has to go, one is kept from the second time on.
@@ -52,17 +52,17 @@
     }
 
     pub fn insert(&mut self, slot: u32, place: &Place) {
-        let distance = distance(self.key, place.mixed);
+        let distance = distance(self.key, place.id_hash);
         let one = Candidate::new(distance, place.weight, slot);
         let side = &mut self.sides[place.side];
         side.insert(side.partition_point(|c| c.least < one.least), one);
     }
 }
 
-/// The lists, up to [`KEPT`]: in sets of [`WAYS`], of which a key has one, so that no choice of keys makes a
+/// The lists, up to [`MAX_CACHED_LISTS`]: in sets of [`WAYS`], of which a key has one, so that no choice of keys makes a
 /// search longer. The list to go is one of its set that was not used since all of them had been.
 #[derive(Debug, Default)]
-pub(crate) struct Kept {
+pub(crate) struct ListCache {
     /// The key of each place; 0 is none. Empty until the first list is kept.
     keys: Vec<u64>,
     lists: Vec<Option<Box<List>>>,
@@ -71,7 +71,7 @@
     scratch: List,
 }
 
-impl Kept {
+impl ListCache {
     pub fn len(&self) -> usize {
         self.keys.iter().filter(|key| **key != 0).count()
     }
@@ -79,10 +79,10 @@
     /// The list of a key, perhaps of before, or still to be made.
     pub fn list(&mut self, key: u64) -> &mut List {
         if self.keys.is_empty() {
-            (self.keys, self.seen) = (vec![0; KEPT], vec![0; SEEN]);
-            self.lists.resize_with(KEPT, || None);
+            (self.keys, self.seen) = (vec![0; MAX_CACHED_LISTS], vec![0; SEEN]);
+            self.lists.resize_with(MAX_CACHED_LISTS, || None);
         }
-        let set = key as usize % (KEPT / WAYS) * WAYS;
+        let set = key as usize % (MAX_CACHED_LISTS / WAYS) * WAYS;
         let set = set..set + WAYS;
         let found = self.keys[set.clone()].iter().position(|k| *k == key && key != 0);
         let at = match found {
--- a/crates/placement/src/side.rs
+++ b/crates/placement/src/side.rs
@@ -1,21 +1,21 @@
 //! The nodes of one side, laid out for a pass over all of them, and the floors of lists.
 
-use crate::kept::{sort, Candidate};
-use crate::{distance, mix, Place, LISTED};
+use crate::list_cache::{sort, Candidate};
+use crate::{distance, mix, Place, LIST_SIZES};
 
 /// How far the sum of weights may drift before the floors are set anew.
 const DRIFT: f64 = 0.25;
 
 #[derive(Debug, Default)]
 pub(crate) struct Side {
-    mixed: Vec<u64>,
+    id_hash: Vec<u64>,
     /// By level: the hash from which on a node is in a list.
-    bounds: [Vec<u64>; LISTED.len()],
+    bounds: [Vec<u64>; LIST_SIZES.len()],
     weights: Vec<f64>,
     slots: Vec<u32>,
     total: f64,
     /// By level, and the number and the sum of weights that they were set for.
-    floors: [f64; LISTED.len()],
+    floors: [f64; LIST_SIZES.len()],
     set_for: (usize, f64),
 }
 
@@ -35,9 +35,9 @@
     }
 
     /// Where it is, and from which hash on it is in a list.
-    pub fn add(&mut self, slot: u32, place: &Place) -> (usize, [u64; LISTED.len()]) {
+    pub fn add(&mut self, slot: u32, place: &Place) -> (usize, [u64; LIST_SIZES.len()]) {
         let bounds = self.floors.map(|floor| bound(floor, place.weight));
-        self.mixed.push(place.mixed);
+        self.id_hash.push(place.id_hash);
         self.weights.push(place.weight);
         self.slots.push(slot);
         self.bounds.iter_mut().zip(bounds).for_each(|(all, one)| all.push(one));
@@ -47,7 +47,7 @@
 
     /// The slot whose node has moved to this position, if one has.
     pub fn remove(&mut self, position: usize, weight: f64) -> Option<u32> {
-        self.mixed.swap_remove(position);
+        self.id_hash.swap_remove(position);
         self.weights.swap_remove(position);
         self.slots.swap_remove(position);
         for all in &mut self.bounds {
@@ -67,7 +67,7 @@
     pub fn set_floors(&mut self) {
         self.total = self.weights.iter().sum();
         self.set_for = (self.len(), self.total);
-        for (level, listed) in LISTED.iter().enumerate() {
+        for (level, listed) in LIST_SIZES.iter().enumerate() {
             let all = self.len() as f64 <= 2.0 * listed || self.total <= 0.0;
             let floor = if all { f64::INFINITY } else { listed / self.total };
             self.floors[level] = floor;
@@ -80,9 +80,9 @@
     pub fn list(&self, key: u64, level: usize, into: &mut Vec<Candidate>) -> f64 {
         into.clear();
         let bounds = &self.bounds[level];
-        for (at, (mixed, bound)) in self.mixed.iter().zip(bounds).enumerate() {
-            if mix(key ^ mixed) >= *bound {
-                into.push(Candidate::new(distance(key, *mixed), self.weights[at], self.slots[at]));
+        for (at, (id_hash, bound)) in self.id_hash.iter().zip(bounds).enumerate() {
+            if mix(key ^ id_hash) >= *bound {
+                into.push(Candidate::new(distance(key, *id_hash), self.weights[at], self.slots[at]));
             }
         }
         sort(into);
@@ -90,6 +90,6 @@
     }
 
     pub fn each(&self, mut what: impl FnMut(u32, u64)) {
-        self.slots.iter().zip(&self.mixed).for_each(|(slot, mixed)| what(*slot, *mixed));
+        self.slots.iter().zip(&self.id_hash).for_each(|(slot, id_hash)| what(*slot, *id_hash));
     }
 }
--- a/crates/placement/tests/equality.rs
+++ b/crates/placement/tests/equality.rs
@@ -1,6 +1,6 @@
 //! The index gives what ranking all nodes gives: over random fleets, weights, changes and keys.
 
-use placement::{mix, unit, Best, Index, Place, FAR, NEAR};
+use placement::{mix, unit, Index, Place, Ranked, FAR, NEAR};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -26,7 +26,7 @@
             self.nodes.resize(slot + 1, None);
         }
         self.nodes[slot] = node;
-        let place = node.map(|n| Place { side: n.side, weight: n.weight, mixed: mix(n.id) });
+        let place = node.map(|n| Place { side: n.side, weight: n.weight, id_hash: mix(n.id) });
         self.index.set(slot as u32, place);
     }
 
@@ -45,7 +45,7 @@
     }
 
     fn best(&self, key: u64, want: usize, far: f64) -> Vec<(f64, u64)> {
-        let mut best: Vec<Best> = Vec::new();
+        let mut best: Vec<Ranked> = Vec::new();
         let score = |slot: u32, distance: f64| {
             let n = self.nodes[slot as usize].as_ref().filter(|n| n.usable)?;
             Some((Self::score(n, distance, far), n.id))
@@ -92,12 +92,12 @@
     ) {
         let mut fleet = Fleet::default();
         nodes.into_iter().enumerate().for_each(|(slot, n)| fleet.set(slot, Some(n)));
-        fleet.index.settle();
+        fleet.index.update_floors();
         for step in steps {
             match step {
                 Step::Set(slot, n) => {
                     fleet.set(slot, n);
-                    fleet.index.settle();
+                    fleet.index.update_floors();
                 }
                 Step::Warm(every, warmth) => {
                     fleet.nodes.iter_mut().step_by(every).flatten().for_each(|n| n.warmth = warmth);
@@ -118,7 +118,7 @@
     let node = |id: usize| Node { id: id as u64, side: id % 2, weight: 1.0, warmth: 1.0, usable: true };
     let mut fleet = Fleet::default();
     (0..nodes).for_each(|slot| fleet.set(slot, Some(node(slot + 1))));
-    fleet.index.settle();
+    fleet.index.update_floors();
     fleet
 }
 
@@ -130,10 +130,10 @@
     assert!(asked(&fleet) && asked(&fleet));
     let node = |id: u64| Node { id, side: NEAR, weight: 3.0, warmth: 1.0, usable: true };
     (0..1_000).for_each(|slot| fleet.set(slot, Some(node(1_000_000 + slot as u64))));
-    fleet.index.settle();
+    fleet.index.update_floors();
     assert!(asked(&fleet));
     (0..1_990).for_each(|slot| fleet.set(slot, None));
-    fleet.index.settle();
+    fleet.index.update_floors();
     assert!(asked(&fleet));
 }
 
@@ -156,7 +156,7 @@
 fn more_keys_than_lists_are_kept_for_still_get_their_nodes() {
     let fleet = alike(64);
     for round in 0..2 {
-        for key in (0..placement::KEPT as u64 + 500).map(mix) {
+        for key in (0..placement::MAX_CACHED_LISTS as u64 + 500).map(mix) {
             // In pairs, so that each is kept at its second time.
             assert_eq!(fleet.best(key, 1, 0.5), fleet.best(key, 1, 0.5));
             if key % 64 == 0 {
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -11,7 +11,7 @@
 pub use crate::state::shares;
 use crate::state::*;
 use limits::capacity::ObservedCapacity;
-use limits::{backoff, cold, Bucket, Budget, Extra, Ledger, Limit, Popular, Sample};
+use limits::{backoff, cold, Bucket, Budget, Extra, Limit, OriginLimit, PopularityCounter, Sample};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Candidates a key is spread over (d); 2 makes the shares of Eq. 7 as sharp as they get.
@@ -116,10 +116,10 @@
     /// Keys in order: whose turn it is, and requests that are over while an attempt of theirs is out.
     pub(crate) turns: BTreeMap<Key, Turns>,
     pub(crate) lingering: BTreeMap<RequestId, Open>,
-    pub(crate) origin: Ledger,
+    pub(crate) origin: OriginLimit,
     /// The time that origins take, and how often keys are asked for, lately.
     origin_time: Moments,
-    asked: Popular,
+    asked: PopularityCounter,
     failed_calls: u32,
     /// What planners say of this router's parts.
     plan: Plan,
@@ -137,7 +137,7 @@
             aim,
             retries: Budget::new(RETRY_PART, RETRY_BURST),
             spills: Budget::new(SPILL_PART, cold::burst(settings.routers)),
-            origin: Ledger::of_fleet(settings.routers),
+            origin: OriginLimit::for_fleet(settings.routers),
             slow_start: SlowStart::new(&settings),
             settings,
             ..Balancer::default()
@@ -231,12 +231,12 @@
         self.retries.request(now);
         if request.repeat {
             // A client's own retry is work beside first attempts too: what it takes is not there for ours.
-            self.retries.take(Extra::Return);
+            self.retries.take(Extra::ClientRetry);
         }
         self.trials = (self.trials + TRIAL_PART).min(RETRY_BURST);
         self.probes = (self.probes + PROBE_WORTH / self.settings.probe_price).min(RETRY_BURST);
         if !request.write {
-            self.asked.ask(mix(request.key.0));
+            self.asked.record(mix(request.key.0));
         }
         if !(request.write && self.settings.origin_kind.is_some()) {
             self.slow_start.request();
@@ -295,7 +295,7 @@
 
     /// What servers of other zones count for: more as the origin has less room for a second copy.
     fn far(&self) -> f64 {
-        FAR.powf(self.origin.room())
+        FAR.powf(self.origin.headroom())
     }
 
     fn nearness(&self, s: &Server, far: f64) -> f64 {
@@ -357,7 +357,7 @@
             let marked = s.avoids(key);
             let due = !marked || s.last_send.is_none_or(|t| t + TRY_MARKED <= now);
             let tried = due && s.evicted_until <= now && self.trials >= 1.0;
-            let reached = self.zones.get(&s.member.zone).is_none_or(|z| z.reach.takes(now, self.silent()));
+            let reached = self.zones.get(&s.member.zone).is_none_or(|z| z.reach.allows(now, self.silent()));
             reached && !self.hangs(now, s) && (tried || (s.evictions == 0 && !marked))
         };
         let far = self.far();
@@ -386,7 +386,7 @@
         let key = if o.request.key == Key(0) { id.0 } else { o.request.key.0 };
         let home = self.home(o, mix(key));
         let usable = |s: &Server| {
-            let takes = s.gate.takes(now, s.gate.out());
+            let takes = s.gate.allows(now, s.gate.out());
             takes
                 && self.permitted(now, o, s, home)
                 && !o.attempts.iter().any(|a| a.server == s.member.server)
@@ -401,7 +401,7 @@
             return None;
         }
         // A copy elsewhere is a fetch more: without room for it the key stays with its first candidate.
-        let room = self.origin.room() * (1.0 - self.origin.failing());
+        let room = self.origin.headroom() * (1.0 - self.origin.failure_ratio());
         let index = index * room.powi(2).max(ROOM_LEAST);
         // The size cut falls from the mean hint as congestion grows past the threshold.
         let small = o.request.hint.is_some_and(|h| h < self.hints.mean() * SPREAD / index);
@@ -461,7 +461,7 @@
         let again = self.settings.may_copy && o.in_order().is_none() && more;
         let origin = long(self.origin_time.shrunk(PRIOR_SAMPLES, half as f64 / 4.0, PRIOR_SCV));
         let usual = if s.origin { origin } else { self.long };
-        let quick = usual <= half && !self.strained() && (!s.origin || self.origin.room() >= 1.0);
+        let quick = usual <= half && !self.strained() && (!s.origin || self.origin.headroom() >= 1.0);
         (again && quick && self.left(o) > 0 && self.retries.left() >= 1.0).then_some(half)
     }
 
@@ -515,12 +515,12 @@
         match end.verdict {
             Verdict::Timeout | Verdict::Moot => {
                 let more = left > 2 * self.settings.period && self.settings.may_copy && !strained;
-                more && self.retries.take(Extra::Repeat)
+                more && self.retries.take(Extra::Retry)
             }
             // Over quota it is served where there is room, and not tried elsewhere where there is none.
             Verdict::Full if o.over => false,
             _ if end.connection_failed() && !strained => true,
-            _ => self.retries.take(Extra::Repeat),
+            _ => self.retries.take(Extra::Retry),
         }
     }
 
@@ -548,7 +548,7 @@
         let ending = s.ending(end, sent, late);
         // A zone that is out of reach says nothing of the rest of the fleet, nor of its own servers.
         let zone = self.zones.entry(s.member.zone).or_default();
-        zone.reach.heard(!s.origin && end.shows_life());
+        zone.reach.ended(!s.origin && end.shows_life());
         let lost = !s.origin && zone.reach.is_lost(now, silent);
         // A server that refused connections and answers now has too few; one that says nothing more is gone.
         s.refused += u32::from(end.verdict == Verdict::ConnectFailed && !lost);
--- a/src/choice/estimates.rs
+++ b/src/choice/estimates.rs
@@ -46,8 +46,8 @@
         self.hints.decay(keep);
         self.turns.retain(|_, t| !t.queue.is_empty() || t.rest > now);
         self.origin_time.decay(keep);
-        self.asked.fade(keep.powf(MEMORY / ASKED_MEMORY));
-        self.origin.learn(now, self.fetching());
+        self.asked.decay(keep.powf(MEMORY / ASKED_MEMORY));
+        self.origin.observe_in_flight(now, self.fetching());
         self.slow_start.refresh(REFRESH);
         for s in self.servers.values_mut() {
             s.gaps.decay(keep);
--- a/src/choice/origin_fetches.rs
+++ b/src/choice/origin_fetches.rs
@@ -41,10 +41,10 @@
     /// spare and nothing waits for it. Else its answer is due.
     pub(super) fn spill(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let (origin, idle) = (self.settings.origin_kind.is_some(), self.queue.is_empty());
-        let spare = origin && idle && self.origin.spares(now, self.fetching());
+        let spare = origin && idle && self.origin.has_spare_capacity(now, self.fetching());
         let asked = |a: &Attempt| self.servers.get(&a.server).is_some_and(|s| s.origin);
         let no = |o: &Open| o.request.write || o.over || self.left(o) == 0 || o.attempts.iter().any(asked);
-        match spare && self.open.get(&id).is_some_and(|o| !no(o)) && self.spills.take(Extra::Repeat) {
+        match spare && self.open.get(&id).is_some_and(|o| !no(o)) && self.spills.take(Extra::Retry) {
             true => self.fetch(now, id, out),
             false => self.finish(now, id, out),
         }
@@ -81,7 +81,7 @@
 
     /// Gives up what waits for the origin without half the time left that it takes: asked in vain.
     pub(super) fn give_up(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let least = now + self.origin.pace().map_or(0, |pace| (pace / 2.0) as Micros);
+        let least = now + self.origin.mean_latency().map_or(0, |pace| (pace / 2.0) as Micros);
         let late =
             |id: &RequestId| self.open.get(id).is_none_or(|o| !o.parked || o.request.deadline <= least);
         let (late, queue) = std::mem::take(&mut self.queue).into_iter().partition(late);
@@ -93,7 +93,7 @@
     /// what is worth most. A write is worth its class, a read all that wait for its key, and a part of those
     /// that will ask for it; over quota it is worth as little as the site says.
     pub(super) fn drain_origin(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let takes = |m: &Self, out| m.origin.takes(now, out) && m.plan.fetches(out);
+        let takes = |m: &Self, out| m.origin.allows(now, out) && m.plan.fetches(out);
         while !self.queue.is_empty() && takes(self, self.fetching()) {
             self.queue.retain(|id| self.open.get(id).is_some_and(|o| o.parked && o.request.deadline > now));
             let twice = now + (2.0 * self.origin_time.mean()) as Micros;
--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -10,7 +10,7 @@
 use crate::interface::{
     self, KindId, ListForm, Member, Micros, Phase, ServerId, Settings as Site, Solved, Verdict,
 };
-use limits::ledger;
+use limits::origin;
 use plan::forwarder::{Config, Output};
 use plan::merge::Matter;
 use plan::sight::Listed;
@@ -301,7 +301,7 @@
             // Each proxy's own budget is its part of the traffic already; a part below the even one lowers it.
             cold: (standing.cold / self.even).clamp(0.0, 1.0),
             // What one proxy alone may have out, for all of them together.
-            fetches: standing.ledger * ledger::MOST,
+            fetches: standing.ledger * origin::MAX_LIMIT,
         }
     }
 
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -7,7 +7,7 @@
 use crate::interface::*;
 use crate::numbers::Numbers;
 use crate::state::{mix, Server};
-use placement::{Best, Index, Place, FAR, NEAR};
+use placement::{Index, Place, Ranked, FAR, NEAR};
 
 #[derive(Default)]
 pub struct Servers {
@@ -59,12 +59,12 @@
             index.set(*slot, None);
             false
         });
-        index.settle();
+        index.update_floors();
     }
 
     /// Slots, used or free; those placed, keys whose candidates are kept, and changes of the placement that are.
     pub fn sizes(&self) -> [usize; 4] {
-        let (keys, changes) = self.index.kept();
+        let (keys, changes) = self.index.cache_sizes();
         [self.slots.len(), self.index.len(), keys, changes]
     }
 
@@ -84,10 +84,10 @@
             }
             let side = if s.member.zone == zone { NEAR } else { FAR };
             let placed = !s.origin && s.member.phase == Phase::Ready;
-            let place = Place { side, weight: s.listed, mixed: mix(id.0) };
+            let place = Place { side, weight: s.listed, id_hash: mix(id.0) };
             self.index.set(*slot, placed.then_some(place));
         }
-        self.index.settle();
+        self.index.update_floors();
     }
 
     /// All, in no order, to change anything but what decides where each is placed.
@@ -129,7 +129,7 @@
             let s = self.slots[slot as usize].as_ref()?;
             Some((distance / weight(s)?, s.member.server.0))
         };
-        let mut best: Vec<Best> = Vec::with_capacity(want + 1);
+        let mut best: Vec<Ranked> = Vec::with_capacity(want + 1);
         self.index.best(key, want, scales, score, &mut best);
         best.iter().filter_map(|b| self.slots[b.slot as usize].as_ref()).collect()
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,7 +3,7 @@
 use crate::interface::*;
 use crate::slow_start::Allowance;
 use limits::capacity::ObservedCapacity;
-use limits::{Bucket, Domain, Ending, Node};
+use limits::{Bucket, Ending, FailureDomain, NodeLimit};
 pub use placement::{mix, unit};
 use std::collections::VecDeque;
 
@@ -134,7 +134,7 @@
     /// When a probe last went there.
     pub probed: Micros,
     /// What is out there, how much of it the server bears, and how long it has said nothing.
-    pub gate: Node,
+    pub gate: NodeLimit,
     pub gaps: Moments,
     pub last_send: Option<Micros>,
     pub latency: Moments,
@@ -167,7 +167,7 @@
             Verdict::Served | Verdict::Miss => Ending::Slow,
             Verdict::Full if end.no_place => Ending::Broken,
             Verdict::Full | Verdict::Error => Ending::Refused,
-            Verdict::Timeout if !self.overtook(sent, end.verdict) => Ending::Silent,
+            Verdict::Timeout if !self.overtook(sent, end.verdict) => Ending::Abandoned,
             _ => Ending::Broken,
         }
     }
@@ -182,7 +182,7 @@
 /// A zone's caches together: whether they are within reach, and what warm ones do of late.
 #[derive(Default)]
 pub struct Zone {
-    pub reach: Domain,
+    pub reach: FailureDomain,
     /// Requests that warm ones served since the last refresh, without misses.
     pub served: f64,
     pub capacity: ObservedCapacity,
--- a/src/view.rs
+++ b/src/view.rs
@@ -61,8 +61,8 @@
     pub fn origin_sight(&self, now: Micros) -> Option<OriginSight> {
         let well = |s: &Server| s.weight > 0.0 && s.evictions == 0 && !self.hangs(now, s);
         let reach = self.servers.values().filter(|s| s.origin).map(well).max()?;
-        let (o, pace) = (&self.origin, self.origin.pace().map(|pace| pace as Micros));
-        let (window, strain, failing) = (o.limit(now), o.strain(), o.failing());
+        let (o, pace) = (&self.origin, self.origin.mean_latency().map(|pace| pace as Micros));
+        let (window, strain, failing) = (o.limit(now), o.latency_ratio(), o.failure_ratio());
         let (out, waiting) = (self.fetching(), self.queue.len() as u32);
         Some(OriginSight { within_reach: reach, out, window, waiting, pace, strain, failing })
     }
