--- a/crates/lab/src/capacity/roles/planner.rs
+++ b/crates/lab/src/capacity/roles/planner.rs
@@ -37,11 +37,11 @@
                 pairs / nodes
             ),
             format!("it keeps {} nodes of a forwarder at most (plan::bounds::NODES)", bounds::NODES),
-            format!("it tells {} zones apart at most (plan::ids::Halls::MOST)", plan::Halls::MOST),
+            format!("it tells {} zones apart at most (plan::ids::ZoneSet::MOST)", plan::ZoneSet::MOST),
             format!(
-                "a sight names {} nodes that answer at most (plan::bounds::LIVELY_A_SIGHT); at four sights a second and two \
+                "a sight names {} nodes that answer at most (plan::bounds::ANSWERING_NODES_PER_REPORT); at four sights a second and two \
                  requests a second to each node, bytes heard do not grow beyond {TOLD_OF} nodes",
-                bounds::LIVELY_A_SIGHT
+                bounds::ANSWERING_NODES_PER_REPORT
             ),
         ]
     }
@@ -66,7 +66,7 @@
             quantity("largest_frame_in", "The longest frame that it hears", "B", Kind::Count)
                 .capped(Axis::Nodes, TOLD_OF),
             quantity("largest_frame_out", "The longest frame that it sends", "B", Kind::Count)
-                .capped(Axis::Nodes, bounds::NODES_A_MESSAGE as u64),
+                .capped(Axis::Nodes, bounds::NODES_PER_MESSAGE as u64),
             quantity("allocated_bytes", "Bytes that it holds", "B", Kind::Count),
             quantity("allocations_per_s", "Allocations of machine and codec", "1/s", Kind::Count),
             quantity(
--- a/crates/lab/src/capacity/roles/planning.rs
+++ b/crates/lab/src/capacity/roles/planning.rs
@@ -9,16 +9,16 @@
 use super::super::Fault;
 use plan::forwarder::{Config, Forwarder, Output};
 use plan::message::{Message, Verdict};
+use plan::observations::Listed;
 use plan::planner::{self, Planner};
-use plan::sight::Listed;
-use plan::{frame, ForwarderId, Hall, Micros, Node, Rules, SECOND};
+use plan::{frame, ForwarderId, Micros, Node, Rules, Zone, SECOND};
 
 /// Time between two moments at which something happens.
 const STEP: Micros = 50_000;
 /// Each forwarder asks each node twice a second: once in so many steps.
 const ASKS: usize = 10;
 /// Nodes of which a forwarder tells within the time between two requests to a node; of more, it tells of as many.
-pub const TOLD_OF: u64 = 2 * plan::bounds::LIVELY_A_SIGHT as u64;
+pub const TOLD_OF: u64 = 2 * plan::bounds::ANSWERING_NODES_PER_REPORT as u64;
 /// By then all are connected, and the planner has opinions ([`Rules::warm`] is 3.5 s).
 const WARM: Micros = 5 * SECOND;
 /// Time that is measured: eight sights and plans, two tellings of terms.
@@ -77,14 +77,14 @@
     let planner = Planner::new(0, rules.clone(), 1).map_err(Fault::broken)?;
     let node = |n: usize| Listed {
         node: Node { id: plan::spread::mix(n as u64), life: 0 },
-        hall: Hall((n % 2) as u8),
+        zone: Zone((n % 2) as u8),
         ready: true,
     };
     let listed: Vec<Listed> = (0..fleet.nodes).map(node).collect();
     let forwarder = |f: usize| {
-        let (id, hall) = (ForwarderId(f as u64), Hall((f % 2) as u8));
+        let (id, zone) = (ForwarderId(f as u64), Zone((f % 2) as u8));
         let seed = plan::spread::mix(seed ^ f as u64);
-        let config = Config { id, life: 1, hall, tenants: 9, classes: 2, planners: 1, seed };
+        let config = Config { id, life: 1, zone, tenants: 9, classes: 2, planners: 1, seed };
         let mut forwarder = Forwarder::new(0, rules.clone(), config).map_err(Fault::broken)?;
         forwarder.list(0, 1, &listed, &mut vec![]);
         Ok(forwarder)
@@ -116,9 +116,9 @@
             for (n, l) in self.listed.iter().enumerate().filter(|(n, _)| (n + f + step).is_multiple_of(ASKS))
             {
                 let silent = n < SILENT && self.now > WARM;
-                forwarder.eyes().sent(self.now, l.node);
+                forwarder.observations().sent(self.now, l.node);
                 let verdict = if silent { Verdict::Timeout } else { Verdict::Served };
-                forwarder.eyes().ended(self.now, l.node, verdict, 100_000);
+                forwarder.observations().ended(self.now, l.node, verdict, 100_000);
             }
         }
     }
--- a/crates/lab/src/dissemination/baseline.rs
+++ b/crates/lab/src/dissemination/baseline.rs
@@ -14,7 +14,7 @@
 use super::Node;
 use crate::virtual_host::queue::Queue;
 use plan::planner::Output as Said;
-use plan::{bounds, forwarder, frame, Forwarder, ForwarderId, Hall, Message, Planner, Rules};
+use plan::{bounds, forwarder, frame, Forwarder, ForwarderId, Message, Planner, Rules, Zone};
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -283,11 +283,11 @@
         }
         p.life += 1;
         let id = ForwarderId(mix(n as u64 + 1));
-        let hall = Hall((self.places.spot(Node::Proxy(n as u32)).zone % 64) as u8);
+        let zone = Zone((self.places.spot(Node::Proxy(n as u32)).zone % 64) as u8);
         let config = forwarder::Config {
             id,
             life: mix(p.life ^ id.0),
-            hall,
+            zone,
             tenants: 0,
             classes: 0,
             planners: PLANNERS,
@@ -337,7 +337,7 @@
                         self.send(n, slot, link.conn, true, Rc::new(message));
                     }
                 }
-                forwarder::Output::Standing | forwarder::Output::Refused(..) => {}
+                forwarder::Output::GuidanceChanged | forwarder::Output::Refused(..) => {}
             }
         }
         let p = &mut self.proxies[n];
--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -7,7 +7,7 @@
 //! | --- | --- |
 //! | `one_outcome` | each request has one answer, unless its forwarder died or stood still |
 //! | `converged` | within a bound after the last fault all avoid nothing that answers and hear all planners that run |
-//! | `no_flapping` | marks come and go no more often than [`plan::Rules::most_changes`] allows |
+//! | `no_flapping` | marks come and go no more often than [`plan::Rules::max_changes`] allows |
 //! | `no_wrong_avoidance` | most do not avoid a node that answers them all for longer than a bound |
 //! | `kept` | no forwarder goes back to a node that is still silent to it while planners guide it |
 //! | `avoided` | where the schedule has a bound: all avoid what is silent to all within it |
@@ -332,7 +332,7 @@
         changes.sort_by_key(|c| c.at_us);
         figures.changes = changes.len() as u64;
         for window in WINDOWS {
-            let most = self.rules.most_changes(window + READ);
+            let most = self.rules.max_changes(window + READ);
             match marks::flapping(&changes, window, most) {
                 Verdict::Held(busiest) if window == 10_000_000 => {
                     figures.changes_in_10_s = busiest.changes as u64;
@@ -455,7 +455,7 @@
                 groups.entry(from).or_default().push((node, until));
             }
         }
-        let few = self.rules.most_out(self.nodes().len());
+        let few = self.rules.max_marked(self.nodes().len());
         for (from, group) in groups.iter().filter(|(_, group)| group.len() <= few) {
             let until = group.iter().map(|(_, u)| *u).min().unwrap_or(*from).min(self.until);
             let bound = self.expect.avoid_s.map(seconds);
--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -11,7 +11,7 @@
 use martenweir::core::{Core, Effect, Input};
 use martenweir::features::forwarder::{rules, Forwarding, Settings, Wish};
 use martenweir::interface::{Micros, Plan};
-use plan::merge::Matter;
+use plan::merge::MarkTarget;
 use plan::planner::Output;
 use plan::{frame, Message, Planner};
 use std::collections::{BTreeMap, BTreeSet};
@@ -349,7 +349,7 @@
     links: BTreeMap<usize, Link>,
     wishes: Vec<Wish>,
     kept: Kept,
-    in_force: BTreeSet<Matter>,
+    in_force: BTreeSet<MarkTarget>,
 }
 
 impl Subjects for Fleet {
@@ -433,7 +433,7 @@
                 }
             }
         }
-        let in_force: BTreeSet<Matter> = self.forwarding.in_force().collect();
+        let in_force: BTreeSet<MarkTarget> = self.forwarding.in_force().collect();
         hub.figures.changes += in_force.symmetric_difference(&self.in_force).count() as u64;
         let times = hub.figures.avoided.entry(self.proxy).or_default();
         times.resize(times.len().max(in_force.len()), now);
--- a/crates/plan/examples/scale.rs
+++ b/crates/plan/examples/scale.rs
@@ -5,9 +5,9 @@
 
 use plan::forwarder::{Config, Forwarder, Output};
 use plan::message::Verdict;
+use plan::observations::Listed;
 use plan::planner::{self, Planner};
-use plan::sight::Listed;
-use plan::{frame, ForwarderId, Hall, Micros, Node, Rules, SECOND};
+use plan::{frame, ForwarderId, Micros, Node, Rules, Zone, SECOND};
 use std::time::{Duration, Instant};
 
 const STEP: Micros = 50_000;
@@ -20,14 +20,14 @@
     let listed: Vec<Listed> = (0..nodes)
         .map(|n| Listed {
             node: Node { id: plan::spread::mix(n as u64), life: 0 },
-            hall: Hall((n % 2) as u8),
+            zone: Zone((n % 2) as u8),
             ready: true,
         })
         .collect();
     let mut all: Vec<Forwarder> = (0..forwarders)
         .map(|f| {
-            let (id, hall) = (ForwarderId(f as u64), Hall((f % 2) as u8));
-            let config = Config { id, life: 1, hall, tenants: 9, classes: 2, planners: 1, seed: f as u64 };
+            let (id, zone) = (ForwarderId(f as u64), Zone((f % 2) as u8));
+            let config = Config { id, life: 1, zone, tenants: 9, classes: 2, planners: 1, seed: f as u64 };
             let mut forwarder = Forwarder::new(0, rules.clone(), config).expect("sound rules");
             forwarder.list(0, 1, &listed, &mut vec![]);
             forwarder
@@ -44,9 +44,9 @@
             for (n, l) in listed.iter().enumerate().filter(|(n, _)| (n + f + (now / STEP) as usize) % 10 == 0)
             {
                 let silent = n < 3 && now > warm;
-                forwarder.eyes().sent(now, l.node);
+                forwarder.observations().sent(now, l.node);
                 let verdict = if silent { Verdict::Timeout } else { Verdict::Served };
-                forwarder.eyes().ended(now, l.node, verdict, 100_000);
+                forwarder.observations().ended(now, l.node, verdict, 100_000);
             }
             let (mut out, start) = (vec![], Instant::now());
             forwarder.tick(now, &mut out);
--- a/crates/plan/src/damp.rs
+++ b/crates/plan/src/damp.rs
@@ -14,17 +14,21 @@
 
 /// See the file's comment.
 #[derive(Clone, Debug, Default)]
-pub struct Damped {
+pub struct DampedTerms {
     used: BTreeMap<Node, (Queue, f64)>,
     next: Micros,
     every: Micros,
 }
 
-impl Damped {
+impl DampedTerms {
     /// Steps every so long, from a moment that the seed draws.
     pub fn new(now: Micros, seed: u64, every: Micros) -> Self {
         let every = every.max(1);
-        Damped { next: now.saturating_add(spread::delay(seed, 3, 0, every)), every, ..Damped::default() }
+        DampedTerms {
+            next: now.saturating_add(spread::delay(seed, 3, 0, every)),
+            every,
+            ..DampedTerms::default()
+        }
     }
 
     /// When the next step is.
--- a/crates/plan/src/forwarder.rs
+++ b/crates/plan/src/forwarder.rs
@@ -6,19 +6,19 @@
 //! that does not take it. Without planners do not make one: the proxy is then as it was.
 
 use crate::bounds;
-use crate::damp::Damped;
+use crate::damp::DampedTerms;
 use crate::frame::Refused;
-use crate::ids::{ForwarderId, Hall, Node};
-use crate::merge::{Matter, Merge, Unsound};
+use crate::ids::{ForwarderId, Node, Zone};
+use crate::merge::{MarkTarget, Merge, PlanRejection};
 use crate::message::{Evidence, Hello, Message, Plan};
-use crate::parts::{self, Holding};
+use crate::observations::{Listed, Observations};
+use crate::parts::{self, HeldParts};
 use crate::rules::Rules;
-use crate::sight::{Eyes, Listed};
 use crate::solve::Queue;
 use crate::{spread, Micros};
 use std::collections::VecDeque;
 
-/// Sights of which the time is remembered; at four a second 16 s.
+/// Reports of which the time is remembered; at four a second 16 s.
 const REMEMBERED: usize = 64;
 
 /// What a forwarder is told at its start.
@@ -29,7 +29,7 @@
     /// This start; another one has another.
     pub life: u64,
     /// Where it stands.
-    pub hall: Hall,
+    pub zone: Zone,
     /// Tenants and classes of the settings.
     pub tenants: usize,
     /// See [`Config::tenants`].
@@ -47,10 +47,10 @@
     Dial(usize),
     /// Send a message to a planner.
     Send(usize, Message),
-    /// [`Forwarder::standing`] is another.
-    Standing,
+    /// [`Forwarder::guidance`] is another.
+    GuidanceChanged,
     /// A plan was refused; worth one line of the log.
-    Refused(usize, Unsound),
+    Refused(usize, PlanRejection),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -62,22 +62,22 @@
 
 /// What stands: the input of the decision module.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct Guidance {
     /// Nodes that take less than all of their keys, with the part that they take: 0 is silent. It says
     /// nothing of readiness, and never gives to a node that the list does not have ready.
     pub takes: Vec<(Node, f64)>,
     /// Terms by node, with the trust that they have beside the forwarder's own: 1 to 0.
     pub queues: Vec<(Node, Queue, f64)>,
-    /// This forwarder's part of every cold node's budget, of what may be out at the ledger, and of the
+    /// This forwarder's part of every cold node's budget, of what may be out at the origin, and of the
     /// tenants' quotas.
     pub cold: f64,
-    /// See [`Standing::cold`].
-    pub ledger: f64,
-    /// See [`Standing::cold`].
+    /// See [`Guidance::cold`].
+    pub origin: f64,
+    /// See [`Guidance::cold`].
     pub tenants: Vec<f64>,
     /// How far these parts are to be trusted beside the forwarder's own judgement: 1 to 0. Planners that have
     /// given nothing yet, or nothing for long, take from it.
-    pub given: f64,
+    pub parts_trust: f64,
 }
 
 /// See the file's comment.
@@ -85,13 +85,13 @@
 pub struct Forwarder {
     rules: Rules,
     config: Config,
-    eyes: Eyes,
+    observations: Observations,
     merge: Merge,
-    holdings: Vec<Holding>,
+    held_parts: Vec<HeldParts>,
     links: Vec<Link>,
-    damped: Damped,
+    damped_terms: DampedTerms,
     taken: VecDeque<(u64, Micros)>,
-    next_sight: Micros,
+    next_report: Micros,
 }
 
 impl Forwarder {
@@ -106,31 +106,31 @@
         // Forwarders that start together dial and tell at moments of their own.
         let wait = |matter, within| now.saturating_add(spread::delay(config.seed, matter, 0, within));
         let down =
-            |slot: usize| Link::Down { dial_at: wait(16 + slot as u64, rules.dial_after), failures: 0 };
+            |slot: usize| Link::Down { dial_at: wait(16 + slot as u64, rules.dial_backoff_min), failures: 0 };
         Ok(Forwarder {
-            eyes: Eyes::new(config.tenants, config.classes),
-            merge: Merge::new(config.hall, config.seed, config.planners),
-            holdings: vec![Holding::new(now); config.planners],
+            observations: Observations::new(config.tenants, config.classes),
+            merge: Merge::new(config.zone, config.seed, config.planners),
+            held_parts: vec![HeldParts::new(now); config.planners],
             links: (0..config.planners).map(down).collect(),
-            damped: Damped::new(now, config.seed, rules.terms_every / 2),
+            damped_terms: DampedTerms::new(now, config.seed, rules.terms_every / 2),
             taken: VecDeque::with_capacity(REMEMBERED),
-            next_sight: wait(4, rules.sight_every),
+            next_report: wait(4, rules.report_every),
             rules,
             config,
         })
     }
 
     /// What it sees, for events that cost next to nothing: sends, outcomes, use.
-    pub fn eyes(&mut self) -> &mut Eyes {
-        &mut self.eyes
+    pub fn observations(&mut self) -> &mut Observations {
+        &mut self.observations
     }
 
     /// Takes the whole list.
     pub fn list(&mut self, now: Micros, revision: u64, listed: &[Listed], out: &mut Vec<Output>) {
-        self.eyes.list(revision, listed);
-        self.merge.list(self.eyes.listed());
+        self.observations.list(revision, listed);
+        self.merge.list(self.observations.listed());
         self.settle(now, out);
-        out.push(Output::Standing);
+        out.push(Output::GuidanceChanged);
     }
 
     /// A connection to a planner is up.
@@ -140,7 +140,7 @@
         *link = Link::Up;
         let tenants = u16::try_from(self.config.tenants.min(bounds::TENANTS)).unwrap_or(0);
         let c = &self.config;
-        let hello = Hello { forwarder: c.id, life: c.life, hall: c.hall, holds, tenants };
+        let hello = Hello { forwarder: c.id, life: c.life, zone: c.zone, holds, tenants };
         out.push(Output::Send(slot, Message::Hello(hello)));
     }
 
@@ -152,7 +152,11 @@
             Link::Dialling { failures } => failures.saturating_add(1),
             Link::Up => 0,
         };
-        let longest = self.rules.dial_after.saturating_mul(1 << failures.min(16)).min(self.rules.dial_most);
+        let longest = self
+            .rules
+            .dial_backoff_min
+            .saturating_mul(1 << failures.min(16))
+            .min(self.rules.dial_backoff_max);
         self.merge.lost(slot);
         // Between half of it and all: twenty forwarders that lose a planner do not come back as one.
         let wait =
@@ -178,7 +182,7 @@
                 Ok(())
             }
             Message::Hello(_) => Err(Refused::Unexpected("a hello")),
-            Message::Sight(_) => Err(Refused::Unexpected("a sight")),
+            Message::Report(_) => Err(Refused::Unexpected("a sight")),
             Message::Bye => Err(Refused::Unexpected("a farewell")),
             Message::Show | Message::Shown(_) => Err(Refused::Unexpected("a question about the plan")),
         }
@@ -188,8 +192,8 @@
         let basis = self.basis(&plan.evidence);
         match self.merge.take(slot, plan, basis, &self.rules) {
             Ok(()) => {
-                if let Some((holding, basis)) = self.holdings.get_mut(slot).zip(basis) {
-                    holding.take(now, basis, &plan.parts);
+                if let Some((held, basis)) = self.held_parts.get_mut(slot).zip(basis) {
+                    held.take(now, basis, &plan.parts);
                 }
                 self.settle(now, out);
             }
@@ -198,16 +202,16 @@
         }
     }
 
-    /// When the sight was taken that a plan rests on.
+    /// When the report was taken that a plan rests on.
     fn basis(&self, evidence: &Evidence) -> Option<Micros> {
         let mine = evidence.life == self.config.life;
         self.taken.iter().find(|(n, _)| mine && *n == evidence.heard).map(|(_, at)| *at)
     }
 
     fn settle(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let eyes = &self.eyes;
-        if self.merge.settle(now, |n| eyes.sign(n), &self.rules) {
-            out.push(Output::Standing);
+        let observations = &self.observations;
+        if self.merge.settle(now, |n| observations.sign(n), &self.rules) {
+            out.push(Output::GuidanceChanged);
         }
     }
 
@@ -221,32 +225,32 @@
                 }
             }
         }
-        if self.next_sight <= now {
+        if self.next_report <= now {
             self.tell(now, out);
         }
         self.settle(now, out);
         let (merge, rules) = (&self.merge, &self.rules);
-        let nodes = self.eyes.listed().filter(|l| l.ready).map(|l| l.node);
+        let nodes = self.observations.listed().filter(|l| l.ready).map(|l| l.node);
         let toward = nodes.filter_map(|n| Some((n, merge.queue(n, now, rules)?)));
-        if self.damped.step(now, toward) {
-            out.push(Output::Standing);
+        if self.damped_terms.step(now, toward) {
+            out.push(Output::GuidanceChanged);
         }
     }
 
     fn tell(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let late = now.saturating_sub(self.next_sight) / self.rules.sight_every;
-        let periods = self.rules.sight_every.saturating_mul(late.saturating_add(1));
-        self.next_sight = self.next_sight.saturating_add(periods);
-        let sight = self.eyes.take(now);
+        let late = now.saturating_sub(self.next_report) / self.rules.report_every;
+        let periods = self.rules.report_every.saturating_mul(late.saturating_add(1));
+        self.next_report = self.next_report.saturating_add(periods);
+        let report = self.observations.take(now);
         if self.taken.len() >= REMEMBERED {
             self.taken.pop_front();
         }
-        self.taken.push_back((sight.number, now));
+        self.taken.push_back((report.number, now));
         for (slot, _) in self.links.iter().enumerate().filter(|(_, l)| matches!(l, Link::Up)) {
-            let mut sight = sight.clone();
-            sight.holds = self.merge.number(slot);
-            sight.parts = self.holdings.get(slot).map(Holding::version).unwrap_or_default();
-            out.push(Output::Send(slot, Message::Sight(sight)));
+            let mut report = report.clone();
+            report.holds = self.merge.number(slot);
+            report.parts = self.held_parts.get(slot).map(HeldParts::version).unwrap_or_default();
+            out.push(Output::Send(slot, Message::Report(report)));
         }
     }
 
@@ -256,25 +260,26 @@
             Link::Down { dial_at, .. } => Some(*dial_at),
             _ => None,
         });
-        let others = [Some(self.next_sight), Some(self.damped.next()), self.merge.next(now, &self.rules)];
-        dials.chain(others.into_iter().flatten()).min().unwrap_or(self.next_sight)
+        let others =
+            [Some(self.next_report), Some(self.damped_terms.next()), self.merge.next(now, &self.rules)];
+        dials.chain(others.into_iter().flatten()).min().unwrap_or(self.next_report)
     }
 
     /// What stands now.
-    pub fn standing(&self, now: Micros) -> Standing {
-        let part = |at| parts::mean(&self.holdings, at, now, &self.rules);
-        Standing {
+    pub fn guidance(&self, now: Micros) -> Guidance {
+        let part = |at| parts::mean(&self.held_parts, at, now, &self.rules);
+        Guidance {
             takes: self.merge.parts(now, &self.rules),
-            queues: self.damped.used().collect(),
+            queues: self.damped_terms.used().collect(),
             cold: part(0),
-            ledger: part(1),
+            origin: part(1),
             tenants: (0..self.config.tenants.min(bounds::TENANTS)).map(|t| part(2 + t)).collect(),
-            given: parts::trust(&self.holdings, now, &self.rules),
+            parts_trust: parts::trust(&self.held_parts, now, &self.rules),
         }
     }
 
     /// What is in force, for a line of the log.
-    pub fn in_force(&self) -> impl Iterator<Item = Matter> + '_ {
+    pub fn in_force(&self) -> impl Iterator<Item = MarkTarget> + '_ {
         self.merge.out()
     }
 
@@ -284,8 +289,8 @@
     }
 
     /// What it holds of each planner, for tests and figures.
-    pub fn holdings(&self) -> &[Holding] {
-        &self.holdings
+    pub fn held_parts(&self) -> &[HeldParts] {
+        &self.held_parts
     }
 
     /// The rules that it keeps to.
--- a/crates/plan/src/ids.rs
+++ b/crates/plan/src/ids.rs
@@ -15,33 +15,33 @@
     pub life: u64,
 }
 
-/// Position of a hall in the site's list of zones; below [`Halls::MOST`].
+/// Position of a zone in the site's list of zones; below [`ZoneSet::MOST`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Hall(pub u8);
+pub struct Zone(pub u8);
 
-/// A set of halls.
+/// A set of zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Halls(u64);
+pub struct ZoneSet(u64);
 
-impl Halls {
-    /// Halls that there can be.
+impl ZoneSet {
+    /// Zones that there can be.
     pub const MOST: u8 = 64;
     /// All of them, also those that nobody knows.
-    pub const ALL: Halls = Halls(u64::MAX);
+    pub const ALL: ZoneSet = ZoneSet(u64::MAX);
 
-    /// Whether it has a hall. None above the most is in any set.
-    pub fn has(self, hall: Hall) -> bool {
-        hall.0 < Self::MOST && self.0 >> hall.0 & 1 == 1
+    /// Whether it has a zone. None above the most is in any set.
+    pub fn has(self, zone: Zone) -> bool {
+        zone.0 < Self::MOST && self.0 >> zone.0 & 1 == 1
     }
 
-    /// The set with one more hall; one above the most is left out.
-    pub fn with(self, hall: Hall) -> Halls {
-        Halls(self.0 | if hall.0 < Self::MOST { 1 << hall.0 } else { 0 })
+    /// The set with one more zone; one above the most is left out.
+    pub fn with(self, zone: Zone) -> ZoneSet {
+        ZoneSet(self.0 | if zone.0 < Self::MOST { 1 << zone.0 } else { 0 })
     }
 
     /// The set without those of another.
-    pub fn minus(self, other: Halls) -> Halls {
-        Halls(self.0 & !other.0)
+    pub fn minus(self, other: ZoneSet) -> ZoneSet {
+        ZoneSet(self.0 & !other.0)
     }
 
     /// Whether it has none.
@@ -52,14 +52,14 @@
 
 /// The number of a plan: a planner's start, then its count. Greater is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Number {
+pub struct PlanNumber {
     /// Grows from one start of a planner to the next.
     pub epoch: u64,
     /// Grows from one plan to the next; 0 is no plan.
     pub count: u64,
 }
 
-impl Number {
+impl PlanNumber {
     /// Whether it is that of no plan.
     pub fn is_none(self) -> bool {
         self.count == 0
--- a/crates/plan/src/join.rs
+++ b/crates/plan/src/join.rs
@@ -3,12 +3,12 @@
 //! It owns what forwarders told and when, bounded by forwarder and in all, and forgets a forwarder that says
 //! nothing. It joins arrivals by Eq. 1 of the paper, and judges nothing.
 //!
-//! Times that forwarders told as spans are taken from the moment a sight came. A delay so makes both a sign
+//! Times that forwarders told as spans are taken from the moment a report came. A delay so makes both a sign
 //! of life and a silence look younger than they are: a mark comes later, not wrongly.
 
 use crate::bounds;
-use crate::ids::{ForwarderId, Hall, Node, Number};
-use crate::message::{Hello, Sight};
+use crate::ids::{ForwarderId, Node, PlanNumber, Zone};
+use crate::message::{Hello, Report};
 use crate::moments::Moments;
 use crate::rules::Rules;
 use crate::Micros;
@@ -22,8 +22,8 @@
 pub struct Seen {
     /// When it last told.
     pub told: Micros,
-    /// The node's hall.
-    pub hall: Hall,
+    /// The node's zone.
+    pub zone: Zone,
     /// The last sign of life.
     pub sign: Option<Micros>,
     /// Since when something is unanswered without one, and how many are.
@@ -44,25 +44,25 @@
 pub struct Peer {
     /// Its start.
     pub life: u64,
-    /// Its hall.
-    pub hall: Hall,
-    /// The last sight of this life, and when it came.
+    /// Its zone.
+    pub zone: Zone,
+    /// The last report of this life, and when it came.
     pub number: u64,
     /// See [`Peer::number`]; its hello counts as one.
     pub heard: Micros,
     /// The plan that it holds.
-    pub holds: Number,
+    pub holds: PlanNumber,
     /// The revision of its list.
     pub list: u64,
     nodes: BTreeMap<Node, Seen>,
-    /// Use: sends, what was wanted of the ledger, then requests by tenant; fading.
+    /// Use: sends, what was wanted of the origin, then requests by tenant; fading.
     uses: Vec<f64>,
     used: Micros,
 }
 
 /// A node, as all forwarders see it together.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Joined {
+pub struct NodeAggregate {
     /// Which.
     pub node: Node,
     /// Requests a second, over all forwarders.
@@ -77,14 +77,14 @@
 
 /// See the file's comment.
 #[derive(Clone, Debug, Default)]
-pub struct Join {
+pub struct FleetView {
     peers: BTreeMap<ForwarderId, Peer>,
     pairs: usize,
     /// When anyone last heard a node.
     lived: BTreeMap<Node, Micros>,
 }
 
-impl Join {
+impl FleetView {
     /// A forwarder began. Another start of it forgets what the one before saw; `false` if there is no room.
     pub fn hello(&mut self, now: Micros, hello: &Hello) -> bool {
         let known = self.peers.get(&hello.forwarder);
@@ -102,18 +102,18 @@
             self.peers.insert(hello.forwarder, fresh);
         }
         if let Some(p) = self.peers.get_mut(&hello.forwarder) {
-            (p.hall, p.heard) = (hello.hall, now);
+            (p.zone, p.heard) = (hello.zone, now);
         }
         true
     }
 
-    /// Takes a sight; `false` for one that is old or of a forwarder that never said hello.
-    pub fn sight(&mut self, now: Micros, from: ForwarderId, sight: &Sight, rules: &Rules) -> bool {
-        let Some(p) = self.peers.get_mut(&from).filter(|p| sight.number > p.number) else { return false };
-        (p.number, p.heard) = (sight.number, now);
-        (p.list, p.holds) = (sight.list, sight.holds);
+    /// Takes a report; `false` for one that is old or of a forwarder that never said hello.
+    pub fn report(&mut self, now: Micros, from: ForwarderId, report: &Report, rules: &Rules) -> bool {
+        let Some(p) = self.peers.get_mut(&from).filter(|p| report.number > p.number) else { return false };
+        (p.number, p.heard) = (report.number, now);
+        (p.list, p.holds) = (report.list, report.holds);
         p.fade(now, rules.use_memory);
-        for n in &sight.nodes {
+        for n in &report.nodes {
             let full = p.nodes.len() >= bounds::NODES || self.pairs >= PAIRS;
             if full && !p.nodes.contains_key(&n.node) {
                 continue;
@@ -129,7 +129,7 @@
             let before = p.nodes.len();
             let s = p.nodes.entry(n.node).or_default();
             s.fade(now, rules.memory);
-            (s.hall, s.sign, s.quiet) = (n.hall, sign, n.quiet.map(at));
+            (s.zone, s.sign, s.quiet) = (n.zone, sign, n.quiet.map(at));
             s.unanswered = n.unanswered;
             let after = |t: &Micros| lived.is_none_or(|l| *t > l);
             if !s.tried.is_some_and(|t| after(&t)) {
@@ -142,8 +142,8 @@
             self.pairs += p.nodes.len() - before;
             p.add_use(0, n.sends);
         }
-        p.add_use(1, sight.ledger.asked);
-        for u in &sight.uses {
+        p.add_use(1, report.origin.asked);
+        for u in &report.uses {
             p.add_use(2 + usize::from(u.tenant), u.asked);
         }
         true
@@ -158,7 +158,7 @@
 
     /// Forgets who said nothing for long, and nodes of which nobody told; names the forwarders.
     pub fn sweep(&mut self, now: Micros, rules: &Rules) -> Vec<ForwarderId> {
-        let old = |at: Micros| now.saturating_sub(at) >= rules.gone;
+        let old = |at: Micros| now.saturating_sub(at) >= rules.forget_forwarder_after;
         let gone: Vec<_> = self.peers.iter().filter(|(_, p)| old(p.heard)).map(|(id, _)| *id).collect();
         gone.iter().for_each(|id| self.forget(*id));
         for p in self.peers.values_mut() {
@@ -190,11 +190,11 @@
     ///
     /// Eq. 1: C_A^2 is the mean of the streams' C_j^2, weighed by their rates. A stream of few samples is
     /// shrunk toward 1, a Poisson stream's.
-    pub fn joined(&self, now: Micros, rules: &Rules) -> Vec<Joined> {
-        let mut all: BTreeMap<Node, Joined> = BTreeMap::new();
+    pub fn aggregated(&self, now: Micros, rules: &Rules) -> Vec<NodeAggregate> {
+        let mut all: BTreeMap<Node, NodeAggregate> = BTreeMap::new();
         for p in self.peers.values() {
             for (node, s) in &p.nodes {
-                let j = all.entry(*node).or_insert(Joined { node: *node, ..Joined::default() });
+                let j = all.entry(*node).or_insert(NodeAggregate { node: *node, ..NodeAggregate::default() });
                 let left = faded(now, s.told, rules.memory);
                 let rate = s.sends * left / (rules.memory.max(1) as f64 / 1e6);
                 let scv = s.gaps.scaled(left).shrunk(PRIOR_SAMPLES, 0.0, PRIOR_SCV).1;
@@ -204,9 +204,9 @@
                 j.load = [j.load, s.load].into_iter().flatten().max_by_key(|l| l.1);
             }
         }
-        let weighed = |j: Joined| match j.rate > 0.0 {
-            true => Joined { arrival_scv: j.arrival_scv / j.rate, ..j },
-            false => Joined { arrival_scv: PRIOR_SCV, ..j },
+        let weighed = |j: NodeAggregate| match j.rate > 0.0 {
+            true => NodeAggregate { arrival_scv: j.arrival_scv / j.rate, ..j },
+            false => NodeAggregate { arrival_scv: PRIOR_SCV, ..j },
         };
         all.into_values().map(weighed).collect()
     }
@@ -242,7 +242,7 @@
         self.nodes.get(&node)
     }
 
-    /// Its use of what is shared, in the order of the parts: cold nodes (by all sends), ledger, tenants.
+    /// Its use of what is shared, in the order of the parts: cold nodes (by all sends), origin, tenants.
     pub fn uses(&self, now: Micros, rules: &Rules) -> Vec<f64> {
         let left = faded(now, self.used, rules.use_memory);
         self.uses.iter().map(|u| u * left).collect()
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -8,7 +8,7 @@
 //! | --- | --- |
 //! | [`ids`], [`rules`], [`bounds`] | names, times and thresholds, the most of everything |
 //! | [`moments`] | first two moments of a quantity |
-//! | [`sight`] | what a forwarder sees, and the bounded part of it that goes to planners |
+//! | [`observations`] | what a forwarder sees, and the bounded part of it that goes to planners |
 //! | [`message`], [`frame`] | the words between the two, and their bytes |
 //! | [`join`] | what all forwarders see, by forwarder (Eq. 1) |
 //! | [`solve`] | the terms of the paper (Eqs. 2 to 7) |
@@ -34,17 +34,17 @@
 pub mod merge;
 pub mod message;
 pub mod moments;
+pub mod observations;
 pub mod parts;
 pub mod planner;
 pub mod publish;
 pub mod rules;
-pub mod sight;
 pub mod silence;
 pub mod solve;
 pub mod spread;
 
-pub use forwarder::{Forwarder, Standing};
-pub use ids::{ForwarderId, Hall, Halls, Node, Number};
+pub use forwarder::{Forwarder, Guidance};
+pub use ids::{ForwarderId, Node, PlanNumber, Zone, ZoneSet};
 pub use message::Message;
 pub use planner::Planner;
 pub use rules::Rules;
--- a/crates/plan/src/merge.rs
+++ b/crates/plan/src/merge.rs
@@ -1,7 +1,7 @@
 //! What of several planners' plans is in force at a forwarder.
 //!
 //! It owns the last plan of each planner, what is in force, and since when. Use it for what is yes or no (a
-//! node is silent, a hall is cut off) by majority, and for terms by the median; parts are in
+//! node is silent, a zone is cut off) by majority, and for terms by the median; parts are in
 //! [`crate::parts`]. Taking a plan decides nothing, so the order in which plans come does not matter;
 //! [`Merge::settle`] decides, from what there is at a time.
 //!
@@ -10,10 +10,10 @@
 //! matter.
 
 use crate::bounds;
-use crate::ids::{Hall, Node, Number};
+use crate::ids::{Node, PlanNumber, Zone};
 use crate::message::{NodeTerms, Plan, Terms};
+use crate::observations::Listed;
 use crate::rules::{Planted, Rules};
-use crate::sight::Listed;
 use crate::solve::Queue;
 use crate::{spread, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,17 +21,17 @@
 
 /// Why a plan is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Unsound {
+pub enum PlanRejection {
     /// Not newer than what is held. Nothing is wrong with that, and it is not logged.
     #[error("it is no newer than plan {}.{}", .0.epoch, .0.count)]
-    Old(Number),
+    Outdated(PlanNumber),
     /// No such planner.
     #[error("it comes from no planner of ours")]
-    Stranger,
+    UnknownPlanner,
     /// More of the fleet than plans may take out.
     #[error("it takes out {marks} of {ready} ready nodes, {most} at most")]
-    TooMuch {
-        /// Ready nodes that it marks for this hall.
+    TooManyMarks {
+        /// Ready nodes that it marks for this zone.
         marks: usize,
         /// Ready nodes.
         ready: usize,
@@ -41,9 +41,9 @@
     /// Marks that nobody bears witness of.
     #[error("it marks nodes without a witness")]
     NoEvidence,
-    /// It cuts this hall off from itself.
+    /// It cuts this zone off from itself.
     #[error("it cuts this hall off from itself")]
-    OwnHall,
+    OwnZone,
     /// It marks and vouches for one node at once.
     #[error("it contradicts itself")]
     Contradiction,
@@ -51,11 +51,11 @@
 
 /// What a mark is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Matter {
+pub enum MarkTarget {
     /// A node that is silent.
     Node(Node),
-    /// A hall that is cut off.
-    Hall(Hall),
+    /// A zone that is cut off.
+    Zone(Zone),
 }
 
 #[derive(Clone, Debug, Default)]
@@ -63,20 +63,20 @@
     basis: Micros,
     silent: BTreeSet<Node>,
     lives: BTreeSet<Node>,
-    cuts: BTreeSet<Hall>,
+    cuts: BTreeSet<Zone>,
 }
 
 /// One planner's.
 #[derive(Clone, Debug, Default)]
 struct Slot {
-    number: Number,
+    number: PlanNumber,
     /// What the last plan rests on.
     basis: Option<Micros>,
     /// Of the last plan of a warm planner. What a cold one sends does not replace it: it ages by itself.
     votes: Option<Votes>,
     terms: BTreeMap<Node, (NodeTerms, Micros)>,
     /// Kinds of refusals that were told, and sound plans in a row since.
-    told: Vec<std::mem::Discriminant<Unsound>>,
+    told: Vec<std::mem::Discriminant<PlanRejection>>,
     sound: u32,
 }
 
@@ -106,29 +106,29 @@
 /// See the file's comment.
 #[derive(Clone, Debug, Default)]
 pub struct Merge {
-    hall: Hall,
+    zone: Zone,
     seed: u64,
     slots: Vec<Slot>,
-    states: BTreeMap<Matter, State>,
-    stands: BTreeMap<Node, Hall>,
+    states: BTreeMap<MarkTarget, State>,
+    stands: BTreeMap<Node, Zone>,
 }
 
 impl Merge {
-    /// For a forwarder in a hall, with so many planners. The seed spreads its moves.
-    pub fn new(hall: Hall, seed: u64, planners: usize) -> Self {
+    /// For a forwarder in a zone, with so many planners. The seed spreads its moves.
+    pub fn new(zone: Zone, seed: u64, planners: usize) -> Self {
         let slots = vec![Slot::default(); planners.min(bounds::PLANNERS)];
-        Merge { hall, seed, slots, ..Merge::default() }
+        Merge { zone, seed, slots, ..Merge::default() }
     }
 
     /// Takes the ready nodes of the list. What is no longer on it is no matter any more.
     pub fn list(&mut self, listed: impl Iterator<Item = Listed>) {
         let ready = listed.filter(|l| l.ready).take(bounds::NODES);
-        self.stands = ready.map(|l| (l.node, l.hall)).collect();
-        let halls: BTreeSet<Hall> = self.stands.values().copied().collect();
+        self.stands = ready.map(|l| (l.node, l.zone)).collect();
+        let zones: BTreeSet<Zone> = self.stands.values().copied().collect();
         let stands = &self.stands;
         self.states.retain(|matter, _| match matter {
-            Matter::Node(n) => stands.contains_key(n),
-            Matter::Hall(h) => halls.contains(h),
+            MarkTarget::Node(n) => stands.contains_key(n),
+            MarkTarget::Zone(h) => zones.contains(h),
         });
         for slot in &mut self.slots {
             slot.terms.retain(|n, _| stands.contains_key(n));
@@ -136,11 +136,11 @@
     }
 
     /// The greatest plan taken of a planner.
-    pub fn number(&self, slot: usize) -> Number {
-        self.slots.get(slot).map_or(Number::default(), |s| s.number)
+    pub fn number(&self, slot: usize) -> PlanNumber {
+        self.slots.get(slot).map_or(PlanNumber::default(), |s| s.number)
     }
 
-    /// Takes a plan; `basis` is when the sight was taken that it names, if that is known. The error's second
+    /// Takes a plan; `basis` is when the report was taken that it names, if that is known. The error's second
     /// half says whether it is worth a line: the same is told once, until the planner has been sound for a
     /// while.
     pub fn take(
@@ -149,12 +149,12 @@
         plan: &Plan,
         basis: Option<Micros>,
         rules: &Rules,
-    ) -> Result<(), (Unsound, bool)> {
+    ) -> Result<(), (PlanRejection, bool)> {
         let sound = self.sound(slot, plan, rules);
-        let Some(s) = self.slots.get_mut(slot) else { return Err((Unsound::Stranger, true)) };
+        let Some(s) = self.slots.get_mut(slot) else { return Err((PlanRejection::UnknownPlanner, true)) };
         if let Err(why) = sound {
             let kind = std::mem::discriminant(&why);
-            let old = matches!(why, Unsound::Old(_));
+            let old = matches!(why, PlanRejection::Outdated(_));
             let news = !old && !s.told.contains(&kind);
             s.told.extend(news.then_some(kind));
             s.sound = if old { s.sound } else { 0 };
@@ -169,11 +169,11 @@
         }
         let Some(basis) = basis else { return Ok(()) };
         if plan.evidence.warm || rules.has(Planted::EmptyCounts) {
-            let mine = |halls: crate::Halls| halls.has(self.hall);
+            let mine = |zones: crate::ZoneSet| zones.has(self.zone);
             let known = |n: &Node| self.stands.contains_key(n);
-            let silent = plan.silent.iter().filter(|m| mine(m.halls)).map(|m| m.node).filter(known).collect();
-            let lives = plan.lives.iter().filter(|v| mine(v.halls)).map(|v| v.node).filter(known);
-            let cuts = plan.cuts.iter().filter(|c| c.from == self.hall).map(|c| c.to).collect();
+            let silent = plan.silent.iter().filter(|m| mine(m.zones)).map(|m| m.node).filter(known).collect();
+            let lives = plan.lives.iter().filter(|v| mine(v.zones)).map(|v| v.node).filter(known);
+            let cuts = plan.cuts.iter().filter(|c| c.from == self.zone).map(|c| c.to).collect();
             let mut lives: BTreeSet<Node> = lives.collect();
             if rules.has(Planted::EmptyCounts) {
                 lives.extend(self.stands.keys().filter(|n| !BTreeSet::contains(&silent, n)));
@@ -183,22 +183,22 @@
         Ok(())
     }
 
-    fn sound(&self, slot: usize, plan: &Plan, rules: &Rules) -> Result<(), Unsound> {
+    fn sound(&self, slot: usize, plan: &Plan, rules: &Rules) -> Result<(), PlanRejection> {
         let held = self.number(slot);
         if plan.number <= held && !rules.has(Planted::OldPlans) {
-            return Err(Unsound::Old(held));
+            return Err(PlanRejection::Outdated(held));
         }
-        let mine = plan.silent.iter().filter(|m| m.halls.has(self.hall) && self.stands.contains_key(&m.node));
+        let mine = plan.silent.iter().filter(|m| m.zones.has(self.zone) && self.stands.contains_key(&m.node));
         let silent: BTreeSet<Node> = mine.map(|m| m.node).collect();
         let (marks, ready) = (silent.len(), self.stands.len());
-        let most = rules.most_out(ready);
-        let both = |v: &crate::message::Vouch| v.halls.has(self.hall) && silent.contains(&v.node);
+        let most = rules.max_marked(ready);
+        let both = |v: &crate::message::Vouch| v.zones.has(self.zone) && silent.contains(&v.node);
         match () {
-            () if marks > most => Err(Unsound::TooMuch { marks, ready, most }),
-            () if plan.silent.iter().any(|m| m.witnesses == 0) => Err(Unsound::NoEvidence),
-            () if !plan.cuts.is_empty() && plan.evidence.witnesses == 0 => Err(Unsound::NoEvidence),
-            () if plan.cuts.iter().any(|c| c.from == c.to) => Err(Unsound::OwnHall),
-            () if plan.lives.iter().any(both) => Err(Unsound::Contradiction),
+            () if marks > most => Err(PlanRejection::TooManyMarks { marks, ready, most }),
+            () if plan.silent.iter().any(|m| m.witnesses == 0) => Err(PlanRejection::NoEvidence),
+            () if !plan.cuts.is_empty() && plan.evidence.witnesses == 0 => Err(PlanRejection::NoEvidence),
+            () if plan.cuts.iter().any(|c| c.from == c.to) => Err(PlanRejection::OwnZone),
+            () if plan.lives.iter().any(both) => Err(PlanRejection::Contradiction),
             () => Ok(()),
         }
     }
@@ -230,38 +230,40 @@
             .slots
             .iter()
             .filter_map(|s| s.votes.as_ref())
-            .filter(|v| now.saturating_sub(v.basis) <= rules.fresh)
+            .filter(|v| now.saturating_sub(v.basis) <= rules.vote_max_age)
             .collect();
-        let halls: BTreeMap<Hall, Option<Micros>> =
-            self.stands.iter().filter(|(_, h)| **h != self.hall).fold(BTreeMap::new(), |mut all, (n, h)| {
+        let zones: BTreeMap<Zone, Option<Micros>> =
+            self.stands.iter().filter(|(_, h)| **h != self.zone).fold(BTreeMap::new(), |mut all, (n, h)| {
                 let latest = all.entry(*h).or_insert(None);
                 *latest = (*latest).max(heard(*n));
                 all
             });
         // What anybody speaks of, and what stands.
-        let mut matters: BTreeSet<Matter> = self.states.keys().copied().collect();
+        let mut matters: BTreeSet<MarkTarget> = self.states.keys().copied().collect();
         for v in &fresh {
-            matters.extend(v.silent.iter().filter(|n| self.stands.contains_key(n)).map(|n| Matter::Node(*n)));
-            matters.extend(v.cuts.iter().filter(|h| halls.contains_key(h)).map(|h| Matter::Hall(*h)));
+            matters.extend(
+                v.silent.iter().filter(|n| self.stands.contains_key(n)).map(|n| MarkTarget::Node(*n)),
+            );
+            matters.extend(v.cuts.iter().filter(|h| zones.contains_key(h)).map(|h| MarkTarget::Zone(*h)));
         }
         let (mut entering, mut changed) = (Vec::new(), false);
         for matter in matters {
             let (yes, no, sign) = match matter {
-                Matter::Node(n) => {
+                MarkTarget::Node(n) => {
                     let count =
                         |f: fn(&Votes) -> &BTreeSet<Node>| fresh.iter().filter(|v| f(v).contains(&n)).count();
                     (count(|v| &v.silent), count(|v| &v.lives), heard(n))
                 }
-                Matter::Hall(h) => {
+                MarkTarget::Zone(h) => {
                     let yes = fresh.iter().filter(|v| v.cuts.contains(&h)).count();
-                    (yes, 0, halls.get(&h).copied().flatten())
+                    (yes, 0, zones.get(&h).copied().flatten())
                 }
             };
             let majority = yes * 2 > fresh.len();
             let state = self.states.entry(matter).or_default();
             match state.out {
                 None => {
-                    let recent = sign.is_some_and(|s| now.saturating_sub(s) <= rules.own_life);
+                    let recent = sign.is_some_and(|s| now.saturating_sub(s) <= rules.own_sign_max_age);
                     if state.enters(now, majority && !recent, self.seed ^ key(matter), rules) {
                         entering.push((state.due, matter));
                     }
@@ -272,7 +274,7 @@
                         state.out = Some(out);
                     }
                     // An answer since then, unless it is old and planners still find the node silent.
-                    let recent = |s: &Micros| now.saturating_sub(*s) <= rules.fresh;
+                    let recent = |s: &Micros| now.saturating_sub(*s) <= rules.vote_max_age;
                     let lives = sign.filter(|s| *s > out.since).is_some_and(|s| recent(&s) || !majority);
                     changed |= state.leaves(now, out, no > yes || lives, self.seed ^ key(matter), rules);
                 }
@@ -280,19 +282,20 @@
         }
         changed |= self.enter(now, entering, rules);
         changed |= self.trim(now, rules);
-        let forgotten =
-            |s: &State| s.out.is_none() && s.due.is_none() && now.saturating_sub(s.left) >= rules.forget;
+        let forgotten = |s: &State| {
+            s.out.is_none() && s.due.is_none() && now.saturating_sub(s.left) >= rules.forget_mark_after
+        };
         self.states.retain(|_, s| !(forgotten(s) || (s.out.is_none() && s.due.is_none() && s.times == 0)));
         changed
     }
 
     /// Those whose time has come, the earliest first, as long as enough nodes are left.
-    fn enter(&mut self, now: Micros, mut entering: Vec<(Option<Micros>, Matter)>, rules: &Rules) -> bool {
+    fn enter(&mut self, now: Micros, mut entering: Vec<(Option<Micros>, MarkTarget)>, rules: &Rules) -> bool {
         entering.sort();
         let mut changed = false;
         for (_, matter) in entering {
-            let most = rules.most_out(self.stands.len());
-            let few = matches!(matter, Matter::Hall(_)) || self.nodes_out() < most;
+            let most = rules.max_marked(self.stands.len());
+            let few = matches!(matter, MarkTarget::Zone(_)) || self.nodes_out() < most;
             let fits = few && self.leaves_some(Some(matter));
             if let Some(s) = self.states.get_mut(&matter).filter(|_| fits) {
                 s.times = s.times.saturating_add(1);
@@ -302,13 +305,13 @@
         changed
     }
 
-    /// The list shrank: the latest marks give way until the bound holds again, and halls where nothing is
+    /// The list shrank: the latest marks give way until the bound holds again, and zones where nothing is
     /// left.
     fn trim(&mut self, now: Micros, rules: &Rules) -> bool {
-        let most = rules.most_out(self.stands.len());
+        let most = rules.max_marked(self.stands.len());
         let mut changed = false;
         while self.nodes_out() > most {
-            let nodes = self.states.iter().filter(|(m, _)| matches!(m, Matter::Node(_)));
+            let nodes = self.states.iter().filter(|(m, _)| matches!(m, MarkTarget::Node(_)));
             let out = nodes.filter_map(|(m, s)| s.out.map(|o| (o.since, *m)));
             let Some(state) = out.max().and_then(|(_, m)| self.states.get_mut(&m)) else { break };
             state.go(now, now);
@@ -324,34 +327,34 @@
     }
 
     fn nodes_out(&self) -> usize {
-        self.states.iter().filter(|(m, s)| matches!(m, Matter::Node(_)) && s.out.is_some()).count()
+        self.states.iter().filter(|(m, s)| matches!(m, MarkTarget::Node(_)) && s.out.is_some()).count()
     }
 
-    /// Whether some ready node is neither out nor in a hall that is, with one matter more.
-    fn leaves_some(&self, more: Option<Matter>) -> bool {
-        let out = |m: Matter| more == Some(m) || self.is_out(m);
-        self.stands.iter().any(|(n, h)| !out(Matter::Node(*n)) && !out(Matter::Hall(*h)))
+    /// Whether some ready node is neither out nor in a zone that is, with one matter more.
+    fn leaves_some(&self, more: Option<MarkTarget>) -> bool {
+        let out = |m: MarkTarget| more == Some(m) || self.is_out(m);
+        self.stands.iter().any(|(n, h)| !out(MarkTarget::Node(*n)) && !out(MarkTarget::Zone(*h)))
     }
 
-    fn is_out(&self, matter: Matter) -> bool {
+    fn is_out(&self, matter: MarkTarget) -> bool {
         self.states.get(&matter).is_some_and(|s| s.out.is_some())
     }
 
     /// What is in force, in order.
-    pub fn out(&self) -> impl Iterator<Item = Matter> + '_ {
+    pub fn out(&self) -> impl Iterator<Item = MarkTarget> + '_ {
         self.states.iter().filter(|(_, s)| s.out.is_some()).map(|(m, _)| *m)
     }
 
-    /// Whether a ready node is out, by itself or with its hall.
+    /// Whether a ready node is out, by itself or with its zone.
     pub fn avoids(&self, node: Node) -> bool {
-        let hall = self.stands.get(&node).map(|h| Matter::Hall(*h));
-        self.is_out(Matter::Node(node)) || hall.is_some_and(|h| self.is_out(h))
+        let zone = self.stands.get(&node).map(|h| MarkTarget::Zone(*h));
+        self.is_out(MarkTarget::Node(node)) || zone.is_some_and(|h| self.is_out(h))
     }
 
     /// The part of its keys that a node takes: 0 while it is out, growing on its way back, else 1.
     pub fn part(&self, node: Node, now: Micros, rules: &Rules) -> f64 {
-        let of = |m: Matter| self.states.get(&m).map_or(1.0, |s| s.part(now, rules));
-        of(Matter::Node(node)).min(self.stands.get(&node).map_or(1.0, |h| of(Matter::Hall(*h))))
+        let of = |m: MarkTarget| self.states.get(&m).map_or(1.0, |s| s.part(now, rules));
+        of(MarkTarget::Node(node)).min(self.stands.get(&node).map_or(1.0, |h| of(MarkTarget::Zone(*h))))
     }
 
     /// Nodes that do not take all of their keys, with the part that they take.
@@ -368,7 +371,7 @@
     pub fn queue(&self, node: Node, now: Micros, rules: &Rules) -> Option<(Queue, f64)> {
         let age = |at: Micros| now.saturating_sub(at).max(0);
         let all = self.slots.iter().filter_map(|s| s.terms.get(&node));
-        let all: Vec<_> = all.filter(|(_, at)| age(*at) < rules.terms_fade).collect();
+        let all: Vec<_> = all.filter(|(_, at)| age(*at) < rules.terms_max_age).collect();
         let of = |f: fn(&Queue) -> f64| median(all.iter().map(|(t, _)| f(&Queue::from(*t))).collect());
         let old = median(all.iter().map(|(_, at)| age(*at) as f64).collect())?;
         let queue = Queue {
@@ -377,7 +380,7 @@
             arrival_scv: of(|q| q.arrival_scv)?,
             service_scv: of(|q| q.service_scv)?,
         };
-        Some((queue, (1.0 - old / rules.terms_fade.max(1) as f64).clamp(0.0, 1.0)))
+        Some((queue, (1.0 - old / rules.terms_max_age.max(1) as f64).clamp(0.0, 1.0)))
     }
 
     /// When something is due: a mark to come or go, or a part that still grows.
@@ -393,7 +396,7 @@
 impl State {
     /// Whether it comes into force now, given whether there is reason to.
     fn enters(&mut self, now: Micros, reason: bool, seed: u64, rules: &Rules) -> bool {
-        let wait = || spread::delay(seed, 1, u64::from(self.times), rules.enter_within);
+        let wait = || spread::delay(seed, 1, u64::from(self.times), rules.enter_spread);
         let due = reason.then(|| self.due.unwrap_or_else(|| now.saturating_add(wait())));
         self.due = due;
         due.is_some_and(|due| due <= now)
@@ -410,7 +413,7 @@
             self.go(now, now);
             return true;
         }
-        let wait = || spread::delay(seed, 2, u64::from(self.times), rules.return_within);
+        let wait = || spread::delay(seed, 2, u64::from(self.times), rules.return_spread);
         self.due = reason.then(|| self.due.unwrap_or_else(|| now.saturating_add(wait())));
         let goes = stayed && self.due.is_some_and(|due| due <= now);
         if goes {
@@ -448,10 +451,10 @@
 }
 
 /// A number for a matter, to spread by.
-fn key(matter: Matter) -> u64 {
+fn key(matter: MarkTarget) -> u64 {
     match matter {
-        Matter::Node(n) => spread::mix(n.id ^ spread::mix(n.life)),
-        Matter::Hall(h) => spread::mix(u64::from(h.0) ^ 0x4a11),
+        MarkTarget::Node(n) => spread::mix(n.id ^ spread::mix(n.life)),
+        MarkTarget::Zone(h) => spread::mix(u64::from(h.0) ^ 0x4a11),
     }
 }
 
--- a/crates/plan/src/message.rs
+++ b/crates/plan/src/message.rs
@@ -3,12 +3,12 @@
 //!
 //! Times are spans before the message was made, in us: the two sides share no clock.
 
-use crate::ids::{ForwarderId, Hall, Halls, Node, Number};
+use crate::ids::{ForwarderId, Node, PlanNumber, Zone, ZoneSet};
 use crate::moments::Moments;
 use crate::{bounds, Micros};
 use serde::{Deserialize, Serialize};
 
-/// How an upstream request ended. The order is that of [`NodeSight::ends`].
+/// How an upstream request ended. The order is that of [`NodeReport::ends`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Answered.
@@ -30,26 +30,27 @@
 }
 
 /// How many verdicts there are.
-pub const VERDICTS: usize = 8;
+pub const VERDICT_COUNT: usize = 8;
 
 impl Verdict {
     /// Whether the node said something: it lives.
-    pub fn is_sign(self) -> bool {
+    pub fn shows_life(self) -> bool {
         matches!(self, Verdict::Served | Verdict::Miss | Verdict::Error | Verdict::Full)
     }
 }
 
-/// What a forwarder saw of a node. Counts and moments are of the time since the last sight that named it.
+/// What a forwarder saw of a node. Counts and moments are of the time since the last report that named it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct NodeSight {
+pub struct NodeReport {
     /// Which.
     pub node: Node,
-    /// The hall it stands in.
-    pub hall: Hall,
+    /// The zone it stands in.
+    #[serde(rename = "hall")]
+    pub zone: Zone,
     /// Upstream requests sent.
     pub sends: u32,
     /// How those that ended did, by verdict.
-    pub ends: [u32; VERDICTS],
+    pub ends: [u32; VERDICT_COUNT],
     /// Gaps between sends, in us.
     pub gaps: Moments,
     /// Times of answers, in us.
@@ -66,9 +67,9 @@
     pub load: Option<(f32, u32)>,
 }
 
-/// A tenant's requests of a class since the last sight.
+/// A tenant's requests of a class since the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UseSight {
+pub struct UsageReport {
     /// Position in the settings.
     pub tenant: u16,
     /// Position in the settings.
@@ -77,13 +78,13 @@
     pub asked: u32,
     /// Served in time, refused; the rest failed, came late or is out.
     pub served: u32,
-    /// See [`UseSight::served`].
+    /// See [`UsageReport::served`].
     pub refused: u32,
 }
 
-/// The ledger's side: fetches since the last sight.
+/// The origin's side: fetches since the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct LedgerSight {
+pub struct OriginReport {
     /// Requests for it that came up, sent or not.
     pub asked: u32,
     /// Out there now.
@@ -94,23 +95,24 @@
 
 /// What a forwarder tells.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sight {
+pub struct Report {
     /// Grows by one; its first is 1.
     pub number: u64,
     /// The greatest plan that it holds of this planner.
-    pub holds: Number,
+    pub holds: PlanNumber,
     /// The [`Parts::version`] that it holds of this planner.
-    pub parts: Number,
+    pub parts: PlanNumber,
     /// The revision of its list.
     pub list: u64,
     /// Ready nodes on it.
     pub ready: u32,
     /// Bounded; what does not fit comes later.
-    pub nodes: Vec<NodeSight>,
+    pub nodes: Vec<NodeReport>,
     /// Those with any use.
-    pub uses: Vec<UseSight>,
-    /// See [`LedgerSight`].
-    pub ledger: LedgerSight,
+    pub uses: Vec<UsageReport>,
+    /// See [`OriginReport`].
+    #[serde(rename = "ledger")]
+    pub origin: OriginReport,
 }
 
 /// A forwarder's first message.
@@ -118,12 +120,13 @@
 pub struct Hello {
     /// Who.
     pub forwarder: ForwarderId,
-    /// Its start; sights are numbered within it. Only equality has a meaning.
+    /// Its start; reports are numbered within it. Only equality has a meaning.
     pub life: u64,
     /// Where it stands.
-    pub hall: Hall,
+    #[serde(rename = "hall")]
+    pub zone: Zone,
     /// What it holds of this planner, from an earlier connection.
-    pub holds: Number,
+    pub holds: PlanNumber,
     /// How many tenants its settings name.
     pub tenants: u16,
 }
@@ -134,7 +137,8 @@
     /// Which.
     pub node: Node,
     /// For whom.
-    pub halls: Halls,
+    #[serde(rename = "halls")]
+    pub zones: ZoneSet,
     /// Since when, and how many forwarders bear witness.
     pub since: u32,
     /// See [`Mark::since`].
@@ -147,16 +151,17 @@
     /// Which.
     pub node: Node,
     /// For whom.
-    pub halls: Halls,
+    #[serde(rename = "halls")]
+    pub zones: ZoneSet,
 }
 
-/// A hall of which another hears nothing.
+/// A zone of which another hears nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cut {
     /// Who hears nothing,
-    pub from: Hall,
+    pub from: Zone,
     /// of whom.
-    pub to: Hall,
+    pub to: Zone,
 }
 
 /// What a plan rests on.
@@ -168,7 +173,7 @@
     pub witnesses: u16,
     /// Whether the planner has run long enough to have an opinion.
     pub warm: bool,
-    /// The start of the receiver that the planner knows, and its last sight that went in; 0 is none.
+    /// The start of the receiver that the planner knows, and its last report that went in; 0 is none.
     pub life: u64,
     /// See [`Evidence::life`].
     pub heard: u64,
@@ -178,11 +183,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Parts {
     /// The plan that first had them; the default is none given.
-    pub version: Number,
+    pub version: PlanNumber,
     /// Of each cold node's budget.
     pub cold: f32,
-    /// Of what may be out at the ledger.
-    pub ledger: f32,
+    /// Of what may be out at the origin.
+    #[serde(rename = "ledger")]
+    pub origin: f32,
     /// Of each tenant's quota.
     pub tenants: Vec<f32>,
 }
@@ -190,8 +196,8 @@
 /// A plan, as one forwarder gets it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// See [`Number`].
-    pub number: Number,
+    /// See [`PlanNumber`].
+    pub number: PlanNumber,
     /// The greatest revision of the list that any forwarder told.
     pub list: u64,
     /// See [`Evidence`].
@@ -200,7 +206,7 @@
     pub silent: Vec<Mark>,
     /// Nodes that live after all.
     pub lives: Vec<Vouch>,
-    /// Halls cut off.
+    /// Zones cut off.
     pub cuts: Vec<Cut>,
     /// The receiver's.
     pub parts: Parts,
@@ -227,7 +233,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Terms {
     /// The plan that they belong to.
-    pub number: Number,
+    pub number: PlanNumber,
     /// See [`NodeTerms`].
     pub nodes: Vec<NodeTerms>,
 }
@@ -238,14 +244,16 @@
     /// Who.
     pub forwarder: ForwarderId,
     /// Where.
-    pub hall: Hall,
-    /// Since its last sight.
+    #[serde(rename = "hall")]
+    pub zone: Zone,
+    /// Since its last report.
     pub heard: u32,
     /// What it holds.
-    pub holds: Number,
-    /// Its part of the ledger and of cold nodes.
-    pub ledger: f32,
-    /// See [`Known::ledger`].
+    pub holds: PlanNumber,
+    /// Its part of the origin and of cold nodes.
+    #[serde(rename = "ledger")]
+    pub origin: f32,
+    /// See [`Known::origin`].
     pub cold: f32,
 }
 
@@ -266,7 +274,8 @@
     /// Forwarder to planner, first.
     Hello(Hello),
     /// Forwarder to planner, a few times a second.
-    Sight(Sight),
+    #[serde(rename = "Sight")]
+    Report(Report),
     /// Forwarder to planner, last: a planned end.
     Bye,
     /// Planner to forwarder, a few times a second.
@@ -293,9 +302,9 @@
 }
 
 impl Parts {
-    /// Cold, ledger, then tenants.
+    /// Cold, origin, then tenants.
     pub fn all(&self) -> impl Iterator<Item = f32> + '_ {
-        [self.cold, self.ledger].into_iter().chain(self.tenants.iter().copied())
+        [self.cold, self.origin].into_iter().chain(self.tenants.iter().copied())
     }
 }
 
@@ -305,15 +314,15 @@
     pub fn check(&self) -> Result<(), &'static str> {
         match self {
             Message::Hello(h) => {
-                rule(h.hall.0 < Halls::MOST, "a hall beyond the most")?;
+                rule(h.zone.0 < ZoneSet::MOST, "a hall beyond the most")?;
                 rule(h.holds.epoch <= bounds::EPOCH, "an epoch beyond reason")?;
                 rule(usize::from(h.tenants) <= bounds::TENANTS, "too many tenants")
             }
-            Message::Sight(s) => {
-                rule(s.nodes.len() <= bounds::NODES_A_MESSAGE, "too many nodes")?;
+            Message::Report(s) => {
+                rule(s.nodes.len() <= bounds::NODES_PER_MESSAGE, "too many nodes")?;
                 rule(s.uses.len() <= bounds::USES, "too many uses")?;
                 rule(s.holds.epoch <= bounds::EPOCH, "an epoch beyond reason")?;
-                rule(s.nodes.iter().all(|n| n.hall.0 < Halls::MOST), "a hall beyond the most")?;
+                rule(s.nodes.iter().all(|n| n.zone.0 < ZoneSet::MOST), "a hall beyond the most")?;
                 let loads = s.nodes.iter().filter_map(|n| n.load);
                 rule(loads.into_iter().all(|(rho, _)| (0.0..=16.0).contains(&rho)), "no utilisation")?;
                 rule(s.uses.iter().all(|u| usize::from(u.tenant) < bounds::TENANTS), "too many tenants")
@@ -321,7 +330,7 @@
             Message::Plan(p) => p.check(),
             Message::Terms(t) => terms(&t.nodes),
             Message::Shown(s) => {
-                rule(s.forwarders.len() <= bounds::NODES_A_MESSAGE, "too many forwarders")?;
+                rule(s.forwarders.len() <= bounds::NODES_PER_MESSAGE, "too many forwarders")?;
                 s.plan.check()?;
                 terms(&s.terms)
             }
@@ -341,7 +350,7 @@
 }
 
 fn terms(nodes: &[NodeTerms]) -> Result<(), &'static str> {
-    rule(nodes.len() <= bounds::NODES_A_MESSAGE, "too many nodes")?;
+    rule(nodes.len() <= bounds::NODES_PER_MESSAGE, "too many nodes")?;
     let sane = |t: &NodeTerms| {
         (0.0..1.0).contains(&t.rho)
             && [t.service, t.arrival_scv, t.service_scv].into_iter().all(positive)
--- a/crates/plan/src/sight.rs
+++ b/crates/plan/src/observations.rs
@@ -1,6 +1,6 @@
 //! What a forwarder sees, added up at a constant cost an event, and the bounded deltas of it.
 //!
-//! It owns counts, moments and signs of life by node, use by tenant and class, and the ledger's figures. It
+//! It owns counts, moments and signs of life by node, use by tenant and class, and the origin's figures. It
 //! judges nothing. A delta takes what was added since the last one that named the same node; nodes that are
 //! quiet come first, the others in turn, so that a large fleet is told of in several.
 //! Something is told of a node when there is something to tell: an idle node takes no bytes.
@@ -8,8 +8,8 @@
 //! The map from nodes to places is never iterated over; order comes from the list.
 
 use crate::bounds;
-use crate::ids::{Hall, Node};
-use crate::message::{span, LedgerSight, NodeSight, Sight, UseSight, Verdict, VERDICTS};
+use crate::ids::{Node, Zone};
+use crate::message::{span, NodeReport, OriginReport, Report, UsageReport, Verdict, VERDICT_COUNT};
 use crate::moments::Moments;
 use crate::Micros;
 use std::collections::HashMap;
@@ -21,7 +21,7 @@
     /// Which.
     pub node: Node,
     /// Where.
-    pub hall: Hall,
+    pub zone: Zone,
     /// Whether it takes new requests: serving, not draining.
     pub ready: bool,
 }
@@ -33,7 +33,7 @@
 struct Seen {
     listed: Listed,
     sends: u32,
-    ends: [u32; VERDICTS],
+    ends: [u32; VERDICT_COUNT],
     gaps: Moments,
     service: Moments,
     last_send: Option<Micros>,
@@ -48,27 +48,28 @@
 
 /// See the file's comment.
 #[derive(Clone, Debug, Default)]
-pub struct Eyes {
+pub struct Observations {
     places: Places,
     seen: Vec<Seen>,
     revision: u64,
     ready: u32,
-    uses: Vec<UseSight>,
+    uses: Vec<UsageReport>,
     classes: usize,
-    ledger: LedgerSight,
-    ledger_out: u32,
+    origin: OriginReport,
+    origin_out: u32,
     number: u64,
     turn: usize,
 }
 
-impl Eyes {
+impl Observations {
     /// For so many tenants and classes; what is beyond the bounds is not counted.
     pub fn new(tenants: usize, classes: usize) -> Self {
         let classes = classes.clamp(1, bounds::USES);
         let tenants = tenants.min(bounds::TENANTS).min(bounds::USES / classes);
         let pairs = (0..tenants).flat_map(|t| (0..classes).map(move |c| (t as u16, c as u16)));
-        let uses = pairs.map(|(tenant, class)| UseSight { tenant, class, ..UseSight::default() }).collect();
-        Eyes { uses, classes, ..Eyes::default() }
+        let uses =
+            pairs.map(|(tenant, class)| UsageReport { tenant, class, ..UsageReport::default() }).collect();
+        Observations { uses, classes, ..Observations::default() }
     }
 
     /// Takes the whole list. What was seen of nodes that stay is kept.
@@ -119,7 +120,7 @@
         }
         s.out = s.out.saturating_sub(1);
         s.news = true;
-        if verdict.is_sign() {
+        if verdict.shows_life() {
             s.signed(now);
         }
         if verdict == Verdict::Served {
@@ -143,7 +144,7 @@
     }
 
     /// A client's request was taken.
-    pub fn asked(&mut self, tenant: usize, class: usize) {
+    pub fn request_received(&mut self, tenant: usize, class: usize) {
         self.used(tenant, class, |u| &mut u.asked);
     }
 
@@ -157,31 +158,32 @@
         self.used(tenant, class, |u| &mut u.refused);
     }
 
-    /// Something is wanted of the ledger, whether it is sent or not.
-    pub fn wanted(&mut self) {
-        self.ledger.asked = self.ledger.asked.saturating_add(1);
+    /// Something is wanted of the origin, whether it is sent or not.
+    pub fn origin_needed(&mut self) {
+        self.origin.asked = self.origin.asked.saturating_add(1);
     }
 
-    /// Something was sent to the ledger.
+    /// Something was sent to the origin.
     pub fn fetched(&mut self) {
-        self.ledger_out = self.ledger_out.saturating_add(1);
+        self.origin_out = self.origin_out.saturating_add(1);
     }
 
-    /// What was sent to the ledger ended; with its time, if it was answered.
+    /// What was sent to the origin ended; with its time, if it was answered.
     pub fn fetch_ended(&mut self, answered_in: Option<Micros>) {
-        self.ledger_out = self.ledger_out.saturating_sub(1);
-        answered_in.into_iter().for_each(|t| self.ledger.service.add(t as f64));
+        self.origin_out = self.origin_out.saturating_sub(1);
+        answered_in.into_iter().for_each(|t| self.origin.service.add(t as f64));
     }
 
     /// Takes a delta. The caller fills in what this forwarder holds of each planner.
-    pub fn take(&mut self, now: Micros) -> Sight {
+    pub fn take(&mut self, now: Micros) -> Report {
         self.number += 1;
         let mut nodes = Vec::new();
         let len = self.seen.len();
         // The quiet first, whether there is news or not: their silence is the news.
         let quiet = self.seen.iter_mut().filter(|s| s.quiet.is_some());
-        nodes.extend(quiet.take(bounds::NODES_A_MESSAGE).map(|s| s.take(now)));
-        let room = bounds::LIVELY_A_SIGHT.min(bounds::NODES_A_MESSAGE.saturating_sub(nodes.len()));
+        nodes.extend(quiet.take(bounds::NODES_PER_MESSAGE).map(|s| s.take(now)));
+        let room =
+            bounds::ANSWERING_NODES_PER_REPORT.min(bounds::NODES_PER_MESSAGE.saturating_sub(nodes.len()));
         let upto = nodes.len() + room;
         let first = self.turn;
         for at in (0..len).map(|i| (i + first) % len) {
@@ -195,19 +197,22 @@
         let used = self.uses.iter_mut().filter(|u| u.asked + u.served + u.refused > 0);
         let uses = used
             .map(|u| {
-                std::mem::replace(u, UseSight { tenant: u.tenant, class: u.class, ..UseSight::default() })
+                std::mem::replace(
+                    u,
+                    UsageReport { tenant: u.tenant, class: u.class, ..UsageReport::default() },
+                )
             })
             .collect();
-        let ledger = LedgerSight { out: self.ledger_out, ..std::mem::take(&mut self.ledger) };
+        let origin = OriginReport { out: self.origin_out, ..std::mem::take(&mut self.origin) };
         let (number, list, ready) = (self.number, self.revision, self.ready);
-        Sight { number, list, ready, nodes, uses, ledger, ..Sight::default() }
+        Report { number, list, ready, nodes, uses, origin, ..Report::default() }
     }
 
     fn at(&mut self, node: Node) -> Option<&mut Seen> {
         self.places.get(&node).and_then(|at| self.seen.get_mut(*at))
     }
 
-    fn used(&mut self, tenant: usize, class: usize, field: impl Fn(&mut UseSight) -> &mut u32) {
+    fn used(&mut self, tenant: usize, class: usize, field: impl Fn(&mut UsageReport) -> &mut u32) {
         if class < self.classes {
             if let Some(u) = self.uses.get_mut(tenant.saturating_mul(self.classes).saturating_add(class)) {
                 let n = field(u);
@@ -222,7 +227,7 @@
         Seen {
             listed,
             sends: 0,
-            ends: [0; VERDICTS],
+            ends: [0; VERDICT_COUNT],
             gaps: Moments::default(),
             service: Moments::default(),
             last_send: None,
@@ -242,10 +247,10 @@
         self.quiet = (self.out > 0).then_some(now);
     }
 
-    fn take(&mut self, now: Micros) -> NodeSight {
-        let sight = NodeSight {
+    fn take(&mut self, now: Micros) -> NodeReport {
+        let report = NodeReport {
             node: self.listed.node,
-            hall: self.listed.hall,
+            zone: self.listed.zone,
             sends: self.sends,
             ends: self.ends,
             gaps: self.gaps,
@@ -256,8 +261,8 @@
             unanswered: self.unanswered,
             load: self.load.map(|(rho, t)| (rho, span(t, now))),
         };
-        (self.sends, self.ends, self.news) = (0, [0; VERDICTS], false);
+        (self.sends, self.ends, self.news) = (0, [0; VERDICT_COUNT], false);
         (self.gaps, self.service) = (Moments::default(), Moments::default());
-        sight
+        report
     }
 }
--- a/crates/plan/src/parts.rs
+++ b/crates/plan/src/parts.rs
@@ -1,8 +1,8 @@
 //! Parts of a whole that never add up to more: of every tenant's quota, of a cold node's budget, of what may
-//! be out at the ledger.
+//! be out at the origin.
 //!
-//! [`Column`] is a planner's: it gives forwarders parts by their use, at most 1 in all, also over those that
-//! it does not know or no longer reaches. [`Holding`] is a forwarder's, one a planner: what it was given,
+//! [`Allocator`] is a planner's: it gives forwarders parts by their use, at most 1 in all, also over those that
+//! it does not know or no longer reaches. [`HeldParts`] is a forwarder's, one a planner: what it was given,
 //! falling or rising to the even part as it ages. A forwarder uses the mean over its planners. Use them for
 //! what is known as a whole and must not be exceeded; not for what may be measured by each alone.
 //!
@@ -10,9 +10,9 @@
 //! forwarder says that it holds the lower one or its lease is over, and parts rise by themselves only after
 //! the leases of all others are over. Source: Gray and Cheriton, "Leases" (SOSP 1989).
 
-use crate::ids::{ForwarderId, Number};
+use crate::ids::{ForwarderId, PlanNumber};
 use crate::message::Parts;
-use crate::rules::{grains, Planted, Rules, GRAIN};
+use crate::rules::{round_to_grain, Planted, Rules, GRAIN};
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -25,20 +25,20 @@
 /// out of reach.
 const TOLD: usize = 16;
 
-/// What a planner knows of a forwarder's parts: cold nodes, ledger, tenants.
+/// What a planner knows of a forwarder's parts: cold nodes, origin, tenants.
 #[derive(Clone, Debug)]
-struct Given {
+struct Grant {
     /// The most that it may hold by what it last said, and what it was told since.
     sure: Vec<f64>,
-    told: VecDeque<(Number, Vec<f64>)>,
+    told: VecDeque<(PlanNumber, Vec<f64>)>,
     /// The last parts that it was told; none if it is to be told nothing, so that no lease is renewed.
-    version: Number,
-    /// When its last sight came, and when the plan was made that it was last known to have.
+    version: PlanNumber,
+    /// When its last report came, and when the plan was made that it was last known to have.
     heard: Micros,
     met: Micros,
 }
 
-impl Given {
+impl Grant {
     /// What it was told last.
     fn latest(&self, at: usize, even: f64) -> f64 {
         let parts = self.told.back().map_or(&self.sure, |(_, parts)| parts);
@@ -47,7 +47,7 @@
 
     /// The most it may use now.
     fn most(&self, at: usize, rules: &Rules) -> f64 {
-        let even = rules.even();
+        let even = rules.even_part();
         if rules.has(Planted::NoLease) {
             return self.latest(at, even);
         }
@@ -62,34 +62,34 @@
     /// It is out of reach: it may hold anything it was told until the lease is over, and rise to the even
     /// part.
     fn lapse(&mut self, now: Micros, parts: usize, rules: &Rules) {
-        let even = rules.even();
+        let even = rules.even_part();
         let over = now.saturating_sub(self.heard) >= rules.lease_end;
         let most = |at| if over { even } else { self.most(at, rules).max(even) };
         self.sure = (0..parts).map(most).collect();
         self.told.clear();
-        self.version = Number::default();
+        self.version = PlanNumber::default();
     }
 }
 
 /// See the file's comment.
 #[derive(Clone, Debug, Default)]
-pub struct Column {
-    given: BTreeMap<ForwarderId, Given>,
+pub struct Allocator {
+    given: BTreeMap<ForwarderId, Grant>,
     parts: usize,
 }
 
-impl Column {
+impl Allocator {
     /// A forwarder began, with this many tenants. It holds nothing of this planner that lasts, and at most
     /// the even part.
     pub fn hello(&mut self, now: Micros, id: ForwarderId, tenants: usize, rules: &Rules) {
         self.parts = self.parts.max(2 + tenants);
-        let sure = vec![rules.even(); self.parts];
-        let (told, version) = (VecDeque::new(), Number::default());
-        self.given.insert(id, Given { sure, told, version, heard: now, met: now });
+        let sure = vec![rules.even_part(); self.parts];
+        let (told, version) = (VecDeque::new(), PlanNumber::default());
+        self.given.insert(id, Grant { sure, told, version, heard: now, met: now });
     }
 
-    /// A sight came: the forwarder holds these parts, and a plan that was made then.
-    pub fn sight(&mut self, now: Micros, id: ForwarderId, version: Number, made: Option<Micros>) {
+    /// A report came: the forwarder holds these parts, and a plan that was made then.
+    pub fn report(&mut self, now: Micros, id: ForwarderId, version: PlanNumber, made: Option<Micros>) {
         let Some(g) = self.given.get_mut(&id) else { return };
         g.heard = now;
         g.met = made.map_or(g.met, |m| m.max(g.met));
@@ -107,14 +107,14 @@
     }
 
     /// Gives anew, by use (in the order of the parts), in the plan of this number.
-    pub fn allot(
+    pub fn allocate(
         &mut self,
         now: Micros,
-        number: Number,
+        number: PlanNumber,
         uses: &BTreeMap<ForwarderId, Vec<f64>>,
         rules: &Rules,
     ) {
-        let even = rules.even();
+        let even = rules.even_part();
         let unknown = (rules.forwarders as usize).saturating_sub(self.given.len()) as f64 * even;
         for g in self.given.values_mut().filter(|g| !g.in_reach(now, rules)) {
             g.lapse(now, self.parts, rules);
@@ -123,8 +123,8 @@
         // which is kept free for it, would let it rise before they have fallen.
         let most = |at: usize| self.given.values().map(|g| g.most(at, rules)).sum::<f64>();
         let over = (0..self.parts).any(|at| unknown + most(at) > 1.0 + GRAIN);
-        let waits = |g: &Given| over && g.version.is_none() && !rules.has(Planted::NoLease);
-        let row = |(id, g): (&ForwarderId, &Given)| {
+        let waits = |g: &Grant| over && g.version.is_none() && !rules.has(Planted::NoLease);
+        let row = |(id, g): (&ForwarderId, &Grant)| {
             Row::new(*id, g.in_reach(now, rules) && !waits(g), g.told.is_empty())
         };
         let mut rows: Vec<Row> = self.given.iter().map(row).collect();
@@ -151,8 +151,8 @@
         let Some(g) = self.given.get(&id).filter(|g| !g.version.is_none()) else { return Parts::default() };
         let told = g.told.back().map_or(&g.sure, |(_, parts)| parts);
         let mut all = told.iter().map(|p| *p as f32);
-        let (cold, ledger) = (all.next().unwrap_or(0.0), all.next().unwrap_or(0.0));
-        Parts { version: g.version, cold, ledger, tenants: all.collect() }
+        let (cold, origin) = (all.next().unwrap_or(0.0), all.next().unwrap_or(0.0));
+        Parts { version: g.version, cold, origin, tenants: all.collect() }
     }
 }
 
@@ -178,7 +178,7 @@
 
 /// Gives one whole.
 fn give(rows: &mut [Row], unknown: f64, rules: &Rules) {
-    let even = rules.even();
+    let even = rules.even_part();
     let kept: f64 = rows.iter().filter(|r| !r.reached).map(|r| r.most).sum();
     let all: f64 = rows.iter().map(|r| r.most).sum();
     let (mut n, mut used, mut latest) = (0.0, 0.0, 0.0);
@@ -190,7 +190,9 @@
     let pressed = unknown + kept + latest > 1.0 + GRAIN;
     let wish = |r: &Row| {
         let by_use = if used > 0.0 { r.used / used } else { 1.0 / n };
-        let aim = (whole * (rules.own / n + (1.0 - rules.own) * by_use)).max(rules.own_part()).min(1.0);
+        let aim = (whole * (rules.reserved / n + (1.0 - rules.reserved) * by_use))
+            .max(rules.reserved_part())
+            .min(1.0);
         match () {
             () if pressed => r.latest.min(aim),
             () if (aim - r.latest).abs() < SMALL * even => r.latest,
@@ -204,26 +206,26 @@
     for r in rows.iter_mut().filter(|r| r.reached) {
         let wish = wish(r);
         let part = if wish > r.latest { r.latest + (wish - r.latest) * granted } else { wish };
-        r.given.push(grains(part));
+        r.given.push(round_to_grain(part));
     }
 }
 
 /// What a forwarder holds of one planner.
 #[derive(Clone, Debug)]
-pub struct Holding {
+pub struct HeldParts {
     parts: Parts,
-    /// When the sight was taken that the parts rest on, and when the last of them came.
+    /// When the report was taken that the parts rest on, and when the last of them came.
     basis: Micros,
     came: Micros,
 }
 
-impl Holding {
+impl HeldParts {
     /// At the forwarder's start.
     pub fn new(now: Micros) -> Self {
-        Holding { parts: Parts::default(), basis: now, came: now }
+        HeldParts { parts: Parts::default(), basis: now, came: now }
     }
 
-    /// Takes parts of a plan that is newer than those before; `basis` is when the sight was taken that it
+    /// Takes parts of a plan that is newer than those before; `basis` is when the report was taken that it
     /// names.
     pub fn take(&mut self, now: Micros, basis: Micros, parts: &Parts) {
         if !parts.version.is_none() {
@@ -233,7 +235,7 @@
     }
 
     /// The version that is held.
-    pub fn version(&self) -> Number {
+    pub fn version(&self) -> PlanNumber {
         self.parts.version
     }
 
@@ -246,13 +248,13 @@
         (1.0 - old as f64 / rules.rise_over.max(1) as f64).clamp(0.0, 1.0)
     }
 
-    /// The part as it stands: 0 cold nodes, 1 ledger, then the tenants.
+    /// The part as it stands: 0 cold nodes, 1 origin, then the tenants.
     pub fn part(&self, at: usize, now: Micros, rules: &Rules) -> f64 {
-        let even = rules.even();
+        let even = rules.even_part();
         // From none, the own part of the even one.
         let given = match self.parts.version.is_none() {
-            true => rules.own_part(),
-            false => self.parts.all().nth(at).map_or(rules.own_part(), f64::from),
+            true => rules.reserved_part(),
+            false => self.parts.all().nth(at).map_or(rules.reserved_part(), f64::from),
         };
         let (from, over) = match () {
             () if given > even => (self.basis.saturating_add(rules.lease), rules.lease_end - rules.lease),
@@ -266,13 +268,13 @@
 }
 
 /// What a forwarder uses: the mean over its planners.
-pub fn mean(holdings: &[Holding], at: usize, now: Micros, rules: &Rules) -> f64 {
-    let sum: f64 = holdings.iter().map(|h| h.part(at, now, rules)).sum();
-    sum / holdings.len().max(1) as f64
+pub fn mean(held_parts: &[HeldParts], at: usize, now: Micros, rules: &Rules) -> f64 {
+    let sum: f64 = held_parts.iter().map(|h| h.part(at, now, rules)).sum();
+    sum / held_parts.len().max(1) as f64
 }
 
 /// How far [`mean`] is to be trusted beside the forwarder's own judgement: the mean over its planners.
-pub fn trust(holdings: &[Holding], now: Micros, rules: &Rules) -> f64 {
-    let sum: f64 = holdings.iter().map(|h| h.trust(now, rules)).sum();
-    sum / holdings.len().max(1) as f64
+pub fn trust(held_parts: &[HeldParts], now: Micros, rules: &Rules) -> f64 {
+    let sum: f64 = held_parts.iter().map(|h| h.trust(now, rules)).sum();
+    sum / held_parts.len().max(1) as f64
 }
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -7,13 +7,13 @@
 
 use crate::bounds;
 use crate::frame::Refused;
-use crate::ids::{ForwarderId, Number};
-use crate::join::Join;
+use crate::ids::{ForwarderId, PlanNumber};
+use crate::join::FleetView;
 use crate::message::{span, Evidence, Hello, Known, Message, Parts, Plan, Shown, Terms};
-use crate::parts::Column;
-use crate::publish::Numbers;
+use crate::parts::Allocator;
+use crate::publish::PlanNumbers;
 use crate::rules::{Planted, Rules};
-use crate::silence::{Judged, Silence};
+use crate::silence::{Findings, Silence};
 use crate::solve::{solve, Solved};
 use crate::Micros;
 use std::collections::BTreeMap;
@@ -52,12 +52,12 @@
     started: Micros,
     links: BTreeMap<PeerId, Link>,
     of: BTreeMap<ForwarderId, PeerId>,
-    join: Join,
+    join: FleetView,
     silence: Silence,
-    column: Column,
-    numbers: Numbers,
+    allocator: Allocator,
+    numbers: PlanNumbers,
     solved: Solved,
-    judged: Judged,
+    findings: Findings,
     next_plan: Micros,
     next_terms: Micros,
 }
@@ -71,12 +71,12 @@
             started: now,
             links: BTreeMap::new(),
             of: BTreeMap::new(),
-            join: Join::default(),
+            join: FleetView::default(),
             silence: Silence::default(),
-            column: Column::default(),
-            numbers: Numbers::new(epoch),
+            allocator: Allocator::default(),
+            numbers: PlanNumbers::new(epoch),
             solved: Solved::default(),
-            judged: Judged::default(),
+            findings: Findings::default(),
             next_plan: now.saturating_add(rules.plan_every),
             next_terms: now.saturating_add(rules.terms_every),
             rules,
@@ -88,7 +88,7 @@
         if self.links.len() >= PEERS {
             return Err(Refused::Room);
         }
-        let tokens = 2.0 * bounds::MESSAGES_A_SECOND;
+        let tokens = 2.0 * bounds::MESSAGES_PER_SECOND;
         self.links.insert(peer, Link { forwarder: None, tokens, filled: now });
         Ok(())
     }
@@ -117,11 +117,11 @@
         }
         match (message, link.forwarder) {
             (Message::Hello(hello), None) => self.hello(now, peer, hello, out),
-            (Message::Sight(sight), Some(id)) => {
-                self.learn(sight.holds);
-                if self.join.sight(now, id, sight, &self.rules) {
-                    let made = self.numbers.made(sight.holds);
-                    self.column.sight(now, id, sight.parts, made);
+            (Message::Report(report), Some(id)) => {
+                self.learn(report.holds);
+                if self.join.report(now, id, report, &self.rules) {
+                    let made = self.numbers.made(report.holds);
+                    self.allocator.report(now, id, report.parts, made);
                 }
                 Ok(())
             }
@@ -135,7 +135,7 @@
             }
             (Message::Hello(_), Some(_)) => Err(Refused::Unexpected("a second hello")),
             (Message::Show, Some(_)) => Err(Refused::Unexpected("a question about the plan")),
-            (Message::Sight(_) | Message::Bye, None) => Err(Refused::Unexpected("a word before the hello")),
+            (Message::Report(_) | Message::Bye, None) => Err(Refused::Unexpected("a word before the hello")),
             (Message::Plan(_) | Message::Terms(_) | Message::Shown(_), _) => {
                 Err(Refused::Unexpected("a plan"))
             }
@@ -156,7 +156,7 @@
         }
         self.learn(hello.holds);
         if another {
-            self.column.hello(now, id, usize::from(hello.tenants), &self.rules);
+            self.allocator.hello(now, id, usize::from(hello.tenants), &self.rules);
         }
         if let Some(old) = self.of.insert(id, peer).filter(|old| *old != peer) {
             self.links.remove(&old);
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    fn learn(&mut self, held: Number) {
+    fn learn(&mut self, held: PlanNumber) {
         if !self.rules.has(Planted::NumbersGoBack) {
             self.numbers.learn(held);
         }
@@ -176,7 +176,7 @@
 
     fn forget(&mut self, id: ForwarderId) {
         self.join.forget(id);
-        self.column.forget(id);
+        self.allocator.forget(id);
     }
 
     /// Does what is due.
@@ -184,8 +184,8 @@
         let terms = self.next_terms <= now;
         if terms {
             self.next_terms = after(self.next_terms, now, self.rules.terms_every);
-            let joined = self.join.joined(now, &self.rules);
-            self.solved = solve(now, &joined, &self.rules);
+            let aggregated = self.join.aggregated(now, &self.rules);
+            self.solved = solve(now, &aggregated, &self.rules);
         }
         if self.next_plan <= now {
             self.next_plan = after(self.next_plan, now, self.rules.plan_every);
@@ -193,7 +193,7 @@
         }
         if terms && self.is_warm(now) {
             let to: Vec<PeerId> = self.of.values().copied().collect();
-            for nodes in self.solved.nodes.chunks(bounds::NODES_A_MESSAGE).filter(|_| !to.is_empty()) {
+            for nodes in self.solved.nodes.chunks(bounds::NODES_PER_MESSAGE).filter(|_| !to.is_empty()) {
                 let terms = Terms { number: self.numbers.last(), nodes: nodes.to_vec() };
                 out.push(Output::Terms(to.clone(), Message::Terms(terms)));
             }
@@ -202,10 +202,10 @@
 
     fn publish(&mut self, now: Micros, out: &mut Vec<Output>) {
         for id in self.join.sweep(now, &self.rules) {
-            self.column.forget(id);
+            self.allocator.forget(id);
         }
         // Also connections that said no hello, or farewell, and then stayed.
-        let idle = |l: &Link| now.saturating_sub(l.filled) >= self.rules.gone;
+        let idle = |l: &Link| now.saturating_sub(l.filled) >= self.rules.forget_forwarder_after;
         let idle: Vec<PeerId> = self.links.iter().filter(|(_, l)| idle(l)).map(|(peer, _)| *peer).collect();
         for peer in idle {
             self.down(peer);
@@ -214,49 +214,49 @@
         let number = self.numbers.next(now);
         let warm = self.is_warm(now);
         if warm {
-            self.judged = self.silence.judge(now, &self.join, self.solved.long, &self.rules);
+            self.findings = self.silence.assess(now, &self.join, self.solved.long, &self.rules);
             let uses = self.join.peers().map(|(id, p)| (id, p.uses(now, &self.rules))).collect();
-            self.column.allot(now, number, &uses, &self.rules);
+            self.allocator.allocate(now, number, &uses, &self.rules);
         }
         let common = self.common(number, warm);
         for (id, peer) in &self.of {
             let (life, heard) = self.join.peer(*id).map_or((0, 0), |p| (p.life, p.number));
             let evidence = Evidence { life, heard, ..common.evidence };
-            let plan = Plan { evidence, parts: self.column.parts(*id), ..common.clone() };
+            let plan = Plan { evidence, parts: self.allocator.parts(*id), ..common.clone() };
             out.push(Output::Send(*peer, Message::Plan(plan)));
         }
     }
 
     /// What all forwarders get alike.
-    fn common(&self, number: Number, warm: bool) -> Plan {
-        let (forwarders, witnesses) = (self.judged.heard, self.judged.witnesses);
+    fn common(&self, number: PlanNumber, warm: bool) -> Plan {
+        let (forwarders, witnesses) = (self.findings.heard, self.findings.witnesses);
         Plan {
             number,
             list: self.join.peers().map(|(_, p)| p.list).max().unwrap_or(0),
             evidence: Evidence { forwarders, witnesses, warm, life: 0, heard: 0 },
-            silent: self.judged.silent.clone(),
-            lives: self.judged.lives.clone(),
-            cuts: self.judged.cuts.clone(),
+            silent: self.findings.silent.clone(),
+            lives: self.findings.lives.clone(),
+            cuts: self.findings.cuts.clone(),
             parts: Parts::default(),
         }
     }
 
     /// What it finds silent or cut off, for a line of the log.
-    pub fn judged(&self) -> &Judged {
-        &self.judged
+    pub fn findings(&self) -> &Findings {
+        &self.findings
     }
 
     /// The plan as it stands, for whoever asks.
     pub fn shown(&self, now: Micros) -> Shown {
         let known = |(forwarder, p): (ForwarderId, &crate::join::Peer)| {
-            let parts = self.column.parts(forwarder);
-            let (hall, heard, holds) = (p.hall, span(p.heard, now), p.holds);
-            Known { forwarder, hall, heard, holds, ledger: parts.ledger, cold: parts.cold }
+            let parts = self.allocator.parts(forwarder);
+            let (zone, heard, holds) = (p.zone, span(p.heard, now), p.holds);
+            Known { forwarder, zone, heard, holds, origin: parts.origin, cold: parts.cold }
         };
         Shown {
             plan: self.common(self.numbers.last(), self.is_warm(now)),
-            terms: self.solved.nodes.iter().take(bounds::NODES_A_MESSAGE).copied().collect(),
-            forwarders: self.join.peers().take(bounds::NODES_A_MESSAGE).map(known).collect(),
+            terms: self.solved.nodes.iter().take(bounds::NODES_PER_MESSAGE).copied().collect(),
+            forwarders: self.join.peers().take(bounds::NODES_PER_MESSAGE).map(known).collect(),
         }
     }
 
@@ -267,15 +267,15 @@
 
     /// Whether it has run long enough to have opinions and to give parts.
     pub fn is_warm(&self, now: Micros) -> bool {
-        now.saturating_sub(self.started) >= self.rules.warm
+        now.saturating_sub(self.started) >= self.rules.warm_up
     }
 }
 
 impl Link {
     fn takes(&mut self, now: Micros) -> bool {
         let seconds = now.saturating_sub(self.filled).max(0) as f64 / 1e6;
-        let most = 2.0 * bounds::MESSAGES_A_SECOND;
-        self.tokens = (self.tokens + seconds * bounds::MESSAGES_A_SECOND).min(most);
+        let most = 2.0 * bounds::MESSAGES_PER_SECOND;
+        self.tokens = (self.tokens + seconds * bounds::MESSAGES_PER_SECOND).min(most);
         self.filled = now;
         let some = self.tokens >= 1.0;
         self.tokens -= f64::from(u8::from(some));
--- a/crates/plan/src/rules.rs
+++ b/crates/plan/src/rules.rs
@@ -51,7 +51,7 @@
 pub const GRAIN: f64 = 1.0 / (1u64 << 20) as f64;
 
 /// A part, rounded down to grains.
-pub fn grains(part: f64) -> f64 {
+pub fn round_to_grain(part: f64) -> f64 {
     (part / GRAIN).floor() * GRAIN
 }
 
@@ -60,47 +60,47 @@
 pub struct Rules {
     /// The greatest number of forwarders that may run at once, those of a roll-out counted twice.
     pub forwarders: u32,
-    /// Time between two sights of a forwarder, two plans of a planner, two tellings of terms.
-    pub sight_every: Micros,
-    /// See [`Rules::sight_every`].
+    /// Time between two reports of a forwarder, two plans of a planner, two tellings of terms.
+    pub report_every: Micros,
+    /// See [`Rules::report_every`].
     pub plan_every: Micros,
-    /// See [`Rules::sight_every`].
+    /// See [`Rules::report_every`].
     pub terms_every: Micros,
     /// Age of its evidence up to which a plan votes.
-    pub fresh: Micros,
+    pub vote_max_age: Micros,
     /// How long a mark stands without a majority, and how long it then takes to fade.
     pub hold: Micros,
     /// See [`Rules::hold`].
     pub fade: Micros,
     /// How long a mark stays at least, the first time; doubled each time, at most so often.
-    pub stay: Micros,
-    /// See [`Rules::stay`].
-    pub stay_doublings: u32,
+    pub min_stay: Micros,
+    /// See [`Rules::min_stay`].
+    pub max_stay_doublings: u32,
     /// Time without a mark after which earlier ones are forgotten.
-    pub forget: Micros,
+    pub forget_mark_after: Micros,
     /// Within what time forwarders leave a node, and come back to it.
-    pub enter_within: Micros,
-    /// See [`Rules::enter_within`].
-    pub return_within: Micros,
+    pub enter_spread: Micros,
+    /// See [`Rules::enter_spread`].
+    pub return_spread: Micros,
     /// How long a node that returns takes to have all of its keys again.
     pub return_over: Micros,
     /// A forwarder that heard a node within this time does not leave it at a planner's word.
-    pub own_life: Micros,
+    pub own_sign_max_age: Micros,
     /// The part of the ready nodes that plans may take out.
-    pub most_out: f64,
+    pub max_marked_part: f64,
     /// Without an answer for this long, with two unanswered, a node is silent to a forwarder: at least, and
     /// at most, where answers are slow.
     pub silent_after: Micros,
     /// See [`Rules::silent_after`].
-    pub silent_most: Micros,
-    /// Age up to which a sight is evidence, and up to which a sign of life is one.
-    pub evidence: Micros,
-    /// See [`Rules::evidence`].
-    pub life: Micros,
+    pub silent_after_max: Micros,
+    /// Age up to which a report is evidence, and up to which a sign of life is one.
+    pub report_max_age: Micros,
+    /// See [`Rules::report_max_age`].
+    pub sign_max_age: Micros,
     /// How long a planner vouches for a node that it marked.
-    pub vouch: Micros,
-    /// Time without a sight after which a planner forgets a forwarder.
-    pub gone: Micros,
+    pub vouch_for: Micros,
+    /// Time without a report after which a planner forgets a forwarder.
+    pub forget_forwarder_after: Micros,
     /// Age of its evidence at which what is above the even part begins to fall, and at which it is there.
     pub lease: Micros,
     /// See [`Rules::lease`].
@@ -113,19 +113,19 @@
     /// See [`Rules::rise`].
     pub rise_over: Micros,
     /// Time since its start after which a planner gives opinions and parts.
-    pub warm: Micros,
+    pub warm_up: Micros,
     /// The part of the even part that is every forwarder's own.
-    pub own: f64,
+    pub reserved: f64,
     /// Memory of the moments of arrivals and of service, and of the tenants' use.
     pub memory: Micros,
     /// See [`Rules::memory`].
     pub use_memory: Micros,
     /// Age at which terms are no longer used; their trust falls to none until then.
-    pub terms_fade: Micros,
+    pub terms_max_age: Micros,
     /// First and longest wait before a planner is dialled again.
-    pub dial_after: Micros,
-    /// See [`Rules::dial_after`].
-    pub dial_most: Micros,
+    pub dial_backoff_min: Micros,
+    /// See [`Rules::dial_backoff_min`].
+    pub dial_backoff_max: Micros,
     /// For tests.
     #[doc(hidden)]
     pub planted: Option<Planted>,
@@ -135,38 +135,38 @@
     fn default() -> Self {
         Rules {
             forwarders: 1,
-            sight_every: 250 * MS,
+            report_every: 250 * MS,
             plan_every: 250 * MS,
             terms_every: SECOND,
-            fresh: 1200 * MS,
+            vote_max_age: 1200 * MS,
             hold: 5 * SECOND,
             fade: 10 * SECOND,
-            stay: SECOND,
-            stay_doublings: 5,
-            forget: 60 * SECOND,
-            enter_within: 300 * MS,
-            return_within: 2 * SECOND,
+            min_stay: SECOND,
+            max_stay_doublings: 5,
+            forget_mark_after: 60 * SECOND,
+            enter_spread: 300 * MS,
+            return_spread: 2 * SECOND,
             return_over: 2 * SECOND,
-            own_life: SECOND,
-            most_out: 1.0 / 3.0,
+            own_sign_max_age: SECOND,
+            max_marked_part: 1.0 / 3.0,
             silent_after: 600 * MS,
-            silent_most: 1000 * MS,
-            evidence: 1500 * MS,
-            life: 800 * MS,
-            vouch: 60 * SECOND,
-            gone: 10 * SECOND,
+            silent_after_max: 1000 * MS,
+            report_max_age: 1500 * MS,
+            sign_max_age: 800 * MS,
+            vouch_for: 60 * SECOND,
+            forget_forwarder_after: 10 * SECOND,
             lease: 2 * SECOND,
             lease_end: 3 * SECOND,
             guard: 1500 * MS,
             rise: 5 * SECOND,
             rise_over: 5 * SECOND,
-            warm: 3500 * MS,
-            own: 0.5,
+            warm_up: 3500 * MS,
+            reserved: 0.5,
             memory: 4 * SECOND,
             use_memory: 10 * SECOND,
-            terms_fade: 8 * SECOND,
-            dial_after: 200 * MS,
-            dial_most: 5 * SECOND,
+            terms_max_age: 8 * SECOND,
+            dial_backoff_min: 200 * MS,
+            dial_backoff_max: 5 * SECOND,
             planted: planted(),
         }
     }
@@ -174,21 +174,21 @@
 
 impl Rules {
     /// The even part of a whole, for one forwarder.
-    pub fn even(&self) -> f64 {
-        grains(1.0 / f64::from(self.forwarders.max(1)))
+    pub fn even_part(&self) -> f64 {
+        round_to_grain(1.0 / f64::from(self.forwarders.max(1)))
     }
 
     /// Of that, what is every forwarder's own.
-    pub fn own_part(&self) -> f64 {
-        grains(self.own * self.even())
+    pub fn reserved_part(&self) -> f64 {
+        round_to_grain(self.reserved * self.even_part())
     }
 
     /// How many of so many ready nodes plans may take out.
-    pub fn most_out(&self, ready: usize) -> usize {
+    pub fn max_marked(&self, ready: usize) -> usize {
         if self.has(Planted::NoBound) {
             return ready;
         }
-        (ready as f64 * self.most_out.clamp(0.0, 1.0)) as usize
+        (ready as f64 * self.max_marked_part.clamp(0.0, 1.0)) as usize
     }
 
     /// How long a mark stays that comes into force for the n-th time.
@@ -199,10 +199,10 @@
         self.doubled(times)
     }
 
-    /// The most changes of one mark, coming and going, within a window no longer than [`Rules::forget`]:
+    /// The most changes of one mark, coming and going, within a window no longer than [`Rules::forget_mark_after`]:
     /// either it comes at the window's beginning for the first time, or it leaves then and comes for the
     /// second.
-    pub fn most_changes(&self, window: Micros) -> usize {
+    pub fn max_changes(&self, window: Micros) -> usize {
         let from = |first: u32| {
             let (mut left, mut times, mut changes) = (window, first, 1);
             while left >= self.doubled(times) {
@@ -216,12 +216,13 @@
     }
 
     fn doubled(&self, times: u32) -> Micros {
-        self.stay.max(1).saturating_mul(1 << times.saturating_sub(1).min(self.stay_doublings).min(32))
+        self.min_stay.max(1).saturating_mul(1 << times.saturating_sub(1).min(self.max_stay_doublings).min(32))
     }
 
     /// What must hold between the times, so that sums of parts hold; else what does not.
     pub fn check(&self) -> Result<(), &'static str> {
-        let positive = [self.sight_every, self.plan_every, self.terms_every, self.stay, self.terms_fade];
+        let positive =
+            [self.report_every, self.plan_every, self.terms_every, self.min_stay, self.terms_max_age];
         match () {
             () if self.forwarders == 0 => Err("there must be a forwarder"),
             () if positive.iter().any(|t| *t <= 0) => Err("periods must be positive"),
@@ -229,9 +230,9 @@
             () if self.rise < self.guard + self.lease_end + self.plan_every => {
                 Err("parts must not rise before those of others have fallen")
             }
-            () if self.warm < self.lease_end => Err("a planner must not give before old leases are over"),
-            () if !(0.0..=1.0).contains(&self.own) => Err("what is a forwarder's own must be a part"),
-            () if !(0.0..1.0).contains(&self.most_out) => Err("a plan must leave some nodes"),
+            () if self.warm_up < self.lease_end => Err("a planner must not give before old leases are over"),
+            () if !(0.0..=1.0).contains(&self.reserved) => Err("what is a forwarder's own must be a part"),
+            () if !(0.0..1.0).contains(&self.max_marked_part) => Err("a plan must leave some nodes"),
             () => Ok(()),
         }
     }
--- a/crates/plan/src/solve.rs
+++ b/crates/plan/src/solve.rs
@@ -5,7 +5,7 @@
 //! over the candidates of a key. Departures from the paper, as in `docs/design.md`: C_S^2 is Var/E^2, and a
 //! node's part is (1 - R_i)/(N - 1), since R_i grows with its queue.
 
-use crate::join::{Joined, PRIOR_SAMPLES, PRIOR_SCV};
+use crate::join::{NodeAggregate, PRIOR_SAMPLES, PRIOR_SCV};
 use crate::message::NodeTerms;
 use crate::moments::Moments;
 use crate::rules::Rules;
@@ -82,15 +82,15 @@
 }
 
 /// Terms of all nodes. Few samples are shrunk toward the fleet's moments, an old utilisation toward its mean.
-pub fn solve(now: Micros, joined: &[Joined], rules: &Rules) -> Solved {
-    let truth = |j: &Joined| {
+pub fn solve(now: Micros, aggregated: &[NodeAggregate], rules: &Rules) -> Solved {
+    let truth = |j: &NodeAggregate| {
         let age = j.load.map(|(_, at)| now.saturating_sub(at).max(0) as f64);
         age.map_or(0.0, |a| (-a / rules.memory.max(1) as f64).exp())
     };
-    let rho = |j: &Joined| j.load.map_or(0.0, |(rho, _)| f64::from(rho)).clamp(0.0, RHO_MAX);
+    let rho = |j: &NodeAggregate| j.load.map_or(0.0, |(rho, _)| f64::from(rho)).clamp(0.0, RHO_MAX);
     let (mut service, mut known, mut busy) = (Moments::default(), 0.01, RHO_PRIOR * 0.01);
     let (mut rate, mut scv) = (0.0, 0.0);
-    for j in joined {
+    for j in aggregated {
         service.pool(&j.service);
         known += truth(j);
         busy += truth(j) * rho(j);
@@ -99,7 +99,7 @@
     }
     let fleet_rho = busy / known;
     let (mean, mean_scv) = service.shrunk(PRIOR_SAMPLES, SERVICE_PRIOR, PRIOR_SCV);
-    let queues: Vec<Queue> = joined
+    let queues: Vec<Queue> = aggregated
         .iter()
         .map(|j| {
             let t = truth(j);
@@ -112,7 +112,7 @@
     let arrival_scv = if rate > 0.0 { scv / rate } else { PRIOR_SCV };
     let gathering = Queue { rho: fleet_rho, service: mean, arrival_scv, service_scv: mean_scv };
     let shares = shares(&gathering, &queues);
-    let terms = |((j, q), share): ((&Joined, &Queue), f64)| NodeTerms {
+    let terms = |((j, q), share): ((&NodeAggregate, &Queue), f64)| NodeTerms {
         node: j.node,
         rho: q.rho as f32,
         service: q.service as f32,
@@ -121,5 +121,5 @@
         share: share.clamp(0.0, 1.0) as f32,
     };
     let long = if service.n >= PRIOR_SAMPLES { mean * (1.0 + 3.0 * mean_scv.sqrt()) } else { 0.0 };
-    Solved { nodes: joined.iter().zip(&queues).zip(shares).map(terms).collect(), long: long as Micros }
+    Solved { nodes: aggregated.iter().zip(&queues).zip(shares).map(terms).collect(), long: long as Micros }
 }
--- a/crates/plan/tests/explore.rs
+++ b/crates/plan/tests/explore.rs
@@ -10,12 +10,12 @@
 //! The properties are named in [`Broken`]; each is shown to break by a planted fault.
 
 use plan::forwarder::{Config, Forwarder, Output};
-use plan::merge::{Matter, Merge};
+use plan::merge::{MarkTarget, Merge};
 use plan::message::{Mark, Message, Plan, Verdict, Vouch};
+use plan::observations::Listed;
 use plan::planner::{self, Planner};
 use plan::rules::Planted;
-use plan::sight::Listed;
-use plan::{ForwarderId, Hall, Halls, Micros, Node, Number, Rules, SECOND};
+use plan::{ForwarderId, Micros, Node, PlanNumber, Rules, Zone, ZoneSet, SECOND};
 use rstest::rstest;
 use std::collections::{BTreeSet, HashMap};
 use std::fmt::Write;
@@ -31,44 +31,44 @@
 const WHOLE: usize = 13;
 const FAULTS: usize = 2;
 /// Which part is looked at.
-const LEDGER: usize = 1;
+const ORIGIN: usize = 1;
 /// The window in which changes are counted.
 const WINDOW: usize = 6;
 
 fn rules(planted: Option<Planted>) -> Rules {
     let rules = Rules {
         forwarders: FORWARDERS as u32,
-        sight_every: ROUND,
+        report_every: ROUND,
         plan_every: ROUND,
         terms_every: 1000 * ROUND,
-        fresh: ROUND * 3 / 2,
+        vote_max_age: ROUND * 3 / 2,
         hold: 2 * ROUND,
         fade: 2 * ROUND,
-        stay: ROUND,
-        stay_doublings: 2,
-        forget: 20 * ROUND,
-        enter_within: 0,
-        return_within: 0,
+        min_stay: ROUND,
+        max_stay_doublings: 2,
+        forget_mark_after: 20 * ROUND,
+        enter_spread: 0,
+        return_spread: 0,
         return_over: ROUND,
-        own_life: ROUND * 9 / 10,
-        most_out: 0.34,
+        own_sign_max_age: ROUND * 9 / 10,
+        max_marked_part: 0.34,
         silent_after: ROUND / 2,
-        silent_most: ROUND / 2,
-        evidence: ROUND * 3 / 2,
-        life: ROUND * 9 / 10,
-        vouch: 4 * ROUND,
-        gone: 6 * ROUND,
+        silent_after_max: ROUND / 2,
+        report_max_age: ROUND * 3 / 2,
+        sign_max_age: ROUND * 9 / 10,
+        vouch_for: 4 * ROUND,
+        forget_forwarder_after: 6 * ROUND,
         lease: ROUND * 5 / 2,
         lease_end: 3 * ROUND,
         guard: ROUND * 5 / 2,
         rise: 7 * ROUND,
         rise_over: ROUND,
-        warm: 3 * ROUND,
+        warm_up: 3 * ROUND,
         // What is told counts at once and for one round: states that differ by old figures alone are one.
         memory: 1,
         use_memory: 1,
-        dial_after: 1,
-        dial_most: 1,
+        dial_backoff_min: 1,
+        dial_backoff_max: 1,
         planted,
         ..Rules::default()
     };
@@ -79,8 +79,8 @@
 /// What can happen in a round, by forwarder and planner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    SightLost(usize, usize),
-    SightLate(usize, usize),
+    ReportLost(usize, usize),
+    ReportLate(usize, usize),
     PlanLost(usize, usize),
     /// It comes a round later, before or after the one of that round; or at once and once more.
     PlanLate(usize, usize),
@@ -99,7 +99,7 @@
         match *self {
             Fault::ForwarderRestarts(_) => None,
             Fault::PlannerRestarts(p, _) | Fault::PlannerWrong(p) => Some(p),
-            Fault::SightLost(_, p) | Fault::SightLate(_, p) | Fault::PlanLost(_, p) => Some(p),
+            Fault::ReportLost(_, p) | Fault::ReportLate(_, p) | Fault::PlanLost(_, p) => Some(p),
             Fault::PlanLate(_, p) | Fault::PlanOvertaken(_, p) | Fault::PlanTwice(_, p) => Some(p),
             Fault::Broken(_, p) => Some(p),
         }
@@ -116,7 +116,7 @@
     let mut all = vec![];
     for p in 0..PLANNERS {
         for f in 0..FORWARDERS {
-            all.extend([Fault::SightLost(f, p), Fault::SightLate(f, p), Fault::PlanLost(f, p)]);
+            all.extend([Fault::ReportLost(f, p), Fault::ReportLate(f, p), Fault::PlanLost(f, p)]);
             all.extend([Fault::PlanLate(f, p), Fault::PlanOvertaken(f, p), Fault::PlanTwice(f, p)]);
             all.push(Fault::Broken(f, p));
         }
@@ -150,7 +150,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Broken {
     /// More is out than plans may take out: an unsound plan is in force.
-    Unsound,
+    PlanRejection,
     /// More changes in a window than the bound.
     Flapping,
     /// With the network whole for long, the forwarders do not avoid the same, or not what is silent.
@@ -184,11 +184,11 @@
     /// Connections by number; each new one has another.
     peers: [[u64; PLANNERS]; FORWARDERS],
     connections: u64,
-    late_sights: Vec<(usize, usize, Message)>,
+    late_reports: Vec<(usize, usize, Message)>,
     late_plans: Vec<(usize, usize, Plan, bool)>,
     /// The greatest number that came, and the rounds in which a node's mark changed: what the properties
     /// need.
-    seen: [[Number; PLANNERS]; FORWARDERS],
+    seen: [[PlanNumber; PLANNERS]; FORWARDERS],
     changes: [[Vec<usize>; NODES as usize]; FORWARDERS],
 }
 
@@ -196,7 +196,7 @@
     Node { id, life: 0 }
 }
 
-fn outs(merge: &Merge) -> BTreeSet<Matter> {
+fn outs(merge: &Merge) -> BTreeSet<MarkTarget> {
     merge.out().collect()
 }
 
@@ -216,7 +216,7 @@
             lives: [1; FORWARDERS],
             peers: [[0; PLANNERS]; FORWARDERS],
             connections: 0,
-            late_sights: vec![],
+            late_reports: vec![],
             late_plans: vec![],
             seen: Default::default(),
             changes: Default::default(),
@@ -226,10 +226,10 @@
     }
 
     fn forwarder(&self, f: usize, rules: &Rules) -> Forwarder {
-        let (id, life, hall) = (ForwarderId(f as u64), self.lives[f], Hall(0));
-        let config = Config { id, life, hall, tenants: 0, classes: 1, planners: PLANNERS, seed: f as u64 };
+        let (id, life, zone) = (ForwarderId(f as u64), self.lives[f], Zone(0));
+        let config = Config { id, life, zone, tenants: 0, classes: 1, planners: PLANNERS, seed: f as u64 };
         let mut forwarder = Forwarder::new(self.now, rules.clone(), config).expect("sound rules");
-        let listed: Vec<_> = (0..NODES).map(|n| Listed { node: node(n), hall, ready: true }).collect();
+        let listed: Vec<_> = (0..NODES).map(|n| Listed { node: node(n), zone, ready: true }).collect();
         forwarder.list(self.now, 1, &listed, &mut vec![]);
         forwarder
     }
@@ -250,7 +250,7 @@
         (self.now, self.round) = (self.now + ROUND, self.round + 1);
         self.way.extend(happens.iter().map(|h| (self.round, *h)));
         self.restarts(happens, rules);
-        let mut sights = std::mem::take(&mut self.late_sights);
+        let mut reports = std::mem::take(&mut self.late_reports);
         for f in 0..FORWARDERS {
             self.traffic(f);
             let mut out = vec![];
@@ -259,14 +259,16 @@
             for o in out {
                 let Output::Send(p, message) = o else { continue };
                 match () {
-                    () if happens.contains(&Fault::SightLost(f, p)) => {}
-                    () if happens.contains(&Fault::SightLate(f, p)) => self.late_sights.push((f, p, message)),
-                    () => sights.push((f, p, message)),
+                    () if happens.contains(&Fault::ReportLost(f, p)) => {}
+                    () if happens.contains(&Fault::ReportLate(f, p)) => {
+                        self.late_reports.push((f, p, message))
+                    }
+                    () => reports.push((f, p, message)),
                 }
             }
         }
-        for (f, p, message) in sights {
-            // A sight of an earlier connection comes to nothing.
+        for (f, p, message) in reports {
+            // A report of an earlier connection comes to nothing.
             let _ = self.planners[p].message(self.now, self.peers[f][p], &message, &mut vec![]);
         }
         self.plans(happens, rules)?;
@@ -287,12 +289,12 @@
                     self.forwarders[f] = self.forwarder(f, rules);
                     self.seen[f] = Default::default();
                     self.changes[f] = Default::default();
-                    self.late_sights.retain(|s| s.0 != f);
+                    self.late_reports.retain(|s| s.0 != f);
                 }
                 Fault::Broken(f, p) => {
                     self.planners[p].down(self.peers[f][p]);
                     self.forwarders[f].down(self.now, p);
-                    self.late_sights.retain(|s| (s.0, s.1) != (f, p));
+                    self.late_reports.retain(|s| (s.0, s.1) != (f, p));
                 }
                 _ => {}
             }
@@ -305,15 +307,15 @@
             let deaf = self.story == Story::Deaf && f == 0 && self.round > START;
             let answers = !(self.is_silent(n) || deaf);
             for _ in 0..2 {
-                self.forwarders[f].eyes().sent(at, node(n));
+                self.forwarders[f].observations().sent(at, node(n));
             }
             let verdict = if answers { Verdict::Served } else { Verdict::Timeout };
             for _ in 0..2 {
-                self.forwarders[f].eyes().ended(at + ROUND / 10, node(n), verdict, ROUND / 10);
+                self.forwarders[f].observations().ended(at + ROUND / 10, node(n), verdict, ROUND / 10);
             }
         }
         let busy = usize::from(self.round > START + 1);
-        (0..if f == busy { 8 } else { 1 }).for_each(|_| self.forwarders[f].eyes().wanted());
+        (0..if f == busy { 8 } else { 1 }).for_each(|_| self.forwarders[f].observations().origin_needed());
     }
 
     /// Opens the connections that a forwarder asks for; its hello is there at once.
@@ -364,8 +366,8 @@
     /// What planners say instead of what they judged.
     fn forge(&self, plan: &mut Plan, wrong: bool) {
         let faulty = (START + 1..=START + FAULTY + WINDOW).contains(&self.round);
-        let mark = |n| Mark { node: node(n), halls: Halls::ALL, since: 0, witnesses: 2 };
-        let vouch = |n| Vouch { node: node(n), halls: Halls::ALL };
+        let mark = |n| Mark { node: node(n), zones: ZoneSet::ALL, since: 0, witnesses: 2 };
+        let vouch = |n| Vouch { node: node(n), zones: ZoneSet::ALL };
         if !plan.evidence.warm {
             return;
         }
@@ -404,17 +406,17 @@
     }
 
     /// What would stand at a forwarder now without another plan.
-    fn without(&self, f: usize, rules: &Rules) -> BTreeSet<Matter> {
+    fn without(&self, f: usize, rules: &Rules) -> BTreeSet<MarkTarget> {
         let mut forwarder = self.forwarders[f].clone();
         let mut merge = forwarder.merge().clone();
-        let signs: Vec<_> = (0..NODES).map(|n| forwarder.eyes().sign(node(n))).collect();
+        let signs: Vec<_> = (0..NODES).map(|n| forwarder.observations().sign(node(n))).collect();
         merge.settle(self.now, |n| signs.get(n.id as usize).copied().flatten(), rules);
         outs(&merge)
     }
 
     fn look(&mut self, rules: &Rules) -> Result<(), Broken> {
         for p in 0..PLANNERS {
-            let of = |f: &Forwarder| f.holdings().get(p).map_or(0.0, |h| h.part(LEDGER, self.now, rules));
+            let of = |f: &Forwarder| f.held_parts().get(p).map_or(0.0, |h| h.part(ORIGIN, self.now, rules));
             if self.forwarders.iter().map(of).sum::<f64>() > 1.0 + 1e-9 {
                 return Err(Broken::Sum);
             }
@@ -422,13 +424,13 @@
         for f in 0..FORWARDERS {
             let out = outs(self.forwarders[f].merge());
             if out.len() > 1 {
-                return Err(Broken::Unsound);
+                return Err(Broken::PlanRejection);
             }
             if self.story == Story::Deaf && f == 1 && self.faults == 0 && !out.is_empty() {
                 return Err(Broken::Infected);
             }
             for n in 0..NODES {
-                let is = out.contains(&Matter::Node(node(n)));
+                let is = out.contains(&MarkTarget::Node(node(n)));
                 let changes = &mut self.changes[f][n as usize];
                 // Every other change is its coming.
                 let was = changes.first().is_some_and(|c| *c == 1);
@@ -444,7 +446,7 @@
                 if changes.first() != Some(&first) || changes.is_empty() {
                     changes.insert(0, first);
                 }
-                if changes.len() - 1 > rules.most_changes(WINDOW as Micros * ROUND) {
+                if changes.len() - 1 > rules.max_changes(WINDOW as Micros * ROUND) {
                     return Err(Broken::Flapping);
                 }
             }
@@ -458,7 +460,8 @@
             return Ok(());
         }
         for f in &self.forwarders {
-            let silent = (0..NODES).filter(|n| self.is_silent(*n)).map(|n| Matter::Node(node(n))).collect();
+            let silent =
+                (0..NODES).filter(|n| self.is_silent(*n)).map(|n| MarkTarget::Node(node(n))).collect();
             if outs(f.merge()) != silent {
                 return Err(Broken::Disagreement);
             }
@@ -483,7 +486,7 @@
     fn hash(&self, text: &mut String) -> u128 {
         text.clear();
         let machines = (&self.planners, &self.forwarders, &self.lives, &self.peers);
-        let rest = (&self.late_sights, &self.late_plans, &self.seen, &self.changes);
+        let rest = (&self.late_reports, &self.late_plans, &self.seen, &self.changes);
         write!(text, "{machines:?}{rest:?}").expect("a string takes all");
         let (mut one, mut other) = (DefaultHasher::new(), DefaultHasher::new());
         one.write(text.as_bytes());
@@ -608,7 +611,7 @@
 fn each_property_breaks_by_a_planted_fault() {
     use {Broken::*, Planted::*};
     let cases = [
-        (NoBound, Story::AllWrong, Unsound),
+        (NoBound, Story::AllWrong, PlanRejection),
         (NoStay, Story::Fickle, Flapping),
         (EmptyCounts, Story::Silent, Wiped),
         (OldPlans, Story::Returns, Undone),
--- a/crates/plan/tests/frame.rs
+++ b/crates/plan/tests/frame.rs
@@ -3,11 +3,11 @@
 use plan::frame::{encode, refusal, Reader, Refused, VERSION};
 use plan::message::*;
 use plan::moments::Moments;
-use plan::{bounds, ForwarderId, Hall, Halls, Node, Number};
+use plan::{bounds, ForwarderId, Node, PlanNumber, Zone, ZoneSet};
 use proptest::prelude::*;
 
-fn number() -> impl Strategy<Value = Number> {
-    (0..bounds::EPOCH, any::<u64>()).prop_map(|(epoch, count)| Number { epoch, count })
+fn number() -> impl Strategy<Value = PlanNumber> {
+    (0..bounds::EPOCH, any::<u64>()).prop_map(|(epoch, count)| PlanNumber { epoch, count })
 }
 
 fn node() -> impl Strategy<Value = Node> {
@@ -22,36 +22,36 @@
     })
 }
 
-fn node_sight() -> impl Strategy<Value = NodeSight> {
+fn node_report() -> impl Strategy<Value = NodeReport> {
     let ages = (any::<Option<u32>>(), any::<Option<u32>>(), any::<Option<u32>>());
     let load = prop::option::of((0.0f32..16.0, any::<u32>()));
-    (node(), 0..64u8, any::<(u32, [u32; VERDICTS], u32)>(), moments(), moments(), ages, load).prop_map(
-        |(node, hall, (sends, ends, unanswered), gaps, service, (sent, sign, quiet), load)| {
-            let hall = Hall(hall);
-            NodeSight { node, hall, sends, ends, gaps, service, sent, sign, quiet, unanswered, load }
+    (node(), 0..64u8, any::<(u32, [u32; VERDICT_COUNT], u32)>(), moments(), moments(), ages, load).prop_map(
+        |(node, zone, (sends, ends, unanswered), gaps, service, (sent, sign, quiet), load)| {
+            let zone = Zone(zone);
+            NodeReport { node, zone, sends, ends, gaps, service, sent, sign, quiet, unanswered, load }
         },
     )
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    let sight = (any::<u64>(), number(), prop::collection::vec(node_sight(), 0..20)).prop_map(
+    let report = (any::<u64>(), number(), prop::collection::vec(node_report(), 0..20)).prop_map(
         |(number, holds, nodes)| {
-            Message::Sight(Sight { number, holds, parts: holds, nodes, ..Sight::default() })
+            Message::Report(Report { number, holds, parts: holds, nodes, ..Report::default() })
         },
     );
     let marks = prop::collection::vec((node(), any::<u32>(), any::<u16>()), 0..20);
     let parts = prop::collection::vec(0.0f32..=1.0, 0..20);
     let plan = (number(), marks, parts, any::<bool>()).prop_map(|(number, marks, tenants, warm)| {
-        let mark = |(node, since, witnesses)| Mark { node, halls: Halls::ALL, since, witnesses };
-        let parts = Parts { version: number, cold: 0.5, ledger: 1.0, tenants };
+        let mark = |(node, since, witnesses)| Mark { node, zones: ZoneSet::ALL, since, witnesses };
+        let parts = Parts { version: number, cold: 0.5, origin: 1.0, tenants };
         let evidence = Evidence { warm, ..Evidence::default() };
         let silent = marks.into_iter().map(mark).collect();
         Message::Plan(Plan { number, evidence, silent, parts, ..Plan::default() })
     });
-    let hello = (any::<(u64, u64)>(), 0..64u8, number()).prop_map(|((id, life), hall, holds)| {
-        Message::Hello(Hello { forwarder: ForwarderId(id), life, hall: Hall(hall), holds, tenants: 9 })
+    let hello = (any::<(u64, u64)>(), 0..64u8, number()).prop_map(|((id, life), zone, holds)| {
+        Message::Hello(Hello { forwarder: ForwarderId(id), life, zone: Zone(zone), holds, tenants: 9 })
     });
-    prop_oneof![sight, plan, hello, Just(Message::Bye), Just(Message::Show)]
+    prop_oneof![report, plan, hello, Just(Message::Bye), Just(Message::Show)]
 }
 
 /// All messages that come of these bytes, given in pieces, and the most that the reader held.
@@ -151,10 +151,10 @@
     for part in [f32::NAN, -0.1, 1.1, f32::INFINITY] {
         assert!(encode(&Message::Plan(plan(part))).is_err(), "{part}");
     }
-    let sight = |nodes: usize| Sight { nodes: vec![NodeSight::default(); nodes], ..Sight::default() };
-    let longest = encode(&Message::Sight(sight(bounds::NODES_A_MESSAGE)));
+    let report = |nodes: usize| Report { nodes: vec![NodeReport::default(); nodes], ..Report::default() };
+    let longest = encode(&Message::Report(report(bounds::NODES_PER_MESSAGE)));
     assert!(longest.is_ok_and(|b| b.len() <= bounds::FRAME));
-    assert!(encode(&Message::Sight(sight(bounds::NODES_A_MESSAGE + 1))).is_err());
+    assert!(encode(&Message::Report(report(bounds::NODES_PER_MESSAGE + 1))).is_err());
     // Moments that no samples have: a sum of none, a square sum below the mean's, an infinite one.
     for m in [[0.0, 1.0, 0.0], [2.0, 8.0, 1.0], [1.0, f32::INFINITY, 1.0], [-1.0, 1.0, 1.0]] {
         assert!(Moments::try_from(m).is_err(), "{m:?}");
--- a/crates/plan/tests/merge.rs
+++ b/crates/plan/tests/merge.rs
@@ -1,9 +1,9 @@
 //! The merge: the order of arrival does not matter, and what it never does.
 
-use plan::merge::{Matter, Merge, Unsound};
+use plan::merge::{MarkTarget, Merge, PlanRejection};
 use plan::message::{Cut, Evidence, Mark, NodeTerms, Plan, Terms, Vouch};
-use plan::sight::Listed;
-use plan::{Hall, Halls, Node, Number, Rules, SECOND};
+use plan::observations::Listed;
+use plan::{Node, PlanNumber, Rules, Zone, ZoneSet, SECOND};
 use proptest::prelude::*;
 
 fn node(id: u64) -> Node {
@@ -11,25 +11,25 @@
 }
 
 fn listed(n: u64) -> impl Iterator<Item = Listed> {
-    (0..n).map(|i| Listed { node: node(i), hall: Hall((i % 2) as u8), ready: true })
+    (0..n).map(|i| Listed { node: node(i), zone: Zone((i % 2) as u8), ready: true })
 }
 
 fn merge(nodes: u64, planners: usize, seed: u64) -> Merge {
-    let mut merge = Merge::new(Hall(0), seed, planners);
+    let mut merge = Merge::new(Zone(0), seed, planners);
     merge.list(listed(nodes));
     merge
 }
 
 /// A plan of a warm planner: marks on some nodes, vouches for others.
 fn plan(count: u64, silent: &[u64], lives: &[u64], cut: bool) -> Plan {
-    let mark = |n: &u64| Mark { node: node(*n), halls: Halls::ALL, since: 0, witnesses: 2 };
-    let vouch = |n: &u64| Vouch { node: node(*n), halls: Halls::ALL };
+    let mark = |n: &u64| Mark { node: node(*n), zones: ZoneSet::ALL, since: 0, witnesses: 2 };
+    let vouch = |n: &u64| Vouch { node: node(*n), zones: ZoneSet::ALL };
     Plan {
-        number: Number { epoch: 1, count },
+        number: PlanNumber { epoch: 1, count },
         evidence: Evidence { forwarders: 2, witnesses: 2, warm: true, ..Evidence::default() },
         silent: silent.iter().map(mark).collect(),
         lives: lives.iter().map(vouch).collect(),
-        cuts: cut.then_some(Cut { from: Hall(0), to: Hall(1) }).into_iter().collect(),
+        cuts: cut.then_some(Cut { from: Zone(0), to: Zone(1) }).into_iter().collect(),
         ..Plan::default()
     }
 }
@@ -43,7 +43,7 @@
         service_scv: 1.0,
         share: 0.1,
     };
-    Terms { number: Number { epoch: 1, count }, nodes: (0..4).map(t).collect() }
+    Terms { number: PlanNumber { epoch: 1, count }, nodes: (0..4).map(t).collect() }
 }
 
 type Arrival = (usize, Plan, i64);
@@ -59,7 +59,7 @@
     })
 }
 
-type Force = (Vec<Matter>, Vec<(Node, f64)>);
+type Force = (Vec<MarkTarget>, Vec<(Node, f64)>);
 
 /// What is in force over the next seconds.
 fn after(arrivals: &[Arrival], rules: &Rules) -> Vec<Force> {
@@ -101,7 +101,7 @@
             }
             let now = SECOND + i as i64 * 200_000;
             m.settle(now, |_| None, &rules);
-            let nodes = m.out().filter(|o| matches!(o, Matter::Node(_))).count();
+            let nodes = m.out().filter(|o| matches!(o, MarkTarget::Node(_))).count();
             let ready = if i >= all.len() / 2 { shrinks as usize } else { 9 };
             prop_assert!(nodes <= ready / 3);
             prop_assert!(listed(ready as u64).any(|l| !m.avoids(l.node)), "nothing is left");
@@ -114,21 +114,27 @@
     let rules = Rules::default();
     let mut m = merge(9, 1, 1);
     let too_much = plan(1, &[0, 1, 2, 3], &[], false);
-    let why = Unsound::TooMuch { marks: 4, ready: 9, most: 3 };
+    let why = PlanRejection::TooManyMarks { marks: 4, ready: 9, most: 3 };
     assert_eq!(m.take(0, &too_much, Some(0), &rules), Err((why, true)));
     assert_eq!(
-        m.take(0, &Plan { number: Number { epoch: 1, count: 2 }, ..too_much }, Some(0), &rules),
+        m.take(0, &Plan { number: PlanNumber { epoch: 1, count: 2 }, ..too_much }, Some(0), &rules),
         Err((why, false))
     );
     let mut blind = plan(3, &[0], &[], false);
     blind.silent[0].witnesses = 0;
-    assert_eq!(m.take(0, &blind, Some(0), &rules), Err((Unsound::NoEvidence, true)));
-    let own = Plan { cuts: vec![Cut { from: Hall(0), to: Hall(0) }], ..plan(4, &[], &[], false) };
-    assert_eq!(m.take(0, &own, Some(0), &rules), Err((Unsound::OwnHall, true)));
-    assert_eq!(m.take(0, &plan(5, &[1], &[1], false), Some(0), &rules), Err((Unsound::Contradiction, true)));
-    assert_eq!(m.take(1, &plan(6, &[], &[], false), Some(0), &rules), Err((Unsound::Stranger, true)));
+    assert_eq!(m.take(0, &blind, Some(0), &rules), Err((PlanRejection::NoEvidence, true)));
+    let own = Plan { cuts: vec![Cut { from: Zone(0), to: Zone(0) }], ..plan(4, &[], &[], false) };
+    assert_eq!(m.take(0, &own, Some(0), &rules), Err((PlanRejection::OwnZone, true)));
+    assert_eq!(
+        m.take(0, &plan(5, &[1], &[1], false), Some(0), &rules),
+        Err((PlanRejection::Contradiction, true))
+    );
+    assert_eq!(
+        m.take(1, &plan(6, &[], &[], false), Some(0), &rules),
+        Err((PlanRejection::UnknownPlanner, true))
+    );
     assert_eq!(m.take(0, &plan(7, &[1], &[2], false), Some(0), &rules), Ok(()));
-    let old = Unsound::Old(Number { epoch: 1, count: 7 });
+    let old = PlanRejection::Outdated(PlanNumber { epoch: 1, count: 7 });
     assert_eq!(m.take(0, &plan(6, &[], &[], false), Some(0), &rules), Err((old, false)));
     assert_eq!(m.take(0, &plan(8, &[0, 1, 2, 3], &[], false), Some(0), &rules), Err((why, false)));
     // One that has been sound for long is told of anew.
@@ -146,7 +152,7 @@
     }
     let (queue, trust) = m.queue(node(1), 0, &rules).expect("three told");
     assert!((queue.rho - 0.6).abs() < 1e-6 && (queue.service - 6e4).abs() < 1.0 && trust == 1.0);
-    let (_, half) = m.queue(node(1), rules.terms_fade / 2, &rules).expect("half of the way");
+    let (_, half) = m.queue(node(1), rules.terms_max_age / 2, &rules).expect("half of the way");
     assert!((half - 0.5).abs() < 1e-9);
-    assert_eq!(m.queue(node(1), rules.terms_fade, &rules), None);
+    assert_eq!(m.queue(node(1), rules.terms_max_age, &rules), None);
 }
--- a/crates/plan/tests/sight.rs
+++ b/crates/plan/tests/observations.rs
@@ -3,12 +3,12 @@
 
 use plan::forwarder::{Config, Forwarder, Output};
 use plan::frame::Refused;
-use plan::join::{Join, PRIOR_SAMPLES};
+use plan::join::{FleetView, PRIOR_SAMPLES};
 use plan::message::*;
+use plan::observations::{Listed, Observations};
 use plan::planner::{self, Planner};
-use plan::sight::{Eyes, Listed};
 use plan::solve::{shares, solve, Queue};
-use plan::{bounds, ForwarderId, Hall, Micros, Node, Number, Rules, SECOND};
+use plan::{bounds, ForwarderId, Micros, Node, PlanNumber, Rules, Zone, SECOND};
 
 const MS: Micros = 1000;
 
@@ -16,69 +16,69 @@
     Node { id, life: 0 }
 }
 
-fn eyes(nodes: u64) -> Eyes {
-    let mut eyes = Eyes::new(2, 2);
-    let listed: Vec<_> = (0..nodes).map(|n| Listed { node: node(n), hall: Hall(0), ready: true }).collect();
-    eyes.list(3, &listed);
-    eyes
+fn observations(nodes: u64) -> Observations {
+    let mut observations = Observations::new(2, 2);
+    let listed: Vec<_> = (0..nodes).map(|n| Listed { node: node(n), zone: Zone(0), ready: true }).collect();
+    observations.list(3, &listed);
+    observations
 }
 
 #[test]
 fn a_node_is_quiet_since_the_first_send_without_a_sign_of_life() {
-    let mut eyes = eyes(2);
-    eyes.sent(100 * MS, node(0));
-    eyes.sent(200 * MS, node(0));
-    eyes.ended(250 * MS, node(0), Verdict::Timeout, 150 * MS);
-    let told = |sight: &Sight| {
-        let n = sight.nodes.first().cloned().unwrap_or_default();
+    let mut observations = observations(2);
+    observations.sent(100 * MS, node(0));
+    observations.sent(200 * MS, node(0));
+    observations.ended(250 * MS, node(0), Verdict::Timeout, 150 * MS);
+    let told = |report: &Report| {
+        let n = report.nodes.first().cloned().unwrap_or_default();
         (n.quiet, n.unanswered, n.sign)
     };
-    assert_eq!(told(&eyes.take(300 * MS)), (Some(200_000), 2, None));
-    assert_eq!(told(&eyes.take(400 * MS)), (Some(300_000), 2, None), "silence is told again");
+    assert_eq!(told(&observations.take(300 * MS)), (Some(200_000), 2, None));
+    assert_eq!(told(&observations.take(400 * MS)), (Some(300_000), 2, None), "silence is told again");
     // An error is a sign of life too. What is still out is waited for from then on.
-    eyes.sent(450 * MS, node(0));
-    eyes.ended(500 * MS, node(0), Verdict::Error, 300 * MS);
-    assert_eq!(told(&eyes.take(600 * MS)), (Some(100_000), 1, Some(100_000)));
-    eyes.ended(700 * MS, node(0), Verdict::Served, 250 * MS);
-    assert_eq!(told(&eyes.take(700 * MS)), (None, 0, Some(0)));
-    assert!(eyes.take(800 * MS).nodes.is_empty(), "there is no news of it");
+    observations.sent(450 * MS, node(0));
+    observations.ended(500 * MS, node(0), Verdict::Error, 300 * MS);
+    assert_eq!(told(&observations.take(600 * MS)), (Some(100_000), 1, Some(100_000)));
+    observations.ended(700 * MS, node(0), Verdict::Served, 250 * MS);
+    assert_eq!(told(&observations.take(700 * MS)), (None, 0, Some(0)));
+    assert!(observations.take(800 * MS).nodes.is_empty(), "there is no news of it");
 }
 
 #[test]
 fn deltas_add_up_to_what_was_seen_and_the_quiet_go_first_past_the_bound() {
-    let many = bounds::LIVELY_A_SIGHT as u64 + 100;
-    let mut eyes = eyes(many);
+    let many = bounds::ANSWERING_NODES_PER_REPORT as u64 + 100;
+    let mut observations = observations(many);
     for n in 0..many {
-        eyes.sent(0, node(n));
+        observations.sent(0, node(n));
         if n != many - 1 {
-            eyes.ended(10 * MS, node(n), Verdict::Served, 10 * MS);
+            observations.ended(10 * MS, node(n), Verdict::Served, 10 * MS);
         }
     }
-    eyes.asked(1, 1);
-    let (one, two) = (eyes.take(20 * MS), eyes.take(40 * MS));
-    assert_eq!(one.nodes.len(), 1 + bounds::LIVELY_A_SIGHT);
+    observations.request_received(1, 1);
+    let (one, two) = (observations.take(20 * MS), observations.take(40 * MS));
+    assert_eq!(one.nodes.len(), 1 + bounds::ANSWERING_NODES_PER_REPORT);
     assert_eq!(one.nodes.first().map(|n| n.node), Some(node(many - 1)), "the quiet one is first");
     assert_eq!((one.uses.len(), two.uses.len()), (1, 0));
-    let sends = |s: &Sight| s.nodes.iter().map(|n| n.sends).sum::<u32>();
+    let sends = |s: &Report| s.nodes.iter().map(|n| n.sends).sum::<u32>();
     assert_eq!(sends(&one) + sends(&two), many as u32, "each send is told once");
-    assert!(plan::frame::encode(&Message::Sight(one)).is_ok());
+    assert!(plan::frame::encode(&Message::Report(one)).is_ok());
 }
 
 /// A join that heard of one node: for each forwarder the gaps between its sends.
-fn joined(gaps: &[Vec<Micros>]) -> (Join, Micros, Rules) {
-    let (mut join, rules) = (Join::default(), Rules::default());
+fn aggregated(gaps: &[Vec<Micros>]) -> (FleetView, Micros, Rules) {
+    let (mut join, rules) = (FleetView::default(), Rules::default());
     for (f, gaps) in gaps.iter().enumerate() {
         let id = ForwarderId(f as u64);
-        let hello = Hello { forwarder: id, life: 1, hall: Hall(0), holds: Number::default(), tenants: 0 };
+        let hello = Hello { forwarder: id, life: 1, zone: Zone(0), holds: PlanNumber::default(), tenants: 0 };
         assert!(join.hello(0, &hello));
-        let mut eyes = eyes(1);
+        let mut observations = observations(1);
         let mut now = 0;
         for gap in gaps {
-            eyes.sent(now, node(0));
+            observations.sent(now, node(0));
             now += gap;
         }
-        eyes.sent(now, node(0));
-        assert!(join.sight(0, id, &eyes.take(now), &rules));
+        observations.sent(now, node(0));
+        assert!(join.report(0, id, &observations.take(now), &rules));
     }
     (join, 0, rules)
 }
@@ -88,8 +88,8 @@
     // Even gaps have C^2 = 0; one and three parts in turn have C^2 = 1/4. Shrunk: (n * C^2 + 8)/(n + 8).
     let even = vec![100 * MS; 40];
     let uneven: Vec<Micros> = (0..120).map(|i| if i % 2 == 0 { 50 * MS } else { 150 * MS }).collect();
-    let (join, now, rules) = joined(&[even, uneven]);
-    let j = join.joined(now, &rules)[0];
+    let (join, now, rules) = aggregated(&[even, uneven]);
+    let j = join.aggregated(now, &rules)[0];
     let scv = |n: f64, own: f64| (n * own + PRIOR_SAMPLES) / (n + PRIOR_SAMPLES);
     let want = (41.0 * scv(40.0, 0.0) + 121.0 * scv(120.0, 0.25)) / 162.0;
     assert!((j.arrival_scv - want).abs() < 1e-3, "{} for {want}", j.arrival_scv);
@@ -112,17 +112,17 @@
 
 #[test]
 fn a_fleet_that_told_nothing_is_solved_to_equal_shares() {
-    let (join, now, rules) = joined(&[vec![], vec![]]);
-    let mut all = join.joined(now, &rules);
-    let second = plan::join::Joined { node: node(1), ..all[0] };
+    let (join, now, rules) = aggregated(&[vec![], vec![]]);
+    let mut all = join.aggregated(now, &rules);
+    let second = plan::join::NodeAggregate { node: node(1), ..all[0] };
     all.push(second);
     let solved = solve(now, &all, &rules);
     assert_eq!(solved.nodes.iter().map(|n| n.share).collect::<Vec<_>>(), vec![0.5, 0.5]);
-    assert!(Message::Terms(Terms { number: Number::default(), nodes: solved.nodes }).check().is_ok());
+    assert!(Message::Terms(Terms { number: PlanNumber::default(), nodes: solved.nodes }).check().is_ok());
 }
 
-fn hello(id: u64, holds: Number) -> Message {
-    Message::Hello(Hello { forwarder: ForwarderId(id), life: 1, hall: Hall(0), holds, tenants: 1 })
+fn hello(id: u64, holds: PlanNumber) -> Message {
+    Message::Hello(Hello { forwarder: ForwarderId(id), life: 1, zone: Zone(0), holds, tenants: 1 })
 }
 
 #[test]
@@ -130,20 +130,20 @@
     let mut p = Planner::new(0, Rules::default(), 5).expect("sound rules");
     let mut out = vec![];
     (1..4).for_each(|peer| assert_eq!(p.up(0, peer), Ok(())));
-    let sight = Message::Sight(Sight::default());
-    assert!(matches!(p.message(0, 1, &sight, &mut out), Err(Refused::Unexpected(_))), "no hello yet");
-    assert_eq!(p.message(0, 2, &hello(7, Number::default()), &mut out), Ok(()));
-    let flooded = (0..200).find_map(|_| p.message(0, 2, &sight, &mut out).err());
+    let report = Message::Report(Report::default());
+    assert!(matches!(p.message(0, 1, &report, &mut out), Err(Refused::Unexpected(_))), "no hello yet");
+    assert_eq!(p.message(0, 2, &hello(7, PlanNumber::default()), &mut out), Ok(()));
+    let flooded = (0..200).find_map(|_| p.message(0, 2, &report, &mut out).err());
     assert_eq!(flooded, Some(Refused::Flood));
-    assert_eq!(p.message(0, 3, &hello(7, Number::default()), &mut out), Ok(()));
+    assert_eq!(p.message(0, 3, &hello(7, PlanNumber::default()), &mut out), Ok(()));
     assert!(matches!(out[..], [planner::Output::Close(2, _)]), "{out:?}");
-    assert!(matches!(p.message(0, 2, &sight, &mut out), Err(Refused::Unexpected(_))), "it is over");
+    assert!(matches!(p.message(0, 2, &report, &mut out), Err(Refused::Unexpected(_))), "it is over");
 }
 
 #[test]
 fn the_next_plan_is_numbered_above_what_any_forwarder_holds() {
     let mut p = Planner::new(0, Rules::default(), 5).expect("sound rules");
-    let held = Number { epoch: 9, count: 70 };
+    let held = PlanNumber { epoch: 9, count: 70 };
     assert_eq!(p.up(0, 1), Ok(()));
     assert_eq!(p.message(0, 1, &hello(7, held), &mut vec![]), Ok(()));
     let mut last = held;
@@ -159,7 +159,7 @@
         last = number;
     }
     // Even one past reason is not what stops it: the connection is refused instead.
-    assert!(hello(8, Number { epoch: u64::MAX, count: 1 }).check().is_err());
+    assert!(hello(8, PlanNumber { epoch: u64::MAX, count: 1 }).check().is_err());
 }
 
 #[test]
@@ -168,7 +168,7 @@
         let config = Config {
             id: ForwarderId(seed),
             life: 1,
-            hall: Hall(0),
+            zone: Zone(0),
             tenants: 0,
             classes: 1,
             planners: 1,
--- a/crates/plan/tests/parts.rs
+++ b/crates/plan/tests/parts.rs
@@ -102,7 +102,7 @@
     let mut w = World::new(Rules::default(), PLANNERS, FORWARDERS, 2, 1, 5);
     w.use_of = vec![9, 1, 0];
     w.run(30 * SECOND, |_| {});
-    let parts: Vec<f64> = w.sites.iter().map(|s| s.forwarder.standing(w.now).tenants[0]).collect();
+    let parts: Vec<f64> = w.sites.iter().map(|s| s.forwarder.guidance(w.now).tenants[0]).collect();
     // Half is shared evenly, half by use: 1/6 and 0.45, 0.05, 0.
     for (part, aim) in parts.iter().zip([0.617, 0.217, 0.167]) {
         assert!((part - aim).abs() < 0.02, "{parts:?}");
--- a/crates/plan/tests/two_levels.rs
+++ b/crates/plan/tests/two_levels.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use plan::message::{Mark, Message};
-use plan::sight::Listed;
-use plan::{Hall, Halls, Micros, Rules, SECOND};
+use plan::observations::Listed;
+use plan::{Micros, Rules, Zone, ZoneSet, SECOND};
 use std::collections::BTreeSet;
 use world::{node, World, MS};
 
@@ -13,8 +13,8 @@
 }
 
 /// A world whose planners are warm.
-fn warm(planners: usize, forwarders: usize, nodes: usize, halls: u8, seed: u64) -> World {
-    let mut w = World::new(Rules::default(), planners, forwarders, nodes, halls, seed);
+fn warm(planners: usize, forwarders: usize, nodes: usize, zones: u8, seed: u64) -> World {
+    let mut w = World::new(Rules::default(), planners, forwarders, nodes, zones, seed);
     w.run(8 * SECOND, |_| {});
     w
 }
@@ -71,12 +71,12 @@
 fn halls_cut_from_each_other_avoid_each_other_and_come_back_one_by_one() {
     for seed in 0..6 {
         let mut w = warm(4, 8, 10, 2, seed);
-        let (a, b) = (Hall(0), Hall(1));
-        // With so few requests the nodes of a hall are found silent one after the other.
+        let (a, b) = (Zone(0), Zone(1));
+        // With so few requests the nodes of a zone are found silent one after the other.
         w.send = 500 * MS;
         w.run(3 * SECOND, |_| {});
         w.cut = [(a, b), (b, a)].into();
-        // Planners stand in the halls in turn, and reach their own.
+        // Planners stand in the zones in turn, and reach their own.
         w.apart = (0..8).flat_map(|f| (0..4).map(move |p| (f, p))).filter(|(f, p)| f % 2 != p % 2).collect();
         w.run(5 * SECOND, |_| {});
         for f in 0..8 {
@@ -108,18 +108,18 @@
     assert_eq!(w.avoided(0), set([2]));
     (0..3).for_each(|p| w.kill_planner(p));
     let lost = w.now;
-    let mut before = w.sites[0].forwarder.standing(w.now);
+    let mut before = w.sites[0].forwarder.guidance(w.now);
     w.run(25 * SECOND, |w| {
-        let s = w.sites[0].forwarder.standing(w.now);
-        let part = |s: &plan::Standing| s.takes.iter().find(|t| t.0 == node(2)).map_or(1.0, |t| t.1);
+        let s = w.sites[0].forwarder.guidance(w.now);
+        let part = |s: &plan::Guidance| s.takes.iter().find(|t| t.0 == node(2)).map_or(1.0, |t| t.1);
         assert!(w.now > lost + 4500 * MS || part(&s) == 0.0, "it holds");
-        for (name, was, is) in [("keys", part(&before), part(&s)), ("ledger", before.ledger, s.ledger)] {
+        for (name, was, is) in [("keys", part(&before), part(&s)), ("ledger", before.origin, s.origin)] {
             assert!((was - is).abs() <= 0.02, "{name} went from {was} to {is} within 10 ms");
         }
         before = s;
     });
     assert_eq!(w.avoided(0), set([]), "it has faded into the forwarder's own judgement");
-    assert!((before.ledger - 0.25).abs() < 1e-9, "the even part: {}", before.ledger);
+    assert!((before.origin - 0.25).abs() < 1e-9, "the even part: {}", before.origin);
 }
 
 #[test]
@@ -157,7 +157,7 @@
         }
         longest = longest.max(changes[0]);
     });
-    let most = Rules::default().most_changes(60 * SECOND);
+    let most = Rules::default().max_changes(60 * SECOND);
     assert!(changes.iter().all(|c| (2..=most).contains(c)), "{changes:?}, {most} at most");
 }
 
@@ -166,7 +166,7 @@
     let mut w = warm(1, 4, 10, 2, 6);
     w.forge = |_, message| {
         if let Message::Plan(plan) = message {
-            let mark = |id| Mark { node: node(id), halls: Halls::ALL, since: 0, witnesses: 4 };
+            let mark = |id| Mark { node: node(id), zones: ZoneSet::ALL, since: 0, witnesses: 4 };
             plan.silent = (0..5).map(mark).collect();
         }
     };
@@ -179,7 +179,7 @@
     let mut w = warm(1, 4, 10, 2, 7);
     w.forge = |_, message| {
         if let Message::Plan(plan) = message {
-            plan.silent = vec![Mark { node: node(3), halls: Halls::ALL, since: 0, witnesses: 4 }];
+            plan.silent = vec![Mark { node: node(3), zones: ZoneSet::ALL, since: 0, witnesses: 4 }];
         }
     };
     w.run(10 * SECOND, |w| (0..4).for_each(|f| assert_eq!(w.avoided(f), set([]))));
@@ -195,9 +195,9 @@
     // It drains; and it has started again: the mark was on the old process.
     nodes[2].ready = false;
     w.list(nodes.clone());
-    let takes = |w: &World| w.sites[0].forwarder.standing(w.now).takes;
+    let takes = |w: &World| w.sites[0].forwarder.guidance(w.now).takes;
     assert_eq!(takes(&w), vec![]);
-    nodes[2] = Listed { node: plan::Node { id: 2, life: 8 }, hall: nodes[2].hall, ready: true };
+    nodes[2] = Listed { node: plan::Node { id: 2, life: 8 }, zone: nodes[2].zone, ready: true };
     w.list(nodes);
     w.silent = set([]);
     w.run(3 * SECOND, |w| assert_eq!(takes(w), vec![]));
@@ -206,7 +206,7 @@
 #[test]
 fn twenty_forwarders_that_get_the_same_terms_move_at_moments_of_their_own() {
     let mut w = warm(3, 20, 10, 2, 9);
-    let used = |w: &World, f: usize| w.sites[f].forwarder.standing(w.now).queues;
+    let used = |w: &World, f: usize| w.sites[f].forwarder.guidance(w.now).queues;
     let mut before: Vec<_> = (0..20).map(|f| used(&w, f)).collect();
     let mut most = 0;
     w.run(2 * SECOND, |w| {
--- a/crates/plan/tests/world/mod.rs
+++ b/crates/plan/tests/world/mod.rs
@@ -4,9 +4,9 @@
 
 use plan::forwarder::{self, Forwarder, Output};
 use plan::message::{Message, Verdict};
+use plan::observations::Listed;
 use plan::planner::{self, PeerId, Planner};
-use plan::sight::Listed;
-use plan::{frame, spread, ForwarderId, Hall, Micros, Node, Rules, SECOND};
+use plan::{frame, spread, ForwarderId, Micros, Node, Rules, Zone, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
 
 pub const MS: Micros = 1000;
@@ -17,7 +17,7 @@
 
 pub struct Site {
     pub forwarder: Forwarder,
-    pub hall: Hall,
+    pub zone: Zone,
     pub life: u64,
     pub up: bool,
     /// Refusals that were worth a line.
@@ -38,21 +38,21 @@
     pub planners: Vec<Option<Planner>>,
     pub sites: Vec<Site>,
     pub nodes: Vec<Listed>,
-    /// Nodes that answer nothing; forwarders that reach nothing; pairs of halls without a way; pairs of
+    /// Nodes that answer nothing; forwarders that reach nothing; pairs of zones without a way; pairs of
     /// forwarder and planner without one.
     pub silent: BTreeSet<Node>,
     pub deaf: BTreeSet<usize>,
-    pub cut: BTreeSet<(Hall, Hall)>,
+    pub cut: BTreeSet<(Zone, Zone)>,
     pub apart: BTreeSet<(usize, usize)>,
     /// Half of the longest time between two sends to a node.
     pub send: Micros,
-    /// Requests a step of each forwarder's first tenant, all of which want the ledger.
+    /// Requests a step of each forwarder's first tenant, all of which want the origin.
     pub use_of: Vec<u32>,
     /// How long a message takes besides, by forwarder and planner.
     pub late: BTreeMap<(usize, usize), Micros>,
     /// What a planner's plans become on their way.
     pub forge: fn(usize, &mut Message),
-    /// Bytes of messages, by direction: sights, plans.
+    /// Bytes of messages, by direction: reports, plans.
     pub bytes: [usize; 2],
     mail: BTreeMap<(Micros, u64), Mail>,
     count: u64,
@@ -64,17 +64,17 @@
 }
 
 impl World {
-    /// So many planners, forwarders and nodes, these two spread over so many halls in turn.
+    /// So many planners, forwarders and nodes, these two spread over so many zones in turn.
     pub fn new(
         rules: Rules,
         planners: usize,
         forwarders: usize,
         nodes: usize,
-        halls: u8,
+        zones: u8,
         seed: u64,
     ) -> World {
-        let hall = |i: usize| Hall((i % usize::from(halls)) as u8);
-        let nodes = (0..nodes).map(|i| Listed { node: node(i as u64), hall: hall(i), ready: true }).collect();
+        let zone = |i: usize| Zone((i % usize::from(zones)) as u8);
+        let nodes = (0..nodes).map(|i| Listed { node: node(i as u64), zone: zone(i), ready: true }).collect();
         let rules = Rules { forwarders: forwarders as u32, ..rules };
         let mut world = World {
             now: 1000 * SECOND,
@@ -99,17 +99,17 @@
             world.start_planner(p, world.now as u64);
         }
         for f in 0..forwarders {
-            let site = world.site(f, hall(f), 1);
+            let site = world.site(f, zone(f), 1);
             world.sites.push(site);
         }
         world
     }
 
-    fn site(&self, f: usize, hall: Hall, life: u64) -> Site {
+    fn site(&self, f: usize, zone: Zone, life: u64) -> Site {
         let config = forwarder::Config {
             id: ForwarderId(f as u64),
             life,
-            hall,
+            zone,
             tenants: 2,
             classes: 1,
             planners: self.planners.len(),
@@ -118,7 +118,7 @@
         let mut forwarder = Forwarder::new(self.now, self.rules.clone(), config).expect("sound rules");
         forwarder.list(self.now, 1, &self.nodes, &mut vec![]);
         let (peers, next_send) = (vec![None; self.planners.len()], BTreeMap::new());
-        Site { forwarder, hall, life, up: true, refusals: 0, peers, next_send }
+        Site { forwarder, zone, life, up: true, refusals: 0, peers, next_send }
     }
 
     pub fn start_planner(&mut self, p: usize, epoch: u64) {
@@ -145,7 +145,7 @@
     }
 
     pub fn start_forwarder(&mut self, f: usize) {
-        self.sites[f] = self.site(f, self.sites[f].hall, self.sites[f].life + 1);
+        self.sites[f] = self.site(f, self.sites[f].zone, self.sites[f].life + 1);
     }
 
     pub fn list(&mut self, nodes: Vec<Listed>) {
@@ -192,7 +192,7 @@
             match entry.remove() {
                 Mail::End(f, life, n, verdict, elapsed) => {
                     if self.sites[f].life == life {
-                        self.sites[f].forwarder.eyes().ended(self.now, n, verdict, elapsed);
+                        self.sites[f].forwarder.observations().ended(self.now, n, verdict, elapsed);
                     }
                 }
                 Mail::ToPlanner(p, peer, message) => {
@@ -217,8 +217,8 @@
 
     fn traffic(&mut self, f: usize) {
         for _ in 0..self.use_of[f] {
-            self.sites[f].forwarder.eyes().asked(0, 0);
-            self.sites[f].forwarder.eyes().wanted();
+            self.sites[f].forwarder.observations().request_received(0, 0);
+            self.sites[f].forwarder.observations().origin_needed();
         }
         for i in 0..self.nodes.len() {
             let l = self.nodes[i];
@@ -231,9 +231,9 @@
             self.count += 1;
             let jitter = spread::delay(self.seed, f as u64, self.count, self.send);
             *due = self.now + if avoided { TRIAL } else { self.send / 2 } + jitter;
-            site.forwarder.eyes().sent(self.now, l.node);
-            let (life, hall) = (site.life, site.hall);
-            let way = !self.deaf.contains(&f) && !self.cut.contains(&(hall, l.hall));
+            site.forwarder.observations().sent(self.now, l.node);
+            let (life, zone) = (site.life, site.zone);
+            let way = !self.deaf.contains(&f) && !self.cut.contains(&(zone, l.zone));
             let answers = way && !self.silent.contains(&l.node);
             let (after, verdict) =
                 if answers { (80 * MS + jitter, Verdict::Served) } else { (500 * MS, Verdict::Timeout) };
@@ -261,7 +261,7 @@
                     }
                 }
                 Output::Refused(..) => self.sites[f].refusals += 1,
-                Output::Standing => {}
+                Output::GuidanceChanged => {}
             }
         }
     }
@@ -323,12 +323,12 @@
         self.nodes.iter().map(|l| l.node).filter(|n| merge.avoids(*n)).collect()
     }
 
-    /// The sums of the parts over the forwarders that run: cold nodes, ledger, each tenant.
+    /// The sums of the parts over the forwarders that run: cold nodes, origin, each tenant.
     pub fn sums(&self) -> Vec<f64> {
         let mut sums = vec![0.0; 4];
         for site in self.sites.iter().filter(|s| s.up) {
-            let s = site.forwarder.standing(self.now);
-            let parts = [s.cold, s.ledger].into_iter().chain(s.tenants);
+            let s = site.forwarder.guidance(self.now);
+            let parts = [s.cold, s.origin].into_iter().chain(s.tenants);
             sums.iter_mut().zip(parts).for_each(|(sum, part)| *sum += part);
         }
         sums
--- a/src/commands/plan.rs
+++ b/src/commands/plan.rs
@@ -5,9 +5,9 @@
 use crate::codec::discovery;
 use crate::config;
 use plan::frame::{self, Reader};
-use plan::ids::{Halls, Node};
+use plan::ids::{Node, ZoneSet};
 use plan::message::Shown;
-use plan::{Hall, Message};
+use plan::{Message, Zone};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -83,8 +83,8 @@
 /// Names by id, as far as they are known.
 struct Names(BTreeMap<u64, String>);
 
-fn halls(of: Halls) -> Option<Vec<u8>> {
-    (of != Halls::ALL).then(|| (0..Halls::MOST).filter(|h| of.has(Hall(*h))).collect())
+fn halls(of: ZoneSet) -> Option<Vec<u8>> {
+    (of != ZoneSet::ALL).then(|| (0..ZoneSet::MOST).filter(|h| of.has(Zone(*h))).collect())
 }
 
 fn seconds(us: u32) -> f64 {
@@ -111,11 +111,11 @@
         ));
         line(format!("\n{:<18} {:<10} {:>9} {:>9}", "silent", "for halls", "since s", "witnesses"));
         for m in &plan.silent {
-            let halls = halls(m.halls).map_or("all".into(), |h| format!("{h:?}"));
+            let halls = halls(m.zones).map_or("all".into(), |h| format!("{h:?}"));
             line(format!("{:<18} {halls:<10} {:>9.1} {:>9}", self.of(m.node), seconds(m.since), m.witnesses));
         }
         for v in &plan.lives {
-            let halls = halls(v.halls).map_or("all".into(), |h| format!("{h:?}"));
+            let halls = halls(v.zones).map_or("all".into(), |h| format!("{h:?}"));
             line(format!("{:<18} {halls:<10} lives after all", self.of(v.node)));
         }
         for c in &plan.cuts {
@@ -144,7 +144,7 @@
             let (id, heard) = (format!("{:016x}", f.forwarder.0), seconds(f.heard));
             line(format!(
                 "{id:<18} {:>4} {heard:>9.2} {:>8} {:>7.4} {:>7.4}",
-                f.hall.0, f.holds.count, f.ledger, f.cold
+                f.zone.0, f.holds.count, f.origin, f.cold
             ));
         }
         out
@@ -154,20 +154,20 @@
         let plan = &shown.plan;
         let node =
             |n: Node| json!({ "id": format!("{:016x}", n.id), "name": self.0.get(&n.id), "life": n.life });
-        let number = |n: plan::Number| json!({ "epoch": n.epoch, "count": n.count });
+        let number = |n: plan::PlanNumber| json!({ "epoch": n.epoch, "count": n.count });
         let silent = plan.silent.iter().map(|m| {
-            json!({ "node": node(m.node), "halls": halls(m.halls), "sinceS": seconds(m.since),
+            json!({ "node": node(m.node), "halls": halls(m.zones), "sinceS": seconds(m.since),
                 "witnesses": m.witnesses })
         });
-        let lives = plan.lives.iter().map(|v| json!({ "node": node(v.node), "halls": halls(v.halls) }));
+        let lives = plan.lives.iter().map(|v| json!({ "node": node(v.node), "halls": halls(v.zones) }));
         let cuts = plan.cuts.iter().map(|c| json!({ "from": c.from.0, "to": c.to.0 }));
         let terms = shown.terms.iter().map(|t| {
             json!({ "node": node(t.node), "rho": t.rho, "serviceUs": t.service, "arrivalScv": t.arrival_scv,
                 "serviceScv": t.service_scv, "share": t.share })
         });
         let forwarders = shown.forwarders.iter().map(|f| {
-            json!({ "id": format!("{:016x}", f.forwarder.0), "hall": f.hall.0, "heardS": seconds(f.heard),
-                "holds": number(f.holds), "ledger": f.ledger, "cold": f.cold })
+            json!({ "id": format!("{:016x}", f.forwarder.0), "hall": f.zone.0, "heardS": seconds(f.heard),
+                "holds": number(f.holds), "ledger": f.origin, "cold": f.cold })
         });
         json!({
             "number": number(plan.number),
--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -12,9 +12,9 @@
 };
 use limits::ledger;
 use plan::forwarder::{Config, Output};
-use plan::merge::Matter;
-use plan::sight::Listed;
-use plan::{Forwarder, ForwarderId, Hall, Halls, Message, Node, Rules};
+use plan::merge::MarkTarget;
+use plan::observations::Listed;
+use plan::{Forwarder, ForwarderId, Message, Node, Rules, Zone, ZoneSet};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -60,14 +60,14 @@
     out: Vec<Output>,
     /// What the module was told last, and what is in force of it, for the log.
     said: interface::Plan,
-    in_force: BTreeSet<Matter>,
+    in_force: BTreeSet<MarkTarget>,
     /// Slots whose trouble has been told.
     troubled: BTreeSet<usize>,
 }
 
 /// A zone beyond the halls that plans tell apart is the last of them.
-fn hall(zone: interface::ZoneId) -> Hall {
-    Hall(zone.0.min(u16::from(Halls::MOST - 1)) as u8)
+fn hall(zone: interface::ZoneId) -> Zone {
+    Zone(zone.0.min(u16::from(ZoneSet::MOST - 1)) as u8)
 }
 
 fn verdict(verdict: Verdict) -> plan::message::Verdict {
@@ -96,11 +96,11 @@
         seed: u64,
     ) -> Result<Self, &'static str> {
         let rules = rules(settings.forwarders, site);
-        let even = rules.even();
+        let even = rules.even_part();
         let config = Config {
             id: ForwarderId(discovery::number(name.as_bytes())),
             life: now.unsigned_abs(),
-            hall: hall(site.zone),
+            zone: hall(site.zone),
             tenants: site.quotas.len(),
             classes: site.classes.len(),
             planners: settings.planners.len(),
@@ -139,35 +139,35 @@
         match seen {
             Seen::Listed { revision, form, nodes } => self.list(now, revision, form, nodes),
             Seen::Asked { class, tenant, write } => {
-                self.machine.eyes().asked(tenant.0 as usize, usize::from(class.0));
+                self.machine.observations().request_received(tenant.0 as usize, usize::from(class.0));
                 if write && self.origin_kind.is_some() {
-                    self.machine.eyes().wanted();
+                    self.machine.observations().origin_needed();
                 }
             }
-            Seen::Sent(server) if self.origins.contains(&server) => self.machine.eyes().fetched(),
+            Seen::Sent(server) if self.origins.contains(&server) => self.machine.observations().fetched(),
             Seen::Sent(server) => {
                 if let Some(node) = self.nodes.get(&server) {
-                    self.machine.eyes().sent(now, *node);
+                    self.machine.observations().sent(now, *node);
                 }
             }
             Seen::Ended { server, verdict, elapsed, .. } if self.origins.contains(&server) => {
                 let answered = matches!(verdict, Verdict::Served | Verdict::Miss).then_some(elapsed);
-                self.machine.eyes().fetch_ended(answered);
+                self.machine.observations().fetch_ended(answered);
             }
             Seen::Ended { server, verdict: end, elapsed, load } => {
                 let Some(node) = self.nodes.get(&server).copied() else { return };
-                let eyes = self.machine.eyes();
+                let eyes = self.machine.observations();
                 eyes.ended(now, node, verdict(end), elapsed);
                 if load.is_some() {
                     eyes.load(now, node, load);
                 }
                 if end == Verdict::Miss && self.origin_kind.is_some() {
-                    eyes.wanted();
+                    eyes.origin_needed();
                 }
             }
             Seen::Heard(server) => {
                 if let Some(node) = self.nodes.get(&server) {
-                    self.machine.eyes().load(now, *node, None);
+                    self.machine.observations().load(now, *node, None);
                 }
             }
         }
@@ -178,8 +178,8 @@
         let (tenant, class) = (record.tenant.0 as usize, usize::from(record.class.0));
         let aim = self.aims.get(class).copied().unwrap_or(Micros::MAX);
         match record.ended {
-            Ended::Served if record.time <= aim => self.machine.eyes().served(tenant, class),
-            Ended::Refused => self.machine.eyes().refused(tenant, class),
+            Ended::Served if record.time <= aim => self.machine.observations().served(tenant, class),
+            Ended::Refused => self.machine.observations().refused(tenant, class),
             _ => {}
         }
     }
@@ -201,7 +201,7 @@
             }
             let node = Node { id: id.0, life: m.started.map_or(0, |t| t.unsigned_abs()) };
             self.nodes.insert(*id, node);
-            listed.push(Listed { node, hall: hall(m.zone), ready: m.phase == Phase::Ready });
+            listed.push(Listed { node, zone: hall(m.zone), ready: m.phase == Phase::Ready });
         }
         self.machine.list(now, revision, &listed, &mut self.out);
     }
@@ -232,7 +232,7 @@
     }
 
     /// What planners have this proxy avoid.
-    pub fn in_force(&self) -> impl Iterator<Item = Matter> + '_ {
+    pub fn in_force(&self) -> impl Iterator<Item = MarkTarget> + '_ {
         self.machine.in_force()
     }
 
@@ -246,14 +246,14 @@
         if self.machine.next(now) <= now {
             self.machine.tick(now, &mut self.out);
             // What stands fades, whether anything came or went.
-            self.out.push(Output::Standing);
+            self.out.push(Output::GuidanceChanged);
         }
         let mut stands = false;
         for output in std::mem::take(&mut self.out) {
             match output {
                 Output::Dial(slot) => wishes.push(Wish::Dial(slot)),
                 Output::Send(slot, message) => wishes.push(Wish::Send(slot, message)),
-                Output::Standing => stands = true,
+                Output::GuidanceChanged => stands = true,
                 Output::Refused(slot, why) => {
                     let planner = self.address(slot).map(tracing::field::display);
                     let why = why.to_string();
@@ -284,7 +284,7 @@
 
     /// What stands, in the module's words.
     fn plan(&self, now: Micros) -> interface::Plan {
-        let standing = self.machine.standing(now);
+        let standing = self.machine.guidance(now);
         let solved = |(n, q, trust): &(Node, plan::solve::Queue, f64)| Solved {
             server: ServerId(n.id),
             rho: q.rho,
@@ -296,25 +296,25 @@
         interface::Plan {
             takes: standing.takes.iter().map(|(n, part)| (ServerId(n.id), *part)).collect(),
             solved: standing.queues.iter().filter(|q| q.2 > 0.0).map(solved).collect(),
-            trust: standing.given,
+            trust: standing.parts_trust,
             quotas: standing.tenants,
             // Each proxy's own budget is its part of the traffic already; a part below the even one lowers it.
             cold: (standing.cold / self.even).clamp(0.0, 1.0),
             // What one proxy alone may have out, for all of them together.
-            fetches: standing.ledger * ledger::MOST,
+            fetches: standing.origin * ledger::MOST,
         }
     }
 
     /// What came into force or left it, a line each: bounded by the rules' most changes.
     fn tell_force(&mut self) {
-        let now: BTreeSet<Matter> = self.machine.in_force().collect();
+        let now: BTreeSet<MarkTarget> = self.machine.in_force().collect();
         for matter in now.symmetric_difference(&self.in_force) {
             let what = match matter {
-                Matter::Node(n) => {
+                MarkTarget::Node(n) => {
                     let name = self.members.get(&ServerId(n.id)).map(|(_, name)| name.as_ref());
                     format!("node {}", name.unwrap_or("that is gone"))
                 }
-                Matter::Hall(h) => format!("hall {}", h.0),
+                MarkTarget::Zone(h) => format!("hall {}", h.0),
             };
             match now.contains(matter) {
                 true => warn!(event = "plan_avoids", what, "{what} is avoided, as planners say"),
--- a/src/features/planner.rs
+++ b/src/features/planner.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use plan::frame::{self, Refused};
-use plan::ids::Halls;
+use plan::ids::ZoneSet;
 use plan::planner::{Output, PeerId};
 use plan::{Message, Node, Planner, Rules};
 use std::collections::{BTreeMap, BTreeSet};
@@ -269,11 +269,11 @@
 
     /// Lines about nodes that are marked or no longer, and the figures.
     fn tell(&mut self, now: Micros) {
-        let marks: BTreeMap<Node, (u16, Halls)> =
-            self.planner.judged().silent.iter().map(|m| (m.node, (m.witnesses, m.halls))).collect();
+        let marks: BTreeMap<Node, (u16, ZoneSet)> =
+            self.planner.findings().silent.iter().map(|m| (m.node, (m.witnesses, m.zones))).collect();
         for node in marks.keys().filter(|n| !self.silent.contains(n)).copied().collect::<Vec<_>>() {
             let (witnesses, halls) = marks.get(&node).copied().unwrap_or_default();
-            let for_all = if halls == Halls::ALL { "all" } else { "some halls" };
+            let for_all = if halls == ZoneSet::ALL { "all" } else { "some halls" };
             let id = node.id;
             self.line(|| {
                 warn!(
--- a/src/net/framed.rs
+++ b/src/net/framed.rs
@@ -32,7 +32,7 @@
 /// A peer that says nothing for so long is gone: planners and forwarders speak four times a second.
 const SILENCE: Duration = Duration::from_secs(5);
 /// Messages that may come at once.
-const BURST: f64 = 2.0 * bounds::MESSAGES_A_SECOND;
+const BURST: f64 = 2.0 * bounds::MESSAGES_PER_SECOND;
 
 /// A message that goes over a connection in frames.
 pub trait Framed: Debug + Sized + 'static {
@@ -166,7 +166,7 @@
     /// As [`Allowance::take`], of which a message takes but a part: of 0.1 ten times as many may come.
     fn take_part(&mut self, now: Instant, part: f64) -> bool {
         let since = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.left = (self.left + since * bounds::MESSAGES_A_SECOND).min(BURST) - part;
+        self.left = (self.left + since * bounds::MESSAGES_PER_SECOND).min(BURST) - part;
         self.filled = now;
         self.left >= 0.0
     }
--- a/src/net/framed/changes.rs
+++ b/src/net/framed/changes.rs
@@ -36,6 +36,6 @@
     }
 
     fn admits(allowance: &mut Allowance, now: Instant) -> bool {
-        allowance.take_part(now, plan::bounds::MESSAGES_A_SECOND / MESSAGES_A_SECOND)
+        allowance.take_part(now, plan::bounds::MESSAGES_PER_SECOND / MESSAGES_A_SECOND)
     }
 }
--- a/tests/planners.rs
+++ b/tests/planners.rs
@@ -6,7 +6,7 @@
 use lab::loopback::children::{guard::in_a_test, Program};
 use lab::loopback::Clock;
 use plan::frame::{self, Reader, Refused};
-use plan::message::{Hello, Message, Sight};
+use plan::message::{Hello, Message, Report};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::ffi::OsStr;
@@ -271,14 +271,14 @@
     let hello = Hello {
         forwarder: plan::ForwarderId(1),
         life: 1,
-        hall: plan::Hall(0),
-        holds: plan::Number::default(),
+        zone: plan::Zone(0),
+        holds: plan::PlanNumber::default(),
         tenants: 0,
     };
     let mut bytes = frame::encode(&Message::Hello(hello)).expect("a frame");
     for number in 1..200 {
-        let sight = Message::Sight(Sight { number, ..Sight::default() });
-        bytes.extend(frame::encode(&sight).expect("a frame"));
+        let report = Message::Report(Report { number, ..Report::default() });
+        bytes.extend(frame::encode(&report).expect("a frame"));
     }
     flood.write_all(&bytes).expect("it is written");
     assert_eq!(last_words(flood), Refused::ByPeer("more messages than a peer may send".into()));
