--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -7,11 +7,11 @@
 //! same words and by the same model of links as `lab fleet` has for real processes.
 
 use super::{Start, Subject, Subjects};
-use martenweir::core::survey::Size;
+use martenweir::core::status::Size;
 use martenweir::core::{Core, Effect, Input};
 use martenweir::features::forwarder::{rules, Forwarding, Settings, Wish};
 use martenweir::interface::{Micros, Plan};
-use plan::merge::Matter;
+use plan::merge::MarkTarget;
 use plan::planner::Output;
 use plan::{frame, Message, Planner};
 use std::collections::{BTreeMap, BTreeSet};
@@ -349,7 +349,7 @@
     links: BTreeMap<usize, Link>,
     wishes: Vec<Wish>,
     kept: Kept,
-    in_force: BTreeSet<Matter>,
+    in_force: BTreeSet<MarkTarget>,
 }
 
 impl Subjects for Fleet {
@@ -363,7 +363,7 @@
         let made = Forwarding::new(s.now.max(1), settings, &name, &s.settings, known, s.seed);
         let mut core = Core::new(s.now, s.settings, s.seed, s.most_connections, s.known);
         let Ok(forwarding) = made else { return Box::new(core) };
-        (core.watched, core.observed) = (true, true);
+        (core.wants_node_events, core.wants_records) = (true, true);
         Box::new(Planned {
             core,
             forwarding,
@@ -433,7 +433,7 @@
                 }
             }
         }
-        let in_force: BTreeSet<Matter> = self.forwarding.in_force().collect();
+        let in_force: BTreeSet<MarkTarget> = self.forwarding.in_force().collect();
         hub.figures.changes += in_force.symmetric_difference(&self.in_force).count() as u64;
         let times = hub.figures.avoided.entry(self.proxy).or_default();
         times.resize(times.len().max(in_force.len()), now);
@@ -457,11 +457,11 @@
         self.core.swap_effects(into);
         let (forwarding, now) = (&mut self.forwarding, self.now);
         into.retain(|effect| match effect {
-            Effect::Seen(seen) => {
+            Effect::NodeEvent(seen) => {
                 forwarding.seen(now, seen.clone());
                 false
             }
-            Effect::Ended(record) => {
+            Effect::StreamEnded(record) => {
                 forwarding.record(record);
                 false
             }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -12,7 +12,7 @@
 pub use crate::state::shares;
 use crate::state::*;
 use limits::capacity::ObservedCapacity;
-use limits::{backoff, cold, Bucket, Budget, Extra, Ledger, Limit, Popular, Sample};
+use limits::{backoff, cold, Bucket, Budget, Extra, Limit, OriginLimit, PopularityCounter, Sample};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Candidate servers over which a key is spread (d). With 2 the shares of Eq. 7 differ the most.
@@ -135,10 +135,10 @@
     /// still out.
     pub(crate) key_queues: BTreeMap<Key, KeyQueue>,
     pub(crate) lingering: BTreeMap<RequestId, OpenRequest>,
-    pub(crate) origin: Ledger,
+    pub(crate) origin: OriginLimit,
     /// Recent response times of origins, and how often each key is requested.
     origin_time: Moments,
-    popularity: Popular,
+    popularity: PopularityCounter,
     discovery_failures: u32,
     /// The latest information from planners about this router's shares.
     plan: Plan,
@@ -156,7 +156,7 @@
             min_target_latency,
             retries: Budget::new(RETRY_RATIO, RETRY_BURST),
             spills: Budget::new(SPILL_RATIO, cold::burst(settings.routers)),
-            origin: Ledger::of_fleet(settings.routers),
+            origin: OriginLimit::for_fleet(settings.routers),
             slow_start: SlowStart::new(&settings),
             settings,
             ..Balancer::default()
@@ -263,13 +263,13 @@
         if request.repeat {
             // A client's own retry adds to the load as a router's retry does, so it uses the same
             // budget.
-            self.retries.take(Extra::Return);
+            self.retries.take(Extra::ClientRetry);
         }
         self.trial_budget = (self.trial_budget + TRIAL_RATIO).min(RETRY_BURST);
         self.probe_budget =
             (self.probe_budget + PROBE_COST_RATIO / self.settings.probe_price).min(RETRY_BURST);
         if !request.write {
-            self.popularity.ask(mix(request.key.0));
+            self.popularity.record(mix(request.key.0));
         }
         if !(request.write && self.settings.origin_kind.is_some()) {
             self.slow_start.request();
@@ -339,7 +339,7 @@
 
     /// Weight factor of servers in other zones: rises as the origin has less room for a second copy.
     fn remote_weight(&self) -> f64 {
-        REMOTE_WEIGHT.powf(self.origin.room())
+        REMOTE_WEIGHT.powf(self.origin.headroom())
     }
 
     fn zone_factor(&self, s: &Server, far: f64) -> f64 {
@@ -410,7 +410,7 @@
             let in_reach = self
                 .zones
                 .get(&s.member.zone)
-                .is_none_or(|z| z.reachability.takes(now, self.silence_limit()));
+                .is_none_or(|z| z.reachability.allows(now, self.silence_limit()));
             in_reach && !self.is_hung(now, s) && (on_trial || (s.evictions == 0 && !avoided))
         };
         let far = self.remote_weight();
@@ -440,7 +440,7 @@
         let key = if o.request.key == Key(0) { id.0 } else { o.request.key.0 };
         let home = self.home_server(o, mix(key));
         let usable = |s: &Server| {
-            let takes = s.limiter.takes(now, s.limiter.out());
+            let takes = s.limiter.allows(now, s.limiter.out());
             takes
                 && self.permitted(now, o, s, home)
                 && !o.attempts.iter().any(|a| a.server == s.member.server)
@@ -457,7 +457,7 @@
         }
         // A copy on another server costs one more fetch: if the origin has no room for it, the key
         // stays with its first candidate.
-        let room = self.origin.room() * (1.0 - self.origin.failing());
+        let room = self.origin.headroom() * (1.0 - self.origin.failure_ratio());
         let index = index * room.powi(2).max(MIN_ROOM);
         // The size cut-off falls from the mean hint as congestion grows past the threshold.
         let small = o.request.hint.is_some_and(|h| h < self.hint_moments.mean() * SPREAD_THRESHOLD / index);
@@ -525,7 +525,7 @@
         let again = self.settings.may_copy && o.ordered_key().is_none() && more;
         let origin = long_time(self.origin_time.shrunk(PRIOR_SAMPLES, half as f64 / 4.0, PRIOR_SCV));
         let usual = if s.origin { origin } else { self.long_latency };
-        let quick = usual <= half && !self.overloaded() && (!s.origin || self.origin.room() >= 1.0);
+        let quick = usual <= half && !self.overloaded() && (!s.origin || self.origin.headroom() >= 1.0);
         (again && quick && self.attempts_left(o) > 0 && self.retries.left() >= 1.0).then_some(half)
     }
 
@@ -585,13 +585,13 @@
         match end.verdict {
             Verdict::Timeout | Verdict::Moot => {
                 let more = left > 2 * self.settings.period && self.settings.may_copy && !overloaded;
-                more && self.retries.take(Extra::Repeat)
+                more && self.retries.take(Extra::Retry)
             }
             // Requests over quota are served where there is room and not retried where there is
             // none.
             Verdict::Full if o.over_quota => false,
             _ if end.connection_failed() && !overloaded => true,
-            _ => self.retries.take(Extra::Repeat),
+            _ => self.retries.take(Extra::Retry),
         }
     }
 
@@ -622,7 +622,7 @@
         let ending = s.ending(end, sent, late);
         // An unreachable zone says nothing about the rest of the fleet, nor about its own servers.
         let zone = self.zones.entry(s.member.zone).or_default();
-        zone.reachability.heard(!s.origin && end.process_responded());
+        zone.reachability.ended(!s.origin && end.process_responded());
         let lost = !s.origin && zone.reachability.is_lost(now, silent);
         // A server that refused connections and answers now has too few of them; one that stays
         // silent is gone.
--- a/src/choice/estimates.rs
+++ b/src/choice/estimates.rs
@@ -47,8 +47,8 @@
         self.hint_moments.decay(keep);
         self.key_queues.retain(|_, t| !t.queue.is_empty() || t.paused_until > now);
         self.origin_time.decay(keep);
-        self.popularity.fade(keep.powf(MEMORY / POPULARITY_MEMORY));
-        self.origin.learn(now, self.origin_attempts());
+        self.popularity.decay(keep.powf(MEMORY / POPULARITY_MEMORY));
+        self.origin.observe_in_flight(now, self.origin_attempts());
         self.slow_start.refresh(REFRESH_INTERVAL);
         for s in self.servers.values_mut() {
             s.inter_arrivals.decay(keep);
--- a/src/choice/origin_fetches.rs
+++ b/src/choice/origin_fetches.rs
@@ -47,12 +47,12 @@
     /// nothing is queued for it. Otherwise gives the final answer.
     pub(super) fn spill(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let (origin, idle) = (self.settings.origin_kind.is_some(), self.origin_queue.is_empty());
-        let spare = origin && idle && self.origin.spares(now, self.origin_attempts());
+        let spare = origin && idle && self.origin.has_spare_capacity(now, self.origin_attempts());
         let asked = |a: &Attempt| self.servers.get(&a.server).is_some_and(|s| s.origin);
         let no = |o: &OpenRequest| {
             o.request.write || o.over_quota || self.attempts_left(o) == 0 || o.attempts.iter().any(asked)
         };
-        match spare && self.open.get(&id).is_some_and(|o| !no(o)) && self.spills.take(Extra::Repeat) {
+        match spare && self.open.get(&id).is_some_and(|o| !no(o)) && self.spills.take(Extra::Retry) {
             true => self.fetch(now, id, out),
             false => self.finish(now, id, out),
         }
@@ -92,7 +92,7 @@
     /// Gives up queued requests with less than half of the origin's usual response time left: their
     /// fetch would be in vain.
     pub(super) fn drop_late_waiters(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let least = now + self.origin.pace().map_or(0, |pace| (pace / 2.0) as Micros);
+        let least = now + self.origin.mean_latency().map_or(0, |pace| (pace / 2.0) as Micros);
         let late =
             |id: &RequestId| self.open.get(id).is_none_or(|o| !o.queued || o.request.deadline <= least);
         let (late, queue) = std::mem::take(&mut self.origin_queue).into_iter().partition(late);
@@ -105,7 +105,7 @@
     /// class; the value of a read is the number of requests waiting for its key plus a fraction of
     /// those expected. Requests over quota are scaled by `over_quota_value`.
     pub(super) fn drain_origin(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let takes = |m: &Self, out| m.origin.takes(now, out) && m.plan.allows_fetch(out);
+        let takes = |m: &Self, out| m.origin.allows(now, out) && m.plan.allows_fetch(out);
         while !self.origin_queue.is_empty() && takes(self, self.origin_attempts()) {
             self.origin_queue
                 .retain(|id| self.open.get(id).is_some_and(|o| o.queued && o.request.deadline > now));
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -4,16 +4,16 @@
 //! This type owns the slots and keeps the index consistent with them. It does not decide a server's
 //! weight or whether it may be used.
 
+use crate::id_map::IdMap;
 use crate::interface::*;
-use crate::numbers::Numbers;
 use crate::state::{mix, Server};
-use placement::{Best, Index, Place, FAR, NEAR};
+use placement::{Index, Place, Ranked, FAR, NEAR};
 
 #[derive(Default)]
 pub struct Servers {
     slots: Vec<Option<Server>>,
     free: Vec<u32>,
-    found: Numbers<ServerId, u32>,
+    found: IdMap<ServerId, u32>,
     /// Sorted by id.
     order: Vec<(ServerId, u32)>,
     origins: Vec<u32>,
@@ -59,13 +59,13 @@
             index.set(*slot, None);
             false
         });
-        index.settle();
+        index.update_floors();
     }
 
     /// The number of slots (used or free), placed servers, keys with cached candidates, and retained
     /// placement changes.
     pub fn sizes(&self) -> [usize; 4] {
-        let (keys, changes) = self.index.kept();
+        let (keys, changes) = self.index.cache_sizes();
         [self.slots.len(), self.index.len(), keys, changes]
     }
 
@@ -85,10 +85,10 @@
             }
             let side = if s.member.zone == zone { NEAR } else { FAR };
             let placed = !s.origin && s.member.phase == Phase::Ready;
-            let place = Place { side, weight: s.listed_weight, mixed: mix(id.0) };
+            let place = Place { side, weight: s.listed_weight, id_hash: mix(id.0) };
             self.index.set(*slot, placed.then_some(place));
         }
-        self.index.settle();
+        self.index.update_floors();
     }
 
     /// All servers, in no particular order. Callers must not change what determines a server's
@@ -132,7 +132,7 @@
             let s = self.slots[slot as usize].as_ref()?;
             Some((distance / weight(s)?, s.member.server.0))
         };
-        let mut best: Vec<Best> = Vec::with_capacity(want + 1);
+        let mut best: Vec<Ranked> = Vec::with_capacity(want + 1);
         self.index.best(key, want, scales, score, &mut best);
         best.iter().filter_map(|b| self.slots[b.slot as usize].as_ref()).collect()
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,7 +3,7 @@
 use crate::interface::*;
 use crate::slow_start::Allowance;
 use limits::capacity::ObservedCapacity;
-use limits::{Bucket, Domain, Ending, Node};
+use limits::{Bucket, Ending, FailureDomain, NodeLimit};
 pub use placement::{mix, unit};
 use std::collections::VecDeque;
 
@@ -138,7 +138,7 @@
     /// When it was last sent a probe.
     pub probed: Micros,
     /// The attempts out there, the limit on them, and how long the server has not answered.
-    pub limiter: Node,
+    pub limiter: NodeLimit,
     pub inter_arrivals: Moments,
     pub last_send: Option<Micros>,
     pub latency: Moments,
@@ -171,7 +171,7 @@
             Verdict::Served | Verdict::Miss => Ending::Slow,
             Verdict::Full if end.no_place => Ending::Broken,
             Verdict::Full | Verdict::Error => Ending::Refused,
-            Verdict::Timeout if !self.answered_later_send(sent, end.verdict) => Ending::Silent,
+            Verdict::Timeout if !self.answered_later_send(sent, end.verdict) => Ending::Abandoned,
             _ => Ending::Broken,
         }
     }
@@ -186,7 +186,7 @@
 /// The caches of a zone: whether they are reachable, and the recent work of the warm ones.
 #[derive(Default)]
 pub struct Zone {
-    pub reachability: Domain,
+    pub reachability: FailureDomain,
     /// Requests served by warm caches since the last refresh, without misses.
     pub served: f64,
     pub capacity: ObservedCapacity,
