--- a/src/features/snmp/sight.rs
+++ b/src/features/snmp/sight.rs
@@ -67,13 +67,21 @@
     let Some(origin) = survey.origin else { return Ledger::default() };
     let state = if !origin.available || origin.window < CLOSED {
         LedgerState::Closed
-    } else if origin.strain >= STRAINED {
+    } else if origin.latency_ratio >= STRAINED {
         LedgerState::Strained
     } else {
         LedgerState::Open
     };
     let (out, window, waiting) = (origin.out, origin.window, origin.waiting);
-    Ledger { state, out, window, waiting, pace: origin.pace, strain: origin.strain, slow: origin.failing }
+    Ledger {
+        state,
+        out,
+        window,
+        waiting,
+        pace: origin.mean_latency,
+        strain: origin.latency_ratio,
+        slow: origin.failure_ratio,
+    }
 }
 
 impl Sight {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -459,10 +459,10 @@
     pub window: f64,
     pub waiting: u32,
     /// Recent mean response time, and its ratio to the best one seen.
-    pub pace: Option<Micros>,
-    pub strain: f64,
+    pub mean_latency: Option<Micros>,
+    pub latency_ratio: f64,
     /// Fraction of recent attempts that were refused or took too long.
-    pub failing: f64,
+    pub failure_ratio: f64,
 }
 
 /// The status of a server in slow start, for monitoring.
--- a/src/view.rs
+++ b/src/view.rs
@@ -62,9 +62,17 @@
     pub fn origin_status(&self, now: Micros) -> Option<OriginStatus> {
         let well = |s: &Server| s.weight > 0.0 && s.evictions == 0 && !self.is_hung(now, s);
         let reach = self.servers.values().filter(|s| s.origin).map(well).max()?;
-        let (o, pace) = (&self.origin, self.origin.mean_latency().map(|pace| pace as Micros));
-        let (window, strain, failing) = (o.limit(now), o.latency_ratio(), o.failure_ratio());
+        let (o, mean_latency) = (&self.origin, self.origin.mean_latency().map(|mean| mean as Micros));
+        let (window, latency_ratio, failure_ratio) = (o.limit(now), o.latency_ratio(), o.failure_ratio());
         let (out, waiting) = (self.origin_attempts(), self.origin_queue.len() as u32);
-        Some(OriginStatus { available: reach, out, window, waiting, pace, strain, failing })
+        Some(OriginStatus {
+            available: reach,
+            out,
+            window,
+            waiting,
+            mean_latency,
+            latency_ratio,
+            failure_ratio,
+        })
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -205,7 +205,7 @@
         }
     }
     let origin = m.balancer.origin_status(m.now).expect("an origin");
-    assert!(origin.failing < 0.01 && origin.window >= 4.0, "{origin:?}");
+    assert!(origin.failure_ratio < 0.01 && origin.window >= 4.0, "{origin:?}");
     assert_eq!(served, asked);
 }
 
