--- a/crates/lab/src/loopback/cost/protocol.rs
+++ b/crates/lab/src/loopback/cost/protocol.rs
@@ -6,7 +6,7 @@
 use martenweir::codec::Malformed;
 use memcached::{frame, Limits, Opcode, Request, Response, Status, Step};
 
-const LIMITS: Limits = Limits { key: frame::KEY, value: resp::MAX_VALUE };
+const LIMITS: Limits = Limits { key: frame::MAX_KEY_LEN, value: resp::MAX_VALUE };
 
 /// What clients or nodes speak.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
@@ -62,8 +62,8 @@
                     .map(|(reply, _)| matches!(reply, Reply::Bulk(Some(_)) | Reply::Array(_))))
             }
             Protocol::Memcached => match frame::response(bytes, &LIMITS) {
-                Ok(Step::More(_)) => Ok(None),
-                Ok(Step::Whole(response, _)) => {
+                Ok(Step::Incomplete(_)) => Ok(None),
+                Ok(Step::Complete(response, _)) => {
                     response.answers(&read.frame()).map_err(Malformed)?;
                     Ok(Some(response.status == Status::OK))
                 }
@@ -94,8 +94,8 @@
             }
             Protocol::Memcached => {
                 let (request, taken) = match frame::request(bytes, &LIMITS) {
-                    Ok(Step::More(_)) => return Ok(None),
-                    Ok(Step::Whole(request, taken)) => (request, taken),
+                    Ok(Step::Incomplete(_)) => return Ok(None),
+                    Ok(Step::Complete(request, taken)) => (request, taken),
                     Err(_) => return Err(Malformed("no request of the memcached protocol")),
                 };
                 let response = Response::new(request.opcode, request.opaque);
--- a/crates/memcached/examples/gateway.rs
+++ b/crates/memcached/examples/gateway.rs
@@ -33,7 +33,7 @@
         loop {
             let limits = Limits { value: 1024 * 1024, ..Limits::default() };
             match frame::response(&self.input, &limits) {
-                Ok(Step::Whole(response, taken)) => {
+                Ok(Step::Complete(response, taken)) => {
                     let Response { opcode, status, opaque, cas, .. } = response;
                     let (key, value) = (response.key.escape_ascii(), response.value.escape_ascii());
                     let name = opcode.name().unwrap_or("?");
@@ -47,7 +47,7 @@
                         return Ok(());
                     }
                 }
-                Ok(Step::More(_)) => {
+                Ok(Step::Incomplete(_)) => {
                     let mut bytes = [0; 4096];
                     match self.socket.read(&mut bytes)? {
                         0 => return Err("closed".into()),
--- a/crates/memcached/src/form.rs
+++ b/crates/memcached/src/form.rs
@@ -33,7 +33,7 @@
 /// `None` for what has no form that servers agree on: range, vbucket and TAP commands, and unknown ones.
 fn form(opcode: Opcode) -> Option<Form> {
     use Part::{May, Must, Not};
-    let (extras, key, value, cas): (&'static [usize], Part, Part, bool) = match opcode.loud() {
+    let (extras, key, value, cas): (&'static [usize], Part, Part, bool) = match opcode.non_quiet() {
         Opcode::GET | Opcode::GETK => (&[0], Must, Not, false),
         Opcode::SET | Opcode::ADD | Opcode::REPLACE => (&[8], Must, May, true),
         Opcode::DELETE => (&[0], Must, Not, true),
@@ -69,11 +69,11 @@
     /// out of step, and nothing that comes on it can be trusted.
     pub fn answers(&self, request: &Request) -> Result<(), &'static str> {
         let found = self.status == Status::OK;
-        let extras = match request.opcode.loud() {
+        let extras = match request.opcode.non_quiet() {
             Opcode::GET | Opcode::GETK | Opcode::GAT | Opcode::GATK if found => 4,
             _ => 0,
         };
-        let key: &[u8] = if found && request.opcode.names_key() { request.key } else { &[] };
+        let key: &[u8] = if found && request.opcode.returns_key() { request.key } else { &[] };
         match () {
             _ if self.opcode != request.opcode => Err("an answer to another command"),
             _ if self.opaque != request.opaque => Err("an answer to another request"),
--- a/crates/memcached/src/frame.rs
+++ b/crates/memcached/src/frame.rs
@@ -8,7 +8,7 @@
 use crate::{Opcode, Status};
 
 /// The longest key there is, by the protocol.
-pub const KEY: usize = 250;
+pub const MAX_KEY_LEN: usize = 250;
 
 /// What a frame may hold at the most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,13 +22,13 @@
 impl Default for Limits {
     /// The protocol's longest key, and values of 64 KiB.
     fn default() -> Self {
-        Limits { key: KEY, value: 64 * 1024 }
+        Limits { key: MAX_KEY_LEN, value: 64 * 1024 }
     }
 }
 
 impl Limits {
     /// The most bytes that a frame within these limits takes: no buffer for frames has to hold more.
-    pub fn most(&self) -> usize {
+    pub fn max_frame_len(&self) -> usize {
         header::LEN + usize::from(u8::MAX) + self.key.saturating_add(self.value)
     }
 }
@@ -37,16 +37,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step<T> {
     /// Not whole: so many bytes are wanted in all, or more where this is a header's length.
-    More(usize),
+    Incomplete(usize),
     /// The frame and how many bytes it took.
-    Whole(T, usize),
+    Complete(T, usize),
 }
 
 impl<T> Step<T> {
     fn map<U>(self, f: impl FnOnce(T) -> U) -> Step<U> {
         match self {
-            Step::More(n) => Step::More(n),
-            Step::Whole(frame, taken) => Step::Whole(f(frame), taken),
+            Step::Incomplete(n) => Step::Incomplete(n),
+            Step::Complete(frame, taken) => Step::Complete(f(frame), taken),
         }
     }
 }
@@ -186,9 +186,9 @@
         Some(b) if *b == magic.byte() => {}
         Some(b) if b.is_ascii_alphabetic() => return Err(Fault::Text),
         Some(b) => return Err(Fault::Magic(*b)),
-        None => return Ok(Step::More(header::LEN)),
+        None => return Ok(Step::Incomplete(header::LEN)),
     }
-    let Some((_, header)) = Header::read(bytes) else { return Ok(Step::More(header::LEN)) };
+    let Some((_, header)) = Header::read(bytes) else { return Ok(Step::Incomplete(header::LEN)) };
     let Some(value) = header.value() else { return Err(Fault::Lengths(header)) };
     if header.data_type != 0 {
         return Err(Fault::Refused(header, Status::INVALID, "an unknown data type"));
@@ -204,7 +204,7 @@
     let taken = value_at + value;
     let parts = (bytes.get(header::LEN..key_at), bytes.get(key_at..value_at), bytes.get(value_at..taken));
     match parts {
-        (Some(extras), Some(key), Some(value)) => Ok(Step::Whole((header, [extras, key, value]), taken)),
-        _ => Ok(Step::More(taken)),
+        (Some(extras), Some(key), Some(value)) => Ok(Step::Complete((header, [extras, key, value]), taken)),
+        _ => Ok(Step::Incomplete(taken)),
     }
 }
--- a/crates/memcached/src/lib.rs
+++ b/crates/memcached/src/lib.rs
@@ -6,7 +6,7 @@
 //! numbers, [`form`] is what each command must and must not carry, [`sasl`] the one mechanism's message.
 //!
 //! What it is for: whoever has a buffer of bytes and wants the first frame in it. Nothing is copied or kept:
-//! a frame borrows from the caller's buffer, and [`frame::Limits::most`] is the longest that buffer has to
+//! a frame borrows from the caller's buffer, and [`frame::Limits::max_frame_len`] is the longest that buffer has to
 //! be.
 //!
 //! When not to use it: it holds no connection, no order of answers and no meaning. Which commands are carried
@@ -23,8 +23,8 @@
 //! let mut bytes = Vec::new();
 //! let get = Request { key: b"7f3a", opaque: 7, ..Request::new(Opcode::GETQ) };
 //! get.put(&mut bytes).unwrap();
-//! assert_eq!(frame::request(&bytes[..10], &Limits::default()), Ok(Step::More(24)));
-//! assert_eq!(frame::request(&bytes, &Limits::default()), Ok(Step::Whole(get, 28)));
+//! assert_eq!(frame::request(&bytes[..10], &Limits::default()), Ok(Step::Incomplete(24)));
+//! assert_eq!(frame::request(&bytes, &Limits::default()), Ok(Step::Complete(get, 28)));
 //! ```
 
 pub mod form;
--- a/crates/memcached/src/opcode.rs
+++ b/crates/memcached/src/opcode.rs
@@ -6,7 +6,7 @@
 pub struct Opcode(pub u8);
 
 macro_rules! opcodes {
-    ($($name:ident = $number:literal $(, quiet $loud:ident)?;)*) => {
+    ($($name:ident = $number:literal $(, quiet $non_quiet:ident)?;)*) => {
         #[allow(missing_docs)]
         impl Opcode {
             $(pub const $name: Opcode = Opcode($number);)*
@@ -23,9 +23,9 @@
             }
 
             /// The command that does the same and always answers; the command itself if it does.
-            pub fn loud(self) -> Opcode {
+            pub fn non_quiet(self) -> Opcode {
                 match self {
-                    $($(Opcode::$name => Opcode::$loud,)?)*
+                    $($(Opcode::$name => Opcode::$non_quiet,)?)*
                     other => other,
                 }
             }
@@ -99,12 +99,12 @@
 impl Opcode {
     /// Whether the uninteresting answer stays out: a miss for reads, the success for all others. An error
     /// never does.
-    pub fn quiet(self) -> bool {
-        self.loud() != self
+    pub fn is_quiet(self) -> bool {
+        self.non_quiet() != self
     }
 
     /// Whether the answer to it bears the key.
-    pub fn names_key(self) -> bool {
-        matches!(self.loud(), Opcode::GETK | Opcode::GATK)
+    pub fn returns_key(self) -> bool {
+        matches!(self.non_quiet(), Opcode::GETK | Opcode::GATK)
     }
 }
--- a/crates/memcached/src/sasl.rs
+++ b/crates/memcached/src/sasl.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Plain<'a> {
     /// Whom it wants to act for; empty where that is itself.
-    pub acts_for: &'a [u8],
+    pub authzid: &'a [u8],
     /// Who it is.
     pub user: &'a [u8],
     /// What only it knows.
@@ -25,8 +25,8 @@
 /// Three parts with a NUL between them; the last two are not empty, and none is longer than 255 bytes.
 pub fn plain(message: &[u8]) -> Option<Plain<'_>> {
     let mut parts = message.split(|b| *b == 0);
-    let (acts_for, user, password) = (parts.next()?, parts.next()?, parts.next()?);
+    let (authzid, user, password) = (parts.next()?, parts.next()?, parts.next()?);
     let whole = parts.next().is_none() && !user.is_empty() && !password.is_empty();
-    let short = [acts_for, user, password].iter().all(|part| part.len() <= PART);
-    (whole && short).then_some(Plain { acts_for, user, password })
+    let short = [authzid, user, password].iter().all(|part| part.len() <= PART);
+    (whole && short).then_some(Plain { authzid, user, password })
 }
--- a/crates/memcached/tests/invariants/mod.rs
+++ b/crates/memcached/tests/invariants/mod.rs
@@ -13,25 +13,25 @@
 
 fn request(bytes: &[u8]) -> Result<Step<Vec<u8>>, Fault> {
     Ok(match frame::request(bytes, &LIMITS)? {
-        Step::More(n) => Step::More(n),
-        Step::Whole(request, taken) => {
+        Step::Incomplete(n) => Step::Incomplete(n),
+        Step::Complete(request, taken) => {
             let mut out = Vec::new();
             request.put(&mut out).expect("what was read can be written");
             let _ = (request.check(), request.opcode.name(), sasl::plain(request.value));
-            Step::Whole(out, taken)
+            Step::Complete(out, taken)
         }
     })
 }
 
 fn response(bytes: &[u8]) -> Result<Step<Vec<u8>>, Fault> {
     Ok(match frame::response(bytes, &LIMITS)? {
-        Step::More(n) => Step::More(n),
-        Step::Whole(response, taken) => {
+        Step::Incomplete(n) => Step::Incomplete(n),
+        Step::Complete(response, taken) => {
             let mut out = Vec::new();
             response.put(&mut out).expect("what was read can be written");
             let asked = Request { opaque: response.opaque, ..Request::new(response.opcode) };
             let _ = (response.answers(&asked), response.status.text());
-            Step::Whole(out, taken)
+            Step::Complete(out, taken)
         }
     })
 }
@@ -48,14 +48,14 @@
             held.drain(..skipped);
             over -= skipped;
             match read(&held) {
-                Ok(Step::Whole(written, taken)) => {
+                Ok(Step::Complete(written, taken)) => {
                     assert_eq!(written, held[..taken], "what was read is not what is written");
                     frames.push(written);
                     held.drain(..taken);
                 }
-                Ok(Step::More(wanted)) => {
+                Ok(Step::Incomplete(wanted)) => {
                     assert!(wanted > held.len(), "{wanted} bytes are wanted, {} are there", held.len());
-                    assert!(wanted <= LIMITS.most(), "{wanted} bytes are wanted");
+                    assert!(wanted <= LIMITS.max_frame_len(), "{wanted} bytes are wanted");
                     break;
                 }
                 Err(Fault::Refused(header, ..)) if header.body <= PASSED_OVER => {
@@ -71,13 +71,13 @@
         let piece = usize::from(lengths.next().copied().unwrap_or(u8::MAX)).max(1).min(rest.len());
         held.extend_from_slice(&rest[..piece]);
         rest = &rest[piece..];
-        assert!(held.len() <= LIMITS.most() + usize::from(u8::MAX), "{} bytes are held", held.len());
+        assert!(held.len() <= LIMITS.max_frame_len() + usize::from(u8::MAX), "{} bytes are held", held.len());
     }
 }
 
 /// Holds all that must hold against these bytes, read as requests and as responses, byte by byte and in
 /// pieces of these lengths. Comes back with the number of frames found either way.
-pub fn hold(bytes: &[u8], lengths: &[u8]) -> usize {
+pub fn check_invariants(bytes: &[u8], lengths: &[u8]) -> usize {
     let found = [request as Read, response as Read].map(|read| {
         let one_by_one = pieces(read, bytes, &[1]);
         assert_eq!(pieces(read, bytes, lengths), one_by_one, "pieces change what is read");
--- a/crates/memcached/tests/pages.rs
+++ b/crates/memcached/tests/pages.rs
@@ -12,7 +12,7 @@
     let bytes = b"\x81\x00\0\0\x04\0\0\0\0\0\0\x09\0\0\0\0\0\0\0\0\0\0\0\x01\xde\xad\xbe\xefWorld";
     let extras = b"\xde\xad\xbe\xef";
     let answer = Response { cas: 1, extras, value: b"World", ..Response::new(Opcode::GET, 0) };
-    assert_eq!(frame::response(bytes, &Limits::default()), Ok(Step::Whole(answer, 33)));
+    assert_eq!(frame::response(bytes, &Limits::default()), Ok(Step::Complete(answer, 33)));
 }
 
 /// "Add request", with flags, expiry and two parts of a body.
@@ -56,7 +56,7 @@
             Some(status)
         }
         whole => {
-            assert!(matches!(whole, Ok(Step::Whole(_, n)) if n == out.len()));
+            assert!(matches!(whole, Ok(Step::Complete(_, n)) if n == out.len()));
             None
         }
     };
@@ -94,8 +94,8 @@
 #[test]
 fn the_tables_hold_no_number_twice() {
     assert!(Opcode::ALL.windows(2).all(|w| w[0] < w[1]) && Status::ALL.windows(2).all(|w| w[0] < w[1]));
-    assert!(Opcode::ALL.iter().all(|o| !o.loud().quiet() && o.name().is_some()));
-    let quiet: Vec<_> = Opcode::ALL.iter().filter(|o| o.quiet()).filter_map(|o| o.name()).collect();
+    assert!(Opcode::ALL.iter().all(|o| !o.non_quiet().is_quiet() && o.name().is_some()));
+    let quiet: Vec<_> = Opcode::ALL.iter().filter(|o| o.is_quiet()).filter_map(|o| o.name()).collect();
     assert!(quiet.iter().all(|name| name.ends_with('Q')), "{quiet:?}");
     assert_eq!(quiet.len(), Opcode::ALL.iter().filter_map(|o| o.name()).filter(|n| n.ends_with('Q')).count());
 }
@@ -111,7 +111,7 @@
 fn plain_has_three_parts(#[case] message: &[u8], #[case] parts: Option<(&str, &str, &str)>) {
     let plain = sasl::plain(message);
     assert_eq!(
-        plain.map(|p| (p.acts_for, p.user, p.password)),
+        plain.map(|p| (p.authzid, p.user, p.password)),
         parts.map(|(a, u, p)| { (a.as_bytes(), u.as_bytes(), p.as_bytes()) })
     );
     assert!(!format!("{plain:?}").contains("secret"), "a password shows");
--- a/crates/memcached/tests/properties.rs
+++ b/crates/memcached/tests/properties.rs
@@ -2,7 +2,7 @@
 
 mod invariants;
 
-use invariants::{hold, LIMITS};
+use invariants::{check_invariants, LIMITS};
 use memcached::{frame, header, Fault, Header, Magic, Opcode, Request, Response, Status, Step};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -40,7 +40,7 @@
 
     #[test]
     fn any_split_of_frames_gives_the_same_frames(bytes in frames(), lengths in vec(any::<u8>(), 1..9)) {
-        hold(&bytes, &lengths);
+        check_invariants(&bytes, &lengths);
     }
 
     #[test]
@@ -49,7 +49,7 @@
         bytes in vec(any::<u8>(), 0..200),
         lengths in vec(any::<u8>(), 1..9),
     ) {
-        hold(&[&[first], &bytes[..]].concat(), &lengths);
+        check_invariants(&[&[first], &bytes[..]].concat(), &lengths);
     }
 
     #[test]
@@ -63,8 +63,8 @@
         let request = Request { opcode, vbucket, opaque, cas, extras: &extras, key: &key, value: &value };
         let mut out = Vec::new();
         request.put(&mut out).expect("it fits");
-        prop_assert_eq!(frame::request(&out, &LIMITS), Ok(Step::Whole(request, out.len())));
-        prop_assert!(out.len() <= LIMITS.most());
+        prop_assert_eq!(frame::request(&out, &LIMITS), Ok(Step::Complete(request, out.len())));
+        prop_assert!(out.len() <= LIMITS.max_frame_len());
     }
 
     /// Whoever announces too much is told so by its header alone: nothing of the body is waited for.
@@ -80,8 +80,8 @@
             Err(Fault::Lengths(h)) => prop_assert!(value < 0 && h == header),
             Err(Fault::Refused(_, Status::TOO_LARGE, _)) => prop_assert!(value > 4096 && key <= 250),
             Err(Fault::Refused(_, Status::INVALID, _)) => prop_assert!(value >= 0 && key > 250),
-            Ok(Step::More(n)) => prop_assert!(n == header::LEN + body as usize && n <= LIMITS.most()),
-            Ok(Step::Whole(_, n)) => prop_assert!(n == header::LEN && body == 0),
+            Ok(Step::Incomplete(n)) => prop_assert!(n == header::LEN + body as usize && n <= LIMITS.max_frame_len()),
+            Ok(Step::Complete(_, n)) => prop_assert!(n == header::LEN && body == 0),
             Err(other) => prop_assert!(false, "{:?}", other),
         }
     }
@@ -92,7 +92,7 @@
 #[rstest]
 fn nothing_in_the_corpus_breaks_it(#[files("../../fuzz/corpus/memcached/*")] path: PathBuf) {
     let bytes = std::fs::read(&path).expect("a file of the corpus");
-    hold(&bytes, &[3, 1, 40]);
+    check_invariants(&bytes, &[3, 1, 40]);
     let mut random = Xoshiro256PlusPlus::seed_from_u64(0x6d63);
     for _ in 0..200 {
         let mut spoilt = bytes.clone();
@@ -106,6 +106,6 @@
         }
         let mut lengths = [0; 4];
         random.fill_bytes(&mut lengths);
-        hold(&spoilt, &lengths);
+        check_invariants(&spoilt, &lengths);
     }
 }
--- a/crates/snmp/src/access.rs
+++ b/crates/snmp/src/access.rs
@@ -8,9 +8,9 @@
 use subtle::ConstantTimeEq;
 
 /// The most communities, users and subtrees of a view.
-pub const MOST: usize = 32;
+pub const MAX_ENTRIES: usize = 32;
 /// The longest name of a community.
-pub const NAME: usize = 64;
+pub const MAX_COMMUNITY_NAME: usize = 64;
 
 /// A part of the tree: of the subtrees that hold a name the longest decides.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -26,18 +26,18 @@
     }
 
     /// Whether a name belongs to it.
-    pub fn holds(&self, name: &Oid) -> bool {
+    pub fn contains(&self, name: &Oid) -> bool {
         let within = self.subtrees.iter().filter(|(root, _)| name.is_under(root));
         within.max_by_key(|(root, _)| root.arcs().len()).is_some_and(|(_, is)| *is)
     }
 
     /// The first name behind this one from which the answer may be another: where a subtree begins, or ends.
-    fn turn(&self, name: &Oid) -> Option<Oid> {
-        let turns = self.subtrees.iter().filter_map(|(root, _)| match name.is_under(root) {
-            true => root.behind(),
+    fn next_boundary(&self, name: &Oid) -> Option<Oid> {
+        let boundary = self.subtrees.iter().filter_map(|(root, _)| match name.is_under(root) {
+            true => root.subtree_end(),
             false => Some(root.clone()).filter(|root| root > name),
         });
-        turns.min()
+        boundary.min()
     }
 
     /// The first instance of the view behind a name. What it does not hold is skipped by subtrees, so that the
@@ -47,11 +47,11 @@
         // Each turn is behind the one before; there are two a subtree at the most.
         for _ in 0..=2 * self.subtrees.len() {
             let first = rest.first()?;
-            if self.holds(&first.0) {
+            if self.contains(&first.0) {
                 return Some(first);
             }
-            let turn = self.turn(&first.0)?;
-            rest = rest.get(rest.partition_point(|(n, _)| *n < turn)..)?;
+            let boundary = self.next_boundary(&first.0)?;
+            rest = rest.get(rest.partition_point(|(n, _)| *n < boundary)..)?;
         }
         None
     }
@@ -94,15 +94,15 @@
     /// There is no such community.
     Unknown,
     /// There is, but not from there.
-    Elsewhere,
+    WrongSource,
 }
 
 /// A name at a fixed length, so that comparing takes the same time whatever differs.
-fn padded(name: &[u8]) -> [u8; NAME + 1] {
-    let mut all = [0; NAME + 1];
-    let n = name.len().min(NAME);
+fn padded(name: &[u8]) -> [u8; MAX_COMMUNITY_NAME + 1] {
+    let mut all = [0; MAX_COMMUNITY_NAME + 1];
+    let n = name.len().min(MAX_COMMUNITY_NAME);
     all[..n].copy_from_slice(&name[..n]);
-    all[NAME] = name.len().min(usize::from(u8::MAX)) as u8;
+    all[MAX_COMMUNITY_NAME] = name.len().min(usize::from(u8::MAX)) as u8;
     all
 }
 
@@ -120,7 +120,7 @@
         }
         match (view, known) {
             (Some(view), _) => Admitted::View(view),
-            (None, true) => Admitted::Elsewhere,
+            (None, true) => Admitted::WrongSource,
             (None, false) => Admitted::Unknown,
         }
     }
--- a/crates/snmp/src/agent.rs
+++ b/crates/snmp/src/agent.rs
@@ -12,23 +12,23 @@
 
 use crate::access::{Access, Admitted, View};
 use crate::message::{self, status, Community, Data, Flags, Header, Kind, Pdu, Scoped, Secured};
-use crate::reader::{self, DATAGRAM};
-use crate::stats::{bump, Stats};
+use crate::reader::{self, MAX_DATAGRAM};
+use crate::stats::{increment, Stats};
 use crate::usm::{self, Engine, Keys, Level};
 use crate::{Micros, Oid, Tree, Value, SECOND};
 use std::net::IpAddr;
 
 /// The longest response: one that no way of 1500 bytes breaks up, also in IPv6.
-pub const RESPONSE: usize = 1432;
+pub const MAX_RESPONSE: usize = 1432;
 /// What a sender must be able to read (RFC 3417, 3.2.1).
-const LEAST: usize = 484;
+const MIN_MESSAGE_SIZE: usize = 484;
 /// What the lengths in a message take more than in an empty one: five levels, two bytes each.
-const LENGTHS: usize = 10;
+const LENGTH_OVERHEAD: usize = 10;
 /// Repetitions of a GetBulk that are looked at; the datagram is full before.
-const REPETITIONS: u32 = 256;
+const MAX_REPETITIONS: u32 = 256;
 /// Reports a second, and in a bunch.
-const REPORTS: f64 = 50.0;
-const REPORTS_BUNCH: f64 = 100.0;
+const REPORTS_PER_SECOND: f64 = 50.0;
+const REPORT_BURST: f64 = 100.0;
 
 /// The names of the counters that reports tell.
 mod counter {
@@ -74,10 +74,10 @@
 /// What answers a PDU once it is clear who asks.
 pub(crate) trait Serve {
     /// Whether it deals with PDUs of this kind.
-    fn takes(&self, kind: Kind) -> bool;
+    fn handles(&self, kind: Kind) -> bool;
 
     /// Whether it deals with objects of this context's engine; `mine` is the one that speaks.
-    fn holds(&self, engine: &[u8], mine: &[u8]) -> bool;
+    fn serves_engine(&self, engine: &[u8], mine: &[u8]) -> bool;
 
     /// The response, whose bindings may take so much room; none to what wants none.
     fn respond(&mut self, asked: &Pdu, view: &View, room: usize) -> Option<Pdu>;
@@ -90,11 +90,11 @@
 }
 
 impl Serve for Objects<'_> {
-    fn takes(&self, kind: Kind) -> bool {
+    fn handles(&self, kind: Kind) -> bool {
         matches!(kind, Kind::Get | Kind::GetNext | Kind::GetBulk | Kind::Set)
     }
 
-    fn holds(&self, engine: &[u8], mine: &[u8]) -> bool {
+    fn serves_engine(&self, engine: &[u8], mine: &[u8]) -> bool {
         engine == mine
     }
 
@@ -109,7 +109,7 @@
     pub fn new(now: Micros, engine: Engine, enterprise: u32, access: Access, salt: u64) -> Agent {
         let keys = access.readers.iter().map(|r| r.user.at(&engine.id)).collect();
         let stats = Stats::default();
-        Agent { engine, enterprise, access, keys, salt, stats, reports: (REPORTS_BUNCH, now) }
+        Agent { engine, enterprise, access, keys, salt, stats, reports: (REPORT_BURST, now) }
     }
 
     /// What it has counted.
@@ -136,17 +136,17 @@
         datagram: &[u8],
         serve: &mut dyn Serve,
     ) -> Option<Vec<u8>> {
-        bump(&mut self.stats.in_packets);
+        increment(&mut self.stats.in_packets);
         let version = reader::check(datagram).and_then(|()| reader::version(datagram));
         match version {
             Ok(1) => self.community(from, datagram, serve),
             Ok(3) => self.secured(now, datagram, serve),
             Ok(_) => {
-                bump(&mut self.stats.bad_versions);
+                increment(&mut self.stats.bad_versions);
                 None
             }
             Err(_) => {
-                bump(&mut self.stats.parse_errors);
+                increment(&mut self.stats.parse_errors);
                 None
             }
         }
@@ -154,29 +154,29 @@
 
     fn community(&mut self, from: IpAddr, datagram: &[u8], serve: &mut dyn Serve) -> Option<Vec<u8>> {
         let Ok(asked) = Community::read(datagram) else {
-            bump(&mut self.stats.parse_errors);
+            increment(&mut self.stats.parse_errors);
             return None;
         };
         let view = match self.access.community(&asked.community, from) {
             Admitted::View(view) => view,
-            Admitted::Unknown | Admitted::Elsewhere => {
-                bump(&mut self.stats.bad_community_names);
+            Admitted::Unknown | Admitted::WrongSource => {
+                increment(&mut self.stats.bad_community_names);
                 return None;
             }
         };
-        if !serve.takes(asked.pdu.kind) {
-            bump(&mut self.stats.unknown_pdu_handlers);
+        if !serve.handles(asked.pdu.kind) {
+            increment(&mut self.stats.unknown_pdu_handlers);
             return None;
         }
         if asked.pdu.kind == Kind::Set {
-            bump(&mut self.stats.bad_community_uses);
+            increment(&mut self.stats.bad_community_uses);
         }
         let community = asked.community;
         let wrap = |pdu| Community { community: community.clone(), pdu }.bytes();
-        let room = room(RESPONSE, wrap(empty(&asked.pdu)).len());
+        let room = room(MAX_RESPONSE, wrap(empty(&asked.pdu)).len());
         let out = wrap(serve.respond(&asked.pdu, view, room)?);
-        if out.len() > RESPONSE {
-            bump(&mut self.stats.silent_drops);
+        if out.len() > MAX_RESPONSE {
+            increment(&mut self.stats.silent_drops);
             return None;
         }
         Some(out)
@@ -186,16 +186,16 @@
         let asked = match Secured::read(datagram) {
             Ok(asked) => asked,
             Err(what) if what == message::FLAGS => {
-                bump(&mut self.stats.invalid_messages);
+                increment(&mut self.stats.invalid_messages);
                 return None;
             }
             Err(_) => {
-                bump(&mut self.stats.parse_errors);
+                increment(&mut self.stats.parse_errors);
                 return None;
             }
         };
         if asked.header.model != message::USM {
-            bump(&mut self.stats.unknown_security_models);
+            increment(&mut self.stats.unknown_security_models);
             return None;
         }
         let user = match self.admit(now, datagram, &asked) {
@@ -209,24 +209,24 @@
         };
         let refuse = |counter, value| Refused { counter, value, signed: None };
         let pdu = &scoped.pdu;
-        if !serve.takes(pdu.kind) || !serve.holds(&scoped.engine, &self.engine.id) {
-            bump(&mut self.stats.unknown_pdu_handlers);
+        if !serve.handles(pdu.kind) || !serve.serves_engine(&scoped.engine, &self.engine.id) {
+            increment(&mut self.stats.unknown_pdu_handlers);
             let refused = refuse(counter::UNKNOWN_PDU_HANDLERS, self.stats.unknown_pdu_handlers);
             return self.report(now, &asked, Some(pdu), refused);
         }
         if !scoped.context.is_empty() {
-            bump(&mut self.stats.unknown_contexts);
+            increment(&mut self.stats.unknown_contexts);
             let refused = refuse(counter::UNKNOWN_CONTEXTS, self.stats.unknown_contexts);
             return self.report(now, &asked, Some(pdu), refused);
         }
-        let most = (asked.header.most as usize).clamp(LEAST, RESPONSE);
+        let most = (asked.header.max_size as usize).clamp(MIN_MESSAGE_SIZE, MAX_RESPONSE);
         let size = self.seal(now, &asked, &keys, empty(pdu)).len();
         let reader = self.access.readers.get(user)?;
         let pdu = serve.respond(pdu, &reader.view, room(most, size))?;
         self.salt = self.salt.wrapping_add(1);
         let out = self.seal(now, &asked, &keys, pdu);
         if out.len() > most {
-            bump(&mut self.stats.silent_drops);
+            increment(&mut self.stats.silent_drops);
             return None;
         }
         Some(out)
@@ -235,7 +235,7 @@
     /// Who asks: RFC 3414, 3.2, steps 3 to 7, in their order.
     fn admit(&mut self, now: Micros, datagram: &[u8], asked: &Secured) -> Result<usize, Refused> {
         let refuse = |counter, value: &mut u32| {
-            bump(value);
+            increment(value);
             Err(Refused { counter, value: *value, signed: None })
         };
         let (security, stats) = (&asked.security, &mut self.stats);
@@ -259,7 +259,7 @@
             return refuse(counter::WRONG_DIGESTS, &mut stats.wrong_digests);
         }
         if !self.engine.in_time(now, security.boots, security.time) {
-            bump(&mut stats.not_in_time_windows);
+            increment(&mut stats.not_in_time_windows);
             // The one report that is signed: it brings a manager up to date (RFC 3414, 3.2, 7a).
             let signed = Some((security.user.clone(), keys.without_privacy()));
             let (counter, value) = (counter::NOT_IN_TIME_WINDOWS, stats.not_in_time_windows);
@@ -283,7 +283,7 @@
             Some(Ok(scoped)) => Ok(Some(scoped)),
             _ => {
                 let errors = &mut self.stats.decryption_errors;
-                bump(errors);
+                increment(errors);
                 Err(Refused { counter: counter::DECRYPTION_ERRORS, value: *errors, signed: None })
             }
         }
@@ -313,10 +313,10 @@
             return None;
         }
         let (left, at) = self.reports;
-        let left = (left + (now - at).max(0) as f64 / SECOND as f64 * REPORTS).min(REPORTS_BUNCH);
+        let left = (left + (now - at).max(0) as f64 / SECOND as f64 * REPORTS_PER_SECOND).min(REPORT_BURST);
         self.reports = (left, now);
         if left < 1.0 {
-            bump(&mut self.stats.silent_drops);
+            increment(&mut self.stats.silent_drops);
             return None;
         }
         self.reports.0 -= 1.0;
@@ -331,7 +331,7 @@
 }
 
 fn header(id: i32) -> Header {
-    Header { id, most: DATAGRAM as u32, flags: Flags::default(), model: message::USM }
+    Header { id, max_size: MAX_DATAGRAM as u32, flags: Flags::default(), model: message::USM }
 }
 
 /// A response without bindings.
@@ -341,7 +341,7 @@
 
 /// The bytes that bindings may take in a message of `most` that takes `size` without any.
 fn room(most: usize, size: usize) -> usize {
-    most.saturating_sub(size + LENGTHS)
+    most.saturating_sub(size + LENGTH_OVERHEAD)
 }
 
 /// The response to what is asked, in a room of so many bytes (RFC 3416, 4.2).
@@ -375,9 +375,9 @@
 }
 
 fn get(enterprise: u32, view: &View, tree: &Tree, name: &Oid) -> Value {
-    match tree.get(name).filter(|_| view.holds(name)) {
+    match tree.get(name).filter(|_| view.contains(name)) {
         Some(value) => value.clone(),
-        None if view.holds(name) && tree.has_object(enterprise, name) => Value::NoSuchInstance,
+        None if view.contains(name) && tree.has_object(enterprise, name) => Value::NoSuchInstance,
         None => Value::NoSuchObject,
     }
 }
@@ -406,7 +406,7 @@
         }
     }
     let mut names: Vec<Oid> = repeated.iter().map(|(name, _)| name.clone()).collect();
-    for _ in 0..asked.index.min(REPETITIONS) {
+    for _ in 0..asked.index.min(MAX_REPETITIONS) {
         let mut more = false;
         for name in &mut names {
             let one = next(view, tree, name);
--- a/crates/snmp/src/listener.rs
+++ b/crates/snmp/src/listener.rs
@@ -5,35 +5,35 @@
 use crate::agent::{empty, Agent, Serve};
 use crate::message::{Data, Kind, Pdu, Scoped, Secured};
 use crate::reader;
-use crate::usm::{Engine, Level, WINDOW};
+use crate::usm::{Engine, Level, TIME_WINDOW};
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 /// Request-ids of informs that are remembered, and senders of SNMPv3 traps.
-const REMEMBERED: usize = 256;
-const SENDERS: usize = 64;
+const MAX_REMEMBERED: usize = 256;
+const MAX_SENDERS: usize = 64;
 
 /// See the file's comment.
 #[derive(Debug)]
 pub struct Listener {
     agent: Agent,
     access: Access,
-    told: VecDeque<(SocketAddr, i32)>,
+    delivered: VecDeque<(SocketAddr, i32)>,
     /// The latest boots and time that a sender's signed messages told.
     senders: BTreeMap<Vec<u8>, (u32, u32)>,
 }
 
 /// Takes what notifies, and keeps it.
 #[derive(Default)]
-struct Take(Option<Pdu>);
+struct Collector(Option<Pdu>);
 
-impl Serve for Take {
-    fn takes(&self, kind: Kind) -> bool {
+impl Serve for Collector {
+    fn handles(&self, kind: Kind) -> bool {
         matches!(kind, Kind::Trap | Kind::Inform)
     }
 
-    fn holds(&self, _engine: &[u8], _mine: &[u8]) -> bool {
+    fn serves_engine(&self, _engine: &[u8], _mine: &[u8]) -> bool {
         // An inform tells of its sender's objects.
         true
     }
@@ -50,25 +50,30 @@
     /// A listener that is this engine to the senders of informs.
     pub fn new(now: Micros, engine: Engine, access: Access, salt: u64) -> Listener {
         let agent = Agent::new(now, engine, crate::tree::ENTERPRISE, access.clone(), salt);
-        Listener { agent, access, told: VecDeque::new(), senders: BTreeMap::new() }
+        Listener { agent, access, delivered: VecDeque::new(), senders: BTreeMap::new() }
     }
 
     /// Takes a datagram: what to send back, and what it told.
-    pub fn hear(&mut self, now: Micros, from: SocketAddr, datagram: &[u8]) -> (Option<Vec<u8>>, Option<Pdu>) {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        from: SocketAddr,
+        datagram: &[u8],
+    ) -> (Option<Vec<u8>>, Option<Pdu>) {
         if let Some(pdu) = self.trap(datagram) {
             return (None, Some(pdu));
         }
-        let mut take = Take::default();
-        let back = self.agent.process(now, from.ip(), datagram, &mut take);
-        let told = take.0.filter(|pdu| {
-            let seen = pdu.kind == Kind::Inform && self.told.contains(&(from, pdu.request));
+        let mut collector = Collector::default();
+        let back = self.agent.process(now, from.ip(), datagram, &mut collector);
+        let delivered = collector.0.filter(|pdu| {
+            let seen = pdu.kind == Kind::Inform && self.delivered.contains(&(from, pdu.request));
             if pdu.kind == Kind::Inform && !seen {
-                self.told.push_back((from, pdu.request));
-                self.told.drain(..self.told.len().saturating_sub(REMEMBERED));
+                self.delivered.push_back((from, pdu.request));
+                self.delivered.drain(..self.delivered.len().saturating_sub(MAX_REMEMBERED));
             }
             !seen
         });
-        (back, told)
+        (back, delivered)
     }
 
     /// A trap of SNMPv3, to which its sender is the authoritative engine.
@@ -95,10 +100,10 @@
             // RFC 3414, 3.2, 7b: what is older than the latest is a replay.
             let is = (m.security.boots, m.security.time);
             let latest = self.senders.get(engine).copied().unwrap_or_default();
-            if is.0 < latest.0 || (is.0 == latest.0 && is.1.saturating_add(WINDOW) < latest.1) {
+            if is.0 < latest.0 || (is.0 == latest.0 && is.1.saturating_add(TIME_WINDOW) < latest.1) {
                 return None;
             }
-            if self.senders.len() < SENDERS || self.senders.contains_key(engine) {
+            if self.senders.len() < MAX_SENDERS || self.senders.contains_key(engine) {
                 self.senders.insert(engine.clone(), is.max(latest));
             }
         }
--- a/crates/snmp/src/manager.rs
+++ b/crates/snmp/src/manager.rs
@@ -5,8 +5,8 @@
 //! 3414, 4, has it; nothing but a signed message sets the clock.
 
 use crate::message::{self, Community, Data, Flags, Header, Kind, Pdu, Scoped, Secured};
-use crate::reader::{self, DATAGRAM};
-use crate::usm::{self, Keys, Level, User, WINDOW};
+use crate::reader::{self, MAX_DATAGRAM};
+use crate::usm::{self, Keys, Level, User, TIME_WINDOW};
 use crate::{Micros, Oid, Value, SECOND};
 
 /// usmStatsUnknownEngineIDs and usmStatsNotInTimeWindows: reports that a session deals with itself.
@@ -15,7 +15,7 @@
 
 /// As whom it asks.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum As {
+pub enum Credentials {
     /// With a community of SNMPv2c.
     Community(Vec<u8>),
     /// As a user of SNMPv3.
@@ -33,21 +33,21 @@
 
 /// What a datagram brought.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum Received {
     /// The response to a request.
     Response(Pdu),
     /// More is known of the other engine: the request is to be made again.
-    Again,
+    Retry,
     /// The other side refuses: the name of the counter that it told.
     Refused(Oid),
     /// Nothing that belongs here.
-    Nothing,
+    Ignored,
 }
 
 /// The way to one agent, or to one receiver of informs.
 #[derive(Clone, Debug)]
 pub struct Session {
-    as_whom: As,
+    credentials: Credentials,
     /// Whose objects requests are about, where that is not the other engine: an inform tells of its sender's.
     context: Option<Vec<u8>>,
     peer: Option<Peer>,
@@ -57,24 +57,24 @@
 
 impl Session {
     /// A session; `seed` is where message ids and initialisation vectors begin.
-    pub fn new(as_whom: As, context: Option<Vec<u8>>, seed: u64) -> Session {
-        Session { as_whom, context, peer: None, message: (seed >> 33) as i32, salt: seed }
+    pub fn new(credentials: Credentials, context: Option<Vec<u8>>, seed: u64) -> Session {
+        Session { credentials, context, peer: None, message: (seed >> 33) as i32, salt: seed }
     }
 
     fn header(&self, reportable: bool) -> Header {
         let flags = Flags { reportable, ..Flags::default() };
-        Header { id: self.message, most: DATAGRAM as u32, flags, model: message::USM }
+        Header { id: self.message, max_size: MAX_DATAGRAM as u32, flags, model: message::USM }
     }
 
     /// The datagram to send for a request. While the other engine is unknown, it asks for that.
     pub fn request(&mut self, now: Micros, pdu: &Pdu) -> Vec<u8> {
         self.message = self.message.wrapping_add(1) & i32::MAX;
         self.salt = self.salt.wrapping_add(1);
-        let user = match &self.as_whom {
-            As::Community(name) => {
+        let user = match &self.credentials {
+            Credentials::Community(name) => {
                 return Community { community: name.clone(), pdu: pdu.clone() }.bytes();
             }
-            As::User(user) => user,
+            Credentials::User(user) => user,
         };
         let Some(peer) = &self.peer else {
             let bindings = Vec::new();
@@ -91,31 +91,33 @@
     }
 
     /// Takes a datagram that came back for `request`, the request-id.
-    pub fn heard(&mut self, now: Micros, request: i32, datagram: &[u8]) -> Heard {
+    pub fn receive(&mut self, now: Micros, request: i32, datagram: &[u8]) -> Received {
         let version = reader::check(datagram).and_then(|()| reader::version(datagram));
-        match (&self.as_whom, version) {
-            (As::Community(name), Ok(1)) => match Community::read(datagram) {
+        match (&self.credentials, version) {
+            (Credentials::Community(name), Ok(1)) => match Community::read(datagram) {
                 Ok(m) if m.community == *name && m.pdu.kind == Kind::Response && m.pdu.request == request => {
-                    Heard::Response(m.pdu)
+                    Received::Response(m.pdu)
                 }
-                _ => Heard::Nothing,
+                _ => Received::Ignored,
             },
-            (As::User(_), Ok(3)) => self.secured(now, request, datagram).unwrap_or(Heard::Nothing),
-            _ => Heard::Nothing,
+            (Credentials::User(_), Ok(3)) => {
+                self.secured(now, request, datagram).unwrap_or(Received::Ignored)
+            }
+            _ => Received::Ignored,
         }
     }
 
-    fn secured(&mut self, now: Micros, request: i32, datagram: &[u8]) -> Option<Heard> {
-        let As::User(user) = &self.as_whom else { return None };
+    fn secured(&mut self, now: Micros, request: i32, datagram: &[u8]) -> Option<Received> {
+        let Credentials::User(user) = &self.credentials else { return None };
         let m = Secured::read(datagram).ok().filter(|m| m.header.id == self.message)?;
         let level = Level::of(m.header.flags);
         let Some(peer) = self.peer.as_mut().filter(|p| p.id == m.security.engine) else {
             // A report of an engine that is not known yet, or another one than was.
-            let report = told(&m).filter(|told| told.arcs() == UNKNOWN_ENGINE_IDS);
+            let report = report_counter(&m).filter(|counter| counter.arcs() == UNKNOWN_ENGINE_IDS);
             report.filter(|_| (5..=32).contains(&m.security.engine.len()))?;
             let keys = user.at(&m.security.engine);
             self.peer = Some(Peer { id: m.security.engine, keys, clock: (0, 0, now) });
-            return Some(Heard::Again);
+            return Some(Received::Retry);
         };
         let signed = level > Level::Open;
         if signed {
@@ -126,7 +128,7 @@
             let (boots, time, at) = peer.clock;
             let now_there = u64::from(time) + ((now - at).max(0) / SECOND) as u64;
             let (b, t) = (m.security.boots, m.security.time);
-            if b < boots || (b == boots && u64::from(t) + u64::from(WINDOW) < now_there) {
+            if b < boots || (b == boots && u64::from(t) + u64::from(TIME_WINDOW) < now_there) {
                 return None;
             }
             if b > boots || (b == boots && t > time) {
@@ -147,15 +149,15 @@
             Kind::Report => {
                 let (counter, _) = scoped.pdu.bindings.first()?;
                 match counter.arcs() == NOT_IN_TIME_WINDOWS {
-                    true if signed => Some(Heard::Again),
+                    true if signed => Some(Received::Retry),
                     // Anybody could say that, and would keep it from ever being answered.
                     true => None,
-                    false => Some(Heard::Refused(counter.clone())),
+                    false => Some(Received::Refused(counter.clone())),
                 }
             }
             // A response has to be as safe as its request.
             Kind::Response if level == user.level() && scoped.pdu.request == request => {
-                Some(Heard::Response(scoped.pdu))
+                Some(Received::Response(scoped.pdu))
             }
             _ => None,
         }
@@ -163,7 +165,7 @@
 }
 
 /// The counter that a report in the clear tells.
-fn told(m: &Secured) -> Option<Oid> {
+fn report_counter(m: &Secured) -> Option<Oid> {
     let Data::Plain(scoped) = &m.data else { return None };
     let report = Some(&scoped.pdu).filter(|p| p.kind == Kind::Report)?;
     report.bindings.first().map(|(name, _)| name.clone())
@@ -181,11 +183,11 @@
 
 /// Why a walk ended before the end of its subtree.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum WalkError {
     /// An error-status.
     Status(u32),
     /// A name that does not come behind the one before it.
-    Order(Oid),
+    OutOfOrder(Oid),
 }
 
 impl Walk {
@@ -202,9 +204,9 @@
     }
 
     /// Takes a response; the instances in it that belong to the walk come back.
-    pub fn take(&mut self, response: Pdu) -> Result<Vec<(Oid, Value)>, Broken> {
+    pub fn take(&mut self, response: Pdu) -> Result<Vec<(Oid, Value)>, WalkError> {
         if response.status != 0 {
-            return Err(Broken::Status(response.status));
+            return Err(WalkError::Status(response.status));
         }
         let mut out = Vec::new();
         self.over = response.bindings.is_empty();
@@ -214,7 +216,7 @@
                 break;
             }
             if name <= self.last {
-                return Err(Broken::Order(name));
+                return Err(WalkError::OutOfOrder(name));
             }
             self.last.clone_from(&name);
             out.push((name, value));
--- a/crates/snmp/src/message.rs
+++ b/crates/snmp/src/message.rs
@@ -70,7 +70,7 @@
     /// msgID.
     pub id: i32,
     /// msgMaxSize: the longest message that its sender can read.
-    pub most: u32,
+    pub max_size: u32,
     /// msgFlags.
     pub flags: Flags,
     /// msgSecurityModel; 3 is USM.
@@ -314,7 +314,7 @@
         let head = &message.global_data;
         let header = Header {
             id: i32::try_from(&head.message_id).map_err(|_| BAD)?,
-            most: word(&head.max_size)?,
+            max_size: word(&head.max_size)?,
             flags: Flags::read(&head.flags)?,
             model: word(&head.security_model)?,
         };
@@ -349,7 +349,7 @@
         };
         let global_data = v3::HeaderData {
             message_id: self.header.id.into(),
-            max_size: self.header.most.into(),
+            max_size: self.header.max_size.into(),
             flags: octets(&[self.header.flags.bits()]),
             security_model: self.header.model.into(),
         };
@@ -363,7 +363,7 @@
 }
 
 /// How many bytes an element with contents of this length takes.
-fn whole(contents: usize) -> usize {
+fn element_len(contents: usize) -> usize {
     let length = match contents {
         0..=0x7f => 1,
         0x80..=0xff => 2,
@@ -375,5 +375,5 @@
 
 /// How many bytes a binding takes in a message.
 pub fn binding_len(name: &Oid, value: &Value) -> usize {
-    whole(whole(name.encoded_len()) + whole(value.encoded_len()))
+    element_len(element_len(name.encoded_len()) + element_len(value.encoded_len()))
 }
--- a/crates/snmp/src/mib.rs
+++ b/crates/snmp/src/mib.rs
@@ -47,7 +47,7 @@
 
 /// What a definition is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sort {
+pub enum ObjectKind {
     /// A name to put others under.
     Node,
     /// An object with one instance, or a column.
@@ -68,7 +68,7 @@
     /// Where it is.
     pub oid: Oid,
     /// What it is.
-    pub sort: Sort,
+    pub kind: ObjectKind,
     /// The type on the wire, as SMIv2 names it: textual conventions are followed to it.
     pub syntax: String,
     /// The same as the text has it: a type or a textual convention.
@@ -264,12 +264,12 @@
         for (name, raw) in raws {
             let Some(oid) = oids.get(name) else { continue };
             let row = raws.iter().find(|(n, r)| *n == raw.parent && !r.with.is_empty());
-            let sort = match (raw.macro_name, raw.access) {
-                ("NOTIFICATION-TYPE", _) => Sort::Notification,
-                ("OBJECT-TYPE", "not-accessible") => Sort::Hidden,
-                ("OBJECT-TYPE", _) if row.is_some() => Sort::Column,
-                ("OBJECT-TYPE", _) => Sort::Scalar,
-                _ => Sort::Node,
+            let kind = match (raw.macro_name, raw.access) {
+                ("NOTIFICATION-TYPE", _) => ObjectKind::Notification,
+                ("OBJECT-TYPE", "not-accessible") => ObjectKind::Hidden,
+                ("OBJECT-TYPE", _) if row.is_some() => ObjectKind::Column,
+                ("OBJECT-TYPE", _) => ObjectKind::Scalar,
+                _ => ObjectKind::Node,
             };
             let labels = match (raw.syntax, types.get(raw.syntax)) {
                 ("TruthValue", _) => vec![("true".to_owned(), 1), ("false".to_owned(), 2)],
@@ -280,15 +280,17 @@
                 let of = raws.iter().find(|(n, _)| n == index).map_or("", |(_, r)| r.syntax);
                 followed(of)
             };
-            let with = match sort {
-                Sort::Column => row.map_or_else(Vec::new, |(_, r)| r.with.iter().map(index_type).collect()),
+            let with = match kind {
+                ObjectKind::Column => {
+                    row.map_or_else(Vec::new, |(_, r)| r.with.iter().map(index_type).collect())
+                }
                 _ => raw.with.iter().map(|w| (*w).to_owned()).collect(),
             };
             let description = raw.description.split_whitespace().collect::<Vec<_>>().join(" ");
             let (name, oid, syntax) = ((*name).to_owned(), oid.clone(), followed(raw.syntax));
             let convention = raw.syntax.to_owned();
             let object =
-                Object { name, oid: oid.clone(), sort, syntax, convention, labels, with, description };
+                Object { name, oid: oid.clone(), kind, syntax, convention, labels, with, description };
             mib.objects.insert(oid, object);
         }
         mib
@@ -331,8 +333,8 @@
             };
         };
         let rest = &name.arcs()[object.oid.arcs().len()..];
-        match (object.sort, rest) {
-            (Sort::Scalar, [0]) | (_, []) => return object.name.clone(),
+        match (object.kind, rest) {
+            (ObjectKind::Scalar, [0]) | (_, []) => return object.name.clone(),
             _ => {}
         }
         let (mut rest, mut shown) = (rest, Vec::new());
@@ -353,8 +355,8 @@
             }
         }
         let behind = rest.iter().fold(String::new(), |all, arc| format!("{all}.{arc}"));
-        match object.sort {
-            Sort::Column => format!("{}[{}]{behind}", object.name, shown.join(", ")),
+        match object.kind {
+            ObjectKind::Column => format!("{}[{}]{behind}", object.name, shown.join(", ")),
             _ => format!("{}{behind}", object.name),
         }
     }
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -3,12 +3,12 @@
 //!
 //! What waits for a receiver is bounded; the oldest goes first, and what has waited for an hour. An inform is
 //! resent after 1 s, 2 s, 4 s and so on up to a minute, and the ones behind it wait, so that they come in
-//! order. A receiver that is away for an hour costs a datagram a minute and gets the last [`QUEUE`] when it
+//! order. A receiver that is away for an hour costs a datagram a minute and gets the last [`MAX_QUEUE`] when it
 //! returns. Each carries a number: a gap in them is what was dropped.
 
-use crate::manager::{As, Heard, Session};
+use crate::manager::{Credentials, Received, Session};
 use crate::message::{self, Community, Flags, Header, Kind, Pdu, Scoped};
-use crate::reader::DATAGRAM;
+use crate::reader::MAX_DATAGRAM;
 use crate::stats::{Notifications, Receiver};
 use crate::usm::{self, Engine, Keys};
 use crate::watch::Change;
@@ -17,16 +17,16 @@
 use std::net::SocketAddr;
 
 /// What may wait for a receiver, and for how long.
-pub const QUEUE: usize = 64;
-/// See [`QUEUE`].
-pub const OLDEST: Micros = 3600 * SECOND;
+pub const MAX_QUEUE: usize = 64;
+/// See [`MAX_QUEUE`].
+pub const MAX_AGE: Micros = 3600 * SECOND;
 /// The first pause before an inform is resent, and the longest.
-const AGAIN: Micros = SECOND;
-const AGAIN_MOST: Micros = 60 * SECOND;
+const RESEND_DELAY: Micros = SECOND;
+const MAX_RESEND_DELAY: Micros = 60 * SECOND;
 /// What a receiver may tell for one try: its id, then its clock, and once more if it starts anew meanwhile.
-const LESSONS: u32 = 4;
+const MAX_DISCOVERIES: u32 = 4;
 /// Receivers at the most.
-pub const RECEIVERS: usize = 8;
+pub const MAX_RECEIVERS: usize = 8;
 
 const SYS_UP_TIME: [u32; 9] = [1, 3, 6, 1, 2, 1, 1, 3, 0];
 const SNMP_TRAP_OID: [u32; 11] = [1, 3, 6, 1, 6, 3, 1, 1, 4, 1, 0];
@@ -41,7 +41,7 @@
     /// It is sent informs, and no traps.
     pub informs: bool,
     /// As whom.
-    pub as_whom: As,
+    pub credentials: Credentials,
 }
 
 /// A notification that waits.
@@ -52,7 +52,7 @@
 }
 
 #[derive(Debug)]
-struct Way {
+struct Destination {
     target: Target,
     session: Session,
     /// The sender's own keys, for traps of SNMPv3.
@@ -62,8 +62,8 @@
     tries: u32,
     due: Micros,
     /// The receiver told something that it has to be sent with at once; and how often that may happen a try.
-    learnt: bool,
-    lessons: u32,
+    discovered: bool,
+    discoveries: u32,
     stats: Receiver,
 }
 
@@ -73,14 +73,14 @@
     enterprise: u32,
     engine: Engine,
     started: Micros,
-    ways: Vec<Way>,
+    destinations: Vec<Destination>,
     sequence: u32,
     request: i32,
     salt: u64,
 }
 
 /// What a notification says: its name, and the objects that go with it.
-type Told = (Oid, Vec<(Oid, Value)>);
+type Notification = (Oid, Vec<(Oid, Value)>);
 
 impl Notifier {
     /// A notifier of the engine's, whose sysUpTime counts from `started`. `seed` is where request-ids and
@@ -92,52 +92,63 @@
         targets: Vec<Target>,
         seed: u64,
     ) -> Notifier {
-        let ways = targets.into_iter().take(RECEIVERS).zip(1u64..).map(|(target, n)| {
-            let keys = match &target.as_whom {
-                As::User(user) => user.at(&engine.id),
-                As::Community(_) => Keys::default(),
+        let destinations = targets.into_iter().take(MAX_RECEIVERS).zip(1u64..).map(|(target, n)| {
+            let keys = match &target.credentials {
+                Credentials::User(user) => user.at(&engine.id),
+                Credentials::Community(_) => Keys::default(),
             };
             let seed = seed.wrapping_add(n << 48);
-            let session = Session::new(target.as_whom.clone(), Some(engine.id.clone()), seed);
+            let session = Session::new(target.credentials.clone(), Some(engine.id.clone()), seed);
             let (address, informs) = (target.address.to_string(), target.informs);
             let stats = Receiver { address, informs, ..Receiver::default() };
-            Way {
+            Destination {
                 target,
                 session,
                 keys,
                 queue: VecDeque::new(),
                 tries: 0,
                 due: 0,
-                learnt: false,
-                lessons: 0,
+                discovered: false,
+                discoveries: 0,
                 stats,
             }
         });
         let request = (seed >> 33) as i32;
-        Notifier { enterprise, ways: ways.collect(), engine, started, sequence: 0, request, salt: seed }
+        Notifier {
+            enterprise,
+            destinations: destinations.collect(),
+            engine,
+            started,
+            sequence: 0,
+            request,
+            salt: seed,
+        }
     }
 
     /// What became of notifications so far; `held` were not told at once.
     pub fn stats(&self, held: u64) -> Notifications {
-        let of = |way: &Way| Receiver { queued: way.queue.len() as u64, ..way.stats.clone() };
-        Notifications { sequence: self.sequence, held, receivers: self.ways.iter().map(of).collect() }
+        let of = |destination: &Destination| Receiver {
+            queued: destination.queue.len() as u64,
+            ..destination.stats.clone()
+        };
+        Notifications { sequence: self.sequence, held, receivers: self.destinations.iter().map(of).collect() }
     }
 
     /// The agent has started: `warm` where nothing of its settings was changed (RFC 3418).
     pub fn started(&mut self, now: Micros, warm: bool) {
         let name = if warm { WARM_START } else { COLD_START };
         if let Some(name) = Oid::new(&name) {
-            self.tell(now, (name, Vec::new()));
+            self.enqueue(now, (name, Vec::new()));
         }
     }
 
     /// Something changed.
     pub fn change(&mut self, now: Micros, change: &Change) {
-        let told = self.describe(change);
-        self.tell(now, told);
+        let notification = self.describe(change);
+        self.enqueue(now, notification);
     }
 
-    fn describe(&self, change: &Change) -> Told {
+    fn describe(&self, change: &Change) -> Notification {
         let root = tree::root(self.enterprise);
         let (name, object) = (root.child(&[0]), root.child(&[1]));
         let name = |n: u32| name.child(&[n]);
@@ -171,87 +182,96 @@
         }
     }
 
-    fn tell(&mut self, now: Micros, told: Told) {
-        let (name, objects) = told;
+    fn enqueue(&mut self, now: Micros, notification: Notification) {
+        let (name, objects) = notification;
         self.sequence = self.sequence.wrapping_add(1);
         let sequence = tree::root(self.enterprise).child(&[1, 9, 1, 0]);
         let (Some(up), Some(trap)) = (Oid::new(&SYS_UP_TIME), Oid::new(&SNMP_TRAP_OID)) else { return };
         let mut bindings = vec![(up, Value::ticks(now - self.started)), (trap, Value::Oid(name))];
         bindings.extend(objects);
         bindings.push((sequence, Value::Counter(self.sequence)));
-        for way in &mut self.ways {
+        for destination in &mut self.destinations {
             self.request = self.request.wrapping_add(1) & i32::MAX;
-            let kind = if way.target.informs { Kind::Inform } else { Kind::Trap };
+            let kind = if destination.target.informs { Kind::Inform } else { Kind::Trap };
             let (request, bindings) = (self.request, bindings.clone());
-            if way.queue.len() >= QUEUE {
+            if destination.queue.len() >= MAX_QUEUE {
                 // The first may be under way: the one behind it goes.
-                way.queue.remove(usize::from(way.tries > 0));
-                way.stats.dropped += 1;
+                destination.queue.remove(usize::from(destination.tries > 0));
+                destination.stats.dropped += 1;
             }
             let pdu = Pdu { kind, request, status: 0, index: 0, bindings };
-            way.queue.push_back(Item { pdu, since: now });
+            destination.queue.push_back(Item { pdu, since: now });
         }
     }
 
     /// When something is due next, if anything waits.
     pub fn next(&self) -> Option<Micros> {
-        self.ways.iter().filter(|w| !w.queue.is_empty()).map(|w| w.due).min()
+        self.destinations.iter().filter(|w| !w.queue.is_empty()).map(|w| w.due).min()
     }
 
     /// A datagram that is due, and where to; to be asked again until there is none.
     pub fn send(&mut self, now: Micros) -> Option<(SocketAddr, Vec<u8>)> {
-        let at = self.ways.iter_mut().position(|w| w.ready(now))?;
-        let way = self.ways.get_mut(at)?;
-        let address = way.target.address;
-        if !way.target.informs {
-            let item = way.queue.pop_front()?;
-            way.stats.sent += 1;
+        let at = self.destinations.iter_mut().position(|w| w.ready(now))?;
+        let destination = self.destinations.get_mut(at)?;
+        let address = destination.target.address;
+        if !destination.target.informs {
+            let item = destination.queue.pop_front()?;
+            destination.stats.sent += 1;
             self.salt = self.salt.wrapping_add(1);
-            let out = match &way.target.as_whom {
-                As::Community(name) => Community { community: name.clone(), pdu: item.pdu }.bytes(),
-                As::User(user) => {
+            let out = match &destination.target.credentials {
+                Credentials::Community(name) => Community { community: name.clone(), pdu: item.pdu }.bytes(),
+                Credentials::User(user) => {
                     let (boots, time) = self.engine.clock(now);
                     let id = item.pdu.request;
-                    let most = DATAGRAM as u32;
-                    let header = Header { id, most, flags: Flags::default(), model: message::USM };
+                    let max_size = MAX_DATAGRAM as u32;
+                    let header = Header { id, max_size, flags: Flags::default(), model: message::USM };
                     let engine = self.engine.id.clone();
                     let scoped = Scoped { engine, context: Vec::new(), pdu: item.pdu };
                     let clock = (self.engine.id.as_slice(), boots, time);
-                    usm::seal(header, clock, &user.name, &way.keys, scoped, self.salt)
+                    usm::seal(header, clock, &user.name, &destination.keys, scoped, self.salt)
                 }
             };
             return Some((address, out));
         }
-        let item = way.queue.front()?;
-        if !std::mem::take(&mut way.learnt) {
-            let counter = if way.tries == 0 { &mut way.stats.sent } else { &mut way.stats.resent };
+        let item = destination.queue.front()?;
+        if !std::mem::take(&mut destination.discovered) {
+            let counter = if destination.tries == 0 {
+                &mut destination.stats.sent
+            } else {
+                &mut destination.stats.resent
+            };
             *counter += 1;
-            let pause = (AGAIN << way.tries.min(6)).min(AGAIN_MOST);
-            (way.tries, way.due, way.lessons) = (way.tries.saturating_add(1), now + pause, 0);
+            let pause = (RESEND_DELAY << destination.tries.min(6)).min(MAX_RESEND_DELAY);
+            (destination.tries, destination.due, destination.discoveries) =
+                (destination.tries.saturating_add(1), now + pause, 0);
         } else {
-            way.due = now + AGAIN;
+            destination.due = now + RESEND_DELAY;
         }
-        Some((address, way.session.request(now, &item.pdu)))
+        Some((address, destination.session.request(now, &item.pdu)))
     }
 
     /// A datagram came from a receiver.
-    pub fn heard(&mut self, now: Micros, from: SocketAddr, datagram: &[u8]) {
+    pub fn receive(&mut self, now: Micros, from: SocketAddr, datagram: &[u8]) {
         let canonical = |a: SocketAddr| (a.ip().to_canonical(), a.port());
-        for way in self.ways.iter_mut().filter(|w| canonical(w.target.address) == canonical(from)) {
-            let Some(request) = way.queue.front().filter(|_| way.target.informs).map(|i| i.pdu.request)
+        for destination in
+            self.destinations.iter_mut().filter(|w| canonical(w.target.address) == canonical(from))
+        {
+            let Some(request) =
+                destination.queue.front().filter(|_| destination.target.informs).map(|i| i.pdu.request)
             else {
                 continue;
             };
-            match way.session.heard(now, request, datagram) {
-                Heard::Response(_) => {
-                    way.queue.pop_front();
-                    way.stats.acknowledged += 1;
-                    way.rest(now);
+            match destination.session.receive(now, request, datagram) {
+                Received::Response(_) => {
+                    destination.queue.pop_front();
+                    destination.stats.acknowledged += 1;
+                    destination.advance(now);
                     return;
                 }
                 // At once, but not for ever: whoever keeps saying so waits as long as who says nothing.
-                Heard::Again if way.lessons < LESSONS => {
-                    (way.learnt, way.lessons, way.due) = (true, way.lessons + 1, now);
+                Received::Retry if destination.discoveries < MAX_DISCOVERIES => {
+                    (destination.discovered, destination.discoveries, destination.due) =
+                        (true, destination.discoveries + 1, now);
                     return;
                 }
                 _ => {}
@@ -260,20 +280,20 @@
     }
 }
 
-impl Way {
+impl Destination {
     /// The first is done with; the next may go.
-    fn rest(&mut self, now: Micros) {
-        (self.tries, self.due, self.learnt, self.lessons) = (0, now, false, 0);
+    fn advance(&mut self, now: Micros) {
+        (self.tries, self.due, self.discovered, self.discoveries) = (0, now, false, 0);
     }
 
     /// Whether something is to be sent now. What is too old goes first.
     fn ready(&mut self, now: Micros) -> bool {
-        while self.queue.front().is_some_and(|i| now - i.since > OLDEST) {
+        while self.queue.front().is_some_and(|i| now - i.since > MAX_AGE) {
             self.queue.pop_front();
             self.stats.dropped += 1;
-            self.rest(now);
+            self.advance(now);
         }
         // A clock that stepped back must not put it off.
-        !self.queue.is_empty() && (self.due <= now || self.due - now > AGAIN_MOST)
+        !self.queue.is_empty() && (self.due <= now || self.due - now > MAX_RESEND_DELAY)
     }
 }
--- a/crates/snmp/src/oid.rs
+++ b/crates/snmp/src/oid.rs
@@ -3,9 +3,9 @@
 use std::fmt;
 
 /// The most arcs of a name.
-pub const ARCS: usize = 128;
+pub const MAX_ARCS: usize = 128;
 
-/// A name: two arcs at least, [`ARCS`] at the most.
+/// A name: two arcs at least, [`MAX_ARCS`] at the most.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Oid(Vec<u32>);
 
@@ -18,7 +18,7 @@
             2 => *second <= u32::MAX - 80,
             _ => false,
         };
-        (packs && arcs.len() <= ARCS).then(|| Oid(arcs.to_vec()))
+        (packs && arcs.len() <= MAX_ARCS).then(|| Oid(arcs.to_vec()))
     }
 
     /// Reads `1.3.6.1`, with or without a dot before it.
@@ -44,7 +44,7 @@
         let mut all = Vec::with_capacity(self.0.len() + arcs.len());
         all.extend_from_slice(&self.0);
         all.extend_from_slice(arcs);
-        all.truncate(ARCS);
+        all.truncate(MAX_ARCS);
         Oid(all)
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// The first name behind all that are below this one.
-    pub fn behind(&self) -> Option<Oid> {
+    pub fn subtree_end(&self) -> Option<Oid> {
         let mut arcs = self.0.clone();
         while arcs.last() == Some(&u32::MAX) {
             arcs.pop();
--- a/crates/snmp/src/reader.rs
+++ b/crates/snmp/src/reader.rs
@@ -7,13 +7,13 @@
 use std::ops::Range;
 
 /// The longest datagram that is read. RFC 3417 wants 484 and recommends 1472.
-pub const DATAGRAM: usize = 4096;
+pub const MAX_DATAGRAM: usize = 4096;
 /// Levels: message, scoped PDU, PDU, bindings, binding, value, and one to spare.
-const LEVELS: usize = 7;
+const MAX_DEPTH: usize = 7;
 /// Elements in all: a GET of some hundred names.
-const ELEMENTS: usize = 512;
-/// Arcs of a name, as [`crate::oid::ARCS`]; BER packs the first two into one.
-const ARCS: usize = crate::oid::ARCS - 1;
+const MAX_ELEMENTS: usize = 512;
+/// Arcs of a name, as [`crate::oid::MAX_ARCS`]; BER packs the first two into one.
+const MAX_ENCODED_ARCS: usize = crate::oid::MAX_ARCS - 1;
 
 /// Why a datagram is none of SNMP's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -95,7 +95,7 @@
         }
     }
     match (arcs, within) {
-        (1..=ARCS, false) => Ok(()),
+        (1..=MAX_ENCODED_ARCS, false) => Ok(()),
         (0, _) | (_, true) => Err(Malformed("a name that is not whole")),
         _ => Err(Malformed("a name of too many arcs")),
     }
@@ -110,7 +110,7 @@
 
 /// Checks that the whole of `bytes` is one sound element.
 pub fn check(bytes: &[u8]) -> Read<()> {
-    if bytes.len() > DATAGRAM {
+    if bytes.len() > MAX_DATAGRAM {
         return Err(Malformed("a datagram that is too long"));
     }
     let whole = element(bytes, 0, bytes.len())?;
@@ -118,7 +118,7 @@
         return Err(Malformed("bytes behind the message"));
     }
     // The ends of the elements that hold the one being read, innermost last.
-    let (mut ends, mut depth, mut at, mut seen) = ([0usize; LEVELS], 0usize, 0usize, 0usize);
+    let (mut ends, mut depth, mut at, mut seen) = ([0usize; MAX_DEPTH], 0usize, 0usize, 0usize);
     let mut end = bytes.len();
     loop {
         if at == end {
@@ -131,14 +131,14 @@
             continue;
         }
         seen += 1;
-        if seen > ELEMENTS {
+        if seen > MAX_ELEMENTS {
             return Err(Malformed("too many elements"));
         }
         let one = element(bytes, at, end)?;
         let contents = &bytes[one.contents.clone()];
         match one.tag {
             tag::SEQUENCE | 0xa0..=0xa8 => {
-                if depth == LEVELS {
+                if depth == MAX_DEPTH {
                     return Err(Malformed("too many levels"));
                 }
                 ends[depth] = end;
--- a/crates/snmp/src/stats.rs
+++ b/crates/snmp/src/stats.rs
@@ -24,7 +24,7 @@
 }
 
 /// Counts one more.
-pub fn bump(counter: &mut u32) {
+pub fn increment(counter: &mut u32) {
     *counter = counter.wrapping_add(1);
 }
 
--- a/crates/snmp/src/tree.rs
+++ b/crates/snmp/src/tree.rs
@@ -11,9 +11,9 @@
 /// The enterprise number that IANA keeps for documentation (RFC 5612).
 pub const ENTERPRISE: u32 = 32473;
 /// Rows of the node table, of the request table, and of those of planners, forwarders and receivers.
-pub const NODES: usize = 256;
-const REQUESTS: usize = 1024;
-const OTHERS: usize = 256;
+pub const MAX_NODE_ROWS: usize = 256;
+const MAX_REQUEST_ROWS: usize = 1024;
+const MAX_OTHER_ROWS: usize = 256;
 /// The columns that can be read, by group and table: the first and the last.
 const TABLES: [(u32, u32, u32, u32); 8] = [
     (2, 6, 2, 16),
@@ -26,18 +26,18 @@
     (9, 3, 2, 8),
 ];
 /// The longest index made of a node's id, and of a class's or a tenant's name.
-const NODE_NAME: usize = 64;
-const NAME: usize = 32;
+const MAX_NODE_INDEX: usize = 64;
+const MAX_NAME_INDEX: usize = 32;
 
 /// What the agent itself adds to a snapshot.
 #[derive(Clone, Debug, Default)]
-pub struct Own {
+pub struct AgentInfo {
     /// The enterprise number that the MIB is under.
     pub enterprise: u32,
     /// snmpEngineID, snmpEngineBoots and snmpEngineTime.
     pub engine: (Vec<u8>, u32, u32),
     /// The longest message that it reads.
-    pub most: u32,
+    pub max_message_size: u32,
     /// sysContact and sysLocation.
     pub contact: String,
     /// See `contact`.
@@ -56,7 +56,7 @@
 /// All instances.
 #[derive(Clone, Debug, Default)]
 pub struct Tree {
-    cells: Vec<(Oid, Value)>,
+    instances: Vec<(Oid, Value)>,
 }
 
 /// A name as an index: a longer one is cut, and told from others by a hash (FNV-1a) of the whole.
@@ -80,7 +80,7 @@
 
 /// The index of a node's row, for notifications that name it.
 pub fn node_index(name: &str) -> Vec<u32> {
-    index(name, NODE_NAME)
+    index(name, MAX_NODE_INDEX)
 }
 
 fn micros(span: Micros) -> Value {
@@ -97,36 +97,37 @@
 }
 
 /// Collects the instances below one name.
-struct Below<'a> {
-    cells: &'a mut Vec<(Oid, Value)>,
+struct InstanceWriter<'a> {
+    instances: &'a mut Vec<(Oid, Value)>,
     root: Oid,
 }
 
-impl Below<'_> {
+impl InstanceWriter<'_> {
     /// Scalars: the first is object 1, the next 2, and so on from `from`.
     fn scalars(&mut self, from: u32, values: impl IntoIterator<Item = Value>) {
         for (object, value) in (from..).zip(values) {
-            self.cells.push((self.root.child(&[object, 0]), value));
+            self.instances.push((self.root.child(&[object, 0]), value));
         }
     }
 
     /// A row of the table that is object `table`: the first value is of column `from`.
     fn row(&mut self, table: u32, index: &[u32], from: u32, values: impl IntoIterator<Item = Value>) {
         for (column, value) in (from..).zip(values) {
-            self.cells.push((self.root.child(&[table, 1, column]).child(index), value));
+            self.instances.push((self.root.child(&[table, 1, column]).child(index), value));
         }
     }
 }
 
 impl Tree {
     /// The instances of a snapshot at this time.
-    pub fn build(now: Micros, s: &Snapshot, own: &Own) -> Tree {
-        let mut cells = Vec::with_capacity(256 + s.nodes.len().min(NODES) * 16 + s.requests.len() * 6);
-        standard(&mut cells, now, s, own);
-        let root = root(own.enterprise);
+    pub fn build(now: Micros, s: &Snapshot, info: &AgentInfo) -> Tree {
+        let mut instances =
+            Vec::with_capacity(256 + s.nodes.len().min(MAX_NODE_ROWS) * 16 + s.requests.len() * 6);
+        standard(&mut instances, now, s, info);
+        let root = root(info.enterprise);
         let objects = root.child(&[1]);
-        let mut group = |group: u32, fill: &dyn Fn(&mut Below)| {
-            fill(&mut Below { cells: &mut cells, root: objects.child(&[group]) });
+        let mut group = |group: u32, fill: &dyn Fn(&mut InstanceWriter)| {
+            fill(&mut InstanceWriter { instances: &mut instances, root: objects.child(&[group]) });
         };
         group(1, &|b| proxy(b, now, s));
         group(2, &|b| nodes(b, now, s));
@@ -136,23 +137,23 @@
         group(6, &|b| ledger(b, s));
         group(7, &|b| discovery(b, now, s));
         group(8, &|b| plans(b, now, s));
-        group(9, &|b| notifications(b, &own.notifications));
-        cells.sort_by(|a, b| a.0.cmp(&b.0));
+        group(9, &|b| notifications(b, &info.notifications));
+        instances.sort_by(|a, b| a.0.cmp(&b.0));
         // Two names that are cut to one index: the first row stays.
-        cells.dedup_by(|a, b| a.0 == b.0);
-        Tree { cells }
+        instances.dedup_by(|a, b| a.0 == b.0);
+        Tree { instances }
     }
 
     /// The value of an instance.
     pub fn get(&self, name: &Oid) -> Option<&Value> {
-        let at = self.cells.binary_search_by(|(n, _)| n.cmp(name)).ok()?;
-        self.cells.get(at).map(|(_, v)| v)
+        let at = self.instances.binary_search_by(|(n, _)| n.cmp(name)).ok()?;
+        self.instances.get(at).map(|(_, v)| v)
     }
 
     /// The instances behind a name, in order.
     pub fn after(&self, name: &Oid) -> &[(Oid, Value)] {
-        let at = self.cells.partition_point(|(n, _)| n <= name);
-        self.cells.get(at..).unwrap_or_default()
+        let at = self.instances.partition_point(|(n, _)| n <= name);
+        self.instances.get(at..).unwrap_or_default()
     }
 
     /// Whether there is an object that a name which is no instance's would be one of: a column, also of a
@@ -174,35 +175,35 @@
     }
 }
 
-fn standard(cells: &mut Vec<(Oid, Value)>, now: Micros, s: &Snapshot, own: &Own) {
+fn standard(instances: &mut Vec<(Oid, Value)>, now: Micros, s: &Snapshot, info: &AgentInfo) {
     let mut put = |arcs: &[u32], from: u32, values: &[Value]| {
         let Some(root) = Oid::new(arcs) else { return };
-        Below { cells, root }.scalars(from, values.iter().cloned());
+        InstanceWriter { instances, root }.scalars(from, values.iter().cloned());
     };
     let up = Value::ticks(now - s.started);
     let about = format!("martenweir {}, a proxy before cache nodes and a ledger", s.version);
-    let product = Value::Oid(root(own.enterprise).child(&[3, 1]));
+    let product = Value::Oid(root(info.enterprise).child(&[3, 1]));
     let system = [
         Value::text(&about),
         product,
         up,
-        Value::text(&own.contact),
+        Value::text(&info.contact),
         Value::text(&s.name),
-        Value::text(&own.location),
+        Value::text(&info.location),
         // Layers 4 and 7 (RFC 3418, sysServices).
         Value::Integer(72),
     ];
     put(&[1, 3, 6, 1, 2, 1, 1], 1, &system);
-    let c = own.stats;
+    let c = info.stats;
     put(&[1, 3, 6, 1, 2, 1, 11], 1, &[Value::Counter(c.in_packets)]);
     let names = [c.bad_versions, c.bad_community_names, c.bad_community_uses, c.parse_errors];
     put(&[1, 3, 6, 1, 2, 1, 11], 3, &names.map(Value::Counter));
     // No authenticationFailure is ever sent: whoever can send datagrams could make it a flood.
     let traps = [Value::Integer(2), Value::Counter(c.silent_drops), Value::Counter(0)];
     put(&[1, 3, 6, 1, 2, 1, 11], 30, &traps);
-    let (id, boots, time) = &own.engine;
+    let (id, boots, time) = &info.engine;
     let number = |n: u32| Value::Integer(n.min(i32::MAX as u32) as i32);
-    let engine = [Value::Octets(id.clone()), number(*boots), number(*time), number(own.most)];
+    let engine = [Value::Octets(id.clone()), number(*boots), number(*time), number(info.max_message_size)];
     put(&[1, 3, 6, 1, 6, 3, 10, 2, 1], 1, &engine);
     let processing = [c.unknown_security_models, c.invalid_messages, c.unknown_pdu_handlers];
     put(&[1, 3, 6, 1, 6, 3, 11, 2, 1], 1, &processing.map(Value::Counter));
@@ -218,7 +219,7 @@
     put(&[1, 3, 6, 1, 6, 3, 15, 1, 1], 1, &usm.map(Value::Counter));
 }
 
-fn proxy(b: &mut Below, now: Micros, s: &Snapshot) {
+fn proxy(b: &mut InstanceWriter, now: Micros, s: &Snapshot) {
     b.scalars(
         1,
         [
@@ -237,12 +238,12 @@
     );
 }
 
-fn nodes(b: &mut Below, now: Micros, s: &Snapshot) {
+fn nodes(b: &mut InstanceWriter, now: Micros, s: &Snapshot) {
     let (serving, usable) = s.fleet();
     let listed = s.nodes.iter().filter(|n| n.phase != crate::snapshot::Phase::Gone).count();
-    let left_out = s.nodes.len().saturating_sub(NODES);
+    let left_out = s.nodes.len().saturating_sub(MAX_NODE_ROWS);
     b.scalars(1, [listed as u32, serving, usable, s.bound(), left_out as u32].map(Value::Gauge));
-    for node in s.nodes.iter().take(NODES) {
+    for node in s.nodes.iter().take(MAX_NODE_ROWS) {
         b.row(6, &node_index(&node.name), 2, node_row(now, s, node));
     }
 }
@@ -273,10 +274,10 @@
     Value::Integer(state as i32)
 }
 
-fn requests(b: &mut Below, s: &Snapshot) {
-    for row in s.requests.iter().take(REQUESTS) {
-        let mut at = index(&row.class, NAME);
-        at.extend(index(&row.tenant, NAME));
+fn requests(b: &mut InstanceWriter, s: &Snapshot) {
+    for row in s.requests.iter().take(MAX_REQUEST_ROWS) {
+        let mut at = index(&row.class, MAX_NAME_INDEX);
+        at.extend(index(&row.tenant, MAX_NAME_INDEX));
         let Counts { served, refused, failed, left, retried, joined } = row.counts;
         b.row(1, &at, 3, [served, refused, failed, left, retried, joined].map(Value::Counter64));
     }
@@ -287,9 +288,9 @@
     b.scalars(3, [taken, Value::gauge(s.streams), Value::gauge(s.streams_limit), overdue]);
 }
 
-fn times(b: &mut Below, s: &Snapshot) {
-    for class in s.times.iter().take(REQUESTS) {
-        let at = index(&class.class, NAME);
+fn times(b: &mut InstanceWriter, s: &Snapshot) {
+    for class in s.times.iter().take(MAX_REQUEST_ROWS) {
+        let at = index(&class.class, MAX_NAME_INDEX);
         let [p50, p90, p99, p999] = class.percentiles.map(micros);
         b.row(1, &at, 2, [Value::gauge(class.recent), micros(class.mean), p50, p90, p99, p999]);
         for (up_to, n) in BUCKETS.into_iter().zip(class.histogram) {
@@ -300,7 +301,7 @@
     }
 }
 
-fn connections(b: &mut Below, s: &Snapshot) {
+fn connections(b: &mut InstanceWriter, s: &Snapshot) {
     let c = s.connections;
     let counters = [c.downstreams_refused, c.downstreams_silent].map(Value::Counter64);
     b.scalars(1, [c.downstreams, c.downstreams_limit].map(Value::gauge).into_iter().chain(counters));
@@ -310,7 +311,7 @@
     b.scalars(5, [c.upstreams, c.upstreams_limit].map(Value::gauge).into_iter().chain(counters));
 }
 
-fn ledger(b: &mut Below, s: &Snapshot) {
+fn ledger(b: &mut InstanceWriter, s: &Snapshot) {
     let l = s.ledger;
     b.scalars(
         1,
@@ -326,7 +327,7 @@
     );
 }
 
-fn discovery(b: &mut Below, now: Micros, s: &Snapshot) {
+fn discovery(b: &mut InstanceWriter, now: Micros, s: &Snapshot) {
     let d = s.discovery;
     b.scalars(
         1,
@@ -340,12 +341,12 @@
     );
 }
 
-fn plans(b: &mut Below, now: Micros, s: &Snapshot) {
+fn plans(b: &mut InstanceWriter, now: Micros, s: &Snapshot) {
     let p = &s.plans;
     let reachable = p.planners.iter().filter(|p| p.reachable).count();
     let refused = p.planners.iter().map(|p| p.refused).sum();
     b.scalars(1, [Value::truth(p.in_force), Value::gauge(reachable as u64), Value::Counter64(refused)]);
-    for p in p.planners.iter().take(OTHERS) {
+    for p in p.planners.iter().take(MAX_OTHER_ROWS) {
         let told = [
             Value::text(&p.address),
             Value::truth(p.reachable),
@@ -356,7 +357,7 @@
         ];
         b.row(4, &[p.index], 2, told);
     }
-    for f in p.forwarders.iter().take(OTHERS) {
+    for f in p.forwarders.iter().take(MAX_OTHER_ROWS) {
         let seen = [
             Value::text(&f.name),
             Value::text(&f.hall),
@@ -368,9 +369,9 @@
     }
 }
 
-fn notifications(b: &mut Below, n: &Notifications) {
+fn notifications(b: &mut InstanceWriter, n: &Notifications) {
     b.scalars(1, [Value::Counter(n.sequence), Value::Counter64(n.held)]);
-    for (at, r) in (1..).zip(n.receivers.iter().take(OTHERS)) {
+    for (at, r) in (1..).zip(n.receivers.iter().take(MAX_OTHER_ROWS)) {
         let counters = [r.sent, r.acknowledged, r.resent, r.dropped].map(Value::Counter64);
         let told = [Value::text(&r.address), Value::truth(r.informs), Value::gauge(r.queued)];
         b.row(3, &[at], 2, told.into_iter().chain(counters));
--- a/crates/snmp/src/usm.rs
+++ b/crates/snmp/src/usm.rs
@@ -13,17 +13,17 @@
 use subtle::ConstantTimeEq;
 
 /// The longest name of a user (RFC 3414, 5, usmUserSecurityName: 32).
-pub const NAME: usize = 32;
+pub const MAX_USER_NAME: usize = 32;
 /// The shortest passphrase (RFC 3414, 11.2).
-pub const PASSPHRASE: usize = 8;
+pub const MIN_PASSPHRASE: usize = 8;
 /// How far the time in a message may be off, in seconds (RFC 3414, 2.2.3).
-pub const WINDOW: u32 = 150;
+pub const TIME_WINDOW: u32 = 150;
 /// snmpEngineBoots that is the last there can be: nothing is in time any more (RFC 3414, 2.2.3).
-pub const BOOTS_MOST: u32 = i32::MAX as u32;
+pub const MAX_BOOTS: u32 = i32::MAX as u32;
 /// A passphrase is repeated to this length before it is hashed (RFC 3414, A.2.1).
-const STRETCHED: usize = 1 << 20;
-const AES_KEY: usize = 16;
-const SALT: usize = 8;
+const EXPANDED_LEN: usize = 1 << 20;
+const AES_KEY_LEN: usize = 16;
+const SALT_LEN: usize = 8;
 
 /// How messages of a user are authenticated (RFC 7860, 4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,11 +38,11 @@
     Sha512,
 }
 
-fn stretch<D: Digest>(passphrase: &[u8]) -> Vec<u8> {
+fn expand<D: Digest>(passphrase: &[u8]) -> Vec<u8> {
     // Whole repetitions at a time: a megabyte takes some milliseconds, once a user.
     let mut hash = D::new();
     let mut block = passphrase.repeat(1024 / passphrase.len().max(1) + 1);
-    let mut left = STRETCHED;
+    let mut left = EXPANDED_LEN;
     while left > 0 && !block.is_empty() {
         block.truncate(left);
         hash.update(&block);
@@ -89,10 +89,10 @@
     /// The key that a passphrase stands for, at any engine.
     fn key(self, passphrase: &[u8]) -> Vec<u8> {
         match self {
-            Auth::Sha224 => stretch::<Sha224>(passphrase),
-            Auth::Sha256 => stretch::<Sha256>(passphrase),
-            Auth::Sha384 => stretch::<Sha384>(passphrase),
-            Auth::Sha512 => stretch::<Sha512>(passphrase),
+            Auth::Sha224 => expand::<Sha224>(passphrase),
+            Auth::Sha256 => expand::<Sha256>(passphrase),
+            Auth::Sha384 => expand::<Sha384>(passphrase),
+            Auth::Sha512 => expand::<Sha512>(passphrase),
         }
     }
 
@@ -106,14 +106,14 @@
     }
 
     fn digest(self, key: &[u8], pieces: &[&[u8]]) -> Vec<u8> {
-        let mut whole = match self {
+        let mut digest = match self {
             Auth::Sha224 => hmac::<Hmac<Sha224>>(key, pieces),
             Auth::Sha256 => hmac::<Hmac<Sha256>>(key, pieces),
             Auth::Sha384 => hmac::<Hmac<Sha384>>(key, pieces),
             Auth::Sha512 => hmac::<Hmac<Sha512>>(key, pieces),
         };
-        whole.truncate(self.digest_len());
-        whole
+        digest.truncate(self.digest_len());
+        digest
     }
 }
 
@@ -159,10 +159,10 @@
     /// A user; `auth` is how and with which passphrase, `privacy` the passphrase of its AES key, which means
     /// nothing without `auth`. An error says what is wrong with a name or a passphrase.
     pub fn new(name: &str, auth: Option<(Auth, &str)>, privacy: Option<&str>) -> Result<User, &'static str> {
-        if name.is_empty() || name.len() > NAME {
+        if name.is_empty() || name.len() > MAX_USER_NAME {
             return Err("a user's name of 1 to 32 bytes is wanted");
         }
-        if auth.iter().map(|(_, p)| *p).chain(privacy).any(|p| p.len() < PASSPHRASE) {
+        if auth.iter().map(|(_, p)| *p).chain(privacy).any(|p| p.len() < MIN_PASSPHRASE) {
             return Err("a passphrase of 8 bytes or more is wanted");
         }
         let privacy = auth.zip(privacy).map(|((auth, _), passphrase)| auth.key(passphrase.as_bytes()));
@@ -183,7 +183,9 @@
     pub fn at(&self, engine: &[u8]) -> Keys {
         let Some((auth, key)) = &self.auth else { return Keys::default() };
         let privacy = self.privacy.as_ref().and_then(|key| {
-            auth.localise(key, engine).get(..AES_KEY).and_then(|key| <[u8; AES_KEY]>::try_from(key).ok())
+            auth.localise(key, engine)
+                .get(..AES_KEY_LEN)
+                .and_then(|key| <[u8; AES_KEY_LEN]>::try_from(key).ok())
         });
         Keys { auth: Some((*auth, auth.localise(key, engine))), privacy }
     }
@@ -193,7 +195,7 @@
 #[derive(Clone, Default)]
 pub struct Keys {
     auth: Option<(Auth, Vec<u8>)>,
-    privacy: Option<[u8; AES_KEY]>,
+    privacy: Option<[u8; AES_KEY_LEN]>,
 }
 
 impl Keys {
@@ -212,7 +214,7 @@
     }
 
     /// As many zeros as a digest has bytes; nothing without authentication.
-    pub fn blank(&self) -> Vec<u8> {
+    pub fn empty_digest(&self) -> Vec<u8> {
         vec![0; self.auth.as_ref().map_or(0, |(auth, _)| auth.digest_len())]
     }
 
@@ -238,7 +240,7 @@
 
     fn cipher_iv(security: (u32, u32), salt: &[u8]) -> Option<[u8; 16]> {
         // RFC 3826, 3.1.2.1: boots, time, salt.
-        let salt = <[u8; SALT]>::try_from(salt).ok()?;
+        let salt = <[u8; SALT_LEN]>::try_from(salt).ok()?;
         let mut iv = [0; 16];
         iv[..4].copy_from_slice(&security.0.to_be_bytes());
         iv[4..8].copy_from_slice(&security.1.to_be_bytes());
@@ -283,7 +285,7 @@
         (data, privacy) = (Data::Encrypted(bytes), salt.to_be_bytes().to_vec());
     }
     let (engine, user) = (engine.to_vec(), user.to_vec());
-    let security = Security { engine, boots, time, user, auth: keys.blank(), privacy };
+    let security = Security { engine, boots, time, user, auth: keys.empty_digest(), privacy };
     let mut out = Secured { header: Header { flags, ..header }, security, data }.bytes();
     if let Ok(at) = reader::digest(&out) {
         keys.sign(&mut out, at);
@@ -304,7 +306,7 @@
 impl Engine {
     /// An engine that has started now, for the `boots`th time.
     pub fn new(id: Vec<u8>, boots: u32, now: Micros) -> Engine {
-        Engine { id, boots: boots.min(BOOTS_MOST), started: now }
+        Engine { id, boots: boots.min(MAX_BOOTS), started: now }
     }
 
     /// An id made of a name that is the same at every start: the enterprise, format 4 (text), or format 5 with
@@ -327,7 +329,7 @@
     /// snmpEngineBoots and snmpEngineTime. When the time is used up another boot is counted (RFC 3414, 2.2.2).
     pub fn clock(&self, now: Micros) -> (u32, u32) {
         let seconds = ((now - self.started).max(0) / crate::SECOND) as u64;
-        let most = u64::from(BOOTS_MOST);
+        let most = u64::from(MAX_BOOTS);
         let boots = (u64::from(self.boots) + seconds / most).min(most);
         (boots as u32, (seconds % most) as u32)
     }
@@ -335,7 +337,7 @@
     /// Whether a message is in time, as its authoritative engine sees it (RFC 3414, 3.2, 7a).
     pub fn in_time(&self, now: Micros, boots: u32, time: u32) -> bool {
         let (mine, at) = self.clock(now);
-        mine < BOOTS_MOST && boots == mine && time.abs_diff(at) <= WINDOW
+        mine < MAX_BOOTS && boots == mine && time.abs_diff(at) <= TIME_WINDOW
     }
 }
 
--- a/crates/snmp/src/usm/tests.rs
+++ b/crates/snmp/src/usm/tests.rs
@@ -43,10 +43,10 @@
 
 #[test]
 fn an_engine_counts_a_boot_when_its_time_is_used_up_and_stops_at_the_last() {
-    let engine = Engine::new(vec![1; 5], BOOTS_MOST - 1, 0);
-    let whole = i64::from(BOOTS_MOST) * crate::SECOND;
-    assert_eq!(engine.clock(whole - 1), (BOOTS_MOST - 1, BOOTS_MOST - 1));
-    assert_eq!(engine.clock(whole), (BOOTS_MOST, 0));
-    assert!(!engine.in_time(whole, BOOTS_MOST, 0), "the last boot is latched");
-    assert_eq!(engine.clock(-5), (BOOTS_MOST - 1, 0));
+    let engine = Engine::new(vec![1; 5], MAX_BOOTS - 1, 0);
+    let whole = i64::from(MAX_BOOTS) * crate::SECOND;
+    assert_eq!(engine.clock(whole - 1), (MAX_BOOTS - 1, MAX_BOOTS - 1));
+    assert_eq!(engine.clock(whole), (MAX_BOOTS, 0));
+    assert!(!engine.in_time(whole, MAX_BOOTS, 0), "the last boot is latched");
+    assert_eq!(engine.clock(-5), (MAX_BOOTS - 1, 0));
 }
--- a/crates/snmp/src/watch.rs
+++ b/crates/snmp/src/watch.rs
@@ -2,9 +2,9 @@
 //! and never a flood.
 //!
 //! A subject (a node, the ledger, the fleet, the planners) is in one of a few conditions, and its condition is
-//! told when it differs from the one told last: the first [`FREE`] changes at once, so that a hall that is cut
-//! off and comes back is told as it happens. A subject that goes on changing rests for [`HOLD`] after it was
-//! told, twice as long each time, up to [`HOLD_MOST`]: a node that flaps is told with growing pauses, and the
+//! told when it differs from the one told last: the first [`IMMEDIATE_CHANGES`] changes at once, so that a hall that is cut
+//! off and comes back is told as it happens. A subject that goes on changing rests for [`HOLD_DOWN`] after it was
+//! told, twice as long each time, up to [`MAX_HOLD_DOWN`]: a node that flaps is told with growing pauses, and the
 //! last word is always how it is. All nodes together have a budget; what finds none is told as soon as there is
 //! some, unless it has passed by then. What is held back is counted.
 
@@ -13,20 +13,20 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Changes of a subject that are told at once, if it was quiet for [`QUIET`] before.
-pub const FREE: u32 = 4;
-/// See [`FREE`].
-pub const QUIET: Micros = 60 * SECOND;
+/// Changes of a subject that are told at once, if it was quiet for [`QUIET_PERIOD`] before.
+pub const IMMEDIATE_CHANGES: u32 = 4;
+/// See [`IMMEDIATE_CHANGES`].
+pub const QUIET_PERIOD: Micros = 60 * SECOND;
 /// How long a subject rests after more than that, at first and at the most.
-pub const HOLD: Micros = 10 * SECOND;
-/// See [`HOLD`].
-pub const HOLD_MOST: Micros = 320 * SECOND;
+pub const HOLD_DOWN: Micros = 10 * SECOND;
+/// See [`HOLD_DOWN`].
+pub const MAX_HOLD_DOWN: Micros = 320 * SECOND;
 /// Changes of nodes that may be told in a bunch, and one more each so many microseconds.
-pub const BUNCH: f64 = 20.0;
-/// See [`BUNCH`].
-pub const EACH: Micros = 2 * SECOND;
+pub const BURST: f64 = 20.0;
+/// See [`BURST`].
+pub const REFILL_INTERVAL: Micros = 2 * SECOND;
 /// Nodes that are watched at the most, as many as the node table shows.
-const NODES: usize = crate::tree::NODES;
+const MAX_NODES: usize = crate::tree::MAX_NODE_ROWS;
 
 /// What is told, and of which node.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -92,7 +92,7 @@
     }
 
     /// Whether a condition is to be told now; `held` counts it where it has to wait.
-    fn look(&mut self, now: Micros, is: T, room: bool, held: &mut u64) -> bool {
+    fn observe(&mut self, now: Micros, is: T, room: bool, held: &mut u64) -> bool {
         if is == self.told {
             self.held = None;
             return false;
@@ -105,11 +105,11 @@
             }
             return false;
         }
-        let quiet = self.at.is_none_or(|at| !(0..QUIET.max(2 * self.hold)).contains(&(now - at)));
+        let quiet = self.at.is_none_or(|at| !(0..QUIET_PERIOD.max(2 * self.hold)).contains(&(now - at)));
         self.changes = if quiet { 1 } else { self.changes.saturating_add(1) };
-        self.hold = match self.changes.checked_sub(FREE) {
+        self.hold = match self.changes.checked_sub(IMMEDIATE_CHANGES) {
             None => 0,
-            Some(doublings) => (HOLD << doublings.min(5)).min(HOLD_MOST),
+            Some(doublings) => (HOLD_DOWN << doublings.min(5)).min(MAX_HOLD_DOWN),
         };
         (self.told, self.at, self.held) = (is, Some(now), None);
         true
@@ -118,7 +118,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Condition {
-    Well,
+    Healthy,
     Drains,
     Silent,
 }
@@ -133,7 +133,7 @@
 
 impl Watched {
     /// The condition of a node; none of one that left. A node to which nothing is out looks well, so one that
-    /// was silent has to answer something before it is well, or to look well for [`QUIET`].
+    /// was silent has to answer something before it is well, or to look well for [`QUIET_PERIOD`].
     fn condition(&mut self, now: Micros, node: &snapshot::Node) -> Option<Condition> {
         let answers = node.served + node.missed + node.refused;
         let is = match (node.phase, node.state) {
@@ -143,11 +143,11 @@
                 self.silent = Some((answers, now));
                 return Some(Condition::Silent);
             }
-            _ => Condition::Well,
+            _ => Condition::Healthy,
         };
-        let proven = |(then, at): (u64, Micros)| answers != then || !(0..QUIET).contains(&(now - at));
+        let proven = |(then, at): (u64, Micros)| answers != then || !(0..QUIET_PERIOD).contains(&(now - at));
         self.silent = self.silent.filter(|silent| !proven(*silent));
-        Some(if self.silent.is_some() && is == Condition::Well { Condition::Silent } else { is })
+        Some(if self.silent.is_some() && is == Condition::Healthy { Condition::Silent } else { is })
     }
 }
 
@@ -173,7 +173,7 @@
             fleet: Subject::new(true),
             planners: Subject::new(true),
             refused: BTreeMap::new(),
-            budget: (BUNCH, now),
+            budget: (BURST, now),
             held: 0,
         }
     }
@@ -185,29 +185,29 @@
 
     /// What is to be told now, in the order in which it came about as far as that can be said: nodes by name,
     /// then what follows from them.
-    pub fn look(&mut self, now: Micros, s: &Snapshot) -> Vec<Change> {
+    pub fn update(&mut self, now: Micros, s: &Snapshot) -> Vec<Change> {
         let mut changes = Vec::new();
-        let left = self.budget.0 + (now - self.budget.1).max(0) as f64 / EACH as f64;
-        self.budget = (left.min(BUNCH), now);
+        let left = self.budget.0 + (now - self.budget.1).max(0) as f64 / REFILL_INTERVAL as f64;
+        self.budget = (left.min(BURST), now);
         let (_, mut usable) = s.fleet();
-        for node in s.nodes.iter().filter(|n| !n.ledger).take(NODES) {
+        for node in s.nodes.iter().filter(|n| !n.ledger).take(MAX_NODES) {
             let watched = self
                 .nodes
                 .entry(node.name.clone())
-                .or_insert_with(|| Watched { subject: Subject::new(Condition::Well), silent: None });
+                .or_insert_with(|| Watched { subject: Subject::new(Condition::Healthy), silent: None });
             // A node that left says nothing more; when it returns it is compared with what was told.
             let Some(is) = watched.condition(now, node) else { continue };
             if is == Condition::Silent && node.phase == Phase::Serving && node.state.usable() {
                 usable -= 1;
             }
             let room = self.budget.0 >= 1.0;
-            if watched.subject.look(now, is, room, &mut self.held) {
+            if watched.subject.observe(now, is, room, &mut self.held) {
                 self.budget.0 -= 1.0;
                 let told = Node { name: node.name.clone(), hall: node.hall.clone(), state: node.state };
                 changes.push(match is {
                     Condition::Drains => Change::NodeDrains(told),
                     Condition::Silent => Change::NodeSilent(told),
-                    Condition::Well => Change::NodeBack(told),
+                    Condition::Healthy => Change::NodeBack(told),
                 });
             }
         }
@@ -215,23 +215,23 @@
             self.nodes.retain(|name, _| s.nodes.iter().any(|n| n.name == *name));
         }
         let open = s.ledger.state != LedgerState::Closed;
-        if self.ledger.look(now, open, true, &mut self.held) {
+        if self.ledger.observe(now, open, true, &mut self.held) {
             changes.push(if open { Change::LedgerBack } else { Change::LedgerClosed });
         }
         let bound = s.bound();
         let enough = usable >= bound;
-        if self.fleet.look(now, enough, true, &mut self.held) {
+        if self.fleet.observe(now, enough, true, &mut self.held) {
             let back = Change::FleetBack { usable, bound };
             changes.push(if enough { back } else { Change::FleetUnder { usable, bound } });
         }
         let planners = &s.plans.planners;
         let reach = planners.is_empty() || planners.iter().any(|p| p.reachable);
-        if self.planners.look(now, reach, true, &mut self.held) {
+        if self.planners.observe(now, reach, true, &mut self.held) {
             changes.push(if reach { Change::PlannersBack } else { Change::PlannersLost });
         }
         for planner in planners {
             let (told, at) = self.refused.entry(planner.index).or_default();
-            let rests = at.is_some_and(|at| (0..HOLD_MOST).contains(&(now - at)));
+            let rests = at.is_some_and(|at| (0..MAX_HOLD_DOWN).contains(&(now - at)));
             if planner.refused > *told && !rests {
                 (*told, *at) = (planner.refused, Some(now));
                 changes.push(Change::PlanRefused(planner.index));
--- a/crates/snmp/tests/agent.rs
+++ b/crates/snmp/tests/agent.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use rstest::rstest;
-use snmp::agent::RESPONSE;
-use snmp::manager::{Broken, Walk};
+use snmp::agent::MAX_RESPONSE;
+use snmp::manager::{Walk, WalkError};
 use snmp::message::{status, Kind, Pdu};
 use snmp::{Agent, Oid, Tree, Value};
 
@@ -14,7 +14,7 @@
 
 fn ask(agent: &mut Agent, name: &str, pdu: &Pdu, tree: &Tree) -> Option<Pdu> {
     agent.answer(NOW, HERE, &community(name, pdu), tree).map(|out| {
-        assert!(out.len() <= RESPONSE, "{} bytes", out.len());
+        assert!(out.len() <= MAX_RESPONSE, "{} bytes", out.len());
         read(&out)
     })
 }
@@ -123,7 +123,7 @@
         ..pdu(Kind::Response, 0, 0, &[])
     };
     assert_eq!(walk.take(answer(&["1.3.1", "1.3.2"])).map(|part| part.len()), Ok(2));
-    assert_eq!(walk.take(answer(&["1.3.2", "1.3.3"])), Err(Broken::Order(oid("1.3.2"))));
+    assert_eq!(walk.take(answer(&["1.3.2", "1.3.3"])), Err(WalkError::OutOfOrder(oid("1.3.2"))));
     assert_eq!(walk.take(answer(&[])).map(|part| part.len()), Ok(0));
     assert_eq!(walk.next(77), None);
 }
--- a/crates/snmp/tests/common/mod.rs
+++ b/crates/snmp/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use snmp::message::{self, Kind, Pdu};
 use snmp::snapshot::*;
 use snmp::stats::{Notifications, Receiver};
-use snmp::tree::{Own, ENTERPRISE};
+use snmp::tree::{AgentInfo, ENTERPRISE};
 use snmp::usm::{Auth, Engine, User};
 use snmp::{Agent, Oid, Snapshot, Tree, Value};
 use std::net::IpAddr;
@@ -97,13 +97,13 @@
     }
 }
 
-pub fn own() -> Own {
+pub fn own() -> AgentInfo {
     let receivers = vec![Receiver::default()];
-    Own {
+    AgentInfo {
         enterprise: ENTERPRISE,
         engine: (Engine::id_of(ENTERPRISE, "n3"), 7, 0),
         notifications: Notifications { receivers, ..Notifications::default() },
-        ..Own::default()
+        ..AgentInfo::default()
     }
 }
 
--- a/crates/snmp/tests/invariants/mod.rs
+++ b/crates/snmp/tests/invariants/mod.rs
@@ -4,11 +4,11 @@
 pub mod common;
 
 use common::*;
-use snmp::agent::RESPONSE;
+use snmp::agent::MAX_RESPONSE;
 use snmp::listener::Listener;
-use snmp::manager::{As, Heard, Session};
+use snmp::manager::{Credentials, Received, Session};
 use snmp::message::{Community, Pdu, Scoped, Secured};
-use snmp::reader::{check, version, DATAGRAM};
+use snmp::reader::{check, version, MAX_DATAGRAM};
 use snmp::usm::Engine;
 use snmp::Tree;
 use std::cell::RefCell;
@@ -26,9 +26,9 @@
 
 /// No panic, no more read than was sent, what was read is what is written, and no answer that is longer than it
 /// may be or that the reader itself would refuse.
-pub fn hold(bytes: &[u8]) {
+pub fn check_invariants(bytes: &[u8]) {
     let sound = check(bytes).is_ok();
-    assert!(!sound || bytes.len() <= DATAGRAM);
+    assert!(!sound || bytes.len() <= MAX_DATAGRAM);
     if sound {
         if let Ok(message) = Community::read(bytes) {
             small(&message.pdu, bytes);
@@ -47,7 +47,7 @@
     let answer = TREE.with_borrow(|tree| agent.answer(NOW, HERE, bytes, tree));
     assert_eq!(agent.stats().in_packets, 1);
     if let Some(answer) = answer {
-        assert!(sound && answer.len() <= RESPONSE);
+        assert!(sound && answer.len() <= MAX_RESPONSE);
         assert_eq!(check(&answer), Ok(()));
         let s = agent.stats();
         let refused = s.unknown_engine_ids + s.unknown_user_names + s.unsupported_levels + s.wrong_digests;
@@ -56,8 +56,11 @@
         assert!(matches!(version(&answer), Ok(1 | 3)));
     }
     let engine = Engine::new(b"a listener".to_vec(), 3, NOW);
-    let _ = Listener::new(NOW, engine, access(), 1).hear(NOW, (HERE, 162).into(), bytes);
-    let mut session = Session::new(As::User(user("open")), None, 1);
+    let _ = Listener::new(NOW, engine, access(), 1).receive(NOW, (HERE, 162).into(), bytes);
+    let mut session = Session::new(Credentials::User(user("open")), None, 1);
     session.request(NOW, &pdu(snmp::message::Kind::Get, 0, 0, &[]));
-    assert!(!matches!(session.heard(NOW, 1, bytes), Heard::Response(_)), "of an engine that is not known");
+    assert!(
+        !matches!(session.receive(NOW, 1, bytes), Received::Response(_)),
+        "of an engine that is not known"
+    );
 }
--- a/crates/snmp/tests/mib.rs
+++ b/crates/snmp/tests/mib.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use snmp::mib::{syntax, Mib, Sort, TEXT};
+use snmp::mib::{syntax, Mib, ObjectKind, TEXT};
 use snmp::notify::{Notifier, Target};
 use snmp::tree::{root, ENTERPRISE};
 use snmp::watch::{Change, Node};
@@ -15,11 +15,11 @@
 fn each_object_is_answered_with_its_type_and_each_answer_has_its_object() {
     let (mib, tree) = (Mib::read(TEXT), tree(3));
     let mut told = 0;
-    for object in mib.objects().filter(|o| matches!(o.sort, Sort::Scalar | Sort::Column)) {
+    for object in mib.objects().filter(|o| matches!(o.kind, ObjectKind::Scalar | ObjectKind::Column)) {
         let (name, value) = tree.after(&object.oid).first().expect("an instance");
         assert!(name.is_under(&object.oid), "{} is not answered", object.name);
         assert_eq!(syntax(value), object.syntax, "{}", object.name);
-        assert_eq!(object.sort == Sort::Scalar, *name == object.oid.child(&[0]), "{}", object.name);
+        assert_eq!(object.kind == ObjectKind::Scalar, *name == object.oid.child(&[0]), "{}", object.name);
         if let (Value::Integer(n), false) = (value, object.labels.is_empty()) {
             assert!(object.labels.iter().any(|(_, v)| v == n) || *n == 0, "{}: {n}", object.name);
         }
@@ -28,8 +28,8 @@
     assert_eq!(told, TEXT.matches("    MAX-ACCESS  read-only").count(), "the text is not read whole");
     let all = tree.after(&root(ENTERPRISE)).iter().filter(|(n, _)| n.is_under(&root(ENTERPRISE)));
     for (name, _) in all {
-        let object = mib.of(name).map(|o| o.sort);
-        assert!(matches!(object, Some(Sort::Scalar | Sort::Column)), "{name} is not in the MIB");
+        let object = mib.of(name).map(|o| o.kind);
+        assert!(matches!(object, Some(ObjectKind::Scalar | ObjectKind::Column)), "{name} is not in the MIB");
     }
 }
 
@@ -38,11 +38,11 @@
     let empty = snmp::Tree::build(
         NOW,
         &snmp::Snapshot::default(),
-        &snmp::tree::Own { enterprise: ENTERPRISE, ..own() },
+        &snmp::tree::AgentInfo { enterprise: ENTERPRISE, ..own() },
     );
-    for column in Mib::read(TEXT).objects().filter(|o| o.sort == Sort::Column) {
+    for column in Mib::read(TEXT).objects().filter(|o| o.kind == ObjectKind::Column) {
         assert!(empty.has_object(ENTERPRISE, &column.oid.child(&[9, 9])), "{}", column.name);
-        let behind = column.oid.behind().expect("a name");
+        let behind = column.oid.subtree_end().expect("a name");
         let known = Mib::read(TEXT).objects().any(|o| o.oid == behind);
         assert_eq!(empty.has_object(ENTERPRISE, &behind.child(&[9])), known, "behind {}", column.name);
     }
@@ -50,7 +50,9 @@
 
 #[test]
 fn every_description_tells_its_units_and_every_object_is_in_a_group() {
-    for object in Mib::read(TEXT).objects().filter(|o| matches!(o.sort, Sort::Scalar | Sort::Column)) {
+    for object in
+        Mib::read(TEXT).objects().filter(|o| matches!(o.kind, ObjectKind::Scalar | ObjectKind::Column))
+    {
         let at = TEXT.find(&format!("\n{} OBJECT-TYPE", object.name)).expect("a definition");
         let end = TEXT[at..].find("::=").expect("an end");
         let units = TEXT[at..at + end].contains("UNITS") || object.description.contains("No units");
@@ -79,8 +81,9 @@
         Change::PlannersBack,
         Change::PlanRefused(1),
     ];
-    let as_whom = manager::As::Community(b"public".to_vec());
-    let target = Target { address: "127.0.0.1:162".parse().expect("an address"), informs: false, as_whom };
+    let credentials = manager::Credentials::Community(b"public".to_vec());
+    let target =
+        Target { address: "127.0.0.1:162".parse().expect("an address"), informs: false, credentials };
     let mut notifier = Notifier::new(ENTERPRISE, engine(NOW), NOW, vec![target], 1);
     changes.iter().for_each(|c| notifier.change(NOW, c));
     while let Some((_, datagram)) = notifier.send(NOW) {
@@ -88,7 +91,7 @@
         let Value::Oid(name) = &pdu.bindings[1].1 else { panic!("no name") };
         let of = |name: &Oid| mib.of(name).expect("an object").clone();
         let notification = of(name);
-        assert_eq!((notification.sort, &notification.oid), (Sort::Notification, name));
+        assert_eq!((notification.kind, &notification.oid), (ObjectKind::Notification, name));
         let objects: Vec<String> = pdu.bindings[2..].iter().map(|(n, _)| of(n).name).collect();
         assert_eq!(objects, notification.with, "{}", notification.name);
         for (name, value) in &pdu.bindings[2..] {
@@ -96,7 +99,7 @@
         }
         told.insert(notification.name);
     }
-    let all = mib.objects().filter(|o| o.sort == Sort::Notification).map(|o| o.name.clone());
+    let all = mib.objects().filter(|o| o.kind == ObjectKind::Notification).map(|o| o.name.clone());
     assert_eq!(told, all.collect());
 }
 
--- a/crates/snmp/tests/notify.rs
+++ b/crates/snmp/tests/notify.rs
@@ -5,13 +5,13 @@
 use common::*;
 use rstest::rstest;
 use snmp::listener::Listener;
-use snmp::manager::As;
+use snmp::manager::Credentials;
 use snmp::message::Pdu;
-use snmp::notify::{Notifier, Target, QUEUE};
+use snmp::notify::{Notifier, Target, MAX_QUEUE};
 use snmp::snapshot::{Phase, State};
 use snmp::tree::ENTERPRISE;
 use snmp::usm::{Engine, User};
-use snmp::watch::{Change, Watch, HOLD, HOLD_MOST, QUIET};
+use snmp::watch::{Change, Watch, HOLD_DOWN, MAX_HOLD_DOWN, QUIET_PERIOD};
 use snmp::{Snapshot, Value, SECOND};
 use std::net::SocketAddr;
 
@@ -37,7 +37,7 @@
 fn told(watch: &mut Watch, now: i64, snapshot: &Snapshot) -> Vec<String> {
     let mut snapshot = snapshot.clone();
     snapshot.nodes.iter_mut().filter(|n| n.state.usable()).for_each(|n| n.served = now as u64);
-    watch.look(now, &snapshot).iter().map(name).collect()
+    watch.update(now, &snapshot).iter().map(name).collect()
 }
 
 fn with(nodes: usize, state: State, which: impl Fn(usize) -> bool) -> Snapshot {
@@ -65,13 +65,14 @@
     // The fifth time it has to wait; once it was quiet it does not.
     assert_eq!(told(&mut watch, later + 3 * SECOND, &cut).len(), 0);
     assert_eq!((watch.held(), told(&mut watch, later + 4 * SECOND, &well).len()), (4, 0));
-    assert_eq!(told(&mut watch, later + QUIET + 4 * SECOND, &cut).len(), 4);
+    assert_eq!(told(&mut watch, later + QUIET_PERIOD + 4 * SECOND, &cut).len(), 4);
 }
 
 #[test]
 fn a_node_that_was_silent_is_not_back_before_it_has_answered() {
     let (mut watch, well) = (Watch::new(NOW), snapshot(2));
-    let mut look = |now, snapshot: &Snapshot| watch.look(now, snapshot).iter().map(name).collect::<Vec<_>>();
+    let mut look =
+        |now, snapshot: &Snapshot| watch.update(now, snapshot).iter().map(name).collect::<Vec<_>>();
     assert_eq!(
         look(NOW, &with(2, State::Silent, |_| true)),
         ["silent s-000", "silent s-001", "under 0 of 1"]
@@ -82,7 +83,7 @@
     answered.nodes[0].missed = 1;
     assert_eq!(look(NOW + 2 * SECOND, &answered), ["back s-000", "enough 1 of 1"]);
     // One that nobody asks is taken to be well after a while.
-    assert_eq!(look(NOW + QUIET, &answered), ["back s-001"]);
+    assert_eq!(look(NOW + QUIET_PERIOD, &answered), ["back s-001"]);
 }
 
 #[test]
@@ -106,7 +107,7 @@
         all.extend(told(&mut watch, NOW + step * SECOND, &with(4, state, |i| i == 2)));
     }
     assert!((12..=28).contains(&all.len()), "{} are told", all.len());
-    let end = NOW + 3600 * SECOND + HOLD_MOST;
+    let end = NOW + 3600 * SECOND + MAX_HOLD_DOWN;
     all.extend(told(&mut watch, end, &snapshot(4)));
     assert_eq!(all.last().map(String::as_str), Some("back s-002"));
     assert!(all.windows(2).all(|w| w[0] != w[1]), "each is another than the one before");
@@ -135,8 +136,8 @@
     assert_eq!(told(&mut watch, NOW - 3599 * SECOND, &snapshot(2)), Vec::<String>::new());
 }
 
-fn notifier(informs: bool, as_whom: As) -> Notifier {
-    let target = Target { address: address(RECEIVER), informs, as_whom };
+fn notifier(informs: bool, credentials: Credentials) -> Notifier {
+    let target = Target { address: address(RECEIVER), informs, credentials };
     Notifier::new(ENTERPRISE, engine(NOW), NOW, vec![target], 5)
 }
 
@@ -160,10 +161,10 @@
             if lost(now) {
                 continue;
             }
-            let (back, pdu) = listener.hear(now, address(SENDER), &datagram);
+            let (back, pdu) = listener.receive(now, address(SENDER), &datagram);
             heard.extend(pdu);
             if let Some(back) = back.filter(|_| !lost(now)) {
-                notifier.heard(now, address(RECEIVER), &back);
+                notifier.receive(now, address(RECEIVER), &back);
             }
         }
         now = notifier.next().unwrap_or(span.end).max(now + 1000);
@@ -180,15 +181,15 @@
 }
 
 #[rstest]
-#[case::traps_with_a_community(false, As::Community(b"public".to_vec()))]
-#[case::traps_signed(false, As::User(user("auth")))]
-#[case::traps_encrypted(false, As::User(user("private")))]
-#[case::informs_with_a_community(true, As::Community(b"public".to_vec()))]
-#[case::informs_in_the_open(true, As::User(user("open")))]
-#[case::informs_signed(true, As::User(user("auth")))]
-#[case::informs_encrypted(true, As::User(user("private")))]
-fn notifications_come_in_order_each_once(#[case] informs: bool, #[case] as_whom: As) {
-    let (mut notifier, mut listener) = (notifier(informs, as_whom), listener(NOW));
+#[case::traps_with_a_community(false, Credentials::Community(b"public".to_vec()))]
+#[case::traps_signed(false, Credentials::User(user("auth")))]
+#[case::traps_encrypted(false, Credentials::User(user("private")))]
+#[case::informs_with_a_community(true, Credentials::Community(b"public".to_vec()))]
+#[case::informs_in_the_open(true, Credentials::User(user("open")))]
+#[case::informs_signed(true, Credentials::User(user("auth")))]
+#[case::informs_encrypted(true, Credentials::User(user("private")))]
+fn notifications_come_in_order_each_once(#[case] informs: bool, #[case] credentials: Credentials) {
+    let (mut notifier, mut listener) = (notifier(informs, credentials), listener(NOW));
     notifier.started(NOW, false);
     (0..9).for_each(|_| notifier.change(NOW, &Change::LedgerClosed));
     let (heard, _) = play(&mut notifier, &mut listener, NOW..NOW + 10 * SECOND, |_| false);
@@ -201,10 +202,10 @@
 }
 
 #[rstest]
-#[case(As::Community(b"public".to_vec()))]
-#[case(As::User(user("private")))]
-fn informs_get_through_where_every_other_datagram_is_lost(#[case] as_whom: As) {
-    let (mut notifier, mut listener) = (notifier(true, as_whom), listener(NOW));
+#[case(Credentials::Community(b"public".to_vec()))]
+#[case(Credentials::User(user("private")))]
+fn informs_get_through_where_every_other_datagram_is_lost(#[case] credentials: Credentials) {
+    let (mut notifier, mut listener) = (notifier(true, credentials), listener(NOW));
     (0..10).for_each(|_| notifier.change(NOW, &Change::LedgerClosed));
     let mut n = 0;
     let (heard, _) = play(&mut notifier, &mut listener, NOW..NOW + 600 * SECOND, |_| {
@@ -217,7 +218,7 @@
 
 #[test]
 fn a_receiver_that_is_down_for_most_of_an_hour_costs_little_and_gets_the_last_that_were_kept() {
-    let (mut notifier, mut listener) = (notifier(true, As::User(user("private"))), listener(NOW));
+    let (mut notifier, mut listener) = (notifier(true, Credentials::User(user("private"))), listener(NOW));
     let mut sent = 0;
     for minute in 0..58 {
         let now = NOW + minute * 60 * SECOND;
@@ -228,9 +229,9 @@
     let now = NOW + 58 * 60 * SECOND;
     let (heard, _) = play(&mut notifier, &mut listener, now..now + 120 * SECOND, |_| false);
     let stats = notifier.stats(0).receivers[0].clone();
-    assert_eq!((heard.len(), stats.queued, stats.dropped), (QUEUE, 0, 232 - QUEUE as u64));
+    assert_eq!((heard.len(), stats.queued, stats.dropped), (MAX_QUEUE, 0, 232 - MAX_QUEUE as u64));
     // The first was under way all the time; behind it are the latest.
-    let kept: Vec<u32> = std::iter::once(1).chain(234 - QUEUE as u32..=232).collect();
+    let kept: Vec<u32> = std::iter::once(1).chain(234 - MAX_QUEUE as u32..=232).collect();
     assert_eq!(numbers(&heard), kept);
     // What has waited for an hour is told to nobody.
     notifier.change(now, &Change::LedgerClosed);
@@ -242,7 +243,7 @@
 
 #[test]
 fn a_receiver_that_starts_anew_is_learnt_anew() {
-    let mut notifier = notifier(true, As::User(user("auth")));
+    let mut notifier = notifier(true, Credentials::User(user("auth")));
     notifier.change(NOW, &Change::LedgerClosed);
     let (heard, _) = play(&mut notifier, &mut listener(NOW), NOW..NOW + 5 * SECOND, |_| false);
     assert_eq!(heard.len(), 1);
@@ -259,15 +260,15 @@
 #[test]
 fn a_trap_that_is_heard_again_later_is_a_replay() {
     let user: User = user("private");
-    let mut notifier = notifier(false, As::User(user));
+    let mut notifier = notifier(false, Credentials::User(user));
     let mut listener = listener(NOW);
     notifier.change(NOW, &Change::LedgerClosed);
     let (_, old) = notifier.send(NOW).expect("a trap");
-    assert!(listener.hear(NOW, address(SENDER), &old).1.is_some());
+    assert!(listener.receive(NOW, address(SENDER), &old).1.is_some());
     notifier.change(NOW + 400 * SECOND, &Change::LedgerBack);
     let (_, new) = notifier.send(NOW + 400 * SECOND).expect("a trap");
-    assert!(listener.hear(NOW, address(SENDER), &new).1.is_some());
-    assert!(listener.hear(NOW, address(SENDER), &old).1.is_none());
+    assert!(listener.receive(NOW, address(SENDER), &new).1.is_some());
+    assert!(listener.receive(NOW, address(SENDER), &old).1.is_none());
 }
 
 #[test]
@@ -277,10 +278,10 @@
     assert_eq!(told(&mut watch, NOW, &fleet), ["PlannersLost"]);
     fleet.plans.planners[0].reachable = true;
     fleet.plans.planners[0].refused = 3;
-    assert_eq!(told(&mut watch, NOW + HOLD, &fleet), ["PlannersBack", "PlanRefused(1)"]);
+    assert_eq!(told(&mut watch, NOW + HOLD_DOWN, &fleet), ["PlannersBack", "PlanRefused(1)"]);
     fleet.plans.planners[0].refused = 4;
-    assert_eq!(told(&mut watch, NOW + 2 * HOLD, &fleet), Vec::<String>::new());
-    assert_eq!(told(&mut watch, NOW + HOLD + HOLD_MOST, &fleet), ["PlanRefused(1)"]);
+    assert_eq!(told(&mut watch, NOW + 2 * HOLD_DOWN, &fleet), Vec::<String>::new());
+    assert_eq!(told(&mut watch, NOW + HOLD_DOWN + MAX_HOLD_DOWN, &fleet), ["PlanRefused(1)"]);
     fleet.plans.planners.clear();
-    assert_eq!(told(&mut watch, NOW + 2 * HOLD_MOST, &fleet), Vec::<String>::new());
+    assert_eq!(told(&mut watch, NOW + 2 * MAX_HOLD_DOWN, &fleet), Vec::<String>::new());
 }
--- a/crates/snmp/tests/reader.rs
+++ b/crates/snmp/tests/reader.rs
@@ -116,12 +116,12 @@
             bytes[at] = byte;
         }
         bytes.truncate(cut.index(bytes.len()) + 1);
-        invariants::hold(&bytes);
+        invariants::check_invariants(&bytes);
     }
 
     #[test]
     fn garbage_is_survived(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        invariants::hold(&bytes);
+        invariants::check_invariants(&bytes);
     }
 }
 
@@ -140,7 +140,7 @@
     };
     for file in files {
         let whole = std::fs::read(&file).expect("its bytes");
-        invariants::hold(&whole);
+        invariants::check_invariants(&whole);
         for _ in 0..200 {
             let mut bytes = whole.clone();
             for _ in 0..=draw(3) {
@@ -152,7 +152,7 @@
                     _ => bytes.insert(at, draw(256) as u8),
                 }
             }
-            invariants::hold(&bytes);
+            invariants::check_invariants(&bytes);
         }
     }
 }
--- a/crates/snmp/tests/secured.rs
+++ b/crates/snmp/tests/secured.rs
@@ -4,8 +4,8 @@
 
 use common::*;
 use rstest::rstest;
-use snmp::agent::RESPONSE;
-use snmp::manager::{As, Heard, Session};
+use snmp::agent::MAX_RESPONSE;
+use snmp::manager::{Credentials, Received, Session};
 use snmp::message::{Data, Flags, Header, Kind, Pdu, Scoped, Secured, Security, USM};
 use snmp::reader;
 use snmp::usm::{self, Engine, User};
@@ -14,20 +14,20 @@
 const NAME: &str = "1.3.6.1.4.1.32473.1.1.1.1.0";
 
 /// What a session hears at last, and how often it asked.
-fn ask(agent: &mut Agent, now: i64, session: &mut Session, pdu: &Pdu) -> (Heard, usize) {
+fn ask(agent: &mut Agent, now: i64, session: &mut Session, pdu: &Pdu) -> (Received, usize) {
     for asked in 1..=5 {
         let out = session.request(now, pdu);
-        let Some(back) = agent.answer(now, HERE, &out, &tree(2)) else { return (Heard::Nothing, asked) };
-        match session.heard(now, pdu.request, &back) {
-            Heard::Again => {}
+        let Some(back) = agent.answer(now, HERE, &out, &tree(2)) else { return (Received::Ignored, asked) };
+        match session.receive(now, pdu.request, &back) {
+            Received::Retry => {}
             heard => return (heard, asked),
         }
     }
-    (Heard::Again, 5)
+    (Received::Retry, 5)
 }
 
 fn session(name: &str) -> Session {
-    Session::new(As::User(user(name)), None, 3)
+    Session::new(Credentials::User(user(name)), None, 3)
 }
 
 #[rstest]
@@ -38,10 +38,10 @@
     let (mut agent, mut session) = (agent(), session(name));
     let get = pdu(Kind::Get, 0, 0, &[NAME]);
     let (heard, asked) = ask(&mut agent, NOW + 200 * SECOND, &mut session, &get);
-    let Heard::Response(answer) = heard else { panic!("{heard:?}") };
+    let Received::Response(answer) = heard else { panic!("{heard:?}") };
     assert_eq!((answer.bindings, asked), (vec![(oid(NAME), Value::text("n3"))], asks));
     // The engine is known by now, also after a while.
-    assert!(matches!(ask(&mut agent, NOW + 4000 * SECOND, &mut session, &get), (Heard::Response(_), 1)));
+    assert!(matches!(ask(&mut agent, NOW + 4000 * SECOND, &mut session, &get), (Received::Response(_), 1)));
 }
 
 /// A message of a user to the agent as it is now.
@@ -49,13 +49,13 @@
     user: &User,
     engine: &Engine,
     clock: (u32, u32),
-    most: u32,
+    max_size: u32,
     reportable: bool,
     pdu: Pdu,
 ) -> Vec<u8> {
     let flags = Flags { reportable, ..Flags::default() };
     let scoped = Scoped { engine: engine.id.clone(), context: Vec::new(), pdu };
-    let header = Header { id: 5, most, flags, model: USM };
+    let header = Header { id: 5, max_size, flags, model: USM };
     usm::seal(header, (&engine.id, clock.0, clock.1), &user.name, &user.at(&engine.id), scoped, 1)
 }
 
@@ -142,7 +142,7 @@
 #[test]
 fn a_response_fits_what_its_manager_can_read() {
     let mut agent = agent();
-    for (most, bound) in [(484, 484), (900, 900), (65_000, RESPONSE), (1, 484)] {
+    for (most, bound) in [(484, 484), (900, 900), (65_000, MAX_RESPONSE), (1, 484)] {
         let bulk = pdu(Kind::GetBulk, 0, 10_000, &["1.3"]);
         let asked = message(&user("private"), &engine(NOW), (7, 0), most, true, bulk);
         let back = agent.answer(NOW, HERE, &asked, &tree(50)).expect("an answer");
@@ -155,23 +155,23 @@
     let mut session = session("private");
     let get = pdu(Kind::Get, 0, 0, &[NAME]);
     let (heard, _) = ask(&mut agent(), NOW, &mut session, &get);
-    assert!(matches!(heard, Heard::Response(_)));
+    assert!(matches!(heard, Received::Response(_)));
     let asked = session.request(NOW, &get);
     let id = Secured::read(&asked).expect("a message").header.id;
     let forge = |kind, name: &str| {
         let pdu = Pdu { kind, ..pdu(kind, 0, 0, &[name]) };
         let scoped = Scoped { engine: engine(NOW).id, context: Vec::new(), pdu };
-        let header = Header { id, most: 2000, flags: Flags::default(), model: USM };
+        let header = Header { id, max_size: 2000, flags: Flags::default(), model: USM };
         let security = Security { engine: engine(NOW).id, boots: 99, time: 1, ..Security::default() };
         Secured { header, security, data: Data::Plain(scoped) }.bytes()
     };
     let late = forge(Kind::Report, "1.3.6.1.6.3.15.1.1.2.0");
     reader::check(&late).expect("sound");
-    assert_eq!(session.heard(NOW, 77, &late), Heard::Nothing);
-    assert_eq!(session.heard(NOW, 77, &forge(Kind::Response, NAME)), Heard::Nothing);
+    assert_eq!(session.receive(NOW, 77, &late), Received::Ignored);
+    assert_eq!(session.receive(NOW, 77, &forge(Kind::Response, NAME)), Received::Ignored);
     let back = agent().answer(NOW, HERE, &asked, &tree(2)).expect("an answer");
-    assert!(matches!(session.heard(NOW, 77, &back), Heard::Response(_)));
-    assert_eq!(session.heard(NOW + 151 * SECOND, 77, &back), Heard::Nothing, "an old answer");
+    assert!(matches!(session.receive(NOW, 77, &back), Received::Response(_)));
+    assert_eq!(session.receive(NOW + 151 * SECOND, 77, &back), Received::Ignored, "an old answer");
 }
 
 /// The message with its outermost length in three bytes, as some managers write it.
--- a/fuzz/fuzz_targets/memcached.rs
+++ b/fuzz/fuzz_targets/memcached.rs
@@ -10,5 +10,5 @@
 fuzz_target!(|bytes: &[u8]| {
     // The first bytes say how the rest comes in pieces.
     let (lengths, bytes) = bytes.split_at(bytes.len().min(4));
-    invariants::hold(bytes, lengths);
+    invariants::check_invariants(bytes, lengths);
 });
--- a/fuzz/fuzz_targets/snmp.rs
+++ b/fuzz/fuzz_targets/snmp.rs
@@ -7,4 +7,4 @@
 
 use libfuzzer_sys::fuzz_target;
 
-fuzz_target!(|bytes: &[u8]| invariants::hold(bytes));
+fuzz_target!(|bytes: &[u8]| invariants::check_invariants(bytes));
--- a/src/commands/snmp.rs
+++ b/src/commands/snmp.rs
@@ -5,10 +5,10 @@
 use crate::features::snmp::boots;
 use snmp::access::{Access, Community, Reader, View};
 use snmp::listener::Listener;
-use snmp::manager::{As, Broken, Heard, Session, Walk};
+use snmp::manager::{Credentials, Received, Session, Walk, WalkError};
 use snmp::message::{Kind, Pdu};
 use snmp::mib::{Mib, TEXT};
-use snmp::reader::DATAGRAM;
+use snmp::reader::MAX_DATAGRAM;
 use snmp::tree::ENTERPRISE;
 use snmp::usm::{Auth, Engine, User};
 use snmp::{Micros, Oid, Value};
@@ -106,18 +106,22 @@
 }
 
 impl Who {
-    fn as_whom(&self) -> Result<As, String> {
+    fn as_whom(&self) -> Result<Credentials, String> {
         let Some(name) = &self.user else {
-            return Ok(As::Community(self.community.as_deref().unwrap_or("public").as_bytes().to_vec()));
+            return Ok(Credentials::Community(
+                self.community.as_deref().unwrap_or("public").as_bytes().to_vec(),
+            ));
         };
         if let Some(conf) = &self.conf {
             let settings = file::load(conf)?.snmp.ok_or_else(|| format!("{conf}: no snmpport"))?;
             let reader = settings.access.reader(name.as_bytes()).map(|(_, r)| r.user.clone());
-            return Ok(As::User(reader.ok_or_else(|| format!("{conf}: no snmpuser is called {name:?}"))?));
+            return Ok(Credentials::User(
+                reader.ok_or_else(|| format!("{conf}: no snmpuser is called {name:?}"))?,
+            ));
         }
         let auth = Auth::named(&self.auth).ok_or("--auth wants sha224, sha256, sha384 or sha512")?;
         let auth = self.auth_pass.as_deref().map(|words| (auth, words));
-        User::new(name, auth, self.priv_pass.as_deref()).map(As::User).map_err(str::to_owned)
+        User::new(name, auth, self.priv_pass.as_deref()).map(Credentials::User).map_err(str::to_owned)
     }
 
     /// The MIB, under the agent's enterprise number.
@@ -179,7 +183,7 @@
         self.request = self.request.wrapping_add(1) & i32::MAX;
         let pdu = pdu(self.request);
         let (mut tries, mut lessons) = (0, 0);
-        let mut buffer = vec![0; DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM + 1];
         while tries < TRIES && lessons <= LESSONS {
             let out = self.session.request(self.now(), &pdu);
             // Nobody there may be told at the next send or receive: the tries end it.
@@ -193,13 +197,13 @@
                 self.socket.set_read_timeout(Some(left)).map_err(|e| e.to_string())?;
                 let Ok(n) = self.socket.recv(&mut buffer) else { break false };
                 let now = self.now();
-                match self.session.heard(now, pdu.request, &buffer[..n]) {
-                    Heard::Response(answer) => return Ok(answer),
-                    Heard::Again => break true,
-                    Heard::Refused(counter) => {
+                match self.session.receive(now, pdu.request, &buffer[..n]) {
+                    Received::Response(answer) => return Ok(answer),
+                    Received::Retry => break true,
+                    Received::Refused(counter) => {
                         return Err(format!("snmp: {}: refused: {}", self.address, reason(&counter)));
                     }
-                    Heard::Nothing => {}
+                    Received::Ignored => {}
                 }
             };
             (tries, lessons) = (tries + usize::from(!learnt), lessons + usize::from(learnt));
@@ -227,7 +231,7 @@
     let names = ask.names.iter().map(|name| {
         let oid = mib.resolve(name).ok_or_else(|| format!("snmp: no object is called {name:?}"))?;
         // A scalar's instance is meant by its name.
-        let scalar = mib.of(&oid).is_some_and(|o| o.oid == oid && o.sort == snmp::mib::Sort::Scalar);
+        let scalar = mib.of(&oid).is_some_and(|o| o.oid == oid && o.kind == snmp::mib::ObjectKind::Scalar);
         Ok((if scalar { oid.child(&[0]) } else { oid }, Value::Unspecified))
     });
     let bindings: Vec<(Oid, Value)> = names.collect::<Result<_, String>>()?;
@@ -265,8 +269,8 @@
         while walk.next(0).is_some() {
             let answer = way.ask(|request| walk.next(request).unwrap_or_else(|| nothing(request)))?;
             let part = walk.take(answer).map_err(|broken| match broken {
-                Broken::Status(status) => format!("snmp: error {status} from {}", ask.address),
-                Broken::Order(name) => format!("snmp: {} tells {name} out of order", ask.address),
+                WalkError::Status(status) => format!("snmp: error {status} from {}", ask.address),
+                WalkError::OutOfOrder(name) => format!("snmp: {} tells {name} out of order", ask.address),
             })?;
             for (name, value) in &part {
                 if !println(&ask.who.show(&mib, name, value)) {
@@ -290,22 +294,22 @@
     let mut access = Access::default();
     let any = ["0.0.0.0/0", "::/0"].into_iter().filter_map(|range| range.parse().ok());
     match options.who.as_whom()? {
-        As::Community(name) => {
+        Credentials::Community(name) => {
             access.communities =
                 any.map(|from| Community { name: name.clone(), from, view: View::all() }).collect();
         }
-        As::User(user) => access.readers = vec![Reader { user, view: View::all() }],
+        Credentials::User(user) => access.readers = vec![Reader { user, view: View::all() }],
     }
     let (now, since) = (unix(), Instant::now());
     let boots = boots::count(None, now / 1_000_000, 0).0.boots;
     let engine = Engine::new(Engine::id_of(options.who.enterprise, &address.to_string()), boots, 0);
     let mut listener = Listener::new(0, engine, access, now as u64);
     println(&format!("listening on {address}"));
-    let (mut buffer, mut heard) = (vec![0; DATAGRAM + 1], 0);
+    let (mut buffer, mut heard) = (vec![0; MAX_DATAGRAM + 1], 0);
     while options.count.is_none_or(|count| heard < count) {
         let Ok((n, from)) = socket.recv_from(&mut buffer) else { continue };
         let now = since.elapsed().as_micros() as Micros;
-        let (back, pdu) = listener.hear(now, from, &buffer[..n]);
+        let (back, pdu) = listener.receive(now, from, &buffer[..n]);
         if let Some(back) = back {
             let _ = socket.send_to(&back, from);
         }
--- a/src/features/snmp/mod.rs
+++ b/src/features/snmp/mod.rs
@@ -19,9 +19,9 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use sight::{Owned, Sight};
-use snmp::reader::DATAGRAM;
+use snmp::reader::MAX_DATAGRAM;
 use snmp::tally::{self, Reason, Stream, Tally};
-use snmp::tree::Own;
+use snmp::tree::AgentInfo;
 use snmp::usm::Engine;
 use snmp::watch::Watch;
 use snmp::{Agent, Notifier, Snapshot, Tree};
@@ -157,7 +157,7 @@
         let snapshot = Rc::new(self.sight.borrow_mut().take(now, survey, &mut tally, owned));
         if owned.ready {
             // Before that the list is as old as the configuration, and nothing was asked yet.
-            let changes = self.watch.borrow_mut().look(now, &snapshot);
+            let changes = self.watch.borrow_mut().update(now, &snapshot);
             let mut notifier = self.notifier.borrow_mut();
             changes.iter().for_each(|change| notifier.change(now, change));
             if !changes.is_empty() {
@@ -175,10 +175,10 @@
         }
         let agent = self.agent.borrow();
         let (boots, time) = agent.engine().clock(now);
-        let own = Own {
+        let own = AgentInfo {
             enterprise: self.settings.enterprise,
             engine: (agent.engine().id.clone(), boots, time),
-            most: DATAGRAM as u32,
+            max_message_size: MAX_DATAGRAM as u32,
             contact: self.settings.contact.clone(),
             location: self.settings.location.clone(),
             stats: agent.stats(),
@@ -193,7 +193,7 @@
     pub async fn answer(self: Rc<Self>, bound: Bound, clock: impl Fn() -> Micros) {
         let socket = bound.0;
         // A byte more than is read: what fills it was longer.
-        let mut buffer = vec![0; DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM + 1];
         let mut budget = Budget::new(Instant::now());
         loop {
             let Ok((n, from)) = receive(&socket, &mut buffer).await else {
@@ -249,7 +249,7 @@
             };
             let heard = future::or(heard(&four), heard(&six));
             match future::or(future::or(woken, due), async { Some(heard.await) }).await {
-                Some(Ok((from, datagram))) => self.notifier.borrow_mut().heard(clock(), from, &datagram),
+                Some(Ok((from, datagram))) => self.notifier.borrow_mut().receive(clock(), from, &datagram),
                 Some(Err(_)) => drop(Timer::after(PAUSE).await),
                 None => {}
             }
@@ -265,7 +265,7 @@
 /// The next datagram that comes back, if there is a socket for any.
 async fn heard(socket: &Option<Async<UdpSocket>>) -> io::Result<(SocketAddr, Vec<u8>)> {
     let Some(socket) = socket else { return future::pending().await };
-    let mut buffer = vec![0; DATAGRAM + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM + 1];
     let (n, from) = receive(socket, &mut buffer).await?;
     buffer.truncate(n);
     Ok((from, buffer))
--- a/src/features/snmp/settings.rs
+++ b/src/features/snmp/settings.rs
@@ -3,8 +3,8 @@
 
 use super::super::addresses::network;
 use snmp::access::{self, Access, Community, Reader, View};
-use snmp::manager::As;
-use snmp::notify::{Target, RECEIVERS};
+use snmp::manager::Credentials;
+use snmp::notify::{Target, MAX_RECEIVERS};
 use snmp::tree::ENTERPRISE;
 use snmp::usm::{Auth, Level, User};
 use snmp::Oid;
@@ -128,15 +128,15 @@
             }
             "snmpview" => self.view(&line.words)?,
             "snmpcommunity" => {
-                room(&self.communities, access::MOST)?;
+                room(&self.communities, access::MAX_ENTRIES)?;
                 self.communities.push(line);
             }
             "snmpuser" => {
-                room(&self.users, access::MOST)?;
+                room(&self.users, access::MAX_ENTRIES)?;
                 self.users.push(line);
             }
             "snmptrapto" => {
-                room(&self.targets, RECEIVERS)?;
+                room(&self.targets, MAX_RECEIVERS)?;
                 self.targets.push(line);
             }
             _ => return Err("unknown setting".to_owned()),
@@ -154,12 +154,12 @@
             _ => return Err(wanted()),
         };
         let root = Oid::parse(root).ok_or_else(wanted)?;
-        if !self.views.contains_key(name) && self.views.len() >= access::MOST {
-            return Err(format!("more than {} views", access::MOST));
+        if !self.views.contains_key(name) && self.views.len() >= access::MAX_ENTRIES {
+            return Err(format!("more than {} views", access::MAX_ENTRIES));
         }
         let view = self.views.entry(name.clone()).or_default();
-        if view.subtrees.len() >= access::MOST {
-            return Err(format!("more than {} subtrees in a view", access::MOST));
+        if view.subtrees.len() >= access::MAX_ENTRIES {
+            return Err(format!("more than {} subtrees in a view", access::MAX_ENTRIES));
         }
         view.subtrees.push((root, is));
         Ok(())
@@ -183,8 +183,8 @@
         let [name, from, rest @ ..] = words.as_slice() else {
             return Err("NAME RANGE [view NAME] is wanted".into());
         };
-        if name.len() > access::NAME {
-            return Err(format!("a name of up to {} bytes is wanted", access::NAME));
+        if name.len() > access::MAX_COMMUNITY_NAME {
+            return Err(format!("a name of up to {} bytes is wanted", access::MAX_COMMUNITY_NAME));
         }
         let from = network(from).ok_or("a range like 10.20.0.0/16 is wanted behind the name")?;
         Ok(Community { name: name.as_bytes().to_vec(), from, view: self.named(rest)? })
@@ -224,15 +224,15 @@
             _ => return Err(wanted.into()),
         };
         let address: SocketAddr = address.parse().map_err(|_| "an address like 10.0.0.9:162 is wanted")?;
-        let as_whom = match *sort {
-            "community" => As::Community(name.as_bytes().to_vec()),
+        let credentials = match *sort {
+            "community" => Credentials::Community(name.as_bytes().to_vec()),
             "user" => {
                 let reader = access.reader(name.as_bytes()).map(|(_, r)| r.user.clone());
-                As::User(reader.ok_or_else(|| format!("no snmpuser is called \"{}\"", shown(name)))?)
+                Credentials::User(reader.ok_or_else(|| format!("no snmpuser is called \"{}\"", shown(name)))?)
             }
             _ => return Err(wanted.into()),
         };
-        Ok(Target { address, informs, as_whom })
+        Ok(Target { address, informs, credentials })
     }
 
     /// What the lines mean together: nothing without a port. An error comes with the number of its line.
--- a/src/net/memcached/answers.rs
+++ b/src/net/memcached/answers.rs
@@ -26,7 +26,7 @@
 
 impl Asked {
     pub(super) fn write(&self) -> bool {
-        self.opcode.loud() == Opcode::SET
+        self.opcode.non_quiet() == Opcode::SET
     }
 
     /// Its final answer; empty where the protocol wants it unsaid.
@@ -62,7 +62,7 @@
 
     /// Whether the protocol wants this outcome unsaid.
     fn silent(&self, answer: &Answer) -> bool {
-        self.opcode.quiet() && self.write() == matches!(answer, Answer::Value(_))
+        self.opcode.is_quiet() && self.write() == matches!(answer, Answer::Value(_))
     }
 }
 
--- a/src/net/memcached/front.rs
+++ b/src/net/memcached/front.rs
@@ -25,7 +25,7 @@
 const OPEN: usize = 1024;
 /// The longest body of a frame that is refused but passed over; behind a longer one the connection is closed.
 const PASSED_OVER: u32 = 1024 * 1024;
-const LIMITS: Limits = Limits { key: frame::KEY, value: resp::MAX_VALUE };
+const LIMITS: Limits = Limits { key: frame::MAX_KEY_LEN, value: resp::MAX_VALUE };
 const TEXT: &[u8] = b"ERROR this port speaks the memcached binary protocol\r\n";
 
 /// One connection.
@@ -74,7 +74,7 @@
     }
 
     fn longest(&self) -> usize {
-        LIMITS.most()
+        LIMITS.max_frame_len()
     }
 
     fn unfinished(&self) -> bool {
@@ -93,8 +93,8 @@
             return Some((passed, Parsed::More));
         }
         let (taken, parsed) = match frame::request(bytes, &LIMITS) {
-            Ok(Step::More(_)) => return None,
-            Ok(Step::Whole(request, taken)) => {
+            Ok(Step::Incomplete(_)) => return None,
+            Ok(Step::Complete(request, taken)) => {
                 let came = self.arrivals.take(taken);
                 (taken, self.command(downstream, place, &request, came))
             }
@@ -176,7 +176,7 @@
         let told = |status, text: &str| Parsed::Local(error(opcode, opaque, status, text));
         let ok = |value: &[u8]| put(Response { value, ..Response::new(opcode, opaque) });
         let free = matches!(
-            opcode.loud(),
+            opcode.non_quiet(),
             Opcode::SASL_LIST | Opcode::SASL_AUTH | Opcode::SASL_STEP | Opcode::VERSION | Opcode::QUIT
         );
         if self.tenant.is_none() && !free {
@@ -186,13 +186,13 @@
             self.desk.stats.invalid.one();
             return told(Status::INVALID, why);
         }
-        match opcode.loud() {
+        match opcode.non_quiet() {
             Opcode::GET | Opcode::GETK | Opcode::SET => self.ask(downstream, place, request, came),
             // As PING is on the main port: not before there are nodes to ask.
             Opcode::NOOP if !self.words.ready.get() => told(Status::TEMPORARY, "not ready yet"),
             Opcode::NOOP => Parsed::Local(ok(b"")),
             Opcode::VERSION => Parsed::Local(ok(env!("CARGO_PKG_VERSION").as_bytes())),
-            Opcode::QUIT if opcode.quiet() => Parsed::Close(Vec::new()),
+            Opcode::QUIT if opcode.is_quiet() => Parsed::Close(Vec::new()),
             Opcode::QUIT => Parsed::Close(ok(b"")),
             Opcode::STAT => match self.desk.stats.group(request.key, self.desk.open.get()) {
                 Some(group) => Parsed::Local(listed(opaque, &group)),
@@ -241,7 +241,7 @@
             return told(Status::BUSY, "busy");
         }
         desk.open.set(desk.open.get() + 1);
-        let key = if opcode.names_key() { key.to_vec() } else { Vec::new() };
+        let key = if opcode.returns_key() { key.to_vec() } else { Vec::new() };
         let asked = Asked { opcode, opaque, cas, key };
         if asked.write() { &desk.stats.writes } else { &desk.stats.reads }.one();
         self.owed.push_back(Some(asked));
--- a/src/net/memcached/logins.rs
+++ b/src/net/memcached/logins.rs
@@ -120,7 +120,7 @@
         let said = plain.and_then(|p| Secret::new(p.password));
         let expected = known.map_or(&self.nobody, |(_, secret)| secret);
         // Nobody acts for anybody else here.
-        let itself = plain.is_some_and(|p| p.acts_for.is_empty() || p.acts_for == p.user);
+        let itself = plain.is_some_and(|p| p.authzid.is_empty() || p.authzid == p.user);
         let right = said.is_some_and(|said| expected.is(&said)) & itself;
         match known.filter(|_| right) {
             Some((tenant, _)) => Some(tenant.clone()),
--- a/src/net/memcached/node.rs
+++ b/src/net/memcached/node.rs
@@ -11,7 +11,7 @@
 use crate::interface::Verdict;
 use memcached::{frame, Fault, Limits, Opcode, Request, Status, Step};
 
-const LIMITS: Limits = Limits { key: frame::KEY, value: resp::MAX_VALUE };
+const LIMITS: Limits = Limits { key: frame::MAX_KEY_LEN, value: resp::MAX_VALUE };
 
 /// The request that a job is; `None` for what this protocol cannot say.
 fn request(job: &Job, number: u32) -> Option<Request<'_>> {
@@ -39,8 +39,8 @@
 pub(in crate::net) fn reply(bytes: &[u8], job: &Job, number: u32) -> Parsed<Reply> {
     let asked = request(job, number).ok_or(Malformed("an answer to nothing"))?;
     let (response, taken) = match frame::response(bytes, &LIMITS) {
-        Ok(Step::More(_)) => return Ok(None),
-        Ok(Step::Whole(response, taken)) => (response, taken),
+        Ok(Step::Incomplete(_)) => return Ok(None),
+        Ok(Step::Complete(response, taken)) => (response, taken),
         Err(Fault::Refused(_, _, why)) => return Err(Malformed(why)),
         Err(Fault::Text) => return Err(Malformed("the text protocol")),
         Err(Fault::Magic(_)) => return Err(Malformed("no answer of the binary protocol")),
--- a/src/net/memcached/words.rs
+++ b/src/net/memcached/words.rs
@@ -116,7 +116,7 @@
         request: &Request,
         waited: Duration,
     ) -> Result<NewStream, Unasked> {
-        let write = request.opcode.loud() == Opcode::SET;
+        let write = request.opcode.non_quiet() == Opcode::SET;
         let of = match (write, &self.writes) {
             (false, _) => &self.reads,
             (true, Some(of)) => of,
--- a/tests/exchanges/spoken.rs
+++ b/tests/exchanges/spoken.rs
@@ -359,8 +359,8 @@
         bytes.extend_from_slice(&body);
         let limits = Limits::default();
         let whole = match magic {
-            0x80 => matches!(frame::request(&bytes, &limits), Ok(Step::Whole(r, _)) if r.check().is_ok()),
-            _ => matches!(frame::response(&bytes, &limits), Ok(Step::Whole(..))),
+            0x80 => matches!(frame::request(&bytes, &limits), Ok(Step::Complete(r, _)) if r.check().is_ok()),
+            _ => matches!(frame::response(&bytes, &limits), Ok(Step::Complete(..))),
         };
         assert!(whole, "{name}: {header:?}");
         (header, body)
@@ -377,7 +377,7 @@
                 let part =
                     |name| unescape(&field(&words, name).unwrap_or_default().replace("{n}", &n.to_string()));
                 let (key, value, extras) = (part("key="), part("value="), part("extras="));
-                let extras = match (opcode.loud(), field(&words, "extras=")) {
+                let extras = match (opcode.non_quiet(), field(&words, "extras=")) {
                     (Opcode::SET | Opcode::ADD, None) => vec![0; 8],
                     _ => extras,
                 };
@@ -409,7 +409,7 @@
             wanted == "*" || matches(&wanted, &value) || wanted == value,
             "{name}: expected {wanted:?}, got {value:?}"
         );
-        let reads = matches!(got.0.loud(), Opcode::GET | Opcode::GETK) && got.2 == Status::OK;
+        let reads = matches!(got.0.non_quiet(), Opcode::GET | Opcode::GETK) && got.2 == Status::OK;
         assert_eq!(extras, if reads { 4 } else { 0 }, "{name}: its extras");
     }
 }
--- a/tests/memcached.rs
+++ b/tests/memcached.rs
@@ -77,7 +77,7 @@
     assert_eq!(asks(&take(&mut front, &mut 0, &mut written(&[request]))).len(), 1);
     let bytes = front.answer(0, answer);
     match frame::response(&bytes, &Limits::default()) {
-        Ok(Step::Whole(Response { opcode, status, opaque, .. }, _)) => {
+        Ok(Step::Complete(Response { opcode, status, opaque, .. }, _)) => {
             assert_eq!((opcode, opaque), (request.opcode, request.opaque));
             Some(status)
         }
