--- a/crates/snmp/src/snapshot.rs
+++ b/crates/snmp/src/snapshot.rs
@@ -73,8 +73,8 @@
     /// What the proxy makes of it.
     pub state: State,
     /// Upstream requests and connections that are out there.
-    pub out: u32,
-    /// See `out`.
+    pub outstanding: u32,
+    /// See `outstanding`.
     pub connections: u32,
     /// How busy its cores are, 1 being all of them, and when that was told.
     pub utilisation: Option<(f64, Micros)>,
@@ -194,17 +194,17 @@
     /// What the proxy makes of it.
     pub state: LedgerState,
     /// Out there now, and how much may be; under 1 it rests between two.
-    pub out: u32,
-    /// See `out`.
+    pub outstanding: u32,
+    /// See `outstanding`.
     pub window: f64,
     /// Streams that wait for a place.
     pub waiting: u32,
     /// The mean time of its answers lately, if there were any, and that over the best it has been.
-    pub pace: Option<Micros>,
-    /// See `pace`.
-    pub strain: f64,
+    pub mean_latency: Option<Micros>,
+    /// See `mean_latency`.
+    pub latency_ratio: f64,
     /// The part of what was sent lately that was turned away or took longer than anybody waits.
-    pub slow: f64,
+    pub failure_ratio: f64,
 }
 
 /// Discovery.
--- a/crates/snmp/src/tree.rs
+++ b/crates/snmp/src/tree.rs
@@ -256,7 +256,7 @@
         Value::text(&n.kind),
         Value::Integer(n.phase as i32),
         Value::Integer(n.state as i32),
-        Value::Gauge(n.out),
+        Value::Gauge(n.outstanding),
         Value::Gauge(n.connections),
         Value::Integer(utilisation),
         age(now, n.utilisation.map(|(_, at)| at)),
@@ -317,12 +317,12 @@
         1,
         [
             Value::Integer(l.state as i32),
-            Value::Gauge(l.out),
+            Value::Gauge(l.outstanding),
             scaled(l.window, 100.0),
             Value::Gauge(l.waiting),
-            micros(l.pace.unwrap_or(0)),
-            scaled(l.strain, 100.0),
-            scaled(l.slow, 1000.0),
+            micros(l.mean_latency.unwrap_or(0)),
+            scaled(l.latency_ratio, 100.0),
+            scaled(l.failure_ratio, 1000.0),
         ],
     );
 }
@@ -347,7 +347,7 @@
     let refused = p.planners.iter().map(|p| p.refused).sum();
     b.scalars(1, [Value::truth(p.in_force), Value::gauge(reachable as u64), Value::Counter64(refused)]);
     for p in p.planners.iter().take(MAX_OTHER_ROWS) {
-        let told = [
+        let columns = [
             Value::text(&p.address),
             Value::truth(p.reachable),
             Value::Counter64(p.epoch),
@@ -355,17 +355,17 @@
             age(now, p.told),
             Value::Counter64(p.refused),
         ];
-        b.row(4, &[p.index], 2, told);
+        b.row(4, &[p.index], 2, columns);
     }
     for f in p.forwarders.iter().take(MAX_OTHER_ROWS) {
-        let seen = [
+        let columns = [
             Value::text(&f.name),
             Value::text(&f.hall),
             age(now, f.heard),
             Value::Gauge(f.silent),
             Value::Gauge(f.rate),
         ];
-        b.row(5, &[f.index], 2, seen);
+        b.row(5, &[f.index], 2, columns);
     }
 }
 
@@ -373,7 +373,7 @@
     b.scalars(1, [Value::Counter(n.sequence), Value::Counter64(n.held)]);
     for (at, r) in (1..).zip(n.receivers.iter().take(MAX_OTHER_ROWS)) {
         let counters = [r.sent, r.acknowledged, r.resent, r.dropped].map(Value::Counter64);
-        let told = [Value::text(&r.address), Value::truth(r.informs), Value::gauge(r.queued)];
-        b.row(3, &[at], 2, told.into_iter().chain(counters));
+        let columns = [Value::text(&r.address), Value::truth(r.informs), Value::gauge(r.queued)];
+        b.row(3, &[at], 2, columns.into_iter().chain(counters));
     }
 }
--- a/src/features/snmp/mod.rs
+++ b/src/features/snmp/mod.rs
@@ -124,21 +124,21 @@
             Some(Refusal::Origin) => Reason::Ledger,
             Some(Refusal::Attempts) | None => Reason::Attempts,
         };
-        let ended = match record.ended {
-            StreamOutcome::Served => tally::Ended::Served,
-            StreamOutcome::Refused => tally::Ended::Refused(reason),
-            StreamOutcome::Failed => tally::Ended::Failed,
-            StreamOutcome::Left => tally::Ended::Left,
+        let outcome = match record.ended {
+            StreamOutcome::Served => tally::Outcome::Served,
+            StreamOutcome::Refused => tally::Outcome::Refused(reason),
+            StreamOutcome::Failed => tally::Outcome::Failed,
+            StreamOutcome::Left => tally::Outcome::Left,
         };
         let stream = Stream {
             class: usize::from(record.class.0),
             tenant: record.tenant.0 as usize,
-            ended,
+            outcome,
             time: record.time,
             retried: record.details.retried,
             joined: record.details.joined,
         };
-        self.tally.borrow_mut().ended(record.at, stream);
+        self.tally.borrow_mut().record(record.at, stream);
     }
 
     /// The configuration was read again.
--- a/src/features/snmp/sight.rs
+++ b/src/features/snmp/sight.rs
@@ -72,15 +72,15 @@
     } else {
         LedgerState::Open
     };
-    let (out, window, waiting) = (origin.out, origin.window, origin.waiting);
+    let (outstanding, window, waiting) = (origin.out, origin.window, origin.waiting);
     Ledger {
         state,
-        out,
+        outstanding,
         window,
         waiting,
-        pace: origin.mean_latency,
-        strain: origin.latency_ratio,
-        slow: origin.failure_ratio,
+        mean_latency: origin.mean_latency,
+        latency_ratio: origin.latency_ratio,
+        failure_ratio: origin.failure_ratio,
     }
 }
 
@@ -115,7 +115,7 @@
             ledger: seen.origin,
             phase,
             state,
-            out: seen.sight.map_or(0, |s| s.out),
+            outstanding: seen.sight.map_or(0, |s| s.out),
             connections: seen.connections,
             utilisation: seen.sight.and_then(|s| s.rho),
             served: seen.ends.served,
