--- a/crates/memcached/examples/gateway.rs
+++ b/crates/memcached/examples/gateway.rs
@@ -1,11 +1,12 @@
-//! A gateway by hand: asks a server of the binary protocol and prints what it says, status and all.
+//! Sends commands to a server that speaks the memcached binary protocol and prints its responses with their
+//! status.
 //!
 //!     cargo run -p memcached --example gateway -- ADDRESS [login USER PASSWORD] get KEY...
 //!     cargo run -p memcached --example gateway -- ADDRESS [login USER PASSWORD] set KEY VALUE TOKEN
 //!     cargo run -p memcached --example gateway -- ADDRESS [login USER PASSWORD] stat [GROUP]
 //!
-//! `get` asks for all keys quietly and ends with a NOOP, as gateways do for many reads at once; TOKEN is a
-//! number in hexadecimal, the same in each try of a write.
+//! `get` sends quiet reads for all keys followed by a NOOP, as gateways do to batch reads. TOKEN is a
+//! hexadecimal number that must be the same in each try of a write.
 
 use memcached::{frame, sasl, Limits, Opcode, Request, Response, Step};
 use std::error::Error;
@@ -28,7 +29,7 @@
         Ok(self.socket.write_all(&out)?)
     }
 
-    /// Prints responses until one is the last.
+    /// Prints responses up to and including the first for which `last` returns true.
     fn print(&mut self, last: impl Fn(&Response) -> bool) -> Done<()> {
         loop {
             let limits = Limits { value: 1024 * 1024, ..Limits::default() };
--- a/crates/memcached/src/form.rs
+++ b/crates/memcached/src/form.rs
@@ -1,9 +1,9 @@
-//! What each command must and must not carry ("MUST have", "MAY have" and "MUST NOT have" of the protocol's
-//! description), and what an answer to it looks like.
+//! Validation of requests ("MUST have", "MAY have" and "MUST NOT have" of the protocol's description) and of
+//! the responses to them.
 
 use crate::{Opcode, Request, Response, Status};
 
-/// Whether a part may be there.
+/// Whether a part of a request is required, optional or forbidden.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Part {
     Must,
@@ -22,15 +22,16 @@
 }
 
 struct Form {
-    /// The lengths that extras may have.
+    /// Permitted lengths of the extras.
     extras: &'static [usize],
     key: Part,
     value: Part,
-    /// A data version may be given.
+    /// Whether a nonzero CAS is permitted.
     cas: bool,
 }
 
-/// `None` for what has no form that servers agree on: range, vbucket and TAP commands, and unknown ones.
+/// Rules for a command; `None` for commands whose parts servers do not agree on (range, vbucket and TAP
+/// commands) and for unknown ones.
 fn form(opcode: Opcode) -> Option<Form> {
     use Part::{May, Must, Not};
     let (extras, key, value, cas): (&'static [usize], Part, Part, bool) = match opcode.non_quiet() {
@@ -51,7 +52,8 @@
 }
 
 impl Request<'_> {
-    /// Whether it carries what its command wants and nothing else; an error says what is wrong with it.
+    /// Checks that the request carries the parts its command requires and no others. The error describes the
+    /// first violation found.
     pub fn check(&self) -> Result<(), &'static str> {
         let Some(form) = form(self.opcode) else { return Ok(()) };
         match () {
@@ -65,8 +67,8 @@
 }
 
 impl Response<'_> {
-    /// Whether it can be the answer to a request with this command, opaque and key. If not, the connection is
-    /// out of step, and nothing that comes on it can be trusted.
+    /// Checks that this can be the response to a request with this opcode, opaque and key. If not, requests
+    /// and responses on the connection are no longer aligned, and nothing received on it can be trusted.
     pub fn answers(&self, request: &Request) -> Result<(), &'static str> {
         let found = self.status == Status::OK;
         let extras = match request.opcode.non_quiet() {
@@ -77,7 +79,8 @@
         match () {
             _ if self.opcode != request.opcode => Err("an answer to another command"),
             _ if self.opaque != request.opaque => Err("an answer to another request"),
-            // A STAT answers with a name in each, a miss of GETK and some errors with the key.
+            // Each response to STAT carries the name of a statistic, and a miss of GETK and some errors carry
+            // the key.
             _ if request.opcode == Opcode::STAT => Ok(()),
             _ if found && self.extras.len() != extras => Err("extras of the wrong length"),
             _ if found && self.key != key => Err("a key that was not asked for"),
--- a/crates/memcached/src/frame.rs
+++ b/crates/memcached/src/frame.rs
@@ -1,44 +1,45 @@
-//! Frames: a header and the body that it announces, cut out of the bytes that have come so far.
+//! Encoding and decoding of frames, which consist of a header and the body it announces.
 //!
-//! A header is judged as soon as it is there, before a byte of its body: who announces 60 MB is told so after
-//! 24 bytes, and nobody has to make room for what will be refused. Each call looks at the header anew, which
-//! costs the same however many pieces the body comes in.
+//! A header is validated as soon as it is complete, before any byte of the body arrives: a sender that
+//! announces 60 MB is rejected after 24 bytes, and no buffer is allocated for a body that will be rejected.
+//! Every call decodes the header again, which takes constant time however many pieces the body arrives in.
 
 use crate::header::{self, Header, Magic};
 use crate::{Opcode, Status};
 
-/// The longest key there is, by the protocol.
+/// Maximum key length of the protocol in bytes.
 pub const MAX_KEY_LEN: usize = 250;
 
-/// What a frame may hold at the most.
+/// Limits on the parts of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a key.
+    /// Maximum length of a key in bytes.
     pub key: usize,
-    /// Bytes of a value.
+    /// Maximum length of a value in bytes.
     pub value: usize,
 }
 
 impl Default for Limits {
-    /// The protocol's longest key, and values of 64 KiB.
+    /// The protocol's maximum key length, and values of up to 64 KiB.
     fn default() -> Self {
         Limits { key: MAX_KEY_LEN, value: 64 * 1024 }
     }
 }
 
 impl Limits {
-    /// The most bytes that a frame within these limits takes: no buffer for frames has to hold more.
+    /// Upper bound on the length of a frame within these limits, and so on the buffer needed to receive one.
     pub fn max_frame_len(&self) -> usize {
         header::LEN + usize::from(u8::MAX) + self.key.saturating_add(self.value)
     }
 }
 
-/// How far the first frame in some bytes is.
+/// Result of decoding the first frame in a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step<T> {
-    /// Not whole: so many bytes are wanted in all, or more where this is a header's length.
+    /// The frame is incomplete. Holds the total number of bytes needed; if that is the length of a header,
+    /// more may be needed once the header is known.
     Incomplete(usize),
-    /// The frame and how many bytes it took.
+    /// The frame, and the number of bytes it occupies in the buffer.
     Complete(T, usize),
 }
 
@@ -51,23 +52,23 @@
     }
 }
 
-/// Why bytes begin no frame.
+/// Why a buffer does not start with an acceptable frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A letter stands where a magic byte belongs: the text protocol, by mistake. No further byte can make
-    /// sense.
+    /// The first byte is an ASCII letter instead of a magic byte: the peer probably speaks the text protocol.
+    /// The connection cannot be resynchronized.
     Text,
-    /// No magic byte of this direction. No further byte can make sense.
+    /// The first byte is not the magic byte of this direction. The connection cannot be resynchronized.
     Magic(u8),
-    /// Extras and key are longer than the body they are part of, so that its end cannot be told. No further
-    /// byte can make sense; the header still tells whom to answer.
+    /// Extras and key are longer than the body that contains them, so the end of the frame is unknown and the
+    /// connection cannot be resynchronized. The header still identifies the request to answer.
     Lengths(Header),
-    /// A frame that is not taken for its lengths or its data type. Its end is known: behind the header are
-    /// [`Header::body`] bytes to pass over, and the next frame follows.
+    /// The frame is rejected because of its lengths or its data type. Its end is known: the caller can skip
+    /// [`Header::body`] bytes after the header and continue with the next frame.
     Refused(Header, Status, &'static str),
 }
 
-/// A frame is too long to be written down: a length does not fit its field.
+/// A frame cannot be encoded because a length does not fit its header field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Oversized;
 
@@ -79,18 +80,18 @@
 
 impl std::error::Error for Oversized {}
 
-/// What a client asks.
+/// A request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Request<'a> {
-    /// The command.
+    /// The opcode.
     pub opcode: Opcode,
-    /// The part of the keys that is meant, where servers have parts; else 0.
+    /// The vbucket, on servers that use them; otherwise 0.
     pub vbucket: u16,
-    /// Comes back in the answer.
+    /// Opaque value that the response repeats.
     pub opaque: u32,
-    /// The data version that is meant; 0 for any.
+    /// Version of the item that the command requires (compare-and-swap); 0 for any.
     pub cas: u64,
-    /// What the command needs beside key and value, such as flags.
+    /// Parameters of the command other than key and value, such as flags.
     pub extras: &'a [u8],
     /// The key.
     pub key: &'a [u8],
@@ -99,12 +100,12 @@
 }
 
 impl Request<'_> {
-    /// A command with nothing in it.
+    /// A request without extras, key and value.
     pub fn new(opcode: Opcode) -> Self {
         Request { opcode, vbucket: 0, opaque: 0, cas: 0, extras: &[], key: &[], value: &[] }
     }
 
-    /// Appends it. Nothing is written where it cannot be whole.
+    /// Appends the encoded request to `out`. On an error nothing is written.
     pub fn put(&self, out: &mut Vec<u8>) -> Result<(), Oversized> {
         let Request { opcode, vbucket, opaque, cas, .. } = *self;
         let header =
@@ -113,32 +114,32 @@
     }
 }
 
-/// What a server answers.
+/// A response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Response<'a> {
-    /// The command that is answered.
+    /// The opcode of the request.
     pub opcode: Opcode,
-    /// How it went.
+    /// The status.
     pub status: Status,
-    /// As the request had it.
+    /// Opaque value of the request.
     pub opaque: u32,
-    /// The version of the data.
+    /// Version of the item (compare-and-swap).
     pub cas: u64,
-    /// What belongs to the value, such as flags.
+    /// Metadata of the value, such as flags.
     pub extras: &'a [u8],
-    /// The key, where the command wants it back.
+    /// The key, if the command asks for it.
     pub key: &'a [u8],
-    /// The value, or why there is none.
+    /// The value, or an error message.
     pub value: &'a [u8],
 }
 
 impl Response<'_> {
-    /// A success with nothing in it.
+    /// A successful response without extras, key and value.
     pub fn new(opcode: Opcode, opaque: u32) -> Self {
         Response { opcode, status: Status::OK, opaque, cas: 0, extras: &[], key: &[], value: &[] }
     }
 
-    /// Appends it. Nothing is written where it cannot be whole.
+    /// Appends the encoded response to `out`. On an error nothing is written.
     pub fn put(&self, out: &mut Vec<u8>) -> Result<(), Oversized> {
         let Response { opcode, status, opaque, cas, .. } = *self;
         let header =
@@ -160,7 +161,7 @@
     Ok(())
 }
 
-/// The first request in `bytes`, all that a client has sent and nobody has taken yet.
+/// Decodes the first request in `bytes`, the bytes received from a client and not yet consumed.
 pub fn request<'a>(bytes: &'a [u8], limits: &Limits) -> Result<Step<Request<'a>>, Fault> {
     Ok(cut(bytes, Magic::Request, limits)?.map(|(header, [extras, key, value])| {
         let Header { opcode, vbucket_or_status: vbucket, opaque, cas, .. } = header;
@@ -168,7 +169,7 @@
     }))
 }
 
-/// The first response in `bytes`, all that a server has sent and nobody has taken yet.
+/// Decodes the first response in `bytes`, the bytes received from a server and not yet consumed.
 pub fn response<'a>(bytes: &'a [u8], limits: &Limits) -> Result<Step<Response<'a>>, Fault> {
     Ok(cut(bytes, Magic::Response, limits)?.map(|(header, [extras, key, value])| {
         let Header { opcode, vbucket_or_status, opaque, cas, .. } = header;
@@ -177,11 +178,11 @@
     }))
 }
 
-/// A frame whose lengths are sound: its header, and extras, key and value.
+/// A frame with valid lengths: its header, and extras, key and value.
 type Parts<'a> = (Header, [&'a [u8]; 3]);
 
 fn cut<'a>(bytes: &'a [u8], magic: Magic, limits: &Limits) -> Result<Step<Parts<'a>>, Fault> {
-    // What starts with the wrong byte is told at once, not when a header's length of it has come.
+    // A wrong first byte is reported at once instead of after a complete header.
     match bytes.first() {
         Some(b) if *b == magic.byte() => {}
         Some(b) if b.is_ascii_alphabetic() => return Err(Fault::Text),
--- a/crates/memcached/src/header.rs
+++ b/crates/memcached/src/header.rs
@@ -1,20 +1,20 @@
-//! The 24 bytes that every frame begins with ("Packet Structure" of the protocol's description). All numbers
+//! The 24-byte header that starts every frame ("Packet Structure" of the protocol's description). All numbers
 //! are big endian.
 
-/// Bytes of a header.
+/// Length of a header in bytes.
 pub const LEN: usize = 24;
 
-/// Which way a frame goes: its first byte.
+/// Direction of a frame, given by its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Magic {
-    /// 0x80: from a client to a server.
+    /// 0x80: from client to server.
     Request,
-    /// 0x81: from a server to a client.
+    /// 0x81: from server to client.
     Response,
 }
 
 impl Magic {
-    /// The byte on the wire.
+    /// The magic byte on the wire.
     pub fn byte(self) -> u8 {
         match self {
             Magic::Request => 0x80,
@@ -23,29 +23,29 @@
     }
 }
 
-/// A header as it stands on the wire, behind its magic byte. Nothing is checked but that the bytes are there.
+/// The header fields after the magic byte, as decoded from the wire. No field is validated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Header {
-    /// The command.
+    /// The opcode.
     pub opcode: u8,
-    /// Bytes of the key.
+    /// Length of the key in bytes.
     pub key: u16,
-    /// Bytes of the extras.
+    /// Length of the extras in bytes.
     pub extras: u8,
-    /// Reserved; 0 means raw bytes, the only type there is.
+    /// Data type: reserved. 0 means raw bytes, the only type defined.
     pub data_type: u8,
-    /// A request's vbucket, a response's status.
+    /// The vbucket id in a request, the status in a response.
     pub vbucket_or_status: u16,
-    /// Bytes behind the header: extras, key and value together.
+    /// Length of the body in bytes: extras, key and value together.
     pub body: u32,
-    /// Copied from a request into its responses.
+    /// Opaque value that the server copies from a request into its responses.
     pub opaque: u32,
-    /// Data version check.
+    /// Version of the item (compare-and-swap).
     pub cas: u64,
 }
 
 impl Header {
-    /// The magic byte and the header behind it; `None` while fewer than [`LEN`] bytes are there.
+    /// Decodes the magic byte and the header after it; `None` if `bytes` is shorter than [`LEN`].
     pub fn read(bytes: &[u8]) -> Option<(u8, Header)> {
         let b: &[u8; LEN] = bytes.first_chunk()?;
         let two = |at: usize| u16::from_be_bytes([b[at], b[at + 1]]);
@@ -63,7 +63,7 @@
         Some((b[0], header))
     }
 
-    /// Appends the header.
+    /// Appends the encoded header to `out`.
     pub fn put(&self, magic: Magic, out: &mut Vec<u8>) {
         out.extend_from_slice(&[magic.byte(), self.opcode]);
         out.extend_from_slice(&self.key.to_be_bytes());
@@ -74,7 +74,7 @@
         out.extend_from_slice(&self.cas.to_be_bytes());
     }
 
-    /// Bytes of the value, if extras and key fit into the body at all.
+    /// Length of the value in bytes; `None` if extras and key are longer than the body.
     pub fn value(&self) -> Option<u32> {
         self.body.checked_sub(u32::from(self.extras) + u32::from(self.key))
     }
--- a/crates/memcached/src/lib.rs
+++ b/crates/memcached/src/lib.rs
@@ -1,21 +1,22 @@
-//! The memcached binary protocol's codec, for servers (requests in, responses out) and for clients (the other
-//! way round).
+//! Codec of the memcached binary protocol, for servers (decoding requests, encoding responses) and for
+//! clients (the reverse).
 //!
-//! What it owns: the bytes of a frame. [`header`] has the 24 bytes that every frame begins with, [`frame`]
-//! cuts frames out of what has come so far and writes them, [`opcode`] and [`status`] are the tables of
-//! numbers, [`form`] is what each command must and must not carry, [`sasl`] the one mechanism's message.
+//! Modules: [`header`] is the 24-byte header of every frame; [`frame`] decodes frames from a receive buffer
+//! and encodes them; [`opcode`] and [`status`] are the tables of numbers; [`form`] checks which parts each
+//! command must and must not carry; [`sasl`] parses the message of the one supported mechanism.
 //!
-//! What it is for: whoever has a buffer of bytes and wants the first frame in it. Nothing is copied or kept:
-//! a frame borrows from the caller's buffer, and [`frame::Limits::max_frame_len`] is the longest that buffer has to
-//! be.
+//! Callers pass a buffer of received bytes and get the first frame in it. Nothing is copied or retained: a
+//! frame borrows from the caller's buffer. A buffer of [`frame::Limits::max_frame_len`] bytes is always
+//! sufficient.
 //!
-//! When not to use it: it holds no connection, no order of answers and no meaning. Which commands are carried
-//! out, and what silence means for a quiet one, is the caller's. It does not speak the text protocol; it only
-//! tells that somebody else does ([`frame::Fault::Text`]).
+//! Out of scope: the codec keeps no connection state, does not order responses and does not interpret
+//! commands. Which commands are carried out, and what a missing response to a quiet command means, is up to
+//! the caller. The text protocol is not supported; the codec only detects it ([`frame::Fault::Text`]).
 //!
 //! Sources: the protocol's description by its authors (`protocol-binary.txt` and the wiki page
-//! "BinaryProtocolRevamped" of memcached, without the obsolete range and TAP commands' bodies), and the
-//! numbers of `protocol_binary.h` where the two differ: the statuses of SASL are 0x20 and 0x21 on the wire.
+//! "BinaryProtocolRevamped" of memcached, without the bodies of the obsolete range and TAP commands). Where
+//! it differs from `protocol_binary.h`, the header file is followed: the SASL statuses are 0x20 and 0x21 on
+//! the wire.
 //!
 //! ```
 //! use memcached::{frame, Limits, Opcode, Request, Step};
--- a/crates/memcached/src/opcode.rs
+++ b/crates/memcached/src/opcode.rs
@@ -1,7 +1,7 @@
-//! The table of commands ("Command Opcodes"; SASL, TOUCH and GAT by their own pages; 0x23 and 0x24 by
-//! `protocol_binary.h`).
+//! Opcodes of the binary protocol: "Command Opcodes" of its description; SASL, TOUCH and GAT from their own
+//! pages; 0x23 and 0x24 from `protocol_binary.h`.
 
-/// A command's number; any byte can be one, known or not.
+/// A command's opcode. Any byte is valid, whether or not the protocol defines it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Opcode(pub u8);
 
@@ -11,10 +11,10 @@
         impl Opcode {
             $(pub const $name: Opcode = Opcode($number);)*
 
-            /// All commands that have a name, in the order of their numbers.
+            /// All defined opcodes, in ascending order.
             pub const ALL: &'static [Opcode] = &[$(Opcode::$name),*];
 
-            /// The command's name, where it has one.
+            /// The command's name, `None` for an undefined opcode.
             pub fn name(self) -> Option<&'static str> {
                 match self.0 {
                     $($number => Some(stringify!($name)),)*
@@ -22,7 +22,8 @@
                 }
             }
 
-            /// The command that does the same and always answers; the command itself if it does.
+            /// The variant of this command that always sends a response; the command itself if it is not
+            /// quiet.
             pub fn non_quiet(self) -> Opcode {
                 match self {
                     $($(Opcode::$name => Opcode::$non_quiet,)?)*
@@ -97,13 +98,13 @@
 }
 
 impl Opcode {
-    /// Whether the uninteresting answer stays out: a miss for reads, the success for all others. An error
-    /// never does.
+    /// Whether this is a quiet command, which suppresses the common response: a miss for reads, a success for
+    /// all other commands. Errors are always sent.
     pub fn is_quiet(self) -> bool {
         self.non_quiet() != self
     }
 
-    /// Whether the answer to it bears the key.
+    /// Whether a successful response carries the key.
     pub fn returns_key(self) -> bool {
         matches!(self.non_quiet(), Opcode::GETK | Opcode::GATK)
     }
--- a/crates/memcached/src/sasl.rs
+++ b/crates/memcached/src/sasl.rs
@@ -1,18 +1,19 @@
-//! SASL PLAIN: the one message of a client (RFC 4616, section 2). Who may come in with it is the caller's.
+//! SASL PLAIN: the client's single message (RFC 4616, section 2). Verifying the credentials is up to the
+//! caller.
 
-/// The name of the mechanism, as commands and lists bear it.
+/// Name of the mechanism in requests and in the list of mechanisms.
 pub const PLAIN: &str = "PLAIN";
-/// The longest part of a message that makes sense.
+/// Maximum length of each part of a message in bytes.
 const PART: usize = 255;
 
-/// What a client says of itself. It has no `Debug` that would show the password.
+/// The decoded message of a client. `Debug` is implemented by hand so that it omits the password.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Plain<'a> {
-    /// Whom it wants to act for; empty where that is itself.
+    /// Authorization identity; empty if it is the user itself.
     pub authzid: &'a [u8],
-    /// Who it is.
+    /// Authentication identity: the user.
     pub user: &'a [u8],
-    /// What only it knows.
+    /// The password.
     pub password: &'a [u8],
 }
 
@@ -22,7 +23,8 @@
     }
 }
 
-/// Three parts with a NUL between them; the last two are not empty, and none is longer than 255 bytes.
+/// Decodes a message: three parts separated by NUL. User and password must not be empty, and no part may be
+/// longer than 255 bytes.
 pub fn plain(message: &[u8]) -> Option<Plain<'_>> {
     let mut parts = message.split(|b| *b == 0);
     let (authzid, user, password) = (parts.next()?, parts.next()?, parts.next()?);
--- a/crates/memcached/src/status.rs
+++ b/crates/memcached/src/status.rs
@@ -1,7 +1,7 @@
-//! The table of statuses ("Response Status"). Where the wiki and `protocol_binary.h` differ, the header file
-//! holds, since servers and clients were built with it: 0x20 and 0x21 for SASL.
+//! Response statuses ("Response Status"). Where the wiki and `protocol_binary.h` differ, as on 0x20 and 0x21
+//! for SASL, the values of the header file are used, since servers and clients were built with it.
 
-/// How a request went; any number can come.
+/// Status of a response. Any number is valid, whether or not the protocol defines it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Status(pub u16);
 
@@ -11,10 +11,10 @@
         impl Status {
             $(pub const $name: Status = Status($number);)*
 
-            /// All statuses that have a name, in the order of their numbers.
+            /// All defined statuses, in ascending order.
             pub const ALL: &'static [Status] = &[$(Status::$name),*];
 
-            /// What it says, in the words of the protocol's description.
+            /// The status in the words of the protocol's description; `None` for an undefined one.
             pub fn text(self) -> Option<&'static str> {
                 match self.0 {
                     $($number => Some($text),)*
--- a/crates/memcached/tests/invariants/mod.rs
+++ b/crates/memcached/tests/invariants/mod.rs
@@ -1,14 +1,14 @@
-//! What must hold for any bytes at all: shared by the property tests, the replay of the corpus and the fuzz
-//! target in `fuzz/`, which includes this file.
+//! Invariants of the codec for arbitrary input. Shared by the property tests, the replay of the corpus and
+//! the fuzz target in `fuzz/`, which includes this file.
 
 use memcached::{frame, header, sasl, Fault, Limits, Request, Step};
 
-/// Small, so that a few bytes reach every bound.
+/// Small limits, so that short inputs reach every bound.
 pub const LIMITS: Limits = Limits { key: 250, value: 4096 };
-/// How long a refused frame's body may be for a caller to pass it over and go on.
+/// Longest body of a rejected frame that the reader skips to continue with the next frame.
 const PASSED_OVER: u32 = 16 * 1024;
 
-/// The first frame in some bytes, written down again.
+/// Decodes the first frame in a buffer and encodes it again.
 type Read = fn(&[u8]) -> Result<Step<Vec<u8>>, Fault>;
 
 fn request(bytes: &[u8]) -> Result<Step<Vec<u8>>, Fault> {
@@ -36,9 +36,9 @@
     })
 }
 
-/// Takes all frames out of bytes that come in pieces of these lengths, over and over, as a connection does,
-/// and checks that its buffer never holds more than the limits promise. What was read comes back, frame by
-/// frame, with the fault that ended it.
+/// Decodes all frames from bytes that arrive in pieces of these lengths, repeated cyclically, as on a
+/// connection. Checks that the buffer never holds more than the limits allow. Returns the frames, encoded
+/// again, and the fault that ended decoding, if any.
 fn pieces(read: Read, bytes: &[u8], lengths: &[u8]) -> (Vec<Vec<u8>>, Option<Fault>) {
     let (mut held, mut frames, mut over) = (Vec::new(), Vec::new(), 0);
     let (mut rest, mut lengths) = (bytes, lengths.iter().cycle());
@@ -75,8 +75,8 @@
     }
 }
 
-/// Holds all that must hold against these bytes, read as requests and as responses, byte by byte and in
-/// pieces of these lengths. Comes back with the number of frames found either way.
+/// Checks all invariants on these bytes, decoded as requests and as responses, once byte by byte and once in
+/// pieces of these lengths. Returns the number of frames found in both directions.
 pub fn check_invariants(bytes: &[u8], lengths: &[u8]) -> usize {
     let found = [request as Read, response as Read].map(|read| {
         let one_by_one = pieces(read, bytes, &[1]);
--- a/crates/memcached/tests/pages.rs
+++ b/crates/memcached/tests/pages.rs
@@ -1,9 +1,9 @@
-//! Bytes and rules as the protocol's description gives them.
+//! Examples and rules from the protocol's description.
 
 use memcached::{frame, sasl, Fault, Limits, Opcode, Request, Response, Status, Step};
 use rstest::rstest;
 
-/// "Get request" and "Get response" of the description, byte by byte.
+/// The examples "Get request" and "Get response" of the description, byte by byte.
 #[test]
 fn a_get_and_its_answer_look_as_on_the_page() {
     let mut out = Vec::new();
@@ -15,7 +15,7 @@
     assert_eq!(frame::response(bytes, &Limits::default()), Ok(Step::Complete(answer, 33)));
 }
 
-/// "Add request", with flags, expiry and two parts of a body.
+/// The example "Add request": flags and expiry in the extras, a key and a value.
 #[test]
 fn an_add_looks_as_on_the_page() {
     let extras = b"\xde\xad\xbe\xef\x00\x00\x0e\x10";
@@ -90,7 +90,8 @@
     assert_eq!(answer.answers(&get).is_ok(), sound);
 }
 
-/// The numbers of the tables stand each for one thing, and a quiet command's loud one is loud.
+/// Each number of the tables has one meaning, and the non-quiet variant of a quiet command is not quiet
+/// itself.
 #[test]
 fn the_tables_hold_no_number_twice() {
     assert!(Opcode::ALL.windows(2).all(|w| w[0] < w[1]) && Status::ALL.windows(2).all(|w| w[0] < w[1]));
--- a/crates/memcached/tests/properties.rs
+++ b/crates/memcached/tests/properties.rs
@@ -1,4 +1,5 @@
-//! The codec under any bytes: generated frames, a corpus of hostile ones, and both of them spoilt at random.
+//! Property tests of the codec on generated frames, on a corpus of hostile input, and on random mutations of
+//! that corpus.
 
 mod invariants;
 
@@ -12,7 +13,7 @@
 use rstest::rstest;
 use std::path::PathBuf;
 
-/// The frames of a connection, as they are written.
+/// Encoded frames of a connection.
 fn frames() -> impl Strategy<Value = Vec<u8>> {
     let parts = (vec(any::<u8>(), 0..24), vec(any::<u8>(), 0..=250), vec(any::<u8>(), 0..600));
     let numbers = (any::<u8>(), any::<u16>(), any::<u32>(), any::<u64>());
@@ -29,7 +30,7 @@
     vec(one, 0..6).prop_map(|frames| frames.concat())
 }
 
-/// The same cases in each run.
+/// A fixed seed, so that every run tests the same cases.
 fn settings() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(13);
     ProptestConfig { cases: 400, failure_persistence: None, rng_seed, ..ProptestConfig::default() }
@@ -67,7 +68,7 @@
         prop_assert!(out.len() <= LIMITS.max_frame_len());
     }
 
-    /// Whoever announces too much is told so by its header alone: nothing of the body is waited for.
+    /// Lengths beyond the limits must be rejected on the header alone, without waiting for the body.
     #[test]
     fn hostile_lengths_are_told_by_the_header(
         key in any::<u16>(), extras in any::<u8>(), body in prop_oneof![any::<u32>(), 0u32..6000],
@@ -87,8 +88,8 @@
     }
 }
 
-/// A bounded run of the fuzz target's corpus, so that what it once found is looked at with every build: each
-/// file as it is, and spoilt in some hundred ways by a seed.
+/// Replays the fuzz target's corpus, so that inputs that once failed are tested in every build: each file
+/// unchanged, and with 200 seeded random mutations.
 #[rstest]
 fn nothing_in_the_corpus_breaks_it(#[files("../../fuzz/corpus/memcached/*")] path: PathBuf) {
     let bytes = std::fs::read(&path).expect("a file of the corpus");
--- a/crates/snmp/src/access.rs
+++ b/crates/snmp/src/access.rs
@@ -1,5 +1,5 @@
-//! Who may read what: communities of SNMPv2c by name and source, and views (RFC 3415, 5, vacmViewTreeFamily,
-//! without masks). Nothing may be written.
+//! Access control: communities of SNMPv2c by name and source address, and views (RFC 3415, 5,
+//! vacmViewTreeFamily, without masks). Nothing is writable.
 
 use crate::usm::{Level, User};
 use crate::{Oid, Tree, Value};
@@ -7,31 +7,32 @@
 use std::net::IpAddr;
 use subtle::ConstantTimeEq;
 
-/// The most communities, users and subtrees of a view.
+/// Maximum number of communities, of users, and of subtrees of a view.
 pub const MAX_ENTRIES: usize = 32;
-/// The longest name of a community.
+/// Maximum length of a community name in bytes.
 pub const MAX_COMMUNITY_NAME: usize = 64;
 
-/// A part of the tree: of the subtrees that hold a name the longest decides.
+/// A view of the tree. Of the subtrees that contain a name, the longest decides whether it is in the view.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
-    /// Subtrees, and whether they belong to it.
+    /// Subtrees, and whether each is included (true) or excluded.
     pub subtrees: Vec<(Oid, bool)>,
 }
 
 impl View {
-    /// Everything.
+    /// A view of the whole tree.
     pub fn all() -> View {
         View { subtrees: Oid::new(&[1, 3]).map(|root| (root, true)).into_iter().collect() }
     }
 
-    /// Whether a name belongs to it.
+    /// Whether a name is in the view.
     pub fn contains(&self, name: &Oid) -> bool {
         let within = self.subtrees.iter().filter(|(root, _)| name.is_under(root));
         within.max_by_key(|(root, _)| root.arcs().len()).is_some_and(|(_, is)| *is)
     }
 
-    /// The first name behind this one from which the answer may be another: where a subtree begins, or ends.
+    /// The first name after this one where membership in the view may change: the start of a subtree, or the
+    /// end of one.
     fn next_boundary(&self, name: &Oid) -> Option<Oid> {
         let boundary = self.subtrees.iter().filter_map(|(root, _)| match name.is_under(root) {
             true => root.subtree_end(),
@@ -40,11 +41,11 @@
         boundary.min()
     }
 
-    /// The first instance of the view behind a name. What it does not hold is skipped by subtrees, so that the
-    /// work grows with their number and not with what they hide.
+    /// The first instance after a name that is in the view. Excluded names are skipped a subtree at a time,
+    /// so the cost depends on the number of subtrees and not on the number of excluded instances.
     pub fn next<'a>(&self, tree: &'a Tree, name: &Oid) -> Option<&'a (Oid, Value)> {
         let mut rest = tree.after(name);
-        // Each turn is behind the one before; there are two a subtree at the most.
+        // Each boundary comes after the one before it, and each subtree has at most two.
         for _ in 0..=2 * self.subtrees.len() {
             let first = rest.first()?;
             if self.contains(&first.0) {
@@ -60,24 +61,24 @@
 /// A community of SNMPv2c.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Community {
-    /// Its name, which is a password in the clear.
+    /// Its name, which serves as a password sent in cleartext.
     pub name: Vec<u8>,
-    /// Who may use it.
+    /// Source addresses that may use it.
     pub from: IpNet,
-    /// What it shows.
+    /// What it may read.
     pub view: View,
 }
 
-/// A user of SNMPv3 and what it may read.
+/// A user of SNMPv3 and its view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reader {
-    /// The user; messages of a lower level than its own are refused.
+    /// The user. Messages of any other security level than its own are refused.
     pub user: User,
-    /// What it may read.
+    /// Its view.
     pub view: View,
 }
 
-/// All who may read.
+/// All communities and users with read access.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Access {
     /// Communities of SNMPv2c.
@@ -86,18 +87,18 @@
     pub readers: Vec<Reader>,
 }
 
-/// What became of a community's name.
+/// Result of looking up a community name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admitted<'a> {
-    /// It may read this.
+    /// The community is valid and may read this view.
     View(&'a View),
-    /// There is no such community.
+    /// No community has this name.
     Unknown,
-    /// There is, but not from there.
+    /// The community exists, but not for this source address.
     WrongSource,
 }
 
-/// A name at a fixed length, so that comparing takes the same time whatever differs.
+/// Pads a name to a fixed length so that comparison takes constant time.
 fn padded(name: &[u8]) -> [u8; MAX_COMMUNITY_NAME + 1] {
     let mut all = [0; MAX_COMMUNITY_NAME + 1];
     let n = name.len().min(MAX_COMMUNITY_NAME);
@@ -107,7 +108,8 @@
 }
 
 impl Access {
-    /// What a community shows to a caller. All communities are looked at, whichever it is.
+    /// The view of a community for this source address. All communities are compared, so that the time taken
+    /// does not reveal which one matched.
     pub fn community(&self, name: &[u8], from: IpAddr) -> Admitted<'_> {
         let (given, from) = (padded(name), from.to_canonical());
         let (mut known, mut view) = (false, None);
@@ -125,12 +127,13 @@
         }
     }
 
-    /// A user by name. The standard's reports tell who is none, so there is nothing to hide here.
+    /// Looks up a user by name. This need not take constant time, since the standard's reports disclose
+    /// whether a user name exists.
     pub fn reader(&self, name: &[u8]) -> Option<(usize, &Reader)> {
         self.readers.iter().enumerate().find(|(_, r)| r.user.name == name)
     }
 
-    /// Whether some user needs no authentication.
+    /// Whether any user needs no authentication.
     pub fn open(&self) -> bool {
         self.readers.iter().any(|r| r.user.level() == Level::Open)
     }
--- a/crates/snmp/src/agent.rs
+++ b/crates/snmp/src/agent.rs
@@ -1,14 +1,16 @@
-//! The agent: a request's datagram in, a response's out, or silence. It owns its counters, the keys of its
-//! users and the budget of reports; the tree it answers from is handed in.
+//! The agent: takes the datagram of a request and returns the datagram of the response, if any. It owns its
+//! counters, the keys of its users and the rate limit of reports; the tree it answers from is passed in with
+//! each request.
 //!
-//! What is answered, and with what:
-//! - SNMPv1 is not spoken: counted as snmpInBadVersions, never answered.
-//! - SNMPv2c with a community that is unknown, or known from elsewhere: counted, never answered.
-//! - SNMPv3 that cannot be processed: the report that RFC 3414, 3.2, names, if it asks for reports and there is
-//!   budget for one. A report is hardly longer than what brings it about.
-//! - SET: noAccess (RFC 3416, 4.2.5: no view may be written). What is neither asked nor set is dropped.
-//! - What does not fit the datagram: fewer repetitions of a GetBulk, else tooBig with no bindings (RFC 3416,
-//!   4.2.1 to 4.2.3).
+//! Responses:
+//! - SNMPv1 is not supported: counted as snmpInBadVersions, never answered.
+//! - SNMPv2c with an unknown community, or from a source address outside the community's range: counted,
+//!   never answered.
+//! - SNMPv3 messages that cannot be processed: the report required by RFC 3414, 3.2, if the message is
+//!   reportable and the rate limit permits it. A report is hardly longer than the message that causes it.
+//! - SET: noAccess (RFC 3416, 4.2.5: nothing is writable). PDUs other than requests are dropped.
+//! - Responses that do not fit a datagram: fewer repetitions for a GetBulk, otherwise tooBig without bindings
+//!   (RFC 3416, 4.2.1 to 4.2.3).
 
 use crate::access::{Access, Admitted, View};
 use crate::message::{self, status, Community, Data, Flags, Header, Kind, Pdu, Scoped, Secured};
@@ -18,19 +20,20 @@
 use crate::{Micros, Oid, Tree, Value, SECOND};
 use std::net::IpAddr;
 
-/// The longest response: one that no way of 1500 bytes breaks up, also in IPv6.
+/// Maximum length of a response: fits a path MTU of 1500 bytes without fragmentation, also over IPv6.
 pub const MAX_RESPONSE: usize = 1432;
-/// What a sender must be able to read (RFC 3417, 3.2.1).
+/// Message size that every sender must accept (RFC 3417, 3.2.1).
 const MIN_MESSAGE_SIZE: usize = 484;
-/// What the lengths in a message take more than in an empty one: five levels, two bytes each.
+/// Extra bytes that the length fields of a full message need compared with an empty one: five levels, two
+/// bytes each.
 const LENGTH_OVERHEAD: usize = 10;
-/// Repetitions of a GetBulk that are looked at; the datagram is full before.
+/// Maximum number of repetitions of a GetBulk that are processed; a datagram is full before that.
 const MAX_REPETITIONS: u32 = 256;
-/// Reports a second, and in a bunch.
+/// Rate limit of reports: per second, and burst.
 const REPORTS_PER_SECOND: f64 = 50.0;
 const REPORT_BURST: f64 = 100.0;
 
-/// The names of the counters that reports tell.
+/// Names of the counters sent in reports.
 mod counter {
     pub const UNKNOWN_PDU_HANDLERS: &[u32] = &[1, 3, 6, 1, 6, 3, 11, 2, 1, 3, 0];
     pub const UNKNOWN_CONTEXTS: &[u32] = &[1, 3, 6, 1, 6, 3, 12, 1, 5, 0];
@@ -42,48 +45,48 @@
     pub const DECRYPTION_ERRORS: &[u32] = &[1, 3, 6, 1, 6, 3, 15, 1, 1, 6, 0];
 }
 
-/// See the file's comment.
+/// Answers requests; see the module documentation.
 #[derive(Debug)]
 pub struct Agent {
     engine: Engine,
     enterprise: u32,
     access: Access,
-    /// The users' keys at this engine, in the order of `access.readers`.
+    /// The users' keys localised to this engine, in the order of `access.readers`.
     keys: Vec<Keys>,
     salt: u64,
     stats: Stats,
-    /// Reports that may be sent, and when that was worked out.
+    /// Reports that may still be sent, and when that was computed.
     reports: (f64, Micros),
 }
 
 impl std::fmt::Debug for Keys {
-    /// Keys never get into a log.
+    /// Omits the keys, so that they cannot reach a log.
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "Keys({:?})", self.level())
     }
 }
 
-/// Why an SNMPv3 message is not processed: the counter that the report tells.
+/// Why an SNMPv3 message is not processed: the counter and its value for the report.
 struct Refused {
     counter: &'static [u32],
     value: u32,
-    /// Signed with these keys; most reports are not.
+    /// User and keys that authenticate the report; most reports are not authenticated.
     signed: Option<(Vec<u8>, Keys)>,
 }
 
-/// What answers a PDU once it is clear who asks.
+/// Processes a PDU after access control.
 pub(crate) trait Serve {
-    /// Whether it deals with PDUs of this kind.
+    /// Whether PDUs of this kind are processed.
     fn handles(&self, kind: Kind) -> bool;
 
-    /// Whether it deals with objects of this context's engine; `mine` is the one that speaks.
+    /// Whether the context engine `engine` is served; `mine` is this agent's own engine.
     fn serves_engine(&self, engine: &[u8], mine: &[u8]) -> bool;
 
-    /// The response, whose bindings may take so much room; none to what wants none.
+    /// Returns the response, with bindings of at most `room` bytes; `None` if the PDU is not confirmed.
     fn respond(&mut self, asked: &Pdu, view: &View, room: usize) -> Option<Pdu>;
 }
 
-/// The objects of a tree.
+/// Serves the objects of a tree.
 struct Objects<'a> {
     enterprise: u32,
     tree: &'a Tree,
@@ -104,31 +107,31 @@
 }
 
 impl Agent {
-    /// An agent for those whom `access` lets read. `salt` is where initialisation vectors begin: another one at
-    /// each start (RFC 3826, 3.1.2.1).
+    /// Creates an agent for the communities and users in `access`. Initialisation vectors start from `salt`,
+    /// which must differ at each start (RFC 3826, 3.1.2.1).
     pub fn new(now: Micros, engine: Engine, enterprise: u32, access: Access, salt: u64) -> Agent {
         let keys = access.readers.iter().map(|r| r.user.at(&engine.id)).collect();
         let stats = Stats::default();
         Agent { engine, enterprise, access, keys, salt, stats, reports: (REPORT_BURST, now) }
     }
 
-    /// What it has counted.
+    /// The agent's counters.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// Which engine it is.
+    /// The agent's engine.
     pub fn engine(&self) -> &Engine {
         &self.engine
     }
 
-    /// The response to a datagram, if it gets one.
+    /// Processes a datagram and returns the response, if any.
     pub fn answer(&mut self, now: Micros, from: IpAddr, datagram: &[u8], tree: &Tree) -> Option<Vec<u8>> {
         let enterprise = self.enterprise;
         self.process(now, from, datagram, &mut Objects { enterprise, tree })
     }
 
-    /// Hands what a datagram asks, once it is clear who asks, to `serve`.
+    /// Processes a datagram, passing its PDU to `serve` after access control.
     pub(crate) fn process(
         &mut self,
         now: Micros,
@@ -232,7 +235,8 @@
         Some(out)
     }
 
-    /// Who asks: RFC 3414, 3.2, steps 3 to 7, in their order.
+    /// Authenticates the sender and returns the index of the user: RFC 3414, 3.2, steps 3 to 7, in that
+    /// order.
     fn admit(&mut self, now: Micros, datagram: &[u8], asked: &Secured) -> Result<usize, Refused> {
         let refuse = |counter, value: &mut u32| {
             increment(value);
@@ -260,7 +264,8 @@
         }
         if !self.engine.in_time(now, security.boots, security.time) {
             increment(&mut stats.not_in_time_windows);
-            // The one report that is signed: it brings a manager up to date (RFC 3414, 3.2, 7a).
+            // The only report that is authenticated: it lets a manager synchronize its clock (RFC 3414, 3.2,
+            // 7a).
             let signed = Some((security.user.clone(), keys.without_privacy()));
             let (counter, value) = (counter::NOT_IN_TIME_WINDOWS, stats.not_in_time_windows);
             return Err(Refused { counter, value, signed });
@@ -268,8 +273,7 @@
         Ok(at)
     }
 
-    /// What is asked, decrypted. What cannot be read is dropped if it came in the clear; where it was encrypted
-    /// the key was another one.
+    /// Decrypts the scoped PDU. An encrypted PDU that cannot be decoded was encrypted with another key.
     fn unseal(&mut self, asked: &Secured, keys: &Keys) -> Result<Option<Scoped>, Refused> {
         let Data::Encrypted(bytes) = &asked.data else {
             let Data::Plain(scoped) = &asked.data else { return Ok(None) };
@@ -289,7 +293,7 @@
         }
     }
 
-    /// A response as it goes out.
+    /// Encodes a response.
     fn seal(&self, now: Micros, asked: &Secured, keys: &Keys, pdu: Pdu) -> Vec<u8> {
         let (boots, time) = self.engine.clock(now);
         let header = header(asked.header.id);
@@ -297,7 +301,7 @@
         usm::seal(header, (&self.engine.id, boots, time), &asked.security.user, keys, scoped, self.salt)
     }
 
-    /// The report of a message that is not processed, if it wants one (RFC 3412, 7.1, 3).
+    /// Encodes the report on a message that is not processed, if it may be sent (RFC 3412, 7.1, 3).
     fn report(
         &mut self,
         now: Micros,
@@ -339,12 +343,12 @@
     Pdu { kind: Kind::Response, request: asked.request, status: status::NONE, index: 0, bindings: Vec::new() }
 }
 
-/// The bytes that bindings may take in a message of `most` that takes `size` without any.
+/// Bytes available for bindings in a message of at most `most` bytes that has `size` bytes without bindings.
 fn room(most: usize, size: usize) -> usize {
     most.saturating_sub(size + LENGTH_OVERHEAD)
 }
 
-/// The response to what is asked, in a room of so many bytes (RFC 3416, 4.2).
+/// Builds the response to a request, with bindings of at most `room` bytes (RFC 3416, 4.2).
 fn respond(enterprise: u32, asked: &Pdu, view: &View, tree: &Tree, room: usize) -> Pdu {
     let response = |status, index, bindings| Pdu { status, index, bindings, ..empty(asked) };
     let bindings = match asked.kind {
@@ -361,7 +365,7 @@
             let first = u32::from(!asked.bindings.is_empty());
             let status = if first > 0 { status::NO_ACCESS } else { status::NONE };
             let size = asked.bindings.iter().map(|(n, v)| message::binding_len(n, v)).sum::<usize>();
-            // The bindings of the request come back with it, where they fit.
+            // The response repeats the bindings of the request if they fit.
             let bindings = if size > room { Vec::new() } else { asked.bindings.clone() };
             return response(status, first, bindings);
         }
@@ -386,7 +390,7 @@
     view.next(tree, name).cloned().unwrap_or_else(|| (name.clone(), Value::EndOfMibView))
 }
 
-/// As many bindings as fit, `None` where not even the first does.
+/// As many bindings as fit; `None` if not even the first one fits.
 fn bulk(asked: &Pdu, view: &View, tree: &Tree, room: usize) -> Option<Vec<(Oid, Value)>> {
     let (mut out, mut left) = (Vec::new(), room);
     let mut push = |out: &mut Vec<_>, one: (Oid, Value)| {
--- a/crates/snmp/src/lib.rs
+++ b/crates/snmp/src/lib.rs
@@ -1,8 +1,8 @@
-//! An SNMP agent over a published snapshot, the sender of its notifications, and a small manager.
+//! An SNMP agent that serves published snapshots, the sender of its notifications, and a small manager.
 //!
-//! Nothing here opens a socket, reads a clock or draws a random number: datagrams and the time come in with
-//! each call, datagrams go out. The proxy's own tables are never looked at: whoever runs the agent hands it a
-//! [`Snapshot`] now and then, and every walk goes over that.
+//! This crate does no I/O, reads no clock and draws no random numbers: datagrams and the current time are
+//! passed in with each call, and datagrams are returned. It never reads the proxy's own tables: whoever runs
+//! the agent publishes a [`Snapshot`] from time to time, and all requests are answered from that.
 //!
 //! | file | owns |
 //! | --- | --- |
@@ -19,11 +19,11 @@
 //! | [`listener`] | notifications in, acknowledgements out |
 //! | [`mib`] | names and types, read from the MIB's own text |
 //!
-//! Arrows point up in this table: a file uses those above it. `docs/design/snmp.md` says why it is built so.
+//! Each file depends only on files above it in this table. `docs/design/snmp.md` explains the design.
 
 #![forbid(unsafe_code)]
 
-/// The example of the package's page is a test.
+/// Runs the example of the package's README as a test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Page;
@@ -52,8 +52,8 @@
 pub use tree::Tree;
 pub use value::Value;
 
-/// A point in time or a span, in microseconds. The zero of the clock has no meaning.
+/// A point in time or a duration, in microseconds. The clock's zero is arbitrary.
 pub type Micros = i64;
 
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/snmp/src/listener.rs
+++ b/crates/snmp/src/listener.rs
@@ -1,5 +1,5 @@
-//! A receiver of notifications, for the command line and for tests: traps and informs of SNMPv2c and SNMPv3,
-//! each told once. An inform is acknowledged whenever it comes; one that was told already is not told again.
+//! A receiver of notifications for the command line and for tests: traps and informs of SNMPv2c and SNMPv3,
+//! each delivered once. Every copy of an inform is acknowledged, but repeated copies are not delivered again.
 
 use crate::access::{Access, View};
 use crate::agent::{empty, Agent, Serve};
@@ -10,21 +10,21 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Request-ids of informs that are remembered, and senders of SNMPv3 traps.
+/// Maximum number of request-ids of informs to remember, and of senders of SNMPv3 traps to track.
 const MAX_REMEMBERED: usize = 256;
 const MAX_SENDERS: usize = 64;
 
-/// See the file's comment.
+/// Receives notifications; see the module documentation.
 #[derive(Debug)]
 pub struct Listener {
     agent: Agent,
     access: Access,
     delivered: VecDeque<(SocketAddr, i32)>,
-    /// The latest boots and time that a sender's signed messages told.
+    /// Latest boots and time in an authenticated message, by the engine id of the sender.
     senders: BTreeMap<Vec<u8>, (u32, u32)>,
 }
 
-/// Takes what notifies, and keeps it.
+/// Accepts notifications and keeps the last one.
 #[derive(Default)]
 struct Collector(Option<Pdu>);
 
@@ -34,26 +34,26 @@
     }
 
     fn serves_engine(&self, _engine: &[u8], _mine: &[u8]) -> bool {
-        // An inform tells of its sender's objects.
+        // The context of an inform is its sender's engine, so any engine id is accepted.
         true
     }
 
     fn respond(&mut self, asked: &Pdu, _view: &View, _room: usize) -> Option<Pdu> {
         self.0 = Some(asked.clone());
         let confirmed = asked.kind.confirmed();
-        // RFC 3416, 4.2.7: the response repeats what it was told.
+        // RFC 3416, 4.2.7: the response repeats the bindings of the inform.
         confirmed.then(|| Pdu { bindings: asked.bindings.clone(), ..empty(asked) })
     }
 }
 
 impl Listener {
-    /// A listener that is this engine to the senders of informs.
+    /// A listener that is the engine `engine` to the senders of informs.
     pub fn new(now: Micros, engine: Engine, access: Access, salt: u64) -> Listener {
         let agent = Agent::new(now, engine, crate::tree::ENTERPRISE, access.clone(), salt);
         Listener { agent, access, delivered: VecDeque::new(), senders: BTreeMap::new() }
     }
 
-    /// Takes a datagram: what to send back, and what it told.
+    /// Processes a datagram. Returns the datagram to send back and the notification to deliver, if any.
     pub fn receive(
         &mut self,
         now: Micros,
@@ -76,7 +76,7 @@
         (back, delivered)
     }
 
-    /// A trap of SNMPv3, to which its sender is the authoritative engine.
+    /// Decodes a trap of SNMPv3, for which the sender is the authoritative engine.
     fn trap(&mut self, datagram: &[u8]) -> Option<Pdu> {
         reader::check(datagram).ok()?;
         if reader::version(datagram) != Ok(3) {
@@ -97,7 +97,7 @@
             if !reader::digest(datagram).is_ok_and(|at| keys.verify(datagram, at)) {
                 return None;
             }
-            // RFC 3414, 3.2, 7b: what is older than the latest is a replay.
+            // RFC 3414, 3.2, 7b: a message older than the latest one is a replay.
             let is = (m.security.boots, m.security.time);
             let latest = self.senders.get(engine).copied().unwrap_or_default();
             if is.0 < latest.0 || (is.0 == latest.0 && is.1.saturating_add(TIME_WINDOW) < latest.1) {
--- a/crates/snmp/src/manager.rs
+++ b/crates/snmp/src/manager.rs
@@ -1,54 +1,56 @@
-//! The other side: requests out, responses in. For the small manager of the command line, and for informs,
-//! whose sender is a manager to their receiver (RFC 3414, 1.5.1: the receiver is authoritative).
+//! The manager's side: encodes requests and decodes responses. Used by the small manager of the command line
+//! and for informs, whose sender acts as a manager towards their receiver (RFC 3414, 1.5.1: the receiver is
+//! authoritative).
 //!
-//! With SNMPv3 a session learns the other engine's id by a report and its clock by a signed report, as RFC
-//! 3414, 4, has it; nothing but a signed message sets the clock.
+//! With SNMPv3, a session learns the id of the peer's engine from a report and its clock from an
+//! authenticated report, as in RFC 3414, 4. Only an authenticated message sets the clock.
 
 use crate::message::{self, Community, Data, Flags, Header, Kind, Pdu, Scoped, Secured};
 use crate::reader::{self, MAX_DATAGRAM};
 use crate::usm::{self, Keys, Level, User, TIME_WINDOW};
 use crate::{Micros, Oid, Value, SECOND};
 
-/// usmStatsUnknownEngineIDs and usmStatsNotInTimeWindows: reports that a session deals with itself.
+/// usmStatsUnknownEngineIDs and usmStatsNotInTimeWindows: counters of the reports that a session handles
+/// itself.
 const UNKNOWN_ENGINE_IDS: [u32; 11] = [1, 3, 6, 1, 6, 3, 15, 1, 1, 4, 0];
 const NOT_IN_TIME_WINDOWS: [u32; 11] = [1, 3, 6, 1, 6, 3, 15, 1, 1, 2, 0];
 
-/// As whom it asks.
+/// Credentials of the requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Credentials {
-    /// With a community of SNMPv2c.
+    /// A community of SNMPv2c.
     Community(Vec<u8>),
-    /// As a user of SNMPv3.
+    /// A user of SNMPv3.
     User(User),
 }
 
-/// What is known of the other engine.
+/// State of the peer's engine.
 #[derive(Clone, Debug)]
 struct Peer {
     id: Vec<u8>,
     keys: Keys,
-    /// Its boots and time, and when it told them.
+    /// Its boots and time, and the local time when they were received.
     clock: (u32, u32, Micros),
 }
 
-/// What a datagram brought.
+/// Result of processing a datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Received {
-    /// The response to a request.
+    /// The response to the request.
     Response(Pdu),
-    /// More is known of the other engine: the request is to be made again.
+    /// The session learnt the engine id or the clock of the peer; the request must be sent again.
     Retry,
-    /// The other side refuses: the name of the counter that it told.
+    /// The peer refused the request with a report of this counter.
     Refused(Oid),
-    /// Nothing that belongs here.
+    /// The datagram does not belong to this request and is ignored.
     Ignored,
 }
 
-/// The way to one agent, or to one receiver of informs.
+/// A session with one agent, or with one receiver of informs.
 #[derive(Clone, Debug)]
 pub struct Session {
     credentials: Credentials,
-    /// Whose objects requests are about, where that is not the other engine: an inform tells of its sender's.
+    /// The contextEngineID of requests, if it is not the peer's: an inform concerns its sender's objects.
     context: Option<Vec<u8>>,
     peer: Option<Peer>,
     message: i32,
@@ -56,7 +58,7 @@
 }
 
 impl Session {
-    /// A session; `seed` is where message ids and initialisation vectors begin.
+    /// Creates a session. Message ids and initialisation vectors start from `seed`.
     pub fn new(credentials: Credentials, context: Option<Vec<u8>>, seed: u64) -> Session {
         Session { credentials, context, peer: None, message: (seed >> 33) as i32, salt: seed }
     }
@@ -66,7 +68,8 @@
         Header { id: self.message, max_size: MAX_DATAGRAM as u32, flags, model: message::USM }
     }
 
-    /// The datagram to send for a request. While the other engine is unknown, it asks for that.
+    /// Encodes a request. As long as the peer's engine is unknown, the datagram is a discovery request
+    /// instead.
     pub fn request(&mut self, now: Micros, pdu: &Pdu) -> Vec<u8> {
         self.message = self.message.wrapping_add(1) & i32::MAX;
         self.salt = self.salt.wrapping_add(1);
@@ -90,7 +93,7 @@
         usm::seal(self.header(true), clock, &user.name, &peer.keys, scoped, self.salt)
     }
 
-    /// Takes a datagram that came back for `request`, the request-id.
+    /// Processes a datagram received in reply to the request with request-id `request`.
     pub fn receive(&mut self, now: Micros, request: i32, datagram: &[u8]) -> Received {
         let version = reader::check(datagram).and_then(|()| reader::version(datagram));
         match (&self.credentials, version) {
@@ -112,7 +115,7 @@
         let m = Secured::read(datagram).ok().filter(|m| m.header.id == self.message)?;
         let level = Level::of(m.header.flags);
         let Some(peer) = self.peer.as_mut().filter(|p| p.id == m.security.engine) else {
-            // A report of an engine that is not known yet, or another one than was.
+            // A report from an engine that is not known yet, or that replaced the known one.
             let report = report_counter(&m).filter(|counter| counter.arcs() == UNKNOWN_ENGINE_IDS);
             report.filter(|_| (5..=32).contains(&m.security.engine.len()))?;
             let keys = user.at(&m.security.engine);
@@ -124,7 +127,7 @@
             if !reader::digest(datagram).is_ok_and(|at| peer.keys.verify(datagram, at)) {
                 return None;
             }
-            // RFC 3414, 3.2, 7b: what is older than what was heard before is a replay.
+            // RFC 3414, 3.2, 7b: a message older than an earlier one is a replay.
             let (boots, time, at) = peer.clock;
             let now_there = u64::from(time) + ((now - at).max(0) / SECOND) as u64;
             let (b, t) = (m.security.boots, m.security.time);
@@ -150,12 +153,12 @@
                 let (counter, _) = scoped.pdu.bindings.first()?;
                 match counter.arcs() == NOT_IN_TIME_WINDOWS {
                     true if signed => Some(Received::Retry),
-                    // Anybody could say that, and would keep it from ever being answered.
+                    // Anyone could forge this report, and would keep the request from ever being answered.
                     true => None,
                     false => Some(Received::Refused(counter.clone())),
                 }
             }
-            // A response has to be as safe as its request.
+            // A response must have the security level of its request.
             Kind::Response if level == user.level() && scoped.pdu.request == request => {
                 Some(Received::Response(scoped.pdu))
             }
@@ -164,15 +167,15 @@
     }
 }
 
-/// The counter that a report in the clear tells.
+/// The counter in an unencrypted report.
 fn report_counter(m: &Secured) -> Option<Oid> {
     let Data::Plain(scoped) = &m.data else { return None };
     let report = Some(&scoped.pdu).filter(|p| p.kind == Kind::Report)?;
     report.bindings.first().map(|(name, _)| name.clone())
 }
 
-/// A walk: what to ask next, and what came. An agent whose answers do not grow is not followed for ever (RFC
-/// 3416, 4.2.2 promises that they do).
+/// A walk over a subtree: the next request and the instances received. An agent whose names do not increase,
+/// as RFC 3416, 4.2.2, requires, ends the walk with an error instead of keeping it running forever.
 #[derive(Clone, Debug)]
 pub struct Walk {
     root: Oid,
@@ -184,26 +187,26 @@
 /// Why a walk ended before the end of its subtree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WalkError {
-    /// An error-status.
+    /// The response has this error-status.
     Status(u32),
-    /// A name that does not come behind the one before it.
+    /// This name does not come after the one before it.
     OutOfOrder(Oid),
 }
 
 impl Walk {
-    /// A walk over all below `root`, so many instances at a time.
+    /// A walk over the subtree of `root`, requesting `repetitions` instances at a time.
     pub fn new(root: Oid, repetitions: u32) -> Walk {
         Walk { last: root.clone(), root, repetitions, over: false }
     }
 
-    /// The next request, `None` at the end.
+    /// The next request; `None` at the end of the subtree.
     pub fn next(&self, request: i32) -> Option<Pdu> {
         let bindings = vec![(self.last.clone(), Value::Unspecified)];
         let bulk = Pdu { kind: Kind::GetBulk, request, status: 0, index: self.repetitions, bindings };
         (!self.over).then_some(bulk)
     }
 
-    /// Takes a response; the instances in it that belong to the walk come back.
+    /// Processes a response and returns the instances in it that belong to the walk.
     pub fn take(&mut self, response: Pdu) -> Result<Vec<(Oid, Value)>, WalkError> {
         if response.status != 0 {
             return Err(WalkError::Status(response.status));
--- a/crates/snmp/src/message.rs
+++ b/crates/snmp/src/message.rs
@@ -1,5 +1,6 @@
-//! Messages and PDUs, to and from bytes: SNMPv2c (RFC 1901), SNMPv3 (RFC 3412, 6, and 3414, 2.4) and the PDUs
-//! of RFC 3416, 3. The encoding is the crate `rasn-snmp`'s; what reaches it has passed [`reader::check`].
+//! Encoding and decoding of messages and PDUs: SNMPv2c (RFC 1901), SNMPv3 (RFC 3412, 6, and 3414, 2.4) and
+//! the PDUs of RFC 3416, 3. The BER encoding is done by the crate `rasn-snmp`, which only receives input that
+//! has passed [`reader::check`].
 
 use crate::reader::{self, Malformed};
 use crate::{Oid, Value};
@@ -7,7 +8,7 @@
 use rasn_snmp::v2::{self, VarBind, VarBindValue};
 use rasn_snmp::v3;
 
-/// What a PDU is for.
+/// Type of a PDU.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Kind {
@@ -22,13 +23,13 @@
 }
 
 impl Kind {
-    /// Whether a response is wanted: the confirmed class of RFC 3411, 2.8.
+    /// Whether the PDU expects a response: the confirmed class of RFC 3411, 2.8.
     pub fn confirmed(self) -> bool {
         !matches!(self, Kind::Response | Kind::Trap | Kind::Report)
     }
 }
 
-/// The error-status of a response (RFC 3416, 3), as far as this agent makes any.
+/// Values of the error-status (RFC 3416, 3) that this agent returns.
 pub mod status {
     /// noError.
     pub const NONE: u32 = 0;
@@ -36,14 +37,14 @@
     pub const TOO_BIG: u32 = 1;
     /// genErr.
     pub const GENERAL: u32 = 5;
-    /// noAccess: what a SET gets where nothing may be written.
+    /// noAccess: the response to a SET, since nothing is writable.
     pub const NO_ACCESS: u32 = 6;
 }
 
 /// A PDU.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pdu {
-    /// What it is for.
+    /// The type.
     pub kind: Kind,
     /// request-id.
     pub request: i32,
@@ -51,16 +52,16 @@
     pub status: u32,
     /// error-index, or max-repetitions in a GetBulk.
     pub index: u32,
-    /// The names asked for, or told, with their values.
+    /// The variable bindings: requested or reported names with their values.
     pub bindings: Vec<(Oid, Value)>,
 }
 
 /// A message of SNMPv2c.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Community {
-    /// The community's name.
+    /// The community name.
     pub community: Vec<u8>,
-    /// What it asks or tells.
+    /// The PDU.
     pub pdu: Pdu,
 }
 
@@ -69,7 +70,7 @@
 pub struct Header {
     /// msgID.
     pub id: i32,
-    /// msgMaxSize: the longest message that its sender can read.
+    /// msgMaxSize: the longest message that the sender accepts.
     pub max_size: u32,
     /// msgFlags.
     pub flags: Flags,
@@ -77,75 +78,75 @@
     pub model: u32,
 }
 
-/// The security model that is spoken here.
+/// The only supported security model.
 pub const USM: u32 = 3;
 
 /// msgFlags (RFC 3412, 6.4).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flags {
-    /// It is authenticated.
+    /// The message is authenticated.
     pub auth: bool,
-    /// Its PDU is encrypted.
+    /// The PDU is encrypted.
     pub privacy: bool,
-    /// A report may be sent where it cannot be processed.
+    /// A report may be sent if the message cannot be processed.
     pub reportable: bool,
 }
 
 /// msgSecurityParameters of USM (RFC 3414, 2.4).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Security {
-    /// The authoritative engine: the one that answers, or the one that sends a trap.
+    /// Id of the authoritative engine: the receiver of a request or inform, or the sender of a trap.
     pub engine: Vec<u8>,
     /// Its snmpEngineBoots.
     pub boots: u32,
     /// Its snmpEngineTime.
     pub time: u32,
-    /// The user's name.
+    /// The user name.
     pub user: Vec<u8>,
-    /// The digest, or as many zeros.
+    /// The digest, or zeros of the same length.
     pub auth: Vec<u8>,
-    /// What makes an initialisation vector.
+    /// The salt of the initialisation vector.
     pub privacy: Vec<u8>,
 }
 
 /// The PDU of an SNMPv3 message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Data {
-    /// As it is.
+    /// Unencrypted.
     Plain(Scoped),
     /// Encrypted.
     Encrypted(Vec<u8>),
 }
 
-/// A PDU and where it belongs (RFC 3412, 6.8).
+/// A PDU with its context (RFC 3412, 6.8).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scoped {
     /// contextEngineID.
     pub engine: Vec<u8>,
-    /// contextName; this agent has the one without a name.
+    /// contextName. The agent has only the default context, whose name is empty.
     pub context: Vec<u8>,
-    /// What it asks or tells.
+    /// The PDU.
     pub pdu: Pdu,
 }
 
 /// A message of SNMPv3.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Secured {
-    /// Its header.
+    /// The header.
     pub header: Header,
-    /// What the security model needs.
+    /// The security parameters.
     pub security: Security,
-    /// What is said.
+    /// The scoped PDU, possibly encrypted.
     pub data: Data,
 }
 
 const BAD: Malformed = Malformed("no message of this version");
 
-/// Flags that are reserved, or more or less than a byte of them (RFC 3412, 7.2, 5d).
+/// Reserved combinations of flags, or flags that are not exactly one byte long (RFC 3412, 7.2, 5d).
 pub(crate) const FLAGS: Malformed = Malformed("no flags of a message");
 
 fn word(n: &Integer) -> Result<u32, Malformed> {
-    // RFC 3412 and 3414 bound all of them by 2^31 - 1.
+    // RFC 3412 and 3414 limit all of these numbers to 2^31 - 1.
     i32::try_from(n).ok().and_then(|n| u32::try_from(n).ok()).ok_or(BAD)
 }
 
@@ -165,7 +166,7 @@
             App::Address(a) => Value::Address(a.0.as_ref().try_into().map_err(|_| BAD)?),
             App::Counter(n) => Value::Counter(n.0),
             App::Ticks(n) => Value::Ticks(n.0),
-            // Kept by the standard for the sake of old agents (RFC 2578, 7.1.9); the reader lets none pass.
+            // Opaque exists only for old agents (RFC 2578, 7.1.9); the reader rejects it.
             App::Arbitrary(_) => return Err(BAD),
             App::BigCounter(n) => Value::Counter64(n.0),
             App::Unsigned(n) => Value::Gauge(n.0),
@@ -197,7 +198,7 @@
     }
 }
 
-/// The names of SMIv2's types, which the crate has at two places.
+/// The types of SMIv2, which `rasn-smi` defines in two modules.
 mod smi {
     pub use rasn_smi::v1::{Counter, Gauge, IpAddress, TimeTicks};
     pub use rasn_smi::v2::{ApplicationSyntax, Counter64, ObjectSyntax, SimpleSyntax};
@@ -247,7 +248,7 @@
     }
 }
 
-/// What is too strange to be encoded does not go out; nothing this package makes is.
+/// Encodes a value; empty if it cannot be encoded, which no value built by this package causes.
 fn encode<T: rasn::Encode>(what: &T) -> Vec<u8> {
     rasn::ber::encode(what).unwrap_or_default()
 }
@@ -257,13 +258,13 @@
 }
 
 impl Community {
-    /// Reads a message that has passed [`reader::check`].
+    /// Decodes a message that has passed [`reader::check`].
     pub fn read(bytes: &[u8]) -> Result<Community, Malformed> {
         let message: rasn_snmp::v2c::Message<v2::Pdus> = decode(bytes)?;
         Ok(Community { community: message.community.to_vec(), pdu: pdu(message.data)? })
     }
 
-    /// Its bytes.
+    /// Encodes the message.
     pub fn bytes(&self) -> Vec<u8> {
         let community = OctetString::from(self.community.clone());
         encode(&rasn_snmp::v2c::Message { version: 1.into(), community, data: pdus(&self.pdu) })
@@ -284,7 +285,8 @@
 }
 
 impl Scoped {
-    /// Reads the bytes of a scoped PDU; what was decrypted is checked here, whatever came before it.
+    /// Decodes a scoped PDU. Its bytes are validated here, since decrypted bytes have not passed the check of
+    /// the datagram.
     pub fn read(bytes: &[u8]) -> Result<Scoped, Malformed> {
         reader::check(bytes)?;
         Scoped::of(decode(bytes)?)
@@ -301,14 +303,15 @@
         v3::ScopedPdu { engine_id, name, data: pdus(&self.pdu) }
     }
 
-    /// Its bytes.
+    /// Encodes the scoped PDU.
     pub fn bytes(&self) -> Vec<u8> {
         encode(&self.wire())
     }
 }
 
 impl Secured {
-    /// Reads a message that has passed [`reader::check`], and its security parameters, which are bytes in it.
+    /// Decodes a message that has passed [`reader::check`], and its security parameters, which are encoded
+    /// separately in an octet string.
     pub fn read(bytes: &[u8]) -> Result<Secured, Malformed> {
         let message: v3::Message = decode(bytes)?;
         let head = &message.global_data;
@@ -335,7 +338,7 @@
         Ok(Secured { header, security, data })
     }
 
-    /// Its bytes.
+    /// Encodes the message.
     pub fn bytes(&self) -> Vec<u8> {
         let octets = |o: &[u8]| OctetString::from(o.to_vec());
         let s = &self.security;
@@ -362,7 +365,7 @@
     }
 }
 
-/// How many bytes an element with contents of this length takes.
+/// Encoded length of an element whose contents have this length.
 fn element_len(contents: usize) -> usize {
     let length = match contents {
         0..=0x7f => 1,
@@ -373,7 +376,7 @@
     1 + length + contents
 }
 
-/// How many bytes a binding takes in a message.
+/// Encoded length of a variable binding.
 pub fn binding_len(name: &Oid, value: &Value) -> usize {
     element_len(element_len(name.encoded_len()) + element_len(value.encoded_len()))
 }
--- a/crates/snmp/src/mib.rs
+++ b/crates/snmp/src/mib.rs
@@ -1,14 +1,14 @@
-//! Names, types and indexes of the objects, read from the MIB's own text (SMIv2, RFC 2578): so much of it as
-//! `mibs/MARTENWEIR-MIB.txt` uses. It is what the manager shows names with, and what a test compares the agent
-//! with; the agent itself does without.
+//! Names, types and indexes of the objects, parsed from the text of the MIB (SMIv2, RFC 2578, as far as
+//! `mibs/MARTENWEIR-MIB.txt` uses it). The manager shows names with it, and a test compares the agent with
+//! it; the agent itself does not use it.
 
 use crate::{Oid, Value};
 use std::collections::BTreeMap;
 
-/// The text that comes with this package.
+/// The text of the MIB.
 pub const TEXT: &str = include_str!("../../../mibs/MARTENWEIR-MIB.txt");
 
-/// The standard's own objects that the agent answers, for showing.
+/// Standard objects that the agent serves, for showing their names.
 const STANDARD: [(&[u32], &str); 33] = [
     (&[1, 3, 6, 1, 2, 1, 1, 1], "sysDescr"),
     (&[1, 3, 6, 1, 2, 1, 1, 2], "sysObjectID"),
@@ -45,16 +45,16 @@
     (&[1, 3, 6, 1, 6, 3, 15, 1, 1, 6], "usmStatsDecryptionErrors"),
 ];
 
-/// What a definition is of.
+/// Kind of a definition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectKind {
-    /// A name to put others under.
+    /// A node that only has other definitions below it.
     Node,
-    /// An object with one instance, or a column.
+    /// An object with a single instance.
     Scalar,
-    /// See `Scalar`.
+    /// A column of a table.
     Column,
-    /// A table or a row, or a column that is only an index.
+    /// A table, a row, or a column that is only an index.
     Hidden,
     /// A notification.
     Notification,
@@ -63,31 +63,31 @@
 /// A definition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Where it is.
+    /// The object identifier.
     pub oid: Oid,
-    /// What it is.
+    /// The kind.
     pub kind: ObjectKind,
-    /// The type on the wire, as SMIv2 names it: textual conventions are followed to it.
+    /// The type on the wire, by its SMIv2 name, with textual conventions resolved.
     pub syntax: String,
-    /// The same as the text has it: a type or a textual convention.
+    /// The type or textual convention as written in the text.
     pub convention: String,
-    /// The labels of an enumeration.
+    /// The labels of an enumeration, with their numbers.
     pub labels: Vec<(String, i32)>,
-    /// In a column, the types of the indexes; in a notification, the objects that go with it.
+    /// For a column, the types of the indexes; for a notification, its objects.
     pub with: Vec<String>,
-    /// Its description.
+    /// The description.
     pub description: String,
 }
 
-/// A module.
+/// A parsed MIB module.
 #[derive(Clone, Debug, Default)]
 pub struct Mib {
     objects: BTreeMap<Oid, Object>,
 }
 
-/// A word of the text, or a quoted string.
+/// A word or a quoted string of the text.
 #[derive(Clone, Debug, PartialEq)]
 enum Token<'a> {
     Word(&'a str),
@@ -118,7 +118,7 @@
     all
 }
 
-/// A definition with names that are not followed yet.
+/// A parsed definition whose names are not resolved yet.
 #[derive(Default)]
 struct Raw<'a> {
     macro_name: &'a str,
@@ -132,7 +132,7 @@
     description: &'a str,
 }
 
-/// The words between the braces that open at `at`, and where to go on.
+/// The words between the braces that open at `at`, and the position after them.
 fn braces<'a>(words: &[Token<'a>], at: usize) -> (Vec<&'a str>, usize) {
     let inner = words.iter().skip(at + 1).map_while(|t| match t {
         Token::Word("}") => None,
@@ -144,14 +144,14 @@
     (inner, next)
 }
 
-/// Reads one definition, which begins behind its name; comes back with where it ended.
+/// Parses the definition that starts after its name at `at`. Returns it with the position after it.
 fn definition<'a>(words: &[Token<'a>], mut at: usize) -> Option<(Raw<'a>, usize)> {
     let mut raw = Raw::default();
     let word = |at: usize| match words.get(at) {
         Some(Token::Word(w)) => Some(*w),
         _ => None,
     };
-    // A type: `Name ::= TEXTUAL-CONVENTION … SYNTAX …`; an object: `name OBJECT-TYPE … ::= { … }`.
+    // Types are written `Name ::= TEXTUAL-CONVENTION … SYNTAX …`, objects `name OBJECT-TYPE … ::= { … }`.
     let is_type = word(at)? == "::=";
     at += usize::from(is_type);
     raw.macro_name = word(at)?;
@@ -206,7 +206,7 @@
 }
 
 impl Mib {
-    /// Reads a module's text. What it cannot follow to a name that it knows is left out.
+    /// Parses the text of a module. Definitions that cannot be resolved to a known name are left out.
     pub fn read(text: &str) -> Mib {
         let words = tokens(text);
         let (mut types, mut raws) = (BTreeMap::new(), Vec::new());
@@ -235,7 +235,7 @@
 
     fn follow(types: &BTreeMap<&str, Raw>, raws: &[(&str, Raw)]) -> Mib {
         let mut oids = BTreeMap::from([("enterprises", Oid::enterprises())]);
-        // Definitions may stand before what they are under.
+        // A definition may precede its parent.
         for _ in 0..raws.len() {
             let before = oids.len();
             for (name, raw) in raws {
@@ -296,17 +296,17 @@
         mib
     }
 
-    /// Its definitions, in the order of the tree.
+    /// All definitions, in the order of the tree.
     pub fn objects(&self) -> impl Iterator<Item = &Object> {
         self.objects.values()
     }
 
-    /// The definition that a name is below, or is.
+    /// The definition that a name equals or is below.
     pub fn of(&self, name: &Oid) -> Option<&Object> {
         self.objects.range(..=name.clone()).rev().map(|(_, o)| o).find(|o| name.is_under(&o.oid))
     }
 
-    /// A name as somebody types it: numbers, or an object with numbers behind it.
+    /// Parses a name as typed by a user: numbers, or the name of an object followed by numbers.
     pub fn resolve(&self, text: &str) -> Option<Oid> {
         if let Some(oid) = Oid::parse(text) {
             return Some(oid);
@@ -320,7 +320,7 @@
         Some(oid.child(&arcs?))
     }
 
-    /// A name as people read it: `mwNodeState["s-1"]`, `mwReady`, or the numbers.
+    /// Formats a name for display: `mwNodeState["s-1"]`, `mwReady`, or the numbers.
     pub fn show(&self, name: &Oid) -> String {
         let Some(object) = self.of(name) else {
             let known = STANDARD.iter().filter_map(|(arcs, n)| Some((Oid::new(arcs)?, *n)));
@@ -361,7 +361,7 @@
         }
     }
 
-    /// A value as people read it.
+    /// Formats a value for display.
     pub fn show_value(&self, name: &Oid, value: &Value) -> String {
         let object = self.of(name);
         match value {
@@ -387,7 +387,7 @@
     }
 }
 
-/// DateAndTime as RFC 2579's display hint has it, but for zeros.
+/// Formats a DateAndTime by the display hint of RFC 2579, but with leading zeros.
 fn date(bytes: &[u8]) -> String {
     match bytes {
         [high, low, month, day, hour, minute, second, deci, zone @ ..] => {
@@ -402,7 +402,7 @@
     }
 }
 
-/// What SMIv2 calls the type of a value on the wire.
+/// The SMIv2 name of the type of a value on the wire.
 pub fn syntax(value: &Value) -> &'static str {
     match value {
         Value::Integer(_) => "INTEGER",
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -1,10 +1,11 @@
-//! Notifications on their way: traps, which are sent once, and informs, which are sent until their receiver
-//! says that it has them.
+//! Sends notifications: traps, which are sent once, and informs, which are resent until their receiver
+//! acknowledges them.
 //!
-//! What waits for a receiver is bounded; the oldest goes first, and what has waited for an hour. An inform is
-//! resent after 1 s, 2 s, 4 s and so on up to a minute, and the ones behind it wait, so that they come in
-//! order. A receiver that is away for an hour costs a datagram a minute and gets the last [`MAX_QUEUE`] when it
-//! returns. Each carries a number: a gap in them is what was dropped.
+//! Each receiver has a bounded queue. When it is full the oldest notification is dropped, and so is any
+//! notification that has waited for an hour. An inform is resent after 1 s, 2 s, 4 s and so on, up to a
+//! minute; later informs wait for it, which preserves their order. A receiver that is down for an hour costs
+//! one datagram a minute and receives the last [`MAX_QUEUE`] notifications when it returns. Notifications
+//! carry sequence numbers, so a gap shows how many were dropped.
 
 use crate::manager::{Credentials, Received, Session};
 use crate::message::{self, Community, Flags, Header, Kind, Pdu, Scoped};
@@ -16,16 +17,17 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// What may wait for a receiver, and for how long.
+/// Maximum number of notifications in a receiver's queue.
 pub const MAX_QUEUE: usize = 64;
-/// See [`MAX_QUEUE`].
+/// Maximum time that a notification waits in a queue.
 pub const MAX_AGE: Micros = 3600 * SECOND;
-/// The first pause before an inform is resent, and the longest.
+/// Initial delay before an inform is resent, and its maximum.
 const RESEND_DELAY: Micros = SECOND;
 const MAX_RESEND_DELAY: Micros = 60 * SECOND;
-/// What a receiver may tell for one try: its id, then its clock, and once more if it starts anew meanwhile.
+/// Maximum number of discovery steps in one try: the engine id, the clock, and both once more if the receiver
+/// restarts in between.
 const MAX_DISCOVERIES: u32 = 4;
-/// Receivers at the most.
+/// Maximum number of receivers.
 pub const MAX_RECEIVERS: usize = 8;
 
 const SYS_UP_TIME: [u32; 9] = [1, 3, 6, 1, 2, 1, 1, 3, 0];
@@ -33,18 +35,18 @@
 const COLD_START: [u32; 10] = [1, 3, 6, 1, 6, 3, 1, 1, 5, 1];
 const WARM_START: [u32; 10] = [1, 3, 6, 1, 6, 3, 1, 1, 5, 2];
 
-/// Where notifications go.
+/// A configured receiver of notifications.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// The receiver.
+    /// Address of the receiver.
     pub address: SocketAddr,
-    /// It is sent informs, and no traps.
+    /// Whether it is sent informs instead of traps.
     pub informs: bool,
-    /// As whom.
+    /// Credentials of the notifications.
     pub credentials: Credentials,
 }
 
-/// A notification that waits.
+/// A queued notification.
 #[derive(Clone, Debug)]
 struct Item {
     pdu: Pdu,
@@ -55,19 +57,20 @@
 struct Destination {
     target: Target,
     session: Session,
-    /// The sender's own keys, for traps of SNMPv3.
+    /// The user's keys at the sender's own engine, for traps of SNMPv3.
     keys: Keys,
     queue: VecDeque<Item>,
-    /// How often the first was sent, and when it is sent again.
+    /// Number of times the first notification was sent, and when it is due next.
     tries: u32,
     due: Micros,
-    /// The receiver told something that it has to be sent with at once; and how often that may happen a try.
+    /// Whether the last datagram from the receiver was a discovery step, so that the inform is sent again at
+    /// once; and the number of such steps in this try.
     discovered: bool,
     discoveries: u32,
     stats: Receiver,
 }
 
-/// See the file's comment.
+/// Queues and sends notifications; see the module documentation.
 #[derive(Debug)]
 pub struct Notifier {
     enterprise: u32,
@@ -79,12 +82,12 @@
     salt: u64,
 }
 
-/// What a notification says: its name, and the objects that go with it.
+/// Name and objects of a notification.
 type Notification = (Oid, Vec<(Oid, Value)>);
 
 impl Notifier {
-    /// A notifier of the engine's, whose sysUpTime counts from `started`. `seed` is where request-ids and
-    /// initialisation vectors begin.
+    /// Creates a notifier for `engine`, whose sysUpTime counts from `started`. Request-ids and initialisation
+    /// vectors start from `seed`.
     pub fn new(
         enterprise: u32,
         engine: Engine,
@@ -125,7 +128,7 @@
         }
     }
 
-    /// What became of notifications so far; `held` were not told at once.
+    /// Counters of the notifications. `held` is the number of changes that were not reported at once.
     pub fn stats(&self, held: u64) -> Notifications {
         let of = |destination: &Destination| Receiver {
             queued: destination.queue.len() as u64,
@@ -134,7 +137,8 @@
         Notifications { sequence: self.sequence, held, receivers: self.destinations.iter().map(of).collect() }
     }
 
-    /// The agent has started: `warm` where nothing of its settings was changed (RFC 3418).
+    /// Queues the notification that the agent has started: warmStart if its settings are unchanged, else
+    /// coldStart (RFC 3418).
     pub fn started(&mut self, now: Micros, warm: bool) {
         let name = if warm { WARM_START } else { COLD_START };
         if let Some(name) = Oid::new(&name) {
@@ -142,7 +146,7 @@
         }
     }
 
-    /// Something changed.
+    /// Queues the notification of a change.
     pub fn change(&mut self, now: Micros, change: &Change) {
         let notification = self.describe(change);
         self.enqueue(now, notification);
@@ -195,7 +199,8 @@
             let kind = if destination.target.informs { Kind::Inform } else { Kind::Trap };
             let (request, bindings) = (self.request, bindings.clone());
             if destination.queue.len() >= MAX_QUEUE {
-                // The first may be under way: the one behind it goes.
+                // The first notification may already have been sent and await its acknowledgement; then the
+                // second is dropped instead.
                 destination.queue.remove(usize::from(destination.tries > 0));
                 destination.stats.dropped += 1;
             }
@@ -204,12 +209,12 @@
         }
     }
 
-    /// When something is due next, if anything waits.
+    /// When the next datagram is due, if any notification is queued.
     pub fn next(&self) -> Option<Micros> {
         self.destinations.iter().filter(|w| !w.queue.is_empty()).map(|w| w.due).min()
     }
 
-    /// A datagram that is due, and where to; to be asked again until there is none.
+    /// The next datagram that is due, with its destination. Callers repeat the call until it returns `None`.
     pub fn send(&mut self, now: Micros) -> Option<(SocketAddr, Vec<u8>)> {
         let at = self.destinations.iter_mut().position(|w| w.ready(now))?;
         let destination = self.destinations.get_mut(at)?;
@@ -250,7 +255,7 @@
         Some((address, destination.session.request(now, &item.pdu)))
     }
 
-    /// A datagram came from a receiver.
+    /// Processes a datagram from a receiver.
     pub fn receive(&mut self, now: Micros, from: SocketAddr, datagram: &[u8]) {
         let canonical = |a: SocketAddr| (a.ip().to_canonical(), a.port());
         for destination in
@@ -268,7 +273,8 @@
                     destination.advance(now);
                     return;
                 }
-                // At once, but not for ever: whoever keeps saying so waits as long as who says nothing.
+                // Sends the inform again at once, but a limited number of times: a receiver that keeps
+                // sending reports is resent to as rarely as one that does not answer.
                 Received::Retry if destination.discoveries < MAX_DISCOVERIES => {
                     (destination.discovered, destination.discoveries, destination.due) =
                         (true, destination.discoveries + 1, now);
@@ -281,19 +287,19 @@
 }
 
 impl Destination {
-    /// The first is done with; the next may go.
+    /// Resets the state of the first notification, so that the next one can be sent.
     fn advance(&mut self, now: Micros) {
         (self.tries, self.due, self.discovered, self.discoveries) = (0, now, false, 0);
     }
 
-    /// Whether something is to be sent now. What is too old goes first.
+    /// Whether a datagram is due. Drops notifications that have waited too long.
     fn ready(&mut self, now: Micros) -> bool {
         while self.queue.front().is_some_and(|i| now - i.since > MAX_AGE) {
             self.queue.pop_front();
             self.stats.dropped += 1;
             self.advance(now);
         }
-        // A clock that stepped back must not put it off.
+        // A clock that was set back must not delay sending.
         !self.queue.is_empty() && (self.due <= now || self.due - now > MAX_RESEND_DELAY)
     }
 }
--- a/crates/snmp/src/oid.rs
+++ b/crates/snmp/src/oid.rs
@@ -1,16 +1,18 @@
-//! Names of managed objects, ordered as walks go (RFC 2578, 3.5: at most 128 arcs of 32 bits).
+//! Object identifiers, in lexicographic order, which is the order of walks (RFC 2578, 3.5: at most 128 arcs
+//! of 32 bits).
 
 use std::fmt;
 
-/// The most arcs of a name.
+/// Maximum number of arcs.
 pub const MAX_ARCS: usize = 128;
 
-/// A name: two arcs at least, [`MAX_ARCS`] at the most.
+/// An object identifier of 2 to [`MAX_ARCS`] arcs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Oid(Vec<u32>);
 
 impl Oid {
-    /// A name of these arcs; the first two are bounded as BER packs them into one (X.690, 8.19.4).
+    /// An object identifier of these arcs; `None` if they cannot be encoded. BER packs the first two arcs
+    /// into one, which limits their values (X.690, 8.19.4).
     pub fn new(arcs: &[u32]) -> Option<Oid> {
         let [first, second, ..] = arcs else { return None };
         let packs = match first {
@@ -21,7 +23,7 @@
         (packs && arcs.len() <= MAX_ARCS).then(|| Oid(arcs.to_vec()))
     }
 
-    /// Reads `1.3.6.1`, with or without a dot before it.
+    /// Parses an identifier such as `1.3.6.1`, with or without a leading dot.
     pub fn parse(text: &str) -> Option<Oid> {
         let text = text.strip_prefix('.').unwrap_or(text);
         let digits = |part: &str| part.bytes().all(|b| b.is_ascii_digit());
@@ -34,12 +36,13 @@
         Oid(vec![1, 3, 6, 1, 4, 1])
     }
 
-    /// Its arcs.
+    /// The arcs.
     pub fn arcs(&self) -> &[u32] {
         &self.0
     }
 
-    /// A name below this one. What would be too long is cut: callers bound their indexes.
+    /// A descendant of this identifier. The result is truncated to [`MAX_ARCS`]; callers limit the length of
+    /// their indexes.
     pub fn child(&self, arcs: &[u32]) -> Oid {
         let mut all = Vec::with_capacity(self.0.len() + arcs.len());
         all.extend_from_slice(&self.0);
@@ -48,12 +51,12 @@
         Oid(all)
     }
 
-    /// Whether it is `root` or below it.
+    /// Whether this identifier equals `root` or is a descendant of it.
     pub fn is_under(&self, root: &Oid) -> bool {
         self.0.starts_with(&root.0)
     }
 
-    /// The first name behind all that are below this one.
+    /// The first identifier after the subtree of this one.
     pub fn subtree_end(&self) -> Option<Oid> {
         let mut arcs = self.0.clone();
         while arcs.last() == Some(&u32::MAX) {
@@ -63,7 +66,7 @@
         Some(Oid(arcs))
     }
 
-    /// How many bytes its contents take in BER.
+    /// Length of the BER contents in bytes.
     pub fn encoded_len(&self) -> usize {
         let packed = self.0.first().zip(self.0.get(1)).map_or(0, |(a, b)| u64::from(*a) * 40 + u64::from(*b));
         septets(packed) + self.0.iter().skip(2).map(|a| septets(u64::from(*a))).sum::<usize>()
--- a/crates/snmp/src/reader.rs
+++ b/crates/snmp/src/reader.rs
@@ -1,27 +1,30 @@
-//! The bounds of a datagram, checked before an ASN.1 crate sees it: what passes is a tree of definite lengths
-//! that fills the datagram to its last byte, with no more elements, levels, arcs and digits than SNMP has use
-//! for. Nothing is copied and nothing allocated; the work grows with the datagram's length alone.
+//! Validates a datagram before it is passed to an ASN.1 crate. A valid datagram is a tree of elements with
+//! definite lengths that fills it to the last byte, with no more elements, nesting levels, arcs and digits
+//! than SNMP needs. Validation copies and allocates nothing; its cost depends only on the length of the
+//! datagram.
 //!
-//! Opaque, which the standard keeps for old agents alone, does not pass. RFC 3417, 8, allows SNMP only a part of BER: definite lengths, primitive strings, low tag numbers.
+//! Opaque, which the standard retains only for old agents, is rejected. RFC 3417, 8, allows SNMP only a
+//! subset of BER: definite lengths, primitive strings, low tag numbers.
 
 use std::ops::Range;
 
-/// The longest datagram that is read. RFC 3417 wants 484 and recommends 1472.
+/// Maximum length of a datagram to read. RFC 3417 requires 484 and recommends 1472.
 pub const MAX_DATAGRAM: usize = 4096;
-/// Levels: message, scoped PDU, PDU, bindings, binding, value, and one to spare.
+/// Maximum nesting depth: message, scoped PDU, PDU, bindings, binding, value, and one to spare.
 const MAX_DEPTH: usize = 7;
-/// Elements in all: a GET of some hundred names.
+/// Maximum number of elements, enough for a GET of some hundred names.
 const MAX_ELEMENTS: usize = 512;
-/// Arcs of a name, as [`crate::oid::MAX_ARCS`]; BER packs the first two into one.
+/// Maximum number of encoded arcs of a name, from [`crate::oid::MAX_ARCS`]: BER packs the first two arcs into
+/// one.
 const MAX_ENCODED_ARCS: usize = crate::oid::MAX_ARCS - 1;
 
-/// Why a datagram is none of SNMP's.
+/// Why a datagram is not a valid SNMP message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
 type Read<T> = Result<T, Malformed>;
 
-/// The tags in use.
+/// Tags of the elements used by SNMP.
 pub mod tag {
     /// INTEGER.
     pub const INTEGER: u8 = 0x02;
@@ -35,7 +38,7 @@
     pub const SEQUENCE: u8 = 0x30;
     /// IpAddress.
     pub const ADDRESS: u8 = 0x40;
-    /// Counter32, Gauge32 and TimeTicks are this and the next two.
+    /// Counter32; Gauge32 and TimeTicks are the next two tags.
     pub const COUNTER: u8 = 0x41;
     /// TimeTicks.
     pub const TICKS: u8 = 0x43;
@@ -43,14 +46,14 @@
     pub const COUNTER64: u8 = 0x46;
 }
 
-/// An element: its tag and where its contents lie in the whole.
+/// An element: its tag and the range of its contents in the datagram.
 #[derive(Clone, Debug)]
 struct Element {
     tag: u8,
     contents: Range<usize>,
 }
 
-/// The element that begins at `at` and ends before `end`.
+/// Reads the header of the element that starts at `at` and must end by `end`.
 fn element(bytes: &[u8], at: usize, end: usize) -> Read<Element> {
     let byte =
         |i: usize| bytes.get(i).copied().filter(|_| i < end).ok_or(Malformed("it ends within an element"));
@@ -78,7 +81,7 @@
     }
 }
 
-/// Whether the contents of a name are sound: whole arcs of 32 bits, not too many, none padded.
+/// Validates the contents of a name: complete arcs of 32 bits, not too many, none padded.
 fn name(contents: &[u8]) -> Read<()> {
     let (mut arcs, mut arc, mut within) = (0usize, 0u64, false);
     for byte in contents {
@@ -108,7 +111,7 @@
     }
 }
 
-/// Checks that the whole of `bytes` is one sound element.
+/// Checks that `bytes` consists of exactly one valid element.
 pub fn check(bytes: &[u8]) -> Read<()> {
     if bytes.len() > MAX_DATAGRAM {
         return Err(Malformed("a datagram that is too long"));
@@ -117,7 +120,7 @@
     if whole.contents.end != bytes.len() {
         return Err(Malformed("bytes behind the message"));
     }
-    // The ends of the elements that hold the one being read, innermost last.
+    // End positions of the enclosing elements, innermost last.
     let (mut ends, mut depth, mut at, mut seen) = ([0usize; MAX_DEPTH], 0usize, 0usize, 0usize);
     let mut end = bytes.len();
     loop {
@@ -159,7 +162,7 @@
     }
 }
 
-/// The elements of the sequence that lies at `at`, as many as `N`.
+/// The first `N` elements of the sequence at `at`.
 fn parts<const N: usize>(bytes: &[u8], at: usize) -> Read<[Element; N]> {
     let sequence = element(bytes, at, bytes.len())?;
     if sequence.tag != tag::SEQUENCE {
@@ -174,7 +177,7 @@
     Ok(all)
 }
 
-/// The message's version: 0 for SNMPv1, 1 for SNMPv2c, 3 for SNMPv3.
+/// Version of the message: 0 for SNMPv1, 1 for SNMPv2c, 3 for SNMPv3.
 pub fn version(bytes: &[u8]) -> Read<u8> {
     let [version] = parts::<1>(bytes, 0)?;
     match (version.tag, &bytes[version.contents]) {
@@ -183,8 +186,8 @@
     }
 }
 
-/// Where the authentication parameters lie in an SNMPv3 message (RFC 3414, 6.3.2: the digest is made over the
-/// message as it came, with zeros there, whatever forms of length its sender chose).
+/// Range of the authentication parameters in an SNMPv3 message. The digest is computed over the message as
+/// received, with zeros in this range, whichever length encodings the sender chose (RFC 3414, 6.3.2).
 pub fn digest(bytes: &[u8]) -> Read<Range<usize>> {
     let [_, _, security] = parts::<3>(bytes, 0)?;
     let inner = bytes.get(security.contents.clone()).filter(|_| security.tag == tag::OCTETS);
--- a/crates/snmp/src/stats.rs
+++ b/crates/snmp/src/stats.rs
@@ -1,7 +1,7 @@
-//! What the agent counts of itself: the counters of the standard's own modules (RFC 3418, 3411, 3412, 3413,
-//! 3414), and what became of its notifications.
+//! The agent's own counters: those of the standard modules (RFC 3418, 3411, 3412, 3413, 3414) and those of
+//! its notifications.
 
-/// Counted since the start; they wrap as Counter32 does.
+/// Counters since the start of the program. They wrap as Counter32 does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub struct Stats {
@@ -23,37 +23,37 @@
     pub decryption_errors: u32,
 }
 
-/// Counts one more.
+/// Increments a counter, with wraparound.
 pub fn increment(counter: &mut u32) {
     *counter = counter.wrapping_add(1);
 }
 
-/// A receiver of notifications.
+/// Counters of one receiver of notifications.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Receiver {
-    /// Where it is.
+    /// Address of the receiver.
     pub address: String,
-    /// It is sent informs, which it acknowledges, and no traps.
+    /// Whether it is sent informs, which it acknowledges, instead of traps.
     pub informs: bool,
-    /// Waiting for it.
+    /// Notifications in its queue.
     pub queued: u64,
-    /// Notifications sent, acknowledged, sent again, and dropped because too many waited or too long.
+    /// Notifications sent.
     pub sent: u64,
-    /// See `sent`.
+    /// Informs acknowledged.
     pub acknowledged: u64,
-    /// See `sent`.
+    /// Informs sent again.
     pub resent: u64,
-    /// See `sent`.
+    /// Notifications dropped because the queue was full or they had waited too long.
     pub dropped: u64,
 }
 
-/// Notifications, all receivers together.
+/// Counters of notifications.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Notifications {
-    /// The number of the last one.
+    /// Sequence number of the last notification.
     pub sequence: u32,
-    /// Changes that were told late, with others, or not at all.
+    /// Changes that were reported late, merged with others, or not at all.
     pub held: u64,
-    /// By receiver.
+    /// Counters of each receiver.
     pub receivers: Vec<Receiver>,
 }
--- a/crates/snmp/src/tally.rs
+++ b/crates/snmp/src/tally.rs
@@ -1,73 +1,75 @@
-//! Counts streams as they end: by class and tenant, by reason of refusal, and how long they took. This is all
-//! that the request path does for the agent: additions to numbers that are there already.
+//! Counters of completed streams: by class and tenant, by reason of refusal, and their durations. This is all
+//! the request path does for the agent: it only adds to counters that are already allocated.
 
 use crate::snapshot::{Counts, Requests, Times, BUCKETS, REASONS};
 use crate::{Micros, SECOND};
 use std::rc::Rc;
 
-/// Rows of classes and tenants at the most; tenants that find no room are counted together.
+/// Maximum number of rows of class and tenant. Tenants beyond it are counted together.
 const MAX_ROWS: usize = 1024;
-/// Percentiles are of the last minute, in slots of this many seconds.
+/// Percentiles cover the last minute, in slots of this length (10 s).
 const SLOT_LEN: Micros = 10 * SECOND;
 const SLOTS: usize = 6;
-/// Steps between a time and twice that time: a percentile is at most a sixteenth above the true one.
+/// Steps per doubling of the duration. A reported percentile is at most one sixteenth above the true value.
 const STEPS_PER_OCTAVE: u64 = 16;
-/// Times up to 2^27 us, two minutes, are told apart; the longest request of a client takes seconds.
+/// Durations are distinguished up to 2^27 us, about two minutes. The longest requests of clients take
+/// seconds.
 const OCTAVES: u64 = 23;
 const HISTOGRAM_CELLS: usize = (OCTAVES * STEPS_PER_OCTAVE) as usize + STEPS_PER_OCTAVE as usize;
 
-/// How a stream ended.
+/// Outcome of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Answered with a value or a receipt.
     Served,
-    /// Turned away.
+    /// Refused by a local reply.
     Refused(Reason),
     /// Failed.
     Failed,
-    /// Its downstream was gone.
+    /// The downstream disconnected before it completed.
     Left,
 }
 
 /// Why a stream was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// As many streams are open as may be.
+    /// The limit on open streams was reached.
     Full,
-    /// No upstream request was sent: the load was shed, or no node would do.
+    /// No upstream request was sent: the load was shed, or no node was usable.
     NotSent,
-    /// It wanted the ledger and found no place there, or no answer in time.
+    /// It needed the origin and got no place there, or no response in time.
     Ledger,
-    /// Its upstream requests came to nothing.
+    /// All of its upstream requests failed.
     Attempts,
 }
 
-/// A stream that has ended.
+/// A completed stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Stream {
-    /// Its class and its tenant, as positions.
+    /// Index of its class.
     pub class: usize,
-    /// See `class`.
+    /// Index of its tenant.
     pub tenant: usize,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// How long it took.
+    /// Its duration.
     pub time: Micros,
-    /// It took more than one upstream request at caches, or at the ledger.
+    /// Whether it took more than one upstream request to caches or to the origin.
     pub retried: bool,
-    /// It missed, and a cache served it then.
+    /// Whether it missed and was then served by a cache.
     pub joined: bool,
 }
 
-/// The times of one class.
+/// Durations of the streams of one class.
 #[derive(Clone, Debug)]
 struct Class {
     histogram: [u64; BUCKETS.len()],
-    /// Served, the sum of their times, and how many by [`cell_index`], in each slot.
+    /// For each slot: the number of streams served, the sum of their durations, and their number by
+    /// [`cell_index`].
     recent: [(u64, Micros, Vec<u32>); SLOTS],
 }
 
-/// Where a time belongs: sixteen steps to an octave, as HDR histograms have it.
+/// The histogram cell of a duration: sixteen cells per octave, as in HDR histograms.
 fn cell_index(time: Micros) -> usize {
     let t = time.max(0) as u64;
     if t < STEPS_PER_OCTAVE {
@@ -78,7 +80,7 @@
     ((octave + 1) * STEPS_PER_OCTAVE + step).min(HISTOGRAM_CELLS as u64 - 1) as usize
 }
 
-/// The longest time in a cell.
+/// The longest duration that falls into a cell.
 fn cell_upper_bound(cell: usize) -> Micros {
     let (octave, step) = (cell as u64 / STEPS_PER_OCTAVE, cell as u64 % STEPS_PER_OCTAVE);
     match octave {
@@ -87,20 +89,20 @@
     }
 }
 
-/// What has been counted since the start.
+/// Counters since the start of the program.
 #[derive(Clone, Debug)]
 pub struct Tally {
     names: (Vec<Rc<str>>, Vec<Rc<str>>),
     counts: Vec<Counts>,
     refusals: [u64; REASONS],
     classes: Vec<Class>,
-    /// The slot that is being filled, as a number since the start, and when that began to count.
+    /// Number of the current slot, counted from `started`, and the time when counting began.
     slot: Micros,
     started: Micros,
 }
 
 impl Tally {
-    /// Counts nothing yet, for streams of these classes and tenants.
+    /// Zeroed counters for streams of these classes and tenants.
     pub fn new(now: Micros, classes: &[String], tenants: &[String]) -> Tally {
         let classes: Vec<Rc<str>> = classes.iter().take(MAX_ROWS / 2).map(|n| n.as_str().into()).collect();
         let most = (MAX_ROWS / classes.len().max(1)).max(2);
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Empties the slots that have become old since this was called last.
+    /// Clears the slots that expired since the last call.
     fn expire_slots(&mut self, now: Micros) {
         let slot = ((now - self.started) / SLOT_LEN).max(self.slot);
         let old = (slot - self.slot).min(SLOTS as Micros);
@@ -139,7 +141,7 @@
         self.slot = slot;
     }
 
-    /// A stream has ended.
+    /// Counts a completed stream.
     pub fn record(&mut self, now: Micros, stream: Stream) {
         self.expire_slots(now);
         let tenants = self.names.1.len();
@@ -168,19 +170,19 @@
         cells[cell_index(stream.time)] += 1;
     }
 
-    /// Rows by class and tenant.
+    /// Counters by class and tenant.
     pub fn requests(&self) -> Vec<Requests> {
         let (classes, tenants) = &self.names;
         let names = classes.iter().flat_map(|c| tenants.iter().map(move |t| (c.clone(), t.clone())));
         names.zip(&self.counts).map(|((class, tenant), c)| Requests { class, tenant, counts: *c }).collect()
     }
 
-    /// Refusals by reason.
+    /// Number of refusals by reason.
     pub fn refusals(&self) -> [u64; REASONS] {
         self.refusals
     }
 
-    /// Times by class.
+    /// Durations by class.
     pub fn times(&mut self, now: Micros) -> Vec<Times> {
         self.expire_slots(now);
         self.names.0.iter().zip(&self.classes).map(|(name, class)| class.times(name)).collect()
--- a/crates/snmp/src/tally/tests.rs
+++ b/crates/snmp/src/tally/tests.rs
@@ -22,7 +22,7 @@
     let times = &tally.times(61 * SECOND)[0];
     assert_eq!((times.recent, times.mean, times.percentiles[3]), (1, 2_000, 2_047));
     assert_eq!(times.histogram.iter().sum::<u64>(), 1001);
-    // 5 ms are in the second bucket: a bucket's bound is not in it.
+    // 5 ms falls into the second bucket, since a bucket's upper bound is exclusive.
     assert_eq!(&times.histogram[..3], &[5, 5, 10]);
     assert_eq!(tally.requests()[1].counts.served, 1001);
 }
--- a/crates/snmp/src/tree.rs
+++ b/crates/snmp/src/tree.rs
@@ -1,20 +1,21 @@
-//! The instances that a snapshot makes, in the order in which walks go over them. Built when somebody asks and
-//! the last one is old; a name that comes after another is found by bisection, so that a walk ends and no
-//! instance comes twice, whatever came and went between two requests.
+//! The instances of managed objects in a snapshot, in the order of walks. The tree is built on request when
+//! the last one is too old. The instance after a name is found by binary search, so a walk terminates and
+//! returns no instance twice, even if instances appear or disappear between two requests.
 //!
-//! The objects are described in `mibs/MARTENWEIR-MIB.txt`; a test holds the two side by side.
+//! The objects are described in `mibs/MARTENWEIR-MIB.txt`; a test compares the two.
 
 use crate::snapshot::{Counts, Node, Snapshot, BUCKETS};
 use crate::stats::{Notifications, Stats};
 use crate::{Micros, Oid, Value};
 
-/// The enterprise number that IANA keeps for documentation (RFC 5612).
+/// The enterprise number that IANA reserves for documentation (RFC 5612).
 pub const ENTERPRISE: u32 = 32473;
-/// Rows of the node table, of the request table, and of those of planners, forwarders and receivers.
+/// Maximum number of rows in the node table, in the request table, and in the tables of planners, forwarders
+/// and receivers.
 pub const MAX_NODE_ROWS: usize = 256;
 const MAX_REQUEST_ROWS: usize = 1024;
 const MAX_OTHER_ROWS: usize = 256;
-/// The columns that can be read, by group and table: the first and the last.
+/// Readable columns by group and table: group, table, first and last column.
 const TABLES: [(u32, u32, u32, u32); 8] = [
     (2, 6, 2, 16),
     (3, 1, 3, 8),
@@ -25,41 +26,42 @@
     (8, 5, 2, 6),
     (9, 3, 2, 8),
 ];
-/// The longest index made of a node's id, and of a class's or a tenant's name.
+/// Maximum length of an index made from a node's id, and from the name of a class or a tenant.
 const MAX_NODE_INDEX: usize = 64;
 const MAX_NAME_INDEX: usize = 32;
 
-/// What the agent itself adds to a snapshot.
+/// Data of the agent itself that is not part of a snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct AgentInfo {
-    /// The enterprise number that the MIB is under.
+    /// The enterprise number under which the MIB is registered.
     pub enterprise: u32,
     /// snmpEngineID, snmpEngineBoots and snmpEngineTime.
     pub engine: (Vec<u8>, u32, u32),
-    /// The longest message that it reads.
+    /// Maximum size of a message that the agent accepts.
     pub max_message_size: u32,
-    /// sysContact and sysLocation.
+    /// sysContact.
     pub contact: String,
-    /// See `contact`.
+    /// sysLocation.
     pub location: String,
-    /// What it counted.
+    /// The agent's counters.
     pub stats: Stats,
-    /// Its notifications.
+    /// Counters of its notifications.
     pub notifications: Notifications,
 }
 
-/// Where the MIB is.
+/// The root of the MIB.
 pub fn root(enterprise: u32) -> Oid {
     Oid::enterprises().child(&[enterprise, 1])
 }
 
-/// All instances.
+/// All instances and their values, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Tree {
     instances: Vec<(Oid, Value)>,
 }
 
-/// A name as an index: a longer one is cut, and told from others by a hash (FNV-1a) of the whole.
+/// Shortens a name for use as an index: a name longer than `most` is cut and made unique by a hash (FNV-1a)
+/// of the whole name.
 fn bounded(name: &str, most: usize) -> Vec<u8> {
     let bytes = name.as_bytes();
     if bytes.len() <= most {
@@ -72,13 +74,13 @@
     cut
 }
 
-/// A string as an index: its length, then its bytes (RFC 2578, 7.7).
+/// Encodes a string as an index: its length, then its bytes (RFC 2578, 7.7).
 fn index(name: &str, most: usize) -> Vec<u32> {
     let bytes = bounded(name, most);
     std::iter::once(bytes.len() as u32).chain(bytes.into_iter().map(u32::from)).collect()
 }
 
-/// The index of a node's row, for notifications that name it.
+/// The index of a node's row, also used in notifications about the node.
 pub fn node_index(name: &str) -> Vec<u32> {
     index(name, MAX_NODE_INDEX)
 }
@@ -91,26 +93,26 @@
     Value::gauge((x * by).clamp(0.0, f64::from(u32::MAX)) as u64)
 }
 
-/// Milliseconds since then; the most there is where it never was.
+/// Milliseconds since `then`; the maximum if it never happened.
 fn age(now: Micros, then: Option<Micros>) -> Value {
     then.map_or(Value::Gauge(u32::MAX), |then| Value::gauge(((now - then).max(0) / 1000) as u64))
 }
 
-/// Collects the instances below one name.
+/// Adds instances below one name.
 struct InstanceWriter<'a> {
     instances: &'a mut Vec<(Oid, Value)>,
     root: Oid,
 }
 
 impl InstanceWriter<'_> {
-    /// Scalars: the first is object 1, the next 2, and so on from `from`.
+    /// Adds scalars: the first value is object `from`, the next `from` + 1, and so on.
     fn scalars(&mut self, from: u32, values: impl IntoIterator<Item = Value>) {
         for (object, value) in (from..).zip(values) {
             self.instances.push((self.root.child(&[object, 0]), value));
         }
     }
 
-    /// A row of the table that is object `table`: the first value is of column `from`.
+    /// Adds a row to the table that is object `table`: the first value belongs to column `from`.
     fn row(&mut self, table: u32, index: &[u32], from: u32, values: impl IntoIterator<Item = Value>) {
         for (column, value) in (from..).zip(values) {
             self.instances.push((self.root.child(&[table, 1, column]).child(index), value));
@@ -119,7 +121,7 @@
 }
 
 impl Tree {
-    /// The instances of a snapshot at this time.
+    /// Builds the instances of a snapshot, with ages relative to `now`.
     pub fn build(now: Micros, s: &Snapshot, info: &AgentInfo) -> Tree {
         let mut instances =
             Vec::with_capacity(256 + s.nodes.len().min(MAX_NODE_ROWS) * 16 + s.requests.len() * 6);
@@ -139,7 +141,7 @@
         group(8, &|b| plans(b, now, s));
         group(9, &|b| notifications(b, &info.notifications));
         instances.sort_by(|a, b| a.0.cmp(&b.0));
-        // Two names that are cut to one index: the first row stays.
+        // If two names are shortened to the same index, the first row is kept.
         instances.dedup_by(|a, b| a.0 == b.0);
         Tree { instances }
     }
@@ -150,14 +152,14 @@
         self.instances.get(at).map(|(_, v)| v)
     }
 
-    /// The instances behind a name, in order.
+    /// The instances after a name, in order.
     pub fn after(&self, name: &Oid) -> &[(Oid, Value)] {
         let at = self.instances.partition_point(|(n, _)| n <= name);
         self.instances.get(at..).unwrap_or_default()
     }
 
-    /// Whether there is an object that a name which is no instance's would be one of: a column, also of a
-    /// table without rows, or a scalar.
+    /// Whether a name that is not an instance belongs to an existing object: a scalar, or a column, even if
+    /// its table has no rows.
     pub fn has_object(&self, enterprise: u32, name: &Oid) -> bool {
         let ours = root(enterprise);
         let below = name.arcs().get(ours.arcs().len()..).filter(|_| name.is_under(&ours));
@@ -198,7 +200,8 @@
     put(&[1, 3, 6, 1, 2, 1, 11], 1, &[Value::Counter(c.in_packets)]);
     let names = [c.bad_versions, c.bad_community_names, c.bad_community_uses, c.parse_errors];
     put(&[1, 3, 6, 1, 2, 1, 11], 3, &names.map(Value::Counter));
-    // No authenticationFailure is ever sent: whoever can send datagrams could make it a flood.
+    // snmpEnableAuthenTraps is disabled(2): anyone who can send datagrams could cause a flood of
+    // authenticationFailure traps.
     let traps = [Value::Integer(2), Value::Counter(c.silent_drops), Value::Counter(0)];
     put(&[1, 3, 6, 1, 2, 1, 11], 30, &traps);
     let (id, boots, time) = &info.engine;
@@ -229,7 +232,7 @@
             Value::text(&s.hall),
             Value::date(s.started_unix),
             Value::ticks(now - s.started),
-            // Counters begin with the program, as sysUpTime does.
+            // Counters start with the program, as sysUpTime does.
             Value::Ticks(0),
             Value::truth(s.ready),
             Value::Counter64(s.reloads),
@@ -269,7 +272,7 @@
     ]
 }
 
-/// The state of a node as its column has it, for notifications.
+/// The state of a node as in its column, for notifications.
 pub fn node_state(state: crate::snapshot::State) -> Value {
     Value::Integer(state as i32)
 }
--- a/crates/snmp/src/usm.rs
+++ b/crates/snmp/src/usm.rs
@@ -1,8 +1,8 @@
-//! Users of SNMPv3's User-based Security Model: keys from passphrases and their localisation (RFC 3414, 2.6 and
-//! A.2), HMAC-SHA-2 authentication (RFC 7860) and AES-128 privacy (RFC 3826).
+//! Users of SNMPv3's User-based Security Model (USM): keys derived from passphrases and their localisation
+//! (RFC 3414, 2.6 and A.2), HMAC-SHA-2 authentication (RFC 7860) and AES-128 privacy (RFC 3826).
 //!
-//! What is older (MD5, SHA-1, DES) is left out: RFC 7860 and 3826 replace it, and nothing here has to speak to
-//! equipment that knows no better.
+//! The older algorithms (MD5, SHA-1, DES) are not supported: RFC 7860 and 3826 replace them, and this code
+//! does not need to interoperate with equipment limited to them.
 
 use crate::message::{Data, Flags, Header, Scoped, Secured, Security};
 use crate::{reader, Micros};
@@ -12,20 +12,21 @@
 use sha2::{Digest, Sha224, Sha256, Sha384, Sha512};
 use subtle::ConstantTimeEq;
 
-/// The longest name of a user (RFC 3414, 5, usmUserSecurityName: 32).
+/// Maximum length of a user name in bytes (RFC 3414, 5, usmUserSecurityName: 32).
 pub const MAX_USER_NAME: usize = 32;
-/// The shortest passphrase (RFC 3414, 11.2).
+/// Minimum length of a passphrase (RFC 3414, 11.2).
 pub const MIN_PASSPHRASE: usize = 8;
-/// How far the time in a message may be off, in seconds (RFC 3414, 2.2.3).
+/// Maximum difference between the time in a message and the engine's time, in seconds (RFC 3414, 2.2.3).
 pub const TIME_WINDOW: u32 = 150;
-/// snmpEngineBoots that is the last there can be: nothing is in time any more (RFC 3414, 2.2.3).
+/// Largest value of snmpEngineBoots. Once it is reached, every message is outside the time window (RFC 3414,
+/// 2.2.3).
 pub const MAX_BOOTS: u32 = i32::MAX as u32;
-/// A passphrase is repeated to this length before it is hashed (RFC 3414, A.2.1).
+/// Length to which a passphrase is repeated before it is hashed (RFC 3414, A.2.1).
 const EXPANDED_LEN: usize = 1 << 20;
 const AES_KEY_LEN: usize = 16;
 const SALT_LEN: usize = 8;
 
-/// How messages of a user are authenticated (RFC 7860, 4).
+/// Authentication protocols (RFC 7860, 4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Auth {
     /// usmHMAC128SHA224AuthProtocol.
@@ -39,7 +40,7 @@
 }
 
 fn expand<D: Digest>(passphrase: &[u8]) -> Vec<u8> {
-    // Whole repetitions at a time: a megabyte takes some milliseconds, once a user.
+    // Hashes whole repetitions at a time: a megabyte takes some milliseconds, once for each user.
     let mut hash = D::new();
     let mut block = passphrase.repeat(1024 / passphrase.len().max(1) + 1);
     let mut left = EXPANDED_LEN;
@@ -55,7 +56,7 @@
     D::new().chain_update(key).chain_update(engine).chain_update(key).finalize().to_vec()
 }
 
-/// HMAC (RFC 2104) takes a key of any length, so there is no error to tell.
+/// HMAC (RFC 2104) accepts keys of any length, so creating it cannot fail.
 fn hmac<M: Mac + hmac::digest::KeyInit>(key: &[u8], pieces: &[&[u8]]) -> Vec<u8> {
     let Ok(mut mac) = <M as Mac>::new_from_slice(key) else { return Vec::new() };
     pieces.iter().for_each(|p| mac.update(p));
@@ -63,7 +64,7 @@
 }
 
 impl Auth {
-    /// By its name in settings and command lines.
+    /// The protocol with this name in settings and on the command line.
     pub fn named(name: &str) -> Option<Auth> {
         [
             ("sha224", Auth::Sha224),
@@ -76,7 +77,7 @@
         .map(|(_, auth)| auth)
     }
 
-    /// How long its digests are.
+    /// Length of its digests in bytes.
     pub fn digest_len(self) -> usize {
         match self {
             Auth::Sha224 => 16,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// The key that a passphrase stands for, at any engine.
+    /// Derives the key of a passphrase, before localisation.
     fn key(self, passphrase: &[u8]) -> Vec<u8> {
         match self {
             Auth::Sha224 => expand::<Sha224>(passphrase),
@@ -117,7 +118,7 @@
     }
 }
 
-/// How a user's messages are kept safe, weakest first.
+/// Security levels, weakest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Level {
     /// noAuthNoPriv.
@@ -129,7 +130,7 @@
 }
 
 impl Level {
-    /// The level of a message.
+    /// The security level of a message with these flags.
     pub fn of(flags: Flags) -> Level {
         match (flags.auth, flags.privacy) {
             (_, true) => Level::Private,
@@ -139,25 +140,25 @@
     }
 }
 
-/// A user, with the keys that its passphrases stand for at any engine.
+/// A user and the keys derived from its passphrases, before localisation to an engine.
 #[derive(Clone, PartialEq, Eq)]
 pub struct User {
-    /// Its name.
+    /// The user name.
     pub name: Vec<u8>,
     auth: Option<(Auth, Vec<u8>)>,
     privacy: Option<Vec<u8>>,
 }
 
 impl std::fmt::Debug for User {
-    /// Keys never get into a log.
+    /// Omits the keys, so that they cannot reach a log.
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "User({:?}, {:?})", String::from_utf8_lossy(&self.name), self.level())
     }
 }
 
 impl User {
-    /// A user; `auth` is how and with which passphrase, `privacy` the passphrase of its AES key, which means
-    /// nothing without `auth`. An error says what is wrong with a name or a passphrase.
+    /// Creates a user. `auth` is the authentication protocol with its passphrase, `privacy` the passphrase of
+    /// the AES key; `privacy` is ignored without `auth`. The error describes an invalid name or passphrase.
     pub fn new(name: &str, auth: Option<(Auth, &str)>, privacy: Option<&str>) -> Result<User, &'static str> {
         if name.is_empty() || name.len() > MAX_USER_NAME {
             return Err("a user's name of 1 to 32 bytes is wanted");
@@ -170,7 +171,7 @@
         Ok(User { name: name.as_bytes().to_vec(), auth, privacy })
     }
 
-    /// How its messages are kept safe: never less and never more than this.
+    /// The security level of the user. Messages of any other level are refused.
     pub fn level(&self) -> Level {
         match (&self.auth, &self.privacy) {
             (None, _) => Level::Open,
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Its keys at one engine.
+    /// The user's keys localised to an engine.
     pub fn at(&self, engine: &[u8]) -> Keys {
         let Some((auth, key)) = &self.auth else { return Keys::default() };
         let privacy = self.privacy.as_ref().and_then(|key| {
@@ -191,7 +192,8 @@
     }
 }
 
-/// A user's keys at one engine (RFC 3414, 2.6): who learns them learns nothing of other engines.
+/// A user's keys localised to one engine (RFC 3414, 2.6). Disclosing them does not disclose the keys of other
+/// engines.
 #[derive(Clone, Default)]
 pub struct Keys {
     auth: Option<(Auth, Vec<u8>)>,
@@ -199,7 +201,7 @@
 }
 
 impl Keys {
-    /// The level that they make possible.
+    /// The security level that these keys support.
     pub fn level(&self) -> Level {
         match (&self.auth, &self.privacy) {
             (None, _) => Level::Open,
@@ -208,17 +210,17 @@
         }
     }
 
-    /// The same keys for a message that is signed and not encrypted.
+    /// The same keys for a message that is authenticated but not encrypted.
     pub fn without_privacy(&self) -> Keys {
         Keys { auth: self.auth.clone(), privacy: None }
     }
 
-    /// As many zeros as a digest has bytes; nothing without authentication.
+    /// Placeholder of zeros with the length of a digest; empty without authentication.
     pub fn empty_digest(&self) -> Vec<u8> {
         vec![0; self.auth.as_ref().map_or(0, |(auth, _)| auth.digest_len())]
     }
 
-    /// Writes the digest of a whole message into it, where zeros stand at `at`.
+    /// Writes the digest of a complete message into the range `at`, which must hold zeros.
     pub fn sign(&self, message: &mut [u8], at: std::ops::Range<usize>) {
         let Some((auth, key)) = &self.auth else { return };
         let digest = auth.digest(key, &[message]);
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Whether the digest that stands at `at` is the message's, in a time that says nothing of where it differs.
+    /// Whether the range `at` holds the correct digest of the message. The comparison takes constant time.
     pub fn verify(&self, message: &[u8], at: std::ops::Range<usize>) -> bool {
         let Some((auth, key)) = &self.auth else { return false };
         let Some(given) = message.get(at.clone()).filter(|d| d.len() == auth.digest_len()) else {
@@ -248,7 +250,8 @@
         Some(iv)
     }
 
-    /// Encrypts in place; `security` are boots and time of the authoritative engine. `false`: no key for it.
+    /// Encrypts in place; `security` holds boots and time of the authoritative engine. Returns `false` if
+    /// there is no privacy key.
     pub fn encrypt(&self, security: (u32, u32), salt: u64, bytes: &mut [u8]) -> bool {
         let iv = Keys::cipher_iv(security, &salt.to_be_bytes());
         let Some((key, iv)) = self.privacy.as_ref().zip(iv) else { return false };
@@ -256,7 +259,7 @@
         true
     }
 
-    /// Decrypts in place. `false`: no key for it, or a salt that is none.
+    /// Decrypts in place. Returns `false` if there is no privacy key or the salt has the wrong length.
     pub fn decrypt(&self, security: (u32, u32), salt: &[u8], bytes: &mut [u8]) -> bool {
         let Some((key, iv)) = self.privacy.as_ref().zip(Keys::cipher_iv(security, salt)) else {
             return false;
@@ -266,8 +269,8 @@
     }
 }
 
-/// A message as it goes out: encrypted and signed as the user's level wants it. `security` are the id, boots and
-/// time of the authoritative engine, at which the keys are the user's.
+/// Encodes a message, encrypted and authenticated as the keys allow. `security` holds the id, boots and time
+/// of the authoritative engine, to which the keys must be localised.
 pub fn seal(
     header: Header,
     security: (&[u8], u32, u32),
@@ -293,7 +296,7 @@
     out
 }
 
-/// The engine that an agent is (RFC 3411, 3.1.1.1): its id, and the clock that its messages go by.
+/// An SNMP engine (RFC 3411, 3.1.1.1): its id, and the clock used in its messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine {
     /// snmpEngineID, 5 to 32 bytes.
@@ -304,13 +307,14 @@
 }
 
 impl Engine {
-    /// An engine that has started now, for the `boots`th time.
+    /// Creates an engine that starts at `now`, with `boots` as its snmpEngineBoots.
     pub fn new(id: Vec<u8>, boots: u32, now: Micros) -> Engine {
         Engine { id, boots: boots.min(MAX_BOOTS), started: now }
     }
 
-    /// An id made of a name that is the same at every start: the enterprise, format 4 (text), or format 5 with
-    /// a hash where a name is longer than 27 bytes (RFC 3411, SnmpEngineID).
+    /// Derives an engine id from a name, so that it is the same at every start: the enterprise number with
+    /// format 4 (text), or with format 5 and a hash if the name is longer than 27 bytes (RFC 3411,
+    /// SnmpEngineID).
     pub fn id_of(enterprise: u32, name: &str) -> Vec<u8> {
         let mut id = (enterprise | 1 << 31).to_be_bytes().to_vec();
         match name.len() {
@@ -326,7 +330,8 @@
         id
     }
 
-    /// snmpEngineBoots and snmpEngineTime. When the time is used up another boot is counted (RFC 3414, 2.2.2).
+    /// snmpEngineBoots and snmpEngineTime. When the time reaches its maximum, boots is incremented (RFC 3414,
+    /// 2.2.2).
     pub fn clock(&self, now: Micros) -> (u32, u32) {
         let seconds = ((now - self.started).max(0) / crate::SECOND) as u64;
         let most = u64::from(MAX_BOOTS);
@@ -334,7 +339,8 @@
         (boots as u32, (seconds % most) as u32)
     }
 
-    /// Whether a message is in time, as its authoritative engine sees it (RFC 3414, 3.2, 7a).
+    /// Whether a message is within the time window of this engine, as the authoritative one (RFC 3414, 3.2,
+    /// 7a).
     pub fn in_time(&self, now: Micros, boots: u32, time: u32) -> bool {
         let (mine, at) = self.clock(now);
         mine < MAX_BOOTS && boots == mine && time.abs_diff(at) <= TIME_WINDOW
--- a/crates/snmp/src/usm/tests.rs
+++ b/crates/snmp/src/usm/tests.rs
@@ -5,8 +5,8 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// RFC 3414, A.3, gives its example for MD5 and SHA-1 alone; these are of the same passphrase and engine,
-/// worked out with Python's hashlib and hmac and with openssl.
+/// RFC 3414, A.3, has examples only for MD5 and SHA-1. These use the same passphrase and engine id and were
+/// computed with Python's hashlib and hmac and with openssl.
 #[rstest]
 #[case("sha224", "0bd8827c6e29f8065e08e09237f177e4", "8863dc07f96c61f91ea1e7d37411a139")]
 #[case("sha256", "8982e0e549e866db361a6b625d84cccc", "98368b5b164d2086a37cad2e48753e37fe7a164739f049fe")]
--- a/crates/snmp/src/value.rs
+++ b/crates/snmp/src/value.rs
@@ -21,28 +21,28 @@
     Ticks(u32),
     /// Counter64.
     Counter64(u64),
-    /// What a request asks with.
+    /// Placeholder in the bindings of a request (unSpecified).
     Unspecified,
-    /// There is no such object in the view.
+    /// noSuchObject: the view has no such object.
     NoSuchObject,
-    /// There is such an object, but not this instance of it.
+    /// noSuchInstance: the object exists, but not this instance of it.
     NoSuchInstance,
-    /// Nothing comes behind this name.
+    /// endOfMibView: no instance follows this name.
     EndOfMibView,
 }
 
 impl Value {
-    /// A text.
+    /// A string.
     pub fn text(text: &str) -> Value {
         Value::Octets(text.as_bytes().to_vec())
     }
 
-    /// A size or an amount; a Gauge32 stays at its most.
+    /// A Gauge32, which saturates at its maximum.
     pub fn gauge(n: u64) -> Value {
         Value::Gauge(u32::try_from(n).unwrap_or(u32::MAX))
     }
 
-    /// A span as TimeTicks, which wrap after 497 days.
+    /// A duration as TimeTicks, which wrap after 497 days.
     pub fn ticks(span: crate::Micros) -> Value {
         Value::Ticks((span.max(0) / 10_000) as u32)
     }
@@ -56,7 +56,8 @@
     pub fn date(unix: crate::Micros) -> Value {
         let seconds = unix.div_euclid(crate::SECOND);
         let (days, second) = (seconds.div_euclid(86_400), seconds.rem_euclid(86_400));
-        // Days to a date, as in Howard Hinnant, "chrono-Compatible Low-Level Date Algorithms".
+        // Converts days since the epoch to a date, as in Howard Hinnant, "chrono-Compatible Low-Level Date
+        // Algorithms".
         let z = days + 719_468;
         let era = z.div_euclid(146_097);
         let doe = z.rem_euclid(146_097);
@@ -74,9 +75,9 @@
         Value::Octets(octets)
     }
 
-    /// How many bytes its contents take in BER.
+    /// Length of the BER contents in bytes.
     pub fn encoded_len(&self) -> usize {
-        // An unsigned number is led by a zero byte where its top bit is set.
+        // An unsigned number gets a leading zero byte if its top bit is set.
         let unsigned = |n: u64| (64 - n.leading_zeros() as usize) / 8 + 1;
         match self {
             Value::Integer(n) => (33 - n.unsigned_abs().leading_zeros() as usize).div_ceil(8).max(1),
--- a/crates/snmp/src/watch.rs
+++ b/crates/snmp/src/watch.rs
@@ -1,86 +1,88 @@
-//! What changed between snapshots, as far as somebody on watch wants to hear of it: each change once, damped,
-//! and never a flood.
+//! Detects changes between snapshots that are worth a notification. Each change is reported once, and changes
+//! are damped and rate-limited so that they never flood the receivers.
 //!
-//! A subject (a node, the ledger, the fleet, the planners) is in one of a few conditions, and its condition is
-//! told when it differs from the one told last: the first [`IMMEDIATE_CHANGES`] changes at once, so that a hall that is cut
-//! off and comes back is told as it happens. A subject that goes on changing rests for [`HOLD_DOWN`] after it was
-//! told, twice as long each time, up to [`MAX_HOLD_DOWN`]: a node that flaps is told with growing pauses, and the
-//! last word is always how it is. All nodes together have a budget; what finds none is told as soon as there is
-//! some, unless it has passed by then. What is held back is counted.
+//! Each subject (a node, the origin, the fleet, the planners) has a condition, which is reported when it
+//! differs from the last one reported. The first [`IMMEDIATE_CHANGES`] changes are reported at once, so that
+//! a zone that is cut off and returns is reported as it happens. After further changes the subject is held
+//! down for [`HOLD_DOWN`], doubled each time up to [`MAX_HOLD_DOWN`]: a flapping node is reported at growing
+//! intervals, and the last report always matches its condition. All nodes share one rate limit; a change that
+//! exceeds it is reported as soon as the limit permits, unless it has been reverted by then. Changes that are
+//! held back are counted.
 
 use crate::snapshot::{self, LedgerState, Phase, Snapshot, State};
 use crate::{Micros, SECOND};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Changes of a subject that are told at once, if it was quiet for [`QUIET_PERIOD`] before.
+/// Number of changes of a subject that are reported at once, if it did not change for [`QUIET_PERIOD`]
+/// before.
 pub const IMMEDIATE_CHANGES: u32 = 4;
-/// See [`IMMEDIATE_CHANGES`].
+/// Time without changes after which a subject counts as quiet.
 pub const QUIET_PERIOD: Micros = 60 * SECOND;
-/// How long a subject rests after more than that, at first and at the most.
+/// Initial time for which further reports on a subject are held back.
 pub const HOLD_DOWN: Micros = 10 * SECOND;
-/// See [`HOLD_DOWN`].
+/// Maximum time for which further reports on a subject are held back.
 pub const MAX_HOLD_DOWN: Micros = 320 * SECOND;
-/// Changes of nodes that may be told in a bunch, and one more each so many microseconds.
+/// Rate limit on reports of node changes: size of a burst.
 pub const BURST: f64 = 20.0;
-/// See [`BURST`].
+/// Rate limit on reports of node changes: interval in which one more is permitted.
 pub const REFILL_INTERVAL: Micros = 2 * SECOND;
-/// Nodes that are watched at the most, as many as the node table shows.
+/// Maximum number of nodes that are watched, which is the number of rows in the node table.
 const MAX_NODES: usize = crate::tree::MAX_NODE_ROWS;
 
-/// What is told, and of which node.
+/// A change to report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Discovery says that a node drains.
+    /// Discovery lists the node as draining.
     NodeDrains(Node),
-    /// A node takes requests and says nothing, or failed in a row: it is left out.
+    /// The node accepts requests without answering, or failed repeatedly, and is not used.
     NodeSilent(Node),
-    /// It serves again.
+    /// The node serves again.
     NodeBack(Node),
-    /// Next to nothing goes to the ledger.
+    /// Almost no requests are sent to the origin.
     LedgerClosed,
-    /// It is fetched from again.
+    /// Requests are sent to the origin again.
     LedgerBack,
     /// Fewer nodes are usable than the bound.
     FleetUnder {
-        /// Usable ones.
+        /// Number of usable nodes.
         usable: u32,
         /// The bound.
         bound: u32,
     },
-    /// Enough of them are again.
+    /// As many nodes are usable again as the bound requires.
     FleetBack {
-        /// Usable ones.
+        /// Number of usable nodes.
         usable: u32,
         /// The bound.
         bound: u32,
     },
-    /// A forwarder reaches no planner.
+    /// The forwarder cannot reach any planner.
     PlannersLost,
-    /// It reaches one again.
+    /// The forwarder reaches a planner again.
     PlannersBack,
-    /// A planner's plan was unsound; its number among the planners.
+    /// A plan of the planner with this number was refused as invalid.
     PlanRefused(u32),
 }
 
-/// A node as a change tells it.
+/// The node in a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Node {
-    /// As discovery names it.
+    /// Its name in discovery.
     pub name: Rc<str>,
-    /// Its hall.
+    /// The name of its zone.
     pub hall: Rc<str>,
-    /// What the proxy makes of it.
+    /// Its state as seen by the proxy.
     pub state: State,
 }
 
-/// A subject: the condition told last, when, and how long it rests since.
+/// A subject: the condition last reported, when, and how long further reports are held back.
 #[derive(Clone, Debug)]
 struct Subject<T> {
     told: T,
     at: Option<Micros>,
     hold: Micros,
-    /// Changes told since it was quiet.
+    /// Changes reported since the subject was last quiet.
     changes: u32,
     /// The condition that was counted as held back.
     held: Option<T>,
@@ -91,13 +93,13 @@
         Subject { told, at: None, hold: 0, changes: 0, held: None }
     }
 
-    /// Whether a condition is to be told now; `held` counts it where it has to wait.
+    /// Whether a condition must be reported now; increments `held` if it has to wait.
     fn observe(&mut self, now: Micros, is: T, room: bool, held: &mut u64) -> bool {
         if is == self.told {
             self.held = None;
             return false;
         }
-        // A clock that stepped back ends a rest.
+        // A clock that was set back ends the hold-down.
         let rests = self.at.is_some_and(|at| (0..self.hold).contains(&(now - at)));
         if rests || !room {
             if self.held.replace(is) != Some(is) {
@@ -123,17 +125,18 @@
     Silent,
 }
 
-/// A node that is watched.
+/// State of a watched node.
 #[derive(Clone, Debug)]
 struct Watched {
     subject: Subject<Condition>,
-    /// What it had answered when it was last seen silent, and when that was.
+    /// Number of its answers when it was last seen silent, and when that was.
     silent: Option<(u64, Micros)>,
 }
 
 impl Watched {
-    /// The condition of a node; none of one that left. A node to which nothing is out looks well, so one that
-    /// was silent has to answer something before it is well, or to look well for [`QUIET_PERIOD`].
+    /// The condition of a node; `None` if it is no longer listed. A node without outstanding requests looks
+    /// healthy, so a node that was silent counts as healthy only after it has answered something, or has
+    /// looked healthy for [`QUIET_PERIOD`].
     fn condition(&mut self, now: Micros, node: &snapshot::Node) -> Option<Condition> {
         let answers = node.served + node.missed + node.refused;
         let is = match (node.phase, node.state) {
@@ -151,21 +154,21 @@
     }
 }
 
-/// See the file's comment.
+/// Detects changes between snapshots; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct Watch {
     nodes: BTreeMap<Rc<str>, Watched>,
     ledger: Subject<bool>,
     fleet: Subject<bool>,
     planners: Subject<bool>,
-    /// Plans refused, by planner, when that was told last.
+    /// Number of refused plans of each planner that was last reported, and when.
     refused: BTreeMap<u32, (u64, Option<Micros>)>,
     budget: (f64, Micros),
     held: u64,
 }
 
 impl Watch {
-    /// Takes all to be well.
+    /// Creates a watch that assumes everything to be healthy.
     pub fn new(now: Micros) -> Watch {
         Watch {
             nodes: BTreeMap::new(),
@@ -178,13 +181,13 @@
         }
     }
 
-    /// Changes that were told late, together, or not at all.
+    /// Number of changes that were reported late, merged with others, or not at all.
     pub fn held(&self) -> u64 {
         self.held
     }
 
-    /// What is to be told now, in the order in which it came about as far as that can be said: nodes by name,
-    /// then what follows from them.
+    /// Returns the changes to report now, as far as known in the order they occurred: nodes by name, then
+    /// changes that result from them.
     pub fn update(&mut self, now: Micros, s: &Snapshot) -> Vec<Change> {
         let mut changes = Vec::new();
         let left = self.budget.0 + (now - self.budget.1).max(0) as f64 / REFILL_INTERVAL as f64;
@@ -195,7 +198,8 @@
                 .nodes
                 .entry(node.name.clone())
                 .or_insert_with(|| Watched { subject: Subject::new(Condition::Healthy), silent: None });
-            // A node that left says nothing more; when it returns it is compared with what was told.
+            // A node that is no longer listed is not reported. When it returns, it is compared with its last
+            // reported condition.
             let Some(is) = watched.condition(now, node) else { continue };
             if is == Condition::Silent && node.phase == Phase::Serving && node.state.usable() {
                 usable -= 1;
