--- a/crates/snmp/src/snapshot.rs
+++ b/crates/snmp/src/snapshot.rs
@@ -1,316 +1,316 @@
-//! What is published to the agent: plain data, made now and then by whoever owns the tables, and never changed
-//! afterwards. A walk reads a snapshot and nothing else.
+//! The snapshot that is published to the agent: plain data, made from time to time by the owner of the tables
+//! and immutable afterwards. Walks read only a snapshot.
 //!
-//! Every list in it is bounded by who makes it; what the tables show at the most is [`crate::tree`]'s.
+//! Whoever makes a snapshot limits the length of its lists; [`crate::tree`] limits the number of rows shown.
 
 use crate::Micros;
 use std::rc::Rc;
 
-/// What runs here.
+/// Role of this program.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// A proxy by itself.
+    /// A stand-alone proxy.
     #[default]
     Proxy = 1,
-    /// A proxy that planners advise.
+    /// A proxy that follows the plans of planners.
     Forwarder = 2,
     /// A planner.
     Planner = 3,
 }
 
-/// What discovery says of a node.
+/// Phase of a node as listed by discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes requests.
+    /// It accepts requests.
     #[default]
     Serving = 1,
-    /// It completes what it has.
+    /// It completes the requests it has.
     Draining = 2,
-    /// It is not listed any more.
+    /// It is no longer listed.
     Gone = 3,
 }
 
-/// What the proxy makes of a node.
+/// State of a node as seen by the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum State {
-    /// It is sent requests.
+    /// Requests are sent to it.
     #[default]
     Serving = 1,
-    /// It started a while ago and is sent few.
+    /// It started recently and is sent few requests.
     Cold = 2,
-    /// Discovery says that it drains.
+    /// Discovery lists it as draining.
     Draining = 3,
-    /// It takes requests and says nothing.
+    /// It accepts requests without answering.
     Silent = 4,
-    /// It failed in a row and is only tried.
+    /// It failed repeatedly and is only probed.
     LeftOut = 5,
-    /// It is not listed any more.
+    /// It is no longer listed.
     Gone = 6,
 }
 
 impl State {
-    /// Whether it is in use as far as the proxy is concerned.
+    /// Whether the proxy considers the node usable.
     pub fn usable(self) -> bool {
         matches!(self, State::Serving | State::Cold)
     }
 }
 
-/// A node, or the ledger.
+/// A node, or the origin.
 #[derive(Clone, Debug, Default)]
 pub struct Node {
-    /// As discovery names it.
+    /// Its name in discovery.
     pub name: Rc<str>,
-    /// Where it is reached.
+    /// Its address.
     pub address: String,
-    /// The hall and the kind of machine, by their names in the settings.
+    /// Name of its zone in the settings.
     pub hall: Rc<str>,
-    /// See `hall`.
+    /// Name of its kind of machine in the settings.
     pub kind: Rc<str>,
-    /// Whether it is the ledger.
+    /// Whether it is the origin.
     pub ledger: bool,
-    /// What discovery says of it.
+    /// Its phase as listed by discovery.
     pub phase: Phase,
-    /// What the proxy makes of it.
+    /// Its state as seen by the proxy.
     pub state: State,
-    /// Upstream requests and connections that are out there.
+    /// Outstanding upstream requests.
     pub outstanding: u32,
-    /// See `outstanding`.
+    /// Open connections.
     pub connections: u32,
-    /// How busy its cores are, 1 being all of them, and when that was told.
+    /// Utilisation of its cores, 1 being all of them, and when it was reported.
     pub utilisation: Option<(f64, Micros)>,
-    /// Upstream requests that it served, missed, turned away, and that failed there in any other way.
+    /// Upstream requests that it served.
     pub served: u64,
-    /// See `served`.
+    /// Upstream requests that were misses.
     pub missed: u64,
-    /// See `served`.
+    /// Upstream requests that it refused.
     pub refused: u64,
-    /// See `served`.
+    /// Upstream requests that failed in any other way.
     pub failed: u64,
-    /// When its phase or its state changed last.
+    /// When its phase or its state last changed.
     pub changed: Micros,
-    /// Since when its counters count.
+    /// Start of its counters.
     pub since: Micros,
 }
 
-/// Streams of a class and a tenant, by how they ended.
+/// Counters of the streams of one class and tenant.
 #[derive(Clone, Debug, Default)]
 pub struct Requests {
-    /// The class and the tenant, by their names in the settings.
+    /// Name of the class in the settings.
     pub class: Rc<str>,
-    /// See `class`.
+    /// Name of the tenant in the settings.
     pub tenant: Rc<str>,
-    /// How many ended in each way.
+    /// Number of streams by outcome.
     pub counts: Counts,
 }
 
-/// How streams ended, counted.
+/// Number of streams by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Answered with a value or a receipt.
     pub served: u64,
-    /// Turned away by a local reply; trying again is harmless.
+    /// Refused by a local reply; retrying is safe.
     pub refused: u64,
     /// Failed.
     pub failed: u64,
-    /// The downstream was gone before.
+    /// The downstream disconnected before completion.
     pub left: u64,
-    /// Those among them that took more than one upstream request at caches or at the ledger.
+    /// Of these, the streams that took more than one upstream request to caches or to the origin.
     pub retried: u64,
-    /// Those among them that missed and were then served by a cache, which another stream's fetch had filled.
+    /// Of these, the streams that missed and were then served by a cache that another stream's fetch had
+    /// filled.
     pub joined: u64,
 }
 
-/// Why streams were refused, in the order of mwRefusalReason.
+/// Number of reasons of refusal, which are in the order of mwRefusalReason.
 pub const REASONS: usize = 4;
 
-/// The upper bounds of the histogram's buckets, in milliseconds; the last one is open.
+/// Upper bounds of the histogram's buckets in milliseconds; the last bucket is unbounded.
 pub const BUCKETS: [u32; 16] =
     [5, 10, 20, 50, 100, 150, 250, 350, 500, 750, 1000, 1200, 1500, 2000, 2500, u32::MAX];
 
-/// How long streams of a class took that were served.
+/// Durations of the served streams of one class.
 #[derive(Clone, Debug, Default)]
 pub struct Times {
-    /// The class.
+    /// Name of the class.
     pub class: Rc<str>,
-    /// How many were served in the last minute, their mean time, and the times that half, nine tenths, 99 and
-    /// 99.9 in a hundred of them did not exceed.
+    /// Number of streams served in the last minute.
     pub recent: u64,
-    /// See `recent`.
+    /// Mean duration of these streams.
     pub mean: Micros,
-    /// See `recent`.
+    /// 50th, 90th, 99th and 99.9th percentile of these durations.
     pub percentiles: [Micros; 4],
-    /// How many since the start, by [`BUCKETS`].
+    /// Number of streams served since the start, by [`BUCKETS`].
     pub histogram: [u64; BUCKETS.len()],
 }
 
-/// Connections, limits, and what came to nothing.
+/// Counters of connections, their limits, and failures.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Connections {
-    /// Downstreams open, and how many may be.
+    /// Open downstream connections.
     pub downstreams: u64,
-    /// See `downstreams`.
+    /// Maximum number of downstream connections.
     pub downstreams_limit: u64,
-    /// Refused by the address lists, closed for their silence, and closed to make room for others.
+    /// Downstream connections refused by the address lists.
     pub downstreams_refused: u64,
-    /// See `downstreams_refused`.
+    /// Downstream connections closed because they were idle.
     pub downstreams_silent: u64,
-    /// See `downstreams_refused`.
+    /// Downstream connections closed to make room for others.
     pub downstreams_made_room: u64,
-    /// Connections to nodes, and how many there may be.
+    /// Open connections to nodes.
     pub upstreams: u64,
-    /// See `upstreams`.
+    /// Maximum number of connections to nodes.
     pub upstreams_limit: u64,
-    /// Dialled; requests without a connection; connections broken behind a whole request; answers too late.
+    /// Connection attempts to nodes.
     pub dials: u64,
-    /// See `dials`.
+    /// Upstream requests that got no connection.
     pub unconnected: u64,
-    /// See `dials`.
+    /// Connections that broke after a complete request was sent.
     pub resets: u64,
-    /// See `dials`.
+    /// Upstream requests whose answer came too late.
     pub timeouts: u64,
     /// Upstream requests and probes.
     pub requests: u64,
-    /// See `requests`.
+    /// Probes.
     pub probes: u64,
 }
 
-/// What the proxy makes of the ledger.
+/// State of the origin as seen by the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LedgerState {
-    /// None is listed.
+    /// No origin is listed.
     #[default]
     None = 1,
-    /// It is fetched from.
+    /// Requests are sent to it.
     Open = 2,
     /// It answers much more slowly than at its best.
     Strained = 3,
-    /// Next to nothing goes there: it failed, or is out of reach.
+    /// Almost no requests are sent to it: it failed or is unreachable.
     Closed = 4,
 }
 
-/// The ledger.
+/// State of the origin.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Ledger {
-    /// What the proxy makes of it.
+    /// Its state as seen by the proxy.
     pub state: LedgerState,
-    /// Out there now, and how much may be; under 1 it rests between two.
+    /// Outstanding requests.
     pub outstanding: u32,
-    /// See `outstanding`.
+    /// Maximum number of outstanding requests; below 1, the proxy pauses between two requests.
     pub window: f64,
     /// Streams that wait for a place.
     pub waiting: u32,
-    /// The mean time of its answers lately, if there were any, and that over the best it has been.
+    /// Mean latency of its recent answers, if there were any.
     pub mean_latency: Option<Micros>,
-    /// See `mean_latency`.
+    /// Ratio of the mean latency to its best.
     pub latency_ratio: f64,
-    /// The part of what was sent lately that was turned away or took longer than anybody waits.
+    /// Fraction of the recent requests that were refused or took longer than any stream waits.
     pub failure_ratio: f64,
 }
 
-/// Discovery.
+/// State of discovery.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Discovery {
-    /// The revision of the list.
+    /// Revision of the list.
     pub revision: u64,
-    /// When discovery last said anything, and when it last told a list or a change; `None` is never.
+    /// When discovery last sent anything; `None` if never.
     pub heard: Option<Micros>,
-    /// See `heard`.
+    /// When discovery last sent a list or a change; `None` if never.
     pub told: Option<Micros>,
-    /// Lists and changes told, and watches that ended.
+    /// Lists and changes received.
     pub changes: u64,
-    /// See `changes`.
+    /// Watches that ended.
     pub ended: u64,
 }
 
-/// A planner, as a forwarder sees it.
+/// A planner as seen by a forwarder.
 #[derive(Clone, Debug, Default)]
 pub struct Planner {
-    /// Its number among the planners, from 1 on.
+    /// Its number among the planners, starting at 1.
     pub index: u32,
-    /// Where it is.
+    /// Its address.
     pub address: String,
-    /// It is connected.
+    /// Whether it is connected.
     pub reachable: bool,
-    /// The epoch and the number of its last plan, when that came, and how many of its plans were refused.
+    /// Epoch of its last plan.
     pub epoch: u64,
-    /// See `epoch`.
+    /// Number of its last plan.
     pub number: u64,
-    /// See `epoch`.
+    /// When its last plan arrived; `None` if never.
     pub told: Option<Micros>,
-    /// See `epoch`.
+    /// Number of its plans that were refused.
     pub refused: u64,
 }
 
-/// A forwarder, as a planner sees it.
+/// A forwarder as seen by a planner.
 #[derive(Clone, Debug, Default)]
 pub struct Forwarder {
-    /// Its number, from 1 on.
+    /// Its number, starting at 1.
     pub index: u32,
-    /// Its name and its hall.
+    /// Its name.
     pub name: Rc<str>,
-    /// See `name`.
+    /// Name of its zone.
     pub hall: Rc<str>,
-    /// When it last told what it sees; `None` is never.
+    /// When it last reported its view; `None` if never.
     pub heard: Option<Micros>,
-    /// Nodes that are silent for it, and the requests a second that it tells.
+    /// Number of nodes that it sees as silent.
     pub silent: u32,
-    /// See `silent`.
+    /// Requests per second that it reports.
     pub rate: u32,
 }
 
-/// What there is of planners and forwarders. Empty in a proxy by itself.
+/// Planners and forwarders. Empty in a stand-alone proxy.
 #[derive(Clone, Debug, Default)]
 pub struct Plans {
-    /// The plan of a quorum of planners is in force.
+    /// Whether the plan of a quorum of planners is in force.
     pub in_force: bool,
-    /// The planners of a forwarder.
+    /// The planners, in a forwarder.
     pub planners: Vec<Planner>,
-    /// The forwarders of a planner.
+    /// The forwarders, in a planner.
     pub forwarders: Vec<Forwarder>,
 }
 
-/// All that is published.
+/// All published data.
 #[derive(Clone, Debug, Default)]
 pub struct Snapshot {
-    /// When it was made, and since when the program runs, on the same clock.
+    /// When the snapshot was made.
     pub at: Micros,
-    /// See `at`.
+    /// When the program started, on the same clock.
     pub started: Micros,
-    /// The same start as Unix time.
+    /// When the program started, as Unix time.
     pub started_unix: Micros,
-    /// The proxy's name, version, role and hall.
+    /// Name of the proxy.
     pub name: Rc<str>,
-    /// See `name`.
+    /// Version of the proxy.
     pub version: Rc<str>,
-    /// See `name`.
+    /// Role of the proxy.
     pub role: Role,
-    /// See `name`.
+    /// Name of the proxy's zone.
     pub hall: Rc<str>,
-    /// It is in use.
+    /// Whether the proxy is ready.
     pub ready: bool,
-    /// How often its configuration was read again.
+    /// Number of times its configuration was reloaded.
     pub reloads: u64,
-    /// The nodes and the ledger, in the order of their names.
+    /// The nodes and the origin, ordered by name.
     pub nodes: Vec<Node>,
-    /// Fewer usable nodes than this are told; 0 stands for half of those listed as serving.
+    /// A notification is sent when fewer nodes than this are usable; 0 means half of those listed as serving.
     pub bound: u32,
-    /// Streams by class and tenant.
+    /// Counters of streams by class and tenant.
     pub requests: Vec<Requests>,
-    /// Streams refused, by reason.
+    /// Refused streams by reason.
     pub refusals: [u64; REASONS],
-    /// Streams taken, open now, how many may be, and those that were overdue.
+    /// Streams accepted.
     pub taken: u64,
-    /// See `taken`.
+    /// Open streams.
     pub streams: u64,
-    /// See `taken`.
+    /// Maximum number of open streams.
     pub streams_limit: u64,
-    /// See `taken`.
+    /// Streams that exceeded their deadline.
     pub overdue: u64,
-    /// By class.
+    /// Durations of streams by class.
     pub times: Vec<Times>,
     /// Connections.
     pub connections: Connections,
-    /// The ledger.
+    /// The origin.
     pub ledger: Ledger,
     /// Discovery.
     pub discovery: Discovery,
@@ -319,13 +319,13 @@
 }
 
 impl Snapshot {
-    /// Cache nodes that discovery lists as serving, and those of them that are usable as the proxy sees them.
+    /// Number of cache nodes listed as serving by discovery, and of those that the proxy considers usable.
     pub fn fleet(&self) -> (u32, u32) {
         let serving = || self.nodes.iter().filter(|n| !n.ledger && n.phase == Phase::Serving);
         (serving().count() as u32, serving().filter(|n| n.state.usable()).count() as u32)
     }
 
-    /// The number of usable nodes under which it is told.
+    /// Number of usable nodes below which a notification is sent.
     pub fn bound(&self) -> u32 {
         match self.bound {
             0 => self.fleet().0.div_ceil(2),
