--- a/crates/memcached/examples/gateway.rs
+++ b/crates/memcached/examples/gateway.rs
@@ -13,7 +13,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-type Done<T> = Result<T, Box<dyn Error>>;
+type GatewayResult<T> = Result<T, Box<dyn Error>>;
 
 struct Gateway {
     socket: TcpStream,
@@ -21,7 +21,7 @@
 }
 
 impl Gateway {
-    fn send(&mut self, requests: &[Request]) -> Done<()> {
+    fn send(&mut self, requests: &[Request]) -> GatewayResult<()> {
         let mut out = Vec::new();
         for request in requests {
             request.put(&mut out)?;
@@ -30,11 +30,11 @@
     }
 
     /// Prints responses up to and including the first for which `last` returns true.
-    fn print(&mut self, last: impl Fn(&Response) -> bool) -> Done<()> {
+    fn print(&mut self, last: impl Fn(&Response) -> bool) -> GatewayResult<()> {
         loop {
             let limits = Limits { value: 1024 * 1024, ..Limits::default() };
             match frame::response(&self.input, &limits) {
-                Ok(Step::Complete(response, taken)) => {
+                Ok(Step::Complete(response, consumed)) => {
                     let Response { opcode, status, opaque, cas, .. } = response;
                     let (key, value) = (response.key.escape_ascii(), response.value.escape_ascii());
                     let name = opcode.name().unwrap_or("?");
@@ -42,38 +42,38 @@
                         "{name} opaque={opaque} status=0x{:02x} cas={cas:x} key={key} {value}",
                         status.0
                     );
-                    let over = last(&response);
-                    self.input.drain(..taken);
-                    if over {
+                    let done = last(&response);
+                    self.input.drain(..consumed);
+                    if done {
                         return Ok(());
                     }
                 }
                 Ok(Step::Incomplete(_)) => {
                     let mut bytes = [0; 4096];
                     match self.socket.read(&mut bytes)? {
-                        0 => return Err("closed".into()),
+                        0 => return Err("connection closed by the server".into()),
                         n => self.input.extend_from_slice(&bytes[..n]),
                     }
                 }
-                Err(fault) => return Err(format!("no response: {fault:?}").into()),
+                Err(fault) => return Err(format!("invalid response: {fault:?}").into()),
             }
         }
     }
 }
 
-fn main() -> Done<()> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    let (address, mut words) = words.split_first().ok_or("an address is wanted")?;
+fn main() -> GatewayResult<()> {
+    let args: Vec<String> = std::env::args().skip(1).collect();
+    let args: Vec<&str> = args.iter().map(String::as_str).collect();
+    let (address, mut args) = args.split_first().ok_or("missing argument: ADDRESS")?;
     let mut gateway = Gateway { socket: TcpStream::connect(address)?, input: Vec::new() };
-    if let ["login", user, password, rest @ ..] = words {
+    if let ["login", user, password, rest @ ..] = args {
         let message = ["", user, password].join("\0");
         let auth = Request { key: sasl::PLAIN.as_bytes(), ..Request::new(Opcode::SASL_AUTH) };
         gateway.send(&[Request { value: message.as_bytes(), ..auth }])?;
         gateway.print(|_| true)?;
-        words = rest;
+        args = rest;
     }
-    match words {
+    match args {
         ["get", keys @ ..] => {
             let read = Request::new(Opcode::GETKQ);
             let reads =
@@ -93,6 +93,6 @@
             gateway.send(&[Request { key, ..Request::new(Opcode::STAT) }])?;
             gateway.print(|response| response.key.is_empty())
         }
-        _ => Err("get KEY..., set KEY VALUE TOKEN or stat [GROUP] is wanted".into()),
+        _ => Err("expected get KEY..., set KEY VALUE TOKEN or stat [GROUP]".into()),
     }
 }
--- a/crates/memcached/src/frame.rs
+++ b/crates/memcached/src/frame.rs
@@ -47,7 +47,7 @@
     fn map<U>(self, f: impl FnOnce(T) -> U) -> Step<U> {
         match self {
             Step::Incomplete(n) => Step::Incomplete(n),
-            Step::Complete(frame, taken) => Step::Complete(f(frame), taken),
+            Step::Complete(frame, consumed) => Step::Complete(f(frame), consumed),
         }
     }
 }
@@ -163,7 +163,7 @@
 
 /// Decodes the first request in `bytes`, the bytes received from a client and not yet consumed.
 pub fn request<'a>(bytes: &'a [u8], limits: &Limits) -> Result<Step<Request<'a>>, Fault> {
-    Ok(cut(bytes, Magic::Request, limits)?.map(|(header, [extras, key, value])| {
+    Ok(decode(bytes, Magic::Request, limits)?.map(|(header, [extras, key, value])| {
         let Header { opcode, vbucket_or_status: vbucket, opaque, cas, .. } = header;
         Request { opcode: Opcode(opcode), vbucket, opaque, cas, extras, key, value }
     }))
@@ -171,7 +171,7 @@
 
 /// Decodes the first response in `bytes`, the bytes received from a server and not yet consumed.
 pub fn response<'a>(bytes: &'a [u8], limits: &Limits) -> Result<Step<Response<'a>>, Fault> {
-    Ok(cut(bytes, Magic::Response, limits)?.map(|(header, [extras, key, value])| {
+    Ok(decode(bytes, Magic::Response, limits)?.map(|(header, [extras, key, value])| {
         let Header { opcode, vbucket_or_status, opaque, cas, .. } = header;
         let (opcode, status) = (Opcode(opcode), Status(vbucket_or_status));
         Response { opcode, status, opaque, cas, extras, key, value }
@@ -181,7 +181,7 @@
 /// A frame with valid lengths: its header, and extras, key and value.
 type Parts<'a> = (Header, [&'a [u8]; 3]);
 
-fn cut<'a>(bytes: &'a [u8], magic: Magic, limits: &Limits) -> Result<Step<Parts<'a>>, Fault> {
+fn decode<'a>(bytes: &'a [u8], magic: Magic, limits: &Limits) -> Result<Step<Parts<'a>>, Fault> {
     // A wrong first byte is reported at once instead of after a complete header.
     match bytes.first() {
         Some(b) if *b == magic.byte() => {}
@@ -202,10 +202,12 @@
     };
     let key_at = header::LEN + usize::from(header.extras);
     let value_at = key_at + usize::from(header.key);
-    let taken = value_at + value;
-    let parts = (bytes.get(header::LEN..key_at), bytes.get(key_at..value_at), bytes.get(value_at..taken));
+    let consumed = value_at + value;
+    let parts = (bytes.get(header::LEN..key_at), bytes.get(key_at..value_at), bytes.get(value_at..consumed));
     match parts {
-        (Some(extras), Some(key), Some(value)) => Ok(Step::Complete((header, [extras, key, value]), taken)),
-        _ => Ok(Step::Incomplete(taken)),
+        (Some(extras), Some(key), Some(value)) => {
+            Ok(Step::Complete((header, [extras, key, value]), consumed))
+        }
+        _ => Ok(Step::Incomplete(consumed)),
     }
 }
--- a/crates/memcached/src/header.rs
+++ b/crates/memcached/src/header.rs
@@ -48,17 +48,17 @@
     /// Decodes the magic byte and the header after it; `None` if `bytes` is shorter than [`LEN`].
     pub fn read(bytes: &[u8]) -> Option<(u8, Header)> {
         let b: &[u8; LEN] = bytes.first_chunk()?;
-        let two = |at: usize| u16::from_be_bytes([b[at], b[at + 1]]);
-        let four = |at: usize| u32::from_be_bytes([b[at], b[at + 1], b[at + 2], b[at + 3]]);
+        let u16_at = |at: usize| u16::from_be_bytes([b[at], b[at + 1]]);
+        let u32_at = |at: usize| u32::from_be_bytes([b[at], b[at + 1], b[at + 2], b[at + 3]]);
         let header = Header {
             opcode: b[1],
-            key: two(2),
+            key: u16_at(2),
             extras: b[4],
             data_type: b[5],
-            vbucket_or_status: two(6),
-            body: four(8),
-            opaque: four(12),
-            cas: (u64::from(four(16)) << 32) | u64::from(four(20)),
+            vbucket_or_status: u16_at(6),
+            body: u32_at(8),
+            opaque: u32_at(12),
+            cas: (u64::from(u32_at(16)) << 32) | u64::from(u32_at(20)),
         };
         Some((b[0], header))
     }
--- a/crates/memcached/src/sasl.rs
+++ b/crates/memcached/src/sasl.rs
@@ -4,7 +4,7 @@
 /// Name of the mechanism in requests and in the list of mechanisms.
 pub const PLAIN: &str = "PLAIN";
 /// Maximum length of each part of a message in bytes.
-const PART: usize = 255;
+const MAX_PART_LEN: usize = 255;
 
 /// The decoded message of a client. `Debug` is implemented by hand so that it omits the password.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 pub fn plain(message: &[u8]) -> Option<Plain<'_>> {
     let mut parts = message.split(|b| *b == 0);
     let (authzid, user, password) = (parts.next()?, parts.next()?, parts.next()?);
-    let whole = parts.next().is_none() && !user.is_empty() && !password.is_empty();
-    let short = [authzid, user, password].iter().all(|part| part.len() <= PART);
-    (whole && short).then_some(Plain { authzid, user, password })
+    let complete = parts.next().is_none() && !user.is_empty() && !password.is_empty();
+    let within_limit = [authzid, user, password].iter().all(|part| part.len() <= MAX_PART_LEN);
+    (complete && within_limit).then_some(Plain { authzid, user, password })
 }
--- a/crates/memcached/tests/invariants/mod.rs
+++ b/crates/memcached/tests/invariants/mod.rs
@@ -6,19 +6,19 @@
 /// Small limits, so that short inputs reach every bound.
 pub const LIMITS: Limits = Limits { key: 250, value: 4096 };
 /// Longest body of a rejected frame that the reader skips to continue with the next frame.
-const PASSED_OVER: u32 = 16 * 1024;
+const MAX_SKIPPED_BODY: u32 = 16 * 1024;
 
 /// Decodes the first frame in a buffer and encodes it again.
-type Read = fn(&[u8]) -> Result<Step<Vec<u8>>, Fault>;
+type Decode = fn(&[u8]) -> Result<Step<Vec<u8>>, Fault>;
 
 fn request(bytes: &[u8]) -> Result<Step<Vec<u8>>, Fault> {
     Ok(match frame::request(bytes, &LIMITS)? {
         Step::Incomplete(n) => Step::Incomplete(n),
-        Step::Complete(request, taken) => {
+        Step::Complete(request, consumed) => {
             let mut out = Vec::new();
             request.put(&mut out).expect("what was read can be written");
             let _ = (request.check(), request.opcode.name(), sasl::plain(request.value));
-            Step::Complete(out, taken)
+            Step::Complete(out, consumed)
         }
     })
 }
@@ -26,12 +26,12 @@
 fn response(bytes: &[u8]) -> Result<Step<Vec<u8>>, Fault> {
     Ok(match frame::response(bytes, &LIMITS)? {
         Step::Incomplete(n) => Step::Incomplete(n),
-        Step::Complete(response, taken) => {
+        Step::Complete(response, consumed) => {
             let mut out = Vec::new();
             response.put(&mut out).expect("what was read can be written");
-            let asked = Request { opaque: response.opaque, ..Request::new(response.opcode) };
-            let _ = (response.answers(&asked), response.status.text());
-            Step::Complete(out, taken)
+            let request = Request { opaque: response.opaque, ..Request::new(response.opcode) };
+            let _ = (response.answers(&request), response.status.text());
+            Step::Complete(out, consumed)
         }
     })
 }
@@ -39,28 +39,28 @@
 /// Decodes all frames from bytes that arrive in pieces of these lengths, repeated cyclically, as on a
 /// connection. Checks that the buffer never holds more than the limits allow. Returns the frames, encoded
 /// again, and the fault that ended decoding, if any.
-fn pieces(read: Read, bytes: &[u8], lengths: &[u8]) -> (Vec<Vec<u8>>, Option<Fault>) {
-    let (mut held, mut frames, mut over) = (Vec::new(), Vec::new(), 0);
+fn decode_in_pieces(decode: Decode, bytes: &[u8], lengths: &[u8]) -> (Vec<Vec<u8>>, Option<Fault>) {
+    let (mut buffer, mut frames, mut to_skip) = (Vec::new(), Vec::new(), 0);
     let (mut rest, mut lengths) = (bytes, lengths.iter().cycle());
     loop {
         loop {
-            let skipped = held.len().min(over);
-            held.drain(..skipped);
-            over -= skipped;
-            match read(&held) {
-                Ok(Step::Complete(written, taken)) => {
-                    assert_eq!(written, held[..taken], "what was read is not what is written");
+            let skipped = buffer.len().min(to_skip);
+            buffer.drain(..skipped);
+            to_skip -= skipped;
+            match decode(&buffer) {
+                Ok(Step::Complete(written, consumed)) => {
+                    assert_eq!(written, buffer[..consumed], "what was read is not what is written");
                     frames.push(written);
-                    held.drain(..taken);
+                    buffer.drain(..consumed);
                 }
                 Ok(Step::Incomplete(wanted)) => {
-                    assert!(wanted > held.len(), "{wanted} bytes are wanted, {} are there", held.len());
+                    assert!(wanted > buffer.len(), "{wanted} bytes are wanted, {} are there", buffer.len());
                     assert!(wanted <= LIMITS.max_frame_len(), "{wanted} bytes are wanted");
                     break;
                 }
-                Err(Fault::Refused(header, ..)) if header.body <= PASSED_OVER => {
-                    frames.push(held.drain(..header::LEN).collect());
-                    over = header.body as usize;
+                Err(Fault::Refused(header, ..)) if header.body <= MAX_SKIPPED_BODY => {
+                    frames.push(buffer.drain(..header::LEN).collect());
+                    to_skip = header.body as usize;
                 }
                 Err(fault) => return (frames, Some(fault)),
             }
@@ -68,20 +68,24 @@
         if rest.is_empty() {
             return (frames, None);
         }
-        let piece = usize::from(lengths.next().copied().unwrap_or(u8::MAX)).max(1).min(rest.len());
-        held.extend_from_slice(&rest[..piece]);
-        rest = &rest[piece..];
-        assert!(held.len() <= LIMITS.max_frame_len() + usize::from(u8::MAX), "{} bytes are held", held.len());
+        let piece_len = usize::from(lengths.next().copied().unwrap_or(u8::MAX)).max(1).min(rest.len());
+        buffer.extend_from_slice(&rest[..piece_len]);
+        rest = &rest[piece_len..];
+        assert!(
+            buffer.len() <= LIMITS.max_frame_len() + usize::from(u8::MAX),
+            "{} bytes are held",
+            buffer.len()
+        );
     }
 }
 
 /// Checks all invariants on these bytes, decoded as requests and as responses, once byte by byte and once in
 /// pieces of these lengths. Returns the number of frames found in both directions.
 pub fn check_invariants(bytes: &[u8], lengths: &[u8]) -> usize {
-    let found = [request as Read, response as Read].map(|read| {
-        let one_by_one = pieces(read, bytes, &[1]);
-        assert_eq!(pieces(read, bytes, lengths), one_by_one, "pieces change what is read");
-        one_by_one.0.len()
+    let found = [request as Decode, response as Decode].map(|decode| {
+        let byte_by_byte = decode_in_pieces(decode, bytes, &[1]);
+        assert_eq!(decode_in_pieces(decode, bytes, lengths), byte_by_byte, "pieces change what is read");
+        byte_by_byte.0.len()
     });
     found.iter().sum()
 }
--- a/crates/memcached/tests/pages.rs
+++ b/crates/memcached/tests/pages.rs
@@ -5,7 +5,7 @@
 
 /// The examples "Get request" and "Get response" of the description, byte by byte.
 #[test]
-fn a_get_and_its_answer_look_as_on_the_page() {
+fn get_request_and_response_match_the_description() {
     let mut out = Vec::new();
     Request { key: b"Hello", ..Request::new(Opcode::GET) }.put(&mut out).expect("it fits");
     assert_eq!(out, b"\x80\x00\x00\x05\0\0\0\0\0\0\0\x05\0\0\0\0\0\0\0\0\0\0\0\0Hello");
@@ -17,7 +17,7 @@
 
 /// The example "Add request": flags and expiry in the extras, a key and a value.
 #[test]
-fn an_add_looks_as_on_the_page() {
+fn add_request_matches_the_description() {
     let extras = b"\xde\xad\xbe\xef\x00\x00\x0e\x10";
     let add = Request { extras, key: b"Hello", value: b"World", ..Request::new(Opcode::ADD) };
     let mut out = Vec::new();
@@ -31,7 +31,7 @@
 #[case::text(b"get 7f3a\r\n", Fault::Text)]
 #[case::the_other_way(b"\x81", Fault::Magic(0x81))]
 #[case::noise(b"\x00", Fault::Magic(0))]
-fn what_is_no_request_is_told_by_its_first_byte(#[case] bytes: &[u8], #[case] fault: Fault) {
+fn a_wrong_first_byte_is_rejected_at_once(#[case] bytes: &[u8], #[case] fault: Fault) {
     assert_eq!(frame::request(bytes, &Limits::default()), Err(fault));
 }
 
@@ -50,7 +50,7 @@
     Request { opaque: 9, key: &key, value: &value, ..Request::new(Opcode::GET) }
         .put(&mut out)
         .expect("it fits");
-    let told = match frame::request(&out, &Limits::default()) {
+    let reported = match frame::request(&out, &Limits::default()) {
         Err(Fault::Refused(header, status, _)) => {
             assert_eq!((header.opaque, 24 + header.body as usize), (9, out.len()));
             Some(status)
@@ -60,7 +60,7 @@
             None
         }
     };
-    assert_eq!(told, status);
+    assert_eq!(reported, status);
 }
 
 #[rstest]
@@ -74,26 +74,26 @@
 #[case::noop_with_a_key(Request { key: b"k", ..Request::new(Opcode::NOOP) }, false)]
 #[case::flush_at_a_time(Request { extras: &[0; 4], ..Request::new(Opcode::FLUSHQ) }, true)]
 #[case::unknown(Request { key: b"k", extras: &[1], ..Request::new(Opcode(0xee)) }, true)]
-fn each_command_carries_what_the_page_says(#[case] request: Request, #[case] sound: bool) {
-    assert_eq!(request.check().is_ok(), sound, "{:?}", request.check());
+fn requests_are_checked_against_the_rules_of_their_command(#[case] request: Request, #[case] valid: bool) {
+    assert_eq!(request.check().is_ok(), valid, "{:?}", request.check());
 }
 
 #[rstest]
-#[case::sound(Response { extras: &[0; 4], ..Response::new(Opcode::GET, 7) }, true)]
+#[case::valid(Response { extras: &[0; 4], ..Response::new(Opcode::GET, 7) }, true)]
 #[case::a_miss(Response { status: Status::KEY_NOT_FOUND, ..Response::new(Opcode::GET, 7) }, true)]
 #[case::of_another(Response { extras: &[0; 4], ..Response::new(Opcode::GET, 8) }, false)]
 #[case::to_another_command(Response { extras: &[0; 4], ..Response::new(Opcode::GETK, 7) }, false)]
 #[case::without_flags(Response::new(Opcode::GET, 7), false)]
 #[case::with_a_key(Response { extras: &[0; 4], key: b"k", ..Response::new(Opcode::GET, 7) }, false)]
-fn an_answer_out_of_step_is_told(#[case] answer: Response, #[case] sound: bool) {
+fn a_response_to_another_request_is_detected(#[case] answer: Response, #[case] valid: bool) {
     let get = Request { opaque: 7, key: b"k", ..Request::new(Opcode::GET) };
-    assert_eq!(answer.answers(&get).is_ok(), sound);
+    assert_eq!(answer.answers(&get).is_ok(), valid);
 }
 
 /// Each number of the tables has one meaning, and the non-quiet variant of a quiet command is not quiet
 /// itself.
 #[test]
-fn the_tables_hold_no_number_twice() {
+fn numbers_in_the_tables_are_unique() {
     assert!(Opcode::ALL.windows(2).all(|w| w[0] < w[1]) && Status::ALL.windows(2).all(|w| w[0] < w[1]));
     assert!(Opcode::ALL.iter().all(|o| !o.non_quiet().is_quiet() && o.name().is_some()));
     let quiet: Vec<_> = Opcode::ALL.iter().filter(|o| o.is_quiet()).filter_map(|o| o.name()).collect();
@@ -109,7 +109,7 @@
 #[case::two_parts(b"anna\0secret", None)]
 #[case::four_parts(b"\0anna\0se\0cret", None)]
 #[case::empty(b"", None)]
-fn plain_has_three_parts(#[case] message: &[u8], #[case] parts: Option<(&str, &str, &str)>) {
+fn a_plain_message_has_three_parts(#[case] message: &[u8], #[case] parts: Option<(&str, &str, &str)>) {
     let plain = sasl::plain(message);
     assert_eq!(
         plain.map(|p| (p.authzid, p.user, p.password)),
--- a/crates/memcached/tests/properties.rs
+++ b/crates/memcached/tests/properties.rs
@@ -17,10 +17,10 @@
 fn frames() -> impl Strategy<Value = Vec<u8>> {
     let parts = (vec(any::<u8>(), 0..24), vec(any::<u8>(), 0..=250), vec(any::<u8>(), 0..600));
     let numbers = (any::<u8>(), any::<u16>(), any::<u32>(), any::<u64>());
-    let one = (any::<bool>(), numbers, parts).prop_map(|(asks, (opcode, two, opaque, cas), parts)| {
+    let one = (any::<bool>(), numbers, parts).prop_map(|(is_request, (opcode, two, opaque, cas), parts)| {
         let (extras, key, value) = (&parts.0[..], &parts.1[..], &parts.2[..]);
         let (opcode, mut out) = (Opcode(opcode), Vec::new());
-        let written = match asks {
+        let written = match is_request {
             true => Request { opcode, vbucket: two, opaque, cas, extras, key, value }.put(&mut out),
             false => Response { opcode, status: Status(two), opaque, cas, extras, key, value }.put(&mut out),
         };
@@ -31,21 +31,21 @@
 }
 
 /// A fixed seed, so that every run tests the same cases.
-fn settings() -> ProptestConfig {
+fn config() -> ProptestConfig {
     let rng_seed = RngSeed::Fixed(13);
     ProptestConfig { cases: 400, failure_persistence: None, rng_seed, ..ProptestConfig::default() }
 }
 
 proptest! {
-    #![proptest_config(settings())]
+    #![proptest_config(config())]
 
     #[test]
-    fn any_split_of_frames_gives_the_same_frames(bytes in frames(), lengths in vec(any::<u8>(), 1..9)) {
+    fn frames_decode_the_same_in_any_pieces(bytes in frames(), lengths in vec(any::<u8>(), 1..9)) {
         check_invariants(&bytes, &lengths);
     }
 
     #[test]
-    fn any_bytes_at_all_are_read_the_same_way_in_any_pieces(
+    fn arbitrary_bytes_decode_the_same_in_any_pieces(
         first in prop_oneof![Just(0x80u8), Just(0x81)],
         bytes in vec(any::<u8>(), 0..200),
         lengths in vec(any::<u8>(), 1..9),
@@ -54,7 +54,7 @@
     }
 
     #[test]
-    fn a_request_is_read_as_it_was_written(
+    fn a_request_survives_encoding_and_decoding(
         (opcode, vbucket, opaque, cas) in (any::<u8>(), any::<u16>(), any::<u32>(), any::<u64>()),
         extras in vec(any::<u8>(), 0..=255),
         key in vec(any::<u8>(), 0..=250),
@@ -70,7 +70,7 @@
 
     /// Lengths beyond the limits must be rejected on the header alone, without waiting for the body.
     #[test]
-    fn hostile_lengths_are_told_by_the_header(
+    fn hostile_lengths_are_rejected_on_the_header_alone(
         key in any::<u16>(), extras in any::<u8>(), body in prop_oneof![any::<u32>(), 0u32..6000],
     ) {
         let header = Header { key, extras, body, ..Header::default() };
@@ -91,22 +91,24 @@
 /// Replays the fuzz target's corpus, so that inputs that once failed are tested in every build: each file
 /// unchanged, and with 200 seeded random mutations.
 #[rstest]
-fn nothing_in_the_corpus_breaks_it(#[files("../../fuzz/corpus/memcached/*")] path: PathBuf) {
+fn corpus_files_and_their_mutations_keep_the_invariants(
+    #[files("../../fuzz/corpus/memcached/*")] path: PathBuf,
+) {
     let bytes = std::fs::read(&path).expect("a file of the corpus");
     check_invariants(&bytes, &[3, 1, 40]);
     let mut random = Xoshiro256PlusPlus::seed_from_u64(0x6d63);
     for _ in 0..200 {
-        let mut spoilt = bytes.clone();
+        let mut mutated = bytes.clone();
         for _ in 0..random.random_range(1..4) {
-            let (at, byte) = (random.random_range(0..=spoilt.len()), random.random());
+            let (at, byte) = (random.random_range(0..=mutated.len()), random.random());
             match random.random_range(0..3) {
-                0 => spoilt.insert(at, byte),
-                1 if at < spoilt.len() => spoilt[at] = byte,
-                _ => spoilt.truncate(at),
+                0 => mutated.insert(at, byte),
+                1 if at < mutated.len() => mutated[at] = byte,
+                _ => mutated.truncate(at),
             }
         }
         let mut lengths = [0; 4];
         random.fill_bytes(&mut lengths);
-        check_invariants(&spoilt, &lengths);
+        check_invariants(&mutated, &lengths);
     }
 }
--- a/crates/snmp/src/agent.rs
+++ b/crates/snmp/src/agent.rs
@@ -67,11 +67,11 @@
 }
 
 /// Why an SNMPv3 message is not processed: the counter and its value for the report.
-struct Refused {
+struct ReportCause {
     counter: &'static [u32],
     value: u32,
     /// User and keys that authenticate the report; most reports are not authenticated.
-    signed: Option<(Vec<u8>, Keys)>,
+    authenticated_by: Option<(Vec<u8>, Keys)>,
 }
 
 /// Processes a PDU after access control.
@@ -83,7 +83,7 @@
     fn serves_engine(&self, engine: &[u8], mine: &[u8]) -> bool;
 
     /// Returns the response, with bindings of at most `room` bytes; `None` if the PDU is not confirmed.
-    fn respond(&mut self, asked: &Pdu, view: &View, room: usize) -> Option<Pdu>;
+    fn respond(&mut self, incoming: &Pdu, view: &View, space: usize) -> Option<Pdu>;
 }
 
 /// Serves the objects of a tree.
@@ -101,8 +101,8 @@
         engine == mine
     }
 
-    fn respond(&mut self, asked: &Pdu, view: &View, room: usize) -> Option<Pdu> {
-        Some(respond(self.enterprise, asked, view, self.tree, room))
+    fn respond(&mut self, incoming: &Pdu, view: &View, space: usize) -> Option<Pdu> {
+        Some(respond(self.enterprise, incoming, view, self.tree, space))
     }
 }
 
@@ -142,8 +142,8 @@
         increment(&mut self.stats.in_packets);
         let version = reader::check(datagram).and_then(|()| reader::version(datagram));
         match version {
-            Ok(1) => self.community(from, datagram, serve),
-            Ok(3) => self.secured(now, datagram, serve),
+            Ok(1) => self.process_v2c(from, datagram, serve),
+            Ok(3) => self.process_v3(now, datagram, serve),
             Ok(_) => {
                 increment(&mut self.stats.bad_versions);
                 None
@@ -155,29 +155,29 @@
         }
     }
 
-    fn community(&mut self, from: IpAddr, datagram: &[u8], serve: &mut dyn Serve) -> Option<Vec<u8>> {
-        let Ok(asked) = Community::read(datagram) else {
+    fn process_v2c(&mut self, from: IpAddr, datagram: &[u8], serve: &mut dyn Serve) -> Option<Vec<u8>> {
+        let Ok(incoming) = Community::read(datagram) else {
             increment(&mut self.stats.parse_errors);
             return None;
         };
-        let view = match self.access.community(&asked.community, from) {
+        let view = match self.access.community(&incoming.community, from) {
             Admitted::View(view) => view,
             Admitted::Unknown | Admitted::WrongSource => {
                 increment(&mut self.stats.bad_community_names);
                 return None;
             }
         };
-        if !serve.handles(asked.pdu.kind) {
+        if !serve.handles(incoming.pdu.kind) {
             increment(&mut self.stats.unknown_pdu_handlers);
             return None;
         }
-        if asked.pdu.kind == Kind::Set {
+        if incoming.pdu.kind == Kind::Set {
             increment(&mut self.stats.bad_community_uses);
         }
-        let community = asked.community;
+        let community = incoming.community;
         let wrap = |pdu| Community { community: community.clone(), pdu }.bytes();
-        let room = room(MAX_RESPONSE, wrap(empty(&asked.pdu)).len());
-        let out = wrap(serve.respond(&asked.pdu, view, room)?);
+        let space = space(MAX_RESPONSE, wrap(empty_response(&incoming.pdu)).len());
+        let out = wrap(serve.respond(&incoming.pdu, view, space)?);
         if out.len() > MAX_RESPONSE {
             increment(&mut self.stats.silent_drops);
             return None;
@@ -185,9 +185,9 @@
         Some(out)
     }
 
-    fn secured(&mut self, now: Micros, datagram: &[u8], serve: &mut dyn Serve) -> Option<Vec<u8>> {
-        let asked = match Secured::read(datagram) {
-            Ok(asked) => asked,
+    fn process_v3(&mut self, now: Micros, datagram: &[u8], serve: &mut dyn Serve) -> Option<Vec<u8>> {
+        let incoming = match Secured::read(datagram) {
+            Ok(incoming) => incoming,
             Err(what) if what == message::FLAGS => {
                 increment(&mut self.stats.invalid_messages);
                 return None;
@@ -197,38 +197,38 @@
                 return None;
             }
         };
-        if asked.header.model != message::USM {
+        if incoming.header.model != message::USM {
             increment(&mut self.stats.unknown_security_models);
             return None;
         }
-        let user = match self.admit(now, datagram, &asked) {
+        let user = match self.admit(now, datagram, &incoming) {
             Ok(user) => user,
-            Err(refused) => return self.report(now, &asked, None, refused),
+            Err(cause) => return self.report(now, &incoming, None, cause),
         };
         let keys = self.keys.get(user)?.clone();
-        let scoped = match self.unseal(&asked, &keys) {
+        let scoped = match self.decrypt_scoped(&incoming, &keys) {
             Ok(scoped) => scoped?,
-            Err(refused) => return self.report(now, &asked, None, refused),
+            Err(cause) => return self.report(now, &incoming, None, cause),
         };
-        let refuse = |counter, value| Refused { counter, value, signed: None };
+        let refuse = |counter, value| ReportCause { counter, value, authenticated_by: None };
         let pdu = &scoped.pdu;
         if !serve.handles(pdu.kind) || !serve.serves_engine(&scoped.engine, &self.engine.id) {
             increment(&mut self.stats.unknown_pdu_handlers);
-            let refused = refuse(counter::UNKNOWN_PDU_HANDLERS, self.stats.unknown_pdu_handlers);
-            return self.report(now, &asked, Some(pdu), refused);
+            let cause = refuse(counter::UNKNOWN_PDU_HANDLERS, self.stats.unknown_pdu_handlers);
+            return self.report(now, &incoming, Some(pdu), cause);
         }
         if !scoped.context.is_empty() {
             increment(&mut self.stats.unknown_contexts);
-            let refused = refuse(counter::UNKNOWN_CONTEXTS, self.stats.unknown_contexts);
-            return self.report(now, &asked, Some(pdu), refused);
+            let cause = refuse(counter::UNKNOWN_CONTEXTS, self.stats.unknown_contexts);
+            return self.report(now, &incoming, Some(pdu), cause);
         }
-        let most = (asked.header.max_size as usize).clamp(MIN_MESSAGE_SIZE, MAX_RESPONSE);
-        let size = self.seal(now, &asked, &keys, empty(pdu)).len();
+        let max_size = (incoming.header.max_size as usize).clamp(MIN_MESSAGE_SIZE, MAX_RESPONSE);
+        let size = self.seal(now, &incoming, &keys, empty_response(pdu)).len();
         let reader = self.access.readers.get(user)?;
-        let pdu = serve.respond(pdu, &reader.view, room(most, size))?;
+        let pdu = serve.respond(pdu, &reader.view, space(max_size, size))?;
         self.salt = self.salt.wrapping_add(1);
-        let out = self.seal(now, &asked, &keys, pdu);
-        if out.len() > most {
+        let out = self.seal(now, &incoming, &keys, pdu);
+        if out.len() > max_size {
             increment(&mut self.stats.silent_drops);
             return None;
         }
@@ -237,21 +237,21 @@
 
     /// Authenticates the sender and returns the index of the user: RFC 3414, 3.2, steps 3 to 7, in that
     /// order.
-    fn admit(&mut self, now: Micros, datagram: &[u8], asked: &Secured) -> Result<usize, Refused> {
+    fn admit(&mut self, now: Micros, datagram: &[u8], incoming: &Secured) -> Result<usize, ReportCause> {
         let refuse = |counter, value: &mut u32| {
             increment(value);
-            Err(Refused { counter, value: *value, signed: None })
+            Err(ReportCause { counter, value: *value, authenticated_by: None })
         };
-        let (security, stats) = (&asked.security, &mut self.stats);
+        let (security, stats) = (&incoming.security, &mut self.stats);
         if security.engine != self.engine.id {
             return refuse(counter::UNKNOWN_ENGINE_IDS, &mut stats.unknown_engine_ids);
         }
         let Some((at, reader)) = self.access.reader(&security.user) else {
             return refuse(counter::UNKNOWN_USER_NAMES, &mut stats.unknown_user_names);
         };
-        let flags = asked.header.flags;
+        let flags = incoming.header.flags;
         let level = Level::of(flags);
-        let encrypted = matches!(asked.data, Data::Encrypted(_));
+        let encrypted = matches!(incoming.data, Data::Encrypted(_));
         let keys = self.keys.get(at).filter(|_| level == reader.user.level() && encrypted == flags.privacy);
         let Some(keys) = keys else {
             return refuse(counter::UNSUPPORTED_LEVELS, &mut stats.unsupported_levels);
@@ -266,54 +266,58 @@
             increment(&mut stats.not_in_time_windows);
             // The only report that is authenticated: it lets a manager synchronize its clock (RFC 3414, 3.2,
             // 7a).
-            let signed = Some((security.user.clone(), keys.without_privacy()));
+            let authenticated_by = Some((security.user.clone(), keys.without_privacy()));
             let (counter, value) = (counter::NOT_IN_TIME_WINDOWS, stats.not_in_time_windows);
-            return Err(Refused { counter, value, signed });
+            return Err(ReportCause { counter, value, authenticated_by });
         }
         Ok(at)
     }
 
     /// Decrypts the scoped PDU. An encrypted PDU that cannot be decoded was encrypted with another key.
-    fn unseal(&mut self, asked: &Secured, keys: &Keys) -> Result<Option<Scoped>, Refused> {
-        let Data::Encrypted(bytes) = &asked.data else {
-            let Data::Plain(scoped) = &asked.data else { return Ok(None) };
+    fn decrypt_scoped(&mut self, incoming: &Secured, keys: &Keys) -> Result<Option<Scoped>, ReportCause> {
+        let Data::Encrypted(bytes) = &incoming.data else {
+            let Data::Plain(scoped) = &incoming.data else { return Ok(None) };
             return Ok(Some(scoped.clone()));
         };
         let mut bytes = bytes.clone();
-        let clock = (asked.security.boots, asked.security.time);
+        let clock = (incoming.security.boots, incoming.security.time);
         let scoped =
-            Some(()).filter(|()| keys.decrypt(clock, &asked.security.privacy, &mut bytes)).map(|()| bytes);
+            Some(()).filter(|()| keys.decrypt(clock, &incoming.security.privacy, &mut bytes)).map(|()| bytes);
         match scoped.map(|bytes| Scoped::read(&bytes)) {
             Some(Ok(scoped)) => Ok(Some(scoped)),
             _ => {
                 let errors = &mut self.stats.decryption_errors;
                 increment(errors);
-                Err(Refused { counter: counter::DECRYPTION_ERRORS, value: *errors, signed: None })
+                Err(ReportCause {
+                    counter: counter::DECRYPTION_ERRORS,
+                    value: *errors,
+                    authenticated_by: None,
+                })
             }
         }
     }
 
     /// Encodes a response.
-    fn seal(&self, now: Micros, asked: &Secured, keys: &Keys, pdu: Pdu) -> Vec<u8> {
+    fn seal(&self, now: Micros, incoming: &Secured, keys: &Keys, pdu: Pdu) -> Vec<u8> {
         let (boots, time) = self.engine.clock(now);
-        let header = header(asked.header.id);
+        let header = header(incoming.header.id);
         let scoped = Scoped { engine: self.engine.id.clone(), context: Vec::new(), pdu };
-        usm::seal(header, (&self.engine.id, boots, time), &asked.security.user, keys, scoped, self.salt)
+        usm::seal(header, (&self.engine.id, boots, time), &incoming.security.user, keys, scoped, self.salt)
     }
 
     /// Encodes the report on a message that is not processed, if it may be sent (RFC 3412, 7.1, 3).
     fn report(
         &mut self,
         now: Micros,
-        asked: &Secured,
+        incoming: &Secured,
         pdu: Option<&Pdu>,
-        refused: Refused,
+        cause: ReportCause,
     ) -> Option<Vec<u8>> {
-        let pdu = pdu.or(match &asked.data {
+        let pdu = pdu.or(match &incoming.data {
             Data::Plain(scoped) => Some(&scoped.pdu),
             Data::Encrypted(_) => None,
         });
-        if !asked.header.flags.reportable || pdu.is_some_and(|p| !p.kind.confirmed()) {
+        if !incoming.header.flags.reportable || pdu.is_some_and(|p| !p.kind.confirmed()) {
             return None;
         }
         let (left, at) = self.reports;
@@ -324,13 +328,14 @@
             return None;
         }
         self.reports.0 -= 1.0;
-        let binding = (Oid::new(refused.counter)?, Value::Counter(refused.value));
+        let binding = (Oid::new(cause.counter)?, Value::Counter(cause.value));
         let request = pdu.map_or(0, |p| p.request);
         let pdu = Pdu { kind: Kind::Report, request, status: 0, index: 0, bindings: vec![binding] };
         let scoped = Scoped { engine: self.engine.id.clone(), context: Vec::new(), pdu };
         let (boots, time) = self.engine.clock(now);
-        let (user, keys) = refused.signed.unwrap_or((asked.security.user.clone(), Keys::default()));
-        Some(usm::seal(header(asked.header.id), (&self.engine.id, boots, time), &user, &keys, scoped, 0))
+        let (user, keys) =
+            cause.authenticated_by.unwrap_or((incoming.security.user.clone(), Keys::default()));
+        Some(usm::seal(header(incoming.header.id), (&self.engine.id, boots, time), &user, &keys, scoped, 0))
     }
 }
 
@@ -339,40 +344,46 @@
 }
 
 /// A response without bindings.
-pub(crate) fn empty(asked: &Pdu) -> Pdu {
-    Pdu { kind: Kind::Response, request: asked.request, status: status::NONE, index: 0, bindings: Vec::new() }
+pub(crate) fn empty_response(incoming: &Pdu) -> Pdu {
+    Pdu {
+        kind: Kind::Response,
+        request: incoming.request,
+        status: status::NONE,
+        index: 0,
+        bindings: Vec::new(),
+    }
 }
 
 /// Bytes available for bindings in a message of at most `most` bytes that has `size` bytes without bindings.
-fn room(most: usize, size: usize) -> usize {
-    most.saturating_sub(size + LENGTH_OVERHEAD)
+fn space(max_size: usize, size: usize) -> usize {
+    max_size.saturating_sub(size + LENGTH_OVERHEAD)
 }
 
 /// Builds the response to a request, with bindings of at most `room` bytes (RFC 3416, 4.2).
-fn respond(enterprise: u32, asked: &Pdu, view: &View, tree: &Tree, room: usize) -> Pdu {
-    let response = |status, index, bindings| Pdu { status, index, bindings, ..empty(asked) };
-    let bindings = match asked.kind {
+fn respond(enterprise: u32, incoming: &Pdu, view: &View, tree: &Tree, space: usize) -> Pdu {
+    let response = |status, index, bindings| Pdu { status, index, bindings, ..empty_response(incoming) };
+    let bindings = match incoming.kind {
         Kind::Get => {
             let get = |(name, _): &(Oid, Value)| (name.clone(), get(enterprise, view, tree, name));
-            asked.bindings.iter().map(get).collect()
+            incoming.bindings.iter().map(get).collect()
         }
-        Kind::GetNext => asked.bindings.iter().map(|(name, _)| next(view, tree, name)).collect(),
-        Kind::GetBulk => match bulk(asked, view, tree, room) {
+        Kind::GetNext => incoming.bindings.iter().map(|(name, _)| next(view, tree, name)).collect(),
+        Kind::GetBulk => match bulk(incoming, view, tree, space) {
             Some(bindings) => bindings,
             None => return response(status::TOO_BIG, 0, Vec::new()),
         },
         Kind::Set => {
-            let first = u32::from(!asked.bindings.is_empty());
+            let first = u32::from(!incoming.bindings.is_empty());
             let status = if first > 0 { status::NO_ACCESS } else { status::NONE };
-            let size = asked.bindings.iter().map(|(n, v)| message::binding_len(n, v)).sum::<usize>();
+            let size = incoming.bindings.iter().map(|(n, v)| message::binding_len(n, v)).sum::<usize>();
             // The response repeats the bindings of the request if they fit.
-            let bindings = if size > room { Vec::new() } else { asked.bindings.clone() };
+            let bindings = if size > space { Vec::new() } else { incoming.bindings.clone() };
             return response(status, first, bindings);
         }
         _ => return response(status::GENERAL, 0, Vec::new()),
     };
     let size: usize = bindings.iter().map(|(n, v)| message::binding_len(n, v)).sum();
-    match size > room {
+    match size > space {
         true => response(status::TOO_BIG, 0, Vec::new()),
         false => response(status::NONE, 0, bindings),
     }
@@ -391,32 +402,32 @@
 }
 
 /// As many bindings as fit; `None` if not even the first one fits.
-fn bulk(asked: &Pdu, view: &View, tree: &Tree, room: usize) -> Option<Vec<(Oid, Value)>> {
-    let (mut out, mut left) = (Vec::new(), room);
-    let mut push = |out: &mut Vec<_>, one: (Oid, Value)| {
-        let size = message::binding_len(&one.0, &one.1);
+fn bulk(incoming: &Pdu, view: &View, tree: &Tree, space: usize) -> Option<Vec<(Oid, Value)>> {
+    let (mut out, mut left) = (Vec::new(), space);
+    let mut push = |out: &mut Vec<_>, binding: (Oid, Value)| {
+        let size = message::binding_len(&binding.0, &binding.1);
         let fits = size <= left;
         if fits {
             left -= size;
-            out.push(one);
+            out.push(binding);
         }
         fits
     };
-    let once = (asked.status as usize).min(asked.bindings.len());
-    let (once, repeated) = asked.bindings.split_at(once);
-    for (name, _) in once {
+    let non_repeaters = (incoming.status as usize).min(incoming.bindings.len());
+    let (non_repeaters, repeated) = incoming.bindings.split_at(non_repeaters);
+    for (name, _) in non_repeaters {
         if !push(&mut out, next(view, tree, name)) {
             return Some(out).filter(|out| !out.is_empty());
         }
     }
     let mut names: Vec<Oid> = repeated.iter().map(|(name, _)| name.clone()).collect();
-    for _ in 0..asked.index.min(MAX_REPETITIONS) {
+    for _ in 0..incoming.index.min(MAX_REPETITIONS) {
         let mut more = false;
         for name in &mut names {
-            let one = next(view, tree, name);
-            more |= one.1 != Value::EndOfMibView;
-            name.clone_from(&one.0);
-            if !push(&mut out, one) {
+            let binding = next(view, tree, name);
+            more |= binding.1 != Value::EndOfMibView;
+            name.clone_from(&binding.0);
+            if !push(&mut out, binding) {
                 return Some(out).filter(|out| !out.is_empty());
             }
         }
--- a/crates/snmp/src/listener.rs
+++ b/crates/snmp/src/listener.rs
@@ -2,7 +2,7 @@
 //! each delivered once. Every copy of an inform is acknowledged, but repeated copies are not delivered again.
 
 use crate::access::{Access, View};
-use crate::agent::{empty, Agent, Serve};
+use crate::agent::{empty_response, Agent, Serve};
 use crate::message::{Data, Kind, Pdu, Scoped, Secured};
 use crate::reader;
 use crate::usm::{Engine, Level, TIME_WINDOW};
@@ -38,11 +38,11 @@
         true
     }
 
-    fn respond(&mut self, asked: &Pdu, _view: &View, _room: usize) -> Option<Pdu> {
-        self.0 = Some(asked.clone());
-        let confirmed = asked.kind.confirmed();
+    fn respond(&mut self, incoming: &Pdu, _view: &View, _space: usize) -> Option<Pdu> {
+        self.0 = Some(incoming.clone());
+        let confirmed = incoming.kind.confirmed();
         // RFC 3416, 4.2.7: the response repeats the bindings of the inform.
-        confirmed.then(|| Pdu { bindings: asked.bindings.clone(), ..empty(asked) })
+        confirmed.then(|| Pdu { bindings: incoming.bindings.clone(), ..empty_response(incoming) })
     }
 }
 
@@ -60,11 +60,11 @@
         from: SocketAddr,
         datagram: &[u8],
     ) -> (Option<Vec<u8>>, Option<Pdu>) {
-        if let Some(pdu) = self.trap(datagram) {
+        if let Some(pdu) = self.decode_trap(datagram) {
             return (None, Some(pdu));
         }
         let mut collector = Collector::default();
-        let back = self.agent.process(now, from.ip(), datagram, &mut collector);
+        let reply = self.agent.process(now, from.ip(), datagram, &mut collector);
         let delivered = collector.0.filter(|pdu| {
             let seen = pdu.kind == Kind::Inform && self.delivered.contains(&(from, pdu.request));
             if pdu.kind == Kind::Inform && !seen {
@@ -73,11 +73,11 @@
             }
             !seen
         });
-        (back, delivered)
+        (reply, delivered)
     }
 
     /// Decodes a trap of SNMPv3, for which the sender is the authoritative engine.
-    fn trap(&mut self, datagram: &[u8]) -> Option<Pdu> {
+    fn decode_trap(&mut self, datagram: &[u8]) -> Option<Pdu> {
         reader::check(datagram).ok()?;
         if reader::version(datagram) != Ok(3) {
             return None;
@@ -98,13 +98,15 @@
                 return None;
             }
             // RFC 3414, 3.2, 7b: a message older than the latest one is a replay.
-            let is = (m.security.boots, m.security.time);
+            let current = (m.security.boots, m.security.time);
             let latest = self.senders.get(engine).copied().unwrap_or_default();
-            if is.0 < latest.0 || (is.0 == latest.0 && is.1.saturating_add(TIME_WINDOW) < latest.1) {
+            if current.0 < latest.0
+                || (current.0 == latest.0 && current.1.saturating_add(TIME_WINDOW) < latest.1)
+            {
                 return None;
             }
             if self.senders.len() < MAX_SENDERS || self.senders.contains_key(engine) {
-                self.senders.insert(engine.clone(), is.max(latest));
+                self.senders.insert(engine.clone(), current.max(latest));
             }
         }
         let scoped = match m.data {
--- a/crates/snmp/src/manager.rs
+++ b/crates/snmp/src/manager.rs
@@ -53,25 +53,25 @@
     /// The contextEngineID of requests, if it is not the peer's: an inform concerns its sender's objects.
     context: Option<Vec<u8>>,
     peer: Option<Peer>,
-    message: i32,
+    message_id: i32,
     salt: u64,
 }
 
 impl Session {
     /// Creates a session. Message ids and initialisation vectors start from `seed`.
     pub fn new(credentials: Credentials, context: Option<Vec<u8>>, seed: u64) -> Session {
-        Session { credentials, context, peer: None, message: (seed >> 33) as i32, salt: seed }
+        Session { credentials, context, peer: None, message_id: (seed >> 33) as i32, salt: seed }
     }
 
     fn header(&self, reportable: bool) -> Header {
         let flags = Flags { reportable, ..Flags::default() };
-        Header { id: self.message, max_size: MAX_DATAGRAM as u32, flags, model: message::USM }
+        Header { id: self.message_id, max_size: MAX_DATAGRAM as u32, flags, model: message::USM }
     }
 
     /// Encodes a request. As long as the peer's engine is unknown, the datagram is a discovery request
     /// instead.
     pub fn request(&mut self, now: Micros, pdu: &Pdu) -> Vec<u8> {
-        self.message = self.message.wrapping_add(1) & i32::MAX;
+        self.message_id = self.message_id.wrapping_add(1) & i32::MAX;
         self.salt = self.salt.wrapping_add(1);
         let user = match &self.credentials {
             Credentials::Community(name) => {
@@ -104,15 +104,15 @@
                 _ => Received::Ignored,
             },
             (Credentials::User(_), Ok(3)) => {
-                self.secured(now, request, datagram).unwrap_or(Received::Ignored)
+                self.receive_v3(now, request, datagram).unwrap_or(Received::Ignored)
             }
             _ => Received::Ignored,
         }
     }
 
-    fn secured(&mut self, now: Micros, request: i32, datagram: &[u8]) -> Option<Received> {
+    fn receive_v3(&mut self, now: Micros, request: i32, datagram: &[u8]) -> Option<Received> {
         let Credentials::User(user) = &self.credentials else { return None };
-        let m = Secured::read(datagram).ok().filter(|m| m.header.id == self.message)?;
+        let m = Secured::read(datagram).ok().filter(|m| m.header.id == self.message_id)?;
         let level = Level::of(m.header.flags);
         let Some(peer) = self.peer.as_mut().filter(|p| p.id == m.security.engine) else {
             // A report from an engine that is not known yet, or that replaced the known one.
@@ -122,16 +122,16 @@
             self.peer = Some(Peer { id: m.security.engine, keys, clock: (0, 0, now) });
             return Some(Received::Retry);
         };
-        let signed = level > Level::Open;
-        if signed {
+        let authenticated = level > Level::Open;
+        if authenticated {
             if !reader::digest(datagram).is_ok_and(|at| peer.keys.verify(datagram, at)) {
                 return None;
             }
             // RFC 3414, 3.2, 7b: a message older than an earlier one is a replay.
             let (boots, time, at) = peer.clock;
-            let now_there = u64::from(time) + ((now - at).max(0) / SECOND) as u64;
+            let peer_time = u64::from(time) + ((now - at).max(0) / SECOND) as u64;
             let (b, t) = (m.security.boots, m.security.time);
-            if b < boots || (b == boots && u64::from(t) + u64::from(TIME_WINDOW) < now_there) {
+            if b < boots || (b == boots && u64::from(t) + u64::from(TIME_WINDOW) < peer_time) {
                 return None;
             }
             if b > boots || (b == boots && t > time) {
@@ -152,7 +152,7 @@
             Kind::Report => {
                 let (counter, _) = scoped.pdu.bindings.first()?;
                 match counter.arcs() == NOT_IN_TIME_WINDOWS {
-                    true if signed => Some(Received::Retry),
+                    true if authenticated => Some(Received::Retry),
                     // Anyone could forge this report, and would keep the request from ever being answered.
                     true => None,
                     false => Some(Received::Refused(counter.clone())),
--- a/crates/snmp/src/message.rs
+++ b/crates/snmp/src/message.rs
@@ -140,12 +140,12 @@
     pub data: Data,
 }
 
-const BAD: Malformed = Malformed("no message of this version");
+const BAD: Malformed = Malformed("not a valid message of this version");
 
 /// Reserved combinations of flags, or flags that are not exactly one byte long (RFC 3412, 7.2, 5d).
-pub(crate) const FLAGS: Malformed = Malformed("no flags of a message");
+pub(crate) const FLAGS: Malformed = Malformed("invalid message flags");
 
-fn word(n: &Integer) -> Result<u32, Malformed> {
+fn bounded_u32(n: &Integer) -> Result<u32, Malformed> {
     // RFC 3412 and 3414 limit all of these numbers to 2^31 - 1.
     i32::try_from(n).ok().and_then(|n| u32::try_from(n).ok()).ok_or(BAD)
 }
@@ -178,7 +178,7 @@
     ObjectIdentifier::new_unchecked(oid.arcs().to_vec().into())
 }
 
-fn wire(v: &Value) -> VarBindValue {
+fn to_wire(v: &Value) -> VarBindValue {
     use smi::{ApplicationSyntax as App, ObjectSyntax as Syntax, SimpleSyntax as Simple};
     let simple = |s| VarBindValue::Value(Syntax::Simple(s));
     let app = |a| VarBindValue::Value(Syntax::ApplicationWide(a));
@@ -228,7 +228,7 @@
 }
 
 fn pdus(from: &Pdu) -> v2::Pdus {
-    let bind = |(n, v): &(Oid, Value)| VarBind { name: name(n), value: wire(v) };
+    let bind = |(n, v): &(Oid, Value)| VarBind { name: name(n), value: to_wire(v) };
     let variable_bindings: Vec<VarBind> = from.bindings.iter().map(bind).collect();
     let (request_id, error_status, error_index) = (from.request, from.status, from.index);
     if from.kind == Kind::GetBulk {
@@ -297,7 +297,7 @@
         Ok(Scoped { engine, context, pdu: pdu(from.data)? })
     }
 
-    fn wire(&self) -> v3::ScopedPdu {
+    fn to_wire(&self) -> v3::ScopedPdu {
         let octets = |o: &[u8]| OctetString::from(o.to_vec());
         let (engine_id, name) = (octets(&self.engine), octets(&self.context));
         v3::ScopedPdu { engine_id, name, data: pdus(&self.pdu) }
@@ -305,7 +305,7 @@
 
     /// Encodes the scoped PDU.
     pub fn bytes(&self) -> Vec<u8> {
-        encode(&self.wire())
+        encode(&self.to_wire())
     }
 }
 
@@ -317,16 +317,16 @@
         let head = &message.global_data;
         let header = Header {
             id: i32::try_from(&head.message_id).map_err(|_| BAD)?,
-            max_size: word(&head.max_size)?,
+            max_size: bounded_u32(&head.max_size)?,
             flags: Flags::read(&head.flags)?,
-            model: word(&head.security_model)?,
+            model: bounded_u32(&head.security_model)?,
         };
         reader::check(&message.security_parameters)?;
         let usm: v3::USMSecurityParameters = decode(&message.security_parameters)?;
         let security = Security {
             engine: usm.authoritative_engine_id.to_vec(),
-            boots: word(&usm.authoritative_engine_boots)?,
-            time: word(&usm.authoritative_engine_time)?,
+            boots: bounded_u32(&usm.authoritative_engine_boots)?,
+            time: bounded_u32(&usm.authoritative_engine_time)?,
             user: usm.user_name.to_vec(),
             auth: usm.authentication_parameters.to_vec(),
             privacy: usm.privacy_parameters.to_vec(),
@@ -357,7 +357,7 @@
             security_model: self.header.model.into(),
         };
         let scoped_data = match &self.data {
-            Data::Plain(scoped) => v3::ScopedPduData::CleartextPdu(scoped.wire()),
+            Data::Plain(scoped) => v3::ScopedPduData::CleartextPdu(scoped.to_wire()),
             Data::Encrypted(o) => v3::ScopedPduData::EncryptedPdu(octets(o)),
         };
         let security_parameters = octets(&encode(&usm));
--- a/crates/snmp/src/mib.rs
+++ b/crates/snmp/src/mib.rs
@@ -76,7 +76,7 @@
     /// The labels of an enumeration, with their numbers.
     pub labels: Vec<(String, i32)>,
     /// For a column, the types of the indexes; for a notification, its objects.
-    pub with: Vec<String>,
+    pub related: Vec<String>,
     /// The description.
     pub description: String,
 }
@@ -120,7 +120,7 @@
 
 /// A parsed definition whose names are not resolved yet.
 #[derive(Default)]
-struct Raw<'a> {
+struct RawDefinition<'a> {
     macro_name: &'a str,
     parent: &'a str,
     arc: u32,
@@ -128,7 +128,7 @@
     labels: Vec<(String, i32)>,
     access: &'a str,
     /// INDEX, or OBJECTS.
-    with: Vec<&'a str>,
+    related: Vec<&'a str>,
     description: &'a str,
 }
 
@@ -145,8 +145,8 @@
 }
 
 /// Parses the definition that starts after its name at `at`. Returns it with the position after it.
-fn definition<'a>(words: &[Token<'a>], mut at: usize) -> Option<(Raw<'a>, usize)> {
-    let mut raw = Raw::default();
+fn definition<'a>(words: &[Token<'a>], mut at: usize) -> Option<(RawDefinition<'a>, usize)> {
+    let mut raw = RawDefinition::default();
     let word = |at: usize| match words.get(at) {
         Some(Token::Word(w)) => Some(*w),
         _ => None,
@@ -182,8 +182,8 @@
                 at += 2;
             }
             (Some("INDEX" | "OBJECTS" | "NOTIFICATIONS"), Some(Token::Word("{"))) => {
-                (raw.with, at) = braces(words, at + 1);
-                raw.with.retain(|w| *w != ",");
+                (raw.related, at) = braces(words, at + 1);
+                raw.related.retain(|w| *w != ",");
             }
             (Some("::="), Some(Token::Word("{"))) => {
                 let (inner, next) = braces(words, at + 1);
@@ -209,7 +209,7 @@
     /// Parses the text of a module. Definitions that cannot be resolved to a known name are left out.
     pub fn read(text: &str) -> Mib {
         let words = tokens(text);
-        let (mut types, mut raws) = (BTreeMap::new(), Vec::new());
+        let (mut types, mut definitions) = (BTreeMap::new(), Vec::new());
         let mut at = words.iter().position(|w| *w == Token::Word(";")).map_or(0, |at| at + 1);
         while let Some(Token::Word(name)) = words.get(at) {
             let name: &str = name;
@@ -224,21 +224,21 @@
                     at = next;
                 }
                 Some((raw, next)) => {
-                    raws.push((name, raw));
+                    definitions.push((name, raw));
                     at = next;
                 }
                 None => at += 1,
             }
         }
-        Mib::follow(&types, &raws)
+        Mib::resolve_names(&types, &definitions)
     }
 
-    fn follow(types: &BTreeMap<&str, Raw>, raws: &[(&str, Raw)]) -> Mib {
+    fn resolve_names(types: &BTreeMap<&str, RawDefinition>, definitions: &[(&str, RawDefinition)]) -> Mib {
         let mut oids = BTreeMap::from([("enterprises", Oid::enterprises())]);
         // A definition may precede its parent.
-        for _ in 0..raws.len() {
+        for _ in 0..definitions.len() {
             let before = oids.len();
-            for (name, raw) in raws {
+            for (name, raw) in definitions {
                 if let Some(oid) = oids.get(raw.parent).map(|parent| parent.child(&[raw.arc])) {
                     oids.insert(name, oid);
                 }
@@ -259,11 +259,11 @@
             };
             own.to_owned()
         };
-        let followed = |syntax: &str| base(types.get(syntax).map_or(syntax, |t| t.syntax));
+        let resolved = |syntax: &str| base(types.get(syntax).map_or(syntax, |t| t.syntax));
         let mut mib = Mib::default();
-        for (name, raw) in raws {
+        for (name, raw) in definitions {
             let Some(oid) = oids.get(name) else { continue };
-            let row = raws.iter().find(|(n, r)| *n == raw.parent && !r.with.is_empty());
+            let row = definitions.iter().find(|(n, r)| *n == raw.parent && !r.related.is_empty());
             let kind = match (raw.macro_name, raw.access) {
                 ("NOTIFICATION-TYPE", _) => ObjectKind::Notification,
                 ("OBJECT-TYPE", "not-accessible") => ObjectKind::Hidden,
@@ -277,20 +277,20 @@
                 _ => raw.labels.clone(),
             };
             let index_type = |index: &&str| {
-                let of = raws.iter().find(|(n, _)| n == index).map_or("", |(_, r)| r.syntax);
-                followed(of)
+                let of = definitions.iter().find(|(n, _)| n == index).map_or("", |(_, r)| r.syntax);
+                resolved(of)
             };
-            let with = match kind {
+            let related = match kind {
                 ObjectKind::Column => {
-                    row.map_or_else(Vec::new, |(_, r)| r.with.iter().map(index_type).collect())
+                    row.map_or_else(Vec::new, |(_, r)| r.related.iter().map(index_type).collect())
                 }
-                _ => raw.with.iter().map(|w| (*w).to_owned()).collect(),
+                _ => raw.related.iter().map(|w| (*w).to_owned()).collect(),
             };
             let description = raw.description.split_whitespace().collect::<Vec<_>>().join(" ");
-            let (name, oid, syntax) = ((*name).to_owned(), oid.clone(), followed(raw.syntax));
+            let (name, oid, syntax) = ((*name).to_owned(), oid.clone(), resolved(raw.syntax));
             let convention = raw.syntax.to_owned();
             let object =
-                Object { name, oid: oid.clone(), kind, syntax, convention, labels, with, description };
+                Object { name, oid: oid.clone(), kind, syntax, convention, labels, related, description };
             mib.objects.insert(oid, object);
         }
         mib
@@ -338,26 +338,26 @@
             _ => {}
         }
         let (mut rest, mut shown) = (rest, Vec::new());
-        for index in &object.with {
+        for index in &object.related {
             let string = rest.split_first().filter(|_| index == "OCTET STRING");
             match (string, rest) {
-                (Some((n, behind)), _) if behind.len() >= *n as usize => {
-                    let (text, behind) = behind.split_at(*n as usize);
+                (Some((n, tail)), _) if tail.len() >= *n as usize => {
+                    let (text, tail) = tail.split_at(*n as usize);
                     let bytes: Vec<u8> = text.iter().map(|b| (*b).min(255) as u8).collect();
                     shown.push(format!("\"{}\"", String::from_utf8_lossy(&bytes).escape_debug()));
-                    rest = behind;
+                    rest = tail;
                 }
-                (None, [n, behind @ ..]) => {
+                (None, [n, tail @ ..]) => {
                     shown.push(n.to_string());
-                    rest = behind;
+                    rest = tail;
                 }
                 _ => return format!("{}.{rest:?}", object.name),
             }
         }
-        let behind = rest.iter().fold(String::new(), |all, arc| format!("{all}.{arc}"));
+        let tail = rest.iter().fold(String::new(), |all, arc| format!("{all}.{arc}"));
         match object.kind {
-            ObjectKind::Column => format!("{}[{}]{behind}", object.name, shown.join(", ")),
-            _ => format!("{}{behind}", object.name),
+            ObjectKind::Column => format!("{}[{}]{tail}", object.name, shown.join(", ")),
+            _ => format!("{}{tail}", object.name),
         }
     }
 
--- a/crates/snmp/src/reader.rs
+++ b/crates/snmp/src/reader.rs
@@ -55,16 +55,15 @@
 
 /// Reads the header of the element that starts at `at` and must end by `end`.
 fn element(bytes: &[u8], at: usize, end: usize) -> Read<Element> {
-    let byte =
-        |i: usize| bytes.get(i).copied().filter(|_| i < end).ok_or(Malformed("it ends within an element"));
+    let byte = |i: usize| bytes.get(i).copied().filter(|_| i < end).ok_or(Malformed("truncated element"));
     let tag = byte(at)?;
     if tag & 0x1f == 0x1f {
-        return Err(Malformed("a tag of more than a byte"));
+        return Err(Malformed("tag of more than one byte"));
     }
     let first = byte(at + 1)?;
     let (length, start) = match first {
         0..=0x7f => (usize::from(first), at + 2),
-        0x80 => return Err(Malformed("an indefinite length")),
+        0x80 => return Err(Malformed("indefinite length")),
         0x81..=0x84 => {
             let n = usize::from(first & 0x7f);
             let mut length = 0usize;
@@ -73,24 +72,24 @@
             }
             (length, at + 2 + n)
         }
-        _ => return Err(Malformed("a length of too many bytes")),
+        _ => return Err(Malformed("length field of too many bytes")),
     };
     match start.checked_add(length).filter(|stop| *stop <= end) {
         Some(stop) => Ok(Element { tag, contents: start..stop }),
-        None => Err(Malformed("an element longer than what holds it")),
+        None => Err(Malformed("element longer than its container")),
     }
 }
 
 /// Validates the contents of a name: complete arcs of 32 bits, not too many, none padded.
-fn name(contents: &[u8]) -> Read<()> {
+fn check_oid(contents: &[u8]) -> Read<()> {
     let (mut arcs, mut arc, mut within) = (0usize, 0u64, false);
     for byte in contents {
         if !within && *byte == 0x80 {
-            return Err(Malformed("a padded arc"));
+            return Err(Malformed("padded arc"));
         }
         arc = arc << 7 | u64::from(byte & 0x7f);
         if arc > u64::from(u32::MAX) {
-            return Err(Malformed("an arc of more than 32 bits"));
+            return Err(Malformed("arc of more than 32 bits"));
         }
         within = byte & 0x80 != 0;
         if !within {
@@ -99,29 +98,29 @@
     }
     match (arcs, within) {
         (1..=MAX_ENCODED_ARCS, false) => Ok(()),
-        (0, _) | (_, true) => Err(Malformed("a name that is not whole")),
-        _ => Err(Malformed("a name of too many arcs")),
+        (0, _) | (_, true) => Err(Malformed("empty or truncated object identifier")),
+        _ => Err(Malformed("object identifier of too many arcs")),
     }
 }
 
-fn number(contents: &[u8], most: usize) -> Read<()> {
+fn check_number(contents: &[u8], max_len: usize) -> Read<()> {
     match contents.len() {
-        n if (1..=most).contains(&n) => Ok(()),
-        _ => Err(Malformed("a number of too few or too many bytes")),
+        n if (1..=max_len).contains(&n) => Ok(()),
+        _ => Err(Malformed("number of invalid length")),
     }
 }
 
 /// Checks that `bytes` consists of exactly one valid element.
 pub fn check(bytes: &[u8]) -> Read<()> {
     if bytes.len() > MAX_DATAGRAM {
-        return Err(Malformed("a datagram that is too long"));
+        return Err(Malformed("datagram too long"));
     }
-    let whole = element(bytes, 0, bytes.len())?;
-    if whole.contents.end != bytes.len() {
-        return Err(Malformed("bytes behind the message"));
+    let outer = element(bytes, 0, bytes.len())?;
+    if outer.contents.end != bytes.len() {
+        return Err(Malformed("trailing bytes after the message"));
     }
     // End positions of the enclosing elements, innermost last.
-    let (mut ends, mut depth, mut at, mut seen) = ([0usize; MAX_DEPTH], 0usize, 0usize, 0usize);
+    let (mut ends, mut depth, mut at, mut elements) = ([0usize; MAX_DEPTH], 0usize, 0usize, 0usize);
     let mut end = bytes.len();
     loop {
         if at == end {
@@ -133,32 +132,32 @@
             }
             continue;
         }
-        seen += 1;
-        if seen > MAX_ELEMENTS {
+        elements += 1;
+        if elements > MAX_ELEMENTS {
             return Err(Malformed("too many elements"));
         }
-        let one = element(bytes, at, end)?;
-        let contents = &bytes[one.contents.clone()];
-        match one.tag {
+        let child = element(bytes, at, end)?;
+        let contents = &bytes[child.contents.clone()];
+        match child.tag {
             tag::SEQUENCE | 0xa0..=0xa8 => {
                 if depth == MAX_DEPTH {
-                    return Err(Malformed("too many levels"));
+                    return Err(Malformed("nesting too deep"));
                 }
                 ends[depth] = end;
                 depth += 1;
-                (at, end) = (one.contents.start, one.contents.end);
+                (at, end) = (child.contents.start, child.contents.end);
                 continue;
             }
-            tag::INTEGER => number(contents, 4)?,
-            tag::COUNTER..=tag::TICKS => number(contents, 5)?,
-            tag::COUNTER64 => number(contents, 9)?,
-            tag::OID => name(contents)?,
+            tag::INTEGER => check_number(contents, 4)?,
+            tag::COUNTER..=tag::TICKS => check_number(contents, 5)?,
+            tag::COUNTER64 => check_number(contents, 9)?,
+            tag::OID => check_oid(contents)?,
             tag::ADDRESS if contents.len() == 4 => {}
             tag::OCTETS => {}
             tag::NULL | 0x80..=0x82 if contents.is_empty() => {}
-            _ => return Err(Malformed("an element that SNMP has no use for")),
+            _ => return Err(Malformed("element type not used by SNMP")),
         }
-        at = one.contents.end;
+        at = child.contents.end;
     }
 }
 
@@ -166,7 +165,7 @@
 fn parts<const N: usize>(bytes: &[u8], at: usize) -> Read<[Element; N]> {
     let sequence = element(bytes, at, bytes.len())?;
     if sequence.tag != tag::SEQUENCE {
-        return Err(Malformed("no sequence"));
+        return Err(Malformed("not a sequence"));
     }
     let mut next = sequence.contents.start;
     let mut all = [(); N].map(|()| Element { tag: 0, contents: 0..0 });
@@ -182,7 +181,7 @@
     let [version] = parts::<1>(bytes, 0)?;
     match (version.tag, &bytes[version.contents]) {
         (tag::INTEGER, [v]) => Ok(*v),
-        _ => Err(Malformed("no version")),
+        _ => Err(Malformed("missing version")),
     }
 }
 
@@ -191,11 +190,11 @@
 pub fn digest(bytes: &[u8]) -> Read<Range<usize>> {
     let [_, _, security] = parts::<3>(bytes, 0)?;
     let inner = bytes.get(security.contents.clone()).filter(|_| security.tag == tag::OCTETS);
-    let inner = inner.ok_or(Malformed("no security parameters"))?;
+    let inner = inner.ok_or(Malformed("missing security parameters"))?;
     let [_, _, _, _, digest] = parts::<5>(inner, 0)?;
     let at = security.contents.start;
     match digest.tag {
         tag::OCTETS => Ok(digest.contents.start + at..digest.contents.end + at),
-        _ => Err(Malformed("no digest")),
+        _ => Err(Malformed("missing authentication parameters")),
     }
 }
--- a/crates/snmp/src/tally.rs
+++ b/crates/snmp/src/tally.rs
@@ -105,13 +105,13 @@
     /// Zeroed counters for streams of these classes and tenants.
     pub fn new(now: Micros, classes: &[String], tenants: &[String]) -> Tally {
         let classes: Vec<Rc<str>> = classes.iter().take(MAX_ROWS / 2).map(|n| n.as_str().into()).collect();
-        let most = (MAX_ROWS / classes.len().max(1)).max(2);
+        let max_tenants = (MAX_ROWS / classes.len().max(1)).max(2);
         let mut tenants: Vec<Rc<str>> = tenants.iter().map(|n| n.as_str().into()).collect();
         if tenants.is_empty() {
             tenants.push("-".into());
         }
-        if tenants.len() > most {
-            tenants.truncate(most - 1);
+        if tenants.len() > max_tenants {
+            tenants.truncate(max_tenants - 1);
             tenants.push("(others)".into());
         }
         let slot = || (0, 0, vec![0; HISTOGRAM_CELLS]);
@@ -194,10 +194,10 @@
         let recent: u64 = self.recent.iter().map(|r| r.0).sum();
         let sum: Micros = self.recent.iter().map(|r| r.1).sum();
         let percentile = |per_mille: u64| {
-            let (wanted, mut seen) = ((recent * per_mille).div_ceil(1000).max(1), 0);
+            let (rank, mut seen) = ((recent * per_mille).div_ceil(1000).max(1), 0);
             (0..HISTOGRAM_CELLS).find(|cell| {
                 seen += self.recent.iter().map(|r| u64::from(r.2[*cell])).sum::<u64>();
-                seen >= wanted
+                seen >= rank
             })
         };
         let percentiles = match recent {
--- a/crates/snmp/src/tally/tests.rs
+++ b/crates/snmp/src/tally/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_cell_holds_its_longest_time_and_the_next_cell_the_one_after() {
+fn cells_are_contiguous() {
     for at in 0..HISTOGRAM_CELLS - 1 {
         assert_eq!((cell_index(cell_upper_bound(at)), cell_index(cell_upper_bound(at) + 1)), (at, at + 1));
     }
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn percentiles_are_of_the_last_minute_and_histograms_of_all_time() {
+fn percentiles_cover_the_last_minute_and_histograms_all_time() {
     let (classes, tenants) = (["read".to_owned()], ["a".to_owned(), "b".to_owned()]);
     let mut tally = Tally::new(7, &classes, &tenants);
     let stream =
--- a/crates/snmp/src/tree.rs
+++ b/crates/snmp/src/tree.rs
@@ -62,21 +62,21 @@
 
 /// Shortens a name for use as an index: a name longer than `most` is cut and made unique by a hash (FNV-1a)
 /// of the whole name.
-fn bounded(name: &str, most: usize) -> Vec<u8> {
+fn shortened(name: &str, max_len: usize) -> Vec<u8> {
     let bytes = name.as_bytes();
-    if bytes.len() <= most {
+    if bytes.len() <= max_len {
         return bytes.to_vec();
     }
     let hash =
         bytes.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x100_0000_01b3));
-    let mut cut = bytes[..most - 17].to_vec();
+    let mut cut = bytes[..max_len - 17].to_vec();
     cut.extend(format!("#{hash:016x}").bytes());
     cut
 }
 
 /// Encodes a string as an index: its length, then its bytes (RFC 2578, 7.7).
-fn index(name: &str, most: usize) -> Vec<u32> {
-    let bytes = bounded(name, most);
+fn index(name: &str, max_len: usize) -> Vec<u32> {
+    let bytes = shortened(name, max_len);
     std::iter::once(bytes.len() as u32).chain(bytes.into_iter().map(u32::from)).collect()
 }
 
@@ -161,15 +161,15 @@
     /// Whether a name that is not an instance belongs to an existing object: a scalar, or a column, even if
     /// its table has no rows.
     pub fn has_object(&self, enterprise: u32, name: &Oid) -> bool {
-        let ours = root(enterprise);
-        let below = name.arcs().get(ours.arcs().len()..).filter(|_| name.is_under(&ours));
+        let mib_root = root(enterprise);
+        let below = name.arcs().get(mib_root.arcs().len()..).filter(|_| name.is_under(&mib_root));
         if let Some([1, group, table, 1, column, ..]) = below {
-            let is =
+            let in_columns =
                 |t: &(u32, u32, u32, u32)| (t.0, t.1) == (*group, *table) && (t.2..=t.3).contains(column);
-            return TABLES.iter().any(is);
+            return TABLES.iter().any(in_columns);
         }
         let scalar = match below {
-            Some([1, group, scalar, ..]) => Some(ours.child(&[1, *group, *scalar])),
+            Some([1, group, scalar, ..]) => Some(mib_root.child(&[1, *group, *scalar])),
             Some(_) => None,
             None => name.arcs().split_last().and_then(|(_, object)| Oid::new(object)),
         };
--- a/crates/snmp/src/usm.rs
+++ b/crates/snmp/src/usm.rs
@@ -334,16 +334,16 @@
     /// 2.2.2).
     pub fn clock(&self, now: Micros) -> (u32, u32) {
         let seconds = ((now - self.started).max(0) / crate::SECOND) as u64;
-        let most = u64::from(MAX_BOOTS);
-        let boots = (u64::from(self.boots) + seconds / most).min(most);
-        (boots as u32, (seconds % most) as u32)
+        let max_boots = u64::from(MAX_BOOTS);
+        let boots = (u64::from(self.boots) + seconds / max_boots).min(max_boots);
+        (boots as u32, (seconds % max_boots) as u32)
     }
 
     /// Whether a message is within the time window of this engine, as the authoritative one (RFC 3414, 3.2,
     /// 7a).
     pub fn in_time(&self, now: Micros, boots: u32, time: u32) -> bool {
-        let (mine, at) = self.clock(now);
-        mine < MAX_BOOTS && boots == mine && time.abs_diff(at) <= TIME_WINDOW
+        let (own_boots, at) = self.clock(now);
+        own_boots < MAX_BOOTS && boots == own_boots && time.abs_diff(at) <= TIME_WINDOW
     }
 }
 
--- a/crates/snmp/src/usm/tests.rs
+++ b/crates/snmp/src/usm/tests.rs
@@ -20,7 +20,7 @@
     "22a5a36cedfcc085807a128d7bc6c238",
     "f5030230aca1418d8b9e283cb8c5425960935e17daac2baf08634d1958c8575af13a7a9a6181c2e6c9fc311dc63a7caf"
 )]
-fn keys_and_digests_are_what_others_make_them(#[case] name: &str, #[case] key: &str, #[case] digest: &str) {
+fn keys_and_digests_match_other_implementations(#[case] name: &str, #[case] key: &str, #[case] digest: &str) {
     let auth = Auth::named(name).expect("a name");
     let user = User::new("u", Some((auth, "maplesyrup")), Some("maplesyrup")).expect("a user");
     let keys = user.at(&[0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2]);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn privacy_is_what_openssl_makes_it() {
+fn privacy_matches_openssl() {
     let user = User::new("u", Some((Auth::Sha256, "maplesyrup")), Some("maplesyrup")).expect("a user");
     let keys = user.at(&[0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2]);
     let mut bytes = b"a scoped pdu of odd length".to_vec();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_engine_counts_a_boot_when_its_time_is_used_up_and_stops_at_the_last() {
+fn engine_time_overflow_increments_boots_up_to_the_maximum() {
     let engine = Engine::new(vec![1; 5], MAX_BOOTS - 1, 0);
     let whole = i64::from(MAX_BOOTS) * crate::SECOND;
     assert_eq!(engine.clock(whole - 1), (MAX_BOOTS - 1, MAX_BOOTS - 1));
--- a/crates/snmp/src/watch.rs
+++ b/crates/snmp/src/watch.rs
@@ -79,7 +79,7 @@
 /// A subject: the condition last reported, when, and how long further reports are held back.
 #[derive(Clone, Debug)]
 struct Subject<T> {
-    told: T,
+    reported: T,
     at: Option<Micros>,
     hold: Micros,
     /// Changes reported since the subject was last quiet.
@@ -89,20 +89,20 @@
 }
 
 impl<T: Copy + PartialEq> Subject<T> {
-    fn new(told: T) -> Self {
-        Subject { told, at: None, hold: 0, changes: 0, held: None }
+    fn new(reported: T) -> Self {
+        Subject { reported, at: None, hold: 0, changes: 0, held: None }
     }
 
     /// Whether a condition must be reported now; increments `held` if it has to wait.
-    fn observe(&mut self, now: Micros, is: T, room: bool, held: &mut u64) -> bool {
-        if is == self.told {
+    fn observe(&mut self, now: Micros, current: T, permitted: bool, held: &mut u64) -> bool {
+        if current == self.reported {
             self.held = None;
             return false;
         }
         // A clock that was set back ends the hold-down.
-        let rests = self.at.is_some_and(|at| (0..self.hold).contains(&(now - at)));
-        if rests || !room {
-            if self.held.replace(is) != Some(is) {
+        let held_down = self.at.is_some_and(|at| (0..self.hold).contains(&(now - at)));
+        if held_down || !permitted {
+            if self.held.replace(current) != Some(current) {
                 *held += 1;
             }
             return false;
@@ -113,7 +113,7 @@
             None => 0,
             Some(doublings) => (HOLD_DOWN << doublings.min(5)).min(MAX_HOLD_DOWN),
         };
-        (self.told, self.at, self.held) = (is, Some(now), None);
+        (self.reported, self.at, self.held) = (current, Some(now), None);
         true
     }
 }
@@ -139,7 +139,7 @@
     /// looked healthy for [`QUIET_PERIOD`].
     fn condition(&mut self, now: Micros, node: &snapshot::Node) -> Option<Condition> {
         let answers = node.served + node.missed + node.refused;
-        let is = match (node.phase, node.state) {
+        let current = match (node.phase, node.state) {
             (Phase::Gone, _) | (_, State::Gone) => return None,
             (Phase::Draining, _) | (_, State::Draining) => Condition::Drains,
             (_, State::Silent | State::LeftOut) => {
@@ -150,7 +150,7 @@
         };
         let proven = |(then, at): (u64, Micros)| answers != then || !(0..QUIET_PERIOD).contains(&(now - at));
         self.silent = self.silent.filter(|silent| !proven(*silent));
-        Some(if self.silent.is_some() && is == Condition::Healthy { Condition::Silent } else { is })
+        Some(if self.silent.is_some() && current == Condition::Healthy { Condition::Silent } else { current })
     }
 }
 
@@ -200,18 +200,18 @@
                 .or_insert_with(|| Watched { subject: Subject::new(Condition::Healthy), silent: None });
             // A node that is no longer listed is not reported. When it returns, it is compared with its last
             // reported condition.
-            let Some(is) = watched.condition(now, node) else { continue };
-            if is == Condition::Silent && node.phase == Phase::Serving && node.state.usable() {
+            let Some(current) = watched.condition(now, node) else { continue };
+            if current == Condition::Silent && node.phase == Phase::Serving && node.state.usable() {
                 usable -= 1;
             }
-            let room = self.budget.0 >= 1.0;
-            if watched.subject.observe(now, is, room, &mut self.held) {
+            let permitted = self.budget.0 >= 1.0;
+            if watched.subject.observe(now, current, permitted, &mut self.held) {
                 self.budget.0 -= 1.0;
-                let told = Node { name: node.name.clone(), hall: node.hall.clone(), state: node.state };
-                changes.push(match is {
-                    Condition::Drains => Change::NodeDrains(told),
-                    Condition::Silent => Change::NodeSilent(told),
-                    Condition::Healthy => Change::NodeBack(told),
+                let reported = Node { name: node.name.clone(), hall: node.hall.clone(), state: node.state };
+                changes.push(match current {
+                    Condition::Drains => Change::NodeDrains(reported),
+                    Condition::Silent => Change::NodeSilent(reported),
+                    Condition::Healthy => Change::NodeBack(reported),
                 });
             }
         }
@@ -229,15 +229,15 @@
             changes.push(if enough { back } else { Change::FleetUnder { usable, bound } });
         }
         let planners = &s.plans.planners;
-        let reach = planners.is_empty() || planners.iter().any(|p| p.reachable);
-        if self.planners.observe(now, reach, true, &mut self.held) {
-            changes.push(if reach { Change::PlannersBack } else { Change::PlannersLost });
+        let reachable = planners.is_empty() || planners.iter().any(|p| p.reachable);
+        if self.planners.observe(now, reachable, true, &mut self.held) {
+            changes.push(if reachable { Change::PlannersBack } else { Change::PlannersLost });
         }
         for planner in planners {
-            let (told, at) = self.refused.entry(planner.index).or_default();
-            let rests = at.is_some_and(|at| (0..MAX_HOLD_DOWN).contains(&(now - at)));
-            if planner.refused > *told && !rests {
-                (*told, *at) = (planner.refused, Some(now));
+            let (reported, at) = self.refused.entry(planner.index).or_default();
+            let held_down = at.is_some_and(|at| (0..MAX_HOLD_DOWN).contains(&(now - at)));
+            if planner.refused > *reported && !held_down {
+                (*reported, *at) = (planner.refused, Some(now));
                 changes.push(Change::PlanRefused(planner.index));
             }
         }
--- a/crates/snmp/tests/agent.rs
+++ b/crates/snmp/tests/agent.rs
@@ -28,7 +28,11 @@
 #[case::the_standards_scalar("1.3.6.1.2.1.1.3.1", "public", Value::NoSuchInstance)]
 #[case::nothing("1.3.6.1.9.9", "public", Value::NoSuchObject)]
 #[case::not_in_the_view(NAME, "part", Value::NoSuchObject)]
-fn a_get_tells_the_value_or_what_is_missing(#[case] name: &str, #[case] who: &str, #[case] value: Value) {
+fn a_get_returns_the_value_or_the_matching_exception(
+    #[case] name: &str,
+    #[case] who: &str,
+    #[case] value: Value,
+) {
     let answer = ask(&mut agent(), who, &pdu(Kind::Get, 0, 0, &[name]), &tree(3)).expect("an answer");
     assert_eq!((answer.request, answer.status, answer.bindings), (77, 0, vec![(oid(name), value)]));
 }
@@ -42,7 +46,7 @@
 #[case::a_response(&community("public", &pdu(Kind::Response, 0, 0, &[NAME])))]
 #[case::garbage(b"GET / HTTP/1.1\r\n\r\n")]
 #[case::nothing(b"")]
-fn silence_is_counted(#[case] datagram: &[u8]) {
+fn unanswered_datagrams_are_counted(#[case] datagram: &[u8]) {
     let mut agent = agent();
     assert_eq!(agent.answer(NOW, HERE, datagram, &tree(1)), None);
     let s = agent.stats();
@@ -71,7 +75,7 @@
 }
 
 #[test]
-fn a_bulk_repeats_only_what_is_behind_the_non_repeaters_and_ends_with_the_view() {
+fn a_bulk_repeats_only_the_repeaters_and_ends_with_the_view() {
     let bulk = pdu(Kind::GetBulk, 1, 9, &["1.3.6.1.2.1.1.1", "1.3.6.1.6.3.15.1.1.5"]);
     let answer = ask(&mut agent(), "public", &bulk, &tree(1)).expect("an answer");
     let names: Vec<String> = answer.bindings.iter().map(|(n, _)| n.to_string()).collect();
@@ -100,7 +104,7 @@
 }
 
 #[test]
-fn a_walk_tells_all_there_is_once_and_in_order() {
+fn a_walk_returns_all_instances_of_the_view_once_and_in_order() {
     let whole = tree(40);
     let names = walk(&mut agent(), "public", |_| whole.clone());
     let all: Vec<Oid> = whole.after(&oid("0.0")).iter().map(|(n, _)| n.clone()).collect();
@@ -116,7 +120,7 @@
 }
 
 #[test]
-fn a_walk_does_not_follow_an_agent_whose_answers_do_not_grow() {
+fn a_walk_ends_if_the_names_of_an_agent_do_not_increase() {
     let mut walk = Walk::new(oid("1.3"), 2);
     let answer = |names: &[&str]| Pdu {
         bindings: names.iter().map(|n| (oid(n), Value::Integer(1))).collect(),
@@ -129,13 +133,13 @@
 }
 
 #[test]
-fn nodes_that_come_and_go_in_a_walk_make_no_loop_and_no_name_twice() {
+fn a_walk_over_a_changing_fleet_ends_and_returns_no_name_twice() {
     // Each answer is of another fleet; node 5 is there all the time.
     let names = walk(&mut agent(), "public", |step| {
         let mut snapshot = snapshot(12);
         snapshot.nodes.retain(|n| &*n.name == "s-005" || !(n.name.len() + step).is_multiple_of(3));
         snapshot.nodes.truncate(12 - step % 4);
-        Tree::build(NOW, &snapshot, &own())
+        Tree::build(NOW, &snapshot, &agent_info())
     });
     assert!(names.windows(2).all(|w| w[0] < w[1]));
     let stays = Oid::parse(&format!("{NODE}.5.115.45.48.48.53")).expect("a name");
--- a/crates/snmp/tests/common/mod.rs
+++ b/crates/snmp/tests/common/mod.rs
@@ -37,11 +37,11 @@
 
 /// Keys are made once: a passphrase takes a megabyte of hashing.
 pub fn access() -> Access {
-    static ACCESS: LazyLock<Access> = LazyLock::new(made);
+    static ACCESS: LazyLock<Access> = LazyLock::new(build_access);
     ACCESS.clone()
 }
 
-fn made() -> Access {
+fn build_access() -> Access {
     let part =
         View { subtrees: vec![(oid("1.3.6.1.4.1.32473.1.1.2"), true), (oid("1.3.6.1.2.1.1.1"), true)] };
     // A part, without a part of it, but with a part of that.
@@ -97,7 +97,7 @@
     }
 }
 
-pub fn own() -> AgentInfo {
+pub fn agent_info() -> AgentInfo {
     let receivers = vec![Receiver::default()];
     AgentInfo {
         enterprise: ENTERPRISE,
@@ -108,7 +108,7 @@
 }
 
 pub fn tree(nodes: usize) -> Tree {
-    Tree::build(NOW, &snapshot(nodes), &own())
+    Tree::build(NOW, &snapshot(nodes), &agent_info())
 }
 
 pub fn pdu(kind: Kind, status: u32, index: u32, names: &[&str]) -> Pdu {
--- a/crates/snmp/tests/mib.rs
+++ b/crates/snmp/tests/mib.rs
@@ -12,9 +12,9 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn each_object_is_answered_with_its_type_and_each_answer_has_its_object() {
+fn agent_and_mib_agree_on_objects_and_types() {
     let (mib, tree) = (Mib::read(TEXT), tree(3));
-    let mut told = 0;
+    let mut checked = 0;
     for object in mib.objects().filter(|o| matches!(o.kind, ObjectKind::Scalar | ObjectKind::Column)) {
         let (name, value) = tree.after(&object.oid).first().expect("an instance");
         assert!(name.is_under(&object.oid), "{} is not answered", object.name);
@@ -23,9 +23,9 @@
         if let (Value::Integer(n), false) = (value, object.labels.is_empty()) {
             assert!(object.labels.iter().any(|(_, v)| v == n) || *n == 0, "{}: {n}", object.name);
         }
-        told += 1;
+        checked += 1;
     }
-    assert_eq!(told, TEXT.matches("    MAX-ACCESS  read-only").count(), "the text is not read whole");
+    assert_eq!(checked, TEXT.matches("    MAX-ACCESS  read-only").count(), "the text is not read whole");
     let all = tree.after(&root(ENTERPRISE)).iter().filter(|(n, _)| n.is_under(&root(ENTERPRISE)));
     for (name, _) in all {
         let object = mib.of(name).map(|o| o.kind);
@@ -34,22 +34,22 @@
 }
 
 #[test]
-fn a_column_without_rows_is_an_object_all_the_same() {
+fn a_column_without_rows_is_still_an_object() {
     let empty = snmp::Tree::build(
         NOW,
         &snmp::Snapshot::default(),
-        &snmp::tree::AgentInfo { enterprise: ENTERPRISE, ..own() },
+        &snmp::tree::AgentInfo { enterprise: ENTERPRISE, ..agent_info() },
     );
     for column in Mib::read(TEXT).objects().filter(|o| o.kind == ObjectKind::Column) {
         assert!(empty.has_object(ENTERPRISE, &column.oid.child(&[9, 9])), "{}", column.name);
-        let behind = column.oid.subtree_end().expect("a name");
-        let known = Mib::read(TEXT).objects().any(|o| o.oid == behind);
-        assert_eq!(empty.has_object(ENTERPRISE, &behind.child(&[9])), known, "behind {}", column.name);
+        let next = column.oid.subtree_end().expect("a name");
+        let known = Mib::read(TEXT).objects().any(|o| o.oid == next);
+        assert_eq!(empty.has_object(ENTERPRISE, &next.child(&[9])), known, "behind {}", column.name);
     }
 }
 
 #[test]
-fn every_description_tells_its_units_and_every_object_is_in_a_group() {
+fn every_object_has_units_and_a_group() {
     for object in
         Mib::read(TEXT).objects().filter(|o| matches!(o.kind, ObjectKind::Scalar | ObjectKind::Column))
     {
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn each_notification_carries_the_objects_that_the_mib_gives_it() {
-    let (mib, mut told) = (Mib::read(TEXT), BTreeSet::new());
+fn notifications_carry_the_objects_listed_in_the_mib() {
+    let (mib, mut checked) = (Mib::read(TEXT), BTreeSet::new());
     let node = Node { name: "s-001".into(), hall: "hofdi".into(), state: snmp::snapshot::State::Silent };
     let (usable, bound) = (1, 2);
     let changes = [
@@ -93,18 +93,18 @@
         let notification = of(name);
         assert_eq!((notification.kind, &notification.oid), (ObjectKind::Notification, name));
         let objects: Vec<String> = pdu.bindings[2..].iter().map(|(n, _)| of(n).name).collect();
-        assert_eq!(objects, notification.with, "{}", notification.name);
+        assert_eq!(objects, notification.related, "{}", notification.name);
         for (name, value) in &pdu.bindings[2..] {
             assert_eq!(syntax(value), of(name).syntax, "{name}");
         }
-        told.insert(notification.name);
+        checked.insert(notification.name);
     }
     let all = mib.objects().filter(|o| o.kind == ObjectKind::Notification).map(|o| o.name.clone());
-    assert_eq!(told, all.collect());
+    assert_eq!(checked, all.collect());
 }
 
 #[test]
-fn names_and_values_are_shown_as_people_read_them() {
+fn names_and_values_are_formatted_for_display() {
     let mib = Mib::read(TEXT);
     let state = mib.resolve("mwNodeState.5.115.45.48.48.49").expect("a name");
     assert_eq!(state.to_string(), "1.3.6.1.4.1.32473.1.1.2.6.1.6.5.115.45.48.48.49");
--- a/crates/snmp/tests/notify.rs
+++ b/crates/snmp/tests/notify.rs
@@ -34,13 +34,13 @@
 }
 
 /// What is told of a fleet whose usable nodes all have answered something of late.
-fn told(watch: &mut Watch, now: i64, snapshot: &Snapshot) -> Vec<String> {
+fn reported(watch: &mut Watch, now: i64, snapshot: &Snapshot) -> Vec<String> {
     let mut snapshot = snapshot.clone();
     snapshot.nodes.iter_mut().filter(|n| n.state.usable()).for_each(|n| n.served = now as u64);
     watch.update(now, &snapshot).iter().map(name).collect()
 }
 
-fn with(nodes: usize, state: State, which: impl Fn(usize) -> bool) -> Snapshot {
+fn snapshot_with(nodes: usize, state: State, which: impl Fn(usize) -> bool) -> Snapshot {
     let mut snapshot = snapshot(nodes);
     let changed = snapshot.nodes.iter_mut().enumerate().filter(|(i, _)| which(*i));
     changed.for_each(|(_, n)| n.state = state);
@@ -48,78 +48,87 @@
 }
 
 #[test]
-fn a_hall_that_is_cut_off_is_told_node_by_node_and_then_as_a_fleet_each_once() {
-    let (mut watch, well) = (Watch::new(NOW), snapshot(4));
-    assert_eq!(told(&mut watch, NOW, &well), Vec::<String>::new());
-    let cut = with(4, State::Silent, |i| i < 3);
+fn a_zone_that_is_cut_off_is_reported_once_by_node_and_once_as_a_fleet() {
+    let (mut watch, healthy) = (Watch::new(NOW), snapshot(4));
+    assert_eq!(reported(&mut watch, NOW, &healthy), Vec::<String>::new());
+    let cut = snapshot_with(4, State::Silent, |i| i < 3);
     let now = NOW + 250_000;
-    assert_eq!(told(&mut watch, now, &cut), ["silent s-000", "silent s-001", "silent s-002", "under 1 of 2"]);
+    assert_eq!(
+        reported(&mut watch, now, &cut),
+        ["silent s-000", "silent s-001", "silent s-002", "under 1 of 2"]
+    );
     // Left out, since it failed in a row, is no other news than silent.
-    assert_eq!(told(&mut watch, now + SECOND, &with(4, State::LeftOut, |i| i < 3)), Vec::<String>::new());
+    assert_eq!(
+        reported(&mut watch, now + SECOND, &snapshot_with(4, State::LeftOut, |i| i < 3)),
+        Vec::<String>::new()
+    );
     // It comes back, goes and returns once more: told as it happens.
     let later = now + 2 * SECOND;
-    assert_eq!(told(&mut watch, later, &well), ["back s-000", "back s-001", "back s-002", "enough 4 of 2"]);
-    assert_eq!(told(&mut watch, later + SECOND, &cut).len(), 4);
-    assert_eq!(told(&mut watch, later + 2 * SECOND, &well).len(), 4);
+    assert_eq!(
+        reported(&mut watch, later, &healthy),
+        ["back s-000", "back s-001", "back s-002", "enough 4 of 2"]
+    );
+    assert_eq!(reported(&mut watch, later + SECOND, &cut).len(), 4);
+    assert_eq!(reported(&mut watch, later + 2 * SECOND, &healthy).len(), 4);
     assert_eq!(watch.held(), 0);
     // The fifth time it has to wait; once it was quiet it does not.
-    assert_eq!(told(&mut watch, later + 3 * SECOND, &cut).len(), 0);
-    assert_eq!((watch.held(), told(&mut watch, later + 4 * SECOND, &well).len()), (4, 0));
-    assert_eq!(told(&mut watch, later + QUIET_PERIOD + 4 * SECOND, &cut).len(), 4);
+    assert_eq!(reported(&mut watch, later + 3 * SECOND, &cut).len(), 0);
+    assert_eq!((watch.held(), reported(&mut watch, later + 4 * SECOND, &healthy).len()), (4, 0));
+    assert_eq!(reported(&mut watch, later + QUIET_PERIOD + 4 * SECOND, &cut).len(), 4);
 }
 
 #[test]
-fn a_node_that_was_silent_is_not_back_before_it_has_answered() {
-    let (mut watch, well) = (Watch::new(NOW), snapshot(2));
-    let mut look =
+fn a_silent_node_is_not_reported_back_before_it_has_answered() {
+    let (mut watch, healthy) = (Watch::new(NOW), snapshot(2));
+    let mut update =
         |now, snapshot: &Snapshot| watch.update(now, snapshot).iter().map(name).collect::<Vec<_>>();
     assert_eq!(
-        look(NOW, &with(2, State::Silent, |_| true)),
+        update(NOW, &snapshot_with(2, State::Silent, |_| true)),
         ["silent s-000", "silent s-001", "under 0 of 1"]
     );
     // Nothing is out there any more, so nothing is silent; it is no sign of life.
-    assert_eq!(look(NOW + SECOND, &well), Vec::<String>::new());
-    let mut answered = well.clone();
+    assert_eq!(update(NOW + SECOND, &healthy), Vec::<String>::new());
+    let mut answered = healthy.clone();
     answered.nodes[0].missed = 1;
-    assert_eq!(look(NOW + 2 * SECOND, &answered), ["back s-000", "enough 1 of 1"]);
+    assert_eq!(update(NOW + 2 * SECOND, &answered), ["back s-000", "enough 1 of 1"]);
     // One that nobody asks is taken to be well after a while.
-    assert_eq!(look(NOW + QUIET_PERIOD, &answered), ["back s-001"]);
+    assert_eq!(update(NOW + QUIET_PERIOD, &answered), ["back s-001"]);
 }
 
 #[test]
-fn a_node_that_drains_leaves_and_returns_is_told_when_it_drains_and_when_it_is_back() {
+fn a_node_that_drains_leaves_and_returns_is_reported_draining_and_back() {
     let mut watch = Watch::new(NOW);
     let mut fleet = snapshot(4);
     fleet.nodes[1].phase = Phase::Draining;
-    assert_eq!(told(&mut watch, NOW, &fleet), ["drains s-001"]);
+    assert_eq!(reported(&mut watch, NOW, &fleet), ["drains s-001"]);
     fleet.nodes[1].phase = Phase::Gone;
-    assert_eq!(told(&mut watch, NOW + 20 * SECOND, &fleet), Vec::<String>::new());
+    assert_eq!(reported(&mut watch, NOW + 20 * SECOND, &fleet), Vec::<String>::new());
     fleet.nodes[1].phase = Phase::Serving;
-    assert_eq!(told(&mut watch, NOW + 40 * SECOND, &fleet), ["back s-001"]);
+    assert_eq!(reported(&mut watch, NOW + 40 * SECOND, &fleet), ["back s-001"]);
 }
 
 #[test]
-fn a_node_that_flaps_is_told_with_growing_pauses_and_its_last_word_is_how_it_is() {
+fn a_flapping_node_is_reported_at_growing_intervals_and_finally_as_it_is() {
     let (mut watch, mut all) = (Watch::new(NOW), Vec::new());
     // For an hour it changes every second; then it is well.
     for step in 0..3600 {
         let state = if step % 2 == 0 { State::Silent } else { State::Serving };
-        all.extend(told(&mut watch, NOW + step * SECOND, &with(4, state, |i| i == 2)));
+        all.extend(reported(&mut watch, NOW + step * SECOND, &snapshot_with(4, state, |i| i == 2)));
     }
     assert!((12..=28).contains(&all.len()), "{} are told", all.len());
     let end = NOW + 3600 * SECOND + MAX_HOLD_DOWN;
-    all.extend(told(&mut watch, end, &snapshot(4)));
+    all.extend(reported(&mut watch, end, &snapshot(4)));
     assert_eq!(all.last().map(String::as_str), Some("back s-002"));
     assert!(all.windows(2).all(|w| w[0] != w[1]), "each is another than the one before");
     assert!(watch.held() > 1500);
 }
 
 #[test]
-fn half_a_large_fleet_that_flaps_makes_no_flood_and_the_fleet_is_told_at_once() {
+fn reports_of_a_large_flapping_fleet_are_rate_limited() {
     let (mut watch, mut all) = (Watch::new(NOW), Vec::new());
     for step in 0..600 {
         let state = if step / 4 % 2 == 0 { State::Silent } else { State::Serving };
-        all.push(told(&mut watch, NOW + step * SECOND / 4, &with(200, state, |i| i < 110)));
+        all.push(reported(&mut watch, NOW + step * SECOND / 4, &snapshot_with(200, state, |i| i < 110)));
     }
     assert_eq!((all[0].len(), all[0].last().map(String::as_str)), (21, Some("under 90 of 100")));
     // 20 in a bunch, one each 2 s, and the fleet's own.
@@ -128,12 +137,12 @@
 }
 
 #[test]
-fn a_clock_that_steps_back_neither_floods_nor_silences() {
+fn a_clock_set_back_neither_floods_nor_suppresses_reports() {
     let mut watch = Watch::new(NOW);
-    let silent = with(2, State::Silent, |i| i == 0);
-    assert_eq!(told(&mut watch, NOW, &silent), ["silent s-000"]);
-    assert_eq!(told(&mut watch, NOW - 3600 * SECOND, &snapshot(2)), ["back s-000"]);
-    assert_eq!(told(&mut watch, NOW - 3599 * SECOND, &snapshot(2)), Vec::<String>::new());
+    let silent = snapshot_with(2, State::Silent, |i| i == 0);
+    assert_eq!(reported(&mut watch, NOW, &silent), ["silent s-000"]);
+    assert_eq!(reported(&mut watch, NOW - 3600 * SECOND, &snapshot(2)), ["back s-000"]);
+    assert_eq!(reported(&mut watch, NOW - 3599 * SECOND, &snapshot(2)), Vec::<String>::new());
 }
 
 fn notifier(informs: bool, credentials: Credentials) -> Notifier {
@@ -146,13 +155,13 @@
 }
 
 /// Plays a span of time: every datagram reaches the other side at once, unless it is lost.
-fn play(
+fn run(
     notifier: &mut Notifier,
     listener: &mut Listener,
     span: std::ops::Range<i64>,
     mut lost: impl FnMut(i64) -> bool,
 ) -> (Vec<Pdu>, usize) {
-    let (mut heard, mut sent, mut now) = (Vec::new(), 0, span.start);
+    let (mut received, mut sent, mut now) = (Vec::new(), 0, span.start);
     while now < span.end {
         while let Some((to, datagram)) = notifier.send(now) {
             assert_eq!(to, address(RECEIVER));
@@ -162,22 +171,22 @@
                 continue;
             }
             let (back, pdu) = listener.receive(now, address(SENDER), &datagram);
-            heard.extend(pdu);
+            received.extend(pdu);
             if let Some(back) = back.filter(|_| !lost(now)) {
                 notifier.receive(now, address(RECEIVER), &back);
             }
         }
         now = notifier.next().unwrap_or(span.end).max(now + 1000);
     }
-    (heard, sent)
+    (received, sent)
 }
 
-fn numbers(heard: &[Pdu]) -> Vec<u32> {
+fn numbers(received: &[Pdu]) -> Vec<u32> {
     let number = |pdu: &Pdu| match pdu.bindings.last() {
         Some((_, Value::Counter(n))) => *n,
         other => panic!("{other:?}"),
     };
-    heard.iter().map(number).collect()
+    received.iter().map(number).collect()
 }
 
 #[rstest]
@@ -188,14 +197,14 @@
 #[case::informs_in_the_open(true, Credentials::User(user("open")))]
 #[case::informs_signed(true, Credentials::User(user("auth")))]
 #[case::informs_encrypted(true, Credentials::User(user("private")))]
-fn notifications_come_in_order_each_once(#[case] informs: bool, #[case] credentials: Credentials) {
+fn notifications_arrive_once_and_in_order(#[case] informs: bool, #[case] credentials: Credentials) {
     let (mut notifier, mut listener) = (notifier(informs, credentials), listener(NOW));
     notifier.started(NOW, false);
     (0..9).for_each(|_| notifier.change(NOW, &Change::LedgerClosed));
-    let (heard, _) = play(&mut notifier, &mut listener, NOW..NOW + 10 * SECOND, |_| false);
-    assert_eq!(numbers(&heard), (1..=10).collect::<Vec<_>>());
+    let (received, _) = run(&mut notifier, &mut listener, NOW..NOW + 10 * SECOND, |_| false);
+    assert_eq!(numbers(&received), (1..=10).collect::<Vec<_>>());
     let start = Value::Oid(oid("1.3.6.1.6.3.1.1.5.1"));
-    assert_eq!(heard[0].bindings[1], (oid("1.3.6.1.6.3.1.1.4.1.0"), start));
+    assert_eq!(received[0].bindings[1], (oid("1.3.6.1.6.3.1.1.4.1.0"), start));
     let stats = &notifier.stats(0).receivers[0];
     assert_eq!((stats.sent, stats.resent, stats.queued), (10, 0, 0));
     assert_eq!(stats.acknowledged, if informs { 10 } else { 0 });
@@ -204,61 +213,61 @@
 #[rstest]
 #[case(Credentials::Community(b"public".to_vec()))]
 #[case(Credentials::User(user("private")))]
-fn informs_get_through_where_every_other_datagram_is_lost(#[case] credentials: Credentials) {
+fn informs_arrive_despite_heavy_loss(#[case] credentials: Credentials) {
     let (mut notifier, mut listener) = (notifier(true, credentials), listener(NOW));
     (0..10).for_each(|_| notifier.change(NOW, &Change::LedgerClosed));
     let mut n = 0;
-    let (heard, _) = play(&mut notifier, &mut listener, NOW..NOW + 600 * SECOND, |_| {
+    let (received, _) = run(&mut notifier, &mut listener, NOW..NOW + 600 * SECOND, |_| {
         n += 1;
         n % 5 < 2
     });
-    assert_eq!(numbers(&heard), (1..=10).collect::<Vec<_>>());
+    assert_eq!(numbers(&received), (1..=10).collect::<Vec<_>>());
     assert!(notifier.stats(0).receivers[0].resent > 0);
 }
 
 #[test]
-fn a_receiver_that_is_down_for_most_of_an_hour_costs_little_and_gets_the_last_that_were_kept() {
+fn a_receiver_that_is_down_for_an_hour_gets_the_queued_notifications() {
     let (mut notifier, mut listener) = (notifier(true, Credentials::User(user("private"))), listener(NOW));
     let mut sent = 0;
     for minute in 0..58 {
         let now = NOW + minute * 60 * SECOND;
         (0..4).for_each(|_| notifier.change(now, &Change::LedgerBack));
-        sent += play(&mut notifier, &mut listener, now..now + 60 * SECOND, |_| true).1;
+        sent += run(&mut notifier, &mut listener, now..now + 60 * SECOND, |_| true).1;
     }
     assert!(sent <= 6 + 58, "{sent} datagrams in 58 minutes");
     let now = NOW + 58 * 60 * SECOND;
-    let (heard, _) = play(&mut notifier, &mut listener, now..now + 120 * SECOND, |_| false);
+    let (received, _) = run(&mut notifier, &mut listener, now..now + 120 * SECOND, |_| false);
     let stats = notifier.stats(0).receivers[0].clone();
-    assert_eq!((heard.len(), stats.queued, stats.dropped), (MAX_QUEUE, 0, 232 - MAX_QUEUE as u64));
+    assert_eq!((received.len(), stats.queued, stats.dropped), (MAX_QUEUE, 0, 232 - MAX_QUEUE as u64));
     // The first was under way all the time; behind it are the latest.
     let kept: Vec<u32> = std::iter::once(1).chain(234 - MAX_QUEUE as u32..=232).collect();
-    assert_eq!(numbers(&heard), kept);
+    assert_eq!(numbers(&received), kept);
     // What has waited for an hour is told to nobody.
     notifier.change(now, &Change::LedgerClosed);
-    play(&mut notifier, &mut listener, now..now + 3600 * SECOND, |_| true);
-    let (heard, sent) =
-        play(&mut notifier, &mut listener, now + 3601 * SECOND..now + 4000 * SECOND, |_| false);
-    assert_eq!((heard.len(), sent, notifier.next()), (0, 0, None));
+    run(&mut notifier, &mut listener, now..now + 3600 * SECOND, |_| true);
+    let (received, sent) =
+        run(&mut notifier, &mut listener, now + 3601 * SECOND..now + 4000 * SECOND, |_| false);
+    assert_eq!((received.len(), sent, notifier.next()), (0, 0, None));
 }
 
 #[test]
-fn a_receiver_that_starts_anew_is_learnt_anew() {
+fn a_restarted_receiver_is_discovered_again() {
     let mut notifier = notifier(true, Credentials::User(user("auth")));
     notifier.change(NOW, &Change::LedgerClosed);
-    let (heard, _) = play(&mut notifier, &mut listener(NOW), NOW..NOW + 5 * SECOND, |_| false);
-    assert_eq!(heard.len(), 1);
+    let (received, _) = run(&mut notifier, &mut listener(NOW), NOW..NOW + 5 * SECOND, |_| false);
+    assert_eq!(received.len(), 1);
     // Another boot, and then another engine.
     for id in [b"a listener", b"Another on"] {
         let engine = Engine::new(id.to_vec(), 4, NOW + 5 * SECOND);
         let mut listener = Listener::new(NOW, engine, access(), 12);
         notifier.change(NOW + 9 * SECOND, &Change::LedgerBack);
         let span = NOW + 9 * SECOND..NOW + 12 * SECOND;
-        assert_eq!(play(&mut notifier, &mut listener, span, |_| false).0.len(), 1, "{id:?}");
+        assert_eq!(run(&mut notifier, &mut listener, span, |_| false).0.len(), 1, "{id:?}");
     }
 }
 
 #[test]
-fn a_trap_that_is_heard_again_later_is_a_replay() {
+fn a_trap_received_again_later_is_a_replay() {
     let user: User = user("private");
     let mut notifier = notifier(false, Credentials::User(user));
     let mut listener = listener(NOW);
@@ -272,16 +281,16 @@
 }
 
 #[test]
-fn planners_that_are_lost_and_plans_that_are_refused_are_told_and_a_proxy_by_itself_has_none() {
+fn lost_planners_and_refused_plans_are_reported() {
     let (mut watch, mut fleet) = (Watch::new(NOW), snapshot(2));
     fleet.plans.planners[0].reachable = false;
-    assert_eq!(told(&mut watch, NOW, &fleet), ["PlannersLost"]);
+    assert_eq!(reported(&mut watch, NOW, &fleet), ["PlannersLost"]);
     fleet.plans.planners[0].reachable = true;
     fleet.plans.planners[0].refused = 3;
-    assert_eq!(told(&mut watch, NOW + HOLD_DOWN, &fleet), ["PlannersBack", "PlanRefused(1)"]);
+    assert_eq!(reported(&mut watch, NOW + HOLD_DOWN, &fleet), ["PlannersBack", "PlanRefused(1)"]);
     fleet.plans.planners[0].refused = 4;
-    assert_eq!(told(&mut watch, NOW + 2 * HOLD_DOWN, &fleet), Vec::<String>::new());
-    assert_eq!(told(&mut watch, NOW + HOLD_DOWN + MAX_HOLD_DOWN, &fleet), ["PlanRefused(1)"]);
+    assert_eq!(reported(&mut watch, NOW + 2 * HOLD_DOWN, &fleet), Vec::<String>::new());
+    assert_eq!(reported(&mut watch, NOW + HOLD_DOWN + MAX_HOLD_DOWN, &fleet), ["PlanRefused(1)"]);
     fleet.plans.planners.clear();
-    assert_eq!(told(&mut watch, NOW + 2 * MAX_HOLD_DOWN, &fleet), Vec::<String>::new());
+    assert_eq!(reported(&mut watch, NOW + 2 * MAX_HOLD_DOWN, &fleet), Vec::<String>::new());
 }
--- a/crates/snmp/tests/reader.rs
+++ b/crates/snmp/tests/reader.rs
@@ -9,7 +9,7 @@
 use snmp::{Oid, Value};
 
 /// A message around the bytes of a value.
-fn around(value: &[u8]) -> Vec<u8> {
+fn message_with_value(value: &[u8]) -> Vec<u8> {
     let wrap = |tag: u8, parts: &[&[u8]]| {
         let inner = parts.concat();
         let length = [0x82, (inner.len() >> 8) as u8, inner.len() as u8];
@@ -22,38 +22,38 @@
 }
 
 #[rstest]
-#[case::indefinite(b"\x30\x80\x00\x00", "an indefinite length")]
-#[case::constructed_string(b"\x24\x03\x04\x01a", "an element that SNMP has no use for")]
-#[case::integer_of_40(&[&b"\x02\x28"[..], &[1; 40]].concat(), "a number of too few or too many bytes")]
-#[case::integer_of_none(b"\x02\x00", "a number of too few or too many bytes")]
-#[case::counter_of_10(&[&b"\x46\x0a"[..], &[1; 10]].concat(), "a number of too few or too many bytes")]
-#[case::name_of_200(&[&b"\x06\x81\xc8"[..], &[1; 200]].concat(), "a name of too many arcs")]
-#[case::name_of_a_large_arc(b"\x06\x06\x2b\x90\x80\x80\x80\x00", "an arc of more than 32 bits")]
-#[case::name_of_none(b"\x06\x00", "a name that is not whole")]
-#[case::name_cut(b"\x06\x02\x2b\x86", "a name that is not whole")]
-#[case::name_padded(b"\x06\x03\x2b\x80\x01", "a padded arc")]
-#[case::null_with_bytes(b"\x05\x01\x00", "an element that SNMP has no use for")]
-#[case::high_tag(b"\x1f\x81\x01\x00", "a tag of more than a byte")]
-#[case::too_long(b"\x04\x05abc", "an element longer than what holds it")]
-#[case::enormous(b"\x04\x84\xff\xff\xff\xff", "an element longer than what holds it")]
-#[case::length_of_five(b"\x04\x85\x00\x00\x00\x00\x01a", "a length of too many bytes")]
-#[case::deep(b"\x30\x0a\x30\x08\x30\x06\x30\x04\x30\x02\x30\x00", "too many levels")]
-fn what_no_message_holds_is_told(#[case] value: &[u8], #[case] why: &'static str) {
-    assert_eq!(check(&around(value)), Err(Malformed(why)));
+#[case::indefinite(b"\x30\x80\x00\x00", "indefinite length")]
+#[case::constructed_string(b"\x24\x03\x04\x01a", "element type not used by SNMP")]
+#[case::integer_of_40(&[&b"\x02\x28"[..], &[1; 40]].concat(), "number of invalid length")]
+#[case::integer_of_none(b"\x02\x00", "number of invalid length")]
+#[case::counter_of_10(&[&b"\x46\x0a"[..], &[1; 10]].concat(), "number of invalid length")]
+#[case::name_of_200(&[&b"\x06\x81\xc8"[..], &[1; 200]].concat(), "object identifier of too many arcs")]
+#[case::name_of_a_large_arc(b"\x06\x06\x2b\x90\x80\x80\x80\x00", "arc of more than 32 bits")]
+#[case::name_of_none(b"\x06\x00", "empty or truncated object identifier")]
+#[case::name_cut(b"\x06\x02\x2b\x86", "empty or truncated object identifier")]
+#[case::name_padded(b"\x06\x03\x2b\x80\x01", "padded arc")]
+#[case::null_with_bytes(b"\x05\x01\x00", "element type not used by SNMP")]
+#[case::high_tag(b"\x1f\x81\x01\x00", "tag of more than one byte")]
+#[case::too_long(b"\x04\x05abc", "element longer than its container")]
+#[case::enormous(b"\x04\x84\xff\xff\xff\xff", "element longer than its container")]
+#[case::length_of_five(b"\x04\x85\x00\x00\x00\x00\x01a", "length field of too many bytes")]
+#[case::deep(b"\x30\x0a\x30\x08\x30\x06\x30\x04\x30\x02\x30\x00", "nesting too deep")]
+fn invalid_elements_are_rejected_with_a_reason(#[case] value: &[u8], #[case] why: &'static str) {
+    assert_eq!(check(&message_with_value(value)), Err(Malformed(why)));
 }
 
 #[test]
-fn a_message_is_the_whole_datagram_and_no_longer_than_it_may_be() {
-    let sound = around(b"\x05\x00");
-    assert_eq!(check(&sound), Ok(()));
-    assert_eq!(version(&sound), Ok(1));
-    assert_eq!(check(&[&sound[..], b"\x00"].concat()), Err(Malformed("bytes behind the message")));
-    assert_eq!(check(&vec![0x30; 60_000]), Err(Malformed("a datagram that is too long")));
+fn a_message_fills_the_datagram_and_respects_the_limits() {
+    let valid = message_with_value(b"\x05\x00");
+    assert_eq!(check(&valid), Ok(()));
+    assert_eq!(version(&valid), Ok(1));
+    assert_eq!(check(&[&valid[..], b"\x00"].concat()), Err(Malformed("trailing bytes after the message")));
+    assert_eq!(check(&vec![0x30; 60_000]), Err(Malformed("datagram too long")));
     let many = [0x05, 0x00].repeat(600);
     let length = [(many.len() >> 8) as u8, many.len() as u8];
     assert_eq!(check(&[&[0x30, 0x82], &length[..], &many].concat()), Err(Malformed("too many elements")));
-    for end in 0..sound.len() {
-        assert!(check(&sound[..end]).is_err(), "cut at {end}");
+    for end in 0..valid.len() {
+        assert!(check(&valid[..end]).is_err(), "cut at {end}");
     }
 }
 
@@ -93,7 +93,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_is_read_again_and_as_long_as_it_says(message in messages()) {
+    fn messages_survive_encoding_and_decoding_and_have_the_computed_length(message in messages()) {
         let bytes = message.bytes();
         prop_assert_eq!(check(&bytes), Ok(()));
         let without = Pdu { bindings: Vec::new(), ..message.pdu.clone() };
@@ -105,13 +105,13 @@
     }
 
     #[test]
-    fn a_message_that_is_spoilt_is_read_or_refused_and_never_more(
+    fn a_mutated_message_keeps_the_invariants(
         message in messages(),
-        spoil in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
+        mutations in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6),
         cut in any::<prop::sample::Index>(),
     ) {
         let mut bytes = message.bytes();
-        for (at, byte) in spoil {
+        for (at, byte) in mutations {
             let at = at.index(bytes.len());
             bytes[at] = byte;
         }
@@ -120,36 +120,36 @@
     }
 
     #[test]
-    fn garbage_is_survived(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_keep_the_invariants(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         invariants::check_invariants(&bytes);
     }
 }
 
 /// The fuzzer's corpus, each file as it is and spoilt two hundred times.
 #[test]
-fn the_corpus_holds_and_so_does_what_is_near_it() {
-    let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fuzz/corpus/snmp");
+fn corpus_files_and_their_mutations_keep_the_invariants() {
+    let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fuzz/corpus/snmp");
     let mut files: Vec<_> =
-        std::fs::read_dir(folder).expect("the corpus").map(|f| f.expect("a file").path()).collect();
+        std::fs::read_dir(directory).expect("the corpus").map(|f| f.expect("a file").path()).collect();
     files.sort();
     assert!(files.len() >= 12, "{} files", files.len());
     let mut seed = 0x9e37_79b9_7f4a_7c15u64;
-    let mut draw = |below: usize| {
+    let mut random_below = |below: usize| {
         seed = (seed ^ seed >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9).wrapping_add(1);
         (seed >> 33) as usize % below.max(1)
     };
     for file in files {
-        let whole = std::fs::read(&file).expect("its bytes");
-        invariants::check_invariants(&whole);
+        let contents = std::fs::read(&file).expect("its bytes");
+        invariants::check_invariants(&contents);
         for _ in 0..200 {
-            let mut bytes = whole.clone();
-            for _ in 0..=draw(3) {
-                let at = draw(bytes.len());
-                match (draw(3), bytes.is_empty()) {
+            let mut bytes = contents.clone();
+            for _ in 0..=random_below(3) {
+                let at = random_below(bytes.len());
+                match (random_below(3), bytes.is_empty()) {
                     (_, true) => {}
-                    (0, _) => bytes[at] = draw(256) as u8,
+                    (0, _) => bytes[at] = random_below(256) as u8,
                     (1, _) => drop(bytes.remove(at)),
-                    _ => bytes.insert(at, draw(256) as u8),
+                    _ => bytes.insert(at, random_below(256) as u8),
                 }
             }
             invariants::check_invariants(&bytes);
