--- a/crates/memcached/tests/invariants/mod.rs
+++ b/crates/memcached/tests/invariants/mod.rs
@@ -16,7 +16,7 @@
         Step::Incomplete(n) => Step::Incomplete(n),
         Step::Complete(request, consumed) => {
             let mut out = Vec::new();
-            request.put(&mut out).expect("what was read can be written");
+            request.put(&mut out).expect("a decoded frame can be encoded");
             let _ = (request.check(), request.opcode.name(), sasl::plain(request.value));
             Step::Complete(out, consumed)
         }
@@ -28,7 +28,7 @@
         Step::Incomplete(n) => Step::Incomplete(n),
         Step::Complete(response, consumed) => {
             let mut out = Vec::new();
-            response.put(&mut out).expect("what was read can be written");
+            response.put(&mut out).expect("a decoded frame can be encoded");
             let request = Request { opaque: response.opaque, ..Request::new(response.opcode) };
             let _ = (response.answers(&request), response.status.text());
             Step::Complete(out, consumed)
@@ -49,13 +49,17 @@
             to_skip -= skipped;
             match decode(&buffer) {
                 Ok(Step::Complete(written, consumed)) => {
-                    assert_eq!(written, buffer[..consumed], "what was read is not what is written");
+                    assert_eq!(written, buffer[..consumed], "encoding a decoded frame changed it");
                     frames.push(written);
                     buffer.drain(..consumed);
                 }
                 Ok(Step::Incomplete(wanted)) => {
-                    assert!(wanted > buffer.len(), "{wanted} bytes are wanted, {} are there", buffer.len());
-                    assert!(wanted <= LIMITS.max_frame_len(), "{wanted} bytes are wanted");
+                    assert!(
+                        wanted > buffer.len(),
+                        "{wanted} bytes are requested, but {} are already buffered",
+                        buffer.len()
+                    );
+                    assert!(wanted <= LIMITS.max_frame_len(), "{wanted} bytes exceed the frame limit");
                     break;
                 }
                 Err(Fault::Refused(header, ..)) if header.body <= MAX_SKIPPED_BODY => {
@@ -73,7 +77,7 @@
         rest = &rest[piece_len..];
         assert!(
             buffer.len() <= LIMITS.max_frame_len() + usize::from(u8::MAX),
-            "{} bytes are held",
+            "{} bytes are buffered",
             buffer.len()
         );
     }
@@ -84,7 +88,11 @@
 pub fn check_invariants(bytes: &[u8], lengths: &[u8]) -> usize {
     let found = [request as Decode, response as Decode].map(|decode| {
         let byte_by_byte = decode_in_pieces(decode, bytes, &[1]);
-        assert_eq!(decode_in_pieces(decode, bytes, lengths), byte_by_byte, "pieces change what is read");
+        assert_eq!(
+            decode_in_pieces(decode, bytes, lengths),
+            byte_by_byte,
+            "the result depends on the pieces"
+        );
         byte_by_byte.0.len()
     });
     found.iter().sum()
--- a/crates/memcached/tests/pages.rs
+++ b/crates/memcached/tests/pages.rs
@@ -7,7 +7,7 @@
 #[test]
 fn get_request_and_response_match_the_description() {
     let mut out = Vec::new();
-    Request { key: b"Hello", ..Request::new(Opcode::GET) }.put(&mut out).expect("it fits");
+    Request { key: b"Hello", ..Request::new(Opcode::GET) }.put(&mut out).expect("the lengths fit");
     assert_eq!(out, b"\x80\x00\x00\x05\0\0\0\0\0\0\0\x05\0\0\0\0\0\0\0\0\0\0\0\0Hello");
     let bytes = b"\x81\x00\0\0\x04\0\0\0\0\0\0\x09\0\0\0\0\0\0\0\0\0\0\0\x01\xde\xad\xbe\xefWorld";
     let extras = b"\xde\xad\xbe\xef";
@@ -21,7 +21,7 @@
     let extras = b"\xde\xad\xbe\xef\x00\x00\x0e\x10";
     let add = Request { extras, key: b"Hello", value: b"World", ..Request::new(Opcode::ADD) };
     let mut out = Vec::new();
-    add.put(&mut out).expect("it fits");
+    add.put(&mut out).expect("the lengths fit");
     assert_eq!(&out[..12], b"\x80\x02\x00\x05\x08\0\0\0\0\0\0\x12");
     assert_eq!(&out[24..], b"\xde\xad\xbe\xef\x00\x00\x0e\x10HelloWorld");
     assert_eq!(add.check(), Ok(()));
@@ -49,7 +49,7 @@
     let mut out = Vec::new();
     Request { opaque: 9, key: &key, value: &value, ..Request::new(Opcode::GET) }
         .put(&mut out)
-        .expect("it fits");
+        .expect("the lengths fit");
     let reported = match frame::request(&out, &Limits::default()) {
         Err(Fault::Refused(header, status, _)) => {
             assert_eq!((header.opaque, 24 + header.body as usize), (9, out.len()));
@@ -115,5 +115,5 @@
         plain.map(|p| (p.authzid, p.user, p.password)),
         parts.map(|(a, u, p)| { (a.as_bytes(), u.as_bytes(), p.as_bytes()) })
     );
-    assert!(!format!("{plain:?}").contains("secret"), "a password shows");
+    assert!(!format!("{plain:?}").contains("secret"), "the password is printed");
 }
--- a/crates/memcached/tests/properties.rs
+++ b/crates/memcached/tests/properties.rs
@@ -24,7 +24,7 @@
             true => Request { opcode, vbucket: two, opaque, cas, extras, key, value }.put(&mut out),
             false => Response { opcode, status: Status(two), opaque, cas, extras, key, value }.put(&mut out),
         };
-        written.expect("it fits");
+        written.expect("the lengths fit");
         out
     });
     vec(one, 0..6).prop_map(|frames| frames.concat())
@@ -63,7 +63,7 @@
         let opcode = Opcode(opcode);
         let request = Request { opcode, vbucket, opaque, cas, extras: &extras, key: &key, value: &value };
         let mut out = Vec::new();
-        request.put(&mut out).expect("it fits");
+        request.put(&mut out).expect("the lengths fit");
         prop_assert_eq!(frame::request(&out, &LIMITS), Ok(Step::Complete(request, out.len())));
         prop_assert!(out.len() <= LIMITS.max_frame_len());
     }
@@ -94,7 +94,7 @@
 fn corpus_files_and_their_mutations_keep_the_invariants(
     #[files("../../fuzz/corpus/memcached/*")] path: PathBuf,
 ) {
-    let bytes = std::fs::read(&path).expect("a file of the corpus");
+    let bytes = std::fs::read(&path).expect("a readable corpus file");
     check_invariants(&bytes, &[3, 1, 40]);
     let mut random = Xoshiro256PlusPlus::seed_from_u64(0x6d63);
     for _ in 0..200 {
--- a/crates/snmp/src/access.rs
+++ b/crates/snmp/src/access.rs
@@ -27,8 +27,8 @@
 
     /// Whether a name is in the view.
     pub fn contains(&self, name: &Oid) -> bool {
-        let within = self.subtrees.iter().filter(|(root, _)| name.is_under(root));
-        within.max_by_key(|(root, _)| root.arcs().len()).is_some_and(|(_, is)| *is)
+        let containing = self.subtrees.iter().filter(|(root, _)| name.is_under(root));
+        containing.max_by_key(|(root, _)| root.arcs().len()).is_some_and(|(_, included)| *included)
     }
 
     /// The first name after this one where membership in the view may change: the start of a subtree, or the
@@ -113,11 +113,11 @@
     pub fn community(&self, name: &[u8], from: IpAddr) -> Admitted<'_> {
         let (given, from) = (padded(name), from.to_canonical());
         let (mut known, mut view) = (false, None);
-        for one in &self.communities {
-            let same: bool = padded(&one.name).ct_eq(&given).into();
-            known |= same;
-            if same && one.from.contains(&from) {
-                view = view.or(Some(&one.view));
+        for community in &self.communities {
+            let matches: bool = padded(&community.name).ct_eq(&given).into();
+            known |= matches;
+            if matches && community.from.contains(&from) {
+                view = view.or(Some(&community.view));
             }
         }
         match (view, known) {
--- a/crates/snmp/src/agent.rs
+++ b/crates/snmp/src/agent.rs
@@ -188,7 +188,7 @@
     fn process_v3(&mut self, now: Micros, datagram: &[u8], serve: &mut dyn Serve) -> Option<Vec<u8>> {
         let incoming = match Secured::read(datagram) {
             Ok(incoming) => incoming,
-            Err(what) if what == message::FLAGS => {
+            Err(error) if error == message::INVALID_FLAGS => {
                 increment(&mut self.stats.invalid_messages);
                 return None;
             }
--- a/crates/snmp/src/message.rs
+++ b/crates/snmp/src/message.rs
@@ -140,14 +140,14 @@
     pub data: Data,
 }
 
-const BAD: Malformed = Malformed("not a valid message of this version");
+const INVALID: Malformed = Malformed("not a valid message of this version");
 
 /// Reserved combinations of flags, or flags that are not exactly one byte long (RFC 3412, 7.2, 5d).
-pub(crate) const FLAGS: Malformed = Malformed("invalid message flags");
+pub(crate) const INVALID_FLAGS: Malformed = Malformed("invalid message flags");
 
 fn bounded_u32(n: &Integer) -> Result<u32, Malformed> {
     // RFC 3412 and 3414 limit all of these numbers to 2^31 - 1.
-    i32::try_from(n).ok().and_then(|n| u32::try_from(n).ok()).ok_or(BAD)
+    i32::try_from(n).ok().and_then(|n| u32::try_from(n).ok()).ok_or(INVALID)
 }
 
 fn value(v: VarBindValue) -> Result<Value, Malformed> {
@@ -158,23 +158,23 @@
         VarBindValue::NoSuchInstance => Value::NoSuchInstance,
         VarBindValue::EndOfMibView => Value::EndOfMibView,
         VarBindValue::Value(Syntax::Simple(simple)) => match simple {
-            Simple::Integer(n) => Value::Integer(i32::try_from(&n).map_err(|_| BAD)?),
+            Simple::Integer(n) => Value::Integer(i32::try_from(&n).map_err(|_| INVALID)?),
             Simple::String(s) => Value::Octets(s.to_vec()),
-            Simple::ObjectId(o) => Value::Oid(Oid::new(&o).ok_or(BAD)?),
+            Simple::ObjectId(o) => Value::Oid(Oid::new(&o).ok_or(INVALID)?),
         },
         VarBindValue::Value(Syntax::ApplicationWide(app)) => match app {
-            App::Address(a) => Value::Address(a.0.as_ref().try_into().map_err(|_| BAD)?),
+            App::Address(a) => Value::Address(a.0.as_ref().try_into().map_err(|_| INVALID)?),
             App::Counter(n) => Value::Counter(n.0),
             App::Ticks(n) => Value::Ticks(n.0),
             // Opaque exists only for old agents (RFC 2578, 7.1.9); the reader rejects it.
-            App::Arbitrary(_) => return Err(BAD),
+            App::Arbitrary(_) => return Err(INVALID),
             App::BigCounter(n) => Value::Counter64(n.0),
             App::Unsigned(n) => Value::Gauge(n.0),
         },
     })
 }
 
-fn name(oid: &Oid) -> ObjectIdentifier {
+fn object_identifier(oid: &Oid) -> ObjectIdentifier {
     ObjectIdentifier::new_unchecked(oid.arcs().to_vec().into())
 }
 
@@ -185,7 +185,7 @@
     match v {
         Value::Integer(n) => simple(Simple::Integer((*n).into())),
         Value::Octets(o) => simple(Simple::String(OctetString::from(o.clone()))),
-        Value::Oid(o) => simple(Simple::ObjectId(name(o))),
+        Value::Oid(o) => simple(Simple::ObjectId(object_identifier(o))),
         Value::Address(a) => app(App::Address(smi::IpAddress((*a).into()))),
         Value::Counter(n) => app(App::Counter(smi::Counter(*n))),
         Value::Gauge(n) => app(App::Unsigned(smi::Gauge(*n))),
@@ -205,7 +205,7 @@
 }
 
 fn bindings(all: Vec<VarBind>) -> Result<Vec<(Oid, Value)>, Malformed> {
-    all.into_iter().map(|b| Ok((Oid::new(&b.name).ok_or(BAD)?, value(b.value)?))).collect()
+    all.into_iter().map(|b| Ok((Oid::new(&b.name).ok_or(INVALID)?, value(b.value)?))).collect()
 }
 
 fn pdu(from: v2::Pdus) -> Result<Pdu, Malformed> {
@@ -228,7 +228,7 @@
 }
 
 fn pdus(from: &Pdu) -> v2::Pdus {
-    let bind = |(n, v): &(Oid, Value)| VarBind { name: name(n), value: to_wire(v) };
+    let bind = |(n, v): &(Oid, Value)| VarBind { name: object_identifier(n), value: to_wire(v) };
     let variable_bindings: Vec<VarBind> = from.bindings.iter().map(bind).collect();
     let (request_id, error_status, error_index) = (from.request, from.status, from.index);
     if from.kind == Kind::GetBulk {
@@ -254,7 +254,7 @@
 }
 
 fn decode<T: rasn::Decode>(bytes: &[u8]) -> Result<T, Malformed> {
-    rasn::ber::decode(bytes).map_err(|_| BAD)
+    rasn::ber::decode(bytes).map_err(|_| INVALID)
 }
 
 impl Community {
@@ -273,10 +273,10 @@
 
 impl Flags {
     fn read(octets: &[u8]) -> Result<Flags, Malformed> {
-        let [bits] = octets else { return Err(FLAGS) };
+        let [bits] = octets else { return Err(INVALID_FLAGS) };
         let flags = Flags { auth: bits & 1 != 0, privacy: bits & 2 != 0, reportable: bits & 4 != 0 };
         // Privacy without authentication is reserved (RFC 3412, 7.2, 5d).
-        Some(flags).filter(|f| f.auth || !f.privacy).ok_or(FLAGS)
+        Some(flags).filter(|f| f.auth || !f.privacy).ok_or(INVALID_FLAGS)
     }
 
     fn bits(self) -> u8 {
@@ -289,10 +289,10 @@
     /// the datagram.
     pub fn read(bytes: &[u8]) -> Result<Scoped, Malformed> {
         reader::check(bytes)?;
-        Scoped::of(decode(bytes)?)
+        Scoped::from_wire(decode(bytes)?)
     }
 
-    fn of(from: v3::ScopedPdu) -> Result<Scoped, Malformed> {
+    fn from_wire(from: v3::ScopedPdu) -> Result<Scoped, Malformed> {
         let (engine, context) = (from.engine_id.to_vec(), from.name.to_vec());
         Ok(Scoped { engine, context, pdu: pdu(from.data)? })
     }
@@ -316,7 +316,7 @@
         let message: v3::Message = decode(bytes)?;
         let head = &message.global_data;
         let header = Header {
-            id: i32::try_from(&head.message_id).map_err(|_| BAD)?,
+            id: i32::try_from(&head.message_id).map_err(|_| INVALID)?,
             max_size: bounded_u32(&head.max_size)?,
             flags: Flags::read(&head.flags)?,
             model: bounded_u32(&head.security_model)?,
@@ -332,7 +332,7 @@
             privacy: usm.privacy_parameters.to_vec(),
         };
         let data = match message.scoped_data {
-            v3::ScopedPduData::CleartextPdu(scoped) => Data::Plain(Scoped::of(scoped)?),
+            v3::ScopedPduData::CleartextPdu(scoped) => Data::Plain(Scoped::from_wire(scoped)?),
             v3::ScopedPduData::EncryptedPdu(octets) => Data::Encrypted(octets.to_vec()),
         };
         Ok(Secured { header, security, data })
--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -130,11 +130,15 @@
 
     /// Counters of the notifications. `held` is the number of changes that were not reported at once.
     pub fn stats(&self, held: u64) -> Notifications {
-        let of = |destination: &Destination| Receiver {
+        let counters = |destination: &Destination| Receiver {
             queued: destination.queue.len() as u64,
             ..destination.stats.clone()
         };
-        Notifications { sequence: self.sequence, held, receivers: self.destinations.iter().map(of).collect() }
+        Notifications {
+            sequence: self.sequence,
+            held,
+            receivers: self.destinations.iter().map(counters).collect(),
+        }
     }
 
     /// Queues the notification that the agent has started: warmStart if its settings are unchanged, else
@@ -190,8 +194,8 @@
         let (name, objects) = notification;
         self.sequence = self.sequence.wrapping_add(1);
         let sequence = tree::root(self.enterprise).child(&[1, 9, 1, 0]);
-        let (Some(up), Some(trap)) = (Oid::new(&SYS_UP_TIME), Oid::new(&SNMP_TRAP_OID)) else { return };
-        let mut bindings = vec![(up, Value::ticks(now - self.started)), (trap, Value::Oid(name))];
+        let (Some(uptime), Some(trap)) = (Oid::new(&SYS_UP_TIME), Oid::new(&SNMP_TRAP_OID)) else { return };
+        let mut bindings = vec![(uptime, Value::ticks(now - self.started)), (trap, Value::Oid(name))];
         bindings.extend(objects);
         bindings.push((sequence, Value::Counter(self.sequence)));
         for destination in &mut self.destinations {
--- a/crates/snmp/src/oid.rs
+++ b/crates/snmp/src/oid.rs
@@ -15,12 +15,12 @@
     /// into one, which limits their values (X.690, 8.19.4).
     pub fn new(arcs: &[u32]) -> Option<Oid> {
         let [first, second, ..] = arcs else { return None };
-        let packs = match first {
+        let encodable = match first {
             0 | 1 => *second < 40,
             2 => *second <= u32::MAX - 80,
             _ => false,
         };
-        (packs && arcs.len() <= MAX_ARCS).then(|| Oid(arcs.to_vec()))
+        (encodable && arcs.len() <= MAX_ARCS).then(|| Oid(arcs.to_vec()))
     }
 
     /// Parses an identifier such as `1.3.6.1`, with or without a leading dot.
@@ -69,11 +69,11 @@
     /// Length of the BER contents in bytes.
     pub fn encoded_len(&self) -> usize {
         let packed = self.0.first().zip(self.0.get(1)).map_or(0, |(a, b)| u64::from(*a) * 40 + u64::from(*b));
-        septets(packed) + self.0.iter().skip(2).map(|a| septets(u64::from(*a))).sum::<usize>()
+        base128_len(packed) + self.0.iter().skip(2).map(|a| base128_len(u64::from(*a))).sum::<usize>()
     }
 }
 
-fn septets(arc: u64) -> usize {
+fn base128_len(arc: u64) -> usize {
     (64 - arc.leading_zeros() as usize).max(1).div_ceil(7)
 }
 
--- a/crates/snmp/src/usm/tests.rs
+++ b/crates/snmp/src/usm/tests.rs
@@ -47,6 +47,6 @@
     let whole = i64::from(MAX_BOOTS) * crate::SECOND;
     assert_eq!(engine.clock(whole - 1), (MAX_BOOTS - 1, MAX_BOOTS - 1));
     assert_eq!(engine.clock(whole), (MAX_BOOTS, 0));
-    assert!(!engine.in_time(whole, MAX_BOOTS, 0), "the last boot is latched");
+    assert!(!engine.in_time(whole, MAX_BOOTS, 0), "no message is in time at the maximum of boots");
     assert_eq!(engine.clock(-5), (MAX_BOOTS - 1, 0));
 }
--- a/crates/snmp/tests/agent.rs
+++ b/crates/snmp/tests/agent.rs
@@ -1,4 +1,4 @@
-//! The agent from outside: datagrams in, datagrams out, over SNMPv2c.
+//! Tests of the agent over SNMPv2c: datagrams in, datagrams out.
 
 mod common;
 
@@ -69,7 +69,7 @@
     let bulk = pdu(Kind::GetBulk, 0, 10_000, &[NODE]);
     let answer = ask(&mut agent(), "public", &bulk, &tree(200)).expect("an answer");
     assert_eq!(answer.status, 0);
-    // A row takes some 30 bytes: more than 30 of them, and the next would not have fitted.
+    // A row takes about 30 bytes: at least 30 rows fit, and the next one did not.
     assert!((30..70).contains(&answer.bindings.len()), "{}", answer.bindings.len());
     assert!(answer.bindings.windows(2).all(|w| w[0].0 < w[1].0));
 }
@@ -86,7 +86,7 @@
 
 #[test]
 fn a_get_whose_response_does_not_fit_is_too_big() {
-    // sysDescr is asked for so often that the names alone would fit.
+    // sysDescr is requested so often that the response does not fit, although the names alone would.
     let names = ["1.3.6.1.2.1.1.1.0"; 60];
     let answer = ask(&mut agent(), "public", &pdu(Kind::Get, 0, 0, &names), &tree(1)).expect("an answer");
     assert_eq!((answer.status, answer.index, answer.bindings.len()), (status::TOO_BIG, 0, 0));
@@ -96,9 +96,9 @@
     let (mut walk, mut names, mut step) = (Walk::new(oid("1.3"), 20), Vec::new(), 0);
     while let Some(next) = walk.next(77) {
         let answer = ask(agent, who, &next, &tree(step)).expect("an answer");
-        names.extend(walk.take(answer).expect("an order").into_iter().map(|(n, _)| n));
+        names.extend(walk.take(answer).expect("increasing names").into_iter().map(|(n, _)| n));
         step += 1;
-        assert!(step < 1000, "no end");
+        assert!(step < 1000, "the walk does not end");
     }
     names
 }
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_walk_over_a_changing_fleet_ends_and_returns_no_name_twice() {
-    // Each answer is of another fleet; node 5 is there all the time.
+    // Each response comes from a different set of nodes; only node 5 is always present.
     let names = walk(&mut agent(), "public", |step| {
         let mut snapshot = snapshot(12);
         snapshot.nodes.retain(|n| &*n.name == "s-005" || !(n.name.len() + step).is_multiple_of(3));
--- a/crates/snmp/tests/common/mod.rs
+++ b/crates/snmp/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! An agent with a fleet to show, and messages to ask it with.
+//! Fixtures: an agent, a snapshot of a fleet, and messages to query it.
 
 #![allow(dead_code)]
 
@@ -24,7 +24,8 @@
     Engine::new(Engine::id_of(ENTERPRISE, "n3"), 7, now)
 }
 
-/// The user of this name: `open`, `auth` and `private` are of these levels, the rest does not exist.
+/// A user with this name: `open`, `auth` and `private` have these security levels; other names are unknown to
+/// the agent.
 pub fn user(name: &str) -> User {
     let auth = Some((Auth::Sha256, "a long passphrase"));
     match name {
@@ -35,7 +36,7 @@
     .expect("a user")
 }
 
-/// Keys are made once: a passphrase takes a megabyte of hashing.
+/// The keys are derived only once, since a passphrase takes a megabyte of hashing.
 pub fn access() -> Access {
     static ACCESS: LazyLock<Access> = LazyLock::new(build_access);
     ACCESS.clone()
@@ -44,7 +45,7 @@
 fn build_access() -> Access {
     let part =
         View { subtrees: vec![(oid("1.3.6.1.4.1.32473.1.1.2"), true), (oid("1.3.6.1.2.1.1.1"), true)] };
-    // A part, without a part of it, but with a part of that.
+    // Nested views: a subtree, without a subtree of it, but with a subtree of that.
     let nested = ["1.3.6.1.4.1", "1.3.6.1.4.1.32473.1.1.2", "1.3.6.1.4.1.32473.1.1.2.6.1.6", "1.3.6.1.6"];
     let nested = nested.iter().enumerate().map(|(i, root)| (oid(root), i != 1));
     let nested = View { subtrees: nested.collect() };
@@ -73,7 +74,7 @@
     Node { name: name.into(), hall: "hofdi".into(), kind: "full-node".into(), ..Node::default() }
 }
 
-/// Everything has a row.
+/// A snapshot in which every table has a row.
 pub fn snapshot(nodes: usize) -> Snapshot {
     let class = |class: &str| Times { class: class.into(), ..Times::default() };
     let row = |class: &str, tenant: &str| {
@@ -121,6 +122,6 @@
 }
 
 pub fn read(datagram: &[u8]) -> Pdu {
-    snmp::reader::check(datagram).expect("a sound datagram");
+    snmp::reader::check(datagram).expect("a valid datagram");
     message::Community::read(datagram).expect("a message").pdu
 }
--- a/crates/snmp/tests/mib.rs
+++ b/crates/snmp/tests/mib.rs
@@ -1,5 +1,5 @@
-//! The MIB's text beside the agent: each object that it names is answered with the type it says, and nothing is
-//! answered that it does not name.
+//! Compares the agent with the text of the MIB: the agent serves every object of the MIB with the right type,
+//! and no object that is not in the MIB.
 
 mod common;
 
@@ -17,7 +17,7 @@
     let mut checked = 0;
     for object in mib.objects().filter(|o| matches!(o.kind, ObjectKind::Scalar | ObjectKind::Column)) {
         let (name, value) = tree.after(&object.oid).first().expect("an instance");
-        assert!(name.is_under(&object.oid), "{} is not answered", object.name);
+        assert!(name.is_under(&object.oid), "{} is not served", object.name);
         assert_eq!(syntax(value), object.syntax, "{}", object.name);
         assert_eq!(object.kind == ObjectKind::Scalar, *name == object.oid.child(&[0]), "{}", object.name);
         if let (Value::Integer(n), false) = (value, object.labels.is_empty()) {
@@ -25,7 +25,11 @@
         }
         checked += 1;
     }
-    assert_eq!(checked, TEXT.matches("    MAX-ACCESS  read-only").count(), "the text is not read whole");
+    assert_eq!(
+        checked,
+        TEXT.matches("    MAX-ACCESS  read-only").count(),
+        "the text of the MIB is not parsed completely"
+    );
     let all = tree.after(&root(ENTERPRISE)).iter().filter(|(n, _)| n.is_under(&root(ENTERPRISE)));
     for (name, _) in all {
         let object = mib.of(name).map(|o| o.kind);
@@ -44,7 +48,7 @@
         assert!(empty.has_object(ENTERPRISE, &column.oid.child(&[9, 9])), "{}", column.name);
         let next = column.oid.subtree_end().expect("a name");
         let known = Mib::read(TEXT).objects().any(|o| o.oid == next);
-        assert_eq!(empty.has_object(ENTERPRISE, &next.child(&[9])), known, "behind {}", column.name);
+        assert_eq!(empty.has_object(ENTERPRISE, &next.child(&[9])), known, "object after {}", column.name);
     }
 }
 
@@ -115,7 +119,8 @@
     assert_eq!(mib.show(&oid("1.3.6.1.2.1.1.3.0")), "sysUpTime.0");
     assert_eq!(mib.show(&mib.resolve("mwReady.0").expect("a name")), "mwReady");
     let started = mib.resolve("mwStarted.0").expect("a name");
-    // Checked with `date -u`: a leap day, the last moment of a year, and the end of a century.
+    // Expected values were checked with `date -u`: a leap day, the last moment of a year, and the end of a
+    // century.
     let dates = [
         (1_709_210_096_700_000, "2024-02-29 12:34:56.7 +00:00"),
         (1_798_761_599_999_999, "2026-12-31 23:59:59.9 +00:00"),
--- a/crates/snmp/tests/notify.rs
+++ b/crates/snmp/tests/notify.rs
@@ -1,4 +1,5 @@
-//! Notifications on a made-up clock: what is told and when, what is damped, and how informs get through.
+//! Tests of notifications on a simulated clock: which changes are reported and when, damping, and delivery of
+//! informs.
 
 mod common;
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// What is told of a fleet whose usable nodes all have answered something of late.
+/// Reported changes of a fleet in which every usable node has answered something recently.
 fn reported(watch: &mut Watch, now: i64, snapshot: &Snapshot) -> Vec<String> {
     let mut snapshot = snapshot.clone();
     snapshot.nodes.iter_mut().filter(|n| n.state.usable()).for_each(|n| n.served = now as u64);
@@ -57,12 +58,12 @@
         reported(&mut watch, now, &cut),
         ["silent s-000", "silent s-001", "silent s-002", "under 1 of 2"]
     );
-    // Left out, since it failed in a row, is no other news than silent.
+    // A silent node that is left out after repeated failures is not reported again.
     assert_eq!(
         reported(&mut watch, now + SECOND, &snapshot_with(4, State::LeftOut, |i| i < 3)),
         Vec::<String>::new()
     );
-    // It comes back, goes and returns once more: told as it happens.
+    // It returns, fails and returns once more: each change is reported as it happens.
     let later = now + 2 * SECOND;
     assert_eq!(
         reported(&mut watch, later, &healthy),
@@ -71,7 +72,7 @@
     assert_eq!(reported(&mut watch, later + SECOND, &cut).len(), 4);
     assert_eq!(reported(&mut watch, later + 2 * SECOND, &healthy).len(), 4);
     assert_eq!(watch.held(), 0);
-    // The fifth time it has to wait; once it was quiet it does not.
+    // The fifth change is held down; after a quiet period it is reported at once again.
     assert_eq!(reported(&mut watch, later + 3 * SECOND, &cut).len(), 0);
     assert_eq!((watch.held(), reported(&mut watch, later + 4 * SECOND, &healthy).len()), (4, 0));
     assert_eq!(reported(&mut watch, later + QUIET_PERIOD + 4 * SECOND, &cut).len(), 4);
@@ -86,12 +87,12 @@
         update(NOW, &snapshot_with(2, State::Silent, |_| true)),
         ["silent s-000", "silent s-001", "under 0 of 1"]
     );
-    // Nothing is out there any more, so nothing is silent; it is no sign of life.
+    // Without outstanding requests no node is silent, but that does not prove that it answers.
     assert_eq!(update(NOW + SECOND, &healthy), Vec::<String>::new());
     let mut answered = healthy.clone();
     answered.nodes[0].missed = 1;
     assert_eq!(update(NOW + 2 * SECOND, &answered), ["back s-000", "enough 1 of 1"]);
-    // One that nobody asks is taken to be well after a while.
+    // A node without requests counts as healthy again after a while.
     assert_eq!(update(NOW + QUIET_PERIOD, &answered), ["back s-001"]);
 }
 
@@ -110,16 +111,16 @@
 #[test]
 fn a_flapping_node_is_reported_at_growing_intervals_and_finally_as_it_is() {
     let (mut watch, mut all) = (Watch::new(NOW), Vec::new());
-    // For an hour it changes every second; then it is well.
+    // It changes every second for an hour and is healthy afterwards.
     for step in 0..3600 {
         let state = if step % 2 == 0 { State::Silent } else { State::Serving };
         all.extend(reported(&mut watch, NOW + step * SECOND, &snapshot_with(4, state, |i| i == 2)));
     }
-    assert!((12..=28).contains(&all.len()), "{} are told", all.len());
+    assert!((12..=28).contains(&all.len()), "{} changes are reported", all.len());
     let end = NOW + 3600 * SECOND + MAX_HOLD_DOWN;
     all.extend(reported(&mut watch, end, &snapshot(4)));
     assert_eq!(all.last().map(String::as_str), Some("back s-002"));
-    assert!(all.windows(2).all(|w| w[0] != w[1]), "each is another than the one before");
+    assert!(all.windows(2).all(|w| w[0] != w[1]), "consecutive reports must differ");
     assert!(watch.held() > 1500);
 }
 
@@ -131,9 +132,9 @@
         all.push(reported(&mut watch, NOW + step * SECOND / 4, &snapshot_with(200, state, |i| i < 110)));
     }
     assert_eq!((all[0].len(), all[0].last().map(String::as_str)), (21, Some("under 90 of 100")));
-    // 20 in a bunch, one each 2 s, and the fleet's own.
+    // A burst of 20, one more each 2 s, and the reports on the fleet itself.
     let many: usize = all.iter().map(Vec::len).sum();
-    assert!(many <= 20 + 75 + 10, "{many} in 150 s");
+    assert!(many <= 20 + 75 + 10, "{many} reports in 150 s");
 }
 
 #[test]
@@ -154,7 +155,7 @@
     Listener::new(now, Engine::new(b"a listener".to_vec(), 3, now - 500 * SECOND), access(), 11)
 }
 
-/// Plays a span of time: every datagram reaches the other side at once, unless it is lost.
+/// Simulates a span of time. Every datagram reaches the other side at once, unless it is lost.
 fn run(
     notifier: &mut Notifier,
     listener: &mut Listener,
@@ -166,14 +167,14 @@
         while let Some((to, datagram)) = notifier.send(now) {
             assert_eq!(to, address(RECEIVER));
             sent += 1;
-            assert!(sent < 10_000, "a flood");
+            assert!(sent < 10_000, "too many datagrams");
             if lost(now) {
                 continue;
             }
-            let (back, pdu) = listener.receive(now, address(SENDER), &datagram);
+            let (reply, pdu) = listener.receive(now, address(SENDER), &datagram);
             received.extend(pdu);
-            if let Some(back) = back.filter(|_| !lost(now)) {
-                notifier.receive(now, address(RECEIVER), &back);
+            if let Some(reply) = reply.filter(|_| !lost(now)) {
+                notifier.receive(now, address(RECEIVER), &reply);
             }
         }
         now = notifier.next().unwrap_or(span.end).max(now + 1000);
@@ -239,10 +240,10 @@
     let (received, _) = run(&mut notifier, &mut listener, now..now + 120 * SECOND, |_| false);
     let stats = notifier.stats(0).receivers[0].clone();
     assert_eq!((received.len(), stats.queued, stats.dropped), (MAX_QUEUE, 0, 232 - MAX_QUEUE as u64));
-    // The first was under way all the time; behind it are the latest.
+    // The first inform was being sent all the time; the queue behind it holds the latest.
     let kept: Vec<u32> = std::iter::once(1).chain(234 - MAX_QUEUE as u32..=232).collect();
     assert_eq!(numbers(&received), kept);
-    // What has waited for an hour is told to nobody.
+    // Notifications that have waited for an hour are dropped.
     notifier.change(now, &Change::LedgerClosed);
     run(&mut notifier, &mut listener, now..now + 3600 * SECOND, |_| true);
     let (received, sent) =
@@ -256,7 +257,7 @@
     notifier.change(NOW, &Change::LedgerClosed);
     let (received, _) = run(&mut notifier, &mut listener(NOW), NOW..NOW + 5 * SECOND, |_| false);
     assert_eq!(received.len(), 1);
-    // Another boot, and then another engine.
+    // First with another boot, then with another engine.
     for id in [b"a listener", b"Another on"] {
         let engine = Engine::new(id.to_vec(), 4, NOW + 5 * SECOND);
         let mut listener = Listener::new(NOW, engine, access(), 12);
--- a/crates/snmp/tests/reader.rs
+++ b/crates/snmp/tests/reader.rs
@@ -1,4 +1,5 @@
-//! The bounded reader: what no message is, and that whatever comes nothing panics and lengths are right.
+//! Tests of the reader: invalid messages are rejected, no input causes a panic, and computed lengths are
+//! right.
 
 mod invariants;
 
@@ -8,7 +9,7 @@
 use snmp::reader::{check, version, Malformed};
 use snmp::{Oid, Value};
 
-/// A message around the bytes of a value.
+/// A message that contains the encoded value.
 fn message_with_value(value: &[u8]) -> Vec<u8> {
     let wrap = |tag: u8, parts: &[&[u8]]| {
         let inner = parts.concat();
@@ -53,7 +54,7 @@
     let length = [(many.len() >> 8) as u8, many.len() as u8];
     assert_eq!(check(&[&[0x30, 0x82], &length[..], &many].concat()), Err(Malformed("too many elements")));
     for end in 0..valid.len() {
-        assert!(check(&valid[..end]).is_err(), "cut at {end}");
+        assert!(check(&valid[..end]).is_err(), "truncated at {end}");
     }
 }
 
@@ -99,7 +100,7 @@
         let without = Pdu { bindings: Vec::new(), ..message.pdu.clone() };
         let without = Community { pdu: without, ..message.clone() }.bytes().len();
         let bindings: usize = message.pdu.bindings.iter().map(|(n, v)| binding_len(n, v)).sum();
-        // Lengths in the three levels above may take two bytes more each.
+        // The length fields of the three enclosing levels may each take two more bytes.
         prop_assert!((without + bindings..=without + bindings + 6).contains(&bytes.len()));
         prop_assert_eq!(Community::read(&bytes).expect("a message"), message);
     }
@@ -125,7 +126,7 @@
     }
 }
 
-/// The fuzzer's corpus, each file as it is and spoilt two hundred times.
+/// Replays the fuzz target's corpus: each file unchanged, and with 200 random mutations.
 #[test]
 fn corpus_files_and_their_mutations_keep_the_invariants() {
     let directory = concat!(env!("CARGO_MANIFEST_DIR"), "/../../fuzz/corpus/snmp");
@@ -139,7 +140,7 @@
         (seed >> 33) as usize % below.max(1)
     };
     for file in files {
-        let contents = std::fs::read(&file).expect("its bytes");
+        let contents = std::fs::read(&file).expect("a readable corpus file");
         invariants::check_invariants(&contents);
         for _ in 0..200 {
             let mut bytes = contents.clone();
--- a/crates/snmp/tests/secured.rs
+++ b/crates/snmp/tests/secured.rs
@@ -1,4 +1,4 @@
-//! SNMPv3: discovery, levels, and what is wrong, replayed or old.
+//! Tests of SNMPv3: discovery, security levels, and invalid, replayed and outdated messages.
 
 mod common;
 
@@ -13,7 +13,7 @@
 
 const NAME: &str = "1.3.6.1.4.1.32473.1.1.1.1.0";
 
-/// What a session hears at last, and how often it asked.
+/// Sends a request until it is answered, and returns the final result with the number of datagrams sent.
 fn ask(agent: &mut Agent, now: i64, session: &mut Session, pdu: &Pdu) -> (Received, usize) {
     for request in 1..=5 {
         let out = session.request(now, pdu);
@@ -42,11 +42,11 @@
     let (received, request) = ask(&mut agent, NOW + 200 * SECOND, &mut session, &get);
     let Received::Response(answer) = received else { panic!("{received:?}") };
     assert_eq!((answer.bindings, request), (vec![(oid(NAME), Value::text("n3"))], requests));
-    // The engine is known by now, also after a while.
+    // The engine is known by now, and stays known after a while.
     assert!(matches!(ask(&mut agent, NOW + 4000 * SECOND, &mut session, &get), (Received::Response(_), 1)));
 }
 
-/// A message of a user to the agent as it is now.
+/// A message of a user to the agent with this engine and clock.
 fn message(
     user: &User,
     engine: &Engine,
@@ -61,7 +61,7 @@
     usm::seal(header, (&engine.id, clock.0, clock.1), &user.name, &user.at(&engine.id), scoped, 1)
 }
 
-/// The counter that the report tells, by its last arc but one.
+/// The counter in a report, given by the last arc but one of its name.
 fn report(reply: &[u8]) -> u32 {
     let Data::Plain(scoped) = Secured::read(reply).expect("a message").data else { panic!("encrypted") };
     assert_eq!(scoped.pdu.kind, Kind::Report);
@@ -168,15 +168,15 @@
         Secured { header, security, data: Data::Plain(scoped) }.bytes()
     };
     let unauthenticated_report = forge(Kind::Report, "1.3.6.1.6.3.15.1.1.2.0");
-    reader::check(&unauthenticated_report).expect("sound");
+    reader::check(&unauthenticated_report).expect("a valid message");
     assert_eq!(session.receive(NOW, 77, &unauthenticated_report), Received::Ignored);
     assert_eq!(session.receive(NOW, 77, &forge(Kind::Response, NAME)), Received::Ignored);
     let reply = agent().answer(NOW, HERE, &request, &tree(2)).expect("an answer");
     assert!(matches!(session.receive(NOW, 77, &reply), Received::Response(_)));
-    assert_eq!(session.receive(NOW + 151 * SECOND, 77, &reply), Received::Ignored, "an old answer");
+    assert_eq!(session.receive(NOW + 151 * SECOND, 77, &reply), Received::Ignored, "an outdated response");
 }
 
-/// The message with its outermost length in three bytes, as some managers write it.
+/// Encodes the outermost length of a message in three bytes, as some managers do.
 fn with_long_length(message: &[u8]) -> Vec<u8> {
     let contents = match message[1] {
         0x82 => &message[4..],
@@ -195,7 +195,7 @@
         \x30\x14\x04\x00\x04\x00\xa0\x0e\x02\x04\x1b\x2c\x1b\x0b\x02\x01\x00\x02\x01\x00\x30\x00";
     for request in [request.to_vec(), with_long_length(request)] {
         let reply = agent().answer(NOW, HERE, &request, &tree(1)).expect("a report");
-        // The parts before the PDU in their order, with our engine, its boots and time.
+        // The fields before the PDU, in order, with the agent's engine, its boots and time.
         let head = b"\x02\x01\x03\x30\x10\x02\x04\x3c\x5e\x5b\x18\x02\x02\x10\x00\x04\x01\x00\x02\x01\x03\
             \x04\x17\x30\x15\x04\x07\x80\x00\x7e\xd9\x04n3\x02\x01\x07\x02\x01\x00\x04\x00\x04\x00\x04\x00";
         assert_eq!(&reply[2..2 + head.len()], head);
