--- a/crates/plan/examples/scale.rs
+++ b/crates/plan/examples/scale.rs
@@ -1,7 +1,7 @@
-//! What a planner costs: `cargo run --release -p plan --example scale -- FORWARDERS NODES`.
+//! Measures the cost of a planner: `cargo run --release -p plan --example scale -- FORWARDERS NODES`.
 //!
-//! One planner, as many forwarders, each of which sends to each node twice a second; three nodes are silent.
-//! It prints the bytes and the processor time of a second, and what a forwarder's own side takes.
+//! One planner and the given number of forwarders, each of which sends to each node twice per second; three
+//! nodes are silent. Prints the bytes and processor time per second, and the processor time of a forwarder.
 
 use plan::forwarder::{Config, Forwarder, Output};
 use plan::message::Verdict;
@@ -16,7 +16,7 @@
     let mut sizes = std::env::args().skip(1).map(|a| a.parse::<usize>().unwrap_or(0));
     let (forwarders, nodes) = (sizes.next().unwrap_or(20), sizes.next().unwrap_or(10));
     let rules = Rules { forwarders: forwarders.max(1) as u32, ..Rules::default() };
-    let mut planner = Planner::new(0, rules.clone(), 1).expect("sound rules");
+    let mut planner = Planner::new(0, rules.clone(), 1).expect("valid rules");
     let listed: Vec<Listed> = (0..nodes)
         .map(|n| Listed {
             node: Node { id: plan::spread::mix(n as u64), life: 0 },
@@ -28,7 +28,7 @@
         .map(|f| {
             let (id, zone) = (ForwarderId(f as u64), Zone((f % 2) as u8));
             let config = Config { id, life: 1, zone, tenants: 9, classes: 2, planners: 1, seed: f as u64 };
-            let mut forwarder = Forwarder::new(0, rules.clone(), config).expect("sound rules");
+            let mut forwarder = Forwarder::new(0, rules.clone(), config).expect("valid rules");
             forwarder.list(0, 1, &listed, &mut vec![]);
             forwarder
         })
@@ -62,12 +62,14 @@
                 };
                 for o in sent {
                     let Output::Send(_, message) = o else { continue };
-                    let bytes = frame::encode(&message).expect("within its bounds");
+                    let bytes = frame::encode(&message).expect("within bounds");
                     (up, up_most) = (up + if counts { bytes.len() } else { 0 }, up_most.max(bytes.len()));
                     let at = Instant::now();
                     let read =
                         frame::Reader::default().read(&mut &bytes[..]).expect("a frame").expect("whole");
-                    planner.message(now, f as u64, &read, &mut vec![]).expect("a forwarder's word");
+                    planner
+                        .message(now, f as u64, &read, &mut vec![])
+                        .expect("a valid message from a forwarder");
                     decode += if counts { at.elapsed() } else { Duration::ZERO };
                 }
             }
@@ -79,10 +81,10 @@
         for o in out {
             match o {
                 planner::Output::Send(to, message) => {
-                    sent.push((vec![to], frame::encode(&message).expect("within its bounds"), message));
+                    sent.push((vec![to], frame::encode(&message).expect("within bounds"), message));
                 }
                 planner::Output::Terms(to, message) => {
-                    sent.push((to, frame::encode(&message).expect("within its bounds"), message));
+                    sent.push((to, frame::encode(&message).expect("within bounds"), message));
                 }
                 planner::Output::Close(..) => {}
             }
@@ -93,7 +95,7 @@
             down_most = down_most.max(bytes.len());
             for peer in to {
                 if let Some(f) = all.get_mut(peer as usize) {
-                    f.message(now, 0, &message, &mut vec![]).expect("a planner's word");
+                    f.message(now, 0, &message, &mut vec![]).expect("a valid message from a planner");
                 }
             }
         }
--- a/crates/plan/src/damp.rs
+++ b/crates/plan/src/damp.rs
@@ -1,18 +1,19 @@
-//! Terms in use, on their way to new ones.
+//! Damping of the queueing terms that a forwarder uses.
 //!
-//! Forwarders that read the same late figures and act on them at once move their shares in step, and back
-//! again when the figures follow. So each goes half of the way at a time, at moments of its own that its seed
-//! draws. Use it for terms, from which shares come; not for marks, which have their own way.
+//! Forwarders that act at once on the same delayed measurements shift their shares in lockstep, and back
+//! again when the measurements follow. Therefore each forwarder moves half of the remaining distance per
+//! step, at times offset by its seed. This applies to terms, from which shares are computed; marks have their
+//! own hysteresis in [`crate::merge`].
 
 use crate::ids::Node;
 use crate::solve::Queue;
 use crate::{spread, Micros};
 use std::collections::BTreeMap;
 
-/// Part of the way that a step goes.
+/// Fraction of the remaining distance covered by a step.
 const GAIN: f64 = 0.5;
 
-/// See the file's comment.
+/// The damped terms per node, updated in periodic steps.
 #[derive(Clone, Debug, Default)]
 pub struct DampedTerms {
     current: BTreeMap<Node, (Queue, f64)>,
@@ -21,7 +22,7 @@
 }
 
 impl DampedTerms {
-    /// Steps every so long, from a moment that the seed draws.
+    /// Steps once per `every`, with a phase derived from the seed.
     pub fn new(now: Micros, seed: u64, every: Micros) -> Self {
         let every = every.max(1);
         DampedTerms {
@@ -31,13 +32,14 @@
         }
     }
 
-    /// When the next step is.
+    /// The time of the next step.
     pub fn next(&self) -> Micros {
         self.next
     }
 
-    /// Takes a step toward these terms if it is time; nodes that are not among them are let go. The first
-    /// terms of a node are used as they are. The second figure is trust.
+    /// If a step is due, moves the current terms toward the given ones and returns `true`. Nodes that are not
+    /// among the given ones are dropped; the first terms of a node are adopted unchanged. Each entry is a
+    /// node, its terms and their trust.
     pub fn step(&mut self, now: Micros, toward: impl Iterator<Item = (Node, (Queue, f64))>) -> bool {
         if now < self.next {
             return false;
@@ -59,7 +61,7 @@
         true
     }
 
-    /// The terms in use, with their trust.
+    /// The current terms with their trust.
     pub fn current(&self) -> impl Iterator<Item = (Node, Queue, f64)> + '_ {
         self.current.iter().map(|(n, (q, trust))| (*n, *q, *trust))
     }
--- a/crates/plan/src/forwarder.rs
+++ b/crates/plan/src/forwarder.rs
@@ -1,9 +1,9 @@
-//! The forwarder's side: tells planners what it sees, and says what of their plans stands.
+//! The forwarder's state machine: reports observations to planners and derives guidance from their plans.
 //!
-//! It owns the links to planners as far as they need no socket: when to dial, what to send, what each one's
-//! plans are worth. An adapter opens connections, moves bytes ([`crate::frame`]) and calls
-//! [`Forwarder::tick`] at [`Forwarder::next`]; it bounds what waits to be written and closes a connection
-//! that does not take it. Without planners do not make one: the proxy is then as it was.
+//! It manages the links to planners without any socket: when to dial, what to send, and how far each
+//! planner's plans count. An adapter opens connections, transfers bytes ([`crate::frame`]) and calls
+//! [`Forwarder::tick`] at [`Forwarder::next`]. The adapter must bound its write queue and close a connection
+//! whose peer does not read. Without planners no `Forwarder` is created, and the proxy decides on its own.
 
 use crate::bounds;
 use crate::damp::DampedTerms;
@@ -18,38 +18,38 @@
 use crate::{spread, Micros};
 use std::collections::VecDeque;
 
-/// Reports of which the time is remembered; at four a second 16 s.
+/// Number of reports whose time is remembered; 16 s at four reports per second.
 const REMEMBERED_REPORTS: usize = 64;
 
-/// What a forwarder is told at its start.
+/// Configuration of a forwarder.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// Its identity, which survives restarts.
     pub id: ForwarderId,
-    /// This start; another one has another.
+    /// Identifies this start of the process; differs after each restart.
     pub life: u64,
-    /// Where it stands.
+    /// The zone in which the forwarder runs.
     pub zone: Zone,
-    /// Tenants and classes of the settings.
+    /// Number of tenants and classes in the settings.
     pub tenants: usize,
     /// See [`Config::tenants`].
     pub classes: usize,
-    /// How many planners are configured, whether they run or not.
+    /// Number of configured planners, running or not.
     pub planners: usize,
-    /// Spreads its moves over those of others; new with each start.
+    /// Spreads the times of its actions relative to other forwarders; new at each start.
     pub seed: u64,
 }
 
-/// What is to be done.
+/// An action for the adapter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Open a connection to a planner, and tell [`Forwarder::up`] or [`Forwarder::down`].
+    /// Connect to a planner, then call [`Forwarder::up`] or [`Forwarder::down`].
     Dial(usize),
     /// Send a message to a planner.
     Send(usize, Message),
-    /// [`Forwarder::guidance`] is another.
+    /// [`Forwarder::guidance`] has changed.
     GuidanceChanged,
-    /// A plan was refused; worth one line of the log.
+    /// A plan was refused for a reason that is worth one log line.
     Refused(usize, PlanRejection),
 }
 
@@ -60,27 +60,27 @@
     Up,
 }
 
-/// What stands: the input of the decision module.
+/// Input for the decision module, derived from the plans in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Guidance {
-    /// Nodes that take less than all of their keys, with the part that they take: 0 is silent. It says
-    /// nothing of readiness, and never gives to a node that the list does not have ready.
+    /// Nodes that take only a part of their keys, with that part; 0 means silent. It does not make a node
+    /// ready that the list does not have as ready.
     pub takes: Vec<(Node, f64)>,
-    /// Terms by node, with the trust that they have beside the forwarder's own: 1 to 0.
+    /// Queueing terms per node, with their weight against the forwarder's own estimates, 0 to 1.
     pub queues: Vec<(Node, Queue, f64)>,
-    /// This forwarder's part of every cold node's budget, of what may be out at the origin, and of the
-    /// tenants' quotas.
+    /// This forwarder's part of every cold node's budget, of the concurrent requests at the origin, and of
+    /// the tenants' quotas.
     pub cold: f64,
     /// See [`Guidance::cold`].
     pub origin: f64,
     /// See [`Guidance::cold`].
     pub tenants: Vec<f64>,
-    /// How far these parts are to be trusted beside the forwarder's own judgement: 1 to 0. Planners that have
-    /// given nothing yet, or nothing for long, take from it.
+    /// Weight of these parts against the forwarder's own judgement, 0 to 1. It decreases with planners that
+    /// have assigned nothing yet, or nothing for long.
     pub parts_trust: f64,
 }
 
-/// See the file's comment.
+/// The forwarder's state machine; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct Forwarder {
     rules: Rules,
@@ -95,15 +95,15 @@
 }
 
 impl Forwarder {
-    /// Begins. It fails where the rules contradict each other, and with no planner or too many.
+    /// Fails if the rules are inconsistent, or if there is no planner or too many.
     pub fn new(now: Micros, rules: Rules, config: Config) -> Result<Self, &'static str> {
         rules.check()?;
         match config.planners {
-            0 => return Err("no planner: a forwarder without one needs no plan"),
+            0 => return Err("no planner is configured"),
             1..=bounds::PLANNERS => {}
-            _ => return Err("too many planners"),
+            _ => return Err("too many planners are configured"),
         }
-        // Forwarders that start together dial and tell at moments of their own.
+        // Forwarders that start together dial and report at different times.
         let wait = |purpose, within| now.saturating_add(spread::delay(config.seed, purpose, 0, within));
         let down =
             |slot: usize| Link::Down { dial_at: wait(16 + slot as u64, rules.dial_backoff_min), failures: 0 };
@@ -120,12 +120,12 @@
         })
     }
 
-    /// What it sees, for events that cost next to nothing: sends, outcomes, use.
+    /// The observations, to be fed with sends, outcomes and usage. Recording an event is cheap.
     pub fn observations(&mut self) -> &mut Observations {
         &mut self.observations
     }
 
-    /// Takes the whole list.
+    /// Replaces the node list.
     pub fn list(&mut self, now: Micros, revision: u64, listed: &[Listed], out: &mut Vec<Output>) {
         self.observations.list(revision, listed);
         self.merge.list(self.observations.listed());
@@ -133,7 +133,7 @@
         out.push(Output::GuidanceChanged);
     }
 
-    /// A connection to a planner is up.
+    /// The connection to a planner was established.
     pub fn up(&mut self, _now: Micros, slot: usize, out: &mut Vec<Output>) {
         let holds = self.merge.number(slot);
         let Some(link) = self.links.get_mut(slot) else { return };
@@ -144,7 +144,7 @@
         out.push(Output::Send(slot, Message::Hello(hello)));
     }
 
-    /// A connection to a planner did not come up, broke, or was closed.
+    /// The connection to a planner failed to open, broke, or was closed.
     pub fn down(&mut self, now: Micros, slot: usize) {
         let Some(link) = self.links.get_mut(slot) else { return };
         let failures = match *link {
@@ -158,13 +158,14 @@
             .saturating_mul(1 << failures.min(16))
             .min(self.rules.dial_backoff_max);
         self.merge.planner_disconnected(slot);
-        // Between half of it and all: twenty forwarders that lose a planner do not come back as one.
+        // Waits for half of the backoff plus a spread of up to the other half, so that twenty forwarders that
+        // lose a planner do not reconnect simultaneously.
         let wait =
             longest / 2 + spread::delay(self.config.seed, 16 + slot as u64, now as u64, longest / 2 + 1);
         *link = Link::Down { dial_at: now.saturating_add(wait), failures };
     }
 
-    /// Takes a message of a planner. After an error the connection is to be closed.
+    /// Handles a message from a planner. After an error the connection must be closed.
     pub fn message(
         &mut self,
         now: Micros,
@@ -190,10 +191,10 @@
 
     fn apply_plan(&mut self, now: Micros, slot: usize, plan: &Plan, out: &mut Vec<Output>) {
         let basis = self.basis(&plan.evidence);
-        match self.merge.take(slot, plan, basis, &self.rules) {
+        match self.merge.accept_plan(slot, plan, basis, &self.rules) {
             Ok(()) => {
                 if let Some((held, basis)) = self.held_parts.get_mut(slot).zip(basis) {
-                    held.take(now, basis, &plan.parts);
+                    held.accept(now, basis, &plan.parts);
                 }
                 self.settle(now, out);
             }
@@ -202,7 +203,7 @@
         }
     }
 
-    /// When the report was taken that a plan rests on.
+    /// The time of the report on which a plan is based, if it is still remembered.
     fn basis(&self, evidence: &Evidence) -> Option<Micros> {
         let mine = evidence.life == self.config.life;
         self.report_times.iter().find(|(n, _)| mine && *n == evidence.heard).map(|(_, at)| *at)
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         for (slot, link) in self.links.iter_mut().enumerate() {
             if let Link::Down { dial_at, failures } = *link {
@@ -241,7 +242,7 @@
         let late = now.saturating_sub(self.next_report) / self.rules.report_every;
         let periods = self.rules.report_every.saturating_mul(late.saturating_add(1));
         self.next_report = self.next_report.saturating_add(periods);
-        let report = self.observations.take(now);
+        let report = self.observations.take_report(now);
         if self.report_times.len() >= REMEMBERED_REPORTS {
             self.report_times.pop_front();
         }
@@ -254,7 +255,7 @@
         }
     }
 
-    /// When [`Forwarder::tick`] has something to do.
+    /// The time at which [`Forwarder::tick`] must be called next.
     pub fn next(&self, now: Micros) -> Micros {
         let dials = self.links.iter().filter_map(|l| match l {
             Link::Down { dial_at, .. } => Some(*dial_at),
@@ -265,7 +266,7 @@
         dials.chain(others.into_iter().flatten()).min().unwrap_or(self.next_report)
     }
 
-    /// What stands now.
+    /// The current guidance.
     pub fn guidance(&self, now: Micros) -> Guidance {
         let part = |at| parts::mean(&self.held_parts, at, now, &self.rules);
         Guidance {
@@ -278,27 +279,27 @@
         }
     }
 
-    /// What is in force, for a line of the log.
+    /// The marks in force, for logging.
     pub fn in_force(&self) -> impl Iterator<Item = MarkTarget> + '_ {
         self.merge.active()
     }
 
-    /// The merge, for tests and figures.
+    /// The merge state, for tests and metrics.
     pub fn merge(&self) -> &Merge {
         &self.merge
     }
 
-    /// What it holds of each planner, for tests and figures.
+    /// The parts held from each planner, for tests and metrics.
     pub fn held_parts(&self) -> &[HeldParts] {
         &self.held_parts
     }
 
-    /// The rules that it keeps to.
+    /// The rules in use.
     pub fn rules(&self) -> &Rules {
         &self.rules
     }
 
-    /// The planned end: says farewell where there is a connection.
+    /// Announces a planned shutdown to all connected planners.
     pub fn bye(&mut self, out: &mut Vec<Output>) {
         for (slot, _) in self.links.iter().enumerate().filter(|(_, l)| matches!(l, Link::Up)) {
             out.push(Output::Send(slot, Message::Bye));
--- a/crates/plan/src/frame.rs
+++ b/crates/plan/src/frame.rs
@@ -1,51 +1,53 @@
-//! The bytes of messages: a length (u32, big-endian), a version (u8), a body.
+//! Framing of messages: a length (u32, big-endian), a version (u8) and a body.
 //!
-//! Version 0 is the same for ever: its body is a reason in UTF-8, with which a peer is refused, also one that
-//! speaks no version of ours. Version [`VERSION`] is a [`Message`] in postcard's form
-//! (<https://postcard.jamesmunns.com/wire-format>). Any other version is refused.
+//! Version 0 never changes: its body is a UTF-8 reason with which a peer is refused, so that peers of any
+//! version can read it. Version [`VERSION`] carries a [`Message`] encoded by postcard
+//! (<https://postcard.jamesmunns.com/wire-format>). All other versions are refused.
 //!
-//! The reader is incremental and holds one frame at most; it grows with the bytes that came, not with the
-//! length that a peer claims. After an error it is of no more use: close the connection.
+//! The reader is incremental and buffers at most one frame. Its buffer grows with the bytes received, not
+//! with the length that a peer claims. After an error the reader is unusable and the connection must be
+//! closed.
 
 use crate::bounds;
 use crate::message::Message;
 use thiserror::Error;
 
-/// The version of [`Message`]'s form that this build speaks.
+/// The version of the [`Message`] encoding that this build supports.
 pub const VERSION: u8 = 1;
 const REFUSAL: u8 = 0;
 const LENGTH: usize = 4;
 
-/// Why a connection cannot go on.
+/// Why a connection is refused or closed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Refused {
-    /// A version that this build does not speak.
+    /// The peer uses a version that this build does not support.
     #[error("version {0} is not spoken here, {VERSION} is")]
     Version(u8),
-    /// A frame of no or too great a length.
+    /// The frame length is zero or above [`bounds::FRAME`].
     #[error("a frame of {0} bytes, 1 to {most} are taken", most = bounds::FRAME)]
     Length(u32),
-    /// A body that is no message.
+    /// The body is not a valid message.
     #[error("a frame that cannot be read")]
     Garbage,
-    /// A message beyond its bounds.
+    /// The message exceeds a bound.
     #[error("{0}")]
     Bounds(&'static str),
-    /// The other side refused us.
+    /// The peer refused the connection.
     #[error("refused by the other side: {0}")]
     ByPeer(String),
-    /// A message that does not belong here.
+    /// The message is not valid in this state or direction.
     #[error("{0} is not expected here")]
     Unexpected(&'static str),
-    /// More messages than a peer may send.
+    /// The peer exceeded its message rate.
     #[error("more messages than a peer may send")]
     Flood,
-    /// No room for another peer.
+    /// The limit on peers is reached.
     #[error("no room for another forwarder")]
     Room,
 }
 
-/// A message as a frame. It fails on what no machine of this package makes: a message beyond its bounds.
+/// Encodes a message as a frame. Fails if the message exceeds its bounds, which messages made by this crate
+/// never do.
 pub fn encode(message: &Message) -> Result<Vec<u8>, Refused> {
     message.check().map_err(Refused::Bounds)?;
     let start = vec![0, 0, 0, 0, VERSION];
@@ -58,7 +60,7 @@
     Ok(bytes)
 }
 
-/// A reason as a frame, to be sent before a connection is closed.
+/// Encodes a reason as a frame, to be sent before a connection is closed.
 pub fn refusal(reason: &Refused) -> Vec<u8> {
     let mut text = reason.to_string();
     let end = (0..=bounds::REASON).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
@@ -69,7 +71,7 @@
     bytes
 }
 
-/// Takes frames out of what comes. See the file's comment.
+/// Incremental decoder that extracts messages from a byte stream; see the module documentation.
 #[derive(Debug, Default)]
 pub struct Reader {
     buffer: Vec<u8>,
@@ -77,7 +79,8 @@
 }
 
 impl Reader {
-    /// Takes bytes off the front of `bytes` until a message is whole; `None` when all are taken before that.
+    /// Consumes bytes from the front of `bytes` until a message is complete; returns `None` when all bytes
+    /// are consumed before that.
     pub fn read(&mut self, bytes: &mut &[u8]) -> Result<Option<Message>, Refused> {
         if let Some(error) = &self.failed {
             return Err(error.clone());
@@ -90,7 +93,7 @@
         read
     }
 
-    /// Bytes held of a frame that is not whole.
+    /// Number of buffered bytes of an incomplete frame.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
@@ -103,7 +106,8 @@
         if length == 0 || length as usize > bounds::FRAME {
             return Err(Refused::Length(length));
         }
-        // The version comes first, so that a long frame of a version that is not spoken is not waited for.
+        // Checks the version first, so that a long frame of an unsupported version is refused without waiting
+        // for it.
         if !self.fill(LENGTH + 1, bytes) {
             return Ok(None);
         }
@@ -127,12 +131,12 @@
         }
         message.check().map_err(Refused::Bounds)?;
         self.buffer.clear();
-        // A rare large frame does not stay for the life of a connection.
+        // Releases the memory of a rare large frame instead of keeping it for the life of the connection.
         self.buffer.shrink_to(4096);
         Ok(Some(message))
     }
 
-    /// Whether `wanted` bytes are held, after taking what lacks.
+    /// Moves missing bytes into the buffer; returns whether it now holds at least `wanted` bytes.
     fn fill(&mut self, wanted: usize, bytes: &mut &[u8]) -> bool {
         let take = wanted.saturating_sub(self.buffer.len()).min(bytes.len());
         let (taken, left) = bytes.split_at(take);
--- a/crates/plan/src/ids.rs
+++ b/crates/plan/src/ids.rs
@@ -1,21 +1,22 @@
-//! Names of things. Use them instead of bare numbers wherever two kinds could be mixed up.
+//! Identifier types. Use them instead of bare integers wherever two kinds could be confused.
 
 use serde::{Deserialize, Serialize};
 
-/// A forwarder: the same after a restart, as its configured name is. The adapter makes it of that name.
+/// Identifies a forwarder. The adapter derives it from the configured name, so it survives restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ForwarderId(pub u64);
 
-/// One life of a cache node. A node that has restarted is another: nothing said of the old one holds.
+/// One incarnation of a cache node. A restarted node is a different `Node`; statements about the earlier
+/// incarnation do not apply to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Node {
-    /// As discovery names it.
+    /// The id that discovery assigned.
     pub id: u64,
-    /// When it started, as the list says it to everyone; 0 is long ago.
+    /// Start time from the node list, the same for all forwarders; 0 means long ago.
     pub life: u64,
 }
 
-/// Position of a zone in the site's list of zones; below [`ZoneSet::MOST`].
+/// Index of a zone in the site's list of zones; less than [`ZoneSet::MOST`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Zone(pub u8);
 
@@ -24,43 +25,43 @@
 pub struct ZoneSet(u64);
 
 impl ZoneSet {
-    /// Zones that there can be.
+    /// Maximum number of zones.
     pub const MOST: u8 = 64;
-    /// All of them, also those that nobody knows.
+    /// Every zone, including unknown ones.
     pub const ALL: ZoneSet = ZoneSet(u64::MAX);
 
-    /// Whether it has a zone. None above the most is in any set.
+    /// Whether the set contains `zone`. Zones at or above [`ZoneSet::MOST`] are in no set.
     pub fn has(self, zone: Zone) -> bool {
         zone.0 < Self::MOST && self.0 >> zone.0 & 1 == 1
     }
 
-    /// The set with one more zone; one above the most is left out.
+    /// The set with `zone` added; a zone at or above [`ZoneSet::MOST`] is ignored.
     pub fn with(self, zone: Zone) -> ZoneSet {
         ZoneSet(self.0 | if zone.0 < Self::MOST { 1 << zone.0 } else { 0 })
     }
 
-    /// The set without those of another.
+    /// The set difference: zones of `self` that are not in `other`.
     pub fn minus(self, other: ZoneSet) -> ZoneSet {
         ZoneSet(self.0 & !other.0)
     }
 
-    /// Whether it has none.
+    /// Whether the set is empty.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 }
 
-/// The number of a plan: a planner's start, then its count. Greater is newer.
+/// The number of a plan, ordered by the planner's epoch, then by count. Greater is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlanNumber {
-    /// Grows from one start of a planner to the next.
+    /// Increases with each start of a planner.
     pub epoch: u64,
-    /// Grows from one plan to the next; 0 is no plan.
+    /// Increases with each plan; 0 means no plan.
     pub count: u64,
 }
 
 impl PlanNumber {
-    /// Whether it is that of no plan.
+    /// Whether this number stands for no plan.
     pub fn is_none(self) -> bool {
         self.count == 0
     }
--- a/crates/plan/src/join.rs
+++ b/crates/plan/src/join.rs
@@ -1,10 +1,10 @@
-//! What all forwarders see, at a planner: by forwarder and node, with counts that fade.
+//! The reports of all forwarders at a planner, per forwarder and node, with exponentially decaying counts.
 //!
-//! It owns what forwarders told and when, bounded by forwarder and in all, and forgets a forwarder that says
-//! nothing. It joins arrivals by Eq. 1 of the paper, and judges nothing.
+//! It stores what forwarders reported and when, bounded per forwarder and in total, and forgets forwarders
+//! that stop reporting. It aggregates arrivals by Eq. 1 of the paper and draws no conclusions.
 //!
-//! Times that forwarders told as spans are taken from the moment a report came. A delay so makes both a sign
-//! of life and a silence look younger than they are: a mark comes later, not wrongly.
+//! Durations in a report are counted back from its arrival. Transit delay therefore makes both signs of life
+//! and silences look younger than they are: a mark is set later, never wrongly.
 
 use crate::bounds;
 use crate::ids::{ForwarderId, Node, PlanNumber, Zone};
@@ -14,78 +14,79 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Pairs of forwarder and node that a planner keeps.
+/// Maximum number of pairs of forwarder and node that a planner stores.
 pub const PAIRS: usize = 1 << 20;
 
-/// What a forwarder sees of a node.
+/// What one forwarder reported about one node.
 #[derive(Clone, Debug, Default)]
 pub struct NodeView {
-    /// When it last told.
+    /// When the forwarder last reported on the node.
     pub reported_at: Micros,
     /// The node's zone.
     pub zone: Zone,
     /// The last sign of life.
     pub sign: Option<Micros>,
-    /// Since when something is unanswered without one, and how many are.
+    /// Since when requests have been unanswered without a sign of life, and how many.
     pub quiet: Option<Micros>,
     /// See [`NodeView::quiet`].
     pub unanswered: u32,
-    /// A send after the node was last heard by anyone.
+    /// Time of a send after the last sign of life that any forwarder received from the node.
     pub sent_since_sign: Option<Micros>,
-    /// The last reported utilisation, and when.
+    /// The last reported utilisation, and when it was reported.
     pub load: Option<(f32, Micros)>,
     sends: f64,
     gaps: Moments,
     service: Moments,
 }
 
-/// A forwarder.
+/// A known forwarder.
 #[derive(Clone, Debug, Default)]
 pub struct Peer {
-    /// Its start.
+    /// Identifies its current start.
     pub life: u64,
     /// Its zone.
     pub zone: Zone,
-    /// The last report of this life, and when it came.
+    /// Number of the last report of this start, and when it arrived.
     pub number: u64,
-    /// See [`Peer::number`]; its hello counts as one.
+    /// See [`Peer::number`]; a hello counts as a report.
     pub heard: Micros,
     /// The plan that it holds.
     pub holds: PlanNumber,
-    /// The revision of its list.
+    /// The revision of its node list.
     pub list: u64,
     nodes: BTreeMap<Node, NodeView>,
-    /// Use: sends, what was wanted of the origin, then requests by tenant; fading.
+    /// Decaying usage counts: sends, origin requests, then requests per tenant.
     uses: Vec<f64>,
     used: Micros,
 }
 
-/// A node, as all forwarders see it together.
+/// A node, aggregated over all forwarders.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NodeAggregate {
-    /// Which.
+    /// The node.
     pub node: Node,
-    /// Requests a second, over all forwarders.
+    /// Requests per second, over all forwarders.
     pub rate: f64,
     /// C_A^2 by Eq. 1, over the forwarders' streams.
     pub arrival_scv: f64,
-    /// Times of its answers, in us.
+    /// Response times, in us.
     pub service: Moments,
-    /// The latest utilisation that it reported to anyone, and when.
+    /// The latest utilisation that it reported to any forwarder, and when.
     pub load: Option<(f32, Micros)>,
 }
 
-/// See the file's comment.
+/// All known forwarders and their reports; see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     peers: BTreeMap<ForwarderId, Peer>,
     pairs: usize,
-    /// When anyone last heard a node.
+    /// The last sign of life that any forwarder received from each node.
     last_sign: BTreeMap<Node, Micros>,
 }
 
 impl FleetView {
-    /// A forwarder began. Another start of it forgets what the one before saw; `false` if there is no room.
+    /// Registers a forwarder. A new start of the same forwarder discards its earlier reports. Returns `false`
+    /// if there is no room for another forwarder.
     pub fn hello(&mut self, now: Micros, hello: &Hello) -> bool {
         let known = self.peers.get(&hello.forwarder);
         if known.is_none() && self.peers.len() >= bounds::FORWARDERS {
@@ -107,7 +108,7 @@
         true
     }
 
-    /// Takes a report; `false` for one that is old or of a forwarder that never said hello.
+    /// Stores a report. Returns `false` if it is outdated or if the forwarder never sent a hello.
     pub fn report(&mut self, now: Micros, from: ForwarderId, report: &Report, rules: &Rules) -> bool {
         let Some(p) = self.peers.get_mut(&from).filter(|p| report.number > p.number) else { return false };
         (p.number, p.heard) = (report.number, now);
@@ -149,14 +150,15 @@
         true
     }
 
-    /// A forwarder ended as planned, or is taken for dead.
+    /// Removes a forwarder that shut down or is considered dead.
     pub fn forget(&mut self, id: ForwarderId) {
         if let Some(p) = self.peers.remove(&id) {
             self.pairs -= p.nodes.len();
         }
     }
 
-    /// Forgets who said nothing for long, and nodes of which nobody told; names the forwarders.
+    /// Removes forwarders that have not reported for long and nodes that nobody reports any more; returns the
+    /// removed forwarders.
     pub fn sweep(&mut self, now: Micros, rules: &Rules) -> Vec<ForwarderId> {
         let old = |at: Micros| now.saturating_sub(at) >= rules.forget_forwarder_after;
         let gone: Vec<_> = self.peers.iter().filter(|(_, p)| old(p.heard)).map(|(id, _)| *id).collect();
@@ -171,25 +173,25 @@
         gone
     }
 
-    /// The forwarders that are known, in order of their names.
+    /// The known forwarders, ordered by id.
     pub fn peers(&self) -> impl Iterator<Item = (ForwarderId, &Peer)> {
         self.peers.iter().map(|(id, p)| (*id, p))
     }
 
-    /// When anyone last heard a node.
+    /// When any forwarder last received a sign of life from the node.
     pub fn last_sign(&self, node: Node) -> Option<Micros> {
         self.last_sign.get(&node).copied()
     }
 
-    /// One of them.
+    /// The forwarder with this id, if known.
     pub fn peer(&self, id: ForwarderId) -> Option<&Peer> {
         self.peers.get(&id)
     }
 
-    /// All nodes, joined over the forwarders, in order.
+    /// All nodes, aggregated over the forwarders, ordered by node.
     ///
-    /// Eq. 1: C_A^2 is the mean of the streams' C_j^2, weighed by their rates. A stream of few samples is
-    /// shrunk toward 1, a Poisson stream's.
+    /// Eq. 1: C_A^2 is the mean of the streams' C_j^2, weighted by their rates. The C_j^2 of a stream with
+    /// few samples is shrunk toward 1, that of a Poisson stream.
     pub fn aggregated(&self, now: Micros, rules: &Rules) -> Vec<NodeAggregate> {
         let mut all: BTreeMap<Node, NodeAggregate> = BTreeMap::new();
         for p in self.peers.values() {
@@ -212,7 +214,7 @@
     }
 }
 
-/// Samples that weigh as much as what is joined; about what a variance needs to mean anything.
+/// Weight of a prior in samples; roughly the number of samples needed for a meaningful variance.
 pub const PRIOR_SAMPLES: f64 = 8.0;
 /// Prior of every squared coefficient of variation: Poisson arrivals, exponential service.
 pub const PRIOR_SCV: f64 = 1.0;
@@ -232,17 +234,18 @@
 }
 
 impl Peer {
-    /// What it sees, by node.
+    /// Its view of all nodes, ordered by node.
     pub fn nodes(&self) -> impl Iterator<Item = (Node, &NodeView)> {
         self.nodes.iter().map(|(n, s)| (*n, s))
     }
 
-    /// What it sees of a node.
+    /// Its view of a node.
     pub fn seen(&self, node: Node) -> Option<&NodeView> {
         self.nodes.get(&node)
     }
 
-    /// Its use of what is shared, in the order of the parts: cold nodes (by all sends), origin, tenants.
+    /// Its usage of the shared budgets, in the order of the parts: cold nodes (measured by all sends),
+    /// origin, tenants.
     pub fn uses(&self, now: Micros, rules: &Rules) -> Vec<f64> {
         let left = decay_factor(now, self.used, rules.use_memory);
         self.uses.iter().map(|u| u * left).collect()
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,26 +1,28 @@
-//! What forwarders see, joined, solved and published by planners, and merged by forwarders again.
+//! Coordination between forwarders and planners: forwarders report what they observe, planners aggregate the
+//! reports and publish plans, and forwarders merge the plans of several planners.
 //!
-//! Two machines hold it together: [`Forwarder`] beside a proxy's decisions, [`Planner`] in a process of its
-//! own. Neither opens a socket, reads a clock or draws a number: time comes in as [`Micros`], messages as
-//! [`Message`]s, and what is to be done comes out. `docs/design/two-levels.md` says why they agree.
+//! The crate consists of two sans-I/O state machines: [`Forwarder`], which runs beside a proxy's decision
+//! module, and [`Planner`], which runs in a process of its own. Neither opens a socket, reads a clock or
+//! draws random numbers. Callers pass in the time as [`Micros`] and received [`Message`]s, and execute the
+//! returned outputs. `docs/design/two-levels.md` explains why forwarders agree.
 //!
-//! | file | owns |
+//! | module | contents |
 //! | --- | --- |
-//! | [`ids`], [`rules`], [`bounds`] | names, times and thresholds, the most of everything |
+//! | [`ids`], [`rules`], [`bounds`] | identifiers, times and thresholds, size limits |
 //! | [`moments`] | first two moments of a quantity |
-//! | [`observations`] | what a forwarder sees, and the bounded part of it that goes to planners |
-//! | [`message`], [`frame`] | the words between the two, and their bytes |
-//! | [`join`] | what all forwarders see, by forwarder (Eq. 1) |
-//! | [`solve`] | the terms of the paper (Eqs. 2 to 7) |
-//! | [`silence`] | which nodes are silent, and for whom |
-//! | [`parts`] | parts of a whole that never add up to more |
-//! | [`publish`] | numbers that never go back |
-//! | [`merge`] | what of several planners' plans is in force |
-//! | [`damp`] | terms on their way to new ones, by steps |
-//! | [`spread`] | moments drawn from a seed, so that forwarders do not move together |
-//! | [`forwarder`], [`planner`] | the machines |
+//! | [`observations`] | what a forwarder observes, and the bounded reports made from it |
+//! | [`message`], [`frame`] | the messages between the two machines and their encoding |
+//! | [`join`] | the reports of all forwarders, aggregated per node (Eq. 1) |
+//! | [`solve`] | the queueing terms of the paper (Eqs. 2 to 7) |
+//! | [`silence`] | detection of silent nodes, per zone |
+//! | [`parts`] | division of shared budgets so that the parts never exceed the whole |
+//! | [`publish`] | plan numbers that never decrease |
+//! | [`merge`] | which marks of several planners' plans are in force |
+//! | [`damp`] | stepwise change of terms |
+//! | [`spread`] | delays derived from a seed, so that forwarders do not act simultaneously |
+//! | [`forwarder`], [`planner`] | the state machines |
 //!
-//! Arrows point up in this table: a file uses those above it.
+//! A module uses only modules above it in this table.
 
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
@@ -49,8 +51,8 @@
 pub use planner::Planner;
 pub use rules::Rules;
 
-/// A point in time or a span, in microseconds. The zero of the clock has no meaning.
+/// A point in time or a duration, in microseconds. The origin of the clock is arbitrary.
 pub type Micros = i64;
 
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/plan/src/merge.rs
+++ b/crates/plan/src/merge.rs
@@ -1,13 +1,14 @@
-//! What of several planners' plans is in force at a forwarder.
+//! Merges the plans of several planners at a forwarder.
 //!
-//! It owns the last plan of each planner, what is in force, and since when. Use it for what is yes or no (a
-//! node is silent, a zone is cut off) by majority, and for terms by the median; parts are in
-//! [`crate::parts`]. Taking a plan decides nothing, so the order in which plans come does not matter;
-//! [`Merge::settle`] decides, from what there is at a time.
+//! It stores each planner's last plan, the marks in force and since when. Yes-or-no statements (a node is
+//! silent, a zone is cut off) are decided by majority, terms by the median; parts are handled in
+//! [`crate::parts`]. Accepting a plan decides nothing, so the order of arrival does not matter;
+//! [`Merge::settle`] decides from the state at a given time.
 //!
-//! Marks come and go by two thresholds and a stay that doubles (see `docs/design/two-levels.md`, "Why it
-//! cannot flap"). A forwarder's own ears come first, and the list before them: what is not listed ready is no
-//! matter.
+//! Marks have hysteresis: two thresholds, for activation and deactivation, and a minimum duration that
+//! doubles with each activation (see `docs/design/two-levels.md`, "Why it cannot flap"). The forwarder's own
+//! signs of life take precedence over plans, and the node list over both: nodes that are not listed as ready
+//! are ignored.
 
 use crate::bounds;
 use crate::ids::{Node, PlanNumber, Zone};
@@ -19,40 +20,40 @@
 use std::collections::{BTreeMap, BTreeSet};
 use thiserror::Error;
 
-/// Why a plan is not taken.
+/// Why a plan is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PlanRejection {
-    /// Not newer than what is held. Nothing is wrong with that, and it is not logged.
-    #[error("it is no newer than plan {}.{}", .0.epoch, .0.count)]
+    /// Not newer than the plan held. This is normal and not logged.
+    #[error("it is not newer than the held plan {}.{}", .0.epoch, .0.count)]
     Outdated(PlanNumber),
-    /// No such planner.
-    #[error("it comes from no planner of ours")]
+    /// The planner slot does not exist.
+    #[error("its planner is not configured")]
     UnknownPlanner,
-    /// More of the fleet than plans may take out.
-    #[error("it takes out {marks} of {ready} ready nodes, {most} at most")]
+    /// The plan marks more of the fleet than allowed.
+    #[error("it marks {marks} of {ready} ready nodes, at most {most} are allowed")]
     TooManyMarks {
         /// Ready nodes that it marks for this zone.
         marks: usize,
-        /// Ready nodes.
+        /// Ready nodes on the list.
         ready: usize,
-        /// How many it may mark.
+        /// Maximum number of nodes that it may mark.
         most: usize,
     },
-    /// Marks that nobody bears witness of.
-    #[error("it marks nodes without a witness")]
+    /// The plan marks nodes or reports cuts without any witness.
+    #[error("it marks nodes or reports cut zones without any witness")]
     NoEvidence,
-    /// It cuts this zone off from itself.
-    #[error("it cuts this hall off from itself")]
+    /// The plan reports a zone as cut off from itself.
+    #[error("it reports a zone as cut off from itself")]
     OwnZone,
-    /// It marks and vouches for one node at once.
-    #[error("it contradicts itself")]
+    /// The plan both marks a node as silent and vouches for it.
+    #[error("it marks a node as silent and also vouches for it")]
     Contradiction,
 }
 
-/// What a mark is on.
+/// The object of a mark.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MarkTarget {
-    /// A node that is silent.
+    /// A silent node.
     Node(Node),
     /// A zone that is cut off.
     Zone(Zone),
@@ -66,24 +67,26 @@
     cuts: BTreeSet<Zone>,
 }
 
-/// One planner's.
+/// The state kept for one planner.
 #[derive(Clone, Debug, Default)]
 struct PlannerSlot {
     number: PlanNumber,
-    /// What the last plan rests on.
+    /// When the report was taken on which the last plan is based.
     basis: Option<Micros>,
-    /// Of the last plan of a warm planner. What a cold one sends does not replace it: it ages by itself.
+    /// Votes of the last plan from a warmed-up planner. A plan from a cold planner does not replace them;
+    /// they expire by age.
     votes: Option<Votes>,
     terms: BTreeMap<Node, (NodeTerms, Micros)>,
-    /// Kinds of refusals that were told, and sound plans in a row since.
+    /// Kinds of rejections already logged, and the number of consecutive valid plans since then.
     logged: Vec<std::mem::Discriminant<PlanRejection>>,
     accepted_in_row: u32,
 }
 
-/// Sound plans in a row after which refusals are told again: ten seconds' worth.
+/// Number of consecutive valid plans after which rejections are logged again; ten seconds at the default plan
+/// rate.
 const REFUSAL_LOG_RESET: u32 = 40;
 
-/// A mark that is in force.
+/// A mark in force.
 #[derive(Clone, Copy, Debug)]
 struct ActiveMark {
     since: Micros,
@@ -94,16 +97,16 @@
 #[derive(Clone, Debug, Default)]
 struct MarkState {
     active: Option<ActiveMark>,
-    /// How often it came into force, since it was last forgotten.
+    /// Number of activations since the state was last forgotten.
     activations: u32,
-    /// When it is to come or go, if what speaks for that still does.
+    /// When the pending activation or deactivation takes effect, if the condition still holds.
     due: Option<Micros>,
-    /// When it left, and from when its way back counts.
+    /// When the mark was deactivated, and the start of the gradual return.
     ended: Micros,
     return_from: Micros,
 }
 
-/// See the file's comment.
+/// The merged state of all planners; see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Merge {
     zone: Zone,
@@ -114,13 +117,13 @@
 }
 
 impl Merge {
-    /// For a forwarder in a zone, with so many planners. The seed spreads its moves.
+    /// For a forwarder in `zone` with this many planners. The seed spreads its changes over time.
     pub fn new(zone: Zone, seed: u64, planners: usize) -> Self {
         let slots = vec![PlannerSlot::default(); planners.min(bounds::PLANNERS)];
         Merge { zone, seed, slots, ..Merge::default() }
     }
 
-    /// Takes the ready nodes of the list. What is no longer on it is no matter any more.
+    /// Replaces the list of ready nodes. State about nodes and zones that are no longer listed is dropped.
     pub fn list(&mut self, listed: impl Iterator<Item = Listed>) {
         let ready = listed.filter(|l| l.ready).take(bounds::NODES);
         self.node_zones = ready.map(|l| (l.node, l.zone)).collect();
@@ -135,15 +138,15 @@
         }
     }
 
-    /// The greatest plan taken of a planner.
+    /// The greatest plan number accepted from a planner.
     pub fn number(&self, slot: usize) -> PlanNumber {
         self.slots.get(slot).map_or(PlanNumber::default(), |s| s.number)
     }
 
-    /// Takes a plan; `basis` is when the report was taken that it names, if that is known. The error's second
-    /// half says whether it is worth a line: the same is told once, until the planner has been sound for a
-    /// while.
-    pub fn take(
+    /// Accepts or rejects a plan. `basis` is when the report was taken that the plan names, if known. The
+    /// second element of the error says whether the rejection should be logged: each kind is logged once,
+    /// until the planner has sent enough valid plans in a row.
+    pub fn accept_plan(
         &mut self,
         slot: usize,
         plan: &Plan,
@@ -204,13 +207,13 @@
         }
     }
 
-    /// A planner's connection is over. It votes no more, so that those that are left decide at once; what it
-    /// helped to bring into force holds and fades.
+    /// The connection to a planner ended. Its votes are dropped, so that the remaining planners decide at
+    /// once; marks that it supported are held and then fade.
     pub fn planner_disconnected(&mut self, slot: usize) {
         self.slots.get_mut(slot).into_iter().for_each(|s| s.votes = None);
     }
 
-    /// Takes terms, which are as old as the last plan that was taken. Others are let go.
+    /// Accepts terms, which are as old as the last accepted plan. Terms of another epoch are ignored.
     pub fn terms(&mut self, slot: usize, terms: &Terms) {
         let Some(s) = self.slots.get_mut(slot).filter(|s| terms.number.epoch == s.number.epoch) else {
             return;
@@ -224,8 +227,8 @@
         }
     }
 
-    /// Decides what is in force now. `heard` is when this forwarder itself last heard a node. Tells whether
-    /// anything came or went.
+    /// Recomputes the marks in force. `heard` returns when this forwarder itself last received a sign of life
+    /// from a node. Returns whether any mark changed.
     pub fn settle(&mut self, now: Micros, heard: impl Fn(Node) -> Option<Micros>, rules: &Rules) -> bool {
         let fresh: Vec<&Votes> = self
             .slots
@@ -242,7 +245,7 @@
                 *latest = (*latest).max(heard(*n));
                 all
             });
-        // What anybody speaks of, and what stands.
+        // All targets with a vote or with state.
         let mut targets: BTreeSet<MarkTarget> = self.states.keys().copied().collect();
         for v in &fresh {
             targets.extend(
@@ -277,7 +280,8 @@
                         out.supported = now;
                         state.active = Some(out);
                     }
-                    // An answer since then, unless it is old and planners still find the node silent.
+                    // A sign of life since the activation counts, unless it is old and the planners still
+                    // find the node silent.
                     let recent = |s: &Micros| now.saturating_sub(*s) <= rules.vote_max_age;
                     let lives = sign.filter(|s| *s > out.since).is_some_and(|s| recent(&s) || !majority);
                     changed |= state.deactivate_if_due(
@@ -300,7 +304,7 @@
         changed
     }
 
-    /// Those whose time has come, the earliest first, as long as enough nodes are left.
+    /// Activates the marks that are due, earliest first, as long as enough nodes remain.
     fn activate_due(
         &mut self,
         now: Micros,
@@ -321,8 +325,8 @@
         changed
     }
 
-    /// The list shrank: the latest marks give way until the bound holds again, and zones where nothing is
-    /// left.
+    /// Enforces the bounds after the list shrank: removes the latest node marks until the limit holds, and
+    /// all marks if no ready node would remain.
     fn enforce_bounds(&mut self, now: Micros, rules: &Rules) -> bool {
         let most = rules.max_marked(self.node_zones.len());
         let mut changed = false;
@@ -346,7 +350,7 @@
         self.states.iter().filter(|(m, s)| matches!(m, MarkTarget::Node(_)) && s.active.is_some()).count()
     }
 
-    /// Whether some ready node is neither out nor in a zone that is, with one matter more.
+    /// Whether at least one ready node is neither marked nor in a marked zone, with `more` also marked.
     fn leaves_a_ready_node(&self, more: Option<MarkTarget>) -> bool {
         let out = |m: MarkTarget| more == Some(m) || self.is_active(m);
         self.node_zones.iter().any(|(n, h)| !out(MarkTarget::Node(*n)) && !out(MarkTarget::Zone(*h)))
@@ -356,18 +360,18 @@
         self.states.get(&target).is_some_and(|s| s.active.is_some())
     }
 
-    /// What is in force, in order.
+    /// The targets of the marks in force, in order.
     pub fn active(&self) -> impl Iterator<Item = MarkTarget> + '_ {
         self.states.iter().filter(|(_, s)| s.active.is_some()).map(|(m, _)| *m)
     }
 
-    /// Whether a ready node is out, by itself or with its zone.
+    /// Whether a ready node is avoided, by its own mark or by its zone's.
     pub fn avoids(&self, node: Node) -> bool {
         let zone = self.node_zones.get(&node).map(|h| MarkTarget::Zone(*h));
         self.is_active(MarkTarget::Node(node)) || zone.is_some_and(|h| self.is_active(h))
     }
 
-    /// The part of its keys that a node takes: 0 while it is out, growing on its way back, else 1.
+    /// The part of its keys that a node takes: 0 while marked, growing after the mark ends, otherwise 1.
     pub fn part(&self, node: Node, now: Micros, rules: &Rules) -> f64 {
         let of = |m: MarkTarget| self.states.get(&m).map_or(1.0, |s| s.part(now, rules));
         of(MarkTarget::Node(node)).min(self.node_zones.get(&node).map_or(1.0, |h| of(MarkTarget::Zone(*h))))
@@ -382,8 +386,8 @@
         all.filter(|(_, part)| *part < 1.0).collect()
     }
 
-    /// The terms of a node, each field the median over the planners, and how far they are to be trusted: 1
-    /// for fresh ones, falling to 0 with age.
+    /// A node's terms, each field the median over the planners, with their trust: 1 for fresh terms, falling
+    /// to 0 with age.
     pub fn queue(&self, node: Node, now: Micros, rules: &Rules) -> Option<(Queue, f64)> {
         let age = |at: Micros| now.saturating_sub(at).max(0);
         let all = self.slots.iter().filter_map(|s| s.terms.get(&node));
@@ -399,18 +403,18 @@
         Some((queue, (1.0 - old / rules.terms_max_age.max(1) as f64).clamp(0.0, 1.0)))
     }
 
-    /// When something is due: a mark to come or go, or a part that still grows.
+    /// When [`Merge::settle`] is needed next: a mark is due or a part is still changing.
     pub fn next(&self, now: Micros, rules: &Rules) -> Option<Micros> {
         let step = now.saturating_add(PART_UPDATE_EVERY);
         self.states.values().filter_map(|s| s.next(now, step, rules)).min()
     }
 }
 
-/// How often a part that grows is looked at.
+/// How often a changing part is recomputed.
 const PART_UPDATE_EVERY: Micros = 100_000;
 
 impl MarkState {
-    /// Whether it comes into force now, given whether there is reason to.
+    /// Whether the mark becomes active now; `justified` says whether the condition for it holds.
     fn activation_due(&mut self, now: Micros, justified: bool, seed: u64, rules: &Rules) -> bool {
         let wait = || spread::delay(seed, 1, u64::from(self.activations), rules.enter_spread);
         let due = justified.then(|| self.due.unwrap_or_else(|| now.saturating_add(wait())));
@@ -418,7 +422,7 @@
         due.is_some_and(|due| due <= now)
     }
 
-    /// Lets it go if it is time to, given whether there is reason to.
+    /// Deactivates the mark if it is due; `justified` says whether there is a reason to.
     fn deactivate_if_due(
         &mut self,
         now: Micros,
@@ -440,7 +444,7 @@
         self.due = justified.then(|| self.due.unwrap_or_else(|| now.saturating_add(wait())));
         let goes = stayed && self.due.is_some_and(|due| due <= now);
         if goes {
-            // One that has begun to fade goes on from there.
+            // A mark that has begun to fade continues from the part already regained.
             let ahead = self.part(now, rules) * rules.return_over as f64;
             self.deactivate(now, now.saturating_sub(ahead as Micros));
         }
@@ -467,13 +471,13 @@
         let fades = self.active.map(|o| o.supported.saturating_add(rules.hold).max(step));
         let stays = self.active.map(|o| o.since.saturating_add(rules.stay_at(self.activations)));
         let due = self.due.map(|d| d.max(stays.unwrap_or(d)));
-        // What was due and waits for room is looked at again later.
+        // A mark that is due but does not fit the bounds is retried later.
         let due = due.map(|d| if d > now { d } else { step });
         [due, grows.then_some(step), fades].into_iter().flatten().min()
     }
 }
 
-/// A number for a matter, to spread by.
+/// A number that identifies the target, as input to [`spread::delay`].
 fn spread_key(target: MarkTarget) -> u64 {
     match target {
         MarkTarget::Node(n) => spread::mix(n.id ^ spread::mix(n.life)),
@@ -481,7 +485,7 @@
     }
 }
 
-/// The middle one; of an even number, the mean of the two.
+/// The median; for an even count, the mean of the two middle values.
 fn median(mut all: Vec<f64>) -> Option<f64> {
     all.sort_by(f64::total_cmp);
     let (low, high) = (all.get(all.len().checked_sub(1)? / 2)?, all.get(all.len() / 2)?);
--- a/crates/plan/src/message.rs
+++ b/crates/plan/src/message.rs
@@ -1,238 +1,239 @@
-//! The words between forwarders and planners. A message that comes from outside is checked once, here; what
-//! passed needs no more care than its numbers say.
+//! The messages between forwarders and planners. A message from a peer is validated once, by
+//! [`Message::check`]; validated messages need no further checks of their numbers.
 //!
-//! Times are spans before the message was made, in us: the two sides share no clock.
+//! Times are durations before the message was made, in us, because the two sides share no clock.
 
 use crate::ids::{ForwarderId, Node, PlanNumber, Zone, ZoneSet};
 use crate::moments::Moments;
 use crate::{bounds, Micros};
 use serde::{Deserialize, Serialize};
 
-/// How an upstream request ended. The order is that of [`NodeReport::ends`].
+/// How an upstream request ended, in the order of [`NodeReport::ends`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Answered.
+    /// Answered successfully.
     Served,
-    /// Answered: the node lacks the key.
+    /// Answered: the node does not have the key.
     Miss,
     /// Answered with an error.
     Error,
-    /// Turned away.
+    /// Rejected by the node for lack of capacity.
     Full,
     /// No answer in time.
     Timeout,
-    /// No connection.
+    /// The connection could not be established.
     ConnectFailed,
     /// The connection broke.
     Reset,
-    /// Given up by the forwarder.
+    /// Cancelled by the forwarder.
     Cancelled,
 }
 
-/// How many verdicts there are.
+/// Number of verdicts.
 pub const VERDICT_COUNT: usize = 8;
 
 impl Verdict {
-    /// Whether the node said something: it lives.
+    /// Whether the outcome proves that the node is alive.
     pub fn shows_life(self) -> bool {
         matches!(self, Verdict::Served | Verdict::Miss | Verdict::Error | Verdict::Full)
     }
 }
 
-/// What a forwarder saw of a node. Counts and moments are of the time since the last report that named it.
+/// A forwarder's observations of a node. Counts and moments cover the time since the last report that named
+/// the node.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeReport {
-    /// Which.
+    /// The node.
     pub node: Node,
-    /// The zone it stands in.
+    /// The node's zone.
     #[serde(rename = "hall")]
     pub zone: Zone,
     /// Upstream requests sent.
     pub sends: u32,
-    /// How those that ended did, by verdict.
+    /// Ended requests, by verdict.
     pub ends: [u32; VERDICT_COUNT],
-    /// Gaps between sends, in us.
+    /// Intervals between sends, in us.
     pub gaps: Moments,
-    /// Times of answers, in us.
+    /// Response times, in us.
     pub service: Moments,
-    /// The last send.
+    /// Time since the last send.
     pub sent: Option<u32>,
-    /// The last sign of life.
+    /// Time since the last sign of life.
     pub sign: Option<u32>,
-    /// Since when something is unanswered without a sign of life.
+    /// How long requests have been unanswered without a sign of life.
     pub quiet: Option<u32>,
-    /// How many are, those given up among them.
+    /// Number of unanswered requests, including cancelled ones.
     pub unanswered: u32,
-    /// The utilisation that it last reported, and when.
+    /// The last reported utilisation, and its age.
     pub load: Option<(f32, u32)>,
 }
 
-/// A tenant's requests of a class since the last report.
+/// Requests of one tenant and class since the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Position in the settings.
+    /// Index in the settings.
     pub tenant: u16,
-    /// Position in the settings.
+    /// Index in the settings.
     pub class: u16,
-    /// Taken from clients.
+    /// Requests received from clients.
     pub asked: u32,
-    /// Served in time, refused; the rest failed, came late or is out.
+    /// Requests served in time, and refused ones. The remaining ones failed, were late or are still pending.
     pub served: u32,
     /// See [`UsageReport::served`].
     pub refused: u32,
 }
 
-/// The origin's side: fetches since the last report.
+/// Fetches from the origin since the last report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct OriginReport {
-    /// Requests for it that came up, sent or not.
+    /// Requests that needed the origin, whether sent or not.
     pub asked: u32,
-    /// Out there now.
+    /// Requests pending at the origin now.
     pub out: u32,
-    /// Times of its answers, in us.
+    /// Response times of the origin, in us.
     pub service: Moments,
 }
 
-/// What a forwarder tells.
+/// A forwarder's report.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Grows by one; its first is 1.
+    /// Increases by one; the first is 1.
     pub number: u64,
-    /// The greatest plan that it holds of this planner.
+    /// The greatest plan number held from this planner.
     pub holds: PlanNumber,
-    /// The [`Parts::version`] that it holds of this planner.
+    /// The [`Parts::version`] held from this planner.
     pub parts: PlanNumber,
-    /// The revision of its list.
+    /// The revision of the forwarder's node list.
     pub list: u64,
-    /// Ready nodes on it.
+    /// Number of ready nodes on the list.
     pub ready: u32,
-    /// Bounded; what does not fit comes later.
+    /// A bounded number of nodes; the others follow in later reports.
     pub nodes: Vec<NodeReport>,
-    /// Those with any use.
+    /// Pairs of tenant and class with any usage.
     pub uses: Vec<UsageReport>,
     /// See [`OriginReport`].
     #[serde(rename = "ledger")]
     pub origin: OriginReport,
 }
 
-/// A forwarder's first message.
+/// A forwarder's first message on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Who.
+    /// The forwarder.
     pub forwarder: ForwarderId,
-    /// Its start; reports are numbered within it. Only equality has a meaning.
+    /// Identifies the forwarder's start; reports are numbered within it. Compared only for equality.
     pub life: u64,
-    /// Where it stands.
+    /// The forwarder's zone.
     #[serde(rename = "hall")]
     pub zone: Zone,
-    /// What it holds of this planner, from an earlier connection.
+    /// The plan held from this planner, from an earlier connection.
     pub holds: PlanNumber,
-    /// How many tenants its settings name.
+    /// Number of tenants in its settings.
     pub tenants: u16,
 }
 
-/// A node that a planner takes for silent.
+/// A node that a planner considers silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// Which.
+    /// The node.
     pub node: Node,
-    /// For whom.
+    /// The zones for which it is silent.
     #[serde(rename = "halls")]
     pub zones: ZoneSet,
-    /// Since when, and how many forwarders bear witness.
+    /// How long it has been silent, and the number of forwarders that confirm it.
     pub since: u32,
     /// See [`Mark::since`].
     pub witnesses: u16,
 }
 
-/// A node of which somebody thought ill and that lives.
+/// A node that was suspected to be silent but is alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vouch {
-    /// Which.
+    /// The node.
     pub node: Node,
-    /// For whom.
+    /// The zones for which it is alive.
     #[serde(rename = "halls")]
     pub zones: ZoneSet,
 }
 
-/// A zone of which another hears nothing.
+/// A zone from which another zone receives no answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Cut {
-    /// Who hears nothing,
+    /// The zone that receives no answers,
     pub from: Zone,
-    /// of whom.
+    /// and the zone that it cannot reach.
     pub to: Zone,
 }
 
-/// What a plan rests on.
+/// The evidence on which a plan is based.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// Forwarders heard lately.
+    /// Number of forwarders with a recent report.
     pub forwarders: u16,
-    /// Of them, those that hear any node.
+    /// Of these, the number that receive answers from any node.
     pub witnesses: u16,
-    /// Whether the planner has run long enough to have an opinion.
+    /// Whether the planner has run long enough to make statements.
     pub warm: bool,
-    /// The start of the receiver that the planner knows, and its last report that went in; 0 is none.
+    /// The receiver's start as known to the planner, and its last processed report; 0 means none.
     pub life: u64,
     /// See [`Evidence::life`].
     pub heard: u64,
 }
 
-/// A forwarder's parts of the whole, each 0 to 1.
+/// A forwarder's parts of the shared budgets, each 0 to 1.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Parts {
-    /// The plan that first had them; the default is none given.
+    /// The plan that first contained these parts; the default means that none were assigned.
     pub version: PlanNumber,
-    /// Of each cold node's budget.
+    /// Part of each cold node's budget.
     pub cold: f32,
-    /// Of what may be out at the origin.
+    /// Part of the concurrent requests at the origin.
     #[serde(rename = "ledger")]
     pub origin: f32,
-    /// Of each tenant's quota.
+    /// Part of each tenant's quota.
     pub tenants: Vec<f32>,
 }
 
-/// A plan, as one forwarder gets it.
+/// A plan as sent to one forwarder.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     /// See [`PlanNumber`].
     pub number: PlanNumber,
-    /// The greatest revision of the list that any forwarder told.
+    /// The greatest list revision that any forwarder reported.
     pub list: u64,
     /// See [`Evidence`].
     pub evidence: Evidence,
     /// Nodes to avoid.
     pub silent: Vec<Mark>,
-    /// Nodes that live after all.
+    /// Suspected nodes that are alive.
     pub lives: Vec<Vouch>,
-    /// Zones cut off.
+    /// Zones that are cut off.
     pub cuts: Vec<Cut>,
-    /// The receiver's.
+    /// The receiver's parts.
     pub parts: Parts,
 }
 
-/// A node's terms of the paper, for the fleet.
+/// The paper's queueing terms of a node, over the whole fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct NodeTerms {
-    /// Which.
+    /// The node.
     pub node: Node,
     /// Utilisation, below 1.
     pub rho: f32,
     /// E(S), in us.
     pub service: f32,
-    /// C_A^2, joined by Eq. 1.
+    /// C_A^2, aggregated by Eq. 1.
     pub arrival_scv: f32,
     /// C_S^2.
     pub service_scv: f32,
-    /// The share of Eqs. 4 to 7 over the fleet.
+    /// The node's share by Eqs. 4 to 7 over the fleet.
     pub share: f32,
 }
 
-/// Terms of some nodes; the rest come in further messages.
+/// Terms of some nodes; the others follow in further messages.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Terms {
-    /// The plan that they belong to.
+    /// The plan that the terms belong to.
     pub number: PlanNumber,
     /// See [`NodeTerms`].
     pub nodes: Vec<NodeTerms>,
@@ -241,54 +242,54 @@
 /// A planner's view of a forwarder, for `plan show`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Known {
-    /// Who.
+    /// The forwarder.
     pub forwarder: ForwarderId,
-    /// Where.
+    /// Its zone.
     #[serde(rename = "hall")]
     pub zone: Zone,
-    /// Since its last report.
+    /// Time since its last report.
     pub heard: u32,
-    /// What it holds.
+    /// The plan that it holds.
     pub holds: PlanNumber,
-    /// Its part of the origin and of cold nodes.
+    /// Its parts of the origin's and of cold nodes' budgets.
     #[serde(rename = "ledger")]
     pub origin: f32,
     /// See [`Known::origin`].
     pub cold: f32,
 }
 
-/// The plan as it stands, for `plan show`.
+/// The current plan, for `plan show`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Shown {
-    /// As forwarders get it, without parts.
+    /// The plan as forwarders receive it, without parts.
     pub plan: Plan,
-    /// See [`NodeTerms`]; at most a message of them.
+    /// See [`NodeTerms`]; at most as many as fit a message.
     pub terms: Vec<NodeTerms>,
-    /// See [`Known`]; at most a message of them.
+    /// See [`Known`]; at most as many as fit a message.
     pub forwarders: Vec<Known>,
 }
 
-/// One message, one frame.
+/// A message; each is sent in a frame of its own.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Forwarder to planner, first.
+    /// Forwarder to planner, first message.
     Hello(Hello),
-    /// Forwarder to planner, a few times a second.
+    /// Forwarder to planner, several times per second.
     #[serde(rename = "Sight")]
     Report(Report),
-    /// Forwarder to planner, last: a planned end.
+    /// Forwarder to planner, last message before a planned shutdown.
     Bye,
-    /// Planner to forwarder, a few times a second.
+    /// Planner to forwarder, several times per second.
     Plan(Plan),
-    /// Planner to forwarder, about once a second.
+    /// Planner to forwarder, about once per second.
     Terms(Terms),
-    /// Anyone to planner, instead of a hello: what stands?
+    /// Any client to planner, instead of a hello: requests the current plan.
     Show,
-    /// The answer.
+    /// The answer to [`Message::Show`].
     Shown(Shown),
 }
 
-/// A span as it goes on the wire: cut to what fits, none below 0.
+/// A duration as encoded on the wire: truncated to the greatest value that fits, at least 0.
 pub fn span(from: Micros, to: Micros) -> u32 {
     u32::try_from(to.saturating_sub(from).max(0)).unwrap_or(bounds::SPAN)
 }
@@ -302,15 +303,15 @@
 }
 
 impl Parts {
-    /// Cold, origin, then tenants.
+    /// All parts in the order cold, origin, tenants.
     pub fn all(&self) -> impl Iterator<Item = f32> + '_ {
         [self.cold, self.origin].into_iter().chain(self.tenants.iter().copied())
     }
 }
 
 impl Message {
-    /// Whether every count and figure is within its bounds; else what is not. A plan is also judged by what
-    /// it says: that is for the forwarder, which may refuse one and go on.
+    /// Checks all counts and numbers against their bounds and names the first violation. The forwarder also
+    /// validates a plan's content and may reject the plan without closing the connection.
     pub fn check(&self) -> Result<(), &'static str> {
         match self {
             Message::Hello(h) => {
--- a/crates/plan/src/observations.rs
+++ b/crates/plan/src/observations.rs
@@ -1,11 +1,12 @@
-//! What a forwarder sees, added up at a constant cost an event, and the bounded deltas of it.
+//! What a forwarder observes, accumulated at constant cost per event, and the bounded incremental reports
+//! made from it.
 //!
-//! It owns counts, moments and signs of life by node, use by tenant and class, and the origin's figures. It
-//! judges nothing. A delta takes what was added since the last one that named the same node; nodes that are
-//! quiet come first, the others in turn, so that a large fleet is told of in several.
-//! Something is told of a node when there is something to tell: an idle node takes no bytes.
+//! It stores counts, moments and signs of life per node, usage per tenant and class, and the origin's
+//! counters. It draws no conclusions. A report covers what was added since the last report that named the
+//! same node. Nodes with unanswered requests come first and the others take turns, so a large fleet is spread
+//! over several reports. Nodes without changes are omitted: an idle node takes no bytes.
 //!
-//! The map from nodes to places is never iterated over; order comes from the list.
+//! The map from nodes to indexes is never iterated over; the order comes from the list.
 
 use crate::bounds;
 use crate::ids::{Node, Zone};
@@ -15,18 +16,18 @@
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, DefaultHasher};
 
-/// A node of the list, as the forwarder has it.
+/// A node on the forwarder's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Listed {
-    /// Which.
+    /// The node.
     pub node: Node,
-    /// Where.
+    /// Its zone.
     pub zone: Zone,
-    /// Whether it takes new requests: serving, not draining.
+    /// Whether it accepts new requests: serving, not draining.
     pub ready: bool,
 }
 
-/// Without a key of its own, so that equal events give equal states. The names come from discovery.
+/// Hashed without a random key, so that equal events give equal states. The names come from discovery.
 type NodeIndex = HashMap<Node, usize, BuildHasherDefault<DefaultHasher>>;
 
 #[derive(Clone, Debug)]
@@ -38,7 +39,7 @@
     service: Moments,
     last_send: Option<Micros>,
     sign: Option<Micros>,
-    /// Since when something is unanswered, how many are, and how many of those are still out.
+    /// Since when requests have been unanswered, how many, and how many of those are still pending.
     quiet: Option<Micros>,
     unanswered: u32,
     out: u32,
@@ -46,7 +47,7 @@
     changed: bool,
 }
 
-/// See the file's comment.
+/// The observations of a forwarder; see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
     index: NodeIndex,
@@ -62,7 +63,7 @@
 }
 
 impl Observations {
-    /// For so many tenants and classes; what is beyond the bounds is not counted.
+    /// For this many tenants and classes; those beyond the bounds are not counted.
     pub fn new(tenants: usize, classes: usize) -> Self {
         let classes = classes.clamp(1, bounds::USES);
         let tenants = tenants.min(bounds::TENANTS).min(bounds::USES / classes);
@@ -72,7 +73,7 @@
         Observations { uses, classes, ..Observations::default() }
     }
 
-    /// Takes the whole list. What was seen of nodes that stay is kept.
+    /// Replaces the node list. Observations of nodes that remain are kept.
     pub fn list(&mut self, revision: u64, listed: &[Listed]) {
         let mut nodes = Vec::with_capacity(listed.len().min(bounds::NODES));
         let mut index = NodeIndex::with_capacity_and_hasher(nodes.capacity(), Default::default());
@@ -89,7 +90,7 @@
         (self.revision, self.nodes, self.index) = (revision, nodes, index);
     }
 
-    /// The list as it was taken.
+    /// The current list.
     pub fn listed(&self) -> impl Iterator<Item = Listed> + '_ {
         self.nodes.iter().map(|s| s.listed)
     }
@@ -128,7 +129,7 @@
         }
     }
 
-    /// A node reported its utilisation, or anything else that shows that it lives.
+    /// A node reported its utilisation, or gave another sign of life.
     pub fn load(&mut self, now: Micros, node: Node, rho: Option<f32>) {
         let Some(s) = self.node_mut(node) else { return };
         s.record_sign(now);
@@ -143,7 +144,7 @@
         self.index.get(&node).and_then(|at| self.nodes.get(*at)).and_then(|s| s.sign)
     }
 
-    /// A client's request was taken.
+    /// A request was received from a client.
     pub fn request_received(&mut self, tenant: usize, class: usize) {
         self.count_usage(tenant, class, |u| &mut u.asked);
     }
@@ -158,30 +159,32 @@
         self.count_usage(tenant, class, |u| &mut u.refused);
     }
 
-    /// Something is wanted of the origin, whether it is sent or not.
+    /// A request needs the origin, whether it is sent there or not.
     pub fn origin_needed(&mut self) {
         self.origin.asked = self.origin.asked.saturating_add(1);
     }
 
-    /// Something was sent to the origin.
+    /// A request was sent to the origin.
     pub fn fetched(&mut self) {
         self.origin_out = self.origin_out.saturating_add(1);
     }
 
-    /// What was sent to the origin ended; with its time, if it was answered.
+    /// A request to the origin ended; `answered_in` is its response time, if it was answered.
     pub fn fetch_ended(&mut self, answered_in: Option<Micros>) {
         self.origin_out = self.origin_out.saturating_sub(1);
         answered_in.into_iter().for_each(|t| self.origin.service.add(t as f64));
     }
 
-    /// Takes a delta. The caller fills in what this forwarder holds of each planner.
-    pub fn take(&mut self, now: Micros) -> Report {
+    /// Makes a report and resets the counts in it. The caller fills in the plan and parts held from each
+    /// planner.
+    pub fn take_report(&mut self, now: Micros) -> Report {
         self.number += 1;
         let mut nodes = Vec::new();
         let len = self.nodes.len();
-        // The quiet first, whether there is news or not: their silence is the news.
+        // Nodes with unanswered requests come first, even without changes, because their silence must be
+        // reported.
         let quiet = self.nodes.iter_mut().filter(|s| s.quiet.is_some());
-        nodes.extend(quiet.take(bounds::NODES_PER_MESSAGE).map(|s| s.take(now)));
+        nodes.extend(quiet.take(bounds::NODES_PER_MESSAGE).map(|s| s.take_report(now)));
         let room =
             bounds::ANSWERING_NODES_PER_REPORT.min(bounds::NODES_PER_MESSAGE.saturating_sub(nodes.len()));
         let upto = nodes.len() + room;
@@ -192,7 +195,7 @@
                 break;
             }
             let changed = |s: &&mut NodeState| s.changed && s.quiet.is_none();
-            nodes.extend(self.nodes.get_mut(at).filter(changed).map(|s| s.take(now)));
+            nodes.extend(self.nodes.get_mut(at).filter(changed).map(|s| s.take_report(now)));
         }
         let used = self.uses.iter_mut().filter(|u| u.asked + u.served + u.refused > 0);
         let uses = used
@@ -240,14 +243,14 @@
         }
     }
 
-    /// A sign of life: what is still out is waited for from now on.
+    /// Records a sign of life: requests still pending count as unanswered from now on.
     fn record_sign(&mut self, now: Micros) {
         self.sign = Some(self.sign.map_or(now, |s| s.max(now)));
         self.unanswered = self.out;
         self.quiet = (self.out > 0).then_some(now);
     }
 
-    fn take(&mut self, now: Micros) -> NodeReport {
+    fn take_report(&mut self, now: Micros) -> NodeReport {
         let report = NodeReport {
             node: self.listed.node,
             zone: self.listed.zone,
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -1,9 +1,9 @@
-//! The planner's side: takes what forwarders see, and publishes plans.
+//! The planner's state machine: collects reports from forwarders and publishes plans.
 //!
-//! It owns its peers as far as they need no socket, what they told, its judgements, and the numbers of its
-//! plans. An adapter accepts connections, moves bytes ([`crate::frame`]), calls [`Planner::tick`] at
-//! [`Planner::next`], bounds what waits to be written to a peer and cuts one that does not take it. Nothing
-//! is kept over a restart.
+//! It manages its peers without any socket, and stores their reports, its findings and its plan numbers. An
+//! adapter accepts connections, transfers bytes ([`crate::frame`]) and calls [`Planner::tick`] at
+//! [`Planner::next`]. The adapter must bound the write queue of each peer and close peers that do not read.
+//! No state survives a restart.
 
 use crate::bounds;
 use crate::frame::Refused;
@@ -18,34 +18,33 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// A connection, as the adapter numbers it; never the same number again.
+/// A connection number assigned by the adapter; never reused.
 pub type PeerId = u64;
 
-/// Connections that may be open: forwarders, some that are about to be replaced, and those who ask for the
-/// plan.
+/// Maximum number of open connections: forwarders, connections about to be replaced, and `plan show` clients.
 const MAX_PEERS: usize = bounds::FORWARDERS + 64;
 
-/// What is to be done.
+/// An action for the adapter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to a peer.
     Send(PeerId, Message),
-    /// Send terms to all forwarders; encoded once.
+    /// Send terms to all of these forwarders; the message needs to be encoded only once.
     Terms(Vec<PeerId>, Message),
-    /// Tell a peer the reason ([`crate::frame::refusal`]), and close its connection.
+    /// Send the reason to a peer ([`crate::frame::refusal`]) and close its connection.
     Close(PeerId, Refused),
 }
 
 #[derive(Clone, Debug)]
 struct Link {
     forwarder: Option<ForwarderId>,
-    /// What it may send, in messages: a bucket, and when it was last filled, which is when the peer last
-    /// spoke.
+    /// Token bucket for received messages, and when it was last filled, which is when the peer last sent
+    /// something.
     tokens: f64,
     filled: Micros,
 }
 
-/// See the file's comment.
+/// The planner's state machine; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct Planner {
     rules: Rules,
@@ -63,8 +62,8 @@
 }
 
 impl Planner {
-    /// Begins with nothing. `epoch` should grow from start to start, as the clock's milliseconds do; it need
-    /// not (see [`crate::publish`]).
+    /// Starts without state. `epoch` should increase with each start, as the clock's milliseconds do, but
+    /// need not (see [`crate::publish`]).
     pub fn new(now: Micros, rules: Rules, epoch: u64) -> Result<Self, &'static str> {
         rules.check()?;
         Ok(Planner {
@@ -83,7 +82,7 @@
         })
     }
 
-    /// A connection was accepted; an error says why it must not stay.
+    /// A connection was accepted; an error means that it must be closed.
     pub fn up(&mut self, now: Micros, peer: PeerId) -> Result<(), Refused> {
         if self.links.len() >= MAX_PEERS {
             return Err(Refused::Room);
@@ -93,7 +92,7 @@
         Ok(())
     }
 
-    /// A connection is over. What its forwarder told stays until it is old.
+    /// A connection ended. The reports of its forwarder are kept until they expire.
     pub fn down(&mut self, peer: PeerId) {
         let Some(link) = self.links.remove(&peer) else { return };
         if let Some(id) = link.forwarder.filter(|id| self.peer_of.get(id) == Some(&peer)) {
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Takes a message of a peer. After an error its connection is to be closed, with the reason.
+    /// Handles a message from a peer. After an error its connection must be closed with that reason.
     pub fn message(
         &mut self,
         now: Micros,
@@ -179,7 +178,7 @@
         self.allocator.forget(id);
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         let terms = self.next_terms <= now;
         if terms {
@@ -204,7 +203,7 @@
         for id in self.fleet.sweep(now, &self.rules) {
             self.allocator.forget(id);
         }
-        // Also connections that said no hello, or farewell, and then stayed.
+        // Includes connections that never sent a hello, or that stayed open after a bye.
         let idle = |l: &Link| now.saturating_sub(l.filled) >= self.rules.forget_forwarder_after;
         let idle: Vec<PeerId> = self.links.iter().filter(|(_, l)| idle(l)).map(|(peer, _)| *peer).collect();
         for peer in idle {
@@ -214,7 +213,7 @@
         let number = self.numbers.next(now);
         let warm = self.is_warm(now);
         if warm {
-            self.findings = self.silence.assess(now, &self.fleet, self.solved.long, &self.rules);
+            self.findings = self.silence.assess(now, &self.fleet, self.solved.long_response, &self.rules);
             let uses = self.fleet.peers().map(|(id, p)| (id, p.uses(now, &self.rules))).collect();
             self.allocator.allocate(now, number, &uses, &self.rules);
         }
@@ -227,7 +226,7 @@
         }
     }
 
-    /// What all forwarders get alike.
+    /// The content that is the same for all forwarders.
     fn common_plan(&self, number: PlanNumber, warm: bool) -> Plan {
         let (forwarders, witnesses) = (self.findings.heard, self.findings.witnesses);
         Plan {
@@ -241,12 +240,12 @@
         }
     }
 
-    /// What it finds silent or cut off, for a line of the log.
+    /// Nodes found silent and zones found cut off, for logging.
     pub fn findings(&self) -> &Findings {
         &self.findings
     }
 
-    /// The plan as it stands, for whoever asks.
+    /// The current plan, for `plan show`.
     pub fn shown(&self, now: Micros) -> Shown {
         let known = |(forwarder, p): (ForwarderId, &crate::join::Peer)| {
             let parts = self.allocator.parts(forwarder);
@@ -260,12 +259,12 @@
         }
     }
 
-    /// When [`Planner::tick`] has something to do.
+    /// The time at which [`Planner::tick`] must be called next.
     pub fn next(&self) -> Micros {
         self.next_plan.min(self.next_terms)
     }
 
-    /// Whether it has run long enough to have opinions and to give parts.
+    /// Whether it has run long enough to make statements and assign parts.
     pub fn is_warm(&self, now: Micros) -> bool {
         now.saturating_sub(self.started) >= self.rules.warm_up
     }
@@ -283,7 +282,7 @@
     }
 }
 
-/// The next moment of a period that has come; periods that were missed are left out.
+/// The next due time of a period after `now`; missed periods are skipped.
 fn next_period(due: Micros, now: Micros, every: Micros) -> Micros {
     let late = now.saturating_sub(due) / every.max(1);
     due.saturating_add(every.saturating_mul(late.saturating_add(1)))
--- a/crates/plan/src/rules.rs
+++ b/crates/plan/src/rules.rs
@@ -1,45 +1,47 @@
-//! Times and thresholds of both machines, in one place. Forwarders and planners of a site need the same.
+//! Times and thresholds of both state machines. All forwarders and planners of a site must use the same
+//! values.
 //!
-//! Use the defaults. Tests take shorter times; [`Rules::check`] says what must hold between them.
+//! Use the defaults. Tests use shorter times; [`Rules::check`] verifies the constraints between them.
 
 use crate::{Micros, SECOND};
 
 const MS: Micros = 1000;
 
-/// A fault that tests plant to show that a property can break. It acts only under the feature `planted`.
+/// A fault that tests inject to show that a property can be violated. It has an effect only with the feature
+/// `planted`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planted {
-    /// A forwarder takes a plan whatever its number.
+    /// A forwarder accepts plans regardless of their number.
     OldPlans,
-    /// No bound on how much of the fleet may be taken out.
+    /// No limit on how much of the fleet may be marked.
     NoBound,
-    /// Marks come and go with each plan.
+    /// Marks change with each plan, without a minimum duration.
     NoStay,
-    /// Marks without support stay.
+    /// Marks without support never fade.
     NoFade,
-    /// What a planner does not say counts as its word that the node lives, warm or not.
+    /// A node that a planner does not mention counts as alive, even if the planner has not warmed up.
     EmptyCounts,
-    /// A planner gives again what was lowered without waiting until the lower part is held.
+    /// A planner reassigns a lowered part without waiting for the confirmation of the lower one.
     NoLease,
-    /// Forwarders with planners rise to the even part as soon as they hear nothing.
+    /// Forwarders rise to the even part as soon as they hear nothing from planners.
     EarlyRise,
-    /// One forwarder is witness enough.
+    /// One forwarder suffices as a witness.
     OneWitness,
     /// A planner that has lost its numbers starts again at the old ones.
     NumbersGoBack,
 }
 
-/// What rules of this process have planted from now on, unless they say otherwise: for hosts that start whole programs.
+/// The fault in all rules of this process that do not set one; for hosts that start whole programs.
 #[cfg(feature = "planted")]
 static PLANTED: std::sync::OnceLock<Planted> = std::sync::OnceLock::new();
 
-/// Plants a fault in all rules that this process makes from now on; once.
+/// Injects a fault into all rules that this process creates from now on. Only the first call has an effect.
 #[cfg(feature = "planted")]
 pub fn plant(fault: Planted) {
     let _ = PLANTED.set(fault);
 }
 
-/// What is planted in rules that say nothing of it.
+/// The fault in rules that do not set one.
 fn planted() -> Option<Planted> {
     #[cfg(feature = "planted")]
     return PLANTED.get().copied();
@@ -47,80 +49,82 @@
     return None;
 }
 
-/// Parts are multiples of this: they are the same as `f32`, and sums of them are exact.
+/// Parts are multiples of this value: they are exact as `f32`, and so are their sums.
 pub const GRAIN: f64 = 1.0 / (1u64 << 20) as f64;
 
-/// A part, rounded down to grains.
+/// Rounds a part down to a multiple of [`GRAIN`].
 pub fn round_to_grain(part: f64) -> f64 {
     (part / GRAIN).floor() * GRAIN
 }
 
-/// See the file's comment.
+/// Times and thresholds; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// The greatest number of forwarders that may run at once, those of a roll-out counted twice.
+    /// Maximum number of forwarders running at once; those of a roll-out count twice.
     pub forwarders: u32,
-    /// Time between two reports of a forwarder, two plans of a planner, two tellings of terms.
+    /// Interval between two reports of a forwarder, two plans of a planner, two terms messages.
     pub report_every: Micros,
     /// See [`Rules::report_every`].
     pub plan_every: Micros,
     /// See [`Rules::report_every`].
     pub terms_every: Micros,
-    /// Age of its evidence up to which a plan votes.
+    /// Maximum age of the report on which a plan is based for the plan to vote.
     pub vote_max_age: Micros,
-    /// How long a mark stands without a majority, and how long it then takes to fade.
+    /// How long a mark stays in force without a majority, and how long it then takes to fade.
     pub hold: Micros,
     /// See [`Rules::hold`].
     pub fade: Micros,
-    /// How long a mark stays at least, the first time; doubled each time, at most so often.
+    /// Minimum duration of a mark at its first activation; it doubles with each activation, up to the given
+    /// number of doublings.
     pub min_stay: Micros,
     /// See [`Rules::min_stay`].
     pub max_stay_doublings: u32,
-    /// Time without a mark after which earlier ones are forgotten.
+    /// Time without a mark after which its earlier activations are forgotten.
     pub forget_mark_after: Micros,
-    /// Within what time forwarders leave a node, and come back to it.
+    /// The range over which forwarders spread the start of avoiding a node, and the return to it.
     pub enter_spread: Micros,
     /// See [`Rules::enter_spread`].
     pub return_spread: Micros,
-    /// How long a node that returns takes to have all of its keys again.
+    /// How long a returning node takes to regain all of its keys.
     pub return_over: Micros,
-    /// A forwarder that heard a node within this time does not leave it at a planner's word.
+    /// A forwarder that received a sign of life within this time does not start to avoid the node.
     pub own_sign_max_age: Micros,
-    /// The part of the ready nodes that plans may take out.
+    /// Maximum fraction of the ready nodes that plans may mark.
     pub max_marked_part: f64,
-    /// Without an answer for this long, with two unanswered, a node is silent to a forwarder: at least, and
-    /// at most, where answers are slow.
+    /// A node with two unanswered requests is silent to a forwarder after this long without an answer: the
+    /// minimum, and the maximum where responses are slow.
     pub silent_after: Micros,
     /// See [`Rules::silent_after`].
     pub silent_after_max: Micros,
-    /// Age up to which a report is evidence, and up to which a sign of life is one.
+    /// Maximum age of a report, and of a sign of life, to count as evidence.
     pub report_max_age: Micros,
     /// See [`Rules::report_max_age`].
     pub sign_max_age: Micros,
-    /// How long a planner vouches for a node that it marked.
+    /// How long a planner vouches for a node that it had marked.
     pub vouch_for: Micros,
     /// Time without a report after which a planner forgets a forwarder.
     pub forget_forwarder_after: Micros,
-    /// Age of its evidence at which what is above the even part begins to fall, and at which it is there.
+    /// Age of the underlying report at which a part above the even part begins to fall, and at which it has
+    /// fallen to it.
     pub lease: Micros,
     /// See [`Rules::lease`].
     pub lease_end: Micros,
-    /// Time without word from a forwarder after which planners keep the even part free for it.
+    /// Time without contact to a forwarder after which planners reserve the even part for it.
     pub guard: Micros,
-    /// Time since a plan came after which what is below the even part begins to rise, and how long that
+    /// Time since the last plan after which a part below the even part begins to rise, and how long the rise
     /// takes.
     pub rise: Micros,
     /// See [`Rules::rise`].
     pub rise_over: Micros,
-    /// Time since its start after which a planner gives opinions and parts.
+    /// Time after its start from which a planner makes statements and assigns parts.
     pub warm_up: Micros,
-    /// The part of the even part that is every forwarder's own.
+    /// Fraction of the even part that is reserved for every forwarder.
     pub reserved: f64,
-    /// Memory of the moments of arrivals and of service, and of the tenants' use.
+    /// Time constant of the moments of arrivals and service, and of the tenants' usage.
     pub memory: Micros,
     /// See [`Rules::memory`].
     pub use_memory: Micros,
-    /// Age at which terms are no longer used; their trust falls to none until then.
+    /// Age from which terms are no longer used; their trust falls to 0 until then.
     pub terms_max_age: Micros,
     /// First and longest wait before a planner is dialled again.
     pub dial_backoff_min: Micros,
@@ -173,17 +177,17 @@
 }
 
 impl Rules {
-    /// The even part of a whole, for one forwarder.
+    /// The even part of a budget for one forwarder.
     pub fn even_part(&self) -> f64 {
         round_to_grain(1.0 / f64::from(self.forwarders.max(1)))
     }
 
-    /// Of that, what is every forwarder's own.
+    /// The part that is reserved for every forwarder.
     pub fn reserved_part(&self) -> f64 {
         round_to_grain(self.reserved * self.even_part())
     }
 
-    /// How many of so many ready nodes plans may take out.
+    /// How many of `ready` nodes plans may mark.
     pub fn max_marked(&self, ready: usize) -> usize {
         if self.has(Planted::NoBound) {
             return ready;
@@ -191,7 +195,7 @@
         (ready as f64 * self.max_marked_part.clamp(0.0, 1.0)) as usize
     }
 
-    /// How long a mark stays that comes into force for the n-th time.
+    /// Minimum duration of a mark at its n-th activation.
     pub fn stay_at(&self, times: u32) -> Micros {
         if self.has(Planted::NoStay) {
             return 0;
@@ -199,9 +203,9 @@
         self.doubled(times)
     }
 
-    /// The most changes of one mark, coming and going, within a window no longer than [`Rules::forget_mark_after`]:
-    /// either it comes at the window's beginning for the first time, or it leaves then and comes for the
-    /// second.
+    /// Maximum number of changes of one mark, both activations and deactivations, within a window no longer
+    /// than [`Rules::forget_mark_after`]. At the start of the window the mark is either activated for the
+    /// first time, or deactivated and then activated for the second time.
     pub fn max_changes(&self, window: Micros) -> usize {
         let from = |first: u32| {
             let (mut left, mut times, mut changes) = (window, first, 1);
@@ -219,25 +223,32 @@
         self.min_stay.max(1).saturating_mul(1 << times.saturating_sub(1).min(self.max_stay_doublings).min(32))
     }
 
-    /// What must hold between the times, so that sums of parts hold; else what does not.
+    /// Checks the constraints between the times on which the bound on sums of parts depends; returns the
+    /// first violation.
     pub fn check(&self) -> Result<(), &'static str> {
         let positive =
             [self.report_every, self.plan_every, self.terms_every, self.min_stay, self.terms_max_age];
         match () {
-            () if self.forwarders == 0 => Err("there must be a forwarder"),
-            () if positive.iter().any(|t| *t <= 0) => Err("periods must be positive"),
-            () if self.lease > self.lease_end => Err("a lease must begin to end before it has ended"),
+            () if self.forwarders == 0 => Err("the number of forwarders must be at least 1"),
+            () if positive.iter().any(|t| *t <= 0) => {
+                Err("report_every, plan_every, terms_every, min_stay and terms_max_age must be positive")
+            }
+            () if self.lease > self.lease_end => Err("lease must not exceed lease_end"),
             () if self.rise < self.guard + self.lease_end + self.plan_every => {
-                Err("parts must not rise before those of others have fallen")
+                Err("rise must be at least guard + lease_end + plan_every, so that other parts fall first")
+            }
+            () if self.warm_up < self.lease_end => Err(
+                "warm_up must be at least lease_end, so that old leases end before new parts are assigned",
+            ),
+            () if !(0.0..=1.0).contains(&self.reserved) => Err("reserved must be between 0 and 1"),
+            () if !(0.0..1.0).contains(&self.max_marked_part) => {
+                Err("max_marked_part must be at least 0 and below 1")
             }
-            () if self.warm_up < self.lease_end => Err("a planner must not give before old leases are over"),
-            () if !(0.0..=1.0).contains(&self.reserved) => Err("what is a forwarder's own must be a part"),
-            () if !(0.0..1.0).contains(&self.max_marked_part) => Err("a plan must leave some nodes"),
             () => Ok(()),
         }
     }
 
-    /// Whether a fault is planted.
+    /// Whether the fault is injected.
     pub(crate) fn has(&self, fault: Planted) -> bool {
         cfg!(feature = "planted") && self.planted == Some(fault)
     }
--- a/crates/plan/src/silence.rs
+++ b/crates/plan/src/silence.rs
@@ -1,8 +1,8 @@
-//! Which nodes are silent, and for whom: a planner's judgement of what all forwarders tell.
+//! Detects silent nodes, per zone, from the reports of all forwarders at a planner.
 //!
-//! It owns the marks that stand at this planner, bounded, and for how long it vouches for what it marked. It
-//! never holds anything against the fleet's size: that bound is the forwarder's, which knows the list. Nor
-//! does it damp: a forwarder that merges does.
+//! It stores the marks of this planner, bounded in number, and how long the planner vouches for nodes that it
+//! had marked. It does not limit marks by fleet size: forwarders apply that limit, because they know the
+//! list. Nor does it damp changes; forwarders do when they merge plans.
 //!
 //! The rules and their reasons are in `docs/design/two-levels.md`, "Which nodes are silent, and for whom".
 
@@ -14,7 +14,7 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a forwarder says of a node.
+/// A forwarder's opinion on a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Opinion {
     Silent(Micros),
@@ -30,18 +30,18 @@
 
 type Tallies = BTreeMap<Node, BTreeMap<Zone, Tally>>;
 
-/// A node that is marked, or vouched for, or both for different zones.
+/// A node that is marked, vouched for, or both for different zones.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     silent: ZoneSet,
     since: Micros,
     witnesses: u16,
     lives: ZoneSet,
-    /// When it was last found silent or heard.
+    /// When it was last found silent or alive.
     last: Micros,
 }
 
-/// What is found now.
+/// A node found silent in this assessment.
 #[derive(Clone, Copy, Debug)]
 struct SilentNode {
     zones: ZoneSet,
@@ -49,36 +49,43 @@
     witnesses: u16,
 }
 
-/// What is found.
+/// The result of an assessment.
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
     /// Silent nodes, in order.
     pub silent: Vec<Mark>,
-    /// Nodes that live though somebody thought ill of them.
+    /// Nodes that are alive although some forwarder suspected them.
     pub lives: Vec<Vouch>,
-    /// Zones cut off.
+    /// Zones that are cut off.
     pub cuts: Vec<Cut>,
-    /// Forwarders heard lately, and those of them that hear any node.
+    /// Number of forwarders with a recent report, and of those that receive answers from any node.
     pub heard: u16,
     /// See [`Findings::heard`].
     pub witnesses: u16,
 }
 
-/// See the file's comment.
+/// The silent nodes known to a planner; see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Silence {
     suspects: BTreeMap<Node, Suspect>,
 }
 
 impl Silence {
-    /// Judges. `long` is the time that few answers exceed.
-    pub fn assess(&mut self, now: Micros, fleet: &FleetView, long: Micros, rules: &Rules) -> Findings {
-        let patience = long.clamp(rules.silent_after, rules.silent_after_max.max(rules.silent_after));
+    /// Assesses all nodes. `long_response` is a response time that few answers exceed.
+    pub fn assess(
+        &mut self,
+        now: Micros,
+        fleet: &FleetView,
+        long_response: Micros,
+        rules: &Rules,
+    ) -> Findings {
+        let silence_threshold =
+            long_response.clamp(rules.silent_after, rules.silent_after_max.max(rules.silent_after));
         let mut findings = Findings::default();
         let mut forwarders_in = BTreeMap::<Zone, u16>::new();
         let (mut witnesses, mut suspects) = (Vec::new(), BTreeSet::new());
         let recent = |p: &Peer| p.number > 0 && now.saturating_sub(p.heard) <= rules.report_max_age;
-        let view = View { fleet, now, patience, rules };
+        let view = View { fleet, now, silence_threshold, rules };
         for (_, p) in fleet.peers().filter(|(_, p)| recent(p)) {
             findings.heard = findings.heard.saturating_add(1);
             *forwarders_in.entry(p.zone).or_default() += 1;
@@ -89,7 +96,7 @@
             }
         }
         findings.witnesses = u16::try_from(witnesses.len()).unwrap_or(u16::MAX);
-        // Only of nodes that somebody doubts, or that were doubted, need more be known.
+        // Only nodes that a forwarder suspects now, or that were suspected before, need a tally.
         let (mut tallies, mut node_zones) = (Tallies::new(), BTreeMap::new());
         for node in suspects.iter().chain(self.suspects.keys()).copied().collect::<BTreeSet<Node>>() {
             let zones = tallies.entry(node).or_default();
@@ -135,8 +142,9 @@
         }
         findings.cuts = view.cuts(&node_zones, &found, &witnesses);
         self.update(now, &found, &tallies, &node_zones, rules);
-        // A zone that is being cut off is found silent node by node. Until it is whole, or clear that it is
-        // not, its nodes are not marked one by one: that would look like half of the fleet.
+        // The nodes of a zone that is being cut off are found silent one by one. Until the cut is confirmed
+        // or ruled out, they are not marked individually, because that would look like the loss of half of
+        // the fleet.
         let partly_silent = |d: &Suspect| !d.silent.is_empty() && d.silent != ZoneSet::ALL;
         let mut partly_silent_in: BTreeMap<Zone, u32> = BTreeMap::new();
         for (_, own_zone) in self
@@ -151,7 +159,7 @@
             let several = own_zone.and_then(|h| partly_silent_in.get(h)).is_some_and(|n| *n >= 2);
             partly_silent(d)
                 && several
-                && now.saturating_sub(d.since) < patience.saturating_add(rules.sign_max_age)
+                && now.saturating_sub(d.since) < silence_threshold.saturating_add(rules.sign_max_age)
         };
         for (node, d) in &self.suspects {
             let own_zone = node_zones.get(node);
@@ -169,9 +177,9 @@
         findings
     }
 
-    /// Marks what is found and vouches for what is heard. A mark stands without new evidence for a while,
-    /// unless someone hears the node; a planner goes on to vouch for what it once heard, unless it is found
-    /// silent again.
+    /// Marks nodes found silent and vouches for nodes found alive. A mark persists for a while without new
+    /// evidence unless a forwarder receives a sign of life; the planner continues to vouch for a node unless
+    /// it is found silent again.
     fn update(
         &mut self,
         now: Micros,
@@ -186,7 +194,7 @@
             if heard.is_empty() {
                 continue;
             }
-            // Heard where it stands, it lives for everyone whose way to it works.
+            // A node that answers in its own zone is alive for every zone with a working path to it.
             let heard = if node_zones.get(node).is_some_and(|own_zone| heard.has(*own_zone)) {
                 ZoneSet::ALL
             } else {
@@ -210,37 +218,39 @@
         self.suspects.retain(|_, d| stays(d));
     }
 
-    /// A node's entry, unless there is no room for another.
+    /// The entry of a node, or `None` if there is no room for another.
     fn entry(&mut self, node: Node) -> Option<&mut Suspect> {
         let room = self.suspects.len() < bounds::MARKS || self.suspects.contains_key(&node);
         room.then(|| self.suspects.entry(node).or_default())
     }
 }
 
-/// What all forwarders told, at a moment.
+/// All reports at a point in time.
 struct View<'a> {
     fleet: &'a FleetView,
     now: Micros,
-    patience: Micros,
+    silence_threshold: Micros,
     rules: &'a Rules,
 }
 
 impl View<'_> {
-    /// A forwarder that hears no node at all says nothing about nodes: its own link may be broken.
+    /// Whether a forwarder receives answers from any node. One that does not may have a broken link, so its
+    /// opinions on nodes are ignored.
     fn hears_any(&self, p: &Peer) -> bool {
         let recent = |at: Micros| self.now.saturating_sub(at) <= self.rules.report_max_age;
         self.rules.has(Planted::OneWitness) || p.nodes().any(|(_, s)| s.sign.is_some_and(recent))
     }
 
-    /// Since when a forwarder finds a node silent. That counts from a send after anyone last heard the node:
-    /// what was sent before may have been lost with a trouble that is over.
+    /// Since when a forwarder finds a node silent. Only sends after the last sign of life to any forwarder
+    /// count: earlier ones may have been lost in an outage that is over.
     fn since(&self, node: Node, s: &NodeView) -> Option<Micros> {
-        let told = self.now.saturating_sub(s.reported_at) <= self.rules.report_max_age && s.unanswered >= 2;
-        let quiet = s.quiet.filter(|_| told)?;
+        let reported =
+            self.now.saturating_sub(s.reported_at) <= self.rules.report_max_age && s.unanswered >= 2;
+        let quiet = s.quiet.filter(|_| reported)?;
         let last_sign = self.fleet.last_sign(node);
         let after = |t: &Micros| last_sign.is_none_or(|l| *t > l);
         let since = Some(quiet).filter(after).or(s.sent_since_sign.filter(after));
-        since.filter(|t| self.now.saturating_sub(*t) >= self.patience)
+        since.filter(|t| self.now.saturating_sub(*t) >= self.silence_threshold)
     }
 
     fn lives(&self, s: &NodeView) -> bool {
@@ -252,8 +262,8 @@
         self.since(node, s).map(Opinion::Silent).or_else(lives)
     }
 
-    /// Zones of which another finds two nodes or more silent and hears none. Nodes that are silent to all say
-    /// nothing of it.
+    /// Zones in which another zone finds at least two nodes silent and none alive. Nodes that are silent for
+    /// all zones do not count.
     fn cuts(
         &self,
         node_zones: &BTreeMap<Node, Zone>,
@@ -268,13 +278,13 @@
                 *pairs.entry(Cut { from, to }).or_default() += 1;
             }
         }
-        let hears = |cut: &Cut, p: &&Peer| {
+        let answered_from = |cut: &Cut, p: &&Peer| {
             let lives = |(node, s): (Node, &NodeView)| {
                 s.zone == cut.to && self.opinion(node, s) == Some(Opinion::Lives)
             };
             p.zone == cut.from && p.nodes().any(lives)
         };
         let silent = pairs.into_iter().filter(|(_, silent)| *silent >= 2).map(|(cut, _)| cut);
-        silent.filter(|cut| !witnesses.iter().any(|p| hears(cut, p))).take(bounds::CUTS).collect()
+        silent.filter(|cut| !witnesses.iter().any(|p| answered_from(cut, p))).take(bounds::CUTS).collect()
     }
 }
--- a/crates/plan/src/solve.rs
+++ b/crates/plan/src/solve.rs
@@ -1,9 +1,9 @@
-//! The terms of the paper, once for the fleet: Bilen, Kurnaz, Sevim and Canberk, "Parametric-Decomposition
-//! Based Request Routing in Content Delivery Networks" (WWIC 2018), Eqs. 2 to 7.
+//! The queueing terms of the paper, computed once for the fleet: Bilen, Kurnaz, Sevim and Canberk,
+//! "Parametric-Decomposition Based Request Routing in Content Delivery Networks" (WWIC 2018), Eqs. 2 to 7.
 //!
-//! Use [`solve`] at a planner, which sees every arrival, as the paper's controller does; [`shares`] anywhere
-//! over the candidates of a key. Departures from the paper, as in `docs/design.md`: C_S^2 is Var/E^2, and a
-//! node's part is (1 - R_i)/(N - 1), since R_i grows with its queue.
+//! Use [`solve`] at a planner, which sees every arrival, like the paper's controller; use [`shares`]
+//! anywhere, over the candidates of a key. Deviations from the paper, as in `docs/design.md`: C_S^2 is
+//! Var/E^2, and a node's share is (1 - R_i)/(N - 1), because R_i grows with its queue.
 
 use crate::join::{NodeAggregate, PRIOR_SAMPLES, PRIOR_SCV};
 use crate::message::NodeTerms;
@@ -11,9 +11,9 @@
 use crate::rules::Rules;
 use crate::Micros;
 
-/// Utilisation is clamped here, so that 1 - rho never vanishes.
+/// Upper limit of utilisation, so that 1 - rho never reaches 0.
 pub const RHO_MAX: f64 = 0.98;
-/// Utilisation of a fleet that has reported nothing, and E(S) of one that has answered nothing, in us.
+/// Prior utilisation of a fleet without reports, and prior E(S) of a fleet without answers, in us.
 const RHO_PRIOR: f64 = 0.3;
 const SERVICE_PRIOR: f64 = 100_000.0;
 
@@ -31,13 +31,13 @@
 }
 
 impl Queue {
-    /// Eq. 2: C_D^2, of the departures.
+    /// Eq. 2: C_D^2 of the departures.
     pub fn departures(&self) -> f64 {
         let busy = self.rho * self.rho;
         busy * self.service_scv + (1.0 - busy) * self.arrival_scv
     }
 
-    /// Eq. 3 over E(S): the congestion index I = W_q / E(S).
+    /// Eq. 3 divided by E(S): the congestion index I = W_q / E(S).
     pub fn index(&self) -> f64 {
         self.rho / (1.0 - self.rho) * (self.arrival_scv + self.service_scv) / 2.0
     }
@@ -51,8 +51,8 @@
     }
 }
 
-/// Each queue's share of what leaves the gathering queue: from R_i = 1/N by Eqs. 4 to 7, as (1 - R_i)/(N -
-/// 1).
+/// Each queue's share of the departures of the gathering queue: from R_i = 1/N by Eqs. 4 to 7, as (1 -
+/// R_i)/(N - 1).
 pub fn shares(gathering: &Queue, queues: &[Queue]) -> Vec<f64> {
     let n = queues.len() as f64;
     if queues.len() < 2 {
@@ -65,23 +65,25 @@
     let wait = |q: &Queue| q.service * q.rho * spread(q);
     let load = |q: &Queue| q.rho * q.rho * spread(q);
     let (waits, loads) = (queues.iter().map(wait).sum::<f64>(), queues.iter().map(load).sum::<f64>());
-    // An idle fleet has no queue and no wait to divide by: equal parts.
+    // An idle fleet has no queue and no wait to divide by; its shares are equal.
     let ratio = |x: f64, sum: f64| if sum > 0.0 && sum.is_finite() { x / sum } else { 1.0 / n };
     // Eq. 7.
     let r = |q: &Queue| (ratio(load(q), loads) + ratio(wait(q), waits)) / 2.0;
     queues.iter().map(|q| (1.0 - r(q)) / (n - 1.0)).collect()
 }
 
-/// The fleet, solved.
+/// The terms of the whole fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Solved {
-    /// By node, in order.
+    /// Terms per node, in order.
     pub nodes: Vec<NodeTerms>,
-    /// The time that few answers exceed: the mean and three deviations more, in us. 0 if none was measured.
-    pub long: Micros,
+    /// A response time that few answers exceed: the mean plus three standard deviations, in us. 0 if none was
+    /// measured.
+    pub long_response: Micros,
 }
 
-/// Terms of all nodes. Few samples are shrunk toward the fleet's moments, an old utilisation toward its mean.
+/// Computes the terms of all nodes. Moments of few samples are shrunk toward the fleet's; an old utilisation
+/// is shrunk toward the fleet's mean.
 pub fn solve(now: Micros, aggregated: &[NodeAggregate], rules: &Rules) -> Solved {
     let load_trust = |j: &NodeAggregate| {
         let age = j.load.map(|(_, at)| now.saturating_sub(at).max(0) as f64);
@@ -108,7 +110,7 @@
             Queue { rho, service, arrival_scv: j.arrival_scv, service_scv }
         })
         .collect();
-    // The gathering queue of the fleet: all arrivals, joined by Eq. 1 once more.
+    // The gathering queue of the fleet: all arrivals, combined by Eq. 1 again.
     let arrival_scv = if rate > 0.0 { scv / rate } else { PRIOR_SCV };
     let gathering = Queue { rho: fleet_rho, service: mean, arrival_scv, service_scv: mean_scv };
     let shares = shares(&gathering, &queues);
@@ -120,6 +122,9 @@
         service_scv: q.service_scv.min(1e6) as f32,
         share: share.clamp(0.0, 1.0) as f32,
     };
-    let long = if service.n >= PRIOR_SAMPLES { mean * (1.0 + 3.0 * mean_scv.sqrt()) } else { 0.0 };
-    Solved { nodes: aggregated.iter().zip(&queues).zip(shares).map(terms).collect(), long: long as Micros }
+    let long_response = if service.n >= PRIOR_SAMPLES { mean * (1.0 + 3.0 * mean_scv.sqrt()) } else { 0.0 };
+    Solved {
+        nodes: aggregated.iter().zip(&queues).zip(shares).map(terms).collect(),
+        long_response: long_response as Micros,
+    }
 }
--- a/crates/plan/src/spread.rs
+++ b/crates/plan/src/spread.rs
@@ -1,11 +1,12 @@
-//! Moments drawn from a seed, so that forwarders which learn the same at once do not move together.
+//! Delays derived from a seed, so that forwarders that learn the same thing at once do not act
+//! simultaneously.
 //!
-//! Use it for whatever many forwarders would otherwise do at the same time. Equal arguments give equal
-//! results; nothing is kept.
+//! Use it for any action that many forwarders would otherwise perform at the same time. The functions are
+//! pure: equal arguments give equal results.
 
 use crate::Micros;
 
-/// A delay in [0, `within`), by forwarder (`seed`), matter and occasion.
+/// A delay in [0, `within`), determined by forwarder (`seed`), purpose and occasion.
 pub fn delay(seed: u64, purpose: u64, occasion: u64, within: Micros) -> Micros {
     let x = mix(seed ^ mix(purpose ^ mix(occasion)));
     // 53 bits as a number in [0, 1).
--- a/crates/plan/tests/explore.rs
+++ b/crates/plan/tests/explore.rs
@@ -1,13 +1,14 @@
-//! Small worlds explored whole: three planners, two forwarders, three nodes, and everything that can go wrong
-//! on the way between them.
+//! Exhaustive exploration of small worlds: three planners, two forwarders, three nodes, and all faults on the
+//! paths between them.
 //!
-//! The machines are the real ones. Time goes in rounds: forwarders tell, planners publish. In each of the
-//! first [`FAULT_ROUNDS`] rounds after a start anything of [`Fault`] may happen, alone or with others, [`MAX_FAULTS`]
-//! times in all; then the network is whole for [`RECOVERY_ROUNDS`] rounds. The search is breadth first, by rounds; a
-//! state that was met before with no more faults is left out. Beside the faults a world has a [`Scenario`]: what
-//! nodes do and what planners say.
+//! The state machines are the production ones. Time advances in rounds in which forwarders report and
+//! planners publish. In each of the first [`FAULT_ROUNDS`] rounds after the warm-up any [`Fault`] may happen,
+//! alone or combined, up to [`MAX_FAULTS`] in total; then the network is healthy for [`RECOVERY_ROUNDS`]
+//! rounds. The search is breadth first, by rounds. A state already reached with no more faults is skipped. In
+//! addition a world has a [`Scenario`], which says how nodes behave and what planners claim.
 //!
-//! The properties are named in [`Violation`]; each is shown to break by a planted fault.
+//! The checked properties are listed in [`Violation`]; an injected fault shows for each that it can be
+//! violated.
 
 use plan::forwarder::{Config, Forwarder, Output};
 use plan::merge::{MarkTarget, Merge};
@@ -25,14 +26,14 @@
 const FORWARDERS: usize = 2;
 const NODES: u64 = 3;
 const ROUND: Micros = SECOND;
-/// Rounds without faults at the start, rounds with them, and rounds after them.
+/// Rounds without faults at the start, rounds with faults, and rounds after them.
 const WARM_UP_ROUNDS: usize = 5;
 const FAULT_ROUNDS: usize = 3;
 const RECOVERY_ROUNDS: usize = 13;
 const MAX_FAULTS: usize = 2;
-/// Which part is looked at.
+/// Index of the part that is checked.
 const ORIGIN: usize = 1;
-/// The window in which changes are counted.
+/// Number of rounds in which changes are counted.
 const WINDOW: usize = 6;
 
 fn rules(planted: Option<Planted>) -> Rules {
@@ -64,7 +65,8 @@
         rise: 7 * ROUND,
         rise_over: ROUND,
         warm_up: 3 * ROUND,
-        // What is told counts at once and for one round: states that differ by old figures alone are one.
+        // Reports count at once and for one round only, so that states that differ only in old measurements
+        // are equal.
         memory: 1,
         use_memory: 1,
         dial_backoff_min: 1,
@@ -72,25 +74,26 @@
         planted,
         ..Rules::default()
     };
-    rules.check().expect("sound rules");
+    rules.check().expect("valid rules");
     rules
 }
 
-/// What can happen in a round, by forwarder and planner.
+/// A fault in a round, by forwarder and planner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     ReportLost(usize, usize),
     ReportLate(usize, usize),
     PlanLost(usize, usize),
-    /// It comes a round later, before or after the one of that round; or at once and once more.
+    /// A plan arrives a round late, before or after that round's plan (`PlanLate`, `PlanOvertaken`), or both
+    /// on time and again later (`PlanTwice`).
     PlanLate(usize, usize),
     PlanOvertaken(usize, usize),
     PlanTwice(usize, usize),
     ConnectionLost(usize, usize),
-    /// Its clock went on, or back.
+    /// Whether its clock went forward (`true`) or back.
     PlannerRestarts(usize, bool),
     ForwarderRestarts(usize),
-    /// It marks what it should not.
+    /// It marks a node that answers.
     PlannerWrong(usize),
 }
 
@@ -106,7 +109,7 @@
     }
 }
 
-/// Whether faults harm planners that are alike in order.
+/// Whether the faults affect untouched planners in ascending order; the others are equivalent by symmetry.
 fn in_order(set: &[Fault], first_untouched: usize) -> bool {
     let harmed: BTreeSet<usize> =
         set.iter().filter_map(Fault::planner).filter(|p| *p >= first_untouched).collect();
@@ -131,40 +134,40 @@
     all
 }
 
-/// What goes on besides. Node 0 gets requests of both forwarders, node 1 of the first alone, node 2 of both;
-/// use moves from the first to the second.
+/// The behaviour of nodes and planners besides the faults. Node 0 gets requests from both forwarders, node 1
+/// only from the first, node 2 from both; usage moves from the first forwarder to the second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Scenario {
-    /// Node 0 falls silent for good.
+    /// Node 0 falls silent permanently.
     Silent,
-    /// Node 0 falls silent and comes back.
+    /// Node 0 falls silent and returns.
     Returns,
-    /// The first forwarder hears nothing.
+    /// The first forwarder receives no answers.
     Isolated,
-    /// All planners change their mind about node 1 in each round.
+    /// All planners reverse their statement about node 1 in each round.
     Oscillating,
-    /// Node 0 is silent, and all planners mark everything for some rounds.
+    /// Node 0 is silent, and all planners mark every node for some rounds.
     AllPlannersWrong,
 }
 
-/// A property, broken.
+/// A violated property.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Violation {
-    /// More is out than plans may take out: an unsound plan is in force.
+    /// More nodes are marked than plans may mark: an invalid plan is in force.
     TooManyMarks,
-    /// More changes in a window than the bound.
+    /// A mark changed more often within the window than allowed.
     Flapping,
-    /// With the network whole for long, the forwarders do not avoid the same, or not what is silent.
+    /// After the network has been healthy for long, the forwarders do not avoid exactly the silent nodes.
     Disagreement,
-    /// A planner that knows nothing yet changed what stands.
+    /// A plan from a planner that has not warmed up changed the marks in force.
     ColdPlanCounted,
-    /// A plan that is no newer than one before changed something.
+    /// A plan that is not newer than an earlier one changed the marks in force.
     OldPlanCounted,
-    /// Planners are no longer heard though the network is whole.
+    /// Plans no longer arrive although the network is healthy.
     PlannersNotHeard,
-    /// The parts that one planner gave add up to more than the whole.
+    /// The parts assigned by one planner sum to more than 1.
     Sum,
-    /// A forwarder avoids what only the other, which is deaf, does not hear.
+    /// A forwarder avoids a node that is silent only for the other, isolated forwarder.
     WrongAvoidance,
 }
 
@@ -174,21 +177,21 @@
     round: usize,
     scenario: Scenario,
     faults: usize,
-    /// What happened, by round: the way to here, one of the shortest.
+    /// The faults by round that led to this state; one of the shortest such sequences.
     trace: Vec<(usize, Fault)>,
-    /// Planners from this one on have met no fault: they are alike, and it is enough to harm the first of
-    /// them.
+    /// Planners from this index on have had no fault and are interchangeable, so only the first of them needs
+    /// to be tried.
     first_untouched: usize,
     planners: Vec<Planner>,
     forwarders: Vec<Forwarder>,
     lives: [u64; FORWARDERS],
-    /// Connections by number; each new one has another.
+    /// Connection numbers; each new connection gets a new one.
     peers: [[u64; PLANNERS]; FORWARDERS],
     connections: u64,
     late_reports: Vec<(usize, usize, Message)>,
     late_plans: Vec<(usize, usize, Plan, bool)>,
-    /// The greatest number that came, and the rounds in which a node's mark changed: what the properties
-    /// need.
+    /// The greatest plan number that arrived, and the rounds in which a node's mark changed, as needed by the
+    /// checks.
     seen: [[PlanNumber; PLANNERS]; FORWARDERS],
     changes: [[Vec<usize>; NODES as usize]; FORWARDERS],
 }
@@ -204,7 +207,7 @@
 impl World {
     fn new(scenario: Scenario, rules: &Rules) -> World {
         let now = 1000 * ROUND;
-        let planner = |p| Planner::new(now, rules.clone(), 1000 + p as u64).expect("sound rules");
+        let planner = |p| Planner::new(now, rules.clone(), 1000 + p as u64).expect("valid rules");
         let mut world = World {
             now,
             round: 0,
@@ -229,7 +232,7 @@
     fn forwarder(&self, f: usize, rules: &Rules) -> Forwarder {
         let (id, life, zone) = (ForwarderId(f as u64), self.lives[f], Zone(0));
         let config = Config { id, life, zone, tenants: 0, classes: 1, planners: PLANNERS, seed: f as u64 };
-        let mut forwarder = Forwarder::new(self.now, rules.clone(), config).expect("sound rules");
+        let mut forwarder = Forwarder::new(self.now, rules.clone(), config).expect("valid rules");
         let listed: Vec<_> = (0..NODES).map(|n| Listed { node: node(n), zone, ready: true }).collect();
         forwarder.list(self.now, 1, &listed, &mut vec![]);
         forwarder
@@ -246,7 +249,7 @@
             }
     }
 
-    /// One round, with what happens in it.
+    /// Plays one round with these faults.
     fn run_round(&mut self, faults_now: &[Fault], rules: &Rules) -> Result<(), Violation> {
         self.faults += faults_now.len();
         self.first_untouched = faults_now
@@ -256,7 +259,7 @@
             .fold(self.first_untouched, usize::max);
         (self.now, self.round) = (self.now + ROUND, self.round + 1);
         self.trace.extend(faults_now.iter().map(|h| (self.round, *h)));
-        self.restarts(faults_now, rules);
+        self.apply_restarts(faults_now, rules);
         let mut reports = std::mem::take(&mut self.late_reports);
         for f in 0..FORWARDERS {
             self.traffic(f);
@@ -275,19 +278,19 @@
             }
         }
         for (f, p, message) in reports {
-            // A report of an earlier connection comes to nothing.
+            // A report on an earlier connection has no effect.
             let _ = self.planners[p].message(self.now, self.peers[f][p], &message, &mut vec![]);
         }
         self.exchange_plans(faults_now, rules)?;
         self.check(rules)
     }
 
-    fn restarts(&mut self, faults_now: &[Fault], rules: &Rules) {
+    fn apply_restarts(&mut self, faults_now: &[Fault], rules: &Rules) {
         for fault in faults_now {
             match *fault {
                 Fault::PlannerRestarts(p, on) => {
                     let epoch = if on { 2000 + self.round as u64 } else { 1 };
-                    self.planners[p] = Planner::new(self.now, rules.clone(), epoch).expect("sound rules");
+                    self.planners[p] = Planner::new(self.now, rules.clone(), epoch).expect("valid rules");
                     (0..FORWARDERS).for_each(|f| self.forwarders[f].down(self.now, p));
                 }
                 Fault::ForwarderRestarts(f) => {
@@ -325,7 +328,7 @@
         (0..if f == busy { 8 } else { 1 }).for_each(|_| self.forwarders[f].observations().origin_needed());
     }
 
-    /// Opens the connections that a forwarder asks for; its hello is there at once.
+    /// Opens the connections that a forwarder requests and delivers the hello at once.
     fn open_connections(&mut self, f: usize, out: &[Output]) {
         for o in out {
             let Output::Dial(p) = *o else { continue };
@@ -350,7 +353,7 @@
             for o in out {
                 let planner::Output::Send(peer, Message::Plan(mut plan)) = o else { continue };
                 let Some(f) = (0..FORWARDERS).find(|f| self.peers[*f][p] == peer) else { continue };
-                self.forge(&mut plan, faults_now.contains(&Fault::PlannerWrong(p)));
+                self.alter_plan(&mut plan, faults_now.contains(&Fault::PlannerWrong(p)));
                 let has = |fault| faults_now.contains(&fault);
                 if has(Fault::PlanLate(f, p)) {
                     self.late_plans.push((f, p, plan, false));
@@ -370,8 +373,8 @@
         Ok(())
     }
 
-    /// What planners say instead of what they judged.
-    fn forge(&self, plan: &mut Plan, wrong: bool) {
+    /// Replaces a planner's findings as the scenario or the fault requires.
+    fn alter_plan(&self, plan: &mut Plan, wrong: bool) {
         let faulty = (WARM_UP_ROUNDS + 1..=WARM_UP_ROUNDS + FAULT_ROUNDS + WINDOW).contains(&self.round);
         let mark = |n| Mark { node: node(n), zones: ZoneSet::ALL, since: 0, witnesses: 2 };
         let vouch = |n| Vouch { node: node(n), zones: ZoneSet::ALL };
@@ -394,9 +397,11 @@
     fn deliver(&mut self, f: usize, p: usize, plan: Plan, rules: &Rules) -> Result<(), Violation> {
         let old = plan.number <= self.seen[f][p];
         let (warm, number) = (plan.evidence.warm, plan.number);
-        let without = (old || !warm).then(|| self.without(f, rules));
+        let without = (old || !warm).then(|| self.marks_without_plan(f, rules));
         let message = Message::Plan(plan);
-        self.forwarders[f].message(self.now, p, &message, &mut vec![]).expect("a planner's word");
+        self.forwarders[f]
+            .message(self.now, p, &message, &mut vec![])
+            .expect("a valid message from a planner");
         let with = self.forwarders[f].merge();
         let other = without.is_some_and(|out| out != marks_in_force(with));
         if !warm && other {
@@ -405,15 +410,15 @@
         if old && (other || with.number(p) < self.seen[f][p]) {
             return Err(Violation::OldPlanCounted);
         }
-        // A plan that was refused as unsound was not taken; an older sound one may still come after it.
+        // A plan rejected as invalid was not accepted; an older valid one may still arrive after it.
         if with.number(p) == number {
             self.seen[f][p] = number;
         }
         Ok(())
     }
 
-    /// What would stand at a forwarder now without another plan.
-    fn without(&self, f: usize, rules: &Rules) -> BTreeSet<MarkTarget> {
+    /// The marks that would be in force at a forwarder now without another plan.
+    fn marks_without_plan(&self, f: usize, rules: &Rules) -> BTreeSet<MarkTarget> {
         let mut forwarder = self.forwarders[f].clone();
         let mut merge = forwarder.merge().clone();
         let signs: Vec<_> = (0..NODES).map(|n| forwarder.observations().sign(node(n))).collect();
@@ -439,7 +444,7 @@
             for n in 0..NODES {
                 let is = out.contains(&MarkTarget::Node(node(n)));
                 let changes = &mut self.changes[f][n as usize];
-                // Every other change is its coming.
+                // Every other change is an activation.
                 let was = changes.first().is_some_and(|c| *c == 1);
                 if changes.is_empty() {
                     changes.push(0);
@@ -458,11 +463,11 @@
                 }
             }
         }
-        self.end()
+        self.check_final_state()
     }
 
-    /// At the end the network has been whole for long.
-    fn end(&self) -> Result<(), Violation> {
+    /// Final checks, after the network has been healthy for long.
+    fn check_final_state(&self) -> Result<(), Violation> {
         if self.round < WARM_UP_ROUNDS + FAULT_ROUNDS + RECOVERY_ROUNDS {
             return Ok(());
         }
@@ -480,7 +485,7 @@
         Ok(())
     }
 
-    /// Takes the better of what is known of a state that was met twice.
+    /// Keeps the smaller fault counts of two paths to the same state.
     fn merge_duplicate(&mut self, other: &World) {
         self.first_untouched = self.first_untouched.min(other.first_untouched);
         if other.faults < self.faults {
@@ -489,12 +494,12 @@
         }
     }
 
-    /// Two hashes of all of it but what is known of the faults before, of its text.
+    /// Two hashes over the debug output of the whole state, except for the history of faults.
     fn hash(&self, text: &mut String) -> u128 {
         text.clear();
         let machines = (&self.planners, &self.forwarders, &self.lives, &self.peers);
         let rest = (&self.late_reports, &self.late_plans, &self.seen, &self.changes);
-        write!(text, "{machines:?}{rest:?}").expect("a string takes all");
+        write!(text, "{machines:?}{rest:?}").expect("writing to a string");
         let (mut one, mut other) = (DefaultHasher::new(), DefaultHasher::new());
         one.write(text.as_bytes());
         other.write_u8(1);
@@ -503,7 +508,7 @@
     }
 }
 
-/// What was explored, and what broke first.
+/// Statistics of an exploration, and the first violation.
 #[derive(Debug, Default)]
 struct Explored {
     states: usize,
@@ -513,8 +518,9 @@
     trace: Vec<(usize, Fault)>,
 }
 
-/// Sets of at most so many faults; two of one way in a round are left out, since the first decides.
-fn sets(most: usize) -> Vec<Vec<Fault>> {
+/// All sets of at most `most` faults. Two faults on one path in a round are left out, because the first
+/// decides.
+fn fault_sets(most: usize) -> Vec<Vec<Fault>> {
     let all = faults();
     let mut sets = vec![vec![]];
     let mut from = 0;
@@ -533,12 +539,12 @@
     sets
 }
 
-/// Explores a story breadth first; stops at the first round in which something breaks.
+/// Explores a scenario breadth first; stops after the first round with a violation.
 fn explore(scenario: Scenario, budget: usize, planted: Option<Planted>) -> Explored {
     let rules = rules(planted);
     let mut explored = Explored::default();
     let mut states = vec![World::new(scenario, &rules)];
-    let choices: Vec<Vec<Vec<Fault>>> = (0..=budget).map(sets).collect();
+    let choices: Vec<Vec<Vec<Fault>>> = (0..=budget).map(fault_sets).collect();
     for round in 0..WARM_UP_ROUNDS + FAULT_ROUNDS + RECOVERY_ROUNDS {
         let faulty = (WARM_UP_ROUNDS..WARM_UP_ROUNDS + FAULT_ROUNDS).contains(&round);
         let none = vec![vec![]];
@@ -560,7 +566,8 @@
             }
             (next, violation, steps)
         };
-        // In threads of their own, and joined in order: the result is the same on any machine.
+        // Chunks run in threads of their own and are joined in order, so the result is the same on any
+        // machine.
         let parts = states.len().div_ceil(64).max(1);
         let chunks: Vec<&[World]> = states.chunks(parts).collect();
         let cores = std::thread::available_parallelism().map_or(1, |n| n.get());
@@ -595,7 +602,7 @@
 }
 
 #[rstest]
-fn no_property_breaks_with_any_two_faults(
+fn no_property_is_violated_by_any_two_faults(
     #[values(
         Scenario::Silent,
         Scenario::Returns,
@@ -610,10 +617,10 @@
     assert_eq!(explored.violation, None);
 }
 
-/// The same with three faults, by hand: `cargo test --release -p plan --test explore -- --ignored`.
+/// The same with three faults; run manually: `cargo test --release -p plan --test explore -- --ignored`.
 #[rstest]
 #[ignore = "takes minutes"]
-fn no_property_breaks_with_any_three_faults(
+fn no_property_is_violated_by_any_three_faults(
     #[values(
         Scenario::Silent,
         Scenario::Returns,
@@ -629,7 +636,7 @@
 }
 
 #[test]
-fn each_property_breaks_by_a_planted_fault() {
+fn each_property_is_violated_by_an_injected_fault() {
     use {Planted::*, Violation::*};
     let cases = [
         (NoBound, Scenario::AllPlannersWrong, TooManyMarks),
@@ -643,8 +650,8 @@
         (NoFade, Scenario::Oscillating, Disagreement),
     ];
     for (fault, scenario, property) in cases {
-        // A majority that knows nothing takes two restarts; that a lower part is not known, two plans that
-        // are lost.
+        // Two restarts are needed for a majority of planners without state, and two lost plans for an
+        // unconfirmed lower part.
         let budget = if matches!(fault, EmptyCounts | NoLease) { 2 } else { 1 };
         let explored = explore(scenario, budget, Some(fault));
         println!("{fault:?} in {scenario:?}: {explored:?}");
--- a/crates/plan/tests/frame.rs
+++ b/crates/plan/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: any message, any split, any garbage.
+//! Framing: round trips of any message under any split, and handling of invalid bytes.
 
 use plan::frame::{encode, refusal, Reader, Refused, VERSION};
 use plan::message::*;
@@ -54,7 +54,8 @@
     prop_oneof![report, plan, hello, Just(Message::Bye), Just(Message::Show)]
 }
 
-/// All messages that come of these bytes, given in pieces, and the most that the reader held.
+/// Decodes messages from these bytes, given in pieces; returns them, the error, and the greatest number of
+/// buffered bytes.
 fn read(mut pieces: Vec<&[u8]>) -> (Vec<Message>, Option<Refused>, usize) {
     let (mut reader, mut got, mut most) = (Reader::default(), vec![], 0);
     for piece in &mut pieces {
@@ -86,11 +87,11 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn messages_come_out_as_they_went_in_however_they_are_split(
+    fn messages_round_trip_under_any_split(
         messages in prop::collection::vec(message(), 1..5),
         cuts in prop::collection::vec(any::<usize>(), 0..30),
     ) {
-        let bytes: Vec<u8> = messages.iter().flat_map(|m| encode(m).expect("within its bounds")).collect();
+        let bytes: Vec<u8> = messages.iter().flat_map(|m| encode(m).expect("within bounds")).collect();
         let (got, refused, most) = read(split(&bytes, &cuts));
         prop_assert_eq!(refused, None);
         prop_assert!(most <= bounds::FRAME + 4);
@@ -98,7 +99,7 @@
     }
 
     #[test]
-    fn garbage_is_refused_or_waited_for_and_never_held_beyond_what_came(
+    fn invalid_bytes_never_buffer_more_than_was_received(
         bytes in prop::collection::vec(any::<u8>(), 0..600),
         cuts in prop::collection::vec(any::<usize>(), 0..10),
     ) {
@@ -107,11 +108,11 @@
     }
 
     #[test]
-    fn a_damaged_frame_gives_a_message_within_bounds_or_a_reason(
+    fn a_corrupted_frame_yields_a_valid_message_or_an_error(
         message in message(),
         damage in prop::collection::vec((any::<usize>(), any::<u8>()), 1..6),
     ) {
-        let mut bytes = encode(&message).expect("within its bounds");
+        let mut bytes = encode(&message).expect("within bounds");
         for (at, with) in damage {
             let at = 5 + at % (bytes.len() - 4);
             bytes.get_mut(at).into_iter().for_each(|b| *b = with);
@@ -123,30 +124,30 @@
 }
 
 #[test]
-fn an_unknown_version_is_refused_by_name_before_its_body_came() {
-    let mut bytes = encode(&Message::Bye).expect("within its bounds");
+fn an_unsupported_version_is_refused_before_its_body_arrives() {
+    let mut bytes = encode(&Message::Bye).expect("within bounds");
     bytes[4] = VERSION + 1;
     let (_, refused, _) = read(vec![&bytes[..5]]);
     assert_eq!(refused, Some(Refused::Version(VERSION + 1)));
-    // And the reason reaches the other side, whatever version that speaks.
+    // The reason is readable by peers of any version.
     let reason = refusal(&Refused::Version(VERSION + 1));
-    let (_, told, _) = read(vec![&reason]);
-    assert_eq!(told, Some(Refused::ByPeer("version 2 is not spoken here, 1 is".into())));
+    let (_, received, _) = read(vec![&reason]);
+    assert_eq!(received, Some(Refused::ByPeer("version 2 is not spoken here, 1 is".into())));
 }
 
 #[test]
-fn a_frame_that_claims_too_much_is_refused_at_its_length() {
+fn a_frame_with_an_invalid_length_is_refused_by_its_length() {
     for length in [0, bounds::FRAME as u32 + 1, u32::MAX] {
         let (_, refused, most) = read(vec![&length.to_be_bytes(), &[VERSION; 100]]);
         assert_eq!((refused, most), (Some(Refused::Length(length)), 0));
     }
-    // Terms, 2^40 of them, and none comes.
+    // A terms message that claims 2^40 entries and contains none.
     let bytes = [0, 0, 0, 10, VERSION, 4, 0, 0, 0x80, 0x80, 0x80, 0x80, 0x80, 0x20];
     assert_eq!(read(vec![&bytes]).1, Some(Refused::Garbage));
 }
 
 #[test]
-fn figures_that_cannot_be_are_refused() {
+fn values_out_of_range_are_refused() {
     let plan = |part| Plan { parts: Parts { cold: part, ..Parts::default() }, ..Plan::default() };
     for part in [f32::NAN, -0.1, 1.1, f32::INFINITY] {
         assert!(encode(&Message::Plan(plan(part))).is_err(), "{part}");
@@ -155,7 +156,8 @@
     let longest = encode(&Message::Report(report(bounds::NODES_PER_MESSAGE)));
     assert!(longest.is_ok_and(|b| b.len() <= bounds::FRAME));
     assert!(encode(&Message::Report(report(bounds::NODES_PER_MESSAGE + 1))).is_err());
-    // Moments that no samples have: a sum of none, a square sum below the mean's, an infinite one.
+    // Moments that no samples can have: a sum without samples, a sum of squares below that of the mean, an
+    // infinite sum.
     for m in [[0.0, 1.0, 0.0], [2.0, 8.0, 1.0], [1.0, f32::INFINITY, 1.0], [-1.0, 1.0, 1.0]] {
         assert!(Moments::try_from(m).is_err(), "{m:?}");
     }
--- a/crates/plan/tests/merge.rs
+++ b/crates/plan/tests/merge.rs
@@ -1,4 +1,4 @@
-//! The merge: the order of arrival does not matter, and what it never does.
+//! Merging of plans: independence of arrival order, and the bounds that always hold.
 
 use plan::merge::{MarkTarget, Merge, PlanRejection};
 use plan::message::{Cut, Evidence, Mark, NodeTerms, Plan, Terms, Vouch};
@@ -20,7 +20,7 @@
     merge
 }
 
-/// A plan of a warm planner: marks on some nodes, vouches for others.
+/// A plan of a warmed-up planner that marks some nodes and vouches for others.
 fn plan(count: u64, silent: &[u64], lives: &[u64], cut: bool) -> Plan {
     let mark = |n: &u64| Mark { node: node(*n), zones: ZoneSet::ALL, since: 0, witnesses: 2 };
     let vouch = |n: &u64| Vouch { node: node(*n), zones: ZoneSet::ALL };
@@ -51,7 +51,7 @@
 fn arrivals() -> impl Strategy<Value = Vec<Arrival>> {
     let one = (0..3usize, 1..6u64, prop::collection::vec(0..9u64, 0..4), any::<bool>(), 0..SECOND);
     prop::collection::vec(one, 1..12).prop_map(|all| {
-        // What a planner says in a plan is one thing: what is drawn again for its number is left out.
+        // A planner sends only one plan per number, so further ones drawn with the same number are dropped.
         let mut seen = std::collections::BTreeSet::new();
         let new = |(slot, count, ..): &(usize, u64, Vec<u64>, bool, i64)| seen.insert((*slot, *count));
         let all: Vec<_> = all.into_iter().filter(new).collect();
@@ -59,13 +59,13 @@
     })
 }
 
-type Force = (Vec<MarkTarget>, Vec<(Node, f64)>);
+type MarksInForce = (Vec<MarkTarget>, Vec<(Node, f64)>);
 
-/// What is in force over the next seconds.
-fn after(arrivals: &[Arrival], rules: &Rules) -> Vec<Force> {
+/// The marks in force over the next seconds.
+fn after(arrivals: &[Arrival], rules: &Rules) -> Vec<MarksInForce> {
     let mut m = merge(9, 3, 5);
     for (slot, plan, basis) in arrivals {
-        let _ = m.take(*slot, plan, Some(*basis), rules);
+        let _ = m.accept_plan(*slot, plan, Some(*basis), rules);
     }
     let look = |i: i64| {
         m.settle(SECOND + i * 100_000, |_| None, rules);
@@ -78,24 +78,24 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_order_in_which_plans_come_does_not_matter(
+    fn the_arrival_order_of_plans_does_not_matter(
         (one, other) in arrivals().prop_flat_map(|a| (Just(a.clone()), Just(a).prop_shuffle())),
     ) {
         let rules = Rules::default();
         prop_assert_eq!(after(&one, &rules), after(&other, &rules));
-        // Nor does a plan that comes twice.
+        // Duplicated plans change nothing either.
         let twice: Vec<Arrival> = one.iter().chain(&other).cloned().collect();
         prop_assert_eq!(after(&one, &rules), after(&twice, &rules));
     }
 
     #[test]
-    fn never_more_of_the_fleet_is_out_than_the_bound_whatever_planners_say(
+    fn marked_nodes_never_exceed_the_bound_for_any_plans(
         all in arrivals(), shrinks in 1..9u64,
     ) {
         let rules = Rules::default();
         let mut m = merge(9, 3, 1);
         for (i, (slot, plan, basis)) in all.iter().enumerate() {
-            let _ = m.take(*slot, plan, Some(*basis), &rules);
+            let _ = m.accept_plan(*slot, plan, Some(*basis), &rules);
             if i == all.len() / 2 {
                 m.list(listed(shrinks));
             }
@@ -104,42 +104,42 @@
             let nodes = m.active().filter(|o| matches!(o, MarkTarget::Node(_))).count();
             let ready = if i >= all.len() / 2 { shrinks as usize } else { 9 };
             prop_assert!(nodes <= ready / 3);
-            prop_assert!(listed(ready as u64).any(|l| !m.avoids(l.node)), "nothing is left");
+            prop_assert!(listed(ready as u64).any(|l| !m.avoids(l.node)), "no ready node is left");
         }
     }
 }
 
 #[test]
-fn each_kind_of_unsound_plan_is_refused_for_its_reason_and_told_once() {
+fn each_kind_of_invalid_plan_is_rejected_and_logged_once() {
     let rules = Rules::default();
     let mut m = merge(9, 1, 1);
     let too_much = plan(1, &[0, 1, 2, 3], &[], false);
     let why = PlanRejection::TooManyMarks { marks: 4, ready: 9, most: 3 };
-    assert_eq!(m.take(0, &too_much, Some(0), &rules), Err((why, true)));
+    assert_eq!(m.accept_plan(0, &too_much, Some(0), &rules), Err((why, true)));
     assert_eq!(
-        m.take(0, &Plan { number: PlanNumber { epoch: 1, count: 2 }, ..too_much }, Some(0), &rules),
+        m.accept_plan(0, &Plan { number: PlanNumber { epoch: 1, count: 2 }, ..too_much }, Some(0), &rules),
         Err((why, false))
     );
     let mut blind = plan(3, &[0], &[], false);
     blind.silent[0].witnesses = 0;
-    assert_eq!(m.take(0, &blind, Some(0), &rules), Err((PlanRejection::NoEvidence, true)));
+    assert_eq!(m.accept_plan(0, &blind, Some(0), &rules), Err((PlanRejection::NoEvidence, true)));
     let own = Plan { cuts: vec![Cut { from: Zone(0), to: Zone(0) }], ..plan(4, &[], &[], false) };
-    assert_eq!(m.take(0, &own, Some(0), &rules), Err((PlanRejection::OwnZone, true)));
+    assert_eq!(m.accept_plan(0, &own, Some(0), &rules), Err((PlanRejection::OwnZone, true)));
     assert_eq!(
-        m.take(0, &plan(5, &[1], &[1], false), Some(0), &rules),
+        m.accept_plan(0, &plan(5, &[1], &[1], false), Some(0), &rules),
         Err((PlanRejection::Contradiction, true))
     );
     assert_eq!(
-        m.take(1, &plan(6, &[], &[], false), Some(0), &rules),
+        m.accept_plan(1, &plan(6, &[], &[], false), Some(0), &rules),
         Err((PlanRejection::UnknownPlanner, true))
     );
-    assert_eq!(m.take(0, &plan(7, &[1], &[2], false), Some(0), &rules), Ok(()));
+    assert_eq!(m.accept_plan(0, &plan(7, &[1], &[2], false), Some(0), &rules), Ok(()));
     let old = PlanRejection::Outdated(PlanNumber { epoch: 1, count: 7 });
-    assert_eq!(m.take(0, &plan(6, &[], &[], false), Some(0), &rules), Err((old, false)));
-    assert_eq!(m.take(0, &plan(8, &[0, 1, 2, 3], &[], false), Some(0), &rules), Err((why, false)));
-    // One that has been sound for long is told of anew.
-    (9..60).for_each(|n| assert_eq!(m.take(0, &plan(n, &[], &[], false), Some(0), &rules), Ok(())));
-    assert_eq!(m.take(0, &plan(60, &[0, 1, 2, 3], &[], false), Some(0), &rules), Err((why, true)));
+    assert_eq!(m.accept_plan(0, &plan(6, &[], &[], false), Some(0), &rules), Err((old, false)));
+    assert_eq!(m.accept_plan(0, &plan(8, &[0, 1, 2, 3], &[], false), Some(0), &rules), Err((why, false)));
+    // After enough valid plans a rejection is logged again.
+    (9..60).for_each(|n| assert_eq!(m.accept_plan(0, &plan(n, &[], &[], false), Some(0), &rules), Ok(())));
+    assert_eq!(m.accept_plan(0, &plan(60, &[0, 1, 2, 3], &[], false), Some(0), &rules), Err((why, true)));
 }
 
 #[test]
@@ -147,7 +147,7 @@
     let rules = Rules::default();
     let mut m = merge(4, 3, 1);
     for (slot, rho) in [(0, 0.5), (1, 0.9), (2, 0.6)] {
-        assert_eq!(m.take(slot, &plan(1, &[], &[], false), Some(0), &rules), Ok(()));
+        assert_eq!(m.accept_plan(slot, &plan(1, &[], &[], false), Some(0), &rules), Ok(()));
         m.terms(slot, &terms(1, rho));
     }
     let (queue, trust) = m.queue(node(1), 0, &rules).expect("three told");
--- a/crates/plan/tests/observations.rs
+++ b/crates/plan/tests/observations.rs
@@ -1,5 +1,5 @@
-//! What a forwarder sees and what planners make of it: signs of life, deltas, Eq. 1, Eqs. 2 to 7, and words
-//! that a planner does not take.
+//! Observations of a forwarder and their processing at a planner: signs of life, incremental reports, Eq. 1,
+//! Eqs. 2 to 7, and messages that a planner refuses.
 
 use plan::forwarder::{Config, Forwarder, Output};
 use plan::frame::Refused;
@@ -24,28 +24,32 @@
 }
 
 #[test]
-fn a_node_is_quiet_since_the_first_send_without_a_sign_of_life() {
+fn a_node_is_unanswered_since_the_first_send_without_a_sign_of_life() {
     let mut observations = observations(2);
     observations.sent(100 * MS, node(0));
     observations.sent(200 * MS, node(0));
     observations.ended(250 * MS, node(0), Verdict::Timeout, 150 * MS);
-    let told = |report: &Report| {
+    let reported = |report: &Report| {
         let n = report.nodes.first().cloned().unwrap_or_default();
         (n.quiet, n.unanswered, n.sign)
     };
-    assert_eq!(told(&observations.take(300 * MS)), (Some(200_000), 2, None));
-    assert_eq!(told(&observations.take(400 * MS)), (Some(300_000), 2, None), "silence is told again");
-    // An error is a sign of life too. What is still out is waited for from then on.
+    assert_eq!(reported(&observations.take_report(300 * MS)), (Some(200_000), 2, None));
+    assert_eq!(
+        reported(&observations.take_report(400 * MS)),
+        (Some(300_000), 2, None),
+        "silence is reported again"
+    );
+    // An error is also a sign of life. Requests still pending count as unanswered from then on.
     observations.sent(450 * MS, node(0));
     observations.ended(500 * MS, node(0), Verdict::Error, 300 * MS);
-    assert_eq!(told(&observations.take(600 * MS)), (Some(100_000), 1, Some(100_000)));
+    assert_eq!(reported(&observations.take_report(600 * MS)), (Some(100_000), 1, Some(100_000)));
     observations.ended(700 * MS, node(0), Verdict::Served, 250 * MS);
-    assert_eq!(told(&observations.take(700 * MS)), (None, 0, Some(0)));
-    assert!(observations.take(800 * MS).nodes.is_empty(), "there is no news of it");
+    assert_eq!(reported(&observations.take_report(700 * MS)), (None, 0, Some(0)));
+    assert!(observations.take_report(800 * MS).nodes.is_empty(), "a node without changes is omitted");
 }
 
 #[test]
-fn deltas_add_up_to_what_was_seen_and_the_quiet_go_first_past_the_bound() {
+fn reports_add_up_to_all_observations_and_list_unanswered_nodes_first() {
     let many = bounds::ANSWERING_NODES_PER_REPORT as u64 + 100;
     let mut observations = observations(many);
     for n in 0..many {
@@ -55,16 +59,16 @@
         }
     }
     observations.request_received(1, 1);
-    let (one, two) = (observations.take(20 * MS), observations.take(40 * MS));
+    let (one, two) = (observations.take_report(20 * MS), observations.take_report(40 * MS));
     assert_eq!(one.nodes.len(), 1 + bounds::ANSWERING_NODES_PER_REPORT);
-    assert_eq!(one.nodes.first().map(|n| n.node), Some(node(many - 1)), "the quiet one is first");
+    assert_eq!(one.nodes.first().map(|n| n.node), Some(node(many - 1)), "the unanswered node is first");
     assert_eq!((one.uses.len(), two.uses.len()), (1, 0));
     let sends = |s: &Report| s.nodes.iter().map(|n| n.sends).sum::<u32>();
-    assert_eq!(sends(&one) + sends(&two), many as u32, "each send is told once");
+    assert_eq!(sends(&one) + sends(&two), many as u32, "each send is reported once");
     assert!(plan::frame::encode(&Message::Report(one)).is_ok());
 }
 
-/// A join that heard of one node: for each forwarder the gaps between its sends.
+/// A fleet view with reports on one node, given each forwarder's intervals between sends.
 fn aggregated(gaps: &[Vec<Micros>]) -> (FleetView, Micros, Rules) {
     let (mut join, rules) = (FleetView::default(), Rules::default());
     for (f, gaps) in gaps.iter().enumerate() {
@@ -78,14 +82,15 @@
             now += gap;
         }
         observations.sent(now, node(0));
-        assert!(join.report(0, id, &observations.take(now), &rules));
+        assert!(join.report(0, id, &observations.take_report(now), &rules));
     }
     (join, 0, rules)
 }
 
 #[test]
-fn arrivals_of_all_forwarders_are_joined_by_their_rates() {
-    // Even gaps have C^2 = 0; one and three parts in turn have C^2 = 1/4. Shrunk: (n * C^2 + 8)/(n + 8).
+fn arrivals_of_all_forwarders_are_weighted_by_their_rates() {
+    // Even intervals have C^2 = 0; intervals alternating between one and three parts have C^2 = 1/4. Shrunk:
+    // (n * C^2 + 8)/(n + 8).
     let even = vec![100 * MS; 40];
     let uneven: Vec<Micros> = (0..120).map(|i| if i % 2 == 0 { 50 * MS } else { 150 * MS }).collect();
     let (join, now, rules) = aggregated(&[even, uneven]);
@@ -97,7 +102,7 @@
 }
 
 #[test]
-fn shares_are_those_of_the_paper_worked_by_hand() {
+fn shares_match_a_manual_calculation_from_the_paper() {
     // Gathering queue: rho 0.5, C_A^2 1, C_S^2 2: C_D^2 = 0.25 * 2 + 0.75 * 1 = 1.25 (Eq. 2), I = 1.5 (Eq.
     // 3).
     let g = Queue { rho: 0.5, service: 100.0, arrival_scv: 1.0, service_scv: 2.0 };
@@ -105,13 +110,13 @@
     // Eq. 4 with R = 1/2: C_i^2 = 1.125. For g: W = 100 * 1 * 3.125/2 = 156.25, L = 0.5 * 3.125/2 = 0.78125.
     // For the other, rho 0.8, E[S] 50, C_S^2 1: W = 50 * 4 * 2.125/2 = 212.5, L = 3.2 * 2.125/2 = 3.4.
     let other = Queue { rho: 0.8, service: 50.0, arrival_scv: 1.0, service_scv: 1.0 };
-    // Eq. 7: R_g = (0.78125/4.18125 + 156.25/368.75)/2 = 0.30529; parts are 1 - R.
+    // Eq. 7: R_g = (0.78125/4.18125 + 156.25/368.75)/2 = 0.30529; shares are 1 - R.
     let shares = shares(&g, &[g, other]);
     assert!((shares[0] - 0.69471).abs() < 1e-4 && (shares[1] - 0.30529).abs() < 1e-4, "{shares:?}");
 }
 
 #[test]
-fn a_fleet_that_told_nothing_is_solved_to_equal_shares() {
+fn a_fleet_without_measurements_gets_equal_shares() {
     let (join, now, rules) = aggregated(&[vec![], vec![]]);
     let mut all = join.aggregated(now, &rules);
     let second = plan::join::NodeAggregate { node: node(1), ..all[0] };
@@ -126,8 +131,8 @@
 }
 
 #[test]
-fn a_planner_cuts_who_floods_or_speaks_out_of_turn_and_keeps_the_last_connection_of_a_forwarder() {
-    let mut p = Planner::new(0, Rules::default(), 5).expect("sound rules");
+fn a_planner_refuses_floods_and_unexpected_messages_and_keeps_the_last_connection_of_a_forwarder() {
+    let mut p = Planner::new(0, Rules::default(), 5).expect("valid rules");
     let mut out = vec![];
     (1..4).for_each(|peer| assert_eq!(p.up(0, peer), Ok(())));
     let report = Message::Report(Report::default());
@@ -137,12 +142,15 @@
     assert_eq!(flooded, Some(Refused::Flood));
     assert_eq!(p.message(0, 3, &hello(7, PlanNumber::default()), &mut out), Ok(()));
     assert!(matches!(out[..], [planner::Output::Close(2, _)]), "{out:?}");
-    assert!(matches!(p.message(0, 2, &report, &mut out), Err(Refused::Unexpected(_))), "it is over");
+    assert!(
+        matches!(p.message(0, 2, &report, &mut out), Err(Refused::Unexpected(_))),
+        "the connection is closed"
+    );
 }
 
 #[test]
 fn the_next_plan_is_numbered_above_what_any_forwarder_holds() {
-    let mut p = Planner::new(0, Rules::default(), 5).expect("sound rules");
+    let mut p = Planner::new(0, Rules::default(), 5).expect("valid rules");
     let held = PlanNumber { epoch: 9, count: 70 };
     assert_eq!(p.up(0, 1), Ok(()));
     assert_eq!(p.message(0, 1, &hello(7, held), &mut vec![]), Ok(()));
@@ -158,12 +166,12 @@
         assert!(number > last, "{number:?} after {last:?}");
         last = number;
     }
-    // Even one past reason is not what stops it: the connection is refused instead.
+    // An epoch beyond the bound does not exhaust the numbers: the message is refused instead.
     assert!(hello(8, PlanNumber { epoch: u64::MAX, count: 1 }).check().is_err());
 }
 
 #[test]
-fn forwarders_that_lose_a_planner_dial_again_at_moments_of_their_own() {
+fn forwarders_that_lose_a_planner_redial_at_different_times_with_backoff() {
     let dials = |seed| {
         let config = Config {
             id: ForwarderId(seed),
@@ -174,7 +182,7 @@
             planners: 1,
             seed,
         };
-        let mut f = Forwarder::new(0, Rules::default(), config).expect("sound rules");
+        let mut f = Forwarder::new(0, Rules::default(), config).expect("valid rules");
         let (mut at, mut now) = (vec![], 0);
         while at.len() < 6 {
             let mut out = vec![];
@@ -191,6 +199,9 @@
     let mut firsts: Vec<_> = all.iter().map(|d| d[1] / (5 * MS)).collect();
     firsts.sort();
     firsts.dedup();
-    assert!(firsts.len() >= 10, "they come together: {firsts:?}");
-    assert!(all.iter().all(|d| d[5] - d[4] > 4 * (d[1] - d[0]).min(300 * MS)), "waits do not grow: {all:?}");
+    assert!(firsts.len() >= 10, "the dials coincide: {firsts:?}");
+    assert!(
+        all.iter().all(|d| d[5] - d[4] > 4 * (d[1] - d[0]).min(300 * MS)),
+        "backoff does not grow: {all:?}"
+    );
 }
--- a/crates/plan/tests/two_levels.rs
+++ b/crates/plan/tests/two_levels.rs
@@ -1,4 +1,4 @@
-//! Forwarders and planners together: what operators test on a fleet, in virtual time.
+//! Forwarders and planners together in virtual time: the situations that operators test on a fleet.
 
 mod world;
 
@@ -12,14 +12,14 @@
     ids.into_iter().map(node).collect()
 }
 
-/// A world whose planners are warm.
+/// A world whose planners have warmed up.
 fn warm(planners: usize, forwarders: usize, nodes: usize, zones: u8, seed: u64) -> World {
     let mut w = World::new(Rules::default(), planners, forwarders, nodes, zones, seed);
     w.run(8 * SECOND, |_| {});
     w
 }
 
-/// How long each forwarder takes to avoid just these nodes.
+/// How long each forwarder takes until it avoids exactly these nodes.
 fn times(
     w: &mut World,
     nodes: &BTreeSet<plan::Node>,
@@ -61,22 +61,22 @@
 }
 
 #[test]
-fn a_forwarder_with_a_broken_link_makes_nobody_avoid_anything() {
+fn a_forwarder_with_a_broken_link_causes_no_avoidance_elsewhere() {
     let mut w = warm(3, 4, 10, 2, 1);
     w.isolated.insert(0);
     w.run(10 * SECOND, |w| (1..4).for_each(|f| assert_eq!(w.avoided(f), set([]))));
 }
 
 #[test]
-fn zones_cut_from_each_other_avoid_each_other_and_come_back_one_by_one() {
+fn zones_cut_off_from_each_other_avoid_each_other_and_return_at_different_times() {
     for seed in 0..6 {
         let mut w = warm(4, 8, 10, 2, seed);
         let (a, b) = (Zone(0), Zone(1));
-        // With so few requests the nodes of a zone are found silent one after the other.
+        // With so few requests the nodes of a zone are found silent one after another.
         w.send_interval = 500 * MS;
         w.run(3 * SECOND, |_| {});
         w.zone_cuts = [(a, b), (b, a)].into();
-        // Planners stand in the zones in turn, and reach their own.
+        // Planners are distributed over the zones in turn and reach only their own zone.
         w.unreachable =
             (0..8).flat_map(|f| (0..4).map(move |p| (f, p))).filter(|(f, p)| f % 2 != p % 2).collect();
         w.run(5 * SECOND, |_| {});
@@ -84,7 +84,7 @@
             let other: BTreeSet<_> = (0..10).filter(|n| n % 2 != f as u64 % 2).collect();
             assert_eq!(w.avoided(f), set(other), "forwarder {f}");
         }
-        assert!(w.hosts.iter().all(|s| s.refusals == 0), "half of the fleet, and a sound plan");
+        assert!(w.hosts.iter().all(|s| s.refusals == 0), "a cut of half of the fleet is a valid plan");
         (w.zone_cuts, w.unreachable) = (BTreeSet::new(), BTreeSet::new());
         let mut back = [None; 8];
         let start = w.now;
@@ -97,12 +97,12 @@
         });
         let slots: BTreeSet<_> = back.iter().flatten().collect();
         assert!(back.iter().all(Option::is_some), "{back:?}");
-        assert!(slots.len() >= 4, "they came back together: {back:?}");
+        assert!(slots.len() >= 4, "all returned at once: {back:?}");
     }
 }
 
 #[test]
-fn without_planners_what_stands_holds_and_fades_and_nothing_steps() {
+fn without_planners_marks_are_held_and_then_fade_without_steps() {
     let mut w = warm(3, 4, 10, 1, 3);
     w.silent = set([2]);
     w.run(3 * SECOND, |_| {});
@@ -113,28 +113,29 @@
     w.run(25 * SECOND, |w| {
         let s = w.hosts[0].forwarder.guidance(w.now);
         let part = |s: &plan::Guidance| s.takes.iter().find(|t| t.0 == node(2)).map_or(1.0, |t| t.1);
-        assert!(w.now > lost + 4500 * MS || part(&s) == 0.0, "it holds");
+        assert!(w.now > lost + 4500 * MS || part(&s) == 0.0, "the mark is held");
         for (name, was, is) in [("keys", part(&before), part(&s)), ("ledger", before.origin, s.origin)] {
             assert!((was - is).abs() <= 0.02, "{name} went from {was} to {is} within 10 ms");
         }
         before = s;
     });
-    assert_eq!(w.avoided(0), set([]), "it has faded into the forwarder's own judgement");
+    assert_eq!(w.avoided(0), set([]), "the mark has faded");
     assert!((before.origin - 0.25).abs() < 1e-9, "the even part: {}", before.origin);
 }
 
 #[test]
-fn planners_that_restart_empty_wipe_nothing() {
+fn planners_that_restart_without_state_clear_no_marks() {
     let mut w = warm(3, 4, 10, 2, 4);
     w.silent = set([2]);
     w.run(3 * SECOND, |_| {});
-    // All of them, one of them with a clock that went back.
+    // All planners restart, one of them with a clock that went back.
     for (p, epoch) in [(0, 1), (1, w.now as u64), (2, w.now as u64)] {
         w.kill_planner(p);
         w.start_planner(p, epoch);
     }
     w.run(15 * SECOND, |w| (0..4).for_each(|f| assert_eq!(w.avoided(f), set([2]), "{} us", w.now)));
-    // And the one whose clock went back is heard again: with it alone a node's return is told.
+    // Plans of the planner whose clock went back are accepted again: with it alone a new silence is still
+    // detected.
     (1..3).for_each(|p| w.kill_planner(p));
     w.silent = set([2, 3]);
     w.run(3 * SECOND, |_| {});
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn a_node_that_hangs_and_returns_and_hangs_is_avoided_each_time_within_the_bound_of_changes() {
+fn a_node_that_hangs_repeatedly_is_avoided_each_time_within_the_limit_of_changes() {
     let mut w = warm(3, 4, 10, 2, 5);
     let mut changes = [0; 4];
     let mut was = [false; 4];
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn a_planner_that_is_wrong_about_half_of_the_fleet_is_refused_with_one_line() {
+fn a_planner_that_marks_half_of_the_fleet_is_rejected_and_logged_once() {
     let mut w = warm(1, 4, 10, 2, 6);
     w.alter_plan = |_, message| {
         if let Message::Plan(plan) = message {
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn a_planner_that_is_wrong_takes_no_node_from_a_forwarder_that_hears_it() {
+fn a_wrong_mark_has_no_effect_at_a_forwarder_that_receives_answers() {
     let mut w = warm(1, 4, 10, 2, 7);
     w.alter_plan = |_, message| {
         if let Message::Plan(plan) = message {
@@ -184,16 +185,16 @@
         }
     };
     w.run(10 * SECOND, |w| (0..4).for_each(|f| assert_eq!(w.avoided(f), set([]))));
-    assert!(w.hosts.iter().all(|s| s.refusals == 0), "sound, but not obeyed");
+    assert!(w.hosts.iter().all(|s| s.refusals == 0), "valid, but overridden by own signs of life");
 }
 
 #[test]
-fn the_list_comes_before_the_plan() {
+fn the_node_list_takes_precedence_over_plans() {
     let mut w = warm(3, 4, 10, 2, 8);
     w.silent = set([2]);
     w.run(3 * SECOND, |_| {});
     let mut nodes: Vec<Listed> = w.nodes.clone();
-    // It drains; and it has started again: the mark was on the old process.
+    // The node drains and then restarts: the mark applied to the old incarnation.
     nodes[2].ready = false;
     w.list(nodes.clone());
     let takes = |w: &World| w.hosts[0].forwarder.guidance(w.now).takes;
@@ -205,7 +206,7 @@
 }
 
 #[test]
-fn twenty_forwarders_that_get_the_same_terms_move_at_moments_of_their_own() {
+fn twenty_forwarders_with_the_same_terms_adjust_at_different_times() {
     let mut w = warm(3, 20, 10, 2, 9);
     let used = |w: &World, f: usize| w.hosts[f].forwarder.guidance(w.now).queues;
     let mut before: Vec<_> = (0..20).map(|f| used(&w, f)).collect();
--- a/crates/plan/tests/world/mod.rs
+++ b/crates/plan/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A made-up fleet for the tests: forwarders with steady traffic, planners, nodes that fall silent, and ways
-//! that can be cut, in virtual time of 10 ms steps. Everything is drawn from a seed.
+//! A simulated fleet for tests: forwarders with steady traffic, planners, nodes that can fall silent, and
+//! paths that can be cut, in virtual time with steps of 10 ms. All randomness is derived from a seed.
 #![allow(dead_code)]
 
 use plan::forwarder::{self, Forwarder, Output};
@@ -12,7 +12,7 @@
 pub const MS: Micros = 1000;
 const STEP: Micros = 10 * MS;
 
-/// A forwarder sends to a node that it avoids so often.
+/// Interval at which a forwarder sends to a node that it avoids.
 const PROBE_EVERY: Micros = 500 * MS;
 
 pub struct Host {
@@ -20,7 +20,7 @@
     pub zone: Zone,
     pub life: u64,
     pub up: bool,
-    /// Refusals that were worth a line.
+    /// Rejections that were reported for logging.
     pub refusals: usize,
     peers: Vec<Option<PeerId>>,
     next_send: BTreeMap<Node, Micros>,
@@ -38,21 +38,21 @@
     pub planners: Vec<Option<Planner>>,
     pub hosts: Vec<Host>,
     pub nodes: Vec<Listed>,
-    /// Nodes that answer nothing; forwarders that reach nothing; pairs of zones without a way; pairs of
-    /// forwarder and planner without one.
+    /// Nodes that do not answer; forwarders that reach nothing; pairs of zones without a path; pairs of
+    /// forwarder and planner without a path.
     pub silent: BTreeSet<Node>,
     pub isolated: BTreeSet<usize>,
     pub zone_cuts: BTreeSet<(Zone, Zone)>,
     pub unreachable: BTreeSet<(usize, usize)>,
-    /// Half of the longest time between two sends to a node.
+    /// Half of the longest interval between two sends to a node.
     pub send_interval: Micros,
-    /// Requests a step of each forwarder's first tenant, all of which want the origin.
+    /// Requests per step of each forwarder's first tenant; each needs the origin.
     pub requests_per_step: Vec<u32>,
-    /// How long a message takes besides, by forwarder and planner.
+    /// Additional message delay, by forwarder and planner.
     pub extra_delay: BTreeMap<(usize, usize), Micros>,
-    /// What a planner's plans become on their way.
+    /// Modifies a planner's plans in transit.
     pub alter_plan: fn(usize, &mut Message),
-    /// Bytes of messages, by direction: reports, plans.
+    /// Bytes of messages by direction: reports, plans.
     pub bytes: [usize; 2],
     events: BTreeMap<(Micros, u64), Event>,
     count: u64,
@@ -64,7 +64,7 @@
 }
 
 impl World {
-    /// So many planners, forwarders and nodes, these two spread over so many zones in turn.
+    /// Creates planners, forwarders and nodes; forwarders and nodes are distributed over the zones in turn.
     pub fn new(
         rules: Rules,
         planners: usize,
@@ -115,14 +115,14 @@
             planners: self.planners.len(),
             seed: spread::mix(self.seed ^ (f as u64) << 8 ^ life),
         };
-        let mut forwarder = Forwarder::new(self.now, self.rules.clone(), config).expect("sound rules");
+        let mut forwarder = Forwarder::new(self.now, self.rules.clone(), config).expect("valid rules");
         forwarder.list(self.now, 1, &self.nodes, &mut vec![]);
         let (peers, next_send) = (vec![None; self.planners.len()], BTreeMap::new());
         Host { forwarder, zone, life, up: true, refusals: 0, peers, next_send }
     }
 
     pub fn start_planner(&mut self, p: usize, epoch: u64) {
-        self.planners[p] = Some(Planner::new(self.now, self.rules.clone(), epoch).expect("sound rules"));
+        self.planners[p] = Some(Planner::new(self.now, self.rules.clone(), epoch).expect("valid rules"));
     }
 
     pub fn kill_planner(&mut self, p: usize) {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Kills a forwarder; it starts again from nothing when told to.
+    /// Kills a forwarder. [`World::start_forwarder`] starts it again without state.
     pub fn kill_forwarder(&mut self, f: usize) {
         self.hosts[f].up = false;
         for p in 0..self.planners.len() {
@@ -164,11 +164,11 @@
         MS + self.extra_delay.get(&(f, p)).copied().unwrap_or(0)
     }
 
-    fn apart(&self, f: usize, p: usize) -> bool {
+    fn is_cut_off(&self, f: usize, p: usize) -> bool {
         self.unreachable.contains(&(f, p)) || self.isolated.contains(&f)
     }
 
-    /// Goes on for so long, looking after each step.
+    /// Advances the time by `time` and calls `after_step` after each step.
     pub fn run(&mut self, time: Micros, mut after_step: impl FnMut(&mut World)) {
         let end = self.now + time;
         while self.now < end {
@@ -198,7 +198,7 @@
                 Event::ToPlanner(p, peer, message) => {
                     let mut out = vec![];
                     if let Some(planner) = self.planners[p].as_mut() {
-                        // A connection that the planner closed takes nothing any more.
+                        // A connection closed by the planner accepts no more messages.
                         let _ = planner.message(self.now, peer, &message, &mut out);
                     }
                     self.handle_planner_output(p, out);
@@ -207,7 +207,9 @@
                     let host = &mut self.hosts[f];
                     if host.up && host.peers[p] == Some(peer) {
                         let mut out = vec![];
-                        host.forwarder.message(self.now, p, &message, &mut out).expect("a planner's word");
+                        host.forwarder
+                            .message(self.now, p, &message, &mut out)
+                            .expect("a valid message from a planner");
                         self.handle_forwarder_output(f, out);
                     }
                 }
@@ -255,8 +257,8 @@
             match o {
                 Output::Dial(p) => self.dial(f, p),
                 Output::Send(p, message) => {
-                    self.bytes[0] += frame::encode(&message).expect("within its bounds").len();
-                    if let Some(peer) = self.hosts[f].peers[p].filter(|_| !self.apart(f, p)) {
+                    self.bytes[0] += frame::encode(&message).expect("within bounds").len();
+                    if let Some(peer) = self.hosts[f].peers[p].filter(|_| !self.is_cut_off(f, p)) {
                         self.post(self.delay(f, p), Event::ToPlanner(p, peer, message));
                     }
                 }
@@ -270,7 +272,7 @@
         self.count += 1;
         let peer = self.count;
         let reached =
-            !self.apart(f, p) && self.planners[p].as_mut().is_some_and(|x| x.up(self.now, peer).is_ok());
+            !self.is_cut_off(f, p) && self.planners[p].as_mut().is_some_and(|x| x.up(self.now, peer).is_ok());
         if !reached {
             return self.hosts[f].forwarder.down(self.now, p);
         }
@@ -310,20 +312,20 @@
 
     fn post_plan(&mut self, p: usize, peer: PeerId, mut message: Message) {
         (self.alter_plan)(p, &mut message);
-        self.bytes[1] += frame::encode(&message).expect("within its bounds").len();
+        self.bytes[1] += frame::encode(&message).expect("within bounds").len();
         let f = self.hosts.iter().position(|s| s.peers[p] == Some(peer));
-        if let Some(f) = f.filter(|f| !self.apart(*f, p)) {
+        if let Some(f) = f.filter(|f| !self.is_cut_off(*f, p)) {
             self.post(self.delay(f, p), Event::ToForwarder(f, p, peer, message));
         }
     }
 
-    /// Nodes that a forwarder avoids.
+    /// The nodes that a forwarder avoids.
     pub fn avoided(&self, f: usize) -> BTreeSet<Node> {
         let merge = self.hosts[f].forwarder.merge();
         self.nodes.iter().map(|l| l.node).filter(|n| merge.avoids(*n)).collect()
     }
 
-    /// The sums of the parts over the forwarders that run: cold nodes, origin, each tenant.
+    /// The sums of the parts over the running forwarders: cold nodes, origin, each tenant.
     pub fn sums(&self) -> Vec<f64> {
         let mut sums = vec![0.0; 4];
         for host in self.hosts.iter().filter(|s| s.up) {
