--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -2,15 +2,15 @@
 //! as the module's event. It owns the [`plan::Forwarder`] of this proxy and the names of its nodes; no socket
 //! and no clock, so that virtual time can drive it too. Without `planner` lines there is none.
 //!
-//! Feed it [`Seen`] and [`Record`]s, what planners' connections say, and [`Forwarding::tick`] at
+//! Feed it [`NodeEvent`] and [`Record`]s, what planners' connections say, and [`Forwarding::tick`] at
 //! [`Forwarding::next`]; carry out its [`Wish`]es.
 
 use crate::codec::discovery;
-use crate::core::{Ended, Record, Seen};
+use crate::core::{NodeEvent, Record, StreamOutcome};
 use crate::interface::{
-    self, KindId, ListForm, Member, Micros, Phase, ServerId, Settings as Site, Solved, Verdict,
+    self, KindId, ListForm, Member, Micros, Phase, PlannedTerms, ServerId, Settings as Site, Verdict,
 };
-use limits::ledger;
+use limits::origin;
 use plan::forwarder::{Config, Output};
 use plan::merge::MarkTarget;
 use plan::observations::Listed;
@@ -98,7 +98,7 @@
         let rules = rules(settings.forwarders, site);
         let even = rules.even_part();
         let config = Config {
-            id: ForwarderId(discovery::number(name.as_bytes())),
+            id: ForwarderId(discovery::hash_id(name.as_bytes())),
             life: now.unsigned_abs(),
             zone: hall(site.zone),
             tenants: site.quotas.len(),
@@ -118,7 +118,7 @@
             nodes: BTreeMap::new(),
             origins: BTreeSet::new(),
             origin_kind: site.origin_kind,
-            aims: site.classes.iter().map(|c| c.aim).collect(),
+            aims: site.classes.iter().map(|c| c.target_latency).collect(),
             even,
             out: Vec::new(),
             said: interface::Plan::default(),
@@ -135,26 +135,28 @@
     }
 
     /// Something went on at a node.
-    pub fn seen(&mut self, now: Micros, seen: Seen) {
+    pub fn seen(&mut self, now: Micros, seen: NodeEvent) {
         match seen {
-            Seen::Listed { revision, form, nodes } => self.list(now, revision, form, nodes),
-            Seen::Asked { class, tenant, write } => {
+            NodeEvent::Listed { revision, form, nodes } => self.list(now, revision, form, nodes),
+            NodeEvent::StreamTaken { class, tenant, write } => {
                 self.machine.observations().request_received(tenant.0 as usize, usize::from(class.0));
                 if write && self.origin_kind.is_some() {
                     self.machine.observations().origin_needed();
                 }
             }
-            Seen::Sent(server) if self.origins.contains(&server) => self.machine.observations().fetched(),
-            Seen::Sent(server) => {
+            NodeEvent::Sent(server) if self.origins.contains(&server) => {
+                self.machine.observations().fetched()
+            }
+            NodeEvent::Sent(server) => {
                 if let Some(node) = self.nodes.get(&server) {
                     self.machine.observations().sent(now, *node);
                 }
             }
-            Seen::Ended { server, verdict, elapsed, .. } if self.origins.contains(&server) => {
+            NodeEvent::Ended { server, verdict, elapsed, .. } if self.origins.contains(&server) => {
                 let answered = matches!(verdict, Verdict::Served | Verdict::Miss).then_some(elapsed);
                 self.machine.observations().fetch_ended(answered);
             }
-            Seen::Ended { server, verdict: end, elapsed, load } => {
+            NodeEvent::Ended { server, verdict: end, elapsed, load } => {
                 let Some(node) = self.nodes.get(&server).copied() else { return };
                 let eyes = self.machine.observations();
                 eyes.ended(now, node, verdict(end), elapsed);
@@ -165,7 +167,7 @@
                     eyes.origin_needed();
                 }
             }
-            Seen::Heard(server) => {
+            NodeEvent::LateAnswer(server) => {
                 if let Some(node) = self.nodes.get(&server) {
                     self.machine.observations().load(now, *node, None);
                 }
@@ -178,8 +180,8 @@
         let (tenant, class) = (record.tenant.0 as usize, usize::from(record.class.0));
         let aim = self.aims.get(class).copied().unwrap_or(Micros::MAX);
         match record.ended {
-            Ended::Served if record.time <= aim => self.machine.observations().served(tenant, class),
-            Ended::Refused => self.machine.observations().refused(tenant, class),
+            StreamOutcome::Served if record.time <= aim => self.machine.observations().served(tenant, class),
+            StreamOutcome::Refused => self.machine.observations().refused(tenant, class),
             _ => {}
         }
     }
@@ -285,7 +287,7 @@
     /// What stands, in the module's words.
     fn plan(&self, now: Micros) -> interface::Plan {
         let standing = self.machine.guidance(now);
-        let solved = |(n, q, trust): &(Node, plan::solve::Queue, f64)| Solved {
+        let solved = |(n, q, trust): &(Node, plan::solve::Queue, f64)| PlannedTerms {
             server: ServerId(n.id),
             rho: q.rho,
             service: q.service,
@@ -294,14 +296,14 @@
             trust: *trust,
         };
         interface::Plan {
-            takes: standing.takes.iter().map(|(n, part)| (ServerId(n.id), *part)).collect(),
+            key_fractions: standing.takes.iter().map(|(n, part)| (ServerId(n.id), *part)).collect(),
             solved: standing.queues.iter().filter(|q| q.2 > 0.0).map(solved).collect(),
             trust: standing.parts_trust,
             quotas: standing.tenants,
             // Each proxy's own budget is its part of the traffic already; a part below the even one lowers it.
             cold: (standing.cold / self.even).clamp(0.0, 1.0),
             // What one proxy alone may have out, for all of them together.
-            fetches: standing.origin * ledger::MOST,
+            fetches: standing.origin * origin::MAX_LIMIT,
         }
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,7 +3,7 @@
 use crate::interface::*;
 use crate::slow_start::Allowance;
 use limits::capacity::ObservedCapacity;
-use limits::{Bucket, Domain, Ending, Node};
+use limits::{Bucket, Ending, FailureDomain, NodeLimit};
 pub use placement::{mix, unit};
 use std::collections::VecDeque;
 
@@ -62,7 +62,7 @@
 
     /// With what planners solved in place of these, as far as it is trusted. `sure` is a utilisation that this
     /// router has seen itself just now: planners hear of it a second later.
-    pub fn planned(self, solved: Option<Solved>, sure: f64) -> Terms {
+    pub fn planned(self, solved: Option<PlannedTerms>, sure: f64) -> Terms {
         let Some(p) = solved else { return self };
         let to = |own: f64, said: f64| mixed(own, Some(said), p.trust);
         Terms {
@@ -134,7 +134,7 @@
     /// When a probe last went there.
     pub probed: Micros,
     /// What is out there, how much of it the server bears, and how long it has said nothing.
-    pub gate: Node,
+    pub gate: NodeLimit,
     pub gaps: Moments,
     pub last_send: Option<Micros>,
     pub latency: Moments,
@@ -150,7 +150,7 @@
     pub allowance: Allowance,
     /// What planners say: the part of its keys that it must not take, and its terms.
     pub avoid: f64,
-    pub solved: Option<Solved>,
+    pub solved: Option<PlannedTerms>,
 }
 
 impl Server {
@@ -167,7 +167,7 @@
             Verdict::Served | Verdict::Miss => Ending::Slow,
             Verdict::Full if end.no_place => Ending::Broken,
             Verdict::Full | Verdict::Error => Ending::Refused,
-            Verdict::Timeout if !self.overtook(sent, end.verdict) => Ending::Silent,
+            Verdict::Timeout if !self.overtook(sent, end.verdict) => Ending::Abandoned,
             _ => Ending::Broken,
         }
     }
@@ -182,7 +182,7 @@
 /// A zone's caches together: whether they are within reach, and what warm ones do of late.
 #[derive(Default)]
 pub struct Zone {
-    pub reach: Domain,
+    pub reach: FailureDomain,
     /// Requests that warm ones served since the last refresh, without misses.
     pub served: f64,
     pub capacity: ObservedCapacity,
@@ -236,7 +236,7 @@
         if self.over {
             0
         } else {
-            self.class.aim
+            self.class.target_latency
         }
     }
 
