--- a/crates/plan/src/parts.rs
+++ b/crates/plan/src/parts.rs
@@ -192,24 +192,24 @@
     // If too much is assigned, parts above their target fall to it at once. Otherwise parts fall gradually
     // and rise as far as there is room.
     let overcommitted = unknown + kept + latest > 1.0 + GRAIN;
-    let wished = |r: &AllocationRow| {
+    let next_part = |r: &AllocationRow| {
         let by_use = if used > 0.0 { r.used / used } else { 1.0 / n };
-        let aim = (available * (rules.reserved / n + (1.0 - rules.reserved) * by_use))
+        let target = (available * (rules.reserved / n + (1.0 - rules.reserved) * by_use))
             .max(rules.reserved_part())
             .min(1.0);
         match () {
-            () if overcommitted => r.latest.min(aim),
-            () if (aim - r.latest).abs() < MIN_CHANGE * even => r.latest,
-            () if aim > r.latest && !r.settled => r.latest,
-            () => r.latest + (aim - r.latest) * STEP_PART,
+            () if overcommitted => r.latest.min(target),
+            () if (target - r.latest).abs() < MIN_CHANGE * even => r.latest,
+            () if target > r.latest && !r.settled => r.latest,
+            () => r.latest + (target - r.latest) * STEP_PART,
         }
     };
-    let wanted: f64 = rows.iter().filter(|r| r.reached).map(|r| (wished(r) - r.latest).max(0.0)).sum();
+    let wanted: f64 = rows.iter().filter(|r| r.reached).map(|r| (next_part(r) - r.latest).max(0.0)).sum();
     let room = (1.0 - unknown - all).max(0.0);
     let granted = if wanted > 0.0 { (room / wanted).min(1.0) } else { 0.0 };
     for r in rows.iter_mut().filter(|r| r.reached) {
-        let wished = wished(r);
-        let part = if wished > r.latest { r.latest + (wished - r.latest) * granted } else { wished };
+        let next_part = next_part(r);
+        let part = if next_part > r.latest { r.latest + (next_part - r.latest) * granted } else { next_part };
         r.assigned.push(round_to_grain(part));
     }
 }
--- a/crates/plan/src/silence.rs
+++ b/crates/plan/src/silence.rs
@@ -91,7 +91,7 @@
             *forwarders_in.entry(p.zone).or_default() += 1;
             let finds_silent = |(node, seen): &(Node, &NodeView)| view.since(*node, seen).is_some();
             suspects.extend(p.nodes().filter(finds_silent).map(|(node, _)| node));
-            if view.hears_any(p) {
+            if view.receives_answers(p) {
                 witnesses.push(p);
             }
         }
@@ -236,7 +236,7 @@
 impl View<'_> {
     /// Whether a forwarder receives answers from any node. One that does not may have a broken link, so its
     /// opinions on nodes are ignored.
-    fn hears_any(&self, p: &Peer) -> bool {
+    fn receives_answers(&self, p: &Peer) -> bool {
         let recent = |at: Micros| self.now.saturating_sub(at) <= self.rules.report_max_age;
         self.rules.has(Planted::OneWitness) || p.nodes().any(|(_, s)| s.sign.is_some_and(recent))
     }
