--- a/crates/cost/src/counting.rs
+++ b/crates/cost/src/counting.rs
@@ -1,29 +1,31 @@
-//! An allocator that counts for the thread that asks: allocations, and bytes held.
+//! A global allocator that counts allocations and held bytes per thread.
 //!
-//! Use it as the global allocator of a program that measures, or of a test: `cost` and `lab` do. The proxy does without.
+//! Use it as the global allocator of a measuring program or a test, as `cost` and `lab` do. The proxy does
+//! not use it.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::cell::Cell;
 
-/// See the file's comment.
+/// Counting allocator; see the module documentation.
 pub struct CountingAllocator;
 
 thread_local! {
-    static MADE: Cell<u64> = const { Cell::new(0) };
-    static HELD: Cell<i64> = const { Cell::new(0) };
+    static ALLOCATIONS: Cell<u64> = const { Cell::new(0) };
+    static BYTES_HELD: Cell<i64> = const { Cell::new(0) };
 }
 
-fn count(made: u64, bytes: i64) {
-    // A thread that ends frees what its own tables held after they are gone: nobody asks for that.
-    let _ = MADE.try_with(|n| n.set(n.get() + made));
-    let _ = HELD.try_with(|n| n.set(n.get() + bytes));
+fn count(allocations: u64, bytes: i64) {
+    // A thread that ends frees its thread-local storage after the counters are gone; those bytes are not
+    // needed.
+    let _ = ALLOCATIONS.try_with(|n| n.set(n.get() + allocations));
+    let _ = BYTES_HELD.try_with(|n| n.set(n.get() + bytes));
 }
 
-// SAFETY: every call goes to `System` as it came; the counters are plain cells that never allocate.
+// SAFETY: every call is forwarded to `System` unchanged; the counters are plain cells that never allocate.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         count(1, layout.size() as i64);
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
@@ -40,12 +42,12 @@
     }
 }
 
-/// Allocations of this thread so far; a reallocation is one.
+/// Allocations of this thread so far; a reallocation counts as one.
 pub fn allocations() -> u64 {
-    MADE.get()
+    ALLOCATIONS.get()
 }
 
-/// Bytes that this thread holds, less what it freed for others.
+/// Bytes allocated by this thread less those it freed, whoever allocated them.
 pub fn bytes_held() -> i64 {
-    HELD.get()
+    BYTES_HELD.get()
 }
--- a/crates/cost/src/decision.rs
+++ b/crates/cost/src/decision.rs
@@ -1,60 +1,61 @@
-//! The module alone: a request, the decision, its outcome, and the module's timer.
+//! The decision module alone: a request, the decision, its outcome, and the module's timer.
 
 use crate::{fleet, key, settings, SECOND};
 use martenweir::choice::Balancer;
 use martenweir::interface::*;
 
-/// Time between two requests, and how many go between two turns of the module's timer.
-const STEP: Micros = 100;
-const TURN: u64 = 2_000;
+/// Time between two requests, and the number of requests between two timer events of the module.
+const REQUEST_INTERVAL: Micros = 100;
+const REQUESTS_PER_TURN: u64 = 2_000;
 
-/// A router before a warm fleet, and where it is in its sequence of requests.
+/// A router in front of a warm fleet, with its position in the sequence of requests.
 pub struct Router {
     balancer: Balancer,
     now: Micros,
     asked: u64,
     out: Vec<Action>,
-    tick: Option<Token>,
-    /// Requests that got no server.
+    timer: Option<Token>,
+    /// Requests that no server was chosen for.
     pub refused: u64,
 }
 
 impl Router {
     pub fn new(nodes: u64) -> Self {
         let (balancer, out) = (Balancer::new(settings(), 1), Vec::new());
-        let mut r = Router { balancer, now: 1_000 * SECOND, asked: 0, out, tick: None, refused: 0 };
+        let mut r = Router { balancer, now: 1_000 * SECOND, asked: 0, out, timer: None, refused: 0 };
         r.members(ListForm::Cached, fleet(nodes));
         r
     }
 
-    /// A list as discovery tells it.
+    /// Applies a list of servers as discovery reports it.
     #[inline(never)]
     pub fn members(&mut self, form: ListForm, entries: Vec<Member>) {
         self.balancer.handle(self.now, Event::Members { form, entries }, &mut self.out);
-        let timer = |a: &Action| match a {
+        let timer_token = |a: &Action| match a {
             Action::Timer { token, .. } => Some(*token),
             _ => None,
         };
-        self.tick = self.tick.or(self.out.iter().find_map(timer));
+        self.timer = self.timer.or(self.out.iter().find_map(timer_token));
         self.out.clear();
     }
 
-    /// The module's timer, which re-solves its terms.
+    /// Handles one event of the module's timer, which recomputes its estimates.
     #[inline(never)]
     pub fn turn(&mut self) {
-        if let Some(tick) = self.tick {
-            self.balancer.handle(self.now, Event::Timer(tick), &mut self.out);
+        if let Some(timer) = self.timer {
+            self.balancer.handle(self.now, Event::Timer(timer), &mut self.out);
             self.out.clear();
         }
     }
 
-    /// One request with its outcome, for the next of the popular keys, or for one that never came before.
+    /// One request with its outcome, for the next of the popular keys, or for a key that was never
+    /// requested before.
     #[inline(never)]
-    pub fn decide(&mut self, new: bool) {
+    pub fn decide(&mut self, new_key: bool) {
         self.asked += 1;
-        self.now += STEP;
+        self.now += REQUEST_INTERVAL;
         let id = RequestId(self.asked);
-        let key = if new { Key(crate::mix(!self.asked)) } else { key(self.asked) };
+        let key = if new_key { Key(crate::mix(!self.asked)) } else { key(self.asked) };
         let request = Request { id, key, deadline: self.now + SECOND, ..Request::default() };
         self.balancer.handle(self.now, Event::Request(request), &mut self.out);
         let server = self.out.iter().find_map(|a| match a {
@@ -77,15 +78,15 @@
             note: 1,
             report: vec![0.1],
         };
-        self.balancer.handle(self.now + STEP / 2, Event::Outcome(end), &mut self.out);
+        self.balancer.handle(self.now + REQUEST_INTERVAL / 2, Event::Outcome(end), &mut self.out);
         self.out.clear();
     }
 
-    /// So many requests, with the timer's turns between.
-    pub fn run(&mut self, rounds: u64, new: bool) {
+    /// Plays `rounds` requests, with the timer events between.
+    pub fn run(&mut self, rounds: u64, new_key: bool) {
         for _ in 0..rounds {
-            self.decide(new);
-            if self.asked.is_multiple_of(TURN) {
+            self.decide(new_key);
+            if self.asked.is_multiple_of(REQUESTS_PER_TURN) {
                 self.turn();
             }
         }
--- a/crates/cost/src/lib.rs
+++ b/crates/cost/src/lib.rs
@@ -1,12 +1,13 @@
-//! The ledger of cost: what one request takes, by stage, at sizes of the fleet and of the crowd before it.
+//! Cost of a request in instructions and allocations, by stage, for different numbers of nodes and
+//! downstreams.
 //!
-//! It owns two small worlds without sockets and without a clock, [`decision`] (the module alone) and
-//! [`request`] (codecs and core, by stage), and a counting allocator ([`counting`]). Use it to hold a change
-//! against the figures in `docs/design/cost.md`: the same work gives the same counts on every run. Do not use
-//! it for what the kernel, the executor and the queues cost: `lab cost` measures those.
+//! Two simulations without sockets and without a clock, [`decision`] (the decision module alone) and
+//! [`request`] (codecs and core, by stage), and a counting allocator ([`counting`]). Use it to compare a
+//! change with the figures in `docs/design/cost.md`: the same work gives the same counts on every run.
+//! Don't use it for the cost of the kernel, the executor and the queues: `lab cost` measures those.
 //!
-//! Instructions are counted from outside, by `callgrind` (`crates/cost/ledger`): a run of 2N rounds less one of
-//! N, so that the set-up falls out.
+//! Instructions are counted from outside with `callgrind` (`crates/cost/ledger`): a run of 2N rounds less
+//! one of N, so that the set-up cancels out.
 
 pub mod counting;
 pub mod decision;
@@ -14,12 +15,12 @@
 
 use martenweir::interface::*;
 
-/// A second in the module's unit.
+/// One second in the unit of the decision module.
 pub const SECOND: Micros = 1_000_000;
-/// Keys that are asked for.
+/// Number of popular keys.
 pub const KEYS: u64 = 20_000;
 
-/// A number from a number, well mixed (SplitMix64).
+/// Mixes the bits of a number (SplitMix64).
 pub fn mix(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -27,8 +28,8 @@
     x ^ (x >> 31)
 }
 
-/// The n-th key that is asked for, by popularity: the rank is drawn so that its logarithm is even, close to
-/// Zipf's law with exponent 1.
+/// The key of the n-th request: the rank is drawn with a uniformly distributed logarithm, close to Zipf's
+/// law with exponent 1.
 pub fn key(n: u64) -> Key {
     let u = (mix(n) >> 11) as f64 / (1u64 << 53) as f64;
     Key(mix((KEYS as f64).powf(u) as u64).max(1))
--- a/crates/cost/src/main.rs
+++ b/crates/cost/src/main.rs
@@ -1,4 +1,4 @@
-//! `cost`: plays the ledger's worlds; `crates/cost/ledger` runs it under callgrind.
+//! `cost`: runs the simulations of this package; `crates/cost/ledger` runs it under callgrind.
 
 use clap::{Parser, Subcommand};
 use cost::counting::{allocations, bytes_held, CountingAllocator};
@@ -11,20 +11,20 @@
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[derive(Parser)]
-#[command(about = "What a request costs, by stage and by size")]
+#[command(about = "Command a request costs, by stage and by size")]
 struct Arguments {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum What {
+enum Command {
     /// Decisions with their outcomes: ns, allocations and bytes held
     Decision {
         nodes: u64,
         #[arg(default_value_t = 20_000)]
         rounds: u64,
-        /// Ask for keys that never came before
+        /// Request only keys that were never requested before
         #[arg(long)]
         new: bool,
     },
@@ -35,7 +35,7 @@
         #[arg(default_value_t = 20_000)]
         rounds: u64,
     },
-    /// Turns of the module's timer and whole lists: us each
+    /// Timer events of the decision module and full server lists: us each
     Turns {
         nodes: u64,
         #[arg(default_value_t = 100)]
@@ -44,40 +44,40 @@
 }
 
 fn main() {
-    match Arguments::parse().what {
-        What::Decision { nodes, rounds, new } => {
+    match Arguments::parse().command {
+        Command::Decision { nodes, rounds, new } => {
             let before = bytes_held();
             let mut router = Router::new(nodes);
-            let listed = bytes_held() - before;
+            let bytes_listed = bytes_held() - before;
             router.run(rounds, new);
             let (since, allocated_before) = (Instant::now(), allocations());
             router.run(rounds, new);
             let (ns, allocated) = (since.elapsed().as_nanos(), allocations() - allocated_before);
             let each = |x: f64| x / rounds as f64;
             println!(
-                "nodes={nodes} ns={:.0} allocations={:.2} refused={} bytes_listed={listed} bytes_after={}",
+                "nodes={nodes} ns={:.0} allocations={:.2} refused={} bytes_listed={bytes_listed} bytes_after={}",
                 each(ns as f64),
                 each(allocated as f64),
                 router.refused,
                 bytes_held() - before
             );
         }
-        What::Request { nodes, downstreams, rounds } => {
+        Command::Request { nodes, downstreams, rounds } => {
             let before = bytes_held();
             let mut proxy = Proxy::new(nodes, downstreams);
-            let listed = bytes_held() - before;
+            let bytes_listed = bytes_held() - before;
             proxy.run(rounds.max(2 * downstreams));
             proxy.reset();
             let since = Instant::now();
             proxy.run(rounds);
             let ns = since.elapsed().as_nanos() as f64 / rounds as f64;
             print!("nodes={nodes} downstreams={downstreams} ns={ns:.0} served={}", proxy.served);
-            for (name, made) in STAGES.iter().zip(proxy.made) {
-                print!(" {}={:.2}", name.replace(' ', "_"), made as f64 / rounds as f64);
+            for (name, count) in STAGES.iter().zip(proxy.allocations) {
+                print!(" {}={:.2}", name.replace(' ', "_"), count as f64 / rounds as f64);
             }
-            println!(" bytes_listed={listed} bytes_after={}", bytes_held() - before);
+            println!(" bytes_listed={bytes_listed} bytes_after={}", bytes_held() - before);
         }
-        What::Turns { nodes, rounds } => {
+        Command::Turns { nodes, rounds } => {
             let mut router = Router::new(nodes);
             router.run(20_000, false);
             let since = Instant::now();
--- a/crates/cost/src/request.rs
+++ b/crates/cost/src/request.rs
@@ -1,5 +1,5 @@
-//! A request through codecs and core, by stage, with as many downstreams as are told: each has one request out
-//! at a time, and answers come in the order of the requests.
+//! A request through codecs and core, by stage, with a given number of downstreams: each has one request in
+//! flight at a time, and answers arrive in the order of the requests.
 
 use crate::{counting, fleet, key, settings, SECOND};
 use martenweir::codec::{discovery, resp};
@@ -13,23 +13,23 @@
 /// The stages of a request, in order.
 pub const STAGES: [&str; 6] = ["parse", "decide", "encode", "parse reply", "settle", "answer"];
 
-/// The length of a value, in bytes.
-const VALUE: usize = 1024;
-/// The time that an answer takes, as far as steps of 1 ms and more between requests allow.
-const TAKES: Micros = 50_000;
+/// Length of a value, in bytes.
+const VALUE_BYTES: usize = 1024;
+/// Time until an answer, as far as steps of at least 1 ms between requests allow.
+const ANSWER_TIME: Micros = 50_000;
 
-/// A proxy without sockets, its crowd, and what the stages have allocated.
+/// A proxy without sockets, its downstreams, and the allocations of the stages.
 pub struct Proxy {
     core: Core,
     now: Micros,
     step: Micros,
     downstreams: u64,
-    asked: u64,
-    out: VecDeque<(ConnectionId, Job)>,
+    requested: u64,
+    in_flight: VecDeque<(ConnectionId, Job)>,
     reply: Vec<u8>,
     effects: Vec<Effect>,
-    /// Allocations by stage, and requests that were answered with a value.
-    pub made: [u64; STAGES.len()],
+    /// Allocations by stage, and the number of requests that were answered with a value.
+    pub allocations: [u64; STAGES.len()],
     pub served: u64,
 }
 
@@ -43,28 +43,41 @@
         let nodes = fleet(nodes).into_iter().enumerate().map(listed).collect();
         let known = discovery::Cluster { revision: 1, complete: true, nodes };
         let now = 1_000 * SECOND;
-        // A connection rests 10 ms after an answer: at a faster pace each request would find none and dial.
-        let step = (TAKES / downstreams.max(1) as Micros).max(1_000);
+        // A connection pauses for 10 ms after an answer: at a faster rate each request would find none and
+        // dial.
+        let step = (ANSWER_TIME / downstreams.max(1) as Micros).max(1_000);
         let mut reply = b"*3\r\n".to_vec();
-        resp::put_bulk(&mut reply, &[b'v'; VALUE]);
+        resp::put_bulk(&mut reply, &[b'v'; VALUE_BYTES]);
         resp::put_bulk(&mut reply, b"hit");
         resp::put_bulk(&mut reply, b"util=0.1");
         let core = Core::new(now, settings(), 1, 20_000, known);
-        let (out, effects) = (VecDeque::new(), Vec::new());
-        let made = [0; STAGES.len()];
-        let mut p = Proxy { core, now, step, downstreams, asked: 0, out, reply, effects, made, served: 0 };
+        let (in_flight, effects) = (VecDeque::new(), Vec::new());
+        let allocations = [0; STAGES.len()];
+        let mut p = Proxy {
+            core,
+            now,
+            step,
+            downstreams,
+            requested: 0,
+            in_flight,
+            reply,
+            effects,
+            allocations,
+            served: 0,
+        };
         p.core.swap_effects(&mut p.effects);
         p
     }
 
-    /// As many requests, one after the other; a downstream asks anew once its turn comes again.
+    /// Plays `rounds` requests one after the other; a downstream sends its next request when its turn comes
+    /// again.
     pub fn run(&mut self, rounds: u64) {
         for _ in 0..rounds {
             self.now += self.step;
-            if self.asked >= self.downstreams {
+            if self.requested >= self.downstreams {
                 self.node_answers();
             }
-            self.downstream_asks();
+            self.downstream_requests();
             if self.now >= self.core.next() {
                 self.core.tick(self.now);
                 self.carry_out();
@@ -72,26 +85,26 @@
         }
     }
 
-    /// Forgets what was counted so far.
+    /// Resets the counters.
     pub fn reset(&mut self) {
-        (self.made, self.served) = ([0; STAGES.len()], 0);
+        (self.allocations, self.served) = ([0; STAGES.len()], 0);
     }
 
-    fn counted<T>(&mut self, stage: usize, what: impl FnOnce(&mut Self) -> T) -> T {
+    fn count_allocations<T>(&mut self, stage: usize, work: impl FnOnce(&mut Self) -> T) -> T {
         let before = counting::allocations();
-        let result = what(self);
-        self.made[stage] += counting::allocations() - before;
+        let result = work(self);
+        self.allocations[stage] += counting::allocations() - before;
         result
     }
 
-    fn downstream_asks(&mut self) {
-        self.asked += 1;
-        let (n, key) = (self.asked, key(self.asked));
+    fn downstream_requests(&mut self) {
+        self.requested += 1;
+        let (n, key) = (self.requested, key(self.requested));
         let mut command = Vec::new();
         let (name, id) = (format!("{:016x}", key.0), format!("t-{n}"));
         let words: [&[u8]; 4] = [b"CACHE.GET", name.as_bytes(), id.as_bytes(), b"c=lookup,t=one,d=900"];
         resp::put_command(&mut command, &words);
-        let words = self.counted(0, |_| stage_parse(&command));
+        let words = self.count_allocations(0, |_| stage_parse(&command));
         let ask = Ask {
             downstream: DownstreamId(n % self.downstreams),
             place: n / self.downstreams,
@@ -103,16 +116,16 @@
             hint: None,
             message: Rc::new(message(words)),
         };
-        self.counted(1, |p| p.stage_decide(ask));
+        self.count_allocations(1, |p| p.stage_decide(ask));
         self.carry_out();
     }
 
     fn node_answers(&mut self) {
-        let Some((connection, job)) = self.out.pop_front() else { return };
-        let bytes = self.counted(2, |_| stage_encode(&job));
+        let Some((connection, job)) = self.in_flight.pop_front() else { return };
+        let bytes = self.count_allocations(2, |_| stage_encode(&job));
         black_box(bytes);
-        let reply = self.counted(3, |p| stage_parse_reply(&p.reply));
-        self.counted(4, |p| p.stage_settle(connection, reply));
+        let reply = self.count_allocations(3, |p| stage_parse_reply(&p.reply));
+        self.count_allocations(4, |p| p.stage_settle(connection, reply));
         self.carry_out();
     }
 
@@ -128,13 +141,13 @@
                 match effect {
                     Effect::Answer { answer, .. } => {
                         self.served += u64::from(matches!(answer, Answer::Value(_)));
-                        let bytes = self.counted(5, |_| stage_answer(answer));
+                        let bytes = self.count_allocations(5, |_| stage_answer(answer));
                         black_box(bytes);
                     }
                     Effect::Dial { connection, .. } => {
                         self.core.input(self.now, Input::Connected(connection));
                     }
-                    Effect::Write { connection, job } => self.out.push_back((connection, job)),
+                    Effect::Write { connection, job } => self.in_flight.push_back((connection, job)),
                     _ => {}
                 }
             }
--- a/crates/limits/benches/fast_path.rs
+++ b/crates/limits/benches/fast_path.rs
@@ -1,4 +1,4 @@
-//! What a limit costs an upstream request: whether one may be sent, that it was, and how it ended.
+//! Cost of a limit per upstream request: whether it may be sent, that it was sent, and how it ended.
 
 #![allow(missing_docs)]
 
@@ -6,17 +6,17 @@
 use limits::*;
 use std::hint::black_box;
 
-/// A step of the clock between two calls, in us.
+/// Clock step between two calls, in us.
 const STEP: Micros = 1_000;
 
-fn limit(c: &mut Criterion, name: &str, mut limit: impl Limit) {
+fn bench_limit(c: &mut Criterion, name: &str, mut limit: impl Limit) {
     let (mut now, mut i) = (0, 0u64);
     c.bench_function(name, |b| {
         b.iter(|| {
             (now, i) = (now + STEP, i.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1));
             let takes = limit.allows(now, 3);
             limit.sent(now, 4);
-            // A few in a hundred are given up, so that what that costs is in it.
+            // A few in a hundred are abandoned, so that the result includes the cost of that.
             let ending = if i >> 58 < 2 { Ending::Abandoned } else { Ending::InTime };
             let time = 80_000 + (i >> 48) as Micros;
             limit.ended(black_box(&Sample {
@@ -31,7 +31,7 @@
     });
 }
 
-fn others(c: &mut Criterion) {
+fn other_types(c: &mut Criterion) {
     let mut now = 0;
     let mut bucket = Bucket::default();
     c.bench_function("bucket", |b| {
@@ -63,15 +63,16 @@
 
 fn all(c: &mut Criterion) {
     let range = Range::from(4.0);
-    limit(c, "aimd", Aimd::default());
-    limit(c, "ledger", OriginLimit::default());
-    limit(c, "node", NodeLimit::default());
-    limit(c, "gradient", Gradient::new(range));
-    limit(c, "vegas", Vegas::new(range));
-    limit(c, "throughput", Throughput::new(range));
-    let warming = WarmUp { started: 0, from: 0.15, over: 23_000_000, multiple: 3.0, window: 1_000_000 };
-    limit(c, "cold", ColdBudget::new(0, warming, 5_000.0, 0.5));
-    others(c);
+    bench_limit(c, "aimd", Aimd::default());
+    bench_limit(c, "ledger", OriginLimit::default());
+    bench_limit(c, "node", NodeLimit::default());
+    bench_limit(c, "gradient", Gradient::new(range));
+    bench_limit(c, "vegas", Vegas::new(range));
+    bench_limit(c, "throughput", Throughput::new(range));
+    let warm_up =
+        WarmUp { started: 0, initial_share: 0.15, duration: 23_000_000, multiple: 3.0, window: 1_000_000 };
+    bench_limit(c, "cold", ColdBudget::new(0, warm_up, 5_000.0, 0.5));
+    other_types(c);
 }
 
 criterion_group!(benches, all);
--- a/crates/limits/src/backoff.rs
+++ b/crates/limits/src/backoff.rs
@@ -1,11 +1,12 @@
-//! Exponential backoff: how long to wait before what failed so often in a row is tried again.
+//! Exponential backoff: how long to wait before retrying after a number of consecutive failures.
 //!
-//! Use it wherever many proxies may try the same thing again, and add jitter of the caller's own draw: this gives
-//! the span to spread over, not the time. Do not use it for work that waits for an answer; that has deadlines.
+//! Use it wherever many proxies may retry the same thing, and add jitter from the caller's own random draw:
+//! this returns the span to spread over, not the exact delay. Don't use it for requests that wait for an
+//! answer; those have deadlines.
 
 use crate::Micros;
 
-/// `first` doubled at each failure after it, and never more than `longest`.
+/// `first` doubled at each further failure, capped at `longest`.
 pub fn backoff(first: Micros, failures: u32, longest: Micros) -> Micros {
     let times = 1i64.checked_shl(failures.min(62)).unwrap_or(Micros::MAX);
     first.saturating_mul(times).min(longest)
--- a/crates/limits/src/budget.rs
+++ b/crates/limits/src/budget.rs
@@ -1,19 +1,19 @@
-//! A budget for what is sent beyond first attempts: repeats after a failure, second copies beside one that
-//! is out, and clients' marked retries. It bounds the part of the work that serves no answer.
+//! Budget for requests beyond first attempts: retries after a failure, second copies beside an attempt in
+//! flight, and retries marked by clients. It bounds the share of work that does not contribute an answer.
 //!
-//! Use one for each thing that repeats add load to: the cache nodes, the ledger. Do not use it for first
-//! attempts: those are what a limit lets through.
+//! Use one for each upstream group that retries add load to: the cache nodes, the origin. Don't use it for
+//! first attempts; those are what a limit admits.
 //!
-//! Each request pays `part` into it, each extra takes 1 out. So over any run of requests the extras are at
-//! most `part` of them, and `depth` more. Under strain less is paid in and less is kept: from [`CALM`] of
-//! the endings failing down to nothing at [`HARD`]. Copies leave half of the depth to repeats, since a
-//! repeat has a request behind it that has nothing out.
+//! Each request adds `share` to the budget, each extra request takes 1. So over any run of requests the
+//! extras are at most `share` of them plus `depth`. As failures increase, less is added and less is kept:
+//! from [`CALM_SHARE`] of the requests failing down to nothing at [`HARD_SHARE`]. Second copies leave half
+//! of the depth to retries, because a retry stands for a request that has nothing in flight.
 //!
-//! - At the start: full, so that a new proxy can repeat at once.
-//! - After silence ([`FORGET`]): what is in it stays; the strain that was seen is forgotten.
-//! - When all answers are errors: no extra at all after about as many endings as [`MEMORY`]; first attempts
-//!   still go out and tell when it is over.
-//! - A clock that goes back counts as no silence.
+//! - At the start: full, so that a new proxy can retry at once.
+//! - After idle time ([`IDLE_RESET`]): the tokens stay; the failure share is reset.
+//! - When all answers are errors: no extras at all after about [`SAMPLES`] ends; first attempts still go
+//!   out and show when the trouble is over.
+//! - A clock that goes back does not count as idle time.
 //!
 //! Sources: Beyer and others, "Site Reliability Engineering" (2016), ch. 21, "Handling Overload" (a client's
 //! repeats stay under 10% of its requests) and ch. 22, "Addressing Cascading Failures" (a budget a server and
@@ -22,84 +22,86 @@
 
 use crate::{Ending, Micros, Sample};
 
-/// The part of the endings failing up to which all is paid in: the tenth of the SRE book.
-pub const CALM: f64 = 0.1;
-/// The part of the endings failing from which nothing is: the proxy's figure for a fault behind the fleet.
-pub const HARD: f64 = 0.3;
-/// How many endings are looked at: a fifth of them is a change that chance alone rarely makes.
-pub const MEMORY: f64 = 50.0;
-/// Time without an ending after which strain is forgotten, in us: about the lifetime of Finagle's deposits.
-pub const FORGET: Micros = 10_000_000;
+/// Share of failures up to which the full amount is added: the 10% of the SRE book.
+pub const CALM_SHARE: f64 = 0.1;
+/// Share of failures from which nothing is added: the value at which the proxy assumes a fault behind the
+/// whole fleet.
+pub const HARD_SHARE: f64 = 0.3;
+/// Number of ends averaged over: a change of one fifth is then rarely caused by chance alone.
+pub const SAMPLES: f64 = 50.0;
+/// Time without an end after which the failure share is reset, in us: about the lifetime of the deposits of
+/// Finagle.
+pub const IDLE_RESET: Micros = 10_000_000;
 
-/// What is sent beyond a request's first attempt.
+/// A request beyond a first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Extra {
     /// Another attempt after one that failed.
     Retry,
-    /// A second copy beside an attempt that is out.
+    /// A second copy beside an attempt in flight.
     SecondCopy,
-    /// A retry of a client's own, where clients mark them.
+    /// A retry by the client, where clients mark them.
     ClientRetry,
 }
 
-/// See the file's comment.
+/// Retry budget; see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
-    part: f64,
+    share: f64,
     depth: f64,
     tokens: f64,
-    failing: f64,
-    heard: Micros,
+    failure_share: f64,
+    last_ended: Micros,
 }
 
 impl Budget {
-    /// A full budget of at most `depth` extras, paid with `part` of an extra a request. Figures below 0, or
-    /// that are no numbers, count as 0.
-    pub fn new(part: f64, depth: f64) -> Self {
-        let (part, depth) = (part.max(0.0), depth.max(0.0));
-        Budget { part, depth, tokens: depth, failing: 0.0, heard: 0 }
+    /// A full budget of at most `depth` extras that gains `share` of an extra per request. Negative values
+    /// and NaN count as 0.
+    pub fn new(share: f64, depth: f64) -> Self {
+        let (share, depth) = (share.max(0.0), depth.max(0.0));
+        Budget { share, depth, tokens: depth, failure_share: 0.0, last_ended: 0 }
     }
 
-    /// A request has come, and is paid for.
+    /// A request arrived; adds its share.
     pub fn request(&mut self, now: Micros) {
-        if now.saturating_sub(self.heard) >= FORGET {
-            (self.failing, self.heard) = (0.0, now);
+        if now.saturating_sub(self.last_ended) >= IDLE_RESET {
+            (self.failure_share, self.last_ended) = (0.0, now);
         }
-        let ease = self.ease();
-        self.tokens = (self.tokens + self.part * ease).min(self.depth * ease);
+        let refill_factor = self.refill_factor();
+        self.tokens = (self.tokens + self.share * refill_factor).min(self.depth * refill_factor);
     }
 
     /// An upstream request has ended.
     pub fn ended(&mut self, s: &Sample) {
-        self.heard = s.now;
-        // A broken connection is no load, and a late answer still one.
+        self.last_ended = s.now;
+        // A broken connection says nothing about load; a late answer is not a failure.
         let failed = f64::from(u8::from(s.ending.failed()));
         if s.ending != Ending::Broken {
-            self.failing += (failed - self.failing) / MEMORY;
+            self.failure_share += (failed - self.failure_share) / SAMPLES;
         }
-        self.tokens = self.tokens.min(self.depth * self.ease());
+        self.tokens = self.tokens.min(self.depth * self.refill_factor());
     }
 
-    /// Takes an extra, if there is one.
+    /// Takes one extra if the budget allows it.
     pub fn take(&mut self, extra: Extra) -> bool {
-        let left = if extra == Extra::SecondCopy { self.depth / 2.0 } else { 0.0 };
-        let some = self.tokens - left >= 1.0;
-        self.tokens -= f64::from(u8::from(some));
-        some
+        let reserved = if extra == Extra::SecondCopy { self.depth / 2.0 } else { 0.0 };
+        let granted = self.tokens - reserved >= 1.0;
+        self.tokens -= f64::from(u8::from(granted));
+        granted
     }
 
-    /// How much there is, in extras.
+    /// Remaining budget, in extras.
     pub fn left(&self) -> f64 {
         self.tokens
     }
 
-    /// The part of the endings that failed, lately.
+    /// Moving average of the share of ends that failed.
     pub fn failing(&self) -> f64 {
-        self.failing
+        self.failure_share
     }
 
-    /// 1 while calm, 0 under hard strain, even between.
-    fn ease(&self) -> f64 {
-        ((HARD - self.failing) / (HARD - CALM)).clamp(0.0, 1.0)
+    /// 1 up to [`CALM_SHARE`], 0 from [`HARD_SHARE`], linear between.
+    fn refill_factor(&self) -> f64 {
+        ((HARD_SHARE - self.failure_share) / (HARD_SHARE - CALM_SHARE)).clamp(0.0, 1.0)
     }
 }
--- a/crates/limits/src/capacity.rs
+++ b/crates/limits/src/capacity.rs
@@ -1,15 +1,15 @@
-//! What servers were seen to be able to do, as a rate that outlasts the time in which they did it.
+//! Observed capacity of servers, as a rate that persists beyond the period in which it was observed.
 //!
-//! Use one for each group of servers whose load is compared by weight. It only ever learns from work that was done, so it
-//! is at most the capacity, however much is asked of the servers or turned away by them. It falls slowly, so that it stays
-//! true when less is asked of them, or when none of them is left.
+//! Use one for each group of servers whose load is compared by weight. It learns only from completed work,
+//! so it never exceeds the real capacity, however much is requested from the servers or rejected by them.
+//! It decays slowly, so that it stays valid when the load drops or none of the servers is left.
 //!
 //! Source: a decaying maximum over an exponentially weighted mean.
 
-/// What is left of the highest rate after a step that leaves `keep` of the present one: sixteen times slower, a minute.
+/// Decay of the peak relative to the decay of the mean: sixteen times slower, about a minute.
 const PEAK_DECAY: f64 = 1.0 / 16.0;
 
-/// A rate in requests of mean work a second and unit of weight.
+/// A rate in requests of mean work per second and unit of weight.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ObservedCapacity {
     mean: f64,
@@ -17,15 +17,16 @@
 }
 
 impl ObservedCapacity {
-    /// Takes in the requests of mean work that servers of this weight did a second, without what takes far less, such as
-    /// a miss; what was before keeps the part `keep`.
+    /// Records the requests of mean work that servers with this total weight completed per second,
+    /// excluding those that take far less work, such as misses. `keep` is the share of the previous mean to
+    /// keep.
     pub fn add(&mut self, served: f64, weight: f64, keep: f64) {
         let rate = if weight > 0.0 { served / weight } else { 0.0 };
         self.mean = keep * self.mean + (1.0 - keep) * rate;
         self.peak = self.mean.max(self.peak * keep.powf(PEAK_DECAY));
     }
 
-    /// The rate.
+    /// The observed capacity.
     pub fn get(&self) -> f64 {
         self.peak
     }
--- a/crates/limits/src/cold.rs
+++ b/crates/limits/src/cold.rs
@@ -1,144 +1,158 @@
-//! What may be sent to a server that has just started: over any window, no more than a multiple of what it
-//! can do by then.
+//! Admission for a server that has just started: within any window, no more than a multiple of what it is
+//! able to do by then.
 //!
-//! Use one for each server within its cold time, and drop it after. Do not use it for a warm one, whose
-//! answers tell more. It never guesses that the server does better than it must: the capacity is the sure
-//! one, from `from` of the full evenly over `over`, and is taken at the window's beginning, where it is
-//! least. Work is counted in slices; the last whole window and the slice that it begins in are looked at
-//! together, so that no window, wherever it begins, holds more.
+//! Use one for each server during its warm-up, and drop it afterwards. Don't use it for a warm server,
+//! whose answers carry more information. It never assumes that the server does better than guaranteed: the
+//! capacity is the guaranteed one, rising linearly from `initial_share` of the full rate over `duration`,
+//! and is taken at the beginning of the window, where it is lowest. Work is counted in slices; the last
+//! whole window and the slice in which it begins are added up, so that no window, wherever it begins, holds
+//! more.
 //!
-//! - At the start: the whole budget is there, since nothing was sent. Where it is under one request a window,
-//!   as before many proxies, one is sent each so many windows instead, the first after a part of that time
-//!   that the caller draws, so that proxies which start together do not send together.
-//! - After silence: the same.
-//! - Endings change nothing: a server that falls over says so too late. Rejected work counts as sent.
-//! - A clock that goes back keeps what was counted and counts it as sent just now; a step forward clears it.
+//! - At the start: the whole budget is available, since nothing was sent. If it is below one request per
+//!   window, as in front of many proxies, one request is sent per so many windows instead, the first after
+//!   a share of that interval that the caller draws at random, so that proxies which start together don't
+//!   send together.
+//! - After idle time: the same.
+//! - Ends of requests change nothing: a server that falls over says so too late. Rejected work counts as
+//!   sent.
+//! - A clock that goes back keeps what was counted and counts it as sent just now; a step forward clears
+//!   it.
 //!
-//! Source: the fail-back rule of the deployment (the multiple, the window, the cold share and time come with
-//! the settings). Counting in slices is the sliding window of rate limiters; that it may say no too early by
-//! one part in [`SLICES`], and never too late, is its price.
+//! Source: the fail-back rule of the deployment (the multiple, the window, the cold share and the cold time
+//! come with the settings). Counting in slices is the sliding window of rate limiters; its price is that it
+//! may refuse too early by one part in [`SLICES`], but never too late.
 
-use crate::{rest::Rest, Limit, Micros, Sample};
+use crate::{cooldown::Cooldown, Limit, Micros, Sample};
 
-/// Slices a window is counted in. 8 give away at most an eighth of the budget for 80 bytes.
+/// Slices per window. 8 waste at most one eighth of the budget and take 80 bytes.
 pub const SLICES: usize = 8;
-const KEPT: usize = SLICES + 1;
+const RING: usize = SLICES + 1;
 
-/// Sends to a cold server that a fleet may have kept back together, beyond one a proxy.
-const KEPT_BACK: f64 = 200.0;
-/// And that a proxy may at the most, beyond one.
-const KEPT_BACK_EACH: f64 = 2.0;
+/// Unused sends to a cold server that a whole fleet may accumulate, beyond one per proxy.
+const FLEET_BURST: f64 = 200.0;
+/// The same for a single proxy, at most, beyond one.
+const MAX_BURST_EACH: f64 = 2.0;
 
-/// Sends that each of so many proxies may keep back for a cold server. A proxy that has a request for it every few
-/// seconds and may keep back one loses what it could not use meanwhile: a hundred such sent a half of what they
-/// might. What they have kept back they send as requests for that server come, so together no faster than these.
+/// Unused sends that each of `proxies` may accumulate for a cold server. A proxy that has a request for the
+/// server every few seconds and may accumulate only one loses what it could not use in the meantime: a
+/// hundred such proxies sent half of what they were allowed to. Accumulated sends are used as requests for
+/// that server arrive, so together no faster than these.
 pub fn burst(proxies: u32) -> f64 {
-    1.0 + (KEPT_BACK / f64::from(proxies.max(1))).min(KEPT_BACK_EACH)
+    1.0 + (FLEET_BURST / f64::from(proxies.max(1))).min(MAX_BURST_EACH)
 }
 
-/// How a server warms, and what brings it down.
+/// How a server warms up, and what overloads it.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
     /// When it started.
     pub started: Micros,
-    /// The part of its full capacity that it has then, 0 to 1.
-    pub from: f64,
-    /// How long until it has all of it, in us.
-    pub over: Micros,
-    /// Sent this many times its capacity,
+    /// The share of its full capacity at that time, 0 to 1.
+    pub initial_share: f64,
+    /// How long until it reaches full capacity, in us.
+    pub duration: Micros,
+    /// A load of this many times its capacity,
     pub multiple: f64,
-    /// for this long, in us, it falls over.
+    /// for this long, in us, makes it fall over.
     pub window: Micros,
 }
 
 impl WarmUp {
-    /// The part of its full capacity that the server is sure to have.
+    /// The share of its full capacity that the server is guaranteed to have.
     pub fn capacity(&self, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.started).max(0) as f64 / self.over.max(1) as f64;
-        (self.from + (1.0 - self.from) * age).clamp(0.0, 1.0)
+        let progress = now.saturating_sub(self.started).max(0) as f64 / self.duration.max(1) as f64;
+        (self.initial_share + (1.0 - self.initial_share) * progress).clamp(0.0, 1.0)
     }
 }
 
-/// See the file's comment.
+/// Send budget of a cold server; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct ColdBudget {
-    warming: WarmUp,
-    /// What this proxy may count on of the full capacity, in requests a second.
-    full: f64,
-    /// Work sent in each slice, a ring, and the slice that is the latest.
-    sent: [f64; KEPT],
+    warm_up: WarmUp,
+    /// This proxy's share of the full capacity, in requests a second.
+    full_rate: f64,
+    /// Work sent in each slice, as a ring, and the number of the latest slice.
+    sent: [f64; RING],
     latest: i64,
-    rest: Rest,
+    cooldown: Cooldown,
 }
 
 impl ColdBudget {
-    /// A budget for a server heard of at `now`. `full` is this proxy's part of what it does when warm, in
-    /// requests a second, less what is left to chance; `phase`, 0 to 1, spreads proxies.
-    pub fn new(now: Micros, warming: WarmUp, full: f64, phase: f64) -> Self {
-        let mut cold = ColdBudget { warming, full: 0.0, sent: [0.0; KEPT], latest: 0, rest: Rest::default() };
+    /// A budget for a server that became known at `now`. `full_rate` is this proxy's share of what the
+    /// server does when warm, in requests a second, less a safety margin; `phase`, 0 to 1, spreads the
+    /// first sends of the proxies.
+    pub fn new(now: Micros, warm_up: WarmUp, full_rate: f64, phase: f64) -> Self {
+        let mut cold = ColdBudget {
+            warm_up,
+            full_rate: 0.0,
+            sent: [0.0; RING],
+            latest: 0,
+            cooldown: Cooldown::default(),
+        };
         cold.latest = cold.slice(now);
-        cold.set_full_rate(full);
+        cold.set_full_rate(full_rate);
         if cold.budget(now) < 1.0 {
-            cold.rest.lasting(now, cold.alone(now) * phase);
+            cold.cooldown.start(now, cold.interval(now) * phase);
         }
         cold
     }
 
-    /// Takes a new figure for this proxy's part of the full capacity, in requests a second.
-    pub fn set_full_rate(&mut self, full: f64) {
-        self.full = if full.is_finite() { full.max(0.0) } else { 0.0 };
+    /// Updates this proxy's share of the full capacity, in requests a second.
+    pub fn set_full_rate(&mut self, full_rate: f64) {
+        self.full_rate = if full_rate.is_finite() { full_rate.max(0.0) } else { 0.0 };
     }
 
-    /// What may be sent now, in requests.
+    /// How much may be sent now, in requests.
     pub fn available(&self, now: Micros) -> f64 {
-        (self.budget(now) - self.counted(now)).max(0.0)
+        (self.budget(now) - self.in_window(now)).max(0.0)
     }
 
-    /// Counts work that is sent, in requests. It is counted whether there was room or not.
+    /// Counts work that is sent, in requests, whether the budget allowed it or not.
     pub fn record(&mut self, now: Micros, work: f64) {
         let slice = self.slice(now);
-        // A clock that went back: what is counted becomes the latest.
-        for step in 0..slice.saturating_sub(self.latest).clamp(0, KEPT as i64) {
-            self.sent[Self::place(slice.saturating_sub(step))] = 0.0;
+        // The clock went back: move everything counted into the current slice.
+        for step in 0..slice.saturating_sub(self.latest).clamp(0, RING as i64) {
+            self.sent[Self::ring_index(slice.saturating_sub(step))] = 0.0;
         }
         if slice < self.latest {
             let sum = self.sent.iter().sum();
-            self.sent = [0.0; KEPT];
-            self.sent[Self::place(slice)] = sum;
+            self.sent = [0.0; RING];
+            self.sent[Self::ring_index(slice)] = sum;
         }
         self.latest = slice;
-        self.sent[Self::place(slice)] += work.max(0.0);
+        self.sent[Self::ring_index(slice)] += work.max(0.0);
         if self.budget(now) < 1.0 {
-            self.rest.lasting(now, self.alone(now));
+            self.cooldown.start(now, self.interval(now));
         }
     }
 
-    /// Requests that may be sent within a window that ends now.
+    /// Requests that may be sent within a window ending now.
     fn budget(&self, now: Micros) -> f64 {
-        let w = &self.warming;
+        let w = &self.warm_up;
         let seconds = w.window.max(1) as f64 / 1e6;
-        w.multiple * self.full * w.capacity(now.saturating_sub(w.window)) * seconds
+        w.multiple * self.full_rate * w.capacity(now.saturating_sub(w.window)) * seconds
     }
 
-    /// The time between two requests where a window has room for less than one, in us: by the end of the
-    /// cold time at the latest there is another.
-    fn alone(&self, now: Micros) -> f64 {
-        (self.warming.window.max(1) as f64 / self.budget(now)).min(self.warming.over as f64)
+    /// The time between two requests where a window allows less than one, in us. Capped by the warm-up
+    /// duration, so that there is another by the end of the cold time at the latest.
+    fn interval(&self, now: Micros) -> f64 {
+        (self.warm_up.window.max(1) as f64 / self.budget(now)).min(self.warm_up.duration as f64)
     }
 
-    /// What the last window and the slice that it begins in hold.
-    fn counted(&self, now: Micros) -> f64 {
-        let passed = self.slice(now).saturating_sub(self.latest).clamp(0, KEPT as i64);
-        (0..KEPT as i64 - passed).map(|back| self.sent[Self::place(self.latest.saturating_sub(back))]).sum()
+    /// The work sent in the last window and the slice in which it begins.
+    fn in_window(&self, now: Micros) -> f64 {
+        let passed = self.slice(now).saturating_sub(self.latest).clamp(0, RING as i64);
+        (0..RING as i64 - passed)
+            .map(|back| self.sent[Self::ring_index(self.latest.saturating_sub(back))])
+            .sum()
     }
 
     fn slice(&self, now: Micros) -> i64 {
-        let w = self.warming.window.max(1);
+        let w = self.warm_up.window.max(1);
         now.div_euclid((w - 1) / SLICES as i64 + 1)
     }
 
-    fn place(slice: i64) -> usize {
-        slice.rem_euclid(KEPT as i64) as usize
+    fn ring_index(slice: i64) -> usize {
+        slice.rem_euclid(RING as i64) as usize
     }
 }
 
@@ -155,7 +169,7 @@
 
     fn allows(&self, now: Micros, _out: u32) -> bool {
         match self.budget(now) < 1.0 {
-            true => self.full > 0.0 && self.counted(now) <= 0.0 && self.rest.over(now),
+            true => self.full_rate > 0.0 && self.in_window(now) <= 0.0 && self.cooldown.is_over(now),
             false => self.available(now) >= 1.0,
         }
     }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,35 +1,39 @@
-//! Limits that measure what they guard.
+//! Adaptive concurrency limits and related admission control for upstreams.
 //!
-//! A proxy stands before things that it does not own: a slow ledger, cache nodes, another hall. Each gets a
-//! limit, which is told how every upstream request ended and says how much may be out. Nothing here opens a
-//! socket, reads a clock or draws a random number: the time comes in with each call, as [`Micros`].
+//! A proxy has no control over what it sends to: a slow origin, cache nodes, another zone. Each of them
+//! gets a limit that is told how every upstream request ended and returns how many requests may be in
+//! flight. Nothing in this package opens a socket, reads a clock or draws a random number: the time is
+//! passed to each call as [`Micros`].
 //!
-//! | file | guards by | use it for |
+//! | module | limits by | use it for |
 //! | --- | --- | --- |
-//! | [`aimd`] | slow answers, additive up, multiplicative down | a baseline to compare with |
-//! | [`origin`] | the time of answers against its best, and what is usually out | the ledger: in service |
-//! | [`node`] | what it turns away, and its silence | each cache node: in service |
-//! | [`gradient`] | usual time over present time | one of many alike, with short trouble |
-//! | [`vegas`] | the part of the time that is waiting, told from slowness | a ledger |
-//! | [`throughput`] | what more concurrency brings | a busy way to a thing that changes its speed |
-//! | [`codel`] | the age of what waits | the queue before a limit |
-//! | [`bucket`] | a rate | quotas, trials, anything with a known rate |
-//! | [`backoff`] | the failures in a row | whatever many proxies may try again |
-//! | [`budget`] | a part of the first attempts | repeats, second copies, clients' marked retries |
-//! | [`popular`] | nothing: it counts keys | ordering what waits |
-//! | [`cold`] | work over any window | a server that has just started |
-//! | [`capacity`] | nothing: it remembers rates | how much a server does that has shown nothing yet: in service |
-//! | [`domain`] | the silence of many nodes together | a hall of which each node sees little: in service |
+//! | [`aimd`] | late answers, additive increase, multiplicative decrease | a baseline for comparisons |
+//! | [`origin`] | latency relative to the best seen, and the usual number in flight | the origin: in service |
+//! | [`node`] | rejections, and missing answers | each cache node: in service |
+//! | [`gradient`] | usual latency over present latency | one of many alike upstreams with short disturbances |
+//! | [`vegas`] | the share of latency spent queueing, told apart from slowness | an origin |
+//! | [`throughput`] | the throughput gained by more concurrency | a busy upstream whose speed changes |
+//! | [`codel`] | the age of queued requests | the queue in front of a limit |
+//! | [`bucket`] | a rate | quotas, probes, anything with a known rate |
+//! | [`backoff`] | consecutive failures | anything that many proxies may retry |
+//! | [`budget`] | a share of the first attempts | retries, second copies, retries marked by clients |
+//! | [`popular`] | nothing: it counts keys | ordering queued requests |
+//! | [`cold`] | the work sent within any window | a server that has just started |
+//! | [`capacity`] | nothing: it remembers rates | the capacity of a server that was not measured yet: in service |
+//! | [`domain`] | missing answers of many nodes together | a zone whose nodes get little traffic each: in service |
 //!
-//! What adapts how much is out implements [`Limit`] and is fed in one way: [`Limit::sent`] once for each
-//! upstream request, [`Limit::ended`] once for its end. The rest is simpler and has methods of its own.
+//! Adaptive limits implement [`Limit`] and are fed in one way: [`Limit::sent`] once for each upstream
+//! request and [`Limit::ended`] once for its end. The other types are simpler and have methods of their
+//! own.
 //!
-//! What holds for all of them: the state has a fixed size, the calls on the fast path allocate nothing, equal
-//! calls give equal results, and a clock that steps in either direction neither panics nor locks a limit up.
-//! After a step forward a limit is as after silence, or as before it; a step back forgets what was timed.
+//! Common properties: the state has a fixed size, the calls on the fast path don't allocate, equal calls
+//! give equal results, and a clock that steps in either direction causes neither a panic nor a permanently
+//! closed limit. After a step forward a limit behaves as after idle time, or as if nothing happened; a step
+//! back discards the time measurements in progress.
 
 #![forbid(unsafe_code)]
 
+mod abandoned;
 pub mod aimd;
 pub mod backoff;
 pub mod bucket;
@@ -37,15 +41,14 @@
 pub mod capacity;
 pub mod codel;
 pub mod cold;
+mod cooldown;
 pub mod domain;
-mod ghosts;
 pub mod gradient;
 #[cfg(feature = "model")]
 pub mod model;
 pub mod node;
 pub mod origin;
 pub mod popular;
-mod rest;
 mod round;
 pub mod throughput;
 pub mod vegas;
@@ -63,42 +66,42 @@
 pub use popular::PopularityCounter;
 pub use round::Range;
 pub use throughput::Throughput;
-pub use vegas::{Vegas, Waiting};
+pub use vegas::{QueueingShare, Vegas};
 
 /// A point in time or a span, in microseconds. The zero of the clock has no meaning.
 pub type Micros = i64;
 
-/// The example of the package's page is a test.
+/// Runs the example of the package's README as a test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
-struct Page;
+struct Readme;
 
-/// How an upstream request ended, as the limit of what it was sent to sees it.
+/// How an upstream request ended, as its limit sees it.
 ///
-/// Limits that go by times look at the times alone: to them `InTime` and `Slow` are the same. Where the line
-/// between the two is drawn matters to [`aimd`].
+/// Limits based on latency look only at the elapsed time and treat `InTime` and `Slow` alike. The threshold
+/// between the two matters to [`aimd`] and [`origin`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Answered well within the time that is wanted of the guarded thing.
+    /// Answered within the latency target of the upstream.
     InTime,
-    /// Answered, or broken off, later than that.
+    /// Answered, or cut off, later than that.
     Slow,
-    /// Turned away or answered with an error: it works, and would not do this.
+    /// Rejected or answered with an error: the upstream is alive but did not do the work.
     Refused,
-    /// No connection, a reset, an answer that cannot be read: says nothing of load.
+    /// No connection, a reset, or an unreadable answer: carries no information about load.
     Broken,
-    /// Given up without an answer. It may still be at work there, so it goes on counting for a while; and
-    /// if its client left before an answer was due, it says nothing else.
+    /// Abandoned without an answer. The upstream may still be working on it, so it keeps counting as in
+    /// flight for a while. If its client left before an answer was due, it carries no other information.
     Abandoned,
 }
 
 impl Ending {
-    /// Whether the guarded thing did what it was asked, in time or late.
+    /// Whether the upstream did the work, in time or late.
     pub fn answered(self) -> bool {
         matches!(self, Ending::InTime | Ending::Slow)
     }
 
-    /// Whether too much work may be the reason that nothing came of it.
+    /// Whether overload may be the reason that there was no result.
     pub fn failed(self) -> bool {
         matches!(self, Ending::Refused | Ending::Abandoned)
     }
@@ -113,37 +116,39 @@
     pub sent: Micros,
     /// How it ended.
     pub ending: Ending,
-    /// How many of this proxy's were out once it was sent, itself included.
+    /// How many requests of this proxy were in flight right after it was sent, itself included.
     pub out_at_send: u32,
-    /// Whether something had to wait for room while it was out: only then was the limit put to the test.
+    /// Whether another request had to wait for the limit while this one was in flight: only then was the
+    /// limit actually tested.
     pub kept_waiting: bool,
 }
 
 impl Sample {
-    /// The time that it took; 0 if the clock went back.
+    /// Elapsed time; 0 if the clock went back.
     pub fn elapsed(&self) -> Micros {
         self.now.saturating_sub(self.sent).max(0)
     }
 }
 
-/// A limit on what is out at one thing, which it learns from how requests there end.
+/// A limit on the requests in flight to one upstream, learned from how they end.
 ///
-/// Feed it all that is sent there, second copies and repeats too, or it takes their load for slowness. One
-/// limit a thing and kind of work: two kinds that take different times blur what it measures.
+/// Feed it everything that is sent there, including second copies and retries; otherwise it mistakes their
+/// load for slowness. Use one limit for each upstream and kind of work: two kinds with different latencies
+/// blur the measurement.
 pub trait Limit {
-    /// A request is sent, and with it `out` are out.
+    /// A request is sent; `out` are in flight, this one included.
     fn sent(&mut self, now: Micros, out: u32);
 
-    /// A request has ended. Each that was sent ends once, in any order.
+    /// A request has ended. Every request that was sent ends once, in any order.
     fn ended(&mut self, sample: &Sample);
 
-    /// To be told a few times a second how many are out. Only [`OriginLimit`] learns from it.
+    /// Reports the number in flight; to be called a few times a second. Only [`OriginLimit`] uses it.
     fn observe_in_flight(&mut self, _now: Micros, _out: u32) {}
 
-    /// How many may be out. Under 1, one at a time with rests between.
+    /// How many requests may be in flight. Under 1, one at a time with pauses between.
     fn limit(&self, now: Micros) -> f64;
 
-    /// Whether another may be sent while `out` are out.
+    /// Whether another request may be sent while `out` are in flight.
     fn allows(&self, now: Micros, out: u32) -> bool {
         f64::from(out) < self.limit(now).max(1.0)
     }
--- a/crates/limits/src/model/cache.rs
+++ b/crates/limits/src/model/cache.rs
@@ -1,45 +1,45 @@
-//! The keys that a node holds, as many as it has room for; the one used longest ago makes room.
+//! The keys cached by a node, up to its capacity, with least-recently-used eviction.
 
 use std::collections::BTreeMap;
 
 #[derive(Default)]
 pub struct Cache {
-    room: usize,
+    capacity: usize,
     clock: u64,
-    used: BTreeMap<u64, u64>,
+    by_use: BTreeMap<u64, u64>,
     keys: BTreeMap<u64, u64>,
 }
 
 impl Cache {
-    pub fn new(room: usize) -> Self {
-        Cache { room, ..Cache::default() }
+    pub fn new(capacity: usize) -> Self {
+        Cache { capacity, ..Cache::default() }
     }
 
-    /// Whether it holds the key, which counts as a use.
-    pub fn uses(&mut self, key: u64) -> bool {
-        let held = self.keys.contains_key(&key);
-        if held {
-            self.keep(key);
+    /// Whether the key is cached; a hit counts as a use.
+    pub fn get(&mut self, key: u64) -> bool {
+        let hit = self.keys.contains_key(&key);
+        if hit {
+            self.insert(key);
         }
-        held
+        hit
     }
 
-    /// Holds the key from now on.
-    pub fn keep(&mut self, key: u64) {
+    /// Caches the key, or marks it as used.
+    pub fn insert(&mut self, key: u64) {
         self.clock += 1;
-        if let Some(before) = self.keys.insert(key, self.clock) {
-            self.used.remove(&before);
+        if let Some(last_used) = self.keys.insert(key, self.clock) {
+            self.by_use.remove(&last_used);
         }
-        self.used.insert(self.clock, key);
-        while self.keys.len() > self.room {
-            let Some((_, oldest)) = self.used.pop_first() else { break };
+        self.by_use.insert(self.clock, key);
+        while self.keys.len() > self.capacity {
+            let Some((_, oldest)) = self.by_use.pop_first() else { break };
             self.keys.remove(&oldest);
         }
     }
 
-    pub fn drop(&mut self, key: u64) {
-        if let Some(used) = self.keys.remove(&key) {
-            self.used.remove(&used);
+    pub fn remove(&mut self, key: u64) {
+        if let Some(last_used) = self.keys.remove(&key) {
+            self.by_use.remove(&last_used);
         }
     }
 }
--- a/crates/limits/src/model/mod.rs
+++ b/crates/limits/src/model/mod.rs
@@ -1,31 +1,32 @@
-//! A small seeded model of proxies, cache nodes and one ledger, in virtual time.
+//! A small seeded simulation of proxies, cache nodes and one origin, in virtual time.
 //!
-//! It is for this package's tests, benches and examples: limits are held side by side on equal days, that
-//! is on the same arrivals with the same work. It is no copy of any real deployment and no judge of the
-//! proxy: the nodes serve by a plain rule, the proxies' decisions are the fewest that make sense, and only
-//! the way to the ledger is limited. Do not draw figures for operators from it.
+//! It serves this package's tests, benches and examples, which compare limits on equal workloads, that is,
+//! on the same arrivals with the same work. It doesn't model a real deployment or the real proxy: the nodes
+//! serve by a simple rule, the proxies make as few decisions as possible, and only the path to the origin
+//! is limited. Don't derive figures for operators from it.
 //!
-//! | file | owns |
+//! | module | contents |
 //! | --- | --- |
-//! | `draw` | random streams, one for each purpose, from one seed |
-//! | `station` | cores with a waiting room; the pressure that stops one |
-//! | `cache` | the keys that a node holds |
-//! | `day` | sizes, troubles, and all arrivals, drawn ahead |
-//! | `proxy` | one proxy: who waits for which fetch, and what is out at the ledger |
-//! | `run` | the order of events |
-//! | `figures` | what a run gives |
+//! | `random` | random streams, one for each purpose, from one seed |
+//! | `server` | cores with a queue; the overload that stops a server |
+//! | `cache` | the keys cached by a node |
+//! | `workload` | sizes, faults, and all arrivals, generated in advance |
+//! | `proxy` | one proxy: which tries wait for which fetch, and what is in flight to the origin |
+//! | `run` | the event loop |
+//! | `results` | the results of a run |
 //!
-//! Every day ends: nothing arrives after it, and what is open then ends by its deadline.
+//! Every run ends: nothing arrives after the end of the workload, and what is open then ends by its
+//! deadline.
 
 mod cache;
-mod day;
-mod draw;
-mod figures;
 mod proxy;
+mod random;
+mod results;
 mod run;
-mod station;
+mod server;
+mod workload;
 
-pub use day::{Day, Setup, Trouble, What};
-pub use figures::{Figures, Trace};
-pub use proxy::Line;
+pub use proxy::QueuePolicy;
+pub use results::{Results, Trace};
 pub use run::run;
+pub use workload::{Fault, FaultKind, Setup, Workload};
--- a/crates/limits/src/model/draw.rs
+++ b/crates/limits/src/model/random.rs
@@ -1,19 +1,20 @@
-//! Random streams. One seed gives a stream for each purpose, so that what one draws moves no other.
+//! Random streams. Each purpose has a stream of its own, derived from one seed, so that drawing from one
+//! does not affect the others.
 
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// A stream.
-pub struct Draw(Xoshiro256PlusPlus);
+/// A random stream.
+pub struct Random(Xoshiro256PlusPlus);
 
-impl Draw {
-    /// The stream of this purpose.
+impl Random {
+    /// The stream for this purpose.
     pub fn new(seed: u64, purpose: u64) -> Self {
-        Draw(Xoshiro256PlusPlus::seed_from_u64(hash(seed) ^ hash(!purpose)))
+        Random(Xoshiro256PlusPlus::seed_from_u64(hash(seed) ^ hash(!purpose)))
     }
 
-    /// Even over 0 to 1.
+    /// Uniform over 0 to 1.
     pub fn unit(&mut self) -> f64 {
         self.0.random()
     }
@@ -25,12 +26,12 @@
 
     /// Lognormal, of mean 1.
     pub fn lognormal(&mut self, sigma: f64) -> f64 {
-        // A sigma that cannot be drawn with has no spread.
+        // An invalid sigma yields no spread.
         LogNormal::new(-sigma * sigma / 2.0, sigma).map_or(1.0, |d| d.sample(&mut self.0))
     }
 }
 
-/// Zipf popularity over so many keys, by its table of sums.
+/// Zipf distribution over a number of keys, as a table of cumulative weights.
 pub struct Zipf(Vec<f64>);
 
 impl Zipf {
@@ -46,14 +47,14 @@
         )
     }
 
-    /// The rank, from 0, that a number of 0 to 1 falls on.
+    /// The rank, from 0, for a uniform number of 0 to 1.
     pub fn rank(&self, unit: f64) -> u64 {
         let all = self.0.last().copied().unwrap_or(1.0);
         self.0.partition_point(|sum| *sum < unit * all) as u64
     }
 }
 
-/// Spreads a number over all 64 bits: the finaliser of SplitMix64 (Steele and others, OOPSLA 2014).
+/// Mixes a number into 64 bits: the finaliser of SplitMix64 (Steele and others, OOPSLA 2014).
 pub fn hash(x: u64) -> u64 {
     let x = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/limits/src/node.rs
+++ b/crates/limits/src/node.rs
@@ -1,75 +1,76 @@
-//! What may be out at one cache node of a proxy, and whether the node still says anything.
+//! Limit for one cache node, and detection of a node that stopped answering.
 //!
-//! Use it before each of many nodes that turn away what they cannot take. Do not use it before one that
-//! queues without end: being turned away is what it learns from.
+//! Use it for each of many nodes that reject what they cannot take. Don't use it for a server with an
+//! unbounded queue: it learns from rejections.
 //!
-//! A node that has never turned anything away has no limit: it says itself when it is full, at once and for
-//! nothing. From then on a limit spares it the asking: [`CUT`] of what was out when it said so, and
-//! [`RISE`] more a round of answers.
+//! A node that never rejected anything has no limit: it signals overload itself, at once and at no cost.
+//! After a rejection a limit avoids asking in vain: [`DECREASE`] times what was in flight at that moment,
+//! and [`INCREASE`] more per round of answers.
 //!
-//! A hang shows in what does not come. While something is out, [`NodeLimit::silence`] counts from the last sign of
-//! life or, if that is later, from the first thing sent after a time with nothing out. A pause of a busy node
-//! looks the same at first, so who asks has to allow for one.
+//! A hang shows by missing answers. While something is in flight, [`NodeLimit::silence`] counts from the
+//! last answer or, if that is later, from the first request sent after a time with nothing in flight. A
+//! pause of a busy node looks the same at first, so the caller has to allow for one.
 //!
-//! - At the start: no limit, and nothing out.
-//! - After silence with nothing out: the limit stays as it was; an idle node is not silent.
-//! - When all answers are errors: errors are signs of life and leave the limit alone.
-//! - A clock that goes back makes the silence shorter, never negative.
+//! - At the start: no limit, and nothing in flight.
+//! - After idle time: the limit stays as it was; an idle node is not silent.
+//! - When all answers are errors: errors are signs of life and don't change the limit.
+//! - A clock that goes back shortens the silence, never below 0.
 //!
-//! Source: up by one a round and down by a factor, Chiu and Jain, Computer Networks and ISDN Systems 17 (1989).
-//! The figures: `docs/design/limits.md`.
+//! Source: additive increase per round and multiplicative decrease, Chiu and Jain, Computer Networks and
+//! ISDN Systems 17 (1989). The values: `docs/design/limits.md`.
 
 use crate::{Ending, Limit, Micros, Sample};
 
-/// What is left of what was out when the node turned something away.
-const CUT: f64 = 0.9;
-/// What the limit gains a round of answers while it is pressed, and what part of it must be out for that.
-const RISE: f64 = 3.0;
-const PRESSED: f64 = 0.7;
-/// The limit at which it is forgotten: nothing that is sent there reaches it.
-const FREE: f64 = 1024.0;
+/// The share of the requests in flight at a rejection that becomes the limit.
+const DECREASE: f64 = 0.9;
+/// Increase per round of answers while the limit is in use, and the share of it that must be in flight for
+/// that.
+const INCREASE: f64 = 3.0;
+const BUSY_SHARE: f64 = 0.7;
+/// From this value on the limit is dropped: no proxy sends that much to one node.
+const UNLIMITED_FROM: f64 = 1024.0;
 
-/// See the file's comment.
+/// Limit for one node; see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct NodeLimit {
     limit: Option<f64>,
-    /// Out now, and since when nothing was heard while something was.
+    /// Requests in flight, and since when the node has been silent with requests in flight.
     out: u32,
-    unheard: Option<Micros>,
+    silent_since: Option<Micros>,
 }
 
 impl NodeLimit {
-    /// How many are out.
+    /// Requests in flight.
     pub fn out(&self) -> u32 {
         self.out
     }
 
-    /// How long it has said nothing though something is out, in us; 0 with nothing out.
+    /// How long the node has been silent with requests in flight, in us; 0 with nothing in flight.
     pub fn silence(&self, now: Micros) -> Micros {
-        self.unheard.map_or(0, |since| now.saturating_sub(since).max(0))
+        self.silent_since.map_or(0, |since| now.saturating_sub(since).max(0))
     }
 }
 
 impl Limit for NodeLimit {
     fn sent(&mut self, now: Micros, out: u32) {
         self.out = out;
-        self.unheard = self.unheard.or(Some(now));
+        self.silent_since = self.silent_since.or(Some(now));
     }
 
     fn ended(&mut self, s: &Sample) {
         let out = f64::from(self.out.max(1));
         self.out = self.out.saturating_sub(1);
-        // What was given up, or found no connection, is no sign of life.
+        // An abandoned request or a failed connection is no sign of life.
         if !matches!(s.ending, Ending::Abandoned | Ending::Broken) {
-            self.unheard = Some(s.now);
+            self.silent_since = Some(s.now);
         }
-        self.unheard = self.unheard.filter(|_| self.out > 0);
+        self.silent_since = self.silent_since.filter(|_| self.out > 0);
         self.limit = match (s.ending, self.limit) {
-            (Ending::Refused, l) => Some((l.unwrap_or(out).min(out) * CUT).max(1.0)),
-            (Ending::InTime | Ending::Slow, Some(l)) if out >= l * PRESSED => Some(l + RISE / l),
+            (Ending::Refused, l) => Some((l.unwrap_or(out).min(out) * DECREASE).max(1.0)),
+            (Ending::InTime | Ending::Slow, Some(l)) if out >= l * BUSY_SHARE => Some(l + INCREASE / l),
             (_, l) => l,
         };
-        self.limit = self.limit.filter(|l| *l < FREE);
+        self.limit = self.limit.filter(|l| *l < UNLIMITED_FROM);
     }
 
     fn limit(&self, _now: Micros) -> f64 {
--- a/crates/limits/src/throughput.rs
+++ b/crates/limits/src/throughput.rs
@@ -1,65 +1,65 @@
-//! By what more concurrency brings: it puts a little more out, then a little less, and keeps more only while
-//! that brings more answers.
+//! Limit by throughput gain: allows a little more concurrency, then a little less, and keeps more only
+//! while that yields more throughput.
 //!
-//! Use it where the way is busy (some tens of answers a second and more) and where the guarded thing may
-//! become slower or faster at any time: slowness alone never moves it. Do not use it on thin traffic, where
-//! chance hides the difference, or where this proxy's part of the load is small: what others send hides it
-//! then.
+//! Use it where traffic is dense (some tens of answers a second and more) and the upstream may become
+//! slower or faster at any time: slowness alone never moves it. Don't use it on thin traffic, where noise
+//! hides the difference, or where this proxy's share of the load is small: what others send hides it then.
 //!
-//! Rounds come in pairs, one above and one below the limit. Each gives a throughput by Little's law, what was
-//! out over what it took. The rise of its logarithm over that of concurrency is the elasticity: 1 while there
-//! is room, 0 where more only waits. Pairs are summed up and fade. Above `MORE` the limit rises, below
-//! `LESS` it falls; the knee between is near the most of throughput over delay (Kleinrock's power).
+//! Rounds come in pairs, one below and one above the limit. Each yields a throughput by Little's law: mean
+//! requests in flight over mean latency. The rise of its logarithm over that of concurrency is the
+//! elasticity: 1 while there is spare capacity, 0 where additional requests only wait. Pairs are summed up
+//! with decay. Above `INCREASE_FROM` the limit rises, below `DECREASE_UP_TO` it falls; the knee between is
+//! near the maximum of throughput over delay (Kleinrock's power).
 //!
-//! - At the start: `Range::start` less a step, and more is taken to bring more; it doubles each pair until
-//!   it does not.
-//! - After silence (10 s without an ending): as new.
-//! - When all answers are errors: half as much a round, down to one at a time with rests of 1 s at most.
-//!   With the first good round, half of what was out before. Where only a part fails, from a fifth on,
-//!   three tenths less a round, down to `Range::least`.
-//! - Broken ones change nothing. A clock that goes back drops the pair.
+//! - At the start: `Range::start` less one step, assuming that more concurrency helps; the limit doubles
+//!   each pair until it does not.
+//! - After idle time (10 s without an end): as new.
+//! - When all answers are errors: halved each round, down to one at a time with pauses of 1 s at most. The
+//!   first good round restores half of what was in flight before. Where only a share fails, from one fifth
+//!   on, three tenths less per round, down to `Range::min`.
+//! - Broken connections change nothing. A clock that goes back discards the pair.
 //!
 //! Sources: Heiss and Wagner, "Adaptive load control in transaction processing systems", VLDB 1991
 //! (incremental steps, and a fit with fading memory); Dong and others, "PCC Vivace: Online-Learning
 //! Congestion Control", NSDI 2018 (paired trials above and below); Kleinrock, "Power and deterministic
 //! rules of thumb for probabilistic problems in computer communications", ICC 1979.
 
-use crate::round::{After, Failing, Range, Round, Seen};
-use crate::{rest::Rest, Limit, Micros, Sample};
+use crate::round::{Failures, Range, Reaction, Round, RoundStats};
+use crate::{cooldown::Cooldown, Limit, Micros, Sample};
 
-/// A round is this far above or below the limit, and by half of one at least: PCC takes 5%, with thousands
-/// of packets a round to see it by.
+/// A round runs this far above or below the limit, at least by one half: PCC uses 5%, with thousands of
+/// packets per round to tell the difference.
 const STEP: f64 = 0.2;
-/// Answers in a round, for each one that may be out, and at least.
-const TURNS: f64 = 2.0;
-const ANSWERS: f64 = 8.0;
-/// What is kept of earlier pairs. Together with `DOUBT` about five pairs decide.
-const KEEP: f64 = 0.8;
-/// The belief that more brings more, as a sum of squared steps: about one pair's.
-const DOUBT: f64 = 0.1;
-/// Elasticity from which more is put out, and up to which less is.
-const MORE: f64 = 0.6;
-const LESS: f64 = 0.3;
-/// The rise and the fall after a pair.
-const UP: f64 = 1.15;
-const DOWN: f64 = 0.87;
+/// Answers in a round: for each request allowed in flight, and at least.
+const ANSWERS_PER_SLOT: f64 = 2.0;
+const MIN_ANSWERS: f64 = 8.0;
+/// Weight of earlier pairs. Together with `PRIOR`, about five pairs decide.
+const DECAY: f64 = 0.8;
+/// Weight of the prior assumption that more concurrency helps, as a sum of squared steps: about one pair.
+const PRIOR: f64 = 0.1;
+/// Elasticity from which the limit rises, and up to which it falls.
+const INCREASE_FROM: f64 = 0.6;
+const DECREASE_UP_TO: f64 = 0.3;
+/// Factors applied to the limit after a pair.
+const INCREASE: f64 = 1.15;
+const DECREASE: f64 = 0.87;
 
-/// See the file's comment.
+/// Limit by throughput gain; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct Throughput {
     limit: f64,
-    /// Whether the round that is on is the upper one, and what the lower gave: out and throughput, as
-    /// logarithms.
+    /// Whether the current round is the upper one, and the logarithms of the mean in flight and of the
+    /// throughput of the lower one.
     upper: bool,
     lower: Option<(f64, f64)>,
-    /// Fading sums over pairs.
+    /// Decaying sums over pairs.
     steps: f64,
     gains: f64,
-    /// Whether it still doubles.
-    fast: bool,
-    failing: Failing,
+    /// Whether the limit still doubles.
+    doubling: bool,
+    failures: Failures,
     round: Round,
-    rest: Rest,
+    cooldown: Cooldown,
 }
 
 impl Throughput {
@@ -72,75 +72,75 @@
             lower: None,
             steps: 0.0,
             gains: 0.0,
-            fast: true,
-            failing: Failing::default(),
+            doubling: true,
+            failures: Failures::default(),
             round,
-            rest: Rest::default(),
+            cooldown: Cooldown::default(),
         }
     }
 
-    /// How much more throughput a little more concurrency brings, as a part of it.
+    /// Relative throughput gain per relative increase of concurrency.
     pub fn elasticity(&self) -> f64 {
-        (self.gains + DOUBT) / (self.steps + DOUBT)
+        (self.gains + PRIOR) / (self.steps + PRIOR)
     }
 
-    /// What may be out in the upper round or the lower one of a pair about `limit`.
-    fn round_of(&self, limit: f64, upper: bool) -> f64 {
+    /// The limit in the upper or the lower round of a pair around `limit`.
+    fn limit_of_round(&self, limit: f64, upper: bool) -> f64 {
         if limit < 1.0 {
             return limit;
         }
         let step = (limit * STEP).max(0.5);
         if upper {
-            (limit + step).min(self.round.range.most)
+            (limit + step).min(self.round.range.max)
         } else {
             (limit - step).max(1.0)
         }
     }
 
-    /// What may be out in the round that is on.
-    fn present(&self) -> f64 {
-        self.round_of(self.limit, self.upper)
+    /// The limit of the current round.
+    fn round_limit(&self) -> f64 {
+        self.limit_of_round(self.limit, self.upper)
     }
 
-    fn learn(&mut self, seen: Seen) {
-        let Range { least, most, .. } = self.round.range;
-        let after = self.failing.after(&seen, self.limit, &self.round.range);
-        if let After::Less(limit) | After::Back(limit) = after {
+    fn update(&mut self, stats: RoundStats) {
+        let Range { min, max, .. } = self.round.range;
+        let reaction = self.failures.react(&stats, self.limit, &self.round.range);
+        if let Reaction::Decrease(limit) | Reaction::Recover(limit) = reaction {
             (self.limit, self.lower, self.upper) = (limit, None, false);
             return;
         }
-        if seen.timed < 1.0 || !seen.pressed() {
-            // Less was out than might be: nothing is known of more.
+        if stats.timed < 1.0 || !stats.limit_reached() {
+            // The limit was not reached, so nothing is known about higher concurrency.
             (self.lower, self.upper) = (None, false);
             return;
         }
-        let out = seen.mean_out().max(1.0).ln();
-        let brought = out - (seen.time / seen.timed).ln();
+        let out = stats.mean_out().max(1.0).ln();
+        let throughput = out - (stats.time / stats.timed).ln();
         if self.limit < 1.0 {
             self.limit *= 2.0;
             return;
         }
         if !self.upper {
-            (self.lower, self.upper) = (Some((out, brought)), true);
+            (self.lower, self.upper) = (Some((out, throughput)), true);
             return;
         }
         self.upper = false;
-        let Some((out_before, brought_before)) = self.lower.take() else { return };
+        let Some((out_before, throughput_before)) = self.lower.take() else { return };
         let step = out - out_before;
-        // A spell that begins between the two is no effect of the step: no gain counts for more than twice
-        // it.
-        let gain = (brought - brought_before).clamp(-2.0 * step.abs(), 2.0 * step.abs());
-        self.steps = self.steps * KEEP + step * step;
-        self.gains = self.gains * KEEP + gain * step;
+        // A disturbance that begins between the two rounds is no effect of the step: a gain counts for
+        // twice the step at most.
+        let gain = (throughput - throughput_before).clamp(-2.0 * step.abs(), 2.0 * step.abs());
+        self.steps = self.steps * DECAY + step * step;
+        self.gains = self.gains * DECAY + gain * step;
         let elasticity = self.elasticity();
-        self.fast &= elasticity >= MORE;
+        self.doubling &= elasticity >= INCREASE_FROM;
         self.limit *= match elasticity {
-            e if e >= MORE && self.fast => 2.0,
-            e if e >= MORE => UP,
-            e if e <= LESS => DOWN,
+            e if e >= INCREASE_FROM && self.doubling => 2.0,
+            e if e >= INCREASE_FROM => INCREASE,
+            e if e <= DECREASE_UP_TO => DECREASE,
             _ => 1.0,
         };
-        self.limit = self.limit.clamp(least, most);
+        self.limit = self.limit.clamp(min, max);
     }
 }
 
@@ -153,23 +153,27 @@
     }
 
     fn ended(&mut self, s: &Sample) {
-        let answers = if self.failing.dark() { 0.0 } else { (self.present() * TURNS).max(ANSWERS) };
-        if let Some(seen) = self.round.ended(s, answers) {
-            self.learn(seen);
+        let answers = if self.failures.all_failed() {
+            0.0
+        } else {
+            (self.round_limit() * ANSWERS_PER_SLOT).max(MIN_ANSWERS)
+        };
+        if let Some(stats) = self.round.ended(s, answers) {
+            self.update(stats);
         }
-        self.rest.after(s.now, self.round.busy(s, self.limit), self.limit);
+        self.cooldown.start_after(s.now, self.round.busy_time(s, self.limit), self.limit);
     }
 
     fn limit(&self, now: Micros) -> f64 {
-        if self.round.forgotten(now) {
-            self.round_of(self.round.range.start, false)
+        if self.round.is_stale(now) {
+            self.limit_of_round(self.round.range.start, false)
         } else {
-            self.present()
+            self.round_limit()
         }
     }
 
     fn allows(&self, now: Micros, out: u32) -> bool {
-        let ghosts = if self.failing.dark() { 0 } else { self.round.ghosts(now) };
-        f64::from(out.saturating_add(ghosts)) < self.limit(now).max(1.0) && self.rest.over(now)
+        let abandoned = if self.failures.all_failed() { 0 } else { self.round.abandoned(now) };
+        f64::from(out.saturating_add(abandoned)) < self.limit(now).max(1.0) && self.cooldown.is_over(now)
     }
 }
--- a/crates/limits/tests/given.rs
+++ b/crates/limits/tests/given.rs
@@ -1,4 +1,4 @@
-//! What buckets and budgets promise, whatever is asked of them.
+//! Guarantees of token buckets, retry budgets and cold budgets for any input.
 
 use limits::*;
 use proptest::prelude::*;
@@ -9,14 +9,14 @@
     Sample { now, sent: now - 1000, ending, out_at_send: 1, kept_waiting: false }
 }
 
-fn warming(started: Micros) -> WarmUp {
-    WarmUp { started, from: 0.15, over: 23 * SECOND, multiple: 3.0, window: SECOND }
+fn warm_up(started: Micros) -> WarmUp {
+    WarmUp { started, initial_share: 0.15, duration: 23 * SECOND, multiple: 3.0, window: SECOND }
 }
 
 proptest! {
-    /// Tokens taken within any span are its rate's and one burst.
+    /// The tokens taken within any span are at most its rate's and one burst.
     #[test]
-    fn a_bucket_gives_no_more_than_its_rate_and_burst(
+    fn bucket_stays_within_its_rate_and_burst(
         gaps in prop::collection::vec(0i64..400_000, 1..300), rate in 0.1f64..50.0, burst in 1.0f64..20.0,
     ) {
         let (mut bucket, mut now) = (Bucket::default(), 0);
@@ -25,7 +25,7 @@
             now += gap;
             let wait = bucket.wait(now, rate, burst);
             let some = bucket.take(now, rate, burst);
-            prop_assert_eq!(wait == Some(0), some, "the wait it names is true");
+            prop_assert_eq!(wait == Some(0), some, "the wait it returns is exact");
             taken.extend(some.then_some(now));
         }
         for (i, first) in taken.iter().enumerate() {
@@ -36,12 +36,12 @@
         }
     }
 
-    /// The extras of any run are at most its depth and `part` of its requests, however things end.
+    /// The extras of any run are at most its depth and `share` of its requests, however requests end.
     #[test]
-    fn extras_stay_within_their_part_of_the_requests(
-        steps in prop::collection::vec((0u8..4, 0u8..5), 1..500), part in 0.0f64..0.5, depth in 0.0f64..20.0,
+    fn extras_stay_within_their_share_of_the_requests(
+        steps in prop::collection::vec((0u8..4, 0u8..5), 1..500), share in 0.0f64..0.5, depth in 0.0f64..20.0,
     ) {
-        let mut budget = Budget::new(part, depth);
+        let mut budget = Budget::new(share, depth);
         let (mut requests, mut extras) = (0.0, 0.0);
         for (i, (what, how)) in steps.into_iter().enumerate() {
             let now = i as i64 * 10_000;
@@ -55,17 +55,17 @@
                 (2, _) => extras += f64::from(u8::from(budget.take(Extra::SecondCopy))),
                 _ => extras += f64::from(u8::from(budget.take(Extra::Retry))),
             }
-            prop_assert!(extras <= depth + part * requests + 1e-6 && budget.left() <= depth);
+            prop_assert!(extras <= depth + share * requests + 1e-6 && budget.left() <= depth);
         }
     }
 
-    /// The rule itself: the work of any window, wherever it begins, is under the multiple of what the server
-    /// surely does at its beginning.
+    /// The rule itself: the work of any window, wherever it begins, stays below the multiple of the
+    /// capacity guaranteed at its beginning.
     #[test]
-    fn no_window_of_a_cold_server_holds_more_than_its_budget(
+    fn no_window_of_a_cold_server_exceeds_its_budget(
         gaps in prop::collection::vec(0i64..200_000, 1..400), full in 0.0f64..40.0, phase in 0.0f64..1.0,
     ) {
-        let w = warming(5 * SECOND);
+        let w = warm_up(5 * SECOND);
         let (mut cold, mut now) = (ColdBudget::new(w.started, w, full, phase), w.started);
         let mut sent = Vec::new();
         for gap in gaps {
@@ -82,11 +82,11 @@
         }
     }
 
-    /// No clock, however it steps, breaks them, or locks them up for good.
+    /// No clock step makes them panic or closes them for good.
     #[test]
-    fn clocks_that_step_neither_panic_nor_lock_up(times in prop::collection::vec(any::<i64>(), 1..60)) {
+    fn clock_steps_neither_panic_nor_close_a_limit(times in prop::collection::vec(any::<i64>(), 1..60)) {
         let (mut bucket, mut budget) = (Bucket::default(), Budget::new(0.2, 10.0));
-        let mut cold = ColdBudget::new(0, warming(0), 10.0, 0.5);
+        let mut cold = ColdBudget::new(0, warm_up(0), 10.0, 0.5);
         for now in times {
             bucket.take(now, 5.0, 5.0);
             bucket.wait(now, 5.0, 5.0);
@@ -103,9 +103,10 @@
 }
 
 #[test]
-fn a_thin_part_of_a_cold_server_is_one_request_each_so_many_windows() {
-    // A sixty-fourth of 30 a second: 0.2 in the first second's window, one each 4.7 s at first.
-    let w = warming(0);
+fn small_share_of_a_cold_server_is_one_request_per_several_windows() {
+    // A share of one sixty-fourth of 30 a second: 0.2 in the first second's window, so one each 4.7 s at
+    // first.
+    let w = warm_up(0);
     let mut cold = ColdBudget::new(0, w, 30.0 / 64.0, 0.5);
     let mut sent = Vec::new();
     for now in (0..23 * SECOND).step_by(10_000) {
@@ -120,8 +121,8 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_gives_a_cold_server_no_second_budget() {
-    let mut cold = ColdBudget::new(0, warming(0), 20.0, 0.0);
+fn clock_going_back_does_not_renew_the_cold_budget() {
+    let mut cold = ColdBudget::new(0, warm_up(0), 20.0, 0.0);
     let mut send =
         |now| (0..100).filter(|_| cold.allows(now, 0).then(|| cold.sent(now, 1)).is_some()).count();
     assert!(send(10 * SECOND) > 20);
@@ -136,8 +137,8 @@
 }
 
 #[test]
-fn nothing_is_sent_to_a_cold_server_that_has_no_known_capacity_until_it_is_learnt() {
-    let mut cold = ColdBudget::new(0, warming(0), 0.0, 0.0);
+fn cold_server_of_unknown_capacity_gets_nothing() {
+    let mut cold = ColdBudget::new(0, warm_up(0), 0.0, 0.0);
     assert!(!cold.allows(2 * SECOND, 0));
     cold.set_full_rate(20.0);
     assert!(cold.allows(2 * SECOND, 0));
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn a_budget_shrinks_under_strain_and_is_back_when_it_ends() {
+fn budget_shrinks_with_failures_and_recovers() {
     let mut budget = Budget::new(0.2, 10.0);
     (0..100).for_each(|i| budget.ended(&end(i, Ending::Abandoned)));
     (0..100).for_each(|i| budget.request(i));
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn a_budget_under_half_the_strain_pays_about_half() {
+fn budget_pays_half_at_half_the_failure_range() {
     let mut budget = Budget::new(0.2, 10.0);
     let mut extras = 0;
     for i in 0..2000 {
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn a_budget_forgets_strain_after_silence_but_not_within_it() {
+fn budget_resets_failures_only_after_idle_time() {
     let mut budget = Budget::new(1.0, 10.0);
     (0..100).for_each(|i| budget.ended(&end(i, Ending::Refused)));
     budget.request(9 * SECOND);
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn copies_leave_half_of_a_budget_to_repeats() {
+fn second_copies_leave_half_of_the_budget_to_retries() {
     let mut budget = Budget::new(0.0, 10.0);
     assert_eq!((0..20).filter(|_| budget.take(Extra::SecondCopy)).count(), 5);
     assert_eq!((0..20).filter(|_| budget.take(Extra::Retry)).count(), 5);
--- a/crates/limits/tests/node.rs
+++ b/crates/limits/tests/node.rs
@@ -1,4 +1,4 @@
-//! A node's gate: what being turned away teaches it, and how a hang is told from an idle node.
+//! Limit for a cache node: what it learns from rejections, and how a hang is told from an idle node.
 
 use limits::*;
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_node_that_never_turned_anything_away_has_no_limit() {
+fn node_without_rejections_has_no_limit() {
     let mut node = NodeLimit::default();
     send(&mut node, 0, 500);
     assert!(node.limit(0).is_infinite() && node.allows(0, 500));
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn being_turned_away_leaves_nine_tenths_of_what_was_out_and_answers_raise_it_by_three_a_round() {
+fn rejection_leaves_nine_tenths_and_answers_add_three_per_round() {
     let mut node = NodeLimit::default();
     send(&mut node, 0, 20);
     end(&mut node, 10, Ending::Refused);
     assert!((node.limit(10) - 18.0).abs() < 1e-9);
     assert!(!node.allows(10, 18) && node.allows(10, 17));
-    // A round: as many answers as are out, with that many out all the while.
+    // A round: as many answers as are in flight, with that many in flight all the while.
     for i in 0..18 {
         let room = 19 - node.out();
         send(&mut node, 20 + i, room);
@@ -41,11 +41,11 @@
     assert!((20.5..=21.0).contains(&node.limit(50)), "{}", node.limit(50));
     let before = node.limit(50);
     (0..15).for_each(|i| end(&mut node, 60 + i, Ending::InTime));
-    assert!(node.limit(80) < before + 1.5, "what nothing presses against hardly rises");
+    assert!(node.limit(80) < before + 1.5, "a limit that is not reached hardly rises");
 }
 
 #[test]
-fn a_node_that_has_room_again_is_free_again() {
+fn node_with_capacity_again_loses_its_limit() {
     let mut node = NodeLimit::default();
     send(&mut node, 0, 4);
     end(&mut node, 10, Ending::Refused);
@@ -60,19 +60,19 @@
 }
 
 #[test]
-fn a_hang_shows_from_the_last_sign_of_life_and_ends_with_the_next() {
+fn silence_counts_from_the_last_answer_to_the_next() {
     let mut node = NodeLimit::default();
     send(&mut node, 0, 3);
     end(&mut node, 100, Ending::InTime);
     assert_eq!(node.silence(700_100), 700_000);
     end(&mut node, 800_000, Ending::Abandoned);
-    assert_eq!(node.silence(900_000), 899_900, "what was given up is no sign of life");
+    assert_eq!(node.silence(900_000), 899_900, "an abandoned request is no sign of life");
     end(&mut node, 900_000, Ending::Refused);
-    assert_eq!((node.out(), node.silence(950_000)), (0, 0), "nothing is out");
+    assert_eq!((node.out(), node.silence(950_000)), (0, 0), "nothing is in flight");
 }
 
 #[test]
-fn an_idle_node_is_not_silent_and_a_send_after_idling_counts_from_itself() {
+fn idle_node_is_not_silent_and_a_later_send_starts_the_count() {
     let mut node = NodeLimit::default();
     send(&mut node, 0, 1);
     end(&mut node, 1000, Ending::InTime);
@@ -85,9 +85,10 @@
 }
 
 proptest! {
-    /// Whatever happens there, one may always be sent, and what is out is what was sent and has not ended.
+    /// Whatever happens, one request is always allowed, and the number in flight is what was sent and has
+    /// not ended.
     #[test]
-    fn a_node_counts_what_is_out_and_never_locks_up(
+    fn node_counts_requests_in_flight_and_always_admits_one(
         steps in prop::collection::vec((any::<bool>(), 0u8..5, -SECOND..SECOND), 0..200),
     ) {
         let endings = [Ending::InTime, Ending::Slow, Ending::Refused, Ending::Broken, Ending::Abandoned];
--- a/crates/limits/tests/popular.rs
+++ b/crates/limits/tests/popular.rs
@@ -1,4 +1,4 @@
-//! How often keys were asked for: never too low, fades, and keeps to its table.
+//! Approximate request counts of keys: never too low, decaying, and of bounded size.
 
 use limits::PopularityCounter;
 use proptest::prelude::*;
@@ -13,14 +13,14 @@
 }
 
 proptest! {
-    /// Asks and fades in any order, of few hashes that share cells too: never below the true count.
+    /// Requests and decays in any order, with few hashes that also share cells: never below the true count.
     #[test]
     fn a_count_is_never_below_the_true_one(
         steps in prop::collection::vec((0u64..300, 0u8..20), 1..600), spread in any::<bool>(),
     ) {
         let (mut popular, mut truth) = (PopularityCounter::default(), BTreeMap::<u64, f64>::new());
         for (key, what) in steps {
-            // Without the mixing many keys share all cells but those of one row.
+            // Without mixing, many keys share all cells but those of one row.
             let hash = if spread { mix(key) } else { key << 54 };
             if what == 0 {
                 popular.decay(0.5);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn counts_of_a_day_of_keys_are_seldom_too_high() {
+fn counts_are_rarely_too_high() {
     let mut popular = PopularityCounter::default();
     (0..1000).for_each(|key| popular.record(mix(key)));
     let high = (0..1000).filter(|key| popular.count(mix(*key)) > 1.5).count();
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn what_was_asked_long_ago_fades_away_and_what_is_asked_now_counts_in_full() {
+fn old_requests_decay_and_new_ones_count_in_full() {
     let mut popular = PopularityCounter::default();
     (0..1000).for_each(|_| popular.record(mix(1)));
-    // 200 s of the proxy's fading, through many rewrites of the cells.
+    // 200 s of decay at the proxy's rate, through many rewrites of the cells.
     (0..1000).for_each(|_| popular.decay(0.98));
     assert!(popular.count(mix(1)) < 1e-5, "{}", popular.count(mix(1)));
     (0..3).for_each(|_| popular.record(mix(2)));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_fade_that_makes_no_sense_forgets_nothing_and_breaks_nothing() {
+fn invalid_decay_factor_changes_nothing() {
     let mut popular = PopularityCounter::default();
     popular.record(mix(1));
     [0.0, -1.0, 2.0, f64::NAN, f64::INFINITY].into_iter().for_each(|keep| popular.decay(keep));
--- a/crates/placement/tests/equality.rs
+++ b/crates/placement/tests/equality.rs
@@ -1,10 +1,10 @@
-//! The index gives what ranking all nodes gives: over random fleets, weights, changes and keys.
+//! The index returns the same nodes as ranking all of them: over random fleets, weights, changes and keys.
 
 use placement::{mix, unit, Index, Place, Ranked, FAR, NEAR};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// A node with its weight by now, which may be below that placed, and whether it may be used.
+/// A node with its current weight as a share of the placed one, and whether it may be used.
 #[derive(Clone, Copy, Debug)]
 struct Node {
     id: u64,
@@ -34,7 +34,7 @@
         distance / (n.weight * n.warmth * if n.side == NEAR { 1.0 } else { far })
     }
 
-    /// All nodes, ranked.
+    /// Ranks all nodes.
     fn ranked(&self, key: u64, want: usize, far: f64) -> Vec<(f64, u64)> {
         let usable = self.nodes.iter().flatten().filter(|n| n.usable);
         let score = |n: &Node| (Self::score(n, -unit(mix(key ^ mix(n.id))).ln(), far), n.id);
@@ -65,9 +65,9 @@
 #[derive(Clone, Debug)]
 enum Step {
     Set(usize, Option<Node>),
-    /// The weights of a part of the fleet change.
+    /// The weights of some nodes change.
     Warm(usize, f64),
-    /// A part of the fleet may not be used, or may be again.
+    /// Some nodes may not be used, or may be again.
     Use(usize, bool),
     Ask(u64, usize, f64),
 }
@@ -86,7 +86,7 @@
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, rng_seed: RngSeed::Fixed(14), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_index_gives_what_ranking_all_nodes_gives_whatever_changes_between(
+    fn index_equals_full_ranking_after_any_changes(
         nodes in prop::collection::vec(node(), 0..400),
         steps in prop::collection::vec(step(), 1..200),
     ) {
@@ -113,8 +113,8 @@
     }
 }
 
-/// So many nodes, alike but for every second one's side.
-fn alike(nodes: usize) -> Fleet {
+/// This many equal nodes, alternating between the sides.
+fn uniform_fleet(nodes: usize) -> Fleet {
     let node = |id: usize| Node { id: id as u64, side: id % 2, weight: 1.0, warmth: 1.0, usable: true };
     let mut fleet = Fleet::default();
     (0..nodes).for_each(|slot| fleet.set(slot, Some(node(slot + 1))));
@@ -123,24 +123,25 @@
 }
 
 #[test]
-fn a_thousand_nodes_that_come_and_go_at_once_are_more_than_the_log_holds_and_change_nothing() {
-    let mut fleet = alike(2_000);
-    let asked = |fleet: &Fleet| (0..50).all(|k| fleet.best(mix(k), 12, 0.3) == fleet.ranked(mix(k), 12, 0.3));
-    // Twice, so that lists are kept.
-    assert!(asked(&fleet) && asked(&fleet));
+fn more_changes_than_the_log_holds_do_not_affect_results() {
+    let mut fleet = uniform_fleet(2_000);
+    let matches_ranking =
+        |fleet: &Fleet| (0..50).all(|k| fleet.best(mix(k), 12, 0.3) == fleet.ranked(mix(k), 12, 0.3));
+    // Twice, so that lists are cached.
+    assert!(matches_ranking(&fleet) && matches_ranking(&fleet));
     let node = |id: u64| Node { id, side: NEAR, weight: 3.0, warmth: 1.0, usable: true };
     (0..1_000).for_each(|slot| fleet.set(slot, Some(node(1_000_000 + slot as u64))));
     fleet.index.update_floors();
-    assert!(asked(&fleet));
+    assert!(matches_ranking(&fleet));
     (0..1_990).for_each(|slot| fleet.set(slot, None));
     fleet.index.update_floors();
-    assert!(asked(&fleet));
+    assert!(matches_ranking(&fleet));
 }
 
 #[test]
-fn a_key_that_comes_again_looks_at_few_nodes_of_a_large_fleet() {
-    let fleet = alike(4_000);
-    let looked_at = |key: u64| {
+fn repeated_key_scores_few_nodes_of_a_large_fleet() {
+    let fleet = uniform_fleet(4_000);
+    let nodes_scored = |key: u64| {
         let (mut n, mut best) = (0, Vec::new());
         let score = |slot: u32, distance: f64| {
             n += 1;
@@ -149,15 +150,15 @@
         fleet.index.best(key, 1, [1.0, 1.0], score, &mut best);
         n
     };
-    assert!((0..1_000).map(|k| looked_at(mix(k))).sum::<usize>() < 5_000);
+    assert!((0..1_000).map(|k| nodes_scored(mix(k))).sum::<usize>() < 5_000);
 }
 
 #[test]
-fn more_keys_than_lists_are_kept_for_still_get_their_nodes() {
-    let fleet = alike(64);
+fn more_keys_than_cached_lists_still_get_their_nodes() {
+    let fleet = uniform_fleet(64);
     for round in 0..2 {
         for key in (0..placement::MAX_CACHED_LISTS as u64 + 500).map(mix) {
-            // In pairs, so that each is kept at its second time.
+            // Twice in a row, so that each is cached at its second time.
             assert_eq!(fleet.best(key, 1, 0.5), fleet.best(key, 1, 0.5));
             if key % 64 == 0 {
                 assert_eq!(fleet.best(key, 2, 0.5), fleet.ranked(key, 2, 0.5), "round {round}");
