--- a/crates/cost/src/decision.rs
+++ b/crates/cost/src/decision.rs
@@ -12,7 +12,7 @@
 pub struct Router {
     balancer: Balancer,
     now: Micros,
-    asked: u64,
+    requests: u64,
     out: Vec<Action>,
     timer: Option<Token>,
     /// Requests that no server was chosen for.
@@ -22,7 +22,7 @@
 impl Router {
     pub fn new(nodes: u64) -> Self {
         let (balancer, out) = (Balancer::new(settings(), 1), Vec::new());
-        let mut r = Router { balancer, now: 1_000 * SECOND, asked: 0, out, timer: None, refused: 0 };
+        let mut r = Router { balancer, now: 1_000 * SECOND, requests: 0, out, timer: None, refused: 0 };
         r.members(ListForm::Cached, fleet(nodes));
         r
     }
@@ -52,10 +52,10 @@
     /// requested before.
     #[inline(never)]
     pub fn decide(&mut self, new_key: bool) {
-        self.asked += 1;
+        self.requests += 1;
         self.now += REQUEST_INTERVAL;
-        let id = RequestId(self.asked);
-        let key = if new_key { Key(crate::mix(!self.asked)) } else { key(self.asked) };
+        let id = RequestId(self.requests);
+        let key = if new_key { Key(crate::mix(!self.requests)) } else { key(self.requests) };
         let request = Request { id, key, deadline: self.now + SECOND, ..Request::default() };
         self.balancer.handle(self.now, Event::Request(request), &mut self.out);
         let server = self.out.iter().find_map(|a| match a {
@@ -86,7 +86,7 @@
     pub fn run(&mut self, rounds: u64, new_key: bool) {
         for _ in 0..rounds {
             self.decide(new_key);
-            if self.asked.is_multiple_of(REQUESTS_PER_TURN) {
+            if self.requests.is_multiple_of(REQUESTS_PER_TURN) {
                 self.turn();
             }
         }
--- a/crates/cost/src/main.rs
+++ b/crates/cost/src/main.rs
@@ -48,14 +48,14 @@
         Command::Decision { nodes, rounds, new } => {
             let before = bytes_held();
             let mut router = Router::new(nodes);
-            let bytes_listed = bytes_held() - before;
+            let listed = bytes_held() - before;
             router.run(rounds, new);
             let (since, allocated_before) = (Instant::now(), allocations());
             router.run(rounds, new);
             let (ns, allocated) = (since.elapsed().as_nanos(), allocations() - allocated_before);
             let each = |x: f64| x / rounds as f64;
             println!(
-                "nodes={nodes} ns={:.0} allocations={:.2} refused={} bytes_listed={bytes_listed} bytes_after={}",
+                "nodes={nodes} ns={:.0} allocations={:.2} refused={} bytes_listed={listed} bytes_after={}",
                 each(ns as f64),
                 each(allocated as f64),
                 router.refused,
@@ -65,7 +65,7 @@
         Command::Request { nodes, downstreams, rounds } => {
             let before = bytes_held();
             let mut proxy = Proxy::new(nodes, downstreams);
-            let bytes_listed = bytes_held() - before;
+            let listed = bytes_held() - before;
             proxy.run(rounds.max(2 * downstreams));
             proxy.reset();
             let since = Instant::now();
@@ -75,7 +75,7 @@
             for (name, count) in STAGES.iter().zip(proxy.allocations) {
                 print!(" {}={:.2}", name.replace(' ', "_"), count as f64 / rounds as f64);
             }
-            println!(" bytes_listed={bytes_listed} bytes_after={}", bytes_held() - before);
+            println!(" bytes_listed={listed} bytes_after={}", bytes_held() - before);
         }
         Command::Turns { nodes, rounds } => {
             let mut router = Router::new(nodes);
--- a/crates/limits/src/bucket.rs
+++ b/crates/limits/src/bucket.rs
@@ -21,14 +21,14 @@
     /// When it was last refilled.
     pub at: Micros,
     /// How many tokens were requested; only ever increased here.
-    pub asked: f64,
+    pub requested: f64,
 }
 
 impl Bucket {
     /// Takes a token if there is one, at `rate` tokens a second and a depth of one second's worth or
     /// `burst`, whichever is larger.
     pub fn take(&mut self, now: Micros, rate: f64, burst: f64) -> bool {
-        self.asked += 1.0;
+        self.requested += 1.0;
         self.tokens = self.tokens_at(now, rate, burst);
         self.at = now;
         let granted = self.tokens >= 1.0;
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -8,9 +8,9 @@
 //! | module | limits by | use it for |
 //! | --- | --- | --- |
 //! | [`aimd`] | late answers, additive increase, multiplicative decrease | a baseline for comparisons |
-//! | [`origin`] | latency relative to the best seen, and the usual number in flight | the origin: in service |
+//! | [`origin`] | latency over the best seen, and the usual number in flight | the origin: in service |
 //! | [`node`] | rejections, and missing answers | each cache node: in service |
-//! | [`gradient`] | usual latency over present latency | one of many alike upstreams with short disturbances |
+//! | [`gradient`] | usual latency over present latency | one of many alike, with short disturbances |
 //! | [`vegas`] | the share of latency spent queueing, told apart from slowness | an origin |
 //! | [`throughput`] | the throughput gained by more concurrency | a busy upstream whose speed changes |
 //! | [`codel`] | the age of queued requests | the queue in front of a limit |
@@ -19,8 +19,8 @@
 //! | [`budget`] | a share of the first attempts | retries, second copies, retries marked by clients |
 //! | [`popular`] | nothing: it counts keys | ordering queued requests |
 //! | [`cold`] | the work sent within any window | a server that has just started |
-//! | [`capacity`] | nothing: it remembers rates | the capacity of a server that was not measured yet: in service |
-//! | [`domain`] | missing answers of many nodes together | a zone whose nodes get little traffic each: in service |
+//! | [`capacity`] | nothing: it remembers rates | servers without measurements of their own: in service |
+//! | [`domain`] | missing answers of many nodes together | zones with little traffic per node: in service |
 //!
 //! Adaptive limits implement [`Limit`] and are fed in one way: [`Limit::sent`] once for each upstream
 //! request and [`Limit::ended`] once for its end. The other types are simpler and have methods of their
--- a/crates/limits/src/model/proxy.rs
+++ b/crates/limits/src/model/proxy.rs
@@ -154,7 +154,7 @@
     pub fn shed(&mut self, now: Micros) -> Option<Call> {
         match &mut self.queue {
             RequestQueue::ByWorth(queue, codel) => {
-                let oldest = queue.first().map(|(came, _)| *came);
+                let oldest = queue.first().map(|(arrived, _)| *arrived);
                 if !codel.as_mut().is_some_and(|codel| codel.should_drop(now, oldest)) {
                     return None;
                 }
@@ -170,8 +170,9 @@
     /// client of a try leaves.
     pub fn take_hopeless(&mut self, now: Micros, deadline: impl Fn(&usize) -> Micros) -> Option<Call> {
         let RequestQueue::ByWorth(queue, _) = &mut self.queue else { return None };
-        let least = now + (self.latency / 2.0) as Micros;
-        let late = |call: &Call| self.calls.get(call).is_none_or(|w| w.iter().all(|t| deadline(t) <= least));
+        let min_deadline = now + (self.latency / 2.0) as Micros;
+        let late =
+            |call: &Call| self.calls.get(call).is_none_or(|w| w.iter().all(|t| deadline(t) <= min_deadline));
         let at = queue.iter().position(|(_, call)| late(call))?;
         Some(queue.remove(at).1)
     }
--- a/crates/limits/src/model/run.rs
+++ b/crates/limits/src/model/run.rs
@@ -55,7 +55,7 @@
     epoch: u32,
     retries: u32,
     over: bool,
-    asked: u32,
+    nodes_asked: u32,
     missed: Option<usize>,
     call: Option<Call>,
 }
@@ -207,10 +207,10 @@
             Event::Restart(p) => self.restart(p),
             Event::OriginStops(until) => self.stop(until),
             Event::Tick => {
-                let one = |p: &Proxy| p.limit.limit(self.now);
+                let limit_of = |p: &Proxy| p.limit.limit(self.now);
                 let origin_requests = f64::from(self.origin.busy) + self.origin.queue.len() as f64;
-                let (first, last) = (one(&self.proxies[0]), self.proxies.last().map_or(0.0, one));
-                let limits = self.proxies.iter().map(one).sum();
+                let (first, last) = (limit_of(&self.proxies[0]), self.proxies.last().map_or(0.0, limit_of));
+                let limits = self.proxies.iter().map(limit_of).sum();
                 if self.results.trace.len() % 2 == 0 {
                     let now = self.now;
                     self.proxies.iter_mut().for_each(|p| p.limit.observe_in_flight(now, p.out));
@@ -229,8 +229,8 @@
         let id = self.tries.len();
         let a = self.workload.arrivals[arrival];
         let proxy = self.workload.pick_proxy(a.zone, id as u64) as usize;
-        let (over, asked, missed, call) = (false, 0, None, None);
-        self.tries.push(Try { arrival, at, proxy, epoch: 0, retries, over, asked, missed, call });
+        let (over, nodes_asked, missed, call) = (false, 0, None, None);
+        self.tries.push(Try { arrival, at, proxy, epoch: 0, retries, over, nodes_asked, missed, call });
         self.at(at, Event::Try(id));
     }
 
@@ -302,14 +302,14 @@
     // ---- nodes
 
     fn ask_node(&mut self, t: usize) {
-        let Try { proxy, asked, .. } = self.tries[t];
+        let Try { proxy, nodes_asked, .. } = self.tries[t];
         let key = self.arrival(t).key;
         let p = &self.proxies[proxy];
-        let node = self.ranked(key).filter(|n| p.can_use(self.now, *n)).nth(asked as usize);
-        match node.filter(|_| asked < MAX_NODES) {
+        let node = self.ranked(key).filter(|n| p.can_use(self.now, *n)).nth(nodes_asked as usize);
+        match node.filter(|_| nodes_asked < MAX_NODES) {
             None => self.request_origin(t, Call::Read(key)),
             Some(node) => {
-                self.tries[t].asked += 1;
+                self.tries[t].nodes_asked += 1;
                 let work = self.arrival(t).node_work;
                 let a = self.attempt(proxy, Target::Node(node, t), 0, work, false);
                 self.at(self.now + NODE_TIMEOUT, Event::NodeTimeout(a));
@@ -391,10 +391,10 @@
                 work * if self.nodes[node].1.get(key) { 1.0 } else { MISS_WORK }
             }
             Target::Origin(_) => {
-                let held = self.origin.queue.len() as f64 / self.workload.setup.queue.max(1) as f64;
+                let queue_fill = self.origin.queue.len() as f64 / self.workload.setup.queue.max(1) as f64;
                 let time = work
                     * self.workload.setup.slowdown(self.now, write)
-                    * (1.0 + self.workload.setup.contention * held);
+                    * (1.0 + self.workload.setup.contention * queue_fill);
                 self.results.busy += time;
                 time
             }
--- a/crates/limits/src/model/workload.rs
+++ b/crates/limits/src/model/workload.rs
@@ -211,7 +211,7 @@
                 return Workload { setup, seed, arrivals };
             }
             // Thinning: arrivals are drawn at the peak rate and accepted at the present one.
-            let (accept, crowd_draw, key_draw, write_draw) =
+            let (accept, surge_draw, key_draw, write_draw) =
                 (times.unit(), keys.unit(), keys.unit(), keys.unit());
             let (node_work, origin_work, zone_draw) =
                 (works.exp(), works.lognormal(setup.sigma), zones.unit());
@@ -219,7 +219,7 @@
             for (i, t) in setup.faults.iter().enumerate().filter(|(_, t)| t.is_active(at)) {
                 load += t.added_load();
                 match t.kind {
-                    FaultKind::Surge(_, part) if crowd_draw < part => {
+                    FaultKind::Surge(_, part) if surge_draw < part => {
                         hot = Some(hash(1 + i as u64) ^ (key_draw * 8.0) as u64)
                     }
                     FaultKind::NoTraffic => load = f64::NEG_INFINITY,
--- a/crates/limits/src/origin.rs
+++ b/crates/limits/src/origin.rs
@@ -85,7 +85,7 @@
 const LATENCY_SECONDS: f64 = 10.0;
 /// Relative rise of the best latency per second, so that an origin that has become slower for good is
 /// recognized within minutes: one eighth per minute.
-const BEST_DECAY: f64 = 0.002;
+const BEST_DRIFT: f64 = 0.002;
 /// Seconds that the usual is averaged over.
 const USUAL_SECONDS: f64 = 20.0;
 
@@ -229,7 +229,7 @@
         let seconds = self.observed.replace(now).map_or(0.0, |at| (now.saturating_sub(at)) as f64 / 1e6);
         // A clock that went back, or a long pause, counts as one step.
         let seconds = seconds.clamp(0.0, 1.0);
-        self.best_latency *= 1.0 + BEST_DECAY * seconds;
+        self.best_latency *= 1.0 + BEST_DRIFT * seconds;
         self.idle_seconds += seconds;
         if self.latency_ratio() <= CALM_RATIO
             && self.best_latency.is_finite()
--- a/crates/limits/tests/scenarios.rs
+++ b/crates/limits/tests/scenarios.rs
@@ -77,7 +77,7 @@
     (1..=3).map(|seed| measure(&simulate(setup.clone(), seed, policy, make))).sum::<f64>() / 3.0
 }
 
-/// At this load there is hardly any queueing: everything is served, and the limit is stable.
+/// For nine tenths of the time nothing queues at this load: everything is served, and the limit is stable.
 fn steady_load(make: MakeLimit) -> Result<(), String> {
     for proxies in [1, 2, 16] {
         let f = simulate(reads(proxies, 0.8, vec![]), 1, QueuePolicy::BASELINE, make);
--- a/src/state.rs
+++ b/src/state.rs
@@ -293,8 +293,8 @@
 pub fn middle_part(tenants: &mut [Bucket], quotas: &[f64], second: f64, keep: f64) -> f64 {
     let mut used: Vec<(f64, f64)> = Vec::with_capacity(tenants.len());
     for (b, q) in tenants.iter_mut().zip(quotas).filter(|(_, q)| **q > 0.0 && q.is_finite()) {
-        used.push((b.asked / second / q, *q));
-        b.asked *= keep;
+        used.push((b.requested / second / q, *q));
+        b.requested *= keep;
     }
     used.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut half = used.iter().map(|u| u.1).sum::<f64>() / 2.0;
