--- a/crates/limits/examples/side_by_side.rs
+++ b/crates/limits/examples/side_by_side.rs
@@ -103,13 +103,13 @@
 
 const COLUMNS: [Column; 8] = [
     ("Part of the worth served in time", 3, |_, f| f.served_share()),
-    ("The same while the fault is on", 3, |s, f| f.served_share_between(first_fault(s), last_fault_end(s))),
+    ("The same while the trouble is on", 3, |s, f| f.served_share_between(first_fault(s), last_fault_end(s))),
     ("Part of the ledger's core time used", 2, |_, f| f.origin_load().0),
     ("Part of that for answers nobody waits for", 2, |_, f| f.origin_load().1),
     ("Part of the tries refused", 3, |_, f| f.refused as f64 / f.tries.max(1) as f64),
     ("Part of the tries failed", 3, |_, f| f.failed as f64 / f.tries.max(1) as f64),
     ("Times that the ledger was driven into its stop", 1, |_, f| f.stops as f64),
-    ("Seconds after the fault until worth is within 0.03 of before", 1, |s, f| {
+    ("Seconds after the trouble until worth is within 0.03 of before", 1, |s, f| {
         f.recovery(first_fault(s), last_fault_end(s), 0.03)
     }),
 ];
--- a/crates/limits/tests/adaptive.rs
+++ b/crates/limits/tests/adaptive.rs
@@ -184,13 +184,13 @@
     limit.sent(100 * MS, 1);
     limit.sent(110 * MS, 2);
     ended(&mut limit, 250 * MS, 100 * MS, Ending::Abandoned);
-    assert!(!limit.allows(260 * MS, 1), "one is out, one given up is at work: two in all");
+    assert!(!limit.allows(260 * MS, 1), "one in flight and one abandoned count as two");
     ended(&mut limit, 270 * MS, 110 * MS, Ending::InTime);
-    assert!(limit.allows(280 * MS, 1), "the later one overtook it, or it is done");
+    assert!(limit.allows(280 * MS, 1), "a later request was answered, so it no longer counts");
     limit.sent(300 * MS, 1);
     ended(&mut limit, 400 * MS, 300 * MS, Ending::Abandoned);
     assert!(!limit.allows(410 * MS, 1));
-    assert!(limit.allows(700 * MS, 1), "it does not count for ever");
+    assert!(limit.allows(700 * MS, 1), "it does not count forever");
 }
 
 /// Feeds `vegas` lognormal latencies of mean 113 ms, from a fixed sequence of normal quantiles in scrambled
--- a/src/core/upstream.rs
+++ b/src/core/upstream.rs
@@ -30,15 +30,16 @@
         let attempt = stream.attempts;
         stream.attempts += 1;
         stream.server = Some(server);
-        stream.course.retried |= stream.failed;
+        stream.details.retried |= stream.failed;
         if self.marks.is_origin(server) {
             self.counters.fetched += 1;
             self.counters.spilled += u64::from(!stream.missed && stream.message.value.is_none());
         } else {
-            self.counters.cold += u64::from(self.marks.is_cold(server, now, self.settings.cold_for));
+            self.counters.cold +=
+                u64::from(self.marks.is_cold(server, now, self.settings.slow_start_duration));
         }
         let balancer = &self.balancer;
-        self.slow_starts.sent(now, server, || balancer.slow_start_sight(server));
+        self.slow_starts.sent(now, server, || balancer.slow_start_status(server));
         let expires = timeout.map_or(stream.deadline, |t| stream.deadline.min(now + t));
         let message = stream.message.clone();
         self.counters.upstream += 1;
@@ -48,7 +49,7 @@
             String::from_utf8_lossy(&message.id),
             self.pool.nodes.get(&server).map_or("?", |n| &n.name),
             (expires - now) / 1_000,
-            Ramp(self.balancer.slow_start_sight(server)),
+            Ramp(self.balancer.slow_start_status(server)),
         );
         self.launch(now, Some((id, attempt)), Some(message), server, expires, begin_by);
     }
@@ -62,7 +63,7 @@
         expires: Micros,
         begin_by: Option<Micros>,
     ) {
-        self.see(|| Seen::Sent(server));
+        self.see(|| NodeEvent::Sent(server));
         let id = match stream {
             Some(attempt) => UpstreamId::attempt(attempt),
             None => UpstreamId::probe(self.id()),
@@ -256,7 +257,7 @@
         self.pool.heard(server, now);
         match carried {
             Some(id) => self.end(now, id, reply.verdict, Some(reply)),
-            None => self.see(|| Seen::Heard(server)),
+            None => self.see(|| NodeEvent::LateAnswer(server)),
         }
         if keep {
             let settled = self.pool.answered(c, now);
@@ -308,8 +309,8 @@
         let no_place = reply.as_ref().is_some_and(|r| r.no_place);
         let (value, note, report) = reply.map_or_else(Default::default, |r| (r.value, r.note, r.report));
         let (server, elapsed) = (u.server, now - u.sent);
-        let load = if self.watched { self.load(&report) } else { None };
-        self.see(|| Seen::Ended { server, verdict, elapsed, load });
+        let load = if self.wants_node_events { self.load(&report) } else { None };
+        self.see(|| NodeEvent::Ended { server, verdict, elapsed, load });
         // A miss of the origin is an answer: nobody has such a key.
         let kind = self.pool.nodes.get(&server).map(|n| n.kind);
         let absent = verdict == Verdict::Miss && kind.is_some() && kind == self.settings.origin_kind;
@@ -331,7 +332,7 @@
             match verdict {
                 Verdict::Served => {
                     asked.server = Some(server);
-                    asked.course.joined = asked.missed && !self.marks.is_origin(server);
+                    asked.details.joined = asked.missed && !self.marks.is_origin(server);
                 }
                 // A node that does not say how a miss came about has missed all the same.
                 Verdict::Miss => (asked.note, asked.missed) = (MISS, true),
@@ -359,7 +360,7 @@
 }
 
 /// What the module makes of the server that an attempt goes to, if that is in slow start.
-struct Ramp(Option<SlowStartSight>);
+struct Ramp(Option<SlowStartStatus>);
 
 impl std::fmt::Display for Ramp {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
--- a/src/features/planner.rs
+++ b/src/features/planner.rs
@@ -6,13 +6,13 @@
 use crate::interface::Micros;
 use crate::net::framed::{self, Outbox};
 use crate::net::unmapped;
-use crate::signals::{Asked, Signals};
+use crate::signals::{SignalRequest, Signals};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use plan::frame::{self, Refused};
-use plan::ids::Halls;
+use plan::ids::ZoneSet;
 use plan::planner::{Output, PeerId};
 use plan::{Message, Node, Planner, Rules};
 use std::collections::{BTreeMap, BTreeSet};
@@ -105,7 +105,7 @@
     let _signals = executor.spawn(async move {
         loop {
             // There is nothing to read again.
-            if signals.next().await == Asked::End {
+            if signals.next().await == SignalRequest::End {
                 let _ = queue.send(News::End).await;
             }
         }
@@ -269,11 +269,11 @@
 
     /// Lines about nodes that are marked or no longer, and the figures.
     fn tell(&mut self, now: Micros) {
-        let marks: BTreeMap<Node, (u16, Halls)> =
-            self.planner.judged().silent.iter().map(|m| (m.node, (m.witnesses, m.halls))).collect();
+        let marks: BTreeMap<Node, (u16, ZoneSet)> =
+            self.planner.findings().silent.iter().map(|m| (m.node, (m.witnesses, m.zones))).collect();
         for node in marks.keys().filter(|n| !self.silent.contains(n)).copied().collect::<Vec<_>>() {
             let (witnesses, halls) = marks.get(&node).copied().unwrap_or_default();
-            let for_all = if halls == Halls::ALL { "all" } else { "some halls" };
+            let for_all = if halls == ZoneSet::ALL { "all" } else { "some halls" };
             let id = node.id;
             self.line(|| {
                 warn!(
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -4,8 +4,8 @@
 //! It owns the slots and keeps the index in step with them. What a server is worth and whether it may be used is
 //! not decided here.
 
+use crate::id_map::IdMap;
 use crate::interface::*;
-use crate::numbers::Numbers;
 use crate::state::{mix, Server};
 use placement::{Index, Place, Ranked, FAR, NEAR};
 
@@ -13,7 +13,7 @@
 pub struct Servers {
     slots: Vec<Option<Server>>,
     free: Vec<u32>,
-    found: Numbers<ServerId, u32>,
+    found: IdMap<ServerId, u32>,
     /// In the order of ids.
     order: Vec<(ServerId, u32)>,
     origins: Vec<u32>,
@@ -96,9 +96,9 @@
     }
 
     /// Takes over what planners say of each server, in place of what they said before; the rest of it comes back.
-    pub fn planned(&mut self, mut plan: Plan) -> Plan {
+    pub fn apply_plan(&mut self, mut plan: Plan) -> Plan {
         self.values_mut().for_each(|s| (s.avoid, s.solved) = (0.0, None));
-        for (id, part) in plan.takes.drain(..) {
+        for (id, part) in plan.key_fractions.drain(..) {
             if let Some(s) = self.get_mut(&id) {
                 s.avoid = 1.0 - part;
             }
