--- a/crates/cost/src/main.rs
+++ b/crates/cost/src/main.rs
@@ -11,7 +11,7 @@
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 #[derive(Parser)]
-#[command(about = "Command a request costs, by stage and by size")]
+#[command(about = "What a request costs, by stage and by size")]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
--- a/crates/limits/src/vegas.rs
+++ b/crates/limits/src/vegas.rs
@@ -50,7 +50,7 @@
 const INCREASE: f64 = 0.15;
 /// Minimum increase, so that a limit below one leaves its pauses within a few answers.
 const MIN_INCREASE: f64 = 0.2;
-/// Factor applied to the limit by one round, at the least.
+/// Smallest factor that one round may apply to the limit.
 const MAX_DECREASE: f64 = 0.7;
 /// Minimum answers per round: half of what the mean latency is taken over, so that it shows the last
 /// change.
