--- a/crates/dissemination/src/bucket.rs
+++ b/crates/dissemination/src/bucket.rs
@@ -7,29 +7,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Bucket {
     rate: i64,
-    depth: i64,
+    capacity: i64,
     level: i64,
-    at: Micros,
+    updated_at: Micros,
 }
 
 impl Bucket {
-    /// A full one, of so many bytes a second and such a depth in bytes.
-    pub fn new(now: Micros, rate: u32, depth: u32) -> Self {
-        let depth = i64::from(depth) * SECOND;
-        Bucket { rate: i64::from(rate), depth, level: depth, at: now }
+    /// A full one, of so many bytes a second and such a capacity in bytes.
+    pub fn new(now: Micros, rate: u32, capacity: u32) -> Self {
+        let capacity = i64::from(capacity) * SECOND;
+        Bucket { rate: i64::from(rate), capacity, level: capacity, updated_at: now }
     }
 
-    /// One that owes its depth: where it takes the place of another, both together give no more than one.
-    pub fn owing(now: Micros, rate: u32, depth: u32) -> Self {
-        let full = Bucket::new(now, rate, depth);
-        Bucket { level: -full.depth, ..full }
+    /// One that owes its capacity: where it takes the place of another, both together give no more than one.
+    pub fn new_in_debt(now: Micros, rate: u32, capacity: u32) -> Self {
+        let full = Bucket::new(now, rate, capacity);
+        Bucket { level: -full.capacity, ..full }
     }
 
     /// Bytes that may be taken; below 0 if overdrawn.
     pub fn level(&mut self, now: Micros) -> i64 {
-        let gained = now.saturating_sub(self.at).max(0).saturating_mul(self.rate);
-        self.at = self.at.max(now);
-        self.level = self.level.saturating_add(gained).min(self.depth);
+        let refilled = now.saturating_sub(self.updated_at).max(0).saturating_mul(self.rate);
+        self.updated_at = self.updated_at.max(now);
+        self.level = self.level.saturating_add(refilled).min(self.capacity);
         self.level.div_euclid(SECOND)
     }
 
@@ -40,11 +40,11 @@
             self.level.saturating_sub(i64::try_from(bytes).unwrap_or(i64::MAX).saturating_mul(SECOND));
     }
 
-    /// Time until so many can be taken, at most the depth.
-    pub fn wait(&mut self, now: Micros, bytes: usize) -> Micros {
+    /// Time until so many can be taken, at most the capacity.
+    pub fn time_until_available(&mut self, now: Micros, bytes: usize) -> Micros {
         self.level(now);
-        let need = i64::try_from(bytes).unwrap_or(i64::MAX).saturating_mul(SECOND).min(self.depth);
-        let lack = need.saturating_sub(self.level).max(0);
-        lack.div_euclid(self.rate.max(1)) + i64::from(lack % self.rate.max(1) > 0)
+        let needed = i64::try_from(bytes).unwrap_or(i64::MAX).saturating_mul(SECOND).min(self.capacity);
+        let missing = needed.saturating_sub(self.level).max(0);
+        missing.div_euclid(self.rate.max(1)) + i64::from(missing % self.rate.max(1) > 0)
     }
 }
--- a/crates/dissemination/src/change.rs
+++ b/crates/dissemination/src/change.rs
@@ -127,7 +127,7 @@
         self.iter().filter_map(gain).collect()
     }
 
-    /// Adds what [`Position::gains`] said. A number beyond [`bounds::MAX_NUMBER`] is cut to it.
+    /// Adds what [`Position::gains`] expected. A number beyond [`bounds::MAX_NUMBER`] is cut to it.
     pub fn gain(&mut self, gains: &[(StreamId, u64)]) {
         for (stream, more) in gains {
             self.raise(*stream, self.get(*stream).saturating_add(*more).min(bounds::MAX_NUMBER));
@@ -255,37 +255,43 @@
 
     /// Whether all of its figures are within their bounds and agree with each other; else what is not.
     pub fn check(&self) -> Result<(), &'static str> {
-        let rule = |holds: bool, what| if holds { Ok(()) } else { Err(what) };
-        rule(self.after <= bounds::MAX_NUMBER, "a number beyond reason")?;
+        let require = |holds: bool, what| if holds { Ok(()) } else { Err(what) };
+        require(self.after <= bounds::MAX_NUMBER, "a number beyond reason")?;
         match &self.content {
             Content::Even { width, bytes } => {
                 let width = usize::from(*width);
-                rule(width > 0 && !bytes.is_empty() && bytes.len() % width == 0, "changes of no even size")?;
-                rule(bytes.len() / width <= bounds::MAX_CHANGES, "too many changes")
+                require(
+                    width > 0 && !bytes.is_empty() && bytes.len() % width == 0,
+                    "changes of no even size",
+                )?;
+                require(bytes.len() / width <= bounds::MAX_CHANGES, "too many changes")
             }
             Content::Bodies(bodies) => {
-                rule(!bodies.is_empty(), "a piece without changes")?;
-                rule(bodies.len() <= bounds::MAX_CHANGES, "too many changes")?;
-                rule(bodies.iter().all(|b| b.len() <= bounds::MAX_BODY_BYTES), "a change too large")
+                require(!bodies.is_empty(), "a piece without changes")?;
+                require(bodies.len() <= bounds::MAX_CHANGES, "too many changes")?;
+                require(bodies.iter().all(|b| b.len() <= bounds::MAX_BODY_BYTES), "a change too large")
             }
             Content::Mark { upto } => {
-                rule(*upto <= bounds::MAX_NUMBER, "a number beyond reason")?;
-                rule(*upto > self.after, "a piece that ends before it begins")
+                require(*upto <= bounds::MAX_NUMBER, "a number beyond reason")?;
+                require(*upto > self.after, "a piece that ends before it begins")
             }
             Content::Entries { entries, .. } => {
-                rule(!entries.is_empty(), "a piece without changes")?;
-                rule(entries.len() <= bounds::MAX_CHANGES, "too many changes")?;
-                rule(entries.iter().all(|e| e.body.len() <= bounds::MAX_BODY_BYTES), "a change too large")?;
+                require(!entries.is_empty(), "a piece without changes")?;
+                require(entries.len() <= bounds::MAX_CHANGES, "too many changes")?;
+                require(
+                    entries.iter().all(|e| e.body.len() <= bounds::MAX_BODY_BYTES),
+                    "a change too large",
+                )?;
                 let numbers = || entries.iter().map(|e| u64::from(e.offset));
-                rule(numbers().zip(numbers().skip(1)).all(|(a, b)| a < b), "changes out of order")?;
-                rule(numbers().all(|n| n > 0), "changes out of order")
+                require(numbers().zip(numbers().skip(1)).all(|(a, b)| a < b), "changes out of order")?;
+                require(numbers().all(|n| n > 0), "changes out of order")
             }
             Content::Part { number, whole, offset, bytes, .. } => {
-                rule(*number <= bounds::MAX_NUMBER, "a number beyond reason")?;
-                rule(*number > self.after, "a piece that ends before it begins")?;
-                rule(usize::from(*whole) <= bounds::MAX_BODY_BYTES, "a change too large")?;
+                require(*number <= bounds::MAX_NUMBER, "a number beyond reason")?;
+                require(*number > self.after, "a piece that ends before it begins")?;
+                require(usize::from(*whole) <= bounds::MAX_BODY_BYTES, "a change too large")?;
                 let end = usize::from(*offset) + bytes.len();
-                rule(!bytes.is_empty() && end <= usize::from(*whole), "a part outside of its change")
+                require(!bytes.is_empty() && end <= usize::from(*whole), "a part outside of its change")
             }
         }
     }
@@ -300,7 +306,7 @@
     Gap,
     /// It is not of the same history, or its bytes are wrong.
     Mismatch,
-    /// A part: it goes on, as far as can be said before the change is whole.
+    /// A part: it goes on, as far as can be expected before the change is whole.
     Part,
     /// What is new in it, and the head after it.
     Continues(Piece, Head),
@@ -327,8 +333,8 @@
                 Content::Even { width: *width, bytes: if skip == 0 { bytes.clone() } else { Rc::from(new) } }
             }
             Content::Bodies(bodies) => Content::Bodies(bodies.iter().skip(skip).cloned().collect()),
-            Content::Entries { check: said, entries } => {
-                if entries_checksum(entries) != *said {
+            Content::Entries { check: expected, entries } => {
+                if entries_checksum(entries) != *expected {
                     return Fit::Mismatch;
                 }
                 let new = entries.iter().filter(|e| u64::from(e.offset) > skip as u64);
@@ -338,14 +344,14 @@
             }
         };
         let piece = Piece { stream: self.stream, after: head.number, digest: self.digest, content };
-        match piece.walk(head) {
+        match piece.head_after(head) {
             Some(end) if end.digest == self.digest => Fit::Continues(piece, end),
             _ => Fit::Mismatch,
         }
     }
 
     /// The head after a piece that begins at one; none if a digest is not right on the way.
-    fn walk(&self, head: Head) -> Option<Head> {
+    fn head_after(&self, head: Head) -> Option<Head> {
         let Content::Entries { entries, .. } = &self.content else {
             if let Content::Mark { upto } = self.content {
                 return Some(Head { number: upto, digest: self.digest });
@@ -353,8 +359,8 @@
             return Some(self.changes().fold(head, |at, (_, key, body)| at.advance(key, body)));
         };
         entries.iter().try_fold(head, |at, e| {
-            let said = Head { number: self.after + u64::from(e.offset), digest: e.digest };
-            (said.number > at.number + 1 || at.advance(e.key, &e.body) == said).then_some(said)
+            let expected = Head { number: self.after + u64::from(e.offset), digest: e.digest };
+            (expected.number > at.number + 1 || at.advance(e.key, &e.body) == expected).then_some(expected)
         })
     }
 }
--- a/crates/dissemination/src/control.rs
+++ b/crates/dissemination/src/control.rs
@@ -33,24 +33,24 @@
 /// one part share their batches.
 const SLOTS: usize = 5;
 /// Bytes of a batch between control machines.
-const BULK: usize = 32 * 1024;
+const CONTROL_BATCH_BYTES: usize = 32 * 1024;
 /// Bytes kept free in a batch for the beat that goes with it: 8, and 5 for each of three streams.
-const BEAT: usize = 24;
+const BEAT_RESERVE: usize = 24;
 /// Bytes of a batch before its pieces: the frame's header, the kind, how many.
-const BATCH: usize = 5;
+const BATCH_HEADER: usize = 5;
 /// Sets' backlogs are replaced by marks one by one, the longest first, while all together are more than so many
-/// times what one may be, for a follower that was up to date: the largest change is carried beside all that stores
+/// times what one may be, for a follower that was up to date: the largest change is follower beside all that stores
 /// take in advance.
-const JOINT: u64 = 2;
+const TOTAL_BACKLOG_FACTOR: u64 = 2;
 /// The same for a follower that has not been up to date since its hello, in parts of what one may be: beside what
 /// comes in all the time about half of the rate is left for what it lacks.
-const CATCHING_UP: u64 = 2;
+const CATCH_UP_DIVISOR: u64 = 2;
 /// Names of followers that refused a change in an answer.
-const REFUSERS: usize = 1024;
+const MAX_REFUSERS: usize = 1024;
 /// Changes refused by any follower that are remembered for [`Stats::refused`].
-const REFUSED: usize = 64;
+const MAX_REFUSED_CHANGES: usize = 64;
 /// The lease is over for all after a thousandth more of it: clocks drift by 200 ppm at most.
-const DRIFT: Micros = 1000;
+const LEASE_MARGIN_DIVISOR: Micros = 1000;
 
 /// Who a connection is with, as the host knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -130,50 +130,50 @@
 
 /// A connection to another control machine.
 #[derive(Clone, Debug, Hash)]
-struct Link {
+struct ControlLink {
     peer: PeerId,
-    heard: Micros,
+    last_heard: Micros,
 }
 
-/// A follower, as it is carried.
+/// A follower, as it is follower.
 #[derive(Clone, Debug, Hash)]
-struct Carried {
+struct FollowerState {
     id: FollowerId,
     primary: bool,
     /// Whether it has said hello in our epoch.
-    welcome: bool,
+    welcomed: bool,
     since: Micros,
-    heard: Micros,
+    last_heard: Micros,
     challenge: u32,
     /// What it said that it holds; what it was sent; what it was shown.
-    told: Position,
+    acked: Position,
     sent: Position,
-    shown: Position,
+    announced: Position,
     /// Of the change that goes to it in parts: its number, and how many bytes have gone.
     parts: BTreeMap<StreamId, (u64, u16)>,
     /// What it asked for, up to where.
     pulls: BTreeMap<StreamId, u64>,
     /// What it said at first that it holds, until that is found to be ours, or not.
-    unproven: BTreeMap<StreamId, Head>,
-    differs: BTreeSet<StreamId>,
+    unverified: BTreeMap<StreamId, Head>,
+    mismatched: BTreeSet<StreamId>,
     /// Whether it has been sent everything since its hello.
-    current: bool,
+    caught_up: bool,
     refused: VecDeque<(StreamId, u64)>,
     bucket: Bucket,
-    words: Bucket,
+    message_budget: Bucket,
 }
 
 #[derive(Clone, Debug, Hash)]
 enum Peer {
-    Stranger { since: Micros, dialled: Option<ControlId> },
+    Unidentified { since: Micros, dialled: Option<ControlId> },
     Control(ControlId),
-    Follower(Box<Carried>),
-    Client { heard: Micros, words: Bucket },
+    Follower(Box<FollowerState>),
+    Client { last_heard: Micros, message_budget: Bucket },
 }
 
 /// A stream of which a store holds more.
 #[derive(Clone, Debug, Hash)]
-struct Want {
+struct MissingChanges {
     held: u64,
     since: Micros,
     asked: Option<Micros>,
@@ -182,7 +182,7 @@
 
 /// A question of status that waits for counts.
 #[derive(Clone, Debug, Hash)]
-struct Question {
+struct StatusQuery {
     peer: PeerId,
     token: u32,
     stream: StreamId,
@@ -204,11 +204,11 @@
     logs: BTreeMap<StreamId, Log>,
     held: Position,
     /// What is held and committed: what goes to followers.
-    passable: Position,
+    deliverable: Position,
     quorum: Quorum,
-    wants: BTreeMap<StreamId, Want>,
+    missing: BTreeMap<StreamId, MissingChanges>,
     peers: BTreeMap<PeerId, Peer>,
-    links: BTreeMap<ControlId, Link>,
+    links: BTreeMap<ControlId, ControlLink>,
     dials: BTreeMap<ControlId, Micros>,
     slots: [BTreeSet<PeerId>; SLOTS],
     slots_at: [Micros; SLOTS],
@@ -217,16 +217,16 @@
     /// which stores it has heard since its start.
     empty: bool,
     counts: bool,
-    takes: bool,
-    heard: BTreeSet<ControlId>,
+    accepting: bool,
+    stores_heard: BTreeSet<ControlId>,
     admission: Bucket,
     depth: usize,
     pending: BTreeMap<StreamId, VecDeque<(u64, PeerId, u32)>>,
-    questions: BTreeMap<u32, Question>,
-    asked: u32,
+    status_queries: BTreeMap<u32, StatusQuery>,
+    last_query_token: u32,
     conflicts: BTreeSet<StreamId>,
     refused: VecDeque<(StreamId, u64, u32)>,
-    figures: Stats,
+    stats: Stats,
 }
 
 impl Control {
@@ -255,7 +255,7 @@
             let log = logs.get_mut(&record.stream()).ok_or("a record of a stream that there is not")?;
             log.restore(record)?;
         }
-        logs.values_mut().for_each(Log::restored);
+        logs.values_mut().for_each(Log::finish_restore);
         let held = logs.iter().map(|(stream, log)| (*stream, log.head().number)).collect();
         let whole = i64::from(rules.primary_rate) * i64::from(rules.change_share) / 1000;
         let rate = u32::try_from(whole / i64::from(rules.stores)).unwrap_or(u32::MAX).max(1);
@@ -266,9 +266,9 @@
             roster: roster.into_iter().collect(),
             logs,
             held,
-            passable: Position::default(),
+            deliverable: Position::default(),
             quorum: Quorum::new(),
-            wants: BTreeMap::new(),
+            missing: BTreeMap::new(),
             peers: BTreeMap::new(),
             links: BTreeMap::new(),
             dials: (0..me.0).map(|c| (ControlId(c), now)).collect(),
@@ -276,22 +276,22 @@
             slots_at: std::array::from_fn(|s| now + slot * (s as Micros + 1)),
             poll_at: now,
             empty,
-            counts: !empty || rules.is(InjectedFault::NoRecovery),
-            takes: false,
-            heard: BTreeSet::new(),
+            counts: !empty || rules.has_fault(InjectedFault::NoRecovery),
+            accepting: false,
+            stores_heard: BTreeSet::new(),
             admission: Bucket::new(now, rate, depth),
             depth: depth as usize,
             pending: BTreeMap::new(),
-            questions: BTreeMap::new(),
-            asked: 0,
+            status_queries: BTreeMap::new(),
+            last_query_token: 0,
             conflicts: BTreeSet::new(),
             refused: VecDeque::new(),
-            figures: Stats::default(),
+            stats: Stats::default(),
             rules,
         };
         if control.rules.is_store(me) {
             for (stream, number) in control.held.clone().iter() {
-                control.quorum.report(now, &control.rules, me, stream, number);
+                control.quorum.report_persisted(now, &control.rules, me, stream, number);
             }
         }
         Ok(control)
@@ -299,25 +299,25 @@
 
     /// A connection is up.
     pub fn up(&mut self, now: Micros, peer: PeerId, who: ConnectionKind, out: &mut Vec<Output>) {
-        let strangers = self.peers.values().filter(|p| matches!(p, Peer::Stranger { .. })).count();
+        let strangers = self.peers.values().filter(|p| matches!(p, Peer::Unidentified { .. })).count();
         let dialled = match who {
             ConnectionKind::Control(id) => Some(id),
             ConnectionKind::Accepted if strangers >= self.rules.max_unidentified => {
-                self.figures.at_capacity += 1;
+                self.stats.at_capacity += 1;
                 return out.push(Output::Close(peer, CloseReason::NoCapacity));
             }
             ConnectionKind::Accepted => None,
         };
-        self.peers.insert(peer, Peer::Stranger { since: now, dialled });
+        self.peers.insert(peer, Peer::Unidentified { since: now, dialled });
         if dialled.is_some() {
-            out.push(self.hello(peer));
+            out.push(self.control_hello(peer));
         }
     }
 
     /// A connection is gone.
     pub fn down(&mut self, now: Micros, peer: PeerId, out: &mut Vec<Output>) {
-        self.forget(now, peer);
-        self.answer_questions(now, out);
+        self.remove_peer(now, peer);
+        self.answer_status_queries(now, out);
     }
 
     /// A message came. On an error the host says why and closes; no [`Control::down`] need follow.
@@ -328,10 +328,12 @@
         message: &Message,
         out: &mut Vec<Output>,
     ) -> Result<(), CloseReason> {
-        let done =
-            message.check().map_err(CloseReason::Bounds).and_then(|()| self.hear(now, peer, message, out));
+        let done = message
+            .check()
+            .map_err(CloseReason::Bounds)
+            .and_then(|()| self.dispatch(now, peer, message, out));
         if done.is_err() {
-            self.forget(now, peer);
+            self.remove_peer(now, peer);
         }
         done
     }
@@ -340,23 +342,23 @@
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         if now >= self.poll_at {
             self.poll_at = now + self.rules.poll_interval;
-            self.sweep(now, out);
-            self.poll(now, out);
-            self.seek(now, out);
-            self.settle(now, out);
+            self.close_idle_and_dial(now, out);
+            self.start_poll(now, out);
+            self.request_missing(now, out);
+            self.update_commits(now, out);
         }
         for slot in 0..SLOTS {
             if now >= self.slots_at[slot] {
                 self.slots_at[slot] = now + self.rules.beat_interval;
-                self.serve(now, slot, out);
+                self.serve_slot(now, slot, out);
             }
         }
-        self.answer_questions(now, out);
+        self.answer_status_queries(now, out);
     }
 
     /// When [`Control::tick`] is due.
     pub fn next_tick(&self) -> Micros {
-        let questions = self.questions.values().map(|q| q.until);
+        let questions = self.status_queries.values().map(|q| q.until);
         self.slots_at.into_iter().chain([self.poll_at]).chain(questions).min().unwrap_or(self.poll_at)
     }
 
@@ -392,66 +394,66 @@
             held: self.held.clone(),
             committed: self.quorum.committed().clone(),
             fresh: self.quorum.fresh(),
-            accepting: self.takes,
+            accepting: self.accepting,
             controls: self.links.len(),
             primaries: followers().filter(|p| *p).count(),
             secondaries: followers().filter(|p| !*p).count(),
-            clients: self.clients(),
-            unidentified: self.peers.values().filter(|p| matches!(p, Peer::Stranger { .. })).count(),
+            clients: self.client_count(),
+            unidentified: self.peers.values().filter(|p| matches!(p, Peer::Unidentified { .. })).count(),
             pending: self.pending.values().map(VecDeque::len).sum(),
             conflicts: self.conflicts.iter().copied().collect(),
             refused: self.refused.iter().copied().collect(),
-            ..self.figures.clone()
+            ..self.stats.clone()
         }
     }
 
-    fn hello(&self, peer: PeerId) -> Output {
+    fn control_hello(&self, peer: PeerId) -> Output {
         Output::Send(peer, Rc::new(Message::Control { epoch: self.rules.epoch, id: self.me }))
     }
 
-    fn clients(&self) -> usize {
+    fn client_count(&self) -> usize {
         self.peers.values().filter(|p| matches!(p, Peer::Client { .. })).count()
     }
 
-    fn forget(&mut self, now: Micros, peer: PeerId) {
+    fn remove_peer(&mut self, now: Micros, peer: PeerId) {
         match self.peers.remove(&peer) {
             Some(Peer::Control(id)) => {
                 if self.links.get(&id).is_some_and(|l| l.peer == peer) {
                     self.links.remove(&id);
                     self.dials.entry(id).and_modify(|at| *at = now);
                 }
-                for q in self.questions.values_mut().filter(|q| q.waits.contains(&id)) {
+                for q in self.status_queries.values_mut().filter(|q| q.waits.contains(&id)) {
                     q.waits.remove(&id);
                     q.unheard.insert(id);
                 }
             }
             Some(Peer::Follower(_)) => {
-                self.slots[slot(peer)].remove(&peer);
+                self.slots[slot_of(peer)].remove(&peer);
             }
-            Some(Peer::Client { .. }) => self.questions.retain(|_, q| q.peer != peer),
-            Some(Peer::Stranger { .. }) | None => {}
+            Some(Peer::Client { .. }) => self.status_queries.retain(|_, q| q.peer != peer),
+            Some(Peer::Unidentified { .. }) | None => {}
         }
     }
 
     fn close(&mut self, now: Micros, peer: PeerId, why: CloseReason, out: &mut Vec<Output>) {
-        self.forget(now, peer);
+        self.remove_peer(now, peer);
         out.push(Output::Close(peer, why));
     }
 
     /// Closes who has been silent for too long, and dials control machines.
-    fn sweep(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn close_idle_and_dial(&mut self, now: Micros, out: &mut Vec<Output>) {
         let gone = self.rules.idle_timeout;
         let silent = |p: &Peer| match p {
-            Peer::Stranger { since, .. } => now - since > gone,
-            Peer::Control(id) => self.links.get(id).is_none_or(|l| now - l.heard > gone),
-            Peer::Follower(c) => now - c.heard > gone,
+            Peer::Unidentified { since, .. } => now - since > gone,
+            Peer::Control(id) => self.links.get(id).is_none_or(|l| now - l.last_heard > gone),
+            Peer::Follower(c) => now - c.last_heard > gone,
             // A client may think for a while between two questions.
-            Peer::Client { heard, .. } => now - heard > 12 * gone,
+            Peer::Client { last_heard, .. } => now - last_heard > 12 * gone,
         };
         let silent: Vec<PeerId> = self.peers.iter().filter(|(_, p)| silent(p)).map(|(id, _)| *id).collect();
         for peer in silent {
             if matches!(self.peers.get(&peer), Some(Peer::Follower(_))) {
-                self.figures.timed_out += 1;
+                self.stats.timed_out += 1;
             }
             self.close(now, peer, CloseReason::Timeout, out);
         }
@@ -463,52 +465,52 @@
         }
     }
 
-    fn poll(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let token = self.quorum.begin(now);
+    fn start_poll(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let token = self.quorum.begin_poll(now);
         if self.rules.is_store(self.me) {
-            self.quorum.answer(now, &self.rules, token, self.me, self.counts, &self.held);
+            self.quorum.record_answer(now, &self.rules, token, self.me, self.counts, &self.held);
         }
         let message = Rc::new(Message::Poll { token });
         out.extend(self.links.values().map(|l| Output::Send(l.peer, message.clone())));
     }
 
     /// Asks for what stores hold and this machine has lacked for some time.
-    fn seek(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn request_missing(&mut self, now: Micros, out: &mut Vec<Output>) {
         for stream in self.quorum.streams() {
             let held = self.held.get(stream);
-            if self.quorum.most(stream) <= held {
-                self.wants.remove(&stream);
+            if self.quorum.highest_reported(stream) <= held {
+                self.missing.remove(&stream);
                 continue;
             }
-            let new = Want { held, since: now, asked: None, turn: usize::from(self.me.0) };
-            let want = self.wants.entry(stream).or_insert(new);
+            let new = MissingChanges { held, since: now, asked: None, turn: usize::from(self.me.0) };
+            let want = self.missing.entry(stream).or_insert(new);
             if want.held != held {
                 (want.held, want.since) = (held, now);
             }
             let due = now - want.since >= self.rules.poll_interval;
             if due && want.asked.is_none_or(|at| now - at >= self.rules.gap_timeout) {
-                self.pull(now, stream, None, out);
+                self.send_pull(now, stream, None, out);
             }
         }
     }
 
     /// Asks a store for what comes after what is held; the one named, or the next that has it.
-    fn pull(&mut self, now: Micros, stream: StreamId, from: Option<ControlId>, out: &mut Vec<Output>) {
+    fn send_pull(&mut self, now: Micros, stream: StreamId, from: Option<ControlId>, out: &mut Vec<Output>) {
         let held = self.held.get(stream);
         let has = |id: &ControlId| self.quorum.reported(*id).is_some_and(|p| p.get(stream) > held);
-        let lively =
-            self.links.iter().filter(|(id, l)| now - l.heard <= self.rules.silence_timeout && has(id));
-        let lively: Vec<(ControlId, PeerId)> = lively.map(|(id, l)| (*id, l.peer)).collect();
-        let Some(want) = self.wants.get_mut(&stream) else { return };
-        let named = lively.iter().find(|l| Some(l.0) == from);
-        let next = lively.get(want.turn % lively.len().max(1));
+        let live =
+            self.links.iter().filter(|(id, l)| now - l.last_heard <= self.rules.silence_timeout && has(id));
+        let live: Vec<(ControlId, PeerId)> = live.map(|(id, l)| (*id, l.peer)).collect();
+        let Some(want) = self.missing.get_mut(&stream) else { return };
+        let named = live.iter().find(|l| Some(l.0) == from);
+        let next = live.get(want.turn % live.len().max(1));
         let Some((_, peer)) = named.or(next) else { return };
         want.turn = want.turn.wrapping_add(1);
         want.asked = Some(now);
         out.push(Output::Send(*peer, Rc::new(Message::Pull { stream, after: held })));
     }
 
-    fn hear(
+    fn dispatch(
         &mut self,
         now: Micros,
         peer: PeerId,
@@ -518,29 +520,32 @@
         let unexpected = Err(CloseReason::Unexpected(message.name()));
         match self.peers.get_mut(&peer) {
             None => unexpected,
-            Some(Peer::Stranger { dialled, .. }) => {
+            Some(Peer::Unidentified { dialled, .. }) => {
                 let dialled = *dialled;
                 match message {
-                    Message::Control { epoch, id } => self.link(now, peer, dialled, *epoch, *id, out),
+                    Message::Control { epoch, id } => {
+                        self.accept_control(now, peer, dialled, *epoch, *id, out)
+                    }
                     Message::Hello(_) if dialled.is_none() => {
-                        let (taken, rate) = (self.followers(), self.rules.secondary_rate);
+                        let (taken, rate) = (self.follower_count(), self.rules.secondary_rate);
                         if taken >= self.rules.max_followers {
-                            self.figures.at_capacity += 1;
+                            self.stats.at_capacity += 1;
                             return Err(CloseReason::NoCapacity);
                         }
-                        let carried = Carried::new(now, &self.rules, self.bucket(now, rate));
-                        self.peers.insert(peer, Peer::Follower(Box::new(carried)));
-                        self.slots[slot(peer)].insert(peer);
-                        self.follower(now, peer, message, out)
+                        let follower = FollowerState::new(now, &self.rules, self.new_bucket(now, rate));
+                        self.peers.insert(peer, Peer::Follower(Box::new(follower)));
+                        self.slots[slot_of(peer)].insert(peer);
+                        self.handle_follower(now, peer, message, out)
                     }
                     Message::Submit { .. } | Message::Status { .. } if dialled.is_none() => {
-                        if self.clients() >= self.rules.max_clients {
-                            self.figures.at_capacity += 1;
+                        if self.client_count() >= self.rules.max_clients {
+                            self.stats.at_capacity += 1;
                             return Err(CloseReason::NoCapacity);
                         }
-                        let words = Bucket::new(now, self.rules.message_rate, self.rules.message_rate);
-                        self.peers.insert(peer, Peer::Client { heard: now, words });
-                        self.client(now, peer, message, out)
+                        let message_budget =
+                            Bucket::new(now, self.rules.message_rate, self.rules.message_rate);
+                        self.peers.insert(peer, Peer::Client { last_heard: now, message_budget });
+                        self.handle_client(now, peer, message, out)
                     }
                     _ => unexpected,
                 }
@@ -548,47 +553,47 @@
             Some(Peer::Control(id)) => {
                 let id = *id;
                 if let Some(link) = self.links.get_mut(&id) {
-                    link.heard = now;
+                    link.last_heard = now;
                 }
-                self.control(now, id, peer, message, out)
+                self.handle_control(now, id, peer, message, out)
             }
-            Some(Peer::Follower(carried)) => {
-                carried.heard = now;
-                if carried.words.level(now) < 1 {
+            Some(Peer::Follower(follower)) => {
+                follower.last_heard = now;
+                if follower.message_budget.level(now) < 1 {
                     return Err(CloseReason::TooManyMessages);
                 }
-                carried.words.take(now, 1);
-                self.follower(now, peer, message, out)
+                follower.message_budget.take(now, 1);
+                self.handle_follower(now, peer, message, out)
             }
-            Some(Peer::Client { heard, words }) => {
-                *heard = now;
+            Some(Peer::Client { last_heard, message_budget }) => {
+                *last_heard = now;
                 // A submission has a bucket of its own, which does not close.
                 if !matches!(message, Message::Submit { .. }) {
-                    if words.level(now) < 1 {
+                    if message_budget.level(now) < 1 {
                         return Err(CloseReason::TooManyMessages);
                     }
-                    words.take(now, 1);
+                    message_budget.take(now, 1);
                 }
-                self.client(now, peer, message, out)
+                self.handle_client(now, peer, message, out)
             }
         }
     }
 
-    fn followers(&self) -> usize {
+    fn follower_count(&self) -> usize {
         self.slots.iter().map(BTreeSet::len).sum()
     }
 
     /// What is sent to a follower goes at instants that are a beat apart at least, so no second has more of them
     /// than beats, and no more bytes than the rate. It begins with a debt, for another control machine may have sent
     /// its last a moment ago.
-    fn bucket(&self, now: Micros, rate: u32) -> Bucket {
+    fn new_bucket(&self, now: Micros, rate: u32) -> Bucket {
         let depth = i64::from(rate) * self.rules.beat_interval / SECOND;
-        Bucket::owing(now, rate, u32::try_from(depth).unwrap_or(u32::MAX))
+        Bucket::new_in_debt(now, rate, u32::try_from(depth).unwrap_or(u32::MAX))
     }
 
     // Other control machines.
 
-    fn link(
+    fn accept_control(
         &mut self,
         now: Micros,
         peer: PeerId,
@@ -607,9 +612,9 @@
             self.close(now, old, CloseReason::Replaced, out);
         }
         self.peers.insert(peer, Peer::Control(id));
-        self.links.insert(id, Link { peer, heard: now });
+        self.links.insert(id, ControlLink { peer, last_heard: now });
         if dialled.is_none() {
-            out.push(self.hello(peer));
+            out.push(self.control_hello(peer));
         }
         if self.quorum.token() > 0 {
             out.push(Output::Send(peer, Rc::new(Message::Poll { token: self.quorum.token() })));
@@ -617,7 +622,7 @@
         Ok(())
     }
 
-    fn control(
+    fn handle_control(
         &mut self,
         now: Micros,
         id: ControlId,
@@ -635,28 +640,28 @@
                     return Err(CloseReason::Bounds("a stream that there is not"));
                 }
                 if self.rules.is_store(id) {
-                    self.quorum.answer(now, &self.rules, *token, id, *counts, position);
-                    self.heard.insert(id);
-                    self.settle(now, out);
+                    self.quorum.record_answer(now, &self.rules, *token, id, *counts, position);
+                    self.stores_heard.insert(id);
+                    self.update_commits(now, out);
                 }
             }
             Message::Holds { stream, number } => {
                 if !self.logs.contains_key(stream) || !self.rules.is_store(id) {
                     return Err(CloseReason::Bounds("a stream that there is not"));
                 }
-                self.quorum.report(now, &self.rules, id, *stream, *number);
-                self.settle(now, out);
+                self.quorum.report_persisted(now, &self.rules, id, *stream, *number);
+                self.update_commits(now, out);
             }
-            Message::Batch(pieces) => self.batch(now, id, pieces, out)?,
+            Message::Batch(pieces) => self.handle_batch(now, id, pieces, out)?,
             Message::Pull { stream, after } => {
                 let log = self.logs.get(stream).ok_or(CloseReason::Bounds("a stream that there is not"))?;
-                if let Some(piece) = log.piece(*after, log.head().number, BULK, None) {
+                if let Some(piece) = log.piece(*after, log.head().number, CONTROL_BATCH_BYTES, None) {
                     out.push(Output::Send(peer, Rc::new(Message::Batch(vec![piece]))));
                 }
             }
             Message::Count { token, stream, number } => {
-                let (have, refused) = self.count(*stream, *number);
-                let refused: Vec<FollowerId> = refused.into_iter().take(REFUSERS).collect();
+                let (have, refused) = self.followers_holding(*stream, *number);
+                let refused: Vec<FollowerId> = refused.into_iter().take(MAX_REFUSERS).collect();
                 let chunks = have.len().div_ceil(bounds::MAX_NAMES).max(1);
                 for chunk in 0..chunks {
                     let have = have
@@ -672,14 +677,14 @@
             }
             Message::Counted { token, have, refused, last } => {
                 // One that comes too late belongs to no question any more.
-                if let Some(q) = self.questions.get_mut(token).filter(|q| q.waits.contains(&id)) {
+                if let Some(q) = self.status_queries.get_mut(token).filter(|q| q.waits.contains(&id)) {
                     q.have.extend(have.iter().filter(|f| self.roster.contains(f)));
                     q.refused.extend(refused.iter().filter(|f| self.roster.contains(f)));
                     if *last {
                         q.waits.remove(&id);
                     }
                 }
-                self.answer_questions(now, out);
+                self.answer_status_queries(now, out);
             }
             other => return Err(CloseReason::Unexpected(other.name())),
         }
@@ -687,7 +692,7 @@
     }
 
     /// Changes from another control machine.
-    fn batch(
+    fn handle_batch(
         &mut self,
         now: Micros,
         id: ControlId,
@@ -698,9 +703,9 @@
             let stream = piece.stream;
             let log = self.logs.get_mut(&stream).ok_or(CloseReason::Bounds("a stream that there is not"))?;
             // What this store numbers it takes from others only until it numbers on.
-            let own = stream.store == self.me && self.takes;
+            let own = stream.store == self.me && self.accepting;
             let before = log.head().number;
-            let records = match log.take(piece) {
+            let records = match log.apply_piece(piece) {
                 Ok(records) if !own || records.is_empty() => records,
                 Ok(_) | Err(_) => {
                     self.conflicts.insert(stream);
@@ -713,41 +718,41 @@
             }
             self.held.set(stream, number);
             if self.rules.is_store(self.me) {
-                self.leave_room(now, &records);
+                self.reserve_for_large(now, &records);
                 out.push(Output::Persist(records));
-                self.quorum.report(now, &self.rules, self.me, stream, number);
+                self.quorum.report_persisted(now, &self.rules, self.me, stream, number);
                 if let Some(owner) = self.links.get(&stream.store) {
                     out.push(Output::Send(owner.peer, Rc::new(Message::Holds { stream, number })));
                 }
             }
             let more = self.quorum.reported(id).is_some_and(|p| p.get(stream) > number);
-            if more && self.wants.get(&stream).is_some_and(|w| w.asked.is_some()) {
-                self.pull(now, stream, Some(id), out);
+            if more && self.missing.get(&stream).is_some_and(|w| w.asked.is_some()) {
+                self.send_pull(now, stream, Some(id), out);
             }
         }
-        self.settle(now, out);
+        self.update_commits(now, out);
         Ok(())
     }
 
     /// Draws the conclusions from what has come to be held or known.
-    fn settle(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn update_commits(&mut self, now: Micros, out: &mut Vec<Output>) {
         let committed = self.quorum.committed();
         for (stream, held) in self.held.iter() {
-            let uncommitted = self.rules.is(InjectedFault::Uncommitted);
-            let passable = if uncommitted { held } else { held.min(committed.get(stream)) };
-            self.passable.raise(stream, passable);
+            let uncommitted_too = self.rules.has_fault(InjectedFault::Uncommitted);
+            let deliverable = if uncommitted_too { held } else { held.min(committed.get(stream)) };
+            self.deliverable.raise(stream, deliverable);
         }
-        self.quorum.settle(now, &self.rules, &self.passable);
+        self.quorum.advance_fresh(now, &self.rules, &self.deliverable);
         for (stream, log) in &mut self.logs {
             log.compact(&self.rules, self.quorum.committed().get(*stream));
         }
-        self.recover();
-        let (quorum, peers, figures) = (&self.quorum, &self.peers, &mut self.figures);
+        self.finish_recovery();
+        let (quorum, peers, stats) = (&self.quorum, &self.peers, &mut self.stats);
         for (stream, waiting) in &mut self.pending {
             let upto = quorum.committed().get(*stream);
             while let Some((number, peer, token)) = waiting.front().copied().filter(|w| w.0 <= upto) {
                 waiting.pop_front();
-                figures.acknowledged += 1;
+                stats.acknowledged += 1;
                 if peers.contains_key(&peer) {
                     let stream = *stream;
                     out.push(Output::Send(peer, Rc::new(Message::Submitted { token, stream, number })));
@@ -759,26 +764,28 @@
     /// A store numbers on when it has heard a majority since its start and holds all that they hold of its own
     /// streams. One that began with nothing needs a majority without itself, and all that they hold: before that
     /// its answers count for nothing, for what it has lost may have been acknowledged by its word.
-    fn recover(&mut self) {
-        if self.takes || !self.rules.is_store(self.me) {
+    fn finish_recovery(&mut self) {
+        if self.accepting || !self.rules.is_store(self.me) {
             return;
         }
         let need = self.rules.majority() - usize::from(!self.empty);
         let need = need.min(usize::from(self.rules.stores) - 1);
         let holds = |own: bool| {
-            self.heard.iter().filter_map(|id| self.quorum.reported(*id)).all(|p| {
+            self.stores_heard.iter().filter_map(|id| self.quorum.reported(*id)).all(|p| {
                 let mine = |s: &(StreamId, u64)| !own || s.0.store == self.me;
                 p.iter().filter(mine).all(|(stream, number)| self.held.get(stream) >= number)
             })
         };
-        if self.rules.is(InjectedFault::NoRecovery) || (self.heard.len() >= need && holds(!self.empty)) {
-            (self.takes, self.counts) = (true, true);
+        if self.rules.has_fault(InjectedFault::NoRecovery)
+            || (self.stores_heard.len() >= need && holds(!self.empty))
+        {
+            (self.accepting, self.counts) = (true, true);
         }
     }
 
     // Clients.
 
-    fn client(
+    fn handle_client(
         &mut self,
         now: Micros,
         peer: PeerId,
@@ -793,17 +800,17 @@
                     return Err(CloseReason::Bounds("a change too large"));
                 }
                 match self.admit(now, stream, kind, *key, body.len()) {
-                    Ok(()) => self.take(now, stream, kind, *key, body, (peer, *token), out),
+                    Ok(()) => self.append_submission(now, stream, kind, *key, body, (peer, *token), out),
                     Err(wait) => {
-                        self.figures.busy += 1;
-                        let after = ms(wait);
+                        self.stats.busy += 1;
+                        let after = ceil_ms(wait);
                         out.push(Output::Send(peer, Rc::new(Message::Busy { token: *token, after })));
                     }
                 }
                 Ok(())
             }
             Message::Status { token, stream, number, from } => {
-                self.question(now, peer, (*token, *stream, *number, *from), out);
+                self.start_status_query(now, peer, (*token, *stream, *number, *from), out);
                 Ok(())
             }
             other => Err(CloseReason::Unexpected(other.name())),
@@ -819,25 +826,25 @@
         key: u32,
         bytes: usize,
     ) -> Result<(), Micros> {
-        let lively = self
+        let live = self
             .links
             .iter()
-            .filter(|(id, l)| self.rules.is_store(**id) && now - l.heard <= self.rules.silence_timeout);
-        if !self.takes || lively.count() + 1 < self.rules.majority() {
+            .filter(|(id, l)| self.rules.is_store(**id) && now - l.last_heard <= self.rules.silence_timeout);
+        if !self.accepting || live.count() + 1 < self.rules.majority() {
             return Err(self.rules.silence_timeout);
         }
         let Some(log) = self.logs.get(&stream) else { return Err(self.rules.silence_timeout) };
-        if kind == TopicKind::Register && log.keys() >= self.rules.max_keys && !log.has_key(key) {
+        if kind == TopicKind::Register && log.key_count() >= self.rules.max_keys && !log.has_key(key) {
             return Err(60 * SECOND);
         }
         if self.pending.values().map(VecDeque::len).sum::<usize>() >= self.rules.max_pending {
             return Err(self.rules.poll_interval);
         }
-        let cost = cost(kind, bytes);
-        if cost > self.depth && !self.takes_large(now) {
+        let cost = change_cost(kind, bytes);
+        if cost > self.depth && !self.accepts_large(now) {
             return Err(self.rules.silence_timeout);
         }
-        match self.admission.wait(now, cost) {
+        match self.admission.time_until_available(now, cost) {
             0 => {
                 self.admission.take(now, cost);
                 Ok(())
@@ -846,12 +853,12 @@
         }
     }
 
-    /// A large change that another store took is carried beside what this one takes: it leaves its share of the room.
-    fn leave_room(&mut self, now: Micros, records: &[Record]) {
+    /// A large change that another store took is follower beside what this one takes: it leaves its share of the room.
+    fn reserve_for_large(&mut self, now: Micros, records: &[Record]) {
         for record in records {
             let Record::Change(change, _) = record else { continue };
             let Some(kind) = self.rules.kind(change.stream.topic) else { continue };
-            let cost = cost(kind, change.body.len());
+            let cost = change_cost(kind, change.body.len());
             // Not for each of many that come at once, as they do to one that was away.
             if cost > self.depth && self.admission.level(now) >= 0 {
                 self.admission.take(now, cost / usize::from(self.rules.stores));
@@ -860,14 +867,14 @@
     }
 
     /// Whether this store takes changes that are larger than what it takes in advance: the first that is heard
-    /// does. One at a time is carried well within the lease, beside all else; five at once would not be.
-    fn takes_large(&self, now: Micros) -> bool {
-        let lively = |l: &Link| now - l.heard <= self.rules.silence_timeout;
-        !(0..self.me.0).any(|id| self.links.get(&ControlId(id)).is_some_and(lively))
+    /// does. One at a time is follower well within the lease, beside all else; five at once would not be.
+    fn accepts_large(&self, now: Micros) -> bool {
+        let live = |l: &ControlLink| now - l.last_heard <= self.rules.silence_timeout;
+        !(0..self.me.0).any(|id| self.links.get(&ControlId(id)).is_some_and(live))
     }
 
     #[allow(clippy::too_many_arguments)]
-    fn take(
+    fn append_submission(
         &mut self,
         now: Micros,
         stream: StreamId,
@@ -881,37 +888,37 @@
         let key = if kind == TopicKind::Register { key } else { 0 };
         let record = log.append(key, body.clone());
         let number = log.head().number;
-        self.figures.accepted += 1;
+        self.stats.accepted += 1;
         self.held.set(stream, number);
         out.push(Output::Persist(vec![record]));
-        if let Some(piece) = log.piece(number - 1, number, BULK, None) {
+        if let Some(piece) = log.piece(number - 1, number, CONTROL_BATCH_BYTES, None) {
             let message = Rc::new(Message::Batch(vec![piece]));
             out.extend(self.links.values().map(|l| Output::Send(l.peer, message.clone())));
         }
         self.pending.entry(stream).or_default().push_back((number, client.0, client.1));
-        self.quorum.report(now, &self.rules, self.me, stream, number);
-        self.settle(now, out);
+        self.quorum.report_persisted(now, &self.rules, self.me, stream, number);
+        self.update_commits(now, out);
     }
 
-    fn question(
+    fn start_status_query(
         &mut self,
         now: Micros,
         peer: PeerId,
         (token, stream, number, from): (u32, StreamId, u64, FollowerId),
         out: &mut Vec<Output>,
     ) {
-        if self.questions.len() >= self.rules.max_status_queries {
-            let after = ms(self.rules.count_timeout);
+        if self.status_queries.len() >= self.rules.max_status_queries {
+            let after = ceil_ms(self.rules.count_timeout);
             return out.push(Output::Send(peer, Rc::new(Message::Busy { token, after })));
         }
-        self.asked = self.asked.wrapping_add(1);
-        let (have, refused) = self.count(stream, number);
+        self.last_query_token = self.last_query_token.wrapping_add(1);
+        let (have, refused) = self.followers_holding(stream, number);
         let listed = |f: &FollowerId| self.roster.contains(f);
-        let count = Rc::new(Message::Count { token: self.asked, stream, number });
+        let count = Rc::new(Message::Count { token: self.last_query_token, stream, number });
         out.extend(self.links.values().map(|l| Output::Send(l.peer, count.clone())));
         let others = (0..self.rules.controls).map(ControlId).filter(|c| *c != self.me);
         let (waits, unheard) = others.partition(|c| self.links.contains_key(c));
-        let question = Question {
+        let question = StatusQuery {
             peer,
             token,
             stream,
@@ -923,17 +930,17 @@
             waits,
             unheard,
         };
-        self.questions.insert(self.asked, question);
-        self.answer_questions(now, out);
+        self.status_queries.insert(self.last_query_token, question);
+        self.answer_status_queries(now, out);
     }
 
     /// Followers whose primary is here and that said that they have a change; of them, those that refused it.
-    fn count(&self, stream: StreamId, number: u64) -> (Vec<FollowerId>, Vec<FollowerId>) {
+    fn followers_holding(&self, stream: StreamId, number: u64) -> (Vec<FollowerId>, Vec<FollowerId>) {
         let (mut have, mut refused) = (Vec::new(), Vec::new());
         for peer in self.peers.values() {
             let Peer::Follower(c) = peer else { continue };
-            let proven = c.welcome && !c.unproven.contains_key(&stream) && !c.differs.contains(&stream);
-            let holds = if self.rules.is(InjectedFault::CountsSent) { &c.sent } else { &c.told };
+            let proven = c.welcomed && !c.unverified.contains_key(&stream) && !c.mismatched.contains(&stream);
+            let holds = if self.rules.has_fault(InjectedFault::CountsSent) { &c.sent } else { &c.acked };
             if c.primary && proven && holds.get(stream) >= number {
                 have.push(c.id);
                 if c.refused.contains(&(stream, number)) {
@@ -945,22 +952,22 @@
     }
 
     /// Answers questions for which all have counted, or whose time is over.
-    fn answer_questions(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let done = |q: &Question| q.waits.is_empty() || q.until <= now;
-        let done: Vec<u32> = self.questions.iter().filter(|(_, q)| done(q)).map(|(t, _)| *t).collect();
+    fn answer_status_queries(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let done = |q: &StatusQuery| q.waits.is_empty() || q.until <= now;
+        let done: Vec<u32> = self.status_queries.iter().filter(|(_, q)| done(q)).map(|(t, _)| *t).collect();
         for token in done {
-            let Some(q) = self.questions.remove(&token) else { continue };
-            let age = self.quorum.age(now, q.stream, q.number);
+            let Some(q) = self.status_queries.remove(&token) else { continue };
+            let age = self.quorum.committed_for(now, q.stream, q.number);
             let missing = self.roster.range(q.from..).filter(|f| !q.have.contains(f));
             let told = StatusReport {
                 token: q.token,
                 committed: age.is_some(),
-                since: ms(age.unwrap_or(0)),
+                since: ceil_ms(age.unwrap_or(0)),
                 followers: self.roster.len() as u32,
                 have: q.have.len() as u32,
-                lapsed: age.is_some_and(|a| a > self.rules.lease + self.rules.lease / DRIFT),
+                lapsed: age.is_some_and(|a| a > self.rules.lease + self.rules.lease / LEASE_MARGIN_DIVISOR),
                 missing: missing.copied().take(bounds::MAX_NAMES).collect(),
-                refused: q.refused.into_iter().take(REFUSERS).collect(),
+                refused: q.refused.into_iter().take(MAX_REFUSERS).collect(),
                 unheard: q.unheard.union(&q.waits).copied().collect(),
             };
             out.push(Output::Send(q.peer, Rc::new(Message::Told(told))));
@@ -969,7 +976,7 @@
 
     // Followers.
 
-    fn follower(
+    fn handle_follower(
         &mut self,
         now: Micros,
         peer: PeerId,
@@ -977,15 +984,15 @@
         out: &mut Vec<Output>,
     ) -> Result<(), CloseReason> {
         match message {
-            Message::Hello(hello) => self.greet(now, peer, hello, out),
-            Message::Ack(ack) => self.ack(now, peer, ack),
+            Message::Hello(hello) => self.handle_hello(now, peer, hello, out),
+            Message::Ack(ack) => self.handle_ack(now, peer, ack),
             Message::Pull { stream, after } => {
-                let (limit, known) = (self.passable.get(*stream), self.logs.contains_key(stream));
+                let (limit, known) = (self.deliverable.get(*stream), self.logs.contains_key(stream));
                 let Some(Peer::Follower(c)) = self.peers.get_mut(&peer) else { return Ok(()) };
                 if !known {
                     return Err(CloseReason::Bounds("a stream that there is not"));
                 }
-                if !c.differs.contains(stream) {
+                if !c.mismatched.contains(stream) {
                     c.parts.remove(stream);
                     c.sent.set(*stream, *after);
                     c.pulls.insert(*stream, limit);
@@ -996,7 +1003,7 @@
         }
     }
 
-    fn greet(
+    fn handle_hello(
         &mut self,
         now: Micros,
         peer: PeerId,
@@ -1007,42 +1014,42 @@
             return Err(CloseReason::Bounds("a stream that there is not"));
         }
         let same = |(id, p): (&PeerId, &Peer)| {
-            matches!(p, Peer::Follower(c) if c.id == hello.id && c.welcome && *id != peer).then_some(*id)
+            matches!(p, Peer::Follower(c) if c.id == hello.id && c.welcomed && *id != peer).then_some(*id)
         };
         if let Some(old) = self.peers.iter().find_map(same) {
             self.close(now, old, CloseReason::Replaced, out);
         }
         let rate = if hello.primary { self.rules.primary_rate } else { self.rules.secondary_rate };
-        let (epoch, bucket) = (self.rules.epoch, self.bucket(now, rate));
+        let (epoch, bucket) = (self.rules.epoch, self.new_bucket(now, rate));
         let Some(Peer::Follower(c)) = self.peers.get_mut(&peer) else { return Ok(()) };
         let heads = hello.heads.iter().copied();
         let held: Position = heads.clone().map(|(stream, head)| (stream, head.number)).collect();
         if c.primary != hello.primary {
             (c.primary, c.bucket) = (hello.primary, bucket);
         }
-        (c.id, c.challenge, c.since, c.welcome) = (hello.id, hello.challenge, now, hello.epoch == epoch);
-        (c.told, c.sent, c.shown) = (held.clone(), held.clone(), held);
-        c.unproven = heads.filter(|(_, head)| head.number > 0).collect();
-        (c.parts, c.pulls, c.differs, c.current) = Default::default();
+        (c.id, c.challenge, c.since, c.welcomed) = (hello.id, hello.challenge, now, hello.epoch == epoch);
+        (c.acked, c.sent, c.announced) = (held.clone(), held.clone(), held);
+        c.unverified = heads.filter(|(_, head)| head.number > 0).collect();
+        (c.parts, c.pulls, c.mismatched, c.caught_up) = Default::default();
         let welcome = Message::Welcome { epoch, control: self.me };
         c.bucket.take(now, frame::size(&welcome));
         out.push(Output::Send(peer, Rc::new(welcome)));
-        self.prove(now, peer, out);
+        self.verify_heads(now, peer, out);
         Ok(())
     }
 
     /// Compares what a follower said that it holds with what is held here.
-    fn prove(&mut self, now: Micros, peer: PeerId, out: &mut Vec<Output>) {
+    fn verify_heads(&mut self, now: Micros, peer: PeerId, out: &mut Vec<Output>) {
         let Some(Peer::Follower(c)) = self.peers.get_mut(&peer) else { return };
-        if !c.welcome || c.unproven.is_empty() {
+        if !c.welcomed || c.unverified.is_empty() {
             return;
         }
         let fresh = self.quorum.fresh().is_some_and(|f| f > c.since);
         let mut differs = Vec::new();
-        c.unproven.retain(|stream, head| {
+        c.unverified.retain(|stream, head| {
             let Some(log) = self.logs.get(stream) else { return false };
             let known = log.digest(head.number);
-            let ours = if self.passable.get(*stream) >= head.number {
+            let ours = if self.deliverable.get(*stream) >= head.number {
                 // Of a set what is unknown is so old that a mark comes; of a register nothing would mend it.
                 known
                     .map(|d| d == head.digest)
@@ -1056,26 +1063,26 @@
             ours.is_none()
         });
         for (stream, number) in differs {
-            self.figures.history_mismatches += 1;
-            c.differs.insert(stream);
+            self.stats.history_mismatches += 1;
+            c.mismatched.insert(stream);
             let message = Message::Differs { stream, number };
             c.bucket.take(now, frame::size(&message));
             out.push(Output::Send(peer, Rc::new(message)));
         }
     }
 
-    fn ack(&mut self, now: Micros, peer: PeerId, ack: &Ack) -> Result<(), CloseReason> {
+    fn handle_ack(&mut self, now: Micros, peer: PeerId, ack: &Ack) -> Result<(), CloseReason> {
         let unknown = |(stream, _): &(StreamId, u64)| !self.logs.contains_key(stream);
         if ack.gains.iter().any(unknown) || ack.refused.iter().any(unknown) {
             return Err(CloseReason::Bounds("a stream that there is not"));
         }
         let rate = if ack.primary { self.rules.primary_rate } else { self.rules.secondary_rate };
-        let bucket = self.bucket(now, rate);
+        let bucket = self.new_bucket(now, rate);
         let Some(Peer::Follower(c)) = self.peers.get_mut(&peer) else { return Ok(()) };
         c.challenge = ack.challenge;
-        c.told.gain(&ack.gains);
+        c.acked.gain(&ack.gains);
         // What it asked for may have come another way.
-        let (told, sent, parts) = (&c.told, &mut c.sent, &mut c.parts);
+        let (told, sent, parts) = (&c.acked, &mut c.sent, &mut c.parts);
         c.pulls.retain(|stream, limit| {
             let holds = told.get(*stream);
             if holds > sent.get(*stream) {
@@ -1086,10 +1093,10 @@
         });
         if c.primary != ack.primary {
             (c.primary, c.bucket) = (ack.primary, bucket);
-            c.sent = c.told.clone();
+            c.sent = c.acked.clone();
             (c.parts, c.pulls) = Default::default();
-            // Another has carried it until now.
-            c.current = true;
+            // Another has follower it until now.
+            c.caught_up = true;
         }
         for (stream, number) in &ack.refused {
             if c.refused.contains(&(*stream, *number)) {
@@ -1103,7 +1110,7 @@
                 Some(known) => known.2 = known.2.saturating_add(1),
                 None => self.refused.push_back((*stream, *number, 1)),
             }
-            if self.refused.len() > REFUSED {
+            if self.refused.len() > MAX_REFUSED_CHANGES {
                 self.refused.pop_front();
             }
         }
@@ -1111,47 +1118,48 @@
     }
 
     /// Sends batches and beats to the followers of a slot.
-    fn serve(&mut self, now: Micros, slot: usize, out: &mut Vec<Output>) {
+    fn serve_slot(&mut self, now: Micros, slot: usize, out: &mut Vec<Output>) {
         let mut common = HashMap::new();
         let peers: Vec<PeerId> = self.slots[slot].iter().copied().collect();
         for peer in peers {
-            self.prove(now, peer, out);
+            self.verify_heads(now, peer, out);
             let Some(Peer::Follower(mut c)) = self.peers.remove(&peer) else { continue };
-            if c.welcome {
-                self.carry(now, peer, &mut c, &mut common, out);
-                self.beat(now, peer, &mut c, out);
+            if c.welcomed {
+                self.send_batch(now, peer, &mut c, &mut common, out);
+                self.send_beat(now, peer, &mut c, out);
             }
             self.peers.insert(peer, Peer::Follower(c));
         }
     }
 
     /// Sends what a follower lacks, as far as its bucket allows.
-    fn carry(
+    fn send_batch(
         &mut self,
         now: Micros,
         peer: PeerId,
-        c: &mut Carried,
+        c: &mut FollowerState,
         common: &mut HashMap<Position, (Rc<Message>, usize)>,
         out: &mut Vec<Output>,
     ) {
         if !c.primary && c.pulls.is_empty() {
             return;
         }
-        c.current |= c.primary && c.sent.covers(&self.passable);
-        let budget = usize::try_from(c.bucket.level(now)).unwrap_or(0).saturating_sub(BEAT + BATCH);
+        c.caught_up |= c.primary && c.sent.covers(&self.deliverable);
+        let budget =
+            usize::try_from(c.bucket.level(now)).unwrap_or(0).saturating_sub(BEAT_RESERVE + BATCH_HEADER);
         // Those that are at the same place, as most are, get the same.
-        let plain = c.primary && c.current && c.parts.is_empty() && c.differs.is_empty();
-        let known = common.get(&c.sent).filter(|k| plain && k.1 <= budget + BATCH);
+        let plain = c.primary && c.caught_up && c.parts.is_empty() && c.mismatched.is_empty();
+        let known = common.get(&c.sent).filter(|k| plain && k.1 <= budget + BATCH_HEADER);
         let (message, bytes) = match known {
             Some((message, bytes)) => (message.clone(), *bytes),
             None => {
-                let pieces = self.plan(c, budget);
+                let pieces = self.plan_batch(c, budget);
                 if pieces.is_empty() {
                     return;
                 }
                 let message = Rc::new(Message::Batch(pieces));
                 let bytes = frame::size(&message);
-                if plain && self.completes(&c.sent, &message) {
+                if plain && self.completes_delivery(&c.sent, &message) {
                     common.insert(c.sent.clone(), (message.clone(), bytes));
                 }
                 (message, bytes)
@@ -1161,48 +1169,50 @@
         for piece in pieces {
             let stream = piece.stream;
             if let Content::Part { number, whole, offset, bytes, .. } = &piece.content {
-                self.figures.parts += 1;
+                self.stats.parts += 1;
                 let sent = *offset + bytes.len() as u16;
                 if sent < *whole {
                     c.parts.insert(stream, (*number, sent));
                     continue;
                 }
             }
-            self.figures.marks += u64::from(piece.is_mark());
+            self.stats.marks += u64::from(piece.is_mark());
             let upto = piece.upto();
             c.parts.remove(&stream);
             c.sent.raise(stream, upto);
-            c.shown.raise(stream, upto);
+            c.announced.raise(stream, upto);
             if c.pulls.get(&stream).is_some_and(|limit| *limit <= upto) {
                 c.pulls.remove(&stream);
             }
         }
         c.bucket.take(now, bytes);
-        self.figures.bytes += bytes as u64;
+        self.stats.bytes += bytes as u64;
         out.push(Output::Send(peer, message));
     }
 
     /// The pieces that a follower is to get now, in so many bytes at most. Streams share them evenly, and what one
     /// does not need goes to the others.
-    fn plan(&self, c: &Carried, budget: usize) -> Vec<Piece> {
+    fn plan_batch(&self, c: &FollowerState, budget: usize) -> Vec<Piece> {
         let limit = |stream: StreamId| {
-            let passable = self.passable.get(stream);
+            let deliverable = self.deliverable.get(stream);
             if c.primary {
-                passable
+                deliverable
             } else {
-                c.pulls.get(&stream).copied().unwrap_or(0).min(passable)
+                c.pulls.get(&stream).copied().unwrap_or(0).min(deliverable)
             }
         };
         let rate = if c.primary { self.rules.primary_rate } else { self.rules.secondary_rate };
         let behind = i64::from(rate).saturating_mul(self.rules.max_backlog) / SECOND;
         let behind = u64::try_from(behind).unwrap_or(0);
-        let lacks = self.logs.iter().filter(|(s, _)| c.sent.get(**s) < limit(**s) && !c.differs.contains(s));
+        let lacks =
+            self.logs.iter().filter(|(s, _)| c.sent.get(**s) < limit(**s) && !c.mismatched.contains(s));
         let mut lacks: Vec<(u64, &StreamId, &Log)> =
             lacks.map(|(s, log)| (log.bytes(c.sent.get(*s), limit(*s)), s, log)).collect();
         lacks.sort_by_key(|l| (l.0, *l.1));
         let is_set = |s: &StreamId| self.rules.kind(s.topic) == Some(TopicKind::Set);
         let mut backlog: u64 = lacks.iter().filter(|l| is_set(l.1)).map(|l| l.0).sum();
-        let joint = if c.current { behind.saturating_mul(JOINT) } else { behind / CATCHING_UP };
+        let joint =
+            if c.caught_up { behind.saturating_mul(TOTAL_BACKLOG_FACTOR) } else { behind / CATCH_UP_DIVISOR };
         let mut marks = BTreeSet::new();
         for (bytes, stream, _) in lacks.iter().rev().filter(|l| is_set(l.1)) {
             if *bytes > behind || backlog > joint {
@@ -1217,7 +1227,7 @@
             let (after, upto) = (c.sent.get(*stream), limit(*stream));
             let share = left / (count - at);
             let piece = if marks.contains(stream) {
-                log.mark(after, upto).filter(|_| left >= MARK)
+                log.mark(after, upto).filter(|_| left >= MARK_BYTES)
             } else {
                 log.piece(after, upto, share, c.parts.get(stream).copied())
             };
@@ -1229,58 +1239,58 @@
     }
 
     /// Whether a batch brings a primary follower up to all that may be passed on.
-    fn completes(&self, sent: &Position, message: &Message) -> bool {
+    fn completes_delivery(&self, sent: &Position, message: &Message) -> bool {
         let Message::Batch(pieces) = message else { return false };
         let mut sent = sent.clone();
         let whole = |p: &&Piece| !matches!(p.content, Content::Part { .. });
         pieces.iter().filter(whole).for_each(|p| sent.raise(p.stream, p.upto()));
-        sent.covers(&self.passable)
+        sent.covers(&self.deliverable)
     }
 
-    fn beat(&mut self, now: Micros, peer: PeerId, c: &mut Carried, out: &mut Vec<Output>) {
-        let proven = c.unproven.is_empty() && c.differs.is_empty();
+    fn send_beat(&mut self, now: Micros, peer: PeerId, c: &mut FollowerState, out: &mut Vec<Output>) {
+        let proven = c.unverified.is_empty() && c.mismatched.is_empty();
         let fresh = self.quorum.fresh().filter(|_| proven);
-        let gains = self.passable.gains(&c.shown);
-        c.shown.merge(&self.passable);
+        let gains = self.deliverable.gains(&c.announced);
+        c.announced.merge(&self.deliverable);
         // Rounded up; one that is too old for a number is none.
         let age = fresh.and_then(|f| u32::try_from((now - f).max(0) / 1000 + 1).ok());
         let message = Message::Beat(Beat { echo: c.challenge, age, gains });
         let bytes = frame::size(&message);
         c.bucket.take(now, bytes);
-        self.figures.bytes += bytes as u64;
+        self.stats.bytes += bytes as u64;
         out.push(Output::Send(peer, Rc::new(message)));
     }
 }
 
 /// Bytes of a mark, at most: stream, two numbers, digest, kind.
-const MARK: usize = 24;
+const MARK_BYTES: usize = 24;
 
-impl Carried {
+impl FollowerState {
     fn new(now: Micros, rules: &Rules, bucket: Bucket) -> Self {
-        Carried {
+        FollowerState {
             id: FollowerId(0),
             primary: false,
-            welcome: false,
+            welcomed: false,
             since: now,
-            heard: now,
+            last_heard: now,
             challenge: 0,
-            told: Position::default(),
+            acked: Position::default(),
             sent: Position::default(),
-            shown: Position::default(),
+            announced: Position::default(),
             parts: BTreeMap::new(),
             pulls: BTreeMap::new(),
-            unproven: BTreeMap::new(),
-            differs: BTreeSet::new(),
-            current: false,
+            unverified: BTreeMap::new(),
+            mismatched: BTreeSet::new(),
+            caught_up: false,
             refused: VecDeque::new(),
             bucket,
-            words: Bucket::new(now, rules.message_rate, rules.message_rate),
+            message_budget: Bucket::new(now, rules.message_rate, rules.message_rate),
         }
     }
 }
 
 /// Bytes that a change takes on its way to a follower, less the head of its piece.
-fn cost(kind: TopicKind, bytes: usize) -> usize {
+fn change_cost(kind: TopicKind, bytes: usize) -> usize {
     match kind {
         TopicKind::Set => bytes + 1,
         // Offset, key, digest and length.
@@ -1293,11 +1303,11 @@
     postcard::serialize_with_flavor(piece, flavor).unwrap_or(bounds::MAX_FRAME_BYTES)
 }
 
-fn slot(peer: PeerId) -> usize {
+fn slot_of(peer: PeerId) -> usize {
     (peer % SLOTS as PeerId) as usize
 }
 
 /// Rounded up.
-fn ms(span: Micros) -> u32 {
+fn ceil_ms(span: Micros) -> u32 {
     u32::try_from(span.max(0).saturating_add(999) / 1000).unwrap_or(u32::MAX)
 }
--- a/crates/dissemination/src/follower.rs
+++ b/crates/dissemination/src/follower.rs
@@ -18,7 +18,7 @@
 use crate::change::{self, Content, Entry, Fit, Head, Piece, Position, SavedState};
 use crate::frame::{self, CloseReason};
 use crate::message::{Ack, Beat, Hello, Message};
-use crate::order::spread;
+use crate::order::hash_jitter;
 use crate::rules::InjectedFault;
 use crate::{bounds, ControlId, FollowerId, Micros, Rules, StreamId, TopicKind, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -83,24 +83,24 @@
 type Claim = (Micros, Position);
 
 #[derive(Clone, Debug, Hash)]
-struct Conn {
+struct Connection {
     up: bool,
     /// When it was asked for, or came up; when it was last heard.
     since: Micros,
-    heard: Micros,
+    last_heard: Micros,
     /// Hellos that have not been answered: what is shown until then does not count.
-    hellos: u32,
+    unanswered_hellos: u32,
     challenge: u32,
     challenges: VecDeque<(u32, Micros)>,
     /// What it showed; what was told to it.
-    shown: Position,
-    told: Position,
+    announced: Position,
+    acked: Position,
     /// The freshest instant that it claimed, whether held or not.
-    claimed: Option<Micros>,
+    freshest_claim: Option<Micros>,
     /// The claim that is waited for, and the last one: while changes come all the time, the last is never reached.
-    waits: Option<Claim>,
-    last: Option<Claim>,
-    acked: Micros,
+    pending_claim: Option<Claim>,
+    latest_claim: Option<Claim>,
+    last_ack: Micros,
     /// How many refusals it was told.
     refused: u64,
     /// Whether it was asked for what lacks: then it is told what has come another way.
@@ -109,7 +109,7 @@
 
 /// A stream of which more is shown than held.
 #[derive(Clone, Debug, Hash)]
-struct Lack {
+struct MissingChanges {
     held: u64,
     part: usize,
     since: Micros,
@@ -118,7 +118,7 @@
 
 /// A change that is not whole yet.
 #[derive(Clone, Debug, Hash)]
-struct Part {
+struct PartialChange {
     number: u64,
     key: u32,
     whole: u16,
@@ -132,9 +132,9 @@
 
 /// When a control machine may be dialled again, and how often it has failed.
 #[derive(Clone, Copy, Debug, Default, Hash)]
-struct Wait {
-    until: Option<Micros>,
-    tries: u32,
+struct Backoff {
+    retry_at: Option<Micros>,
+    failures: u32,
 }
 
 /// See the file's comment.
@@ -147,25 +147,25 @@
     epoch: u32,
     heads: BTreeMap<StreamId, Head>,
     position: Position,
-    conns: BTreeMap<ControlId, Conn>,
+    conns: BTreeMap<ControlId, Connection>,
     primary: Option<ControlId>,
     secondary: Option<ControlId>,
-    waits: BTreeMap<ControlId, Wait>,
-    lacks: BTreeMap<StreamId, Lack>,
-    parts: BTreeMap<StreamId, Part>,
+    backoffs: BTreeMap<ControlId, Backoff>,
+    missing: BTreeMap<StreamId, MissingChanges>,
+    partial_changes: BTreeMap<StreamId, PartialChange>,
     /// Control machines that hold another history of a stream.
-    doubts: BTreeMap<StreamId, BTreeSet<ControlId>>,
+    mismatch_reports: BTreeMap<StreamId, BTreeSet<ControlId>>,
     refused: VecDeque<(StreamId, u64)>,
-    refusals: u64,
+    refused_total: u64,
     fresh: Option<Micros>,
-    service: bool,
+    serving: bool,
     /// Whether anything was applied since the last ack to the primary.
-    news: bool,
+    unacked: bool,
     /// Whether control machines are to be told at the next tick what is held.
-    greets: bool,
+    hello_due: bool,
     bucket: Bucket,
-    ticked: Micros,
-    figures: Shown,
+    last_tick: Micros,
+    stats: Shown,
 }
 
 impl Follower {
@@ -204,18 +204,18 @@
             conns: BTreeMap::new(),
             primary: None,
             secondary: None,
-            waits: BTreeMap::new(),
-            lacks: BTreeMap::new(),
-            parts: BTreeMap::new(),
-            doubts: BTreeMap::new(),
+            backoffs: BTreeMap::new(),
+            missing: BTreeMap::new(),
+            partial_changes: BTreeMap::new(),
+            mismatch_reports: BTreeMap::new(),
             refused: VecDeque::new(),
-            refusals: 0,
+            refused_total: 0,
             fresh: None,
-            service: false,
-            news: false,
-            greets: false,
-            ticked: now,
-            figures: Shown::default(),
+            serving: false,
+            unacked: false,
+            hello_due: false,
+            last_tick: now,
+            stats: Shown::default(),
             rules,
         })
     }
@@ -225,15 +225,15 @@
         let Some(conn) = self.conns.get_mut(&control) else {
             return out.push(Output::Close(control, CloseReason::NoLongerNeeded));
         };
-        (conn.up, conn.since, conn.heard) = (true, now, now);
-        self.greet(now, control, out);
+        (conn.up, conn.since, conn.last_heard) = (true, now, now);
+        self.send_hello(now, control, out);
     }
 
     /// A connection is gone, or could not be opened.
     pub fn down(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         if self.conns.contains_key(&control) {
-            self.lose(now, control, false);
-            self.arrange(now, out);
+            self.drop_connection(now, control, false);
+            self.fill_connections(now, out);
         }
     }
 
@@ -248,17 +248,19 @@
         if !self.conns.get(&control).is_some_and(|c| c.up) {
             return Err(CloseReason::Unexpected(message.name()));
         }
-        self.figures.bytes_in += frame::size(message) as u64;
-        let done =
-            message.check().map_err(CloseReason::Bounds).and_then(|()| self.hear(now, control, message, out));
+        self.stats.bytes_in += frame::size(message) as u64;
+        let done = message
+            .check()
+            .map_err(CloseReason::Bounds)
+            .and_then(|()| self.dispatch(now, control, message, out));
         if let Err(why) = &done {
             // Who says what is wrong is asked again last.
             let wrong = !matches!(why, CloseReason::NoCapacity | CloseReason::ByPeer(_));
-            self.lose(now, control, wrong);
+            self.drop_connection(now, control, wrong);
         }
-        self.look(now, out);
+        self.update_freshness(now, out);
         if done.is_err() {
-            self.arrange(now, out);
+            self.fill_connections(now, out);
         }
         done
     }
@@ -266,55 +268,56 @@
     /// The host could not put a change in force. It counts as applied, and control machines are told.
     pub fn report_refused(&mut self, stream: StreamId, number: u64) {
         self.refused.push_back((stream, number));
-        self.refusals += 1;
+        self.refused_total += 1;
         if self.refused.len() > bounds::MAX_REFUSED {
             self.refused.pop_front();
         }
-        self.news = true;
+        self.unacked = true;
     }
 
     /// Time passed.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
-        self.excuse(now);
-        self.ticked = now;
-        if std::mem::take(&mut self.greets) {
-            self.greet_all(now, out);
+        self.adjust_for_stall(now);
+        self.last_tick = now;
+        if std::mem::take(&mut self.hello_due) {
+            self.send_hello_to_all(now, out);
         }
-        self.silence(now, out);
-        self.compare(now, out);
-        self.seek(now, out);
-        self.arrange(now, out);
-        self.acks(now, out);
-        self.look(now, out);
+        self.close_silent(now, out);
+        self.leave_stale_primary(now, out);
+        self.request_missing(now, out);
+        self.fill_connections(now, out);
+        self.send_due_acks(now, out);
+        self.update_freshness(now, out);
     }
 
     /// When [`Follower::tick`] is due.
     pub fn next_tick(&self) -> Micros {
         let beat = self.rules.beat_interval;
-        if self.greets {
-            return self.ticked + 1000;
+        if self.hello_due {
+            return self.last_tick + 1000;
         }
         let conns = self.conns.iter().flat_map(|(id, c)| {
             let ack = c.up.then(|| {
-                c.acked + if self.news && self.primary == Some(*id) { beat } else { self.rules.ack_interval }
+                c.last_ack
+                    + if self.unacked && self.primary == Some(*id) { beat } else { self.rules.ack_interval }
             });
-            [Some(c.heard + self.rules.silence_timeout + 1), ack]
+            [Some(c.last_heard + self.rules.silence_timeout + 1), ack]
         });
-        let lacks =
-            self.lacks.values().map(|l| l.asked.unwrap_or(l.since).max(l.since) + self.rules.gap_timeout);
-        let lease = self.fresh.filter(|_| self.service).map(|f| f + self.rules.lease + 1);
+        let gaps =
+            self.missing.values().map(|l| l.asked.unwrap_or(l.since).max(l.since) + self.rules.gap_timeout);
+        let lease = self.fresh.filter(|_| self.serving).map(|f| f + self.rules.lease + 1);
         let open = self.primary.is_none() || self.secondary.is_none();
         let dials = self.order.iter().filter(|c| open && !self.conns.contains_key(c));
-        let dials = dials.map(|c| self.waits.get(c).and_then(|w| w.until).unwrap_or(self.ticked));
-        let next = conns.flatten().chain(lacks).chain(lease).chain(dials).min();
+        let dials = dials.map(|c| self.backoffs.get(c).and_then(|w| w.retry_at).unwrap_or(self.last_tick));
+        let next = conns.flatten().chain(gaps).chain(lease).chain(dials).min();
         // Never at once again: a millisecond is less than anything here takes.
-        next.unwrap_or(self.ticked + beat).max(self.ticked + 1000)
+        next.unwrap_or(self.last_tick + beat).max(self.last_tick + 1000)
     }
 
     /// Whether it may serve: everything acknowledged a lease ago is applied.
     pub fn in_service(&self, now: Micros) -> bool {
         let lease = self.rules.lease;
-        self.fresh.is_some_and(|f| self.rules.is(InjectedFault::NoLease) || now - f <= lease)
+        self.fresh.is_some_and(|f| self.rules.has_fault(InjectedFault::NoLease) || now - f <= lease)
     }
 
     /// What is applied.
@@ -344,14 +347,14 @@
             primary: who(self.primary),
             secondary: who(self.secondary),
             age: self.fresh.map(|f| now - f),
-            ..self.figures.clone()
+            ..self.stats.clone()
         }
     }
 
     // Connections.
 
     /// Fills the two places, nearest in the order first.
-    fn arrange(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn fill_connections(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.primary.is_none() {
             self.promote(now, out);
         }
@@ -361,11 +364,11 @@
                 continue;
             }
             let ready = |c: &&ControlId| {
-                let waits = self.waits.get(c).and_then(|w| w.until);
+                let waits = self.backoffs.get(c).and_then(|w| w.retry_at);
                 !self.conns.contains_key(c) && waits.is_none_or(|until| until <= now)
             };
             let Some(next) = self.order.iter().find(ready).copied() else { continue };
-            self.conns.insert(next, Conn::new(now));
+            self.conns.insert(next, Connection::new(now));
             *(if primary { &mut self.primary } else { &mut self.secondary }) = Some(next);
             out.push(Output::Dial(next));
         }
@@ -375,45 +378,45 @@
     fn promote(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(next) = self.secondary.filter(|s| self.conns.get(s).is_some_and(|c| c.up)) else { return };
         (self.primary, self.secondary) = (Some(next), None);
-        self.figures.promotions += 1;
-        self.ack(now, next, out);
+        self.stats.promotions += 1;
+        self.send_ack(now, next, out);
     }
 
     /// The machine forgets a connection. Its control machine is dialled again after a while, a longer one if it has
     /// failed before or said what is wrong.
-    fn lose(&mut self, now: Micros, control: ControlId, wrong: bool) {
+    fn drop_connection(&mut self, now: Micros, control: ControlId, wrong: bool) {
         self.conns.remove(&control);
         for place in [&mut self.primary, &mut self.secondary] {
             *place = place.filter(|c| *c != control);
         }
-        let wait = self.waits.entry(control).or_default();
+        let backoff = self.backoffs.entry(control).or_default();
         let span = self
             .rules
             .min_redial_delay
-            .saturating_mul(1 << wait.tries.min(16))
+            .saturating_mul(1 << backoff.failures.min(16))
             .min(self.rules.max_redial_delay);
         let span = if wrong { self.rules.max_redial_delay } else { span };
-        wait.until = Some(now + span / 2 + spread((self.me, control, wait.tries), span / 2));
-        wait.tries = wait.tries.saturating_add(1);
+        backoff.retry_at = Some(now + span / 2 + hash_jitter((self.me, control, backoff.failures), span / 2));
+        backoff.failures = backoff.failures.saturating_add(1);
     }
 
     fn close(&mut self, now: Micros, control: ControlId, why: CloseReason, out: &mut Vec<Output>) {
-        self.lose(now, control, false);
+        self.drop_connection(now, control, false);
         out.push(Output::Close(control, why));
     }
 
     /// A host that was held up itself has not heard, though there may be what waits to be read.
-    fn excuse(&mut self, now: Micros) {
-        let due = self.next_tick().max(self.ticked + self.rules.beat_interval);
+    fn adjust_for_stall(&mut self, now: Micros) {
+        let due = self.next_tick().max(self.last_tick + self.rules.beat_interval);
         let late = now - due;
         if late > self.rules.beat_interval {
-            self.conns.values_mut().for_each(|c| c.heard = (c.heard + late).min(now));
+            self.conns.values_mut().for_each(|c| c.last_heard = (c.last_heard + late).min(now));
         }
     }
 
     /// Leaves control machines that say nothing.
-    fn silence(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let silent = self.conns.iter().filter(|(_, c)| now - c.heard > self.rules.silence_timeout);
+    fn close_silent(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let silent = self.conns.iter().filter(|(_, c)| now - c.last_heard > self.rules.silence_timeout);
         let silent: Vec<ControlId> = silent.map(|(id, _)| *id).collect();
         for control in silent {
             self.close(now, control, CloseReason::Timeout, out);
@@ -421,48 +424,49 @@
     }
 
     /// Leaves a primary that knows much less than the secondary.
-    fn compare(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn leave_stale_primary(&mut self, now: Micros, out: &mut Vec<Output>) {
         let (Some(primary), Some(secondary)) = (self.primary, self.secondary) else { return };
         let (Some(first), Some(second)) = (self.conns.get(&primary), self.conns.get(&secondary)) else {
             return;
         };
-        let knows = first.claimed.unwrap_or(first.since);
-        if second.claimed.is_some_and(|c| c - knows > 2 * self.rules.silence_timeout) {
+        let knows = first.freshest_claim.unwrap_or(first.since);
+        if second.freshest_claim.is_some_and(|c| c - knows > 2 * self.rules.silence_timeout) {
             self.close(now, primary, CloseReason::NoLongerNeeded, out);
         }
     }
 
     /// Asks for what was shown and did not come: the secondary first, which is there for that. If that does not
     /// help either, the secondary becomes the primary.
-    fn seek(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn request_missing(&mut self, now: Micros, out: &mut Vec<Output>) {
         let mut shown = Position::default();
-        self.conns.values().filter(|c| c.hellos == 0).for_each(|c| shown.merge(&c.shown));
-        self.lacks.retain(|stream, _| shown.get(*stream) > self.position.get(*stream));
+        self.conns.values().filter(|c| c.unanswered_hellos == 0).for_each(|c| shown.merge(&c.announced));
+        self.missing.retain(|stream, _| shown.get(*stream) > self.position.get(*stream));
         let mut stuck = false;
         for (stream, number) in shown.iter() {
             let held = self.position.get(stream);
             if number <= held {
                 continue;
             }
-            let part = self.parts.get(&stream).map_or(0, |p| p.bytes.len());
-            let lack = self.lacks.entry(stream).or_insert(Lack { held, part, since: now, asked: None });
-            if (lack.held, lack.part) != (held, part) {
-                *lack = Lack { held, part, since: now, asked: lack.asked };
+            let part = self.partial_changes.get(&stream).map_or(0, |p| p.bytes.len());
+            let missing =
+                self.missing.entry(stream).or_insert(MissingChanges { held, part, since: now, asked: None });
+            if (missing.held, missing.part) != (held, part) {
+                *missing = MissingChanges { held, part, since: now, asked: missing.asked };
             }
-            let (since, asked) = (lack.since, lack.asked);
+            let (since, asked) = (missing.since, missing.asked);
             if now - since < self.rules.gap_timeout
                 || asked.is_some_and(|at| now - at < self.rules.gap_timeout)
             {
                 continue;
             }
             let has = |c: &ControlId| {
-                self.conns.get(c).is_some_and(|c| c.hellos == 0 && c.shown.get(stream) > held)
+                self.conns.get(c).is_some_and(|c| c.unanswered_hellos == 0 && c.announced.get(stream) > held)
             };
             let second = self.secondary.filter(has);
             stuck |= second.is_some() && now - since >= self.rules.silence_timeout + self.rules.gap_timeout;
             let Some(from) = second.or(self.primary.filter(has)) else { continue };
-            lack.asked = Some(now);
-            self.figures.pulls += 1;
+            missing.asked = Some(now);
+            self.stats.pulls += 1;
             if let Some(conn) = self.conns.get_mut(&from) {
                 conn.pulled = true;
             }
@@ -473,18 +477,18 @@
         }
     }
 
-    fn greet(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
+    fn send_hello(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         let position = self.position.clone();
         let Some(conn) = self.conns.get_mut(&control) else { return };
-        conn.hellos += 1;
-        (conn.shown, conn.told) = (position.clone(), position);
-        (conn.waits, conn.last, conn.acked) = (None, None, now);
+        conn.unanswered_hellos += 1;
+        (conn.announced, conn.acked) = (position.clone(), position);
+        (conn.pending_claim, conn.latest_claim, conn.last_ack) = (None, None, now);
         let hello = Hello {
             epoch: self.epoch,
             id: self.me,
             life: self.life,
             primary: self.primary == Some(control),
-            challenge: conn.challenge(now),
+            challenge: conn.next_challenge(now),
             heads: self.heads.iter().map(|(s, h)| (*s, *h)).collect(),
         };
         self.send(now, control, Message::Hello(hello), out);
@@ -493,47 +497,47 @@
     fn send(&mut self, now: Micros, control: ControlId, message: Message, out: &mut Vec<Output>) {
         let bytes = frame::size(&message);
         self.bucket.take(now, bytes);
-        self.figures.bytes_out += bytes as u64;
+        self.stats.bytes_out += bytes as u64;
         out.push(Output::Send(control, message));
     }
 
-    fn acks(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let due = |(id, c): (&ControlId, &Conn)| {
-            let news = self.news && self.primary == Some(*id);
+    fn send_due_acks(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let due = |(id, c): (&ControlId, &Connection)| {
+            let news = self.unacked && self.primary == Some(*id);
             let every = if news { self.rules.beat_interval } else { self.rules.ack_interval };
-            (c.up && now - c.acked >= every).then_some(*id)
+            (c.up && now - c.last_ack >= every).then_some(*id)
         };
         let due: Vec<ControlId> = self.conns.iter().filter_map(due).collect();
         for control in due {
             if self.bucket.level(now) > 0 {
-                self.ack(now, control, out);
+                self.send_ack(now, control, out);
             }
         }
     }
 
-    fn ack(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
+    fn send_ack(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         let primary = self.primary == Some(control);
         let unsaid =
-            |said: u64| self.refused.len() - ((self.refusals - said) as usize).min(self.refused.len());
+            |said: u64| self.refused.len() - ((self.refused_total - said) as usize).min(self.refused.len());
         let Some(conn) = self.conns.get_mut(&control).filter(|c| c.up) else { return };
-        conn.acked = now;
-        let mut ack = Ack { primary, challenge: conn.challenge(now), ..Ack::default() };
+        conn.last_ack = now;
+        let mut ack = Ack { primary, challenge: conn.next_challenge(now), ..Ack::default() };
         if primary || conn.pulled {
-            ack.gains = self.position.gains(&conn.told);
-            conn.told.merge(&self.position);
-            conn.pulled &= !self.lacks.is_empty();
+            ack.gains = self.position.gains(&conn.acked);
+            conn.acked.merge(&self.position);
+            conn.pulled &= !self.missing.is_empty();
         }
         if primary {
             ack.refused = self.refused.iter().skip(unsaid(conn.refused)).copied().collect();
-            conn.refused = self.refusals;
-            self.news = false;
+            conn.refused = self.refused_total;
+            self.unacked = false;
         }
         self.send(now, control, Message::Ack(ack), out);
     }
 
     // Words.
 
-    fn hear(
+    fn dispatch(
         &mut self,
         now: Micros,
         control: ControlId,
@@ -545,13 +549,13 @@
                 if *id != control {
                     return Err(CloseReason::Bounds("not the control machine that should be there"));
                 }
-                self.welcome(now, control, *epoch, out)
+                self.handle_welcome(now, control, *epoch, out)
             }
-            Message::Beat(beat) => self.beat(now, control, beat),
-            Message::Batch(pieces) => pieces.iter().try_for_each(|p| self.piece(now, control, p, out)),
+            Message::Beat(beat) => self.handle_beat(now, control, beat),
+            Message::Batch(pieces) => pieces.iter().try_for_each(|p| self.handle_piece(now, control, p, out)),
             Message::Differs { stream, number } => {
                 if self.welcomed(control) && self.position.get(*stream) >= *number && *number > 0 {
-                    self.doubt(control, *stream, out);
+                    self.record_mismatch(control, *stream, out);
                 }
                 Ok(())
             }
@@ -560,21 +564,21 @@
     }
 
     fn welcomed(&self, control: ControlId) -> bool {
-        self.conns.get(&control).is_some_and(|c| c.hellos == 0)
+        self.conns.get(&control).is_some_and(|c| c.unanswered_hellos == 0)
     }
 
-    fn welcome(
+    fn handle_welcome(
         &mut self,
         now: Micros,
         control: ControlId,
         epoch: u32,
         out: &mut Vec<Output>,
     ) -> Result<(), CloseReason> {
-        let Some(conn) = self.conns.get_mut(&control).filter(|c| c.hellos > 0) else {
+        let Some(conn) = self.conns.get_mut(&control).filter(|c| c.unanswered_hellos > 0) else {
             return Err(CloseReason::Unexpected("a welcome"));
         };
-        (conn.hellos, conn.heard) = (conn.hellos - 1, now);
-        if conn.hellos > 0 {
+        (conn.unanswered_hellos, conn.last_heard) = (conn.unanswered_hellos - 1, now);
+        if conn.unanswered_hellos > 0 {
             return Ok(());
         }
         if epoch < self.epoch {
@@ -583,72 +587,72 @@
         if epoch > self.epoch {
             let streams: Vec<StreamId> = self.heads.keys().copied().collect();
             self.epoch = epoch;
-            self.anew(&streams, out);
+            self.reset_streams(&streams, out);
             // The others are told as well: they may hold the new epoch, or say that they do not.
-            self.greet_all(now, out);
+            self.send_hello_to_all(now, out);
         }
         Ok(())
     }
 
-    fn greet_all(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn send_hello_to_all(&mut self, now: Micros, out: &mut Vec<Output>) {
         let up: Vec<ControlId> = self.conns.iter().filter(|(_, c)| c.up).map(|(id, _)| *id).collect();
-        up.into_iter().for_each(|c| self.greet(now, c, out));
+        up.into_iter().for_each(|c| self.send_hello(now, c, out));
     }
 
     /// All that is held of streams is void.
-    fn anew(&mut self, streams: &[StreamId], out: &mut Vec<Output>) {
+    fn reset_streams(&mut self, streams: &[StreamId], out: &mut Vec<Output>) {
         self.fresh = None;
         for stream in streams {
-            self.figures.stale += 1;
+            self.stats.stale += 1;
             self.heads.remove(stream);
             self.position.set(*stream, 0);
-            self.parts.remove(stream);
-            self.lacks.remove(stream);
-            self.doubts.remove(stream);
+            self.partial_changes.remove(stream);
+            self.missing.remove(stream);
+            self.mismatch_reports.remove(stream);
             out.push(Output::Stale(*stream));
         }
     }
 
     /// A control machine holds another history of a stream. One may be wrong; two are believed.
-    fn doubt(&mut self, control: ControlId, stream: StreamId, out: &mut Vec<Output>) {
-        let doubts = self.doubts.entry(stream).or_default();
+    fn record_mismatch(&mut self, control: ControlId, stream: StreamId, out: &mut Vec<Output>) {
+        let doubts = self.mismatch_reports.entry(stream).or_default();
         doubts.insert(control);
         if doubts.len() >= self.order.len().min(2) {
-            self.anew(&[stream], out);
+            self.reset_streams(&[stream], out);
             // At the next tick, for where one stream differs others do as well.
-            self.greets = true;
+            self.hello_due = true;
         }
     }
 
-    fn beat(&mut self, now: Micros, control: ControlId, beat: &Beat) -> Result<(), CloseReason> {
-        if beat.gains.iter().any(|(stream, _)| !self.knows(*stream)) {
+    fn handle_beat(&mut self, now: Micros, control: ControlId, beat: &Beat) -> Result<(), CloseReason> {
+        if beat.gains.iter().any(|(stream, _)| !self.is_known_stream(*stream)) {
             return Err(CloseReason::Bounds("a stream that there is not"));
         }
         let Some(conn) = self.conns.get_mut(&control) else { return Ok(()) };
-        conn.heard = now;
-        if conn.hellos > 0 {
+        conn.last_heard = now;
+        if conn.unanswered_hellos > 0 {
             return Ok(());
         }
-        conn.shown.gain(&beat.gains);
+        conn.announced.gain(&beat.gains);
         let Some(age) = beat.age else { return Ok(()) };
         let Some(sent) = conn.challenges.iter().find(|c| c.0 == beat.echo).map(|c| c.1) else {
             return Ok(());
         };
-        let sent = if self.rules.is(InjectedFault::FreshAtBeat) { now } else { sent };
+        let sent = if self.rules.has_fault(InjectedFault::FreshAtBeat) { now } else { sent };
         let instant = sent - Micros::from(age) * 1000;
-        conn.claimed = conn.claimed.max(Some(instant));
-        conn.last = Some((instant, conn.shown.clone()));
-        if let Some(wait) = self.waits.get_mut(&control) {
-            wait.tries = 0;
+        conn.freshest_claim = conn.freshest_claim.max(Some(instant));
+        conn.latest_claim = Some((instant, conn.announced.clone()));
+        if let Some(backoff) = self.backoffs.get_mut(&control) {
+            backoff.failures = 0;
         }
         Ok(())
     }
 
-    fn knows(&self, stream: StreamId) -> bool {
+    fn is_known_stream(&self, stream: StreamId) -> bool {
         self.rules.kind(stream.topic).is_some() && self.rules.is_store(stream.store)
     }
 
-    fn piece(
+    fn handle_piece(
         &mut self,
         now: Micros,
         control: ControlId,
@@ -669,33 +673,33 @@
         let head = self.heads.get(&stream).copied().unwrap_or_default();
         let part = matches!(piece.content, Content::Part { .. });
         if let Some(conn) = self.conns.get_mut(&control) {
-            conn.heard = now;
+            conn.last_heard = now;
             // What was sent before the hello was heard is shown anew.
-            if conn.hellos == 0 && !part {
-                conn.shown.raise(stream, piece.upto());
+            if conn.unanswered_hellos == 0 && !part {
+                conn.announced.raise(stream, piece.upto());
             }
         }
-        let fit = self.plant(piece, head);
+        let fit = self.fit_with_fault(piece, head);
         match fit {
             Fit::AlreadyHeld => Ok(()),
             Fit::Gap => Ok(()),
-            Fit::Part => match self.part(control, piece, head) {
-                Some(whole) => self.piece(now, control, &whole, out),
+            Fit::Part => match self.assemble_part(control, piece, head) {
+                Some(whole) => self.handle_piece(now, control, &whole, out),
                 None => Ok(()),
             },
             Fit::Mismatch => {
-                self.figures.misfits += 1;
-                self.doubt(control, stream, out);
+                self.stats.misfits += 1;
+                self.record_mismatch(control, stream, out);
                 Err(CloseReason::HistoryMismatch)
             }
             Fit::Continues(piece, head) => {
-                self.figures.applied += piece.changes().count() as u64;
-                self.figures.marks += u64::from(piece.is_mark());
+                self.stats.applied += piece.changes().count() as u64;
+                self.stats.marks += u64::from(piece.is_mark());
                 self.heads.insert(stream, head);
                 self.position.set(stream, head.number);
-                self.parts.remove(&stream);
-                self.doubts.remove(&stream);
-                self.news = true;
+                self.partial_changes.remove(&stream);
+                self.mismatch_reports.remove(&stream);
+                self.unacked = true;
                 out.push(Output::Apply(piece));
                 Ok(())
             }
@@ -703,15 +707,15 @@
     }
 
     /// How a piece goes on from a head, with what tests plant.
-    fn plant(&self, piece: &Piece, head: Head) -> Fit {
+    fn fit_with_fault(&self, piece: &Piece, head: Head) -> Fit {
         let fit = piece.continue_from(head);
         let end = Head { number: piece.upto(), digest: piece.digest };
         match fit {
-            Fit::AlreadyHeld if self.rules.is(InjectedFault::Twice) && end == head => {
+            Fit::AlreadyHeld if self.rules.has_fault(InjectedFault::Twice) && end == head => {
                 Fit::Continues(piece.clone(), end)
             }
-            Fit::Gap if self.rules.is(InjectedFault::Gaps) => Fit::Continues(piece.clone(), end),
-            Fit::Mismatch if self.rules.is(InjectedFault::NoDigest) && end.number > head.number => {
+            Fit::Gap if self.rules.has_fault(InjectedFault::Gaps) => Fit::Continues(piece.clone(), end),
+            Fit::Mismatch if self.rules.has_fault(InjectedFault::NoDigest) && end.number > head.number => {
                 Fit::Continues(piece.clone(), end)
             }
             fit => fit,
@@ -719,10 +723,10 @@
     }
 
     /// Puts a part to those before it; the whole change as a piece if it is the last.
-    fn part(&mut self, control: ControlId, piece: &Piece, head: Head) -> Option<Piece> {
+    fn assemble_part(&mut self, control: ControlId, piece: &Piece, head: Head) -> Option<Piece> {
         let Content::Part { number, key, whole, offset, check, bytes } = &piece.content else { return None };
         let stream = piece.stream;
-        let new = Part {
+        let new = PartialChange {
             number: *number,
             key: *key,
             whole: *whole,
@@ -732,22 +736,22 @@
             from: control,
             mixed: false,
         };
-        let same = |held: &Part| {
+        let same = |held: &PartialChange| {
             (held.number, held.key, held.whole, held.check, held.digest)
                 == (new.number, new.key, new.whole, new.check, new.digest)
         };
-        if *offset == 0 && !self.parts.get(&stream).is_some_and(same) {
-            self.parts.insert(stream, new.clone());
+        if *offset == 0 && !self.partial_changes.get(&stream).is_some_and(same) {
+            self.partial_changes.insert(stream, new.clone());
         }
         // Both control machines may send it; what is new in a part is what goes on from here.
-        let held = self.parts.get_mut(&stream).filter(|held| same(held))?;
+        let held = self.partial_changes.get_mut(&stream).filter(|held| same(held))?;
         let known = held.bytes.len().checked_sub(usize::from(*offset))?;
         held.bytes.extend_from_slice(bytes.get(known..)?);
         held.mixed |= held.from != control;
         if held.bytes.len() < usize::from(*whole) {
             return None;
         }
-        let held = self.parts.remove(&stream)?;
+        let held = self.partial_changes.remove(&stream)?;
         let body: Rc<[u8]> = Rc::from(held.bytes);
         let right = crc32fast::hash(&body) == held.check;
         if !right && held.mixed {
@@ -767,46 +771,48 @@
     }
 
     /// As of when everything is held, and whether that is enough.
-    fn look(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn update_freshness(&mut self, now: Micros, out: &mut Vec<Output>) {
         for conn in self.conns.values_mut() {
             for _ in 0..2 {
-                conn.waits = conn.waits.take().or_else(|| conn.last.take());
-                let uncovered = self.rules.is(InjectedFault::FreshUncovered);
-                if let Some((instant, _)) = conn.waits.take_if(|w| uncovered || self.position.covers(&w.1)) {
+                conn.pending_claim = conn.pending_claim.take().or_else(|| conn.latest_claim.take());
+                let uncovered = self.rules.has_fault(InjectedFault::FreshUncovered);
+                if let Some((instant, _)) =
+                    conn.pending_claim.take_if(|w| uncovered || self.position.covers(&w.1))
+                {
                     self.fresh = self.fresh.max(Some(instant));
                 }
             }
         }
-        let service = self.in_service(now);
-        if service != self.service {
-            self.service = service;
-            out.push(if service { Output::InService } else { Output::OutOfService });
+        let serving = self.in_service(now);
+        if serving != self.serving {
+            self.serving = serving;
+            out.push(if serving { Output::InService } else { Output::OutOfService });
         }
     }
 }
 
-impl Conn {
+impl Connection {
     fn new(now: Micros) -> Self {
-        Conn {
+        Connection {
             up: false,
             since: now,
-            heard: now,
-            hellos: 0,
+            last_heard: now,
+            unanswered_hellos: 0,
             challenge: 0,
             challenges: VecDeque::new(),
-            shown: Position::default(),
-            told: Position::default(),
-            claimed: None,
-            waits: None,
-            last: None,
-            acked: now,
+            announced: Position::default(),
+            acked: Position::default(),
+            freshest_claim: None,
+            pending_claim: None,
+            latest_claim: None,
+            last_ack: now,
             refused: 0,
             pulled: false,
         }
     }
 
     /// One more challenge, as of now.
-    fn challenge(&mut self, now: Micros) -> u32 {
+    fn next_challenge(&mut self, now: Micros) -> u32 {
         self.challenge = self.challenge.wrapping_add(1);
         self.challenges.push_back((self.challenge, now));
         if self.challenges.len() > bounds::MAX_CHALLENGES {
--- a/crates/dissemination/src/frame.rs
+++ b/crates/dissemination/src/frame.rs
@@ -14,9 +14,9 @@
 
 /// The version of [`Message`]'s form that this build speaks.
 pub const VERSION: u8 = 1;
-const REFUSAL: u8 = 0;
+const REFUSAL_VERSION: u8 = 0;
 /// Bytes of the longest length.
-const LENGTH: usize = 3;
+const MAX_LENGTH_BYTES: usize = 3;
 
 /// Why a connection cannot go on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
@@ -66,7 +66,7 @@
 pub fn encode(message: &Message) -> Result<Vec<u8>, CloseReason> {
     message.check().map_err(CloseReason::Bounds)?;
     let body = postcard::to_allocvec(message).map_err(|_| CloseReason::Malformed)?;
-    framed(VERSION, &body)
+    to_frame(VERSION, &body)
 }
 
 /// A reason as a frame, to be sent before a connection is closed.
@@ -74,18 +74,18 @@
     let mut text = reason.to_string();
     let end = (0..=bounds::MAX_REASON_BYTES).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
     text.truncate(end);
-    framed(REFUSAL, text.as_bytes()).unwrap_or_default()
+    to_frame(REFUSAL_VERSION, text.as_bytes()).unwrap_or_default()
 }
 
 /// Bytes of a message's frame.
 pub fn size(message: &Message) -> usize {
     let flavor = postcard::ser_flavors::Size::default();
     let body = postcard::serialize_with_flavor(message, flavor).unwrap_or(bounds::MAX_FRAME_BYTES) + 1;
-    body + header(body)
+    body + length_bytes(body)
 }
 
 /// Bytes of a length on the wire.
-fn header(length: usize) -> usize {
+fn length_bytes(length: usize) -> usize {
     match length {
         0..=0x7f => 1,
         0x80..=0x3fff => 2,
@@ -93,12 +93,12 @@
     }
 }
 
-fn framed(version: u8, body: &[u8]) -> Result<Vec<u8>, CloseReason> {
+fn to_frame(version: u8, body: &[u8]) -> Result<Vec<u8>, CloseReason> {
     let length = body.len() + 1;
     if length > bounds::MAX_FRAME_BYTES {
         return Err(CloseReason::Length(u32::try_from(length).unwrap_or(u32::MAX)));
     }
-    let mut bytes = Vec::with_capacity(length + LENGTH);
+    let mut bytes = Vec::with_capacity(length + MAX_LENGTH_BYTES);
     let mut left = length;
     while left >= 0x80 {
         bytes.push(left as u8 | 0x80);
@@ -113,47 +113,47 @@
 /// Takes frames out of what comes. See the file's comment.
 #[derive(Clone, Debug, Default)]
 pub struct Reader {
-    held: Vec<u8>,
-    broken: Option<CloseReason>,
+    buffer: Vec<u8>,
+    error: Option<CloseReason>,
 }
 
 impl Reader {
     /// Takes bytes off the front of `bytes` until a message is whole; `None` when all are taken before that.
     pub fn read(&mut self, bytes: &mut &[u8]) -> Result<Option<Message>, CloseReason> {
-        if let Some(why) = &self.broken {
-            return Err(why.clone());
+        if let Some(reason) = &self.error {
+            return Err(reason.clone());
         }
-        let read = self.frame(bytes);
-        if let Err(why) = &read {
-            self.broken = Some(why.clone());
-            self.held = Vec::new();
+        let read = self.read_frame(bytes);
+        if let Err(reason) = &read {
+            self.error = Some(reason.clone());
+            self.buffer = Vec::new();
         }
         read
     }
 
     /// Bytes held of a frame that is not whole.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn buffered(&self) -> usize {
+        self.buffer.len()
     }
 
-    fn frame(&mut self, bytes: &mut &[u8]) -> Result<Option<Message>, CloseReason> {
-        let Some((head, length)) = self.length(bytes)? else { return Ok(None) };
+    fn read_frame(&mut self, bytes: &mut &[u8]) -> Result<Option<Message>, CloseReason> {
+        let Some((head, length)) = self.read_length(bytes)? else { return Ok(None) };
         // The version comes first, so that a long frame of a version that is not spoken is not waited for.
-        if !self.fill(head + 1, bytes) {
+        if !self.fill_to(head + 1, bytes) {
             return Ok(None);
         }
-        let version = self.held.get(head).copied().unwrap_or(REFUSAL);
+        let version = self.buffer.get(head).copied().unwrap_or(REFUSAL_VERSION);
         match version {
             VERSION => {}
-            REFUSAL if length <= bounds::MAX_REASON_BYTES + 1 => {}
-            REFUSAL => return Err(CloseReason::Length(length as u32)),
+            REFUSAL_VERSION if length <= bounds::MAX_REASON_BYTES + 1 => {}
+            REFUSAL_VERSION => return Err(CloseReason::Length(length as u32)),
             other => return Err(CloseReason::Version(other)),
         }
-        if !self.fill(head + length, bytes) {
+        if !self.fill_to(head + length, bytes) {
             return Ok(None);
         }
-        let body = self.held.get(head + 1..).unwrap_or_default();
-        if version == REFUSAL {
+        let body = self.buffer.get(head + 1..).unwrap_or_default();
+        if version == REFUSAL_VERSION {
             return Err(CloseReason::ByPeer(String::from_utf8_lossy(body).into_owned()));
         }
         let (message, rest) =
@@ -162,24 +162,26 @@
             return Err(CloseReason::Malformed);
         }
         message.check().map_err(CloseReason::Bounds)?;
-        self.held.clear();
+        self.buffer.clear();
         // A rare large frame does not stay for the life of a connection.
-        self.held.shrink_to(4096);
+        self.buffer.shrink_to(4096);
         Ok(Some(message))
     }
 
     /// Bytes of the header's length, and the length that it says.
-    fn length(&mut self, bytes: &mut &[u8]) -> Result<Option<(usize, usize)>, CloseReason> {
+    fn read_length(&mut self, bytes: &mut &[u8]) -> Result<Option<(usize, usize)>, CloseReason> {
         let mut length = 0usize;
-        for at in 0..LENGTH {
-            if !self.fill(at + 1, bytes) {
+        for at in 0..MAX_LENGTH_BYTES {
+            if !self.fill_to(at + 1, bytes) {
                 return Ok(None);
             }
-            let byte = self.held.get(at).copied().unwrap_or(0);
+            let byte = self.buffer.get(at).copied().unwrap_or(0);
             length |= usize::from(byte & 0x7f) << (7 * at);
             if byte & 0x80 == 0 {
                 return match length {
-                    1..=bounds::MAX_FRAME_BYTES if header(length) == at + 1 => Ok(Some((at + 1, length))),
+                    1..=bounds::MAX_FRAME_BYTES if length_bytes(length) == at + 1 => {
+                        Ok(Some((at + 1, length)))
+                    }
                     _ => Err(CloseReason::Length(length as u32)),
                 };
             }
@@ -188,11 +190,11 @@
     }
 
     /// Whether `upto` bytes are held, after taking what lacks.
-    fn fill(&mut self, upto: usize, bytes: &mut &[u8]) -> bool {
-        let take = upto.saturating_sub(self.held.len()).min(bytes.len());
+    fn fill_to(&mut self, upto: usize, bytes: &mut &[u8]) -> bool {
+        let take = upto.saturating_sub(self.buffer.len()).min(bytes.len());
         let (taken, left) = bytes.split_at(take);
-        self.held.extend_from_slice(taken);
+        self.buffer.extend_from_slice(taken);
         *bytes = left;
-        self.held.len() >= upto
+        self.buffer.len() >= upto
     }
 }
--- a/crates/dissemination/src/log.rs
+++ b/crates/dissemination/src/log.rs
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 
 /// Bytes of a piece of a change that must be free before a part is begun: less is not worth its head.
-const LEAST_PART: usize = 24;
+const MIN_PART_BYTES: usize = 24;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct HeldChange {
     key: u32,
     body: Rc<[u8]>,
     digest: u32,
@@ -28,22 +28,32 @@
     kind: TopicKind,
     horizon: Head,
     head: Head,
-    held: BTreeMap<u64, Held>,
+    held: BTreeMap<u64, HeldChange>,
     /// Of a register, the last number of each key as of the horizon, and as of the head.
-    base: BTreeMap<u32, u64>,
-    last: BTreeMap<u32, u64>,
-    /// [`Held::total`] at the horizon.
-    dropped: u64,
+    keys_at_horizon: BTreeMap<u32, u64>,
+    keys_at_head: BTreeMap<u32, u64>,
+    /// [`HeldChange::total`] at the horizon.
+    dropped_bytes: u64,
     /// Changes read back that no horizon has covered yet.
-    loose: Vec<(Change, u32)>,
+    uncovered: Vec<(Change, u32)>,
 }
 
 impl Log {
     /// An empty one.
     pub fn new(stream: StreamId, kind: TopicKind) -> Self {
-        let (base, last) = (BTreeMap::new(), BTreeMap::new());
+        let (keys_at_horizon, keys_at_head) = (BTreeMap::new(), BTreeMap::new());
         let (horizon, head, held) = (Head::default(), Head::default(), BTreeMap::new());
-        Log { stream, kind, horizon, head, held, base, last, dropped: 0, loose: Vec::new() }
+        Log {
+            stream,
+            kind,
+            horizon,
+            head,
+            held,
+            keys_at_horizon,
+            keys_at_head,
+            dropped_bytes: 0,
+            uncovered: Vec::new(),
+        }
     }
 
     /// How far it goes.
@@ -52,13 +62,13 @@
     }
 
     /// How many keys a register has, and whether a key is one of them.
-    pub fn keys(&self) -> usize {
-        self.last.len()
+    pub fn key_count(&self) -> usize {
+        self.keys_at_head.len()
     }
 
-    /// See [`Log::keys`].
+    /// See [`Log::key_count`].
     pub fn has_key(&self, key: u32) -> bool {
-        self.last.contains_key(&key)
+        self.keys_at_head.contains_key(&key)
     }
 
     /// The digest at a number, if it is known.
@@ -72,23 +82,23 @@
 
     /// Bytes of bodies between two numbers, each with one more; of what has been dropped none.
     pub fn bytes(&self, after: u64, upto: u64) -> u64 {
-        self.total(upto).saturating_sub(self.total(after))
+        self.total_bytes(upto).saturating_sub(self.total_bytes(after))
     }
 
-    fn total(&self, number: u64) -> u64 {
+    fn total_bytes(&self, number: u64) -> u64 {
         if number <= self.horizon.number {
-            return self.dropped;
+            return self.dropped_bytes;
         }
-        self.held.range(..=number).next_back().map_or(self.dropped, |(_, h)| h.total)
+        self.held.range(..=number).next_back().map_or(self.dropped_bytes, |(_, h)| h.total)
     }
 
     /// Adds one at the end.
     pub fn append(&mut self, key: u32, body: Rc<[u8]>) -> Record {
         let head = self.head.advance(key, &body);
-        let total = self.total(self.head.number) + body.len() as u64 + 1;
-        self.held.insert(head.number, Held { key, body: body.clone(), digest: head.digest, total });
+        let total = self.total_bytes(self.head.number) + body.len() as u64 + 1;
+        self.held.insert(head.number, HeldChange { key, body: body.clone(), digest: head.digest, total });
         if self.kind == TopicKind::Register {
-            self.last.insert(key, head.number);
+            self.keys_at_head.insert(key, head.number);
         }
         self.head = head;
         Record::Change(Change { stream: self.stream, number: head.number, key, body }, head.digest)
@@ -96,7 +106,7 @@
 
     /// Takes what is new in a piece, and says what is to be written down; nothing if nothing is new. It fails if
     /// the piece does not fit what is held.
-    pub fn take(&mut self, piece: &Piece) -> Result<Vec<Record>, PieceRejected> {
+    pub fn apply_piece(&mut self, piece: &Piece) -> Result<Vec<Record>, PieceRejected> {
         let kind = match piece.content {
             Content::Entries { .. } => TopicKind::Register,
             Content::Even { .. } | Content::Bodies(_) | Content::Mark { .. } => TopicKind::Set,
@@ -122,41 +132,41 @@
             for e in entries {
                 let number = piece.after + u64::from(e.offset);
                 let change = Change { stream: self.stream, number, key: e.key, body: e.body.clone() };
-                self.loose.push((change.clone(), e.digest));
+                self.uncovered.push((change.clone(), e.digest));
                 records.push(Record::Change(change, e.digest));
             }
         }
-        self.jump(end);
+        self.jump_to(end);
         records.push(Record::Horizon(self.stream, end));
         Ok(records)
     }
 
-    /// Everything up to a head beyond this one's is dropped, or overwritten by what is loose.
-    fn jump(&mut self, to: Head) {
-        self.drop_to(self.head.number);
+    /// Everything up to a head beyond this one's is dropped, or overwritten by what is uncovered.
+    fn jump_to(&mut self, to: Head) {
+        self.advance_horizon(self.head.number);
         if self.kind == TopicKind::Set {
             self.held.clear();
         }
-        for (change, digest) in std::mem::take(&mut self.loose) {
+        for (change, digest) in std::mem::take(&mut self.uncovered) {
             let Change { number, key, body, .. } = change;
-            if let Some(old) = self.base.insert(key, number) {
+            if let Some(old) = self.keys_at_horizon.insert(key, number) {
                 self.held.remove(&old);
             }
-            self.last.insert(key, number);
-            self.held.insert(number, Held { key, body, digest, total: self.dropped });
+            self.keys_at_head.insert(key, number);
+            self.held.insert(number, HeldChange { key, body, digest, total: self.dropped_bytes });
         }
         (self.horizon, self.head) = (to, to);
     }
 
     /// Moves the horizon on.
-    fn drop_to(&mut self, number: u64) {
+    fn advance_horizon(&mut self, number: u64) {
         while self.horizon.number < number.min(self.head.number) {
             let next = self.horizon.number + 1;
             let Some(held) = self.held.get(&next) else { return };
-            (self.horizon, self.dropped) = (Head { number: next, digest: held.digest }, held.total);
+            (self.horizon, self.dropped_bytes) = (Head { number: next, digest: held.digest }, held.total);
             let gone = match self.kind {
                 TopicKind::Set => Some(next),
-                TopicKind::Register => self.base.insert(held.key, next),
+                TopicKind::Register => self.keys_at_horizon.insert(held.key, next),
             };
             gone.and_then(|n| self.held.remove(&n));
         }
@@ -165,59 +175,60 @@
     /// Drops what is held beyond the rules, up to a number at most.
     pub fn compact(&mut self, rules: &Rules, upto: u64) {
         let over = (self.head.number - self.horizon.number).saturating_sub(rules.retained_changes as u64);
-        self.drop_to(upto.min(self.horizon.number + over));
+        self.advance_horizon(upto.min(self.horizon.number + over));
         while self.horizon.number < upto
             && self.bytes(self.horizon.number, self.head.number) > rules.retained_bytes as u64
         {
             let at = self.horizon.number;
-            self.drop_to(at + 1);
+            self.advance_horizon(at + 1);
             if self.horizon.number == at {
                 return;
             }
         }
     }
 
-    /// Takes back what was written down; in order. It fails on records that do not follow each other.
+    /// Takes back what was written down; in order. It fails on records of a stream are not consecutive.
     pub fn restore(&mut self, record: Record) -> Result<(), &'static str> {
-        const BROKEN: &str = "records that do not follow each other";
+        const OUT_OF_SEQUENCE: &str = "records of a stream are not consecutive";
         match record {
             Record::Change(change, _) if change.number <= self.head.number => {}
             Record::Change(change, digest) => {
                 let next = self.head.advance(change.key, &change.body);
-                if self.loose.is_empty() && change.number == next.number {
+                if self.uncovered.is_empty() && change.number == next.number {
                     if next.digest != digest {
-                        return Err(BROKEN);
+                        return Err(OUT_OF_SEQUENCE);
                     }
                     self.append(change.key, change.body);
                 } else if self.kind == TopicKind::Set {
-                    return Err(BROKEN);
+                    return Err(OUT_OF_SEQUENCE);
                 } else {
-                    self.loose.push((change, digest));
+                    self.uncovered.push((change, digest));
                 }
             }
             Record::Horizon(_, to) if to.number <= self.head.number => {
-                self.loose.clear();
-                self.drop_to(to.number);
+                self.uncovered.clear();
+                self.advance_horizon(to.number);
             }
             Record::Horizon(_, to) => {
-                let last = self.loose.last().map(|(c, digest)| Head { number: c.number, digest: *digest });
+                let last =
+                    self.uncovered.last().map(|(c, digest)| Head { number: c.number, digest: *digest });
                 if self.kind == TopicKind::Register && last != Some(to) {
-                    return Err(BROKEN);
+                    return Err(OUT_OF_SEQUENCE);
                 }
-                self.jump(to);
+                self.jump_to(to);
             }
         }
         Ok(())
     }
 
     /// After the last of [`Log::restore`]: what no horizon covers was not written down whole.
-    pub fn restored(&mut self) {
-        self.loose = Vec::new();
+    pub fn finish_restore(&mut self) {
+        self.uncovered = Vec::new();
     }
 
     /// What is held, as records.
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
-        let record = |(number, h): (&u64, &Held)| {
+        let record = |(number, h): (&u64, &HeldChange)| {
             let change = Change { stream: self.stream, number: *number, key: h.key, body: h.body.clone() };
             Record::Change(change, h.digest)
         };
@@ -241,12 +252,12 @@
         let range = self.held.range(after + 1..=upto.max(after + 1)).filter(|(n, _)| **n <= upto);
         let (first, held) = range.clone().next()?;
         // Stream, after, digest, kind, how many.
-        let head = 1 + varint(after) + 4 + 1 + 3;
+        let head = 1 + varint_bytes(after) + 4 + 1 + 3;
         if let Some(offset) = part.filter(|p| p.0 == *first && p.1 > 0).map(|p| p.1) {
-            return self.part(after, *first, held, offset, budget.checked_sub(head)?);
+            return self.part_of(after, *first, held, offset, budget.checked_sub(head)?);
         }
         let room = budget.checked_sub(head)?;
-        let take = |cost: &dyn Fn(&u64, &Held) -> Option<usize>| {
+        let take = |cost: &dyn Fn(&u64, &HeldChange) -> Option<usize>| {
             let mut left = room;
             let fits = range.clone().take(bounds::MAX_CHANGES).take_while(|(n, h)| {
                 cost(n, h).and_then(|c| left.checked_sub(c)).inspect(|l| left = *l).is_some()
@@ -256,11 +267,11 @@
         let content = match self.kind {
             TopicKind::Set => {
                 let width = u8::try_from(held.body.len()).unwrap_or(0);
-                let same = |h: &Held| width > 0 && h.body.len() == usize::from(width);
+                let same = |h: &HeldChange| width > 0 && h.body.len() == usize::from(width);
                 let even = take(&|_, h| same(h).then_some(h.body.len()));
-                let any = take(&|_, h| Some(varint(h.body.len() as u64) + h.body.len()));
+                let any = take(&|_, h| Some(varint_bytes(h.body.len() as u64) + h.body.len()));
                 if any.max(even) == 0 {
-                    return self.part(after, *first, held, 0, room);
+                    return self.part_of(after, *first, held, 0, room);
                 }
                 let bodies = range.take(any.max(even)).map(|(_, h)| &h.body);
                 if even >= any {
@@ -272,15 +283,15 @@
             }
             TopicKind::Register => {
                 let room = 4;
-                let cost = |n: &u64, h: &Held| {
-                    let numbers = varint(n - after) + varint(u64::from(h.key)) + 4;
-                    Some(numbers + varint(h.body.len() as u64) + h.body.len())
+                let cost = |n: &u64, h: &HeldChange| {
+                    let numbers = varint_bytes(n - after) + varint_bytes(u64::from(h.key)) + 4;
+                    Some(numbers + varint_bytes(h.body.len() as u64) + h.body.len())
                 };
                 let count = take(&|n, h| cost(n, h).map(|c| if n == first { c + room } else { c }));
                 if count == 0 {
-                    return self.part(after, *first, held, 0, budget.checked_sub(head)?);
+                    return self.part_of(after, *first, held, 0, budget.checked_sub(head)?);
                 }
-                let entry = |(n, h): (&u64, &Held)| {
+                let entry = |(n, h): (&u64, &HeldChange)| {
                     let offset = u32::try_from(n - after).ok()?;
                     Some(Entry { offset, key: h.key, digest: h.digest, body: h.body.clone() })
                 };
@@ -294,12 +305,13 @@
     }
 
     /// A part of a change, from an offset on.
-    fn part(&self, after: u64, number: u64, held: &Held, offset: u16, room: usize) -> Option<Piece> {
+    fn part_of(&self, after: u64, number: u64, held: &HeldChange, offset: u16, room: usize) -> Option<Piece> {
         // Number, key, sizes of the whole, of the offset and of the part, check.
-        let room = room.checked_sub(varint(number) + varint(u64::from(held.key)) + 2 + 2 + 2 + 4)?;
+        let room =
+            room.checked_sub(varint_bytes(number) + varint_bytes(u64::from(held.key)) + 2 + 2 + 2 + 4)?;
         let left = held.body.get(usize::from(offset)..)?;
         let bytes = left.get(..left.len().min(room))?;
-        if bytes.is_empty() || (bytes.len() < LEAST_PART && bytes.len() < left.len()) {
+        if bytes.is_empty() || (bytes.len() < MIN_PART_BYTES && bytes.len() < left.len()) {
             return None;
         }
         let whole = u16::try_from(held.body.len()).ok()?;
@@ -314,6 +326,6 @@
 pub struct PieceRejected;
 
 /// Bytes of a number on the wire.
-fn varint(number: u64) -> usize {
+fn varint_bytes(number: u64) -> usize {
     (70 - (number | 1).leading_zeros() as usize) / 7
 }
--- a/crates/dissemination/src/message.rs
+++ b/crates/dissemination/src/message.rs
@@ -231,21 +231,21 @@
 
     /// Whether every count and figure is within its bounds; else what is not.
     pub fn check(&self) -> Result<(), &'static str> {
-        let number = |n: u64| rule(n <= bounds::MAX_NUMBER, "a number beyond reason");
-        let control = |c: ControlId| rule(c.0 < bounds::MAX_CONTROLS, "a control machine beyond the most");
-        let names = |n: &[FollowerId]| rule(n.len() <= bounds::MAX_NAMES, "too many names");
+        let number = |n: u64| require(n <= bounds::MAX_NUMBER, "a number beyond reason");
+        let control = |c: ControlId| require(c.0 < bounds::MAX_CONTROLS, "a control machine beyond the most");
+        let names = |n: &[FollowerId]| require(n.len() <= bounds::MAX_NAMES, "too many names");
         match self {
             Message::Batch(pieces) => {
-                rule(pieces.len() <= bounds::MAX_PIECES, "too many pieces")?;
+                require(pieces.len() <= bounds::MAX_PIECES, "too many pieces")?;
                 pieces.iter().try_for_each(Piece::check)
             }
-            Message::Beat(b) => rule(b.gains.len() <= bounds::MAX_STREAMS, "too many streams"),
+            Message::Beat(b) => require(b.gains.len() <= bounds::MAX_STREAMS, "too many streams"),
             Message::Ack(a) => {
-                rule(a.gains.len() <= bounds::MAX_STREAMS, "too many streams")?;
-                rule(a.refused.len() <= bounds::MAX_REFUSED, "too many refused changes")
+                require(a.gains.len() <= bounds::MAX_STREAMS, "too many streams")?;
+                require(a.refused.len() <= bounds::MAX_REFUSED, "too many refused changes")
             }
             Message::Hello(h) => {
-                rule(h.heads.len() <= bounds::MAX_STREAMS, "too many streams")?;
+                require(h.heads.len() <= bounds::MAX_STREAMS, "too many streams")?;
                 h.heads.iter().try_for_each(|(_, head)| number(head.number))
             }
             Message::Welcome { control: id, .. } | Message::Control { id, .. } => control(*id),
@@ -256,23 +256,23 @@
             Message::Polled { position, .. } => position.iter().try_for_each(|(_, n)| number(n)),
             Message::Counted { have, refused, .. } => names(have).and_then(|()| names(refused)),
             Message::Submit { topic, body, .. } => {
-                rule(*topic < bounds::MAX_TOPICS, "a topic beyond the most")?;
-                rule(body.len() <= bounds::MAX_BODY_BYTES, "a change too large")
+                require(*topic < bounds::MAX_TOPICS, "a topic beyond the most")?;
+                require(body.len() <= bounds::MAX_BODY_BYTES, "a change too large")
             }
             Message::Told(t) => {
                 names(&t.missing)?;
                 names(&t.refused)?;
-                rule(t.unheard.len() <= usize::from(bounds::MAX_CONTROLS), "too many control machines")
+                require(t.unheard.len() <= usize::from(bounds::MAX_CONTROLS), "too many control machines")
             }
             Message::Poll { .. } | Message::Busy { .. } => Ok(()),
         }
     }
 }
 
-fn rule(holds: bool, else_what: &'static str) -> Result<(), &'static str> {
+fn require(holds: bool, violation: &'static str) -> Result<(), &'static str> {
     if holds {
         Ok(())
     } else {
-        Err(else_what)
+        Err(violation)
     }
 }
--- a/crates/dissemination/src/quorum.rs
+++ b/crates/dissemination/src/quorum.rs
@@ -23,22 +23,22 @@
     /// What each store is known to have persisted.
     reported: BTreeMap<ControlId, Position>,
     committed: Position,
-    /// When how much of a stream was known to be committed; the latest [`INSTANTS`].
-    since: BTreeMap<StreamId, VecDeque<(u64, Micros)>>,
+    /// When how much of a stream was known to be committed; the latest [`MAX_COMMIT_TIMES`].
+    committed_since: BTreeMap<StreamId, VecDeque<(u64, Micros)>>,
     polls: VecDeque<Poll>,
     token: u32,
     fresh: Option<Micros>,
 }
 
 /// Instants remembered of each stream: with a few a second, more than a lease.
-const INSTANTS: usize = 64;
+const MAX_COMMIT_TIMES: usize = 64;
 
 impl Quorum {
     /// One that knows nothing.
     pub fn new() -> Self {
         let (reported, committed) = (BTreeMap::new(), Position::default());
-        let (since, polls) = (BTreeMap::new(), VecDeque::new());
-        Quorum { reported, committed, since, polls, token: 0, fresh: None }
+        let (committed_since, polls) = (BTreeMap::new(), VecDeque::new());
+        Quorum { reported, committed, committed_since, polls, token: 0, fresh: None }
     }
 
     /// What a majority is known to hold.
@@ -57,7 +57,7 @@
     }
 
     /// The most that any store is known to hold of a stream.
-    pub fn most(&self, stream: StreamId) -> u64 {
+    pub fn highest_reported(&self, stream: StreamId) -> u64 {
         self.reported.values().map(|p| p.get(stream)).max().unwrap_or(0)
     }
 
@@ -72,30 +72,37 @@
     }
 
     /// For how long at least a change is known to be committed.
-    pub fn age(&self, now: Micros, stream: StreamId, number: u64) -> Option<Micros> {
-        let known = self.since.get(&stream)?.iter().find(|k| k.0 >= number)?;
+    pub fn committed_for(&self, now: Micros, stream: StreamId, number: u64) -> Option<Micros> {
+        let known = self.committed_since.get(&stream)?.iter().find(|k| k.0 >= number)?;
         Some(now.saturating_sub(known.1))
     }
 
     /// A store has persisted a stream up to a number.
-    pub fn report(&mut self, now: Micros, rules: &Rules, store: ControlId, stream: StreamId, number: u64) {
+    pub fn report_persisted(
+        &mut self,
+        now: Micros,
+        rules: &Rules,
+        store: ControlId,
+        stream: StreamId,
+        number: u64,
+    ) {
         self.reported.entry(store).or_default().raise(stream, number);
         let mut numbers: Vec<u64> = self.reported.values().map(|p| p.get(stream)).collect();
         numbers.sort_unstable_by(|a, b| b.cmp(a));
-        let majority = if rules.is(InjectedFault::AckAlone) { 1 } else { rules.majority() };
-        let common = numbers.get(majority - 1).copied().unwrap_or(0);
-        if common > self.committed.get(stream) {
-            self.committed.raise(stream, common);
-            let since = self.since.entry(stream).or_default();
-            since.push_back((common, now));
-            if since.len() > INSTANTS {
-                since.pop_front();
+        let majority = if rules.has_fault(InjectedFault::AckAlone) { 1 } else { rules.majority() };
+        let majority_held = numbers.get(majority - 1).copied().unwrap_or(0);
+        if majority_held > self.committed.get(stream) {
+            self.committed.raise(stream, majority_held);
+            let committed_since = self.committed_since.entry(stream).or_default();
+            committed_since.push_back((majority_held, now));
+            if committed_since.len() > MAX_COMMIT_TIMES {
+                committed_since.pop_front();
             }
         }
     }
 
     /// Begins a poll. Its token is to be sent to all stores.
-    pub fn begin(&mut self, now: Micros) -> u32 {
+    pub fn begin_poll(&mut self, now: Micros) -> u32 {
         self.token = self.token.wrapping_add(1).max(1);
         self.polls.push_back(Poll { token: self.token, start: now, answers: BTreeMap::new() });
         if self.polls.len() > bounds::MAX_POLLS {
@@ -105,7 +112,7 @@
     }
 
     /// A store's answer; also this machine's own, if it is one. One that does not count only reports.
-    pub fn answer(
+    pub fn record_answer(
         &mut self,
         now: Micros,
         rules: &Rules,
@@ -115,7 +122,7 @@
         position: &Position,
     ) {
         for (stream, number) in position.iter() {
-            self.report(now, rules, store, stream, number);
+            self.report_persisted(now, rules, store, stream, number);
         }
         self.reported.entry(store).or_default();
         if let Some(poll) = self.polls.iter_mut().find(|p| p.token == token && counts) {
@@ -124,12 +131,13 @@
     }
 
     /// Whether the fresh instant has moved on, now that this much is held and committed.
-    pub fn settle(&mut self, now: Micros, rules: &Rules, passable: &Position) {
-        let majority = if rules.is(InjectedFault::PollOfOne) { 1 } else { rules.majority() };
-        let whole = |p: &Poll| p.answers.values().filter(|a| passable.covers(a)).count() >= majority;
-        let Some(at) = self.polls.iter().rposition(whole) else { return };
+    pub fn advance_fresh(&mut self, now: Micros, rules: &Rules, deliverable: &Position) {
+        let majority = if rules.has_fault(InjectedFault::PollOfOne) { 1 } else { rules.majority() };
+        let complete = |p: &Poll| p.answers.values().filter(|a| deliverable.covers(a)).count() >= majority;
+        let Some(at) = self.polls.iter().rposition(complete) else { return };
         let start = self.polls.get(at).map(|p| p.start);
-        self.fresh = if rules.is(InjectedFault::FreshAtAnswer) { Some(now) } else { self.fresh.max(start) };
+        self.fresh =
+            if rules.has_fault(InjectedFault::FreshAtAnswer) { Some(now) } else { self.fresh.max(start) };
         self.polls.drain(..=at);
     }
 }
--- a/crates/dissemination/src/rules.rs
+++ b/crates/dissemination/src/rules.rs
@@ -173,34 +173,34 @@
 impl Rules {
     /// Whether the rules fit together; else what does not.
     pub fn check(&self) -> Result<(), &'static str> {
-        let rule = |holds: bool, what| if holds { Ok(()) } else { Err(what) };
-        rule((1..=bounds::MAX_CONTROLS).contains(&self.controls), "control machines: 1 to 64")?;
-        rule((1..=self.controls).contains(&self.stores), "stores: 1 to as many as control machines")?;
-        rule((1..=usize::from(bounds::MAX_TOPICS)).contains(&self.topics.len()), "topics: 1 to 4")?;
-        rule(
+        let require = |holds: bool, what| if holds { Ok(()) } else { Err(what) };
+        require((1..=bounds::MAX_CONTROLS).contains(&self.controls), "control machines: 1 to 64")?;
+        require((1..=self.controls).contains(&self.stores), "stores: 1 to as many as control machines")?;
+        require((1..=usize::from(bounds::MAX_TOPICS)).contains(&self.topics.len()), "topics: 1 to 4")?;
+        require(
             self.beat_interval > 0 && self.poll_interval > 0 && self.ack_interval > 0,
             "times between words: above 0",
         )?;
-        rule(self.silence_timeout > self.beat_interval, "silence: longer than the time between beats")?;
-        rule(self.gap_timeout >= self.beat_interval, "gap: at least the time between beats")?;
-        rule(
+        require(self.silence_timeout > self.beat_interval, "silence: longer than the time between beats")?;
+        require(self.gap_timeout >= self.beat_interval, "gap: at least the time between beats")?;
+        require(
             self.idle_timeout > self.ack_interval && self.idle_timeout > self.poll_interval,
             "gone: longer than the time between acks and polls",
         )?;
-        rule(
+        require(
             self.lease > self.silence_timeout + self.poll_interval + self.ack_interval,
             "lease: longer than silence, poll and ack",
         )?;
-        rule(
+        require(
             (1..=self.max_redial_delay).contains(&self.min_redial_delay),
             "dial: above 0, at most the longest wait",
         )?;
-        rule((1..=1000).contains(&self.change_share), "fill: 1 to 1000")?;
-        rule((1..=bounds::MAX_BODY_BYTES).contains(&self.max_change_bytes), "change: 1 to 4096 bytes")?;
-        rule(self.retained_changes >= 1 && self.max_keys >= 1, "changes and keys held: at least 1")?;
-        rule(self.retained_bytes >= self.max_change_bytes, "bytes held: at least one change")?;
+        require((1..=1000).contains(&self.change_share), "fill: 1 to 1000")?;
+        require((1..=bounds::MAX_BODY_BYTES).contains(&self.max_change_bytes), "change: 1 to 4096 bytes")?;
+        require(self.retained_changes >= 1 && self.max_keys >= 1, "changes and keys held: at least 1")?;
+        require(self.retained_bytes >= self.max_change_bytes, "bytes held: at least one change")?;
         let one = self.primary_rate >= 256 && self.secondary_rate >= 256 && self.follower_rate >= 64;
-        rule(one, "rates: at least 256 bytes a second, 64 of a follower's own")
+        require(one, "rates: at least 256 bytes a second, 64 of a follower's own")
     }
 
     /// How many stores are a majority.
@@ -219,7 +219,7 @@
     }
 
     /// Whether a fault is planted.
-    pub(crate) fn is(&self, fault: InjectedFault) -> bool {
+    pub(crate) fn has_fault(&self, fault: InjectedFault) -> bool {
         cfg!(feature = "planted") && self.injected_fault == Some(fault)
     }
 }
--- a/crates/dissemination/tests/admission.rs
+++ b/crates/dissemination/tests/admission.rs
@@ -4,10 +4,10 @@
 
 use dissemination::{Record, Rules, StreamId};
 use std::rc::Rc;
-use world::{World, HOP};
+use world::{World, STEP};
 
 /// Hops of a second.
-const SECOND: usize = (dissemination::SECOND / HOP) as usize;
+const SECOND: usize = (dissemination::SECOND / STEP) as usize;
 
 fn started(followers: usize) -> World {
     let rules = Rules { controls: 5, stores: 5, ..Rules::default() };
@@ -31,11 +31,11 @@
             refused += usize::from(!taken);
             token += 1;
         }
-        let before = world.bytes_to.clone();
-        world.hop();
+        let before = world.bytes_received.clone();
+        world.step();
         let serves = |w: &World| w.followers.iter().flatten().all(|f| f.in_service(w.now));
         served &= serves(world);
-        came.push(world.bytes_to.iter().zip(before).map(|(now, before)| now - before).collect());
+        came.push(world.bytes_received.iter().zip(before).map(|(now, before)| now - before).collect());
     }
     assert!(served, "a follower left service");
     (came, refused)
@@ -61,8 +61,8 @@
     assert!(mean <= 2048, "{mean} B/s");
     assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
     assert!(world.applied.iter().all(|a| a.marks == 0));
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
@@ -77,8 +77,8 @@
     assert!(world.busy.iter().all(|(_, after)| (1..60_000).contains(after)));
     assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
     assert!(world.applied.iter().all(|a| a.marks == 0), "no cache is emptied by a flood");
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
@@ -90,8 +90,8 @@
         token += 1;
     }
     let (_, after) = world.busy[0];
-    let hops = (i64::from(after) * 1000 / HOP) as usize;
-    world.run(hops.saturating_sub(1));
+    let steps = (i64::from(after) * 1000 / STEP) as usize;
+    world.run(steps.saturating_sub(1));
     world.submit(0, 0, 0, 500);
     assert_eq!(world.busy.len(), 2, "not yet");
     world.run(2);
@@ -116,7 +116,7 @@
     assert!(held(&world));
     assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
     world.run(10 * SECOND);
-    world.judge_whole();
+    world.check_converged();
     // Also beside all that stores take: they leave room for it.
     world.submit_body(0, 1, 2, 11, Rc::from(vec![8; 4096]));
     let (came, refused) = load(&mut world, 1900, 8);
@@ -125,7 +125,7 @@
     assert!(world.applied.iter().all(two));
     assert!(world.applied.iter().all(|a| a.marks == 0), "no cache is emptied by it");
     world.run(2 * SECOND);
-    world.judge_whole();
+    world.check_converged();
     // Without the first two the third does.
     world.kill_control(0);
     world.kill_control(1);
@@ -136,8 +136,8 @@
     }
     assert_eq!(world.busy[busy..].iter().map(|b| b.0).collect::<Vec<_>>(), [23, 24]);
     world.run(6 * SECOND);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
@@ -149,8 +149,8 @@
     world.start_follower(0, Some(kept));
     world.run(2 * SECOND);
     assert!(world.applied[0].marks >= 5, "{} marks", world.applied[0].marks);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
@@ -176,6 +176,6 @@
         }
     }
     assert!(world.busy.iter().any(|(_, after)| *after == 60_000), "no room for more keys");
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
--- a/crates/dissemination/tests/explore.rs
+++ b/crates/dissemination/tests/explore.rs
@@ -16,12 +16,12 @@
 use dissemination::{ControlId, StreamId};
 use rstest::rstest;
 use std::collections::HashMap;
-use world::{rules, Broken, End, World, HOP};
+use world::{rules, Endpoint, Violation, World, STEP};
 
 /// Hops before the first change; the window of faults; hops after it: two leases.
-const START: usize = 12;
+const WARM_UP: usize = 12;
 const WINDOW: usize = 14;
-const AFTER: usize = 70;
+const SETTLE: usize = 70;
 /// Of the window, hops between those at which a pair of faults may begin.
 const PAIR_EVERY: usize = 3;
 
@@ -52,15 +52,15 @@
 const CONTROLS: usize = 3;
 const FOLLOWERS: usize = 2;
 /// Hops for which a direction is late, and for which a control machine is away.
-const LATE: u8 = 7;
-const AWAY: usize = 8;
+const DELAY: u8 = 7;
+const DOWNTIME: usize = 8;
 
 impl Fault {
     /// All that can happen now.
     fn all(world: &World, pairs: bool) -> Vec<Fault> {
         let mut all = vec![];
-        let wires = world.wires.values().filter(|w| !w.ends.contains(&End::Client)).count();
-        for w in 0..wires {
+        let connections = world.connections.values().filter(|w| !w.ends.contains(&Endpoint::Client)).count();
+        for w in 0..connections {
             all.extend([Fault::Late(w, 0), Fault::Late(w, 1), Fault::Hangs(w, [true, true])]);
             if !pairs {
                 all.extend([Fault::Breaks(w, false), Fault::Breaks(w, true)]);
@@ -73,7 +73,7 @@
                 all.extend([Fault::Freezes(c), Fault::Deaf(c), Fault::Mute(c), Fault::Lies(c)]);
             }
             // Two lost disks among three stores are more than is claimed.
-            if !world.wiped {
+            if !world.store_wiped {
                 all.push(Fault::Wiped(c));
             }
         }
@@ -86,51 +86,56 @@
         all
     }
 
-    fn happens(self, run: &mut Run) {
+    fn apply(self, run: &mut Run) {
         let world = &mut run.world;
-        let wire = |w: usize| {
-            world.wires.iter().filter(|(_, x)| !x.ends.contains(&End::Client)).nth(w).map(|(id, _)| *id)
+        let connection = |w: usize| {
+            world
+                .connections
+                .iter()
+                .filter(|(_, x)| !x.ends.contains(&Endpoint::Client))
+                .nth(w)
+                .map(|(id, _)| *id)
         };
         match self {
             Fault::Late(w, dir) => {
-                let id = wire(w);
-                if let Some(wire) = id.and_then(|id| world.wires.get_mut(&id)) {
-                    wire.late[dir] = LATE;
+                let id = connection(w);
+                if let Some(connection) = id.and_then(|id| world.connections.get_mut(&id)) {
+                    connection.late[dir] = DELAY;
                 }
             }
             Fault::Breaks(w, comes) => {
-                if let Some(id) = wire(w) {
-                    world.break_wire(id, comes);
+                if let Some(id) = connection(w) {
+                    world.break_connection(id, comes);
                 }
             }
             Fault::Hangs(w, dirs) => {
-                let id = wire(w);
-                if let Some(wire) = id.and_then(|id| world.wires.get_mut(&id)) {
-                    wire.hung = [wire.hung[0] | dirs[0], wire.hung[1] | dirs[1]];
+                let id = connection(w);
+                if let Some(connection) = id.and_then(|id| world.connections.get_mut(&id)) {
+                    connection.stalled = [connection.stalled[0] | dirs[0], connection.stalled[1] | dirs[1]];
                 }
             }
             Fault::Crashes(c) => {
                 world.kill_control(c);
-                run.away.push((world.hops + AWAY, c));
+                run.restarts.push((world.steps + DOWNTIME, c));
             }
             Fault::Wiped(c) => {
                 world.kill_control(c);
                 world.disks[c].clear();
-                world.wiped = true;
+                world.store_wiped = true;
                 world.start_control(c);
             }
             Fault::Slow(c) => {
-                let (from, links) = (End::Control(c), |e: &End| matches!(e, End::Control(_)));
-                for wire in world.wires.values_mut().filter(|w| w.ends.iter().all(links)) {
-                    if let Some(dir) = wire.ends.iter().position(|e| *e == from) {
-                        wire.late[dir] = LATE;
+                let (from, links) = (Endpoint::Control(c), |e: &Endpoint| matches!(e, Endpoint::Control(_)));
+                for connection in world.connections.values_mut().filter(|w| w.ends.iter().all(links)) {
+                    if let Some(dir) = connection.ends.iter().position(|e| *e == from) {
+                        connection.late[dir] = DELAY;
                     }
                 }
             }
-            Fault::Freezes(c) => world.ills[c].frozen = true,
-            Fault::Deaf(c) => world.ills[c].deaf = true,
-            Fault::Mute(c) => world.ills[c].mute = true,
-            Fault::Lies(c) => (world.ills[c].lies, world.liars) = (true, true),
+            Fault::Freezes(c) => world.machine_faults[c].frozen = true,
+            Fault::Deaf(c) => world.machine_faults[c].deaf = true,
+            Fault::Mute(c) => world.machine_faults[c].mute = true,
+            Fault::Lies(c) => (world.machine_faults[c].corrupts, world.corruption_expected) = (true, true),
             Fault::Restarts(f, keeps) => {
                 if world.followers[f].is_some() {
                     let kept = world.kill_follower(f);
@@ -138,9 +143,11 @@
                 }
             }
             Fault::CutOff(f) => {
-                world.cut_off[f] = true;
-                for wire in world.wires.values_mut().filter(|w| w.ends.contains(&End::Follower(f))) {
-                    wire.hung = [true; 2];
+                world.isolated[f] = true;
+                for connection in
+                    world.connections.values_mut().filter(|w| w.ends.contains(&Endpoint::Follower(f)))
+                {
+                    connection.stalled = [true; 2];
                 }
             }
         }
@@ -151,28 +158,28 @@
 struct Run {
     world: World,
     faults: Vec<(usize, Fault)>,
-    away: Vec<(usize, usize)>,
+    restarts: Vec<(usize, usize)>,
 }
 
 impl Run {
     /// One hop of the story: three changes in the window, one after it, and questions of status.
-    fn hop(&mut self) {
-        let due = |a: &(usize, usize)| a.0 <= self.world.hops;
-        let back: Vec<usize> = self.away.iter().filter(|a| due(a)).map(|a| a.1).collect();
-        self.away.retain(|a| a.0 > self.world.hops);
+    fn step(&mut self) {
+        let due = |a: &(usize, usize)| a.0 <= self.world.steps;
+        let back: Vec<usize> = self.restarts.iter().filter(|a| due(a)).map(|a| a.1).collect();
+        self.restarts.retain(|a| a.0 > self.world.steps);
         for c in back {
             if self.world.controls[c].is_none() {
                 self.world.start_control(c);
             }
         }
-        self.world.hop();
+        self.world.step();
         let set = StreamId { topic: 0, store: ControlId(0) };
-        match self.world.hops {
-            h if h == START + 1 => self.world.submit(0, 0, 0, 1),
-            h if h == START + 4 => self.world.submit(1, 1, 3, 2),
-            h if h == START + 8 => self.world.submit(0, 0, 0, 3),
-            h if h == START + 20 => self.world.submit(0, 0, 0, 4),
-            h if h > START + 8 && h % 9 == 0 => self.world.ask(h % CONTROLS, set, 1, h as u32),
+        match self.world.steps {
+            h if h == WARM_UP + 1 => self.world.submit(0, 0, 0, 1),
+            h if h == WARM_UP + 4 => self.world.submit(1, 1, 3, 2),
+            h if h == WARM_UP + 8 => self.world.submit(0, 0, 0, 3),
+            h if h == WARM_UP + 20 => self.world.submit(0, 0, 0, 4),
+            h if h > WARM_UP + 8 && h % 9 == 0 => self.world.ask(h % CONTROLS, set, 1, h as u32),
             _ => {}
         }
     }
@@ -180,117 +187,117 @@
 
 struct Explored {
     states: usize,
-    worlds: usize,
-    found: HashMap<Broken, Vec<(usize, Fault)>>,
+    completed: usize,
+    found: HashMap<Violation, Vec<(usize, Fault)>>,
     acknowledged: usize,
 }
 
 struct Search {
     pairs: bool,
-    until: Option<Broken>,
-    met: HashMap<(u64, Vec<(usize, usize)>), usize>,
+    stop_at: Option<Violation>,
+    visited: HashMap<(u64, Vec<(usize, usize)>), usize>,
     explored: Explored,
 }
 
 impl Search {
-    fn go(&mut self, mut run: Run, left: usize) {
+    fn explore(&mut self, mut run: Run, left: usize) {
         loop {
-            if self.until.is_some_and(|b| self.explored.found.contains_key(&b)) {
+            if self.stop_at.is_some_and(|b| self.explored.found.contains_key(&b)) {
                 return;
             }
             self.explored.states += 1;
-            if let Err(what) = run.world.verdict {
+            if let Err(what) = run.world.result {
                 self.explored.found.entry(what).or_insert(run.faults);
                 return;
             }
-            let hops = run.world.hops;
-            if (START..START + WINDOW).contains(&hops) && left > 0 {
-                let here = !self.pairs || hops % PAIR_EVERY == 0;
+            let steps = run.world.steps;
+            if (WARM_UP..WARM_UP + WINDOW).contains(&steps) && left > 0 {
+                let here = !self.pairs || steps % PAIR_EVERY == 0;
                 for fault in Fault::all(&run.world, self.pairs).into_iter().filter(|_| here) {
                     let mut other = run.clone();
-                    other.faults.push((hops, fault));
-                    fault.happens(&mut other);
-                    other.hop();
-                    self.go(other, left - 1);
+                    other.faults.push((steps, fault));
+                    fault.apply(&mut other);
+                    other.step();
+                    self.explore(other, left - 1);
                 }
             }
-            if hops >= START + WINDOW + AFTER {
+            if steps >= WARM_UP + WINDOW + SETTLE {
                 break;
             }
-            run.hop();
+            run.step();
             // The world's own count of hops is a part of its state, through its clock.
-            let state = (run.world.hash(), run.away.clone());
-            if self.met.get(&state).is_some_and(|before| *before >= left) {
+            let state = (run.world.hash(), run.restarts.clone());
+            if self.visited.get(&state).is_some_and(|before| *before >= left) {
                 return;
             }
-            self.met.insert(state, left);
+            self.visited.insert(state, left);
         }
-        self.explored.worlds += 1;
+        self.explored.completed += 1;
         self.explored.acknowledged += run.world.acknowledged.len();
         if run.faults.len() <= 1 {
-            run.world.judge_whole();
+            run.world.check_converged();
         } else {
-            run.world.judge_held();
+            run.world.check_held();
         }
-        if let Err(what) = run.world.verdict {
+        if let Err(what) = run.world.result {
             self.explored.found.entry(what).or_insert(run.faults);
         }
     }
 }
 
-fn explore(faults: usize, planted: Option<InjectedFault>, until: Option<Broken>) -> Explored {
-    let world = World::new(rules(CONTROLS as u8, CONTROLS as u8, planted), FOLLOWERS);
-    let mut run = Run { world, faults: vec![], away: vec![] };
-    while run.world.hops < START {
-        run.hop();
+fn explore(faults: usize, fault: Option<InjectedFault>, stop_at: Option<Violation>) -> Explored {
+    let world = World::new(rules(CONTROLS as u8, CONTROLS as u8, fault), FOLLOWERS);
+    let mut run = Run { world, faults: vec![], restarts: vec![] };
+    while run.world.steps < WARM_UP {
+        run.step();
     }
-    let explored = Explored { states: 0, worlds: 0, found: HashMap::new(), acknowledged: 0 };
-    let mut search = Search { pairs: faults > 1, until, met: HashMap::new(), explored };
-    search.go(run, faults);
+    let explored = Explored { states: 0, completed: 0, found: HashMap::new(), acknowledged: 0 };
+    let mut search = Search { pairs: faults > 1, stop_at, visited: HashMap::new(), explored };
+    search.explore(run, faults);
     search.explored
 }
 
-fn holds(faults: usize, states: usize) {
+fn assert_no_violation(faults: usize, states: usize) {
     let explored = explore(faults, None, None);
     println!(
-        "{} states, {} worlds to the end, {} changes acknowledged in them, {} us each",
-        explored.states, explored.worlds, explored.acknowledged, HOP
+        "{} states, {} completed to the end, {} changes acknowledged in them, {} us each",
+        explored.states, explored.completed, explored.acknowledged, STEP
     );
     assert_eq!(explored.found, HashMap::new());
     assert!(explored.states >= states, "{} states", explored.states);
-    assert!(explored.acknowledged >= explored.worlds, "{} acknowledged", explored.acknowledged);
+    assert!(explored.acknowledged >= explored.completed, "{} acknowledged", explored.acknowledged);
 }
 
 #[test]
 fn every_property_holds_with_any_single_fault() {
-    holds(1, 30_000);
+    assert_no_violation(1, 30_000);
 }
 
 #[test]
 fn every_property_holds_with_any_two_faults() {
-    holds(2, 300_000);
+    assert_no_violation(2, 300_000);
 }
 
 /// The search ends at the first that it finds; the fault is planted in every machine.
 #[rstest]
-#[case::ack_alone(InjectedFault::AckAlone, 1, Broken::Fresh)]
-#[case::uncommitted(InjectedFault::Uncommitted, 2, Broken::Lost)]
-#[case::no_recovery(InjectedFault::NoRecovery, 1, Broken::Lost)]
-#[case::poll_of_one(InjectedFault::PollOfOne, 1, Broken::Fresh)]
-#[case::fresh_at_answer(InjectedFault::FreshAtAnswer, 2, Broken::Fresh)]
-#[case::fresh_at_beat(InjectedFault::FreshAtBeat, 1, Broken::Fresh)]
-#[case::fresh_uncovered(InjectedFault::FreshUncovered, 1, Broken::Fresh)]
-#[case::no_lease(InjectedFault::NoLease, 1, Broken::Lease)]
-#[case::twice(InjectedFault::Twice, 1, Broken::Twice)]
-#[case::no_digest(InjectedFault::NoDigest, 1, Broken::Bytes)]
-#[case::counts_sent(InjectedFault::CountsSent, 1, Broken::Count)]
+#[case::ack_alone(InjectedFault::AckAlone, 1, Violation::Fresh)]
+#[case::uncommitted(InjectedFault::Uncommitted, 2, Violation::Lost)]
+#[case::no_recovery(InjectedFault::NoRecovery, 1, Violation::Lost)]
+#[case::poll_of_one(InjectedFault::PollOfOne, 1, Violation::Fresh)]
+#[case::fresh_at_answer(InjectedFault::FreshAtAnswer, 2, Violation::Fresh)]
+#[case::fresh_at_beat(InjectedFault::FreshAtBeat, 1, Violation::Fresh)]
+#[case::fresh_uncovered(InjectedFault::FreshUncovered, 1, Violation::Fresh)]
+#[case::no_lease(InjectedFault::NoLease, 1, Violation::Lease)]
+#[case::twice(InjectedFault::Twice, 1, Violation::Twice)]
+#[case::no_digest(InjectedFault::NoDigest, 1, Violation::Bytes)]
+#[case::counts_sent(InjectedFault::CountsSent, 1, Violation::Count)]
 fn each_guard_is_missed_when_it_is_gone(
-    #[case] planted: InjectedFault,
+    #[case] fault: InjectedFault,
     #[case] faults: usize,
-    #[case] what: Broken,
+    #[case] what: Violation,
 ) {
-    let explored = explore(faults, Some(planted), Some(what));
+    let explored = explore(faults, Some(fault), Some(what));
     let way = explored.found.get(&what);
-    println!("{planted:?}: {what:?} after {} states by {way:?}", explored.states);
-    assert!(way.is_some(), "{planted:?} is not found; {:?}", explored.found);
+    println!("{fault:?}: {what:?} after {} states by {way:?}", explored.states);
+    assert!(way.is_some(), "{fault:?} is not found; {:?}", explored.found);
 }
--- a/crates/dissemination/tests/follower.rs
+++ b/crates/dissemination/tests/follower.rs
@@ -24,8 +24,8 @@
     }
     world.run(40);
     assert_eq!(world.acknowledged.len(), 12);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
     world
 }
 
@@ -43,8 +43,8 @@
     }
     world.start_follower(0, Some(kept));
     world.run(60);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
     assert_eq!((world.applied[0].marks, world.applied[0].stale), (0, 0));
     assert_eq!(world.applied[0].bodies.len(), 22);
 }
@@ -59,8 +59,8 @@
     world.run(5);
     assert!(!world.followers[0].as_ref().expect("it runs").in_service(world.now));
     world.run(60);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
     // That stream alone.
     assert_eq!(world.applied[0].stale, 1);
     assert!(world.controls.iter().flatten().map(|c| c.stats(world.now).history_mismatches).sum::<u64>() >= 2);
@@ -75,8 +75,8 @@
     kept.heads.iter_mut().filter(|h| h.0 == stream).for_each(|h| h.1.digest ^= 1);
     world.start_follower(1, Some(kept));
     world.run(60);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
     assert_eq!(world.applied[1].stale, 1);
 }
 
@@ -91,12 +91,12 @@
     }
     // What the operators have given up is gone: its numbers are given again.
     world.acknowledged.retain(|at, _| at.1 <= 4);
-    world.seen.retain(|at, _| at.1 <= 4);
+    world.first_applied.retain(|at, _| at.1 <= 4);
     let keep = |r: &Record| !matches!(r, Record::Change(c, _) if c.number > 4);
     world.disks.iter_mut().for_each(|d| d.retain(keep));
     world.start_control(2);
     world.rules.epoch = 2;
-    world.liars = true;
+    world.corruption_expected = true;
     world.start_control(0);
     world.start_control(1);
     world.run(100);
@@ -105,14 +105,14 @@
     }
     world.run(60);
     assert!(world.acknowledged.contains_key(&(SET, 5)));
-    world.judge_whole();
+    world.check_converged();
     world
 }
 
 #[test]
 fn a_higher_epoch_makes_all_before_stale_and_a_lower_one_is_refused() {
     let world = restored();
-    assert_eq!(world.verdict, Ok(()));
+    assert_eq!(world.result, Ok(()));
     for f in 0..2 {
         let follower = world.followers[f].as_ref().expect("it runs");
         assert_eq!(follower.epoch(), 2);
@@ -133,13 +133,13 @@
         world.run(1);
     }
     world.run(60);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 /// What a follower applies of three pieces, of which the second comes last.
-fn fed(planted: Option<InjectedFault>) -> Vec<u64> {
-    let mut follower = Follower::new(0, rules(2, 2, planted), FollowerId(1), vec![ControlId(0)], None, 1)
+fn applied_numbers(fault: Option<InjectedFault>) -> Vec<u64> {
+    let mut follower = Follower::new(0, rules(2, 2, fault), FollowerId(1), vec![ControlId(0)], None, 1)
         .expect("sound rules");
     let mut out = vec![];
     follower.tick(1, &mut out);
@@ -168,24 +168,24 @@
 
 #[test]
 fn nothing_is_applied_over_a_gap() {
-    assert_eq!(fed(None), [1, 2, 3]);
-    assert_eq!(fed(Some(InjectedFault::Gaps)), [1, 3], "the guard is what keeps it so");
+    assert_eq!(applied_numbers(None), [1, 2, 3]);
+    assert_eq!(applied_numbers(Some(InjectedFault::Gaps)), [1, 3], "the guard is what keeps it so");
 }
 
 #[test]
 fn one_without_any_way_to_the_stores_leaves_service_by_itself_and_comes_back() {
     let mut world = started(1);
-    (0..3).for_each(|c| world.ills[c].frozen = true);
-    let lease = (world.rules.lease / world::HOP) as usize;
+    (0..3).for_each(|c| world.machine_faults[c].frozen = true);
+    let lease = (world.rules.lease / world::STEP) as usize;
     // What it knew was up to 20 hops old: a poll, a beat, an ack, and the ways between.
     world.run(lease - 20);
     assert!(world.followers[0].as_ref().expect("it runs").in_service(world.now));
     world.run(21);
     assert!(!world.followers[0].as_ref().expect("it runs").in_service(world.now));
-    (0..3).for_each(|c| world.ills[c].frozen = false);
+    (0..3).for_each(|c| world.machine_faults[c].frozen = false);
     world.run(60);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
@@ -193,30 +193,30 @@
     let mut world = started(1);
     let shown = figures(&world, 0);
     assert_eq!((shown.primary, shown.secondary), (Some((ControlId(0), true)), Some((ControlId(1), true))));
-    world.ills[0].frozen = true;
-    let silence = (world.rules.silence_timeout / world::HOP) as usize;
+    world.machine_faults[0].frozen = true;
+    let silence = (world.rules.silence_timeout / world::STEP) as usize;
     world.run(silence + 6);
     let shown = figures(&world, 0);
     assert_eq!((shown.primary, shown.secondary), (Some((ControlId(1), true)), Some((ControlId(2), true))));
     assert_eq!(shown.promotions, 1);
     world.submit(1, 0, 0, 40);
     world.run(30);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
 fn one_that_carries_wrong_bytes_is_left_and_nothing_of_it_is_applied() {
     let mut world = started(2);
-    world.liars = true;
-    world.ills[0].lies = true;
+    world.corruption_expected = true;
+    world.machine_faults[0].corrupts = true;
     for token in 40..50 {
         world.submit(1, (token % 2) as u8, 3, token);
         world.run(2);
     }
     world.run(60);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
     assert!(figures(&world, 0).misfits >= 1);
     assert_eq!(world.applied[0].stale, 0, "one that is wrong does not make others doubt what they hold");
 }
@@ -245,8 +245,8 @@
     assert_eq!(world.applied[0].marks, 0);
     let parts: u64 = world.controls.iter().flatten().map(|c| c.stats(world.now).parts).sum();
     assert!(parts >= 7, "{parts} parts");
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[rstest]
@@ -263,15 +263,15 @@
     // The other stores have it; from now on the primary says it wrong.
     world.run(4);
     assert_eq!(world.acknowledged.len(), 2);
-    world.liars = true;
-    world.ills[0].lies = true;
+    world.corruption_expected = true;
+    world.machine_faults[0].corrupts = true;
     world.run(500);
     let at = StreamId { topic, store: ControlId(0) };
     assert!(world.applied[0].bodies.get(&(at, 1)) == Some(&large), "{:?}", world.errors);
     assert_eq!(world.applied[0].stale, 0, "{:?}", world.errors);
     assert!(figures(&world, 0).misfits >= 1);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
@@ -287,25 +287,25 @@
     world.run(40);
     world.ask(1, REGISTER, number, 1);
     world.run(5);
-    let told = world.told.last().expect("an answer");
+    let told = world.status_reports.last().expect("an answer");
     assert!(told.all());
     assert_eq!(told.refused, [FollowerId(0), FollowerId(1)]);
     let named: u32 =
         world.controls.iter().flatten().flat_map(|c| c.stats(world.now).refused).map(|r| r.2).sum();
     assert_eq!(named, 2);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
 fn a_status_names_who_is_not_known_to_have_it_and_who_was_not_heard() {
     let mut world = started(3);
-    world.cut_off[1] = true;
+    world.isolated[1] = true;
     world
-        .wires
+        .connections
         .values_mut()
-        .filter(|w| w.ends.contains(&world::End::Follower(1)))
-        .for_each(|w| w.hung = [true; 2]);
+        .filter(|w| w.ends.contains(&world::Endpoint::Follower(1)))
+        .for_each(|w| w.stalled = [true; 2]);
     world.run(30);
     world.submit(0, 0, 0, 70);
     world.run(20);
@@ -313,21 +313,21 @@
     assert!(world.acknowledged.contains_key(&at));
     world.ask(2, SET, 7, 1);
     world.run(5);
-    let told = world.told.last().expect("an answer").clone();
+    let told = world.status_reports.last().expect("an answer").clone();
     assert!(told.committed && !told.all() && !told.lapsed);
     assert_eq!((told.missing, told.unheard), (vec![FollowerId(1)], vec![]));
     world.run(40);
     world.ask(2, SET, 7, 2);
     world.run(5);
-    assert!(world.told.last().expect("an answer").lapsed);
-    world.ills[0].frozen = true;
+    assert!(world.status_reports.last().expect("an answer").lapsed);
+    world.machine_faults[0].frozen = true;
     world.run(2);
     world.ask(2, SET, 7, 3);
     world.run(15);
-    let told = world.told.last().expect("an answer");
+    let told = world.status_reports.last().expect("an answer");
     assert_eq!(told.unheard, [ControlId(0)]);
     assert!(told.missing.contains(&FollowerId(1)));
-    assert_eq!(world.verdict, Ok(()));
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
@@ -341,8 +341,8 @@
     }
     world.run(80);
     assert_eq!(world.acknowledged.len(), 32);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
--- a/crates/dissemination/tests/frame.rs
+++ b/crates/dissemination/tests/frame.rs
@@ -152,7 +152,7 @@
             }
         }
         prop_assert_eq!(read, messages);
-        prop_assert_eq!(reader.held(), 0);
+        prop_assert_eq!(reader.buffered(), 0);
     }
 
     #[test]
@@ -164,11 +164,11 @@
                 Ok(None) => break,
                 Err(why) => {
                     prop_assert_eq!(reader.read(&mut rest), Err(why), "broken for good");
-                    prop_assert_eq!(reader.held(), 0);
+                    prop_assert_eq!(reader.buffered(), 0);
                     break;
                 }
             }
-            prop_assert!(reader.held() <= bytes.len());
+            prop_assert!(reader.buffered() <= bytes.len());
         }
     }
 
--- a/crates/dissemination/tests/store.rs
+++ b/crates/dissemination/tests/store.rs
@@ -27,8 +27,8 @@
         assert_eq!(world.applied[f].upto.get(&stream(0, 0)), Some(&1));
         assert_eq!(world.applied[f].upto.get(&stream(1, 1)), Some(&1));
     }
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
@@ -66,8 +66,8 @@
     }
     world.run(40);
     assert_eq!(world.acknowledged.len(), 25);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
@@ -105,8 +105,8 @@
     world.submit(0, 0, 0, 11);
     world.run(30);
     assert!(world.acknowledged.contains_key(&(stream(0, 0), 6)));
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
@@ -140,8 +140,8 @@
         let (at, body) = last(key).expect("each key was set");
         assert_eq!(bodies.get(&at), Some(&body), "the last value of key {key}");
     }
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
     // What such a store wrote down is the same when it starts from it.
     let records = world.controls[2].as_ref().expect("it runs").records();
     world.kill_control(2);
