--- a/crates/dissemination/tests/world/mod.rs
+++ b/crates/dissemination/tests/world/mod.rs
@@ -16,10 +16,10 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
 
-pub const HOP: Micros = 20_000;
+pub const STEP: Micros = 20_000;
 
 /// A change's place.
-pub type At = (StreamId, u64);
+pub type ChangeId = (StreamId, u64);
 
 /// Short times, in hops; the relations are those of the defaults.
 pub fn rules(controls: u8, stores: u8, injected_fault: Option<InjectedFault>) -> Rules {
@@ -27,19 +27,19 @@
         controls,
         stores,
         topics: vec![TopicKind::Set, TopicKind::Register],
-        beat_interval: 5 * HOP,
-        poll_interval: 5 * HOP,
-        ack_interval: 5 * HOP,
-        lease: 35 * HOP,
-        silence_timeout: 12 * HOP,
-        gap_timeout: 6 * HOP,
-        idle_timeout: 25 * HOP,
-        min_redial_delay: 5 * HOP,
-        max_redial_delay: 20 * HOP,
+        beat_interval: 5 * STEP,
+        poll_interval: 5 * STEP,
+        ack_interval: 5 * STEP,
+        lease: 35 * STEP,
+        silence_timeout: 12 * STEP,
+        gap_timeout: 6 * STEP,
+        idle_timeout: 25 * STEP,
+        min_redial_delay: 5 * STEP,
+        max_redial_delay: 20 * STEP,
         primary_rate: 8000,
         secondary_rate: 4000,
         follower_rate: 4000,
-        count_timeout: 10 * HOP,
+        count_timeout: 10 * STEP,
         message_rate: 1000,
         injected_fault,
         ..Rules::default()
@@ -49,7 +49,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum End {
+pub enum Endpoint {
     Control(usize),
     Follower(usize),
     /// A client, which the world plays.
@@ -57,12 +57,12 @@
 }
 
 #[derive(Clone, Debug, Hash)]
-pub struct Wire {
-    pub ends: [End; 2],
+pub struct Connection {
+    pub ends: [Endpoint; 2],
     /// On the way from the first to the second, and back.
     pub queues: [VecDeque<Rc<Message>>; 2],
     /// Nothing comes through any more, and nobody is told.
-    pub hung: [bool; 2],
+    pub stalled: [bool; 2],
     /// Hops for which a direction is late.
     pub late: [u8; 2],
     /// The end that has closed it: what it sent before still comes.
@@ -71,7 +71,7 @@
 
 /// What holds for a machine, until it is told otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Ill {
+pub struct MachineFault {
     /// Does nothing at all.
     pub frozen: bool,
     /// Hears nothing.
@@ -79,12 +79,12 @@
     /// What it says does not arrive.
     pub mute: bool,
     /// What it carries has wrong bytes.
-    pub lies: bool,
+    pub corrupts: bool,
 }
 
 /// A property, broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Broken {
+pub enum Violation {
     /// A change was applied a second time.
     Twice,
     /// A change was applied before one that comes before it, or over a gap.
@@ -100,7 +100,7 @@
     /// A status says that all have what some in service have not.
     Count,
     /// A machine refused what an honest one said.
-    Quarrel,
+    UnexpectedRejection,
     /// Long after a single fault a follower is not in service, or lacks something.
     Stuck,
 }
@@ -117,34 +117,34 @@
 #[derive(Clone)]
 pub struct World {
     pub now: Micros,
-    pub hops: usize,
+    pub steps: usize,
     pub rules: Rules,
     pub controls: Vec<Option<Control>>,
     pub disks: Vec<Vec<Record>>,
     pub followers: Vec<Option<Follower>>,
     pub orders: Vec<Vec<ControlId>>,
-    pub lives: Vec<u64>,
+    pub incarnations: Vec<u64>,
     pub applied: Vec<Applied>,
-    pub ills: Vec<Ill>,
+    pub machine_faults: Vec<MachineFault>,
     /// Followers of which no connection works.
-    pub cut_off: Vec<bool>,
-    pub wires: BTreeMap<PeerId, Wire>,
+    pub isolated: Vec<bool>,
+    pub connections: BTreeMap<PeerId, Connection>,
     pub count: PeerId,
-    dials: Vec<(End, ControlId)>,
+    dials: Vec<(Endpoint, ControlId)>,
     submitted: BTreeMap<u32, Rc<[u8]>>,
     /// What was acknowledged, and when.
-    pub acknowledged: BTreeMap<At, (Rc<[u8]>, Micros)>,
+    pub acknowledged: BTreeMap<ChangeId, (Rc<[u8]>, Micros)>,
     pub busy: Vec<(u32, u32)>,
-    pub told: Vec<StatusReport>,
+    pub status_reports: Vec<StatusReport>,
     /// The bodies that any follower applied, the first time.
-    pub seen: BTreeMap<(StreamId, u64), Rc<[u8]>>,
-    asked: BTreeMap<u32, (StreamId, u64)>,
-    pub liars: bool,
+    pub first_applied: BTreeMap<(StreamId, u64), Rc<[u8]>>,
+    status_queries: BTreeMap<u32, (StreamId, u64)>,
+    pub corruption_expected: bool,
     /// Whether any store has lost its disk.
-    pub wiped: bool,
+    pub store_wiped: bool,
     pub errors: Vec<String>,
-    pub bytes_to: Vec<u64>,
-    pub verdict: Result<(), Broken>,
+    pub bytes_received: Vec<u64>,
+    pub result: Result<(), Violation>,
 }
 
 pub fn body(token: u32) -> Rc<[u8]> {
@@ -158,30 +158,30 @@
         let controls = usize::from(rules.controls);
         let order = |f: usize| (0..controls).map(|c| ControlId(((c + f) % controls) as u8)).collect();
         let mut world = World {
-            now: 1000 * HOP,
-            hops: 0,
+            now: 1000 * STEP,
+            steps: 0,
             controls: vec![None; controls],
             disks: vec![vec![]; controls],
             followers: vec![None; followers],
             orders: (0..followers).map(order).collect(),
-            lives: vec![0; followers],
+            incarnations: vec![0; followers],
             applied: vec![],
-            ills: vec![Ill::default(); controls],
-            cut_off: vec![false; followers],
-            wires: BTreeMap::new(),
+            machine_faults: vec![MachineFault::default(); controls],
+            isolated: vec![false; followers],
+            connections: BTreeMap::new(),
             count: 0,
             dials: vec![],
             submitted: BTreeMap::new(),
             acknowledged: BTreeMap::new(),
             busy: vec![],
-            told: vec![],
-            seen: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            liars: false,
-            wiped: false,
+            status_reports: vec![],
+            first_applied: BTreeMap::new(),
+            status_queries: BTreeMap::new(),
+            corruption_expected: false,
+            store_wiped: false,
             errors: vec![],
-            bytes_to: vec![0; followers],
-            verdict: Ok(()),
+            bytes_received: vec![0; followers],
+            result: Ok(()),
             rules,
         };
         (0..controls).for_each(|c| world.start_control(c));
@@ -199,7 +199,7 @@
     }
 
     pub fn start_follower(&mut self, f: usize, kept: Option<dissemination::SavedState>) {
-        self.lives[f] += 1;
+        self.incarnations[f] += 1;
         let (id, order) = (FollowerId(f as u64), self.orders[f].clone());
         let applied = &mut self.applied[f];
         // What it has forgotten it has to be told again.
@@ -208,77 +208,79 @@
         if kept.is_none() {
             applied.bodies.clear();
         }
-        let follower = Follower::new(self.now, self.rules.clone(), id, order, kept, self.lives[f]);
+        let follower = Follower::new(self.now, self.rules.clone(), id, order, kept, self.incarnations[f]);
         self.followers[f] = Some(follower.expect("sound rules"));
     }
 
     /// Ends a control machine. Nobody hears what is on the way.
     pub fn kill_control(&mut self, c: usize) {
         self.controls[c] = None;
-        self.drop_wires(End::Control(c));
+        self.drop_connections(Endpoint::Control(c));
     }
 
     pub fn kill_follower(&mut self, f: usize) -> dissemination::SavedState {
         let kept = self.followers[f].take().map(|f| f.saved_state()).unwrap_or_default();
-        self.drop_wires(End::Follower(f));
+        self.drop_connections(Endpoint::Follower(f));
         kept
     }
 
-    fn drop_wires(&mut self, end: End) {
-        let of = |w: &Wire| w.ends.contains(&end);
-        let ids: Vec<PeerId> = self.wires.iter().filter(|(_, w)| of(w)).map(|(id, _)| *id).collect();
-        ids.into_iter().for_each(|id| self.break_wire(id, false));
+    fn drop_connections(&mut self, end: Endpoint) {
+        let of = |w: &Connection| w.ends.contains(&end);
+        let ids: Vec<PeerId> = self.connections.iter().filter(|(_, w)| of(w)).map(|(id, _)| *id).collect();
+        ids.into_iter().for_each(|id| self.break_connection(id, false));
         self.dials.retain(|d| d.0 != end);
     }
 
     /// Breaks a connection. What is on the way is lost, or comes before the ends know.
-    pub fn break_wire(&mut self, id: PeerId, comes: bool) {
-        let Some(mut wire) = self.wires.remove(&id) else { return };
+    pub fn break_connection(&mut self, id: PeerId, comes: bool) {
+        let Some(mut connection) = self.connections.remove(&id) else { return };
         for dir in 0..2 {
-            let queue = std::mem::take(&mut wire.queues[dir]);
-            if comes && !wire.hung[dir] {
-                queue.into_iter().for_each(|m| self.hand(id, wire.ends[dir], wire.ends[1 - dir], &m));
+            let queue = std::mem::take(&mut connection.queues[dir]);
+            if comes && !connection.stalled[dir] {
+                queue.into_iter().for_each(|m| {
+                    self.deliver_message(id, connection.ends[dir], connection.ends[1 - dir], &m)
+                });
             }
         }
         for at in 0..2 {
-            if wire.closed != Some(at) {
-                self.down(id, wire.ends[at], wire.ends[1 - at]);
+            if connection.closed != Some(at) {
+                self.down(id, connection.ends[at], connection.ends[1 - at]);
             }
         }
     }
 
-    fn down(&mut self, id: PeerId, end: End, other: End) {
+    fn down(&mut self, id: PeerId, end: Endpoint, other: Endpoint) {
         match end {
-            End::Control(c) => {
+            Endpoint::Control(c) => {
                 let mut out = vec![];
                 if let Some(control) = self.controls[c].as_mut() {
                     control.down(self.now, id, &mut out);
                 }
-                self.control_does(c, out);
+                self.run_control_outputs(c, out);
             }
-            End::Follower(f) => {
+            Endpoint::Follower(f) => {
                 let mut out = vec![];
-                let End::Control(c) = other else { return };
+                let Endpoint::Control(c) = other else { return };
                 // Another connection to the same one may have begun: the host keeps them apart.
-                let other = self.wires.values().any(|w| w.ends == [end, other] && w.closed.is_none());
+                let other = self.connections.values().any(|w| w.ends == [end, other] && w.closed.is_none());
                 if let Some(follower) = self.followers[f].as_mut().filter(|_| !other) {
                     follower.down(self.now, ControlId(c as u8), &mut out);
                 }
-                self.follower_does(f, out);
+                self.run_follower_outputs(f, out);
             }
-            End::Client => {}
+            Endpoint::Client => {}
         }
     }
 
     /// One hop.
-    pub fn hop(&mut self) {
-        self.now += HOP;
-        self.hops += 1;
+    pub fn step(&mut self) {
+        self.now += STEP;
+        self.steps += 1;
         for (from, to) in std::mem::take(&mut self.dials) {
             self.dial(from, usize::from(to.0));
         }
         let due: Vec<(PeerId, [usize; 2])> =
-            self.wires.iter().map(|(id, w)| (*id, [w.queues[0].len(), w.queues[1].len()])).collect();
+            self.connections.iter().map(|(id, w)| (*id, [w.queues[0].len(), w.queues[1].len()])).collect();
         for (id, counts) in due {
             for (dir, count) in counts.into_iter().enumerate() {
                 self.deliver(id, dir, count);
@@ -286,11 +288,13 @@
         }
         for c in 0..self.controls.len() {
             let mut out = vec![];
-            let Some(control) = self.controls[c].as_mut().filter(|_| !self.ills[c].frozen) else { continue };
+            let Some(control) = self.controls[c].as_mut().filter(|_| !self.machine_faults[c].frozen) else {
+                continue;
+            };
             if control.next_tick() <= self.now {
                 control.tick(self.now, &mut out);
             }
-            self.control_does(c, out);
+            self.run_control_outputs(c, out);
         }
         for f in 0..self.followers.len() {
             let mut out = vec![];
@@ -298,208 +302,209 @@
             if follower.next_tick() <= self.now {
                 follower.tick(self.now, &mut out);
             }
-            self.follower_does(f, out);
+            self.run_follower_outputs(f, out);
         }
-        self.judge();
+        self.check_invariants();
     }
 
-    pub fn run(&mut self, hops: usize) {
-        (0..hops).for_each(|_| self.hop());
+    pub fn run(&mut self, steps: usize) {
+        (0..steps).for_each(|_| self.step());
     }
 
-    fn ill(&self, end: End) -> Ill {
+    fn fault_of(&self, end: Endpoint) -> MachineFault {
         match end {
-            End::Control(c) => self.ills[c],
-            _ => Ill::default(),
+            Endpoint::Control(c) => self.machine_faults[c],
+            _ => MachineFault::default(),
         }
     }
 
     fn deliver(&mut self, id: PeerId, dir: usize, count: usize) {
         for _ in 0..count {
-            let Some(wire) = self.wires.get_mut(&id) else { return };
-            let (from, to) = (wire.ends[dir], wire.ends[1 - dir]);
-            if wire.closed == Some(1 - dir) {
-                return wire.queues[dir].clear();
+            let Some(connection) = self.connections.get_mut(&id) else { return };
+            let (from, to) = (connection.ends[dir], connection.ends[1 - dir]);
+            if connection.closed == Some(1 - dir) {
+                return connection.queues[dir].clear();
             }
-            if wire.hung[dir] {
+            if connection.stalled[dir] {
                 return;
             }
-            if wire.late[dir] > 0 {
-                wire.late[dir] -= 1;
+            if connection.late[dir] > 0 {
+                connection.late[dir] -= 1;
                 return;
             }
             if self
-                .ills
+                .machine_faults
                 .get(match to {
-                    End::Control(c) => c,
+                    Endpoint::Control(c) => c,
                     _ => usize::MAX,
                 })
                 .is_some_and(|i| i.frozen)
             {
                 return;
             }
-            let Some(message) = self.wires.get_mut(&id).and_then(|w| w.queues[dir].pop_front()) else {
+            let Some(message) = self.connections.get_mut(&id).and_then(|w| w.queues[dir].pop_front()) else {
                 return;
             };
-            if !self.ill(from).mute && !self.ill(to).deaf {
-                self.hand(id, from, to, &message);
+            if !self.fault_of(from).mute && !self.fault_of(to).deaf {
+                self.deliver_message(id, from, to, &message);
             }
         }
         // Last comes that it was closed.
         if self
-            .wires
+            .connections
             .get(&id)
-            .is_some_and(|w| w.closed == Some(dir) && w.queues[dir].is_empty() && !w.hung[dir])
+            .is_some_and(|w| w.closed == Some(dir) && w.queues[dir].is_empty() && !w.stalled[dir])
         {
-            self.break_wire(id, false);
+            self.break_connection(id, false);
         }
     }
 
-    fn hand(&mut self, id: PeerId, from: End, to: End, message: &Rc<Message>) {
-        let message = if self.ill(from).lies { Rc::new(lie(message)) } else { message.clone() };
+    fn deliver_message(&mut self, id: PeerId, from: Endpoint, to: Endpoint, message: &Rc<Message>) {
+        let message =
+            if self.fault_of(from).corrupts { Rc::new(corrupted(message)) } else { message.clone() };
         match to {
-            End::Control(c) => {
+            Endpoint::Control(c) => {
                 let mut out = vec![];
                 let Some(control) = self.controls[c].as_mut() else { return };
                 let done = control.handle_message(self.now, id, &message, &mut out);
-                self.control_does(c, out);
+                self.run_control_outputs(c, out);
                 if let Err(why) = done {
-                    self.quarrel(format!("{to:?} of {from:?}: {why}"));
+                    self.record_rejection(format!("{to:?} of {from:?}: {why}"));
                     self.closed(id, to);
                 }
             }
-            End::Follower(f) => {
-                let End::Control(c) = from else { return };
+            Endpoint::Follower(f) => {
+                let Endpoint::Control(c) = from else { return };
                 let mut out = vec![];
                 let Some(follower) = self.followers[f].as_mut() else { return };
-                self.bytes_to[f] += dissemination::frame::size(&message) as u64;
+                self.bytes_received[f] += dissemination::frame::size(&message) as u64;
                 let done = follower.handle_message(self.now, ControlId(c as u8), &message, &mut out);
-                self.follower_does(f, out);
+                self.run_follower_outputs(f, out);
                 if let Err(why) = done {
-                    self.quarrel(format!("{to:?} of {from:?}: {why}"));
+                    self.record_rejection(format!("{to:?} of {from:?}: {why}"));
                     self.closed(id, to);
                 }
             }
-            End::Client => self.client(&message),
+            Endpoint::Client => self.client(&message),
         }
     }
 
-    fn quarrel(&mut self, what: String) {
+    fn record_rejection(&mut self, what: String) {
         self.errors.push(what);
-        if !self.liars {
-            self.breaks(Broken::Quarrel);
+        if !self.corruption_expected {
+            self.record_violation(Violation::UnexpectedRejection);
         }
     }
 
-    pub fn breaks(&mut self, what: Broken) {
-        self.verdict = self.verdict.and(Err(what));
+    pub fn record_violation(&mut self, what: Violation) {
+        self.result = self.result.and(Err(what));
     }
 
     /// One end closed it; the other hears so after what is on the way.
-    fn closed(&mut self, id: PeerId, by: End) {
-        let Some(wire) = self.wires.get_mut(&id) else { return };
-        let at = usize::from(wire.ends[0] != by);
-        if wire.closed.is_some() {
-            self.wires.remove(&id);
+    fn closed(&mut self, id: PeerId, by: Endpoint) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let at = usize::from(connection.ends[0] != by);
+        if connection.closed.is_some() {
+            self.connections.remove(&id);
         } else {
-            wire.closed = Some(at);
-            wire.queues[1 - at].clear();
+            connection.closed = Some(at);
+            connection.queues[1 - at].clear();
         }
     }
 
-    fn dial(&mut self, from: End, to: usize) {
+    fn dial(&mut self, from: Endpoint, to: usize) {
         let fails = match from {
-            End::Follower(f) => self.cut_off[f],
-            End::Control(c) => self.ills[c].frozen,
-            End::Client => false,
+            Endpoint::Follower(f) => self.isolated[f],
+            Endpoint::Control(c) => self.machine_faults[c].frozen,
+            Endpoint::Client => false,
         };
         // Those cut off are not even told that it failed.
         if fails {
             return;
         }
         if self.controls[to].is_none() {
-            if let End::Follower(f) = from {
+            if let Endpoint::Follower(f) = from {
                 let mut out = vec![];
                 if let Some(follower) = self.followers[f].as_mut() {
                     follower.down(self.now, ControlId(to as u8), &mut out);
                 }
-                self.follower_does(f, out);
+                self.run_follower_outputs(f, out);
             }
             return;
         }
         self.count += 1;
         let id = self.count;
-        let wire = Wire {
-            ends: [from, End::Control(to)],
+        let connection = Connection {
+            ends: [from, Endpoint::Control(to)],
             queues: Default::default(),
-            hung: [false; 2],
+            stalled: [false; 2],
             late: [0; 2],
             closed: None,
         };
-        self.wires.insert(id, wire);
+        self.connections.insert(id, connection);
         let mut out = vec![];
         if let Some(control) = self.controls[to].as_mut() {
             control.up(self.now, id, ConnectionKind::Accepted, &mut out);
         }
-        self.control_does(to, out);
+        self.run_control_outputs(to, out);
         match from {
-            End::Control(c) => {
+            Endpoint::Control(c) => {
                 let mut out = vec![];
                 if let Some(control) = self.controls[c].as_mut() {
                     control.up(self.now, id, ConnectionKind::Control(ControlId(to as u8)), &mut out);
                 }
-                self.control_does(c, out);
+                self.run_control_outputs(c, out);
             }
-            End::Follower(f) => {
+            Endpoint::Follower(f) => {
                 let mut out = vec![];
                 if let Some(follower) = self.followers[f].as_mut() {
                     follower.up(self.now, ControlId(to as u8), &mut out);
                 }
-                self.follower_does(f, out);
+                self.run_follower_outputs(f, out);
             }
-            End::Client => {}
+            Endpoint::Client => {}
         }
     }
 
-    fn send(&mut self, id: PeerId, from: End, message: Rc<Message>) {
-        if let Some(wire) = self.wires.get_mut(&id).filter(|w| w.closed.is_none()) {
-            let dir = usize::from(wire.ends[0] != from);
-            if wire.ends[1 - dir] == End::Client {
+    fn send(&mut self, id: PeerId, from: Endpoint, message: Rc<Message>) {
+        if let Some(connection) = self.connections.get_mut(&id).filter(|w| w.closed.is_none()) {
+            let dir = usize::from(connection.ends[0] != from);
+            if connection.ends[1 - dir] == Endpoint::Client {
                 return self.client(&message);
             }
-            wire.queues[dir].push_back(message);
+            connection.queues[dir].push_back(message);
         }
     }
 
-    fn control_does(&mut self, c: usize, out: Vec<control::Output>) {
+    fn run_control_outputs(&mut self, c: usize, out: Vec<control::Output>) {
         for o in out {
             match o {
-                control::Output::Dial(to) => self.dials.push((End::Control(c), to)),
-                control::Output::Send(id, message) => self.send(id, End::Control(c), message),
+                control::Output::Dial(to) => self.dials.push((Endpoint::Control(c), to)),
+                control::Output::Send(id, message) => self.send(id, Endpoint::Control(c), message),
                 control::Output::Persist(records) => self.disks[c].extend(records),
-                control::Output::Close(id, _) => self.closed(id, End::Control(c)),
+                control::Output::Close(id, _) => self.closed(id, Endpoint::Control(c)),
             }
         }
     }
 
-    fn wire_of(&self, f: usize, to: ControlId) -> Option<PeerId> {
-        let ends = [End::Follower(f), End::Control(usize::from(to.0))];
-        self.wires.iter().rev().find(|(_, w)| w.ends == ends && w.closed.is_none()).map(|(id, _)| *id)
+    fn connection_of(&self, f: usize, to: ControlId) -> Option<PeerId> {
+        let ends = [Endpoint::Follower(f), Endpoint::Control(usize::from(to.0))];
+        self.connections.iter().rev().find(|(_, w)| w.ends == ends && w.closed.is_none()).map(|(id, _)| *id)
     }
 
-    fn follower_does(&mut self, f: usize, out: Vec<follower::Output>) {
+    fn run_follower_outputs(&mut self, f: usize, out: Vec<follower::Output>) {
         for o in out {
             match o {
-                follower::Output::Dial(to) => self.dials.push((End::Follower(f), to)),
+                follower::Output::Dial(to) => self.dials.push((Endpoint::Follower(f), to)),
                 follower::Output::Send(to, message) => {
-                    if let Some(id) = self.wire_of(f, to) {
-                        self.send(id, End::Follower(f), Rc::new(message));
+                    if let Some(id) = self.connection_of(f, to) {
+                        self.send(id, Endpoint::Follower(f), Rc::new(message));
                     }
                 }
                 follower::Output::Close(to, _) => {
-                    self.dials.retain(|d| *d != (End::Follower(f), to));
-                    if let Some(id) = self.wire_of(f, to) {
-                        self.closed(id, End::Follower(f));
+                    self.dials.retain(|d| *d != (Endpoint::Follower(f), to));
+                    if let Some(id) = self.connection_of(f, to) {
+                        self.closed(id, Endpoint::Follower(f));
                     }
                 }
                 follower::Output::Apply(piece) => self.apply(f, &piece),
@@ -523,10 +528,10 @@
         let upto = applied.upto.entry(piece.stream).or_insert(0);
         let mut broken = None;
         if piece.upto() <= *upto {
-            broken = Some(Broken::Twice);
+            broken = Some(Violation::Twice);
         }
         if piece.after > *upto {
-            broken = Some(Broken::Order);
+            broken = Some(Violation::Order);
         }
         *upto = piece.upto();
         applied.marks += u64::from(piece.is_mark());
@@ -534,31 +539,32 @@
         for (number, _, body) in piece.changes() {
             let at = (piece.stream, number);
             if number <= last {
-                broken = broken.or(Some(Broken::Order));
+                broken = broken.or(Some(Violation::Order));
             }
             last = number;
             let body: Rc<[u8]> = Rc::from(body);
             if applied.bodies.insert(at, body.clone()).is_some() {
-                broken = broken.or(Some(Broken::Twice));
+                broken = broken.or(Some(Violation::Twice));
             }
-            let first = self.seen.entry(at).or_insert(body.clone());
+            let first = self.first_applied.entry(at).or_insert(body.clone());
             if *first != body || self.acknowledged.get(&at).is_some_and(|a| a.0 != body) {
-                broken = broken.or(Some(Broken::Bytes));
+                broken = broken.or(Some(Violation::Bytes));
             }
         }
         if let Some(what) = broken {
-            self.breaks(what);
+            self.record_violation(what);
         }
     }
 
     // The client.
 
-    fn client_wire(&mut self, c: usize) -> Option<PeerId> {
+    fn client_connection(&mut self, c: usize) -> Option<PeerId> {
         self.controls[c].as_ref()?;
-        let ends = [End::Client, End::Control(c)];
-        let known = self.wires.iter().find(|(_, w)| w.ends == ends && w.closed.is_none()).map(|(id, _)| *id);
+        let ends = [Endpoint::Client, Endpoint::Control(c)];
+        let known =
+            self.connections.iter().find(|(_, w)| w.ends == ends && w.closed.is_none()).map(|(id, _)| *id);
         Some(known.unwrap_or_else(|| {
-            self.dial(End::Client, c);
+            self.dial(Endpoint::Client, c);
             self.count
         }))
     }
@@ -568,16 +574,21 @@
     }
 
     pub fn submit_body(&mut self, c: usize, topic: u8, key: u32, token: u32, body: Rc<[u8]>) {
-        let Some(id) = self.client_wire(c).filter(|_| !self.ills[c].frozen) else { return };
+        let Some(id) = self.client_connection(c).filter(|_| !self.machine_faults[c].frozen) else { return };
         self.submitted.insert(token, body.clone());
-        self.hand(id, End::Client, End::Control(c), &Rc::new(Message::Submit { token, topic, key, body }));
+        self.deliver_message(
+            id,
+            Endpoint::Client,
+            Endpoint::Control(c),
+            &Rc::new(Message::Submit { token, topic, key, body }),
+        );
     }
 
     pub fn ask(&mut self, c: usize, stream: StreamId, number: u64, token: u32) {
-        let Some(id) = self.client_wire(c).filter(|_| !self.ills[c].frozen) else { return };
-        self.asked.insert(token, (stream, number));
+        let Some(id) = self.client_connection(c).filter(|_| !self.machine_faults[c].frozen) else { return };
+        self.status_queries.insert(token, (stream, number));
         let message = Message::Status { token, stream, number, from: FollowerId(0) };
-        self.hand(id, End::Client, End::Control(c), &Rc::new(message));
+        self.deliver_message(id, Endpoint::Client, Endpoint::Control(c), &Rc::new(message));
     }
 
     fn client(&mut self, message: &Message) {
@@ -585,15 +596,15 @@
             Message::Submitted { token, stream, number } => {
                 let body = self.submitted[token].clone();
                 let at = (*stream, *number);
-                let known = self.seen.get(&at).is_some_and(|b| *b != body);
+                let known = self.first_applied.get(&at).is_some_and(|b| *b != body);
                 let before = self.acknowledged.insert(at, (body, self.now));
                 if before.is_some() || known {
-                    self.breaks(Broken::Lost);
+                    self.record_violation(Violation::Lost);
                 }
             }
             Message::Busy { token, after } => self.busy.push((*token, *after)),
             Message::Told(told) => {
-                let (stream, number) = self.asked[&told.token];
+                let (stream, number) = self.status_queries[&told.token];
                 let lacks = |f: usize| {
                     let Some(follower) = &self.followers[f] else { return false };
                     follower.in_service(self.now)
@@ -602,9 +613,9 @@
                 let named = |f: usize| told.missing.contains(&FollowerId(f as u64));
                 let unnamed = (0..self.followers.len()).any(|f| lacks(f) && !named(f));
                 if unnamed || (told.lapsed && (0..self.followers.len()).any(lacks)) {
-                    self.breaks(Broken::Count);
+                    self.record_violation(Violation::Count);
                 }
-                self.told.push(told.clone());
+                self.status_reports.push(told.clone());
             }
             other => panic!("a client does not expect {}", other.name()),
         }
@@ -612,7 +623,7 @@
 
     // Judges.
 
-    fn judge(&mut self) {
+    fn check_invariants(&mut self) {
         let lease = self.rules.lease;
         let mut broken = None;
         for (f, follower) in self.followers.iter().enumerate() {
@@ -621,49 +632,51 @@
                 |at: &(StreamId, u64)| self.applied[f].upto.get(&at.0).is_some_and(|upto| *upto >= at.1);
             for (at, (_, when)) in &self.acknowledged {
                 if !holds(at) && follower.fresh().is_some_and(|fresh| *when < fresh) {
-                    broken = broken.or(Some(Broken::Fresh));
+                    broken = broken.or(Some(Violation::Fresh));
                 }
                 if !holds(at) && follower.in_service(self.now) && *when < self.now - lease {
-                    broken = broken.or(Some(Broken::Lease));
+                    broken = broken.or(Some(Violation::Lease));
                 }
             }
         }
         if let Some(what) = broken {
-            self.breaks(what);
+            self.record_violation(what);
         }
     }
 
     /// Whether what was acknowledged is still what control machines hold under its number.
-    pub fn judge_held(&mut self) {
+    pub fn check_held(&mut self) {
         for control in self.controls.iter().flatten() {
             for record in control.records() {
                 let Record::Change(change, _) = record else { continue };
                 let at = (change.stream, change.number);
                 if self.acknowledged.get(&at).is_some_and(|a| a.0 != change.body) {
-                    self.verdict = self.verdict.and(Err(Broken::Lost));
+                    self.result = self.result.and(Err(Violation::Lost));
                 }
             }
         }
     }
 
     /// Whether every follower that can be is in service, and has all that was acknowledged.
-    pub fn judge_whole(&mut self) {
-        self.judge_held();
+    pub fn check_converged(&mut self) {
+        self.check_held();
         for (f, follower) in self.followers.iter().enumerate() {
-            let Some(follower) = follower.as_ref().filter(|_| !self.cut_off[f]) else { continue };
+            let Some(follower) = follower.as_ref().filter(|_| !self.isolated[f]) else { continue };
             let upto = &self.applied[f].upto;
             let holds = self.acknowledged.keys().all(|at| upto.get(&at.0).is_some_and(|u| *u >= at.1));
             if !holds || !follower.in_service(self.now) {
-                self.verdict = self.verdict.and(Err(Broken::Stuck));
+                self.result = self.result.and(Err(Violation::Stuck));
             }
         }
     }
 
     pub fn hash(&self) -> u64 {
         let mut h = DefaultHasher::new();
-        (self.now, &self.controls, &self.disks, &self.followers, &self.applied, &self.ills).hash(&mut h);
-        (&self.cut_off, &self.wires, &self.acknowledged, &self.lives, &self.seen).hash(&mut h);
-        (&self.dials, self.wiped, self.liars).hash(&mut h);
+        (self.now, &self.controls, &self.disks, &self.followers, &self.applied, &self.machine_faults)
+            .hash(&mut h);
+        (&self.isolated, &self.connections, &self.acknowledged, &self.incarnations, &self.first_applied)
+            .hash(&mut h);
+        (&self.dials, self.store_wiped, self.corruption_expected).hash(&mut h);
         h.finish()
     }
 
@@ -673,7 +686,7 @@
 }
 
 /// The same with one wrong byte in the first change that it carries.
-fn lie(message: &Message) -> Message {
+fn corrupted(message: &Message) -> Message {
     let flip = |b: &Rc<[u8]>| {
         let mut bytes = b.to_vec();
         if let Some(last) = bytes.last_mut() {
