--- a/crates/dissemination/src/change.rs
+++ b/crates/dissemination/src/change.rs
@@ -1,35 +1,35 @@
-//! Changes, positions in streams, digests of histories, and the pieces that carry changes.
+//! Changes, positions in streams, history digests, and the pieces that carry changes.
 
 use crate::{bounds, StreamId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A numbered change. What its body says is the host's business.
+/// A numbered change. The body is opaque to this crate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
-    /// Whose number it has.
+    /// The stream that the number belongs to.
     pub stream: StreamId,
-    /// Its number there; the first is 1.
+    /// The number in the stream; the first is 1.
     pub number: u64,
-    /// What it sets, on a [`Register`](crate::TopicKind::Register) topic; else 0.
+    /// The key that the change sets, on a [`Register`](crate::TopicKind::Register) topic; 0 on others.
     pub key: u32,
-    /// At most [`bounds::MAX_BODY_BYTES`] bytes.
+    /// The payload, at most [`bounds::MAX_BODY_BYTES`] bytes.
     pub body: Rc<[u8]>,
 }
 
-/// How far a stream goes, and the digest of its history up to there. Number 0 is before the first change.
+/// The last number of a stream and the digest of its history up to there. Number 0 precedes the first change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Head {
-    /// The last change's.
+    /// The number of the last change.
     pub number: u64,
-    /// See [`Head::advance`].
+    /// The history digest; see [`Head::advance`].
     #[serde(with = "postcard::fixint::le")]
     pub digest: u32,
 }
 
 impl Head {
-    /// The head after one more change: the digest is the CRC-32 of the one before, key and body.
+    /// The head after one more change: its digest is the CRC-32 of the previous digest, the key and the body.
     #[must_use]
     pub fn advance(self, key: u32, body: &[u8]) -> Head {
         let mut hasher = crc32fast::Hasher::new();
@@ -40,17 +40,18 @@
     }
 }
 
-/// What a store writes down, in order; the same is handed back when it starts.
+/// A record of a store's write-ahead file. On start the records are replayed in the order in which they were
+/// written.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
-    /// A change, and the digest of the history up to it.
+    /// A change, and the history digest up to it.
     Change(Change, u32),
-    /// All up to here has been dropped, except for a register's last value per key.
+    /// Everything up to this head has been dropped, except the last value of each key of a register.
     Horizon(StreamId, Head),
 }
 
 impl Record {
-    /// Whose.
+    /// The stream that the record belongs to.
     pub fn stream(&self) -> StreamId {
         match self {
             Record::Change(change, _) => change.stream,
@@ -59,26 +60,26 @@
     }
 }
 
-/// What a follower holds, to be kept over its restarts. Without it a follower starts from nothing.
+/// What a follower holds, to be saved across restarts. A follower without it starts empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SavedState {
-    /// The epoch in which it holds it.
+    /// The epoch of the held streams.
     pub epoch: u32,
-    /// Streams of which it holds anything.
+    /// The head of each stream that is not empty.
     pub heads: Vec<(StreamId, Head)>,
 }
 
-/// The last number held of each stream. It holds [`bounds::MAX_STREAMS`] at most.
+/// The last number held of each stream. Has at most [`bounds::MAX_STREAMS`] entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Position(BTreeMap<StreamId, u64>);
 
 impl Position {
-    /// The last number held of a stream; 0 is none.
+    /// The last number held of a stream; 0 if none.
     pub fn get(&self, stream: StreamId) -> u64 {
         self.0.get(&stream).copied().unwrap_or(0)
     }
 
-    /// Sets it. 0 takes the stream out.
+    /// Sets the number of a stream. 0 removes the stream.
     pub fn set(&mut self, stream: StreamId, number: u64) {
         if number == 0 {
             self.0.remove(&stream);
@@ -87,39 +88,39 @@
         }
     }
 
-    /// Raises it, if it is lower.
+    /// Sets the number of a stream if it is higher than the current one.
     pub fn raise(&mut self, stream: StreamId, number: u64) {
         if number > self.get(stream) {
             self.0.insert(stream, number);
         }
     }
 
-    /// Whether it holds all that another holds.
+    /// Whether every stream of `other` is held at least as far here.
     pub fn covers(&self, other: &Position) -> bool {
         other.0.iter().all(|(stream, number)| self.get(*stream) >= *number)
     }
 
-    /// Raises each stream to what another holds of it.
+    /// Raises each stream to the number in `other`.
     pub fn merge(&mut self, other: &Position) {
         other.iter().for_each(|(stream, number)| self.raise(stream, number));
     }
 
-    /// Streams of which it holds anything.
+    /// The streams that are not empty, with their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (StreamId, u64)> + '_ {
         self.0.iter().map(|(stream, number)| (*stream, *number))
     }
 
-    /// How many those are.
+    /// Number of streams that are not empty.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether it holds nothing.
+    /// Whether all streams are empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// What it holds more than another: streams, and by how much.
+    /// The increments over another position: each stream that is ahead, and by how much.
     pub fn gains(&self, over: &Position) -> Vec<(StreamId, u64)> {
         let gain = |(stream, number): (StreamId, u64)| {
             Some((stream, number.checked_sub(over.get(stream))?)).filter(|g| g.1 > 0)
@@ -127,7 +128,7 @@
         self.iter().filter_map(gain).collect()
     }
 
-    /// Adds what [`Position::gains`] expected. A number beyond [`bounds::MAX_NUMBER`] is cut to it.
+    /// Adds increments computed by [`Position::gains`]. Numbers are capped at [`bounds::MAX_NUMBER`].
     pub fn gain(&mut self, gains: &[(StreamId, u64)]) {
         for (stream, more) in gains {
             self.raise(*stream, self.get(*stream).saturating_add(*more).min(bounds::MAX_NUMBER));
@@ -143,79 +144,80 @@
     }
 }
 
-/// A change of a register in a piece.
+/// One change of a register inside a piece.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its number less [`Piece::after`].
+    /// The change's number minus [`Piece::after`].
     pub offset: u32,
     /// See [`Change::key`].
     pub key: u32,
-    /// That of the head at this change.
+    /// The history digest at this change.
     #[serde(with = "postcard::fixint::le")]
     pub digest: u32,
     /// See [`Change::body`].
     pub body: Rc<[u8]>,
 }
 
-/// What a piece carries.
+/// The payload of a piece.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Content {
-    /// Changes of a set, one after the other, all of the same size: no length for each.
+    /// Consecutive changes of a set, all of the same size, so that no length is sent for each.
     Even {
-        /// Bytes of each, at least 1.
+        /// Bytes of each body, at least 1.
         width: u8,
-        /// All of them.
+        /// The concatenated bodies.
         bytes: Rc<[u8]>,
     },
-    /// Changes of a set, one after the other.
+    /// Consecutive changes of a set.
     Bodies(Vec<Rc<[u8]>>),
-    /// All of a set up to a number is stale, whatever it was.
+    /// Replaces changes of a set: everything up to a number is stale, whatever the changes were.
     Mark {
-        /// That number.
+        /// The last number that is covered.
         upto: u64,
     },
-    /// Changes of a register, in order. Those left out have been overwritten by later ones.
+    /// Changes of a register, in order. Omitted changes were overwritten by later ones.
     Entries {
-        /// CRC-32 over the entries; where some are left out, digests cannot be computed from them.
+        /// CRC-32 over the entries. It is needed because digests cannot be recomputed across omitted changes.
         #[serde(with = "postcard::fixint::le")]
         check: u32,
-        /// What is left; the piece goes up to the last one.
+        /// The remaining changes; the piece ends at the last one.
         entries: Vec<Entry>,
     },
-    /// A part of one change that is too large for one batch. The follower puts it together; hosts see none.
+    /// A fragment of one change that is too large for one batch. The follower reassembles it; hosts never see
+    /// fragments.
     Part {
         /// The change's number.
         number: u64,
         /// See [`Change::key`].
         key: u32,
-        /// Bytes of the whole body.
+        /// Length of the whole body in bytes.
         whole: u16,
-        /// Where in it the part begins.
+        /// Offset of the fragment in the body.
         offset: u16,
         /// CRC-32 over the whole body.
         #[serde(with = "postcard::fixint::le")]
         check: u32,
-        /// The part.
+        /// The fragment's bytes.
         bytes: Rc<[u8]>,
     },
 }
 
-/// The changes of a stream after one number, up to another, or what stands for them.
+/// The changes of a stream after one number and up to another, or a substitute for them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Piece {
-    /// Whose.
+    /// The stream that the changes belong to.
     pub stream: StreamId,
-    /// It goes on from here.
+    /// The piece starts after this number.
     pub after: u64,
-    /// That of the head at [`Piece::upto`].
+    /// The history digest at [`Piece::upto`].
     #[serde(with = "postcard::fixint::le")]
     pub digest: u32,
-    /// See [`Content`].
+    /// The payload.
     pub content: Content,
 }
 
 impl Piece {
-    /// The last number that it covers.
+    /// The last number that the piece covers.
     pub fn upto(&self) -> u64 {
         match &self.content {
             Content::Even { width, bytes } => {
@@ -230,12 +232,12 @@
         }
     }
 
-    /// Whether it says that all up to its end is stale.
+    /// Whether the piece declares everything up to its end stale.
     pub fn is_mark(&self) -> bool {
         matches!(self.content, Content::Mark { .. })
     }
 
-    /// The changes that it carries, in order: number, key, body. A mark and a part have none.
+    /// The contained changes in order, as number, key and body. Marks and parts contain none.
     pub fn changes(&self) -> Box<dyn Iterator<Item = (u64, u32, &[u8])> + '_> {
         let after = self.after;
         match &self.content {
@@ -253,7 +255,7 @@
         }
     }
 
-    /// Whether all of its figures are within their bounds and agree with each other; else what is not.
+    /// Checks that all fields are within their bounds and consistent; the error names the violated rule.
     pub fn check(&self) -> Result<(), &'static str> {
         let require = |holds: bool, what| if holds { Ok(()) } else { Err(what) };
         require(self.after <= bounds::MAX_NUMBER, "a number beyond reason")?;
@@ -297,24 +299,24 @@
     }
 }
 
-/// How a piece goes on from a head.
+/// How a piece relates to the head of a stream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fit {
-    /// Nothing in it is new.
+    /// It contains nothing new.
     AlreadyHeld,
-    /// Something before it lacks.
+    /// Changes between the head and the piece are missing.
     Gap,
-    /// It is not of the same history, or its bytes are wrong.
+    /// It belongs to a different history, or is corrupted.
     Mismatch,
-    /// A part: it goes on, as far as can be expected before the change is whole.
+    /// A fragment; it can be checked only after the change is reassembled.
     Part,
-    /// What is new in it, and the head after it.
+    /// The new part of the piece, and the head after it.
     Continues(Piece, Head),
 }
 
 impl Piece {
-    /// How it goes on from a head. Changes that follow each other are proven by their digests; a mark is taken at
-    /// its word, and so is the digest after changes that were left out.
+    /// Determines how the piece extends a head. Consecutive changes are verified through their digests; for a
+    /// mark, and for the digest after omitted changes, the piece is trusted.
     pub fn continue_from(&self, head: Head) -> Fit {
         let upto = self.upto();
         if upto <= head.number {
@@ -350,7 +352,7 @@
         }
     }
 
-    /// The head after a piece that begins at one; none if a digest is not right on the way.
+    /// The head after a piece that starts at `head`; none if a digest on the way does not match.
     fn head_after(&self, head: Head) -> Option<Head> {
         let Content::Entries { entries, .. } = &self.content else {
             if let Content::Mark { upto } = self.content {
@@ -365,7 +367,7 @@
     }
 }
 
-/// The CRC-32 over entries that [`Content::Entries`] carries.
+/// The CRC-32 over the entries of a [`Content::Entries`].
 pub fn entries_checksum(entries: &[Entry]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
     for e in entries {
--- a/crates/dissemination/src/frame.rs
+++ b/crates/dissemination/src/frame.rs
@@ -1,75 +1,76 @@
-//! The bytes of messages: a length (LEB128, three bytes at most), a version (u8), a body. The length counts
-//! version and body, and is as short as it can be; up to 127 bytes the header takes two.
+//! Encodes and decodes frames: a length (LEB128, three bytes at most), a version (u8), and a body. The length
+//! covers version and body and must use the shortest encoding; for lengths up to 127 length and version take
+//! two bytes.
 //!
-//! Version 0 is the same for ever: its body is a reason in UTF-8, with which a peer is refused, also one that
-//! speaks no version of ours. Version [`VERSION`] is a [`Message`] in postcard's form
+//! Version 0 never changes: its body is a UTF-8 reason, sent to refuse a peer, even one that supports none of
+//! our versions. Version [`VERSION`] is a postcard-encoded [`Message`]
 //! (<https://postcard.jamesmunns.com/wire-format>). Any other version is refused.
 //!
-//! The reader is incremental and holds one frame at most; it grows with the bytes that came, not with the
-//! length that a peer claims. After an error it is of no more use: close the connection.
+//! The reader is incremental and buffers at most one frame. Its buffer grows with the bytes received, not
+//! with the length that a peer claims. After an error it cannot be used any more: close the connection.
 
 use crate::bounds;
 use crate::message::Message;
 use thiserror::Error;
 
-/// The version of [`Message`]'s form that this build speaks.
+/// The message version that this build supports.
 pub const VERSION: u8 = 1;
 const REFUSAL_VERSION: u8 = 0;
-/// Bytes of the longest length.
+/// Bytes of the longest length prefix.
 const MAX_LENGTH_BYTES: usize = 3;
 
-/// Why a connection cannot go on.
+/// Why a connection is closed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Error)]
 pub enum CloseReason {
-    /// A version that this build does not speak.
+    /// The peer uses a version that this build does not support.
     #[error("version {0} is not spoken here, {VERSION} is")]
     Version(u8),
-    /// A frame of no or too great a length.
+    /// The frame is empty or too long.
     #[error("a frame of {0} bytes, 1 to {most} are taken", most = bounds::MAX_FRAME_BYTES)]
     Length(u32),
-    /// A body that is no message.
+    /// The body cannot be decoded as a message.
     #[error("a frame that cannot be read")]
     Malformed,
-    /// A message beyond its bounds.
+    /// A field of the message is out of bounds.
     #[error("{0}")]
     Bounds(&'static str),
-    /// The other side refused us.
+    /// The peer refused this side and sent a reason.
     #[error("refused by the other side: {0}")]
     ByPeer(String),
-    /// A message that does not belong here.
+    /// The message is not allowed at this point.
     #[error("{0} is not expected here")]
     Unexpected(&'static str),
-    /// More messages than a peer may send.
+    /// The peer exceeded the message rate.
     #[error("more messages than a peer may send")]
     TooManyMessages,
-    /// No room for another peer.
+    /// The limit of connections is reached.
     #[error("no room for another peer")]
     NoCapacity,
-    /// An epoch that is over, or that has not begun here.
+    /// The peer's epoch differs from the one here: the peer's epoch, then this side's.
     #[error("epoch {0} is not in force here, {1} is")]
     Epoch(u32, u32),
-    /// A history that is not ours.
+    /// The peer sent changes that do not continue the history held here.
     #[error("changes that do not fit those before them")]
     HistoryMismatch,
-    /// Nothing was heard for too long.
+    /// Nothing was received for too long.
     #[error("silent for too long")]
     Timeout,
-    /// Another connection has taken the place of this one.
+    /// A newer connection of the same peer replaced this one.
     #[error("another connection has taken this one's place")]
     Replaced,
-    /// Another control machine serves better.
+    /// Another control machine serves this follower better.
     #[error("no longer needed")]
     NoLongerNeeded,
 }
 
-/// A message as a frame. It fails on what no machine of this package makes: a message beyond its bounds.
+/// Encodes a message as a frame. Fails if a field is out of bounds, which this crate never produces.
 pub fn encode(message: &Message) -> Result<Vec<u8>, CloseReason> {
     message.check().map_err(CloseReason::Bounds)?;
     let body = postcard::to_allocvec(message).map_err(|_| CloseReason::Malformed)?;
     to_frame(VERSION, &body)
 }
 
-/// A reason as a frame, to be sent before a connection is closed.
+/// Encodes a reason as a frame, to be sent before a connection is closed.
 pub fn refusal(reason: &CloseReason) -> Vec<u8> {
     let mut text = reason.to_string();
     let end = (0..=bounds::MAX_REASON_BYTES).rev().find(|i| text.is_char_boundary(*i)).unwrap_or(0);
@@ -77,14 +78,14 @@
     to_frame(REFUSAL_VERSION, text.as_bytes()).unwrap_or_default()
 }
 
-/// Bytes of a message's frame.
+/// Size of a message's frame in bytes.
 pub fn size(message: &Message) -> usize {
     let flavor = postcard::ser_flavors::Size::default();
     let body = postcard::serialize_with_flavor(message, flavor).unwrap_or(bounds::MAX_FRAME_BYTES) + 1;
     body + length_bytes(body)
 }
 
-/// Bytes of a length on the wire.
+/// Bytes that a length prefix takes.
 fn length_bytes(length: usize) -> usize {
     match length {
         0..=0x7f => 1,
@@ -110,7 +111,7 @@
     Ok(bytes)
 }
 
-/// Takes frames out of what comes. See the file's comment.
+/// An incremental frame reader; see the module documentation.
 #[derive(Clone, Debug, Default)]
 pub struct Reader {
     buffer: Vec<u8>,
@@ -118,7 +119,8 @@
 }
 
 impl Reader {
-    /// Takes bytes off the front of `bytes` until a message is whole; `None` when all are taken before that.
+    /// Consumes bytes from the front of `bytes` until a message is complete; returns `None` if more are
+    /// needed.
     pub fn read(&mut self, bytes: &mut &[u8]) -> Result<Option<Message>, CloseReason> {
         if let Some(reason) = &self.error {
             return Err(reason.clone());
@@ -131,14 +133,14 @@
         read
     }
 
-    /// Bytes held of a frame that is not whole.
+    /// Buffered bytes of an incomplete frame.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 
     fn read_frame(&mut self, bytes: &mut &[u8]) -> Result<Option<Message>, CloseReason> {
         let Some((head, length)) = self.read_length(bytes)? else { return Ok(None) };
-        // The version comes first, so that a long frame of a version that is not spoken is not waited for.
+        // Check the version before waiting for the rest of a long frame that would be refused anyway.
         if !self.fill_to(head + 1, bytes) {
             return Ok(None);
         }
@@ -163,12 +165,12 @@
         }
         message.check().map_err(CloseReason::Bounds)?;
         self.buffer.clear();
-        // A rare large frame does not stay for the life of a connection.
+        // Release the memory of a rare large frame.
         self.buffer.shrink_to(4096);
         Ok(Some(message))
     }
 
-    /// Bytes of the header's length, and the length that it says.
+    /// Reads the length prefix: its size in bytes, and the length.
     fn read_length(&mut self, bytes: &mut &[u8]) -> Result<Option<(usize, usize)>, CloseReason> {
         let mut length = 0usize;
         for at in 0..MAX_LENGTH_BYTES {
@@ -189,7 +191,7 @@
         Err(CloseReason::Length(length as u32))
     }
 
-    /// Whether `upto` bytes are held, after taking what lacks.
+    /// Buffers input until `upto` bytes are held; returns whether they are.
     fn fill_to(&mut self, upto: usize, bytes: &mut &[u8]) -> bool {
         let take = upto.saturating_sub(self.buffer.len()).min(bytes.len());
         let (taken, left) = bytes.split_at(take);
--- a/crates/dissemination/src/ids.rs
+++ b/crates/dissemination/src/ids.rs
@@ -1,23 +1,24 @@
-//! Names of things. Use them instead of bare numbers wherever two kinds could be mixed up.
+//! Identifier types. Use them instead of bare integers so that identifiers of different kinds cannot be mixed
+//! up.
 
 use crate::bounds;
 use serde::{Deserialize, Serialize};
 
-/// A control machine: its place in the list of control machines, below [`bounds::MAX_CONTROLS`].
+/// A control machine, by its index in the list of control machines; below [`bounds::MAX_CONTROLS`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ControlId(pub u8);
 
-/// A follower: the same after a restart, as a hash of its proxy's name is. The adapter makes it of that name.
+/// A follower. The host derives it by hashing the proxy's name, so it is the same after a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FollowerId(pub u64);
 
-/// One numbered log: a topic's at the store that numbers it. One byte on the wire.
+/// One numbered log: a topic at the store that assigns the numbers. Encoded as one byte.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "u8", into = "u8")]
 pub struct StreamId {
-    /// Position in [`Rules::topics`](crate::Rules::topics), below [`bounds::MAX_TOPICS`].
+    /// Index in [`Rules::topics`](crate::Rules::topics), below [`bounds::MAX_TOPICS`].
     pub topic: u8,
-    /// Who numbers it.
+    /// The store that assigns the numbers.
     pub store: ControlId,
 }
 
--- a/crates/dissemination/src/lib.rs
+++ b/crates/dissemination/src/lib.rs
@@ -1,21 +1,21 @@
-//! Numbered changes carried to every proxy, and the proof that each has them.
+//! Replicates numbered changes to every proxy and tracks which proxies have applied each one.
 //!
-//! Two machines hold it together: [`Control`] in each control machine, [`Follower`] in each proxy. Neither opens
-//! a socket, reads a clock or draws a number: time comes in as [`Micros`], messages as [`Message`]s, and what is
-//! to be done comes out.
+//! Two state machines do the work: [`Control`] on each control machine and [`Follower`] in each proxy.
+//! Neither opens a socket, reads a clock or draws a random number: the host passes in the time as [`Micros`]
+//! and messages as [`Message`]s, and carries out the outputs that they return.
 //!
-//! | file | owns |
+//! | module | contents |
 //! | --- | --- |
-//! | [`ids`], [`rules`], [`bounds`] | names, times and rates, the most of everything |
-//! | [`change`] | changes, positions, digests, the pieces that carry changes |
-//! | [`message`], [`frame`] | the words between the machines, and their bytes |
-//! | [`order`] | which control machines a follower turns to, in order |
-//! | [`log`] | the changes that a control machine holds, and what stands for those that it dropped |
-//! | [`quorum`] | what a majority of the stores holds, and as of when everything acknowledged is held |
-//! | [`bucket`] | bytes allowed by time |
-//! | [`control`], [`follower`] | the machines |
+//! | [`ids`], [`rules`], [`bounds`] | identifiers; timeouts, rates and capacities; hard limits on input |
+//! | [`change`] | changes, positions, history digests, and the pieces that carry changes |
+//! | [`message`], [`frame`] | the messages and their encoding |
+//! | [`order`] | the order in which a follower tries control machines |
+//! | [`log`] | the changes that a control machine retains, and what replaces those that it dropped |
+//! | [`quorum`] | what a majority of the stores has persisted, and as of when this machine is up to date |
+//! | [`bucket`] | a token bucket that limits bytes per second |
+//! | [`control`], [`follower`] | the two state machines |
 //!
-//! Arrows point up in this table: a file uses those above it.
+//! A module depends only on the modules above it in this table.
 
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
@@ -41,11 +41,11 @@
 pub use order::Location;
 pub use rules::{Rules, TopicKind};
 
-/// A point in time or a span, in microseconds. The zero of the clock has no meaning.
+/// A point in time or a duration, in microseconds. The epoch of the clock is arbitrary.
 pub type Micros = i64;
 
-/// A second.
+/// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// A connection, by the number that the host gives it; each new one has another.
+/// Identifies a connection. The host assigns the number and never reuses it.
 pub type PeerId = u64;
--- a/crates/dissemination/src/log.rs
+++ b/crates/dissemination/src/log.rs
@@ -1,15 +1,15 @@
-//! The changes of one stream that a control machine holds, and what stands for those that it dropped.
+//! The log of one stream on a control machine: the retained changes, and what replaces the dropped ones.
 //!
-//! It holds all changes after its horizon, one after the other. Of those up to the horizon a set's are gone: a mark
-//! stands for them. Of a register's the last one of each key as of the horizon is left, so that there is always one
-//! at the horizon itself.
+//! All changes after the horizon are held. Of a set, changes up to the horizon are gone and a mark replaces
+//! them. Of a register, the last change of each key as of the horizon is kept, so there is always one at the
+//! horizon itself.
 
 use crate::change::{self, Change, Content, Entry, Fit, Head, Piece, Record};
 use crate::{bounds, Rules, StreamId, TopicKind};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Bytes of a piece of a change that must be free before a part is begun: less is not worth its head.
+/// Bytes that must be available for a fragment of a change. Less is not worth the header.
 const MIN_PART_BYTES: usize = 24;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -17,11 +17,11 @@
     key: u32,
     body: Rc<[u8]>,
     digest: u32,
-    /// Bytes of all bodies of the log up to this one, each with one more.
+    /// Total size of all bodies up to and including this one, plus one byte for each.
     total: u64,
 }
 
-/// See the file's comment.
+/// The log of one stream; see the module documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Log {
     stream: StreamId,
@@ -34,12 +34,12 @@
     keys_at_head: BTreeMap<u32, u64>,
     /// [`HeldChange::total`] at the horizon.
     dropped_bytes: u64,
-    /// Changes read back that no horizon has covered yet.
+    /// Changes read back from the file that no horizon record has covered yet.
     uncovered: Vec<(Change, u32)>,
 }
 
 impl Log {
-    /// An empty one.
+    /// An empty log.
     pub fn new(stream: StreamId, kind: TopicKind) -> Self {
         let (keys_at_horizon, keys_at_head) = (BTreeMap::new(), BTreeMap::new());
         let (horizon, head, held) = (Head::default(), Head::default(), BTreeMap::new());
@@ -56,22 +56,22 @@
         }
     }
 
-    /// How far it goes.
+    /// The head of the log.
     pub fn head(&self) -> Head {
         self.head
     }
 
-    /// How many keys a register has, and whether a key is one of them.
+    /// Number of keys of a register.
     pub fn key_count(&self) -> usize {
         self.keys_at_head.len()
     }
 
-    /// See [`Log::key_count`].
+    /// Whether a register has a key.
     pub fn has_key(&self, key: u32) -> bool {
         self.keys_at_head.contains_key(&key)
     }
 
-    /// The digest at a number, if it is known.
+    /// The history digest at a number, if known.
     pub fn digest(&self, number: u64) -> Option<u32> {
         match number {
             n if n == self.head.number => Some(self.head.digest),
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Bytes of bodies between two numbers, each with one more; of what has been dropped none.
+    /// Size of the bodies after one number and up to another, plus one byte for each. Dropped changes count
+    /// as 0.
     pub fn bytes(&self, after: u64, upto: u64) -> u64 {
         self.total_bytes(upto).saturating_sub(self.total_bytes(after))
     }
@@ -92,7 +93,7 @@
         self.held.range(..=number).next_back().map_or(self.dropped_bytes, |(_, h)| h.total)
     }
 
-    /// Adds one at the end.
+    /// Appends a change and returns the record to persist.
     pub fn append(&mut self, key: u32, body: Rc<[u8]>) -> Record {
         let head = self.head.advance(key, &body);
         let total = self.total_bytes(self.head.number) + body.len() as u64 + 1;
@@ -104,8 +105,8 @@
         Record::Change(Change { stream: self.stream, number: head.number, key, body }, head.digest)
     }
 
-    /// Takes what is new in a piece, and says what is to be written down; nothing if nothing is new. It fails if
-    /// the piece does not fit what is held.
+    /// Appends the new changes of a piece and returns the records to persist; none if nothing is new. Fails
+    /// if the piece does not fit the log.
     pub fn apply_piece(&mut self, piece: &Piece) -> Result<Vec<Record>, PieceRejected> {
         let kind = match piece.content {
             Content::Entries { .. } => TopicKind::Register,
@@ -141,7 +142,8 @@
         Ok(records)
     }
 
-    /// Everything up to a head beyond this one's is dropped, or overwritten by what is uncovered.
+    /// Moves horizon and head forward to `to`. Changes up to there are dropped, or overwritten by
+    /// [`Log::uncovered`].
     fn jump_to(&mut self, to: Head) {
         self.advance_horizon(self.head.number);
         if self.kind == TopicKind::Set {
@@ -158,7 +160,7 @@
         (self.horizon, self.head) = (to, to);
     }
 
-    /// Moves the horizon on.
+    /// Advances the horizon, dropping changes.
     fn advance_horizon(&mut self, number: u64) {
         while self.horizon.number < number.min(self.head.number) {
             let next = self.horizon.number + 1;
@@ -172,7 +174,7 @@
         }
     }
 
-    /// Drops what is held beyond the rules, up to a number at most.
+    /// Drops changes beyond the retention limits, but none after `upto`.
     pub fn compact(&mut self, rules: &Rules, upto: u64) {
         let over = (self.head.number - self.horizon.number).saturating_sub(rules.retained_changes as u64);
         self.advance_horizon(upto.min(self.horizon.number + over));
@@ -187,7 +189,8 @@
         }
     }
 
-    /// Takes back what was written down; in order. It fails on records of a stream are not consecutive.
+    /// Replays a persisted record. Records must come in the order in which they were written; fails if they
+    /// are not consecutive.
     pub fn restore(&mut self, record: Record) -> Result<(), &'static str> {
         const OUT_OF_SEQUENCE: &str = "records of a stream are not consecutive";
         match record {
@@ -221,12 +224,12 @@
         Ok(())
     }
 
-    /// After the last of [`Log::restore`]: what no horizon covers was not written down whole.
+    /// Ends the replay. Discards changes that no horizon record covers, because the write was incomplete.
     pub fn finish_restore(&mut self) {
         self.uncovered = Vec::new();
     }
 
-    /// What is held, as records.
+    /// The contents of the log as records.
     pub fn records(&self) -> impl Iterator<Item = Record> + '_ {
         let record = |(number, h): (&u64, &HeldChange)| {
             let change = Change { stream: self.stream, number: *number, key: h.key, body: h.body.clone() };
@@ -237,21 +240,23 @@
         self.held.range(upto).map(record).chain(horizon).chain(self.held.range(after).map(record))
     }
 
-    /// "All up to a number is stale"; none if the digest there is not known, or for a register.
+    /// A piece that declares everything up to a number stale; none for a register, or if the digest at that
+    /// number is not known.
     pub fn mark(&self, after: u64, upto: u64) -> Option<Piece> {
         let digest = self.digest(upto).filter(|_| upto > after && self.kind == TopicKind::Set)?;
         Some(Piece { stream: self.stream, after, digest, content: Content::Mark { upto } })
     }
 
-    /// What comes after one number, up to another at most, in so many bytes at most; none if nothing fits. `part`
-    /// says of which change how many bytes have been sent; a change that does not fit is sent in parts.
+    /// The changes after one number and up to another, limited to `budget` bytes; none if nothing fits. A
+    /// change that does not fit is sent in fragments; `part` is the number of the change in transfer and the
+    /// bytes already sent.
     pub fn piece(&self, after: u64, upto: u64, budget: usize, part: Option<(u64, u16)>) -> Option<Piece> {
         if self.kind == TopicKind::Set && after < self.horizon.number {
             return self.mark(after, upto);
         }
         let range = self.held.range(after + 1..=upto.max(after + 1)).filter(|(n, _)| **n <= upto);
         let (first, held) = range.clone().next()?;
-        // Stream, after, digest, kind, how many.
+        // Stream, after, digest, kind, and count.
         let head = 1 + varint_bytes(after) + 4 + 1 + 3;
         if let Some(offset) = part.filter(|p| p.0 == *first && p.1 > 0).map(|p| p.1) {
             return self.part_of(after, *first, held, offset, budget.checked_sub(head)?);
@@ -304,9 +309,9 @@
         Some(piece)
     }
 
-    /// A part of a change, from an offset on.
+    /// A fragment of a change, starting at an offset.
     fn part_of(&self, after: u64, number: u64, held: &HeldChange, offset: u16, room: usize) -> Option<Piece> {
-        // Number, key, sizes of the whole, of the offset and of the part, check.
+        // Number, key, lengths of the whole body, of the offset and of the fragment, and checksum.
         let room =
             room.checked_sub(varint_bytes(number) + varint_bytes(u64::from(held.key)) + 2 + 2 + 2 + 4)?;
         let left = held.body.get(usize::from(offset)..)?;
@@ -321,11 +326,11 @@
     }
 }
 
-/// A piece that does not fit what is held.
+/// The piece does not fit the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PieceRejected;
 
-/// Bytes of a number on the wire.
+/// Bytes of a number as a varint.
 fn varint_bytes(number: u64) -> usize {
     (70 - (number | 1).leading_zeros() as usize) / 7
 }
--- a/crates/dissemination/src/message.rs
+++ b/crates/dissemination/src/message.rs
@@ -1,211 +1,216 @@
-//! The words between control machines, followers and clients. A message that comes from outside is checked once,
-//! here; what passed needs no more care than its numbers say.
+//! The messages between control machines, followers and clients. A message from outside is validated once, by
+//! [`Message::check`]; after that its fields are known to be within bounds.
 //!
-//! A connection carries them in order or breaks. So numbers that grow are said as gains over what was said
-//! before on the same connection; the first over nothing, except where a follower's hello said its heads.
-//! Spans are in ms; no side knows the other's clock.
+//! A connection delivers messages in order or breaks. Growing numbers are therefore sent as increments over
+//! what was sent before on the same connection. The first increment is over zero, or over the heads in the
+//! follower's hello. Durations are in ms, because no side knows the other's clock.
 
 use crate::change::{Head, Piece, Position};
 use crate::{bounds, ControlId, FollowerId, StreamId};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// A follower's first message, and again when it starts anew.
+/// A follower's first message, sent again when it discards its state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Hello {
-    /// The epoch of what it holds.
+    /// The epoch of the held streams.
     pub epoch: u32,
-    /// Who.
+    /// The sender.
     pub id: FollowerId,
-    /// Its start. Only equality has a meaning.
+    /// Identifies this start of the process. Only compared for equality.
     pub life: u64,
-    /// Whether changes are to be pushed; else beats alone.
+    /// Whether to push changes; if not, only beats are sent.
     pub primary: bool,
     /// See [`Ack::challenge`].
     pub challenge: u32,
-    /// What it holds.
+    /// The head of each held stream.
     pub heads: Vec<(StreamId, Head)>,
 }
 
-/// A follower's word of what it has applied.
+/// Tells a control machine what the follower has applied.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ack {
-    /// See [`Hello::primary`]; it may change, both ways.
+    /// See [`Hello::primary`]; it may change in either direction.
     pub primary: bool,
-    /// Comes back as [`Beat::echo`].
+    /// Returned in [`Beat::echo`].
     pub challenge: u32,
-    /// What it holds more than it said before on this connection. Only to the primary.
+    /// The increase of the held position since the last message on this connection. Sent to the primary only.
     pub gains: Vec<(StreamId, u64)>,
-    /// Changes that it could not put in force, though it holds them.
+    /// Changes that the follower holds but could not put into effect.
     pub refused: Vec<(StreamId, u64)>,
 }
 
-/// A control machine's sign of life to a follower: who holds all that it showed on this connection is as fresh as
-/// the challenge less the age.
+/// A heartbeat from a control machine to a follower. A follower that holds everything announced on this
+/// connection is up to date as of the time of the challenge minus `age`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Beat {
-    /// The last challenge that came.
+    /// The last challenge received.
     pub echo: u32,
-    /// How old is what the control machine knows to be all, in ms, rounded up; none if it knows of no such time.
+    /// Age in ms, rounded up, of the moment as of which the control machine is known to be up to date; none
+    /// if there is no such moment.
     pub age: Option<u32>,
-    /// What it shows more than before; a batch shows what it carries.
+    /// The increase of the announced position. A batch announces the changes that it carries.
     pub gains: Vec<(StreamId, u64)>,
 }
 
-/// A majority's word on how far a change has come.
+/// The answer to a status query: how far a change has been replicated.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The question's.
+    /// The token of the query.
     pub token: u32,
-    /// Whether a majority of the stores is known to hold it.
+    /// Whether a majority of the stores is known to hold the change.
     pub committed: bool,
-    /// For how long that has been known here, in ms.
+    /// For how long it has been known to be committed here, in ms.
     pub since: u32,
-    /// Followers on the list, and of them those known to have it.
+    /// Number of followers in the roster, and how many of them are known to have the change.
     pub followers: u32,
     /// See [`StatusReport::followers`].
     pub have: u32,
-    /// Whether those not known to have it are out of service: the lease has passed since it was committed.
+    /// Whether every follower not known to have the change is out of service, because the lease has expired
+    /// since the change was committed.
     pub lapsed: bool,
-    /// Those on the list not known to have it, in order, from the one that was asked for; the first ones.
+    /// The first followers in the roster not known to have the change, in order, starting at the one that the
+    /// query named.
     pub missing: Vec<FollowerId>,
-    /// Those that have it and could not put it in force; the first ones.
+    /// The first followers that have the change but could not put it into effect.
     pub refused: Vec<FollowerId>,
     /// Control machines that did not answer in time.
     pub unheard: Vec<ControlId>,
 }
 
 impl StatusReport {
-    /// Whether every follower on the list is known to have it.
+    /// Whether every follower in the roster is known to have the change.
     pub fn all(&self) -> bool {
         self.committed && self.have == self.followers
     }
 }
 
-/// One message, one frame.
+/// A message. Each is sent as one frame.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Control machine to follower: changes, or what stands for them. Between control machines as well.
+    /// Control machine to follower, or between control machines: changes, or a substitute for them.
     Batch(Vec<Piece>),
     /// Control machine to follower, four times a second.
     Beat(Beat),
     /// Follower to control machine, a few times a second.
     Ack(Ack),
-    /// Follower to control machine, first.
+    /// Follower to control machine, as the first message.
     Hello(Hello),
-    /// Control machine to follower, the answer to each hello.
+    /// Control machine to follower: the answer to each hello.
     Welcome {
-        /// The epoch here. A follower with a lower one starts anew and says hello again; one with a higher leaves.
+        /// The control machine's epoch. A follower with a lower epoch discards its state and sends another
+        /// hello; one with a higher epoch disconnects.
         epoch: u32,
-        /// Who.
+        /// The sender.
         control: ControlId,
     },
-    /// Follower to its secondary, or between control machines: what comes after this?
+    /// Follower to its secondary, or between control machines: requests the changes after a number.
     Pull {
-        /// Of which stream.
+        /// The stream.
         stream: StreamId,
-        /// After which number.
+        /// The last number that the sender holds.
         after: u64,
     },
-    /// Control machine to follower: what you hold of this stream is not what was said here.
+    /// Control machine to follower: the follower's history of this stream differs from the one here.
     Differs {
-        /// Which.
+        /// The stream.
         stream: StreamId,
-        /// What the follower said that it holds.
+        /// The last number that the follower reported.
         number: u64,
     },
-    /// Between control machines, first, from both sides.
+    /// Between control machines: the first message in both directions.
     Control {
-        /// See [`Message::Welcome`].
+        /// The sender's epoch; see [`Message::Welcome`].
         epoch: u32,
-        /// Who.
+        /// The sender.
         id: ControlId,
     },
-    /// Between control machines, four times a second: what do you hold?
+    /// Between control machines, four times a second: asks what the other holds.
     Poll {
-        /// Comes back.
+        /// Returned in the answer.
         token: u32,
     },
-    /// The answer: what has been persisted, at a store.
+    /// The answer to a poll. A store reports what it has persisted.
     Polled {
-        /// The question's.
+        /// The token of the poll.
         token: u32,
-        /// Whether it counts for a majority: not until a store that began with nothing holds what others hold.
+        /// Whether the answer counts towards a majority. False for a store that started empty, until it holds
+        /// what the others hold.
         counts: bool,
-        /// What is held.
+        /// The held position.
         position: Position,
     },
-    /// Store to the store that numbered it: persisted up to here.
+    /// Store to the store that numbered the change: persisted up to this number.
     Holds {
-        /// Which stream.
+        /// The stream.
         stream: StreamId,
-        /// Up to where.
+        /// The last persisted number.
         number: u64,
     },
-    /// Between control machines: which of your followers have this?
+    /// Between control machines: asks which connected followers have a change.
     Count {
-        /// Comes back.
+        /// Returned in the answer.
         token: u32,
-        /// The change.
+        /// The stream of the change.
         stream: StreamId,
-        /// See `stream`.
+        /// The number of the change.
         number: u64,
     },
-    /// The answer, in one or more messages.
+    /// The answer to a count, in one or more messages.
     Counted {
-        /// The question's.
+        /// The token of the count.
         token: u32,
-        /// Those whose primary is here and that have it.
+        /// Followers whose primary is the sender and that have the change.
         have: Vec<FollowerId>,
-        /// Of them, those that could not put it in force.
+        /// Those among them that could not put it into effect.
         refused: Vec<FollowerId>,
-        /// Whether it is the last message of the answer.
+        /// Whether this is the last message of the answer.
         last: bool,
     },
-    /// Client to store: take this.
+    /// Client to store: submits a change.
     Submit {
-        /// Comes back. Only equality has a meaning.
+        /// Returned in the answer. Only compared for equality.
         token: u32,
-        /// Position in the list of topics.
+        /// Index in the list of topics.
         topic: u8,
         /// See [`Change::key`](crate::Change::key).
         key: u32,
-        /// At most [`bounds::MAX_BODY_BYTES`] bytes.
+        /// The payload, at most [`bounds::MAX_BODY_BYTES`] bytes.
         body: Rc<[u8]>,
     },
-    /// Taken and held by a majority of the stores.
+    /// The submission was accepted and a majority of the stores holds it.
     Submitted {
-        /// The submission's.
+        /// The token of the submission.
         token: u32,
-        /// Its stream and number.
+        /// The stream of the change.
         stream: StreamId,
-        /// See `stream`.
+        /// The number of the change.
         number: u64,
     },
-    /// Not taken. Another store may have room now.
+    /// The submission or status query was rejected. Another store may have capacity now.
     Busy {
-        /// The submission's.
+        /// The token of the submission or query.
         token: u32,
-        /// When this store has room, in ms from now.
+        /// Time in ms after which to try again.
         after: u32,
     },
-    /// Client to any control machine: who has this?
+    /// Client to any control machine: asks which followers have a change.
     Status {
-        /// Comes back.
+        /// Returned in the answer.
         token: u32,
-        /// The change.
+        /// The stream of the change.
         stream: StreamId,
-        /// See `stream`.
+        /// The number of the change.
         number: u64,
-        /// Names from here on, where more are missing than one answer holds.
+        /// Lists missing followers from this one on, for when more are missing than fit into one answer.
         from: FollowerId,
     },
-    /// The answer.
+    /// The answer to a status query.
     Told(StatusReport),
 }
 
 impl Message {
-    /// A word for the kind, for reasons and logs.
+    /// The kind of message, for refusal reasons and logs.
     pub fn name(&self) -> &'static str {
         match self {
             Message::Batch(_) => "a batch",
@@ -229,7 +234,7 @@
         }
     }
 
-    /// Whether every count and figure is within its bounds; else what is not.
+    /// Checks that all counts and numbers are within bounds; the error names the violated rule.
     pub fn check(&self) -> Result<(), &'static str> {
         let number = |n: u64| require(n <= bounds::MAX_NUMBER, "a number beyond reason");
         let control = |c: ControlId| require(c.0 < bounds::MAX_CONTROLS, "a control machine beyond the most");
--- a/crates/dissemination/src/order.rs
+++ b/crates/dissemination/src/order.rs
@@ -1,30 +1,33 @@
-//! Which control machines a follower turns to, in order. Each follower computes it alone.
+//! The order in which a follower tries control machines. Each follower computes it independently.
 //!
-//! Weighted rendezvous: each control machine draws a score from a hash of the two names, and those that are near
-//! have a greater weight, bounded so that no control machine has more than a small multiple of the mean load.
-//! Two that are neighbours in the order stand in different zones, as long as there are any.
+//! Uses weighted rendezvous hashing: each control machine gets a score from a hash of the follower's and its
+//! own id. Near machines get a higher weight, which is limited so that no control machine gets more than a
+//! small multiple of the mean load. Adjacent machines in the order are in different zones as long as any are
+//! left.
 
 use crate::{ControlId, FollowerId, Micros};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// Weight of a control machine in the follower's zone; of others in its region; 1 is that of all others. Of 24 in a
-/// region with a fifth of the followers, one gets 1.6 times the mean by them.
+/// Weight of a control machine in the follower's zone. [`REGION_WEIGHT`] applies to others in its region; all
+/// others have weight 1. With 24 control machines, a single one in a region that has a fifth of the followers
+/// gets 1.6 times the mean load.
 const ZONE_WEIGHT: f64 = 6.0;
-/// See [`ZONE_WEIGHT`].
+/// Weight of a control machine in the follower's region; see [`ZONE_WEIGHT`].
 const REGION_WEIGHT: f64 = 4.0;
 
-/// Where a machine stands.
+/// Where a machine is located.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Location {
-    /// Which region.
+    /// The region.
     pub region: u16,
-    /// Which zone, over all regions.
+    /// The zone, numbered across all regions.
     pub zone: u16,
-    /// Which site, over all zones.
+    /// The site, numbered across all zones.
     pub site: u16,
 }
 
-/// All control machines, by the place of each in the list, in the order in which a follower turns to them.
+/// All control machines, identified by their index in `controls`, in the order in which the follower tries
+/// them.
 pub fn preference_order(follower: FollowerId, place: Location, controls: &[Location]) -> Vec<ControlId> {
     let score = |(c, at): (u8, &Location)| {
         let weight = match at {
@@ -46,12 +49,12 @@
     order
 }
 
-/// A span between none and the whole of one, by a hash of names: the same each time, and different for others.
+/// A duration between 0 and `span`, derived from a hash: constant for the same names, different for others.
 pub(crate) fn hash_jitter(names: impl Hash, span: Micros) -> Micros {
     (uniform_hash(names) * span as f64) as Micros
 }
 
-/// Above 0, up to 1.
+/// A hash of the names as a number above 0 and up to 1.
 fn uniform_hash(names: impl Hash) -> f64 {
     let mut hasher = DefaultHasher::new();
     names.hash(&mut hasher);
--- a/crates/dissemination/src/quorum.rs
+++ b/crates/dissemination/src/quorum.rs
@@ -1,9 +1,11 @@
-//! What a majority of the stores holds, and as of when everything acknowledged is held here.
+//! Tracks what a majority of the stores has persisted, and as of when this machine holds everything
+//! acknowledged.
 //!
-//! A change is acknowledged when a majority has persisted it, so any majority that answers a poll shows what was
-//! acknowledged before the poll began. A poll is whole when a majority has answered such that all that it showed is
-//! committed and held here; its start is the fresh instant. Answers that show more do not count, so a store that
-//! holds what no majority will ever hold stops nobody.
+//! A change is acknowledged when a majority has persisted it, so the answers of any majority to a poll
+//! include everything acknowledged before the poll began. A poll is complete when a majority has answered and
+//! everything in those answers is committed and held here; the start of the poll is then the fresh instant.
+//! An answer that includes more than that is not counted, so a store that holds changes which no majority
+//! will ever hold blocks nobody.
 
 use crate::change::Position;
 use crate::rules::InjectedFault;
@@ -17,67 +19,67 @@
     answers: BTreeMap<ControlId, Position>,
 }
 
-/// See the file's comment.
+/// Commit state and polls of the stores; see the module documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Quorum {
     /// What each store is known to have persisted.
     reported: BTreeMap<ControlId, Position>,
     committed: Position,
-    /// When how much of a stream was known to be committed; the latest [`MAX_COMMIT_TIMES`].
+    /// Per stream, the times at which the committed number rose; the latest [`MAX_COMMIT_TIMES`].
     committed_since: BTreeMap<StreamId, VecDeque<(u64, Micros)>>,
     polls: VecDeque<Poll>,
     token: u32,
     fresh: Option<Micros>,
 }
 
-/// Instants remembered of each stream: with a few a second, more than a lease.
+/// Commit times remembered per stream. With a few a second they cover more than a lease.
 const MAX_COMMIT_TIMES: usize = 64;
 
 impl Quorum {
-    /// One that knows nothing.
+    /// A state in which nothing is known.
     pub fn new() -> Self {
         let (reported, committed) = (BTreeMap::new(), Position::default());
         let (committed_since, polls) = (BTreeMap::new(), VecDeque::new());
         Quorum { reported, committed, committed_since, polls, token: 0, fresh: None }
     }
 
-    /// What a majority is known to hold.
+    /// What a majority is known to have persisted.
     pub fn committed(&self) -> &Position {
         &self.committed
     }
 
-    /// What a store is known to hold.
+    /// What a store is known to have persisted.
     pub fn reported(&self, store: ControlId) -> Option<&Position> {
         self.reported.get(&store)
     }
 
-    /// Streams of which any store holds anything.
+    /// Streams of which any store holds a change.
     pub fn streams(&self) -> BTreeSet<StreamId> {
         self.reported.values().flat_map(|p| p.iter().map(|s| s.0)).collect()
     }
 
-    /// The most that any store is known to hold of a stream.
+    /// The highest number that any store is known to hold of a stream.
     pub fn highest_reported(&self, stream: StreamId) -> u64 {
         self.reported.values().map(|p| p.get(stream)).max().unwrap_or(0)
     }
 
-    /// See the file's comment.
+    /// Everything acknowledged before this instant is committed and held here; see the module documentation.
     pub fn fresh(&self) -> Option<Micros> {
         self.fresh
     }
 
-    /// The poll that goes on; 0 is none.
+    /// The token of the current poll; 0 if none was started.
     pub fn token(&self) -> u32 {
         self.token
     }
 
-    /// For how long at least a change is known to be committed.
+    /// Lower bound of the time for which a change has been known to be committed.
     pub fn committed_for(&self, now: Micros, stream: StreamId, number: u64) -> Option<Micros> {
         let known = self.committed_since.get(&stream)?.iter().find(|k| k.0 >= number)?;
         Some(now.saturating_sub(known.1))
     }
 
-    /// A store has persisted a stream up to a number.
+    /// Records that a store has persisted a stream up to a number.
     pub fn report_persisted(
         &mut self,
         now: Micros,
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Begins a poll. Its token is to be sent to all stores.
+    /// Starts a poll and returns the token to send to all stores.
     pub fn begin_poll(&mut self, now: Micros) -> u32 {
         self.token = self.token.wrapping_add(1).max(1);
         self.polls.push_back(Poll { token: self.token, start: now, answers: BTreeMap::new() });
@@ -111,7 +113,8 @@
         self.token
     }
 
-    /// A store's answer; also this machine's own, if it is one. One that does not count only reports.
+    /// Records a store's answer to a poll, including this machine's own if it is a store. An answer with
+    /// `counts` false only reports what is persisted.
     pub fn record_answer(
         &mut self,
         now: Micros,
@@ -130,7 +133,8 @@
         }
     }
 
-    /// Whether the fresh instant has moved on, now that this much is held and committed.
+    /// Advances the fresh instant to the start of the latest poll that is complete, given what is held and
+    /// committed.
     pub fn advance_fresh(&mut self, now: Micros, rules: &Rules, deliverable: &Position) {
         let majority = if rules.has_fault(InjectedFault::PollOfOne) { 1 } else { rules.majority() };
         let complete = |p: &Poll| p.answers.values().filter(|a| deliverable.covers(a)).count() >= majority;
--- a/crates/dissemination/src/rules.rs
+++ b/crates/dissemination/src/rules.rs
@@ -1,52 +1,54 @@
-//! Times, rates and bounds of both machines, in one place. All control machines and followers need the same.
+//! Timeouts, rates and capacities of control machines and followers. All of them must use the same values.
 //!
-//! Use the defaults. Tests take shorter times; [`Rules::check`] says what must hold between them.
+//! Use the defaults. Tests use shorter times; [`Rules::check`] enforces the relations that must hold between
+//! them.
 
 use crate::{bounds, ControlId, Micros, SECOND};
 
 const MS: Micros = 1000;
 
-/// A fault that tests plant to show that a property can break. It acts only under the feature `planted`.
+/// A fault that tests inject to show that a property can be violated. Has an effect only with the feature
+/// `planted`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum InjectedFault {
-    /// A store acknowledges what it alone holds.
+    /// A store acknowledges changes that only it holds.
     AckAlone,
-    /// A control machine passes on what no majority holds.
+    /// A control machine forwards changes that no majority holds.
     Uncommitted,
-    /// A store that begins with nothing numbers on and counts without asking what the others hold.
+    /// A store that started empty assigns numbers, and counts towards majorities, before it has asked the
+    /// other stores what they hold.
     NoRecovery,
-    /// A control machine is fresh by the answer of one store.
+    /// A control machine considers itself up to date after the answer of one store.
     PollOfOne,
-    /// A control machine is fresh as of the answer to a poll, not as of its start.
+    /// A control machine is fresh as of the answer to a poll instead of its start.
     FreshAtAnswer,
-    /// A follower is fresh as of a beat's coming, not as of the challenge that it echoes.
+    /// A follower is fresh as of the arrival of a beat instead of the challenge that the beat echoes.
     FreshAtBeat,
-    /// A follower is fresh by a beat without holding what the beat shows.
+    /// A follower is fresh after a beat even if it does not hold what the beat announces.
     FreshUncovered,
-    /// A follower stays in service whatever its lease.
+    /// A follower stays in service after its lease has expired.
     NoLease,
-    /// A follower applies what it has applied before.
+    /// A follower applies the same changes a second time.
     Twice,
-    /// A follower applies over a gap.
+    /// A follower applies changes across a gap.
     Gaps,
-    /// A follower takes a piece whatever its digest.
+    /// A follower accepts a piece with a wrong digest.
     NoDigest,
-    /// A count names followers as having what they were sent, not what they confirmed.
+    /// A count includes followers that were sent the change but have not confirmed it.
     CountsSent,
 }
 
-/// What rules of this process have planted from now on, unless they say otherwise: for hosts that start whole
-/// programs.
+/// The fault that all rules of this process get by default, for hosts that start whole programs.
 #[cfg(feature = "planted")]
 static PROCESS_FAULT: std::sync::OnceLock<InjectedFault> = std::sync::OnceLock::new();
 
-/// Plants a fault in all rules that this process makes from now on; once.
+/// Injects a fault into all rules that this process creates from now on. Only the first call has an effect.
 #[cfg(feature = "planted")]
 pub fn inject_fault(fault: InjectedFault) {
     let _ = PROCESS_FAULT.set(fault);
 }
 
-/// What is planted in rules that say nothing of it.
+/// The fault that newly created rules get.
 fn process_fault() -> Option<InjectedFault> {
     #[cfg(feature = "planted")]
     return PROCESS_FAULT.get().copied();
@@ -57,78 +59,82 @@
 /// What the changes of a topic mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TopicKind {
-    /// Marks that may be set again: a purge. Any number of them may be replaced by "all is stale".
+    /// Idempotent marks, such as purges. Any number of them may be replaced by "everything is stale".
     Set,
-    /// The last value per key: configuration.
+    /// The last value per key, such as configuration.
     Register,
 }
 
-/// See the file's comment.
+/// Protocol parameters; see the module documentation.
 #[derive(Clone, Debug, Hash)]
 pub struct Rules {
-    /// Raised by the operators when stores are restored from an old copy.
+    /// Raised by operators when stores are restored from an old copy.
     pub epoch: u32,
-    /// Control machines on the list.
+    /// Number of control machines.
     pub controls: u8,
-    /// How many of them, the first ones, are stores.
+    /// Number of stores; the first control machines of the list are the stores.
     pub stores: u8,
-    /// What topics there are.
+    /// The kind of each topic.
     pub topics: Vec<TopicKind>,
-    /// Time between two beats to a follower, and two batches.
+    /// Time between two beats, and between two batches, to a follower.
     pub beat_interval: Micros,
     /// Time between two polls of the stores.
     pub poll_interval: Micros,
-    /// Time between two acks of a follower that has nothing to confirm.
+    /// Time between two acks of a follower that has nothing new to confirm.
     pub ack_interval: Micros,
-    /// How long a follower serves without knowing that it holds everything.
+    /// How long a follower stays in service without knowing that it is up to date.
     pub lease: Micros,
     /// Time without a beat after which a follower leaves a control machine.
     pub silence_timeout: Micros,
-    /// Time without progress after which what lacks is asked for: longer than TCP needs to send a lost segment again.
+    /// Time without progress after which missing changes are requested; longer than a TCP retransmission
+    /// takes.
     pub gap_timeout: Micros,
-    /// Time without a word after which a control machine closes a follower's connection, or another's.
+    /// Time without a message after which a control machine closes a connection to a follower or another
+    /// control machine.
     pub idle_timeout: Micros,
-    /// First and longest wait before a control machine is dialled again.
+    /// Initial and maximum delay before a control machine is dialled again.
     pub min_redial_delay: Micros,
     /// See [`Rules::min_redial_delay`].
     pub max_redial_delay: Micros,
-    /// Bytes a second that a primary sends to a follower, that a secondary does, and that a follower sends in all;
-    /// of frames, without the headers of TCP and IP.
+    /// Bytes per second that a primary sends to a follower, that a secondary sends to it, and that a follower
+    /// sends in total. Counts frames, without TCP and IP headers.
     pub primary_rate: u32,
     /// See [`Rules::primary_rate`].
     pub secondary_rate: u32,
     /// See [`Rules::primary_rate`].
     pub follower_rate: u32,
-    /// Of the primary's rate, the part in 1,000 that the stores together fill with changes; the rest is for beats
-    /// and the heads of pieces.
+    /// Thousandths (of 1,000) of the primary's rate that all stores together fill with changes. The rest is
+    /// for beats and piece headers.
     pub change_share: u32,
-    /// What can be sent to a follower in this time is a backlog that is carried; a set's greater one is replaced
-    /// by a mark. Stores take in advance what is carried in this time.
+    /// A backlog that can be sent to a follower within this time is sent in full; a larger backlog of a set
+    /// is replaced by a mark. Stores admit bursts of up to what can be sent in this time.
     pub max_backlog: Micros,
     /// The largest change, in bytes.
     pub max_change_bytes: usize,
-    /// Changes of a stream that a control machine holds, and bytes of their bodies; a register's last values stay.
+    /// Changes per stream that a control machine retains, and the total bytes of their bodies. The last
+    /// values of a register are always retained.
     pub retained_changes: usize,
     /// See [`Rules::retained_changes`].
     pub retained_bytes: usize,
     /// Keys of a register.
     pub max_keys: usize,
-    /// Connections of followers that a control machine takes, of clients, and of any that have not yet said who
-    /// they are.
+    /// Connections that a control machine accepts: from followers, from clients, and from peers that have not
+    /// identified themselves yet.
     pub max_followers: usize,
     /// See [`Rules::max_followers`].
     pub max_clients: usize,
     /// See [`Rules::max_followers`].
     pub max_unidentified: usize,
-    /// Submissions of one store that wait for a majority.
+    /// Submissions at one store that wait for a majority.
     pub max_pending: usize,
-    /// Questions of status that wait for counts.
+    /// Status queries that wait for counts.
     pub max_status_queries: usize,
-    /// How long one does.
+    /// How long a status query waits for counts.
     pub count_timeout: Micros,
-    /// Messages a second that a control machine hears of a follower or a client on the mean; past that it floods.
+    /// Mean messages per second that a control machine accepts from a follower or client; a peer that exceeds
+    /// it is disconnected.
     pub message_rate: u32,
-    /// For tests.
+    /// Fault injected by tests.
     #[doc(hidden)]
     pub injected_fault: Option<InjectedFault>,
 }
@@ -171,7 +177,7 @@
 }
 
 impl Rules {
-    /// Whether the rules fit together; else what does not.
+    /// Checks that the values are consistent; the error names the violated rule.
     pub fn check(&self) -> Result<(), &'static str> {
         let require = |holds: bool, what| if holds { Ok(()) } else { Err(what) };
         require((1..=bounds::MAX_CONTROLS).contains(&self.controls), "control machines: 1 to 64")?;
@@ -203,7 +209,7 @@
         require(one, "rates: at least 256 bytes a second, 64 of a follower's own")
     }
 
-    /// How many stores are a majority.
+    /// How many stores form a majority.
     pub fn majority(&self) -> usize {
         usize::from(self.stores) / 2 + 1
     }
@@ -213,12 +219,12 @@
         control.0 < self.stores
     }
 
-    /// A topic's kind.
+    /// The kind of a topic, by its index.
     pub fn kind(&self, topic: u8) -> Option<TopicKind> {
         self.topics.get(usize::from(topic)).copied()
     }
 
-    /// Whether a fault is planted.
+    /// Whether a fault is injected.
     pub(crate) fn has_fault(&self, fault: InjectedFault) -> bool {
         cfg!(feature = "planted") && self.injected_fault == Some(fault)
     }
