--- a/crates/dissemination/src/control.rs
+++ b/crates/dissemination/src/control.rs
@@ -1,19 +1,21 @@
-//! A control machine: it holds every stream, knows what a majority of the stores holds, and carries that to its
-//! followers. The first ones of the list are stores as well: they take submissions and number them.
+//! The state machine of a control machine. It holds every stream, tracks what a majority of the stores has
+//! persisted, and sends that to its followers. The first control machines of the list are also stores: they
+//! accept submissions and number them.
 //!
-//! What it holds: of each stream [`Rules::retained_changes`] changes or [`Rules::retained_bytes`], and a register's last
-//! values; 64 instants of each stream; [`bounds::MAX_POLLS`] polls. Of each other control machine one connection and a
-//! position; of each follower some positions and two buckets, about 1 KB, and no queue: what it is sent comes out
-//! of the common log. Of each waiting submission and question one entry.
+//! Memory: per stream, [`Rules::retained_changes`] changes or [`Rules::retained_bytes`], the last values of a
+//! register, and 64 commit times; [`bounds::MAX_POLLS`] polls; per other control machine one connection and a
+//! position; per follower some positions and two buckets, about 1 KB, and no send queue, because what it is
+//! sent is read from the shared log; one entry per pending submission and status query.
 //!
-//! What it sends: to each other control machine a poll and an answer every [`Rules::poll_interval`]. To each follower a beat
-//! every [`Rules::beat_interval`], to each primary follower a batch with it, all of it within the rate of its bucket: no
-//! second has more than [`Rules::primary_rate`] bytes, or [`Rules::secondary_rate`].
+//! Traffic: to each other control machine a poll and an answer every [`Rules::poll_interval`]; to each
+//! follower a beat every [`Rules::beat_interval`], and to each primary follower a batch with it. A token
+//! bucket per follower limits the traffic to [`Rules::primary_rate`] or [`Rules::secondary_rate`] bytes in
+//! any second.
 //!
-//! What a change costs: at the store that takes it one record, one message to each other control machine, and one
-//! word from each other store. At each other control machine one record at most. To each primary follower its
-//! bytes, and a share of a piece's head of about 12 bytes. A status costs one message to each other control machine
-//! and one or more back, of 8 to 10 bytes a follower.
+//! Cost of a change: at the store that accepts it, one record, one message to each other control machine and
+//! one answer from each other store; at each other control machine, at most one record; to each primary
+//! follower, its bytes and a share of a piece header of about 12 bytes. A status query costs one message to
+//! each other control machine and one or more answers of 8 to 10 bytes per follower.
 
 use crate::bucket::Bucket;
 use crate::change::{Content, Position};
@@ -29,65 +31,68 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-/// Parts of the time between beats at which different followers get theirs, so that the load is even and those of
-/// one part share their batches.
+/// Offsets within the beat interval at which followers are served. This spreads the load evenly, and
+/// followers of the same slot share batches.
 const SLOTS: usize = 5;
 /// Bytes of a batch between control machines.
 const CONTROL_BATCH_BYTES: usize = 32 * 1024;
-/// Bytes kept free in a batch for the beat that goes with it: 8, and 5 for each of three streams.
+/// Bytes reserved in a batch for the beat that accompanies it: 8, and 5 for each of three streams.
 const BEAT_RESERVE: usize = 24;
-/// Bytes of a batch before its pieces: the frame's header, the kind, how many.
+/// Bytes of a batch before its pieces: the frame header, the message kind and the count.
 const BATCH_HEADER: usize = 5;
-/// Sets' backlogs are replaced by marks one by one, the longest first, while all together are more than so many
-/// times what one may be, for a follower that was up to date: the largest change is follower beside all that stores
-/// take in advance.
+/// For a follower that was up to date: while the backlogs of all sets together exceed this multiple of the
+/// limit for one, the longest is replaced by a mark. 2 leaves space for the largest change in addition to the
+/// burst that stores admit.
 const TOTAL_BACKLOG_FACTOR: u64 = 2;
-/// The same for a follower that has not been up to date since its hello, in parts of what one may be: beside what
-/// comes in all the time about half of the rate is left for what it lacks.
+/// The same for a follower that has not been up to date since its hello, as a divisor of the limit for one.
+/// It leaves about half of the rate for what the follower is missing, next to new changes.
 const CATCH_UP_DIVISOR: u64 = 2;
-/// Names of followers that refused a change in an answer.
+/// Followers listed in one answer as having refused a change.
 const MAX_REFUSERS: usize = 1024;
 /// Changes refused by any follower that are remembered for [`Stats::refused`].
 const MAX_REFUSED_CHANGES: usize = 64;
-/// The lease is over for all after a thousandth more of it: clocks drift by 200 ppm at most.
+/// A lease counts as expired everywhere after an additional thousandth of it; clocks drift by 200 ppm at
+/// most.
 const LEASE_MARGIN_DIVISOR: Micros = 1000;
 
-/// Who a connection is with, as the host knows it.
+/// What the host knows about the peer of a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ConnectionKind {
-    /// A control machine that we dialled.
+    /// A control machine that this one dialled.
     Control(ControlId),
-    /// Somebody who dialled us. What it is, its first message says.
+    /// A peer that dialled this machine. Its first message identifies it.
     Accepted,
 }
 
-/// What the host is to do, in order.
+/// Actions for the host, to be carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Open a connection to another control machine. If it fails, nothing need be said: it is asked for again.
+    /// Open a connection to another control machine. A failure need not be reported: the connection is
+    /// requested again.
     Dial(ControlId),
-    /// Send. Batches to several followers are the same `Rc`: encode it once.
+    /// Send a message. Batches to several followers are the same `Rc`, so that they can be encoded once.
     Send(PeerId, Rc<Message>),
-    /// Write these down, so that they last (append, then fdatasync), before any output that follows is done. Only
-    /// stores say so.
+    /// Persist these records (append, then fdatasync) before carrying out any later output. Only stores
+    /// request this.
     Persist(Vec<Record>),
-    /// Say why, as [`frame::refusal`], and close. No [`Control::down`] need follow.
+    /// Send the reason as [`frame::refusal`] and close. [`Control::down`] need not be called.
     Close(PeerId, CloseReason),
 }
 
-/// Figures for logs.
+/// Statistics for logs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// What is held, and what of it a majority of the stores is known to hold.
+    /// The held position, and the part of it that a majority of the stores is known to hold.
     pub held: Position,
     /// See [`Stats::held`].
     pub committed: Position,
-    /// Everything acknowledged before this instant is held; none if no majority was heard since the start.
+    /// Everything acknowledged before this instant is held; none if no majority has been heard since the
+    /// start.
     pub fresh: Option<Micros>,
-    /// Whether this is a store and takes submissions.
+    /// Whether this is a store that accepts submissions.
     pub accepting: bool,
-    /// Connections: other control machines, followers whose primary this is, whose secondary, clients, and such
-    /// that have not said who they are.
+    /// Number of connections: to other control machines, to followers as primary and as secondary, to
+    /// clients, and to peers that have not identified themselves.
     pub controls: usize,
     /// See [`Stats::controls`].
     pub primaries: usize,
@@ -99,31 +104,34 @@
     pub unidentified: usize,
     /// Submissions that wait for a majority.
     pub pending: usize,
-    /// Since the start: submissions taken, refused, acknowledged.
+    /// Submissions accepted, rejected as busy, and acknowledged since the start.
     pub accepted: u64,
     /// See [`Stats::accepted`].
     pub busy: u64,
     /// See [`Stats::accepted`].
     pub acknowledged: u64,
-    /// Since the start: bytes of frames to followers, marks sent to them, parts of large changes.
+    /// Bytes of frames, marks, and fragments of large changes sent to followers since the start.
     pub bytes: u64,
     /// See [`Stats::bytes`].
     pub marks: u64,
     /// See [`Stats::bytes`].
     pub parts: u64,
-    /// Since the start: followers closed for silence, refused for room, and whose history differed.
+    /// Followers closed because they were silent, connections refused because a limit was reached, and
+    /// streams whose history differed at a follower, since the start.
     pub timed_out: u64,
     /// See [`Stats::timed_out`].
     pub at_capacity: u64,
     /// See [`Stats::timed_out`].
     pub history_mismatches: u64,
-    /// Streams of which another control machine sent what does not fit here. It wants an operator.
+    /// Streams for which another control machine sent changes that conflict with the log here. An operator
+    /// must resolve this.
     pub conflicts: Vec<StreamId>,
-    /// Changes that a follower could not put in force, and how many named each; the latest ones.
+    /// The latest changes that a follower could not put into effect, and how many followers reported each.
     pub refused: Vec<(StreamId, u64, u32)>,
 }
 
-/// Figures do nothing: states that differ by them alone go on alike, so they have the same hash.
+/// Statistics do not influence behaviour. They are left out of the hash so that states that differ only in
+/// them compare as equal.
 impl Hash for Stats {
     fn hash<H: Hasher>(&self, _: &mut H) {}
 }
@@ -135,25 +143,25 @@
     last_heard: Micros,
 }
 
-/// A follower, as it is follower.
+/// A connected follower and what it has been sent.
 #[derive(Clone, Debug, Hash)]
 struct FollowerState {
     id: FollowerId,
     primary: bool,
-    /// Whether it has said hello in our epoch.
+    /// Whether it has sent a hello with the current epoch.
     welcomed: bool,
     since: Micros,
     last_heard: Micros,
     challenge: u32,
-    /// What it said that it holds; what it was sent; what it was shown.
+    /// What the follower has confirmed, what it has been sent, and what has been announced to it.
     acked: Position,
     sent: Position,
     announced: Position,
-    /// Of the change that goes to it in parts: its number, and how many bytes have gone.
+    /// Per stream, the change that is being sent in fragments: its number and the bytes already sent.
     parts: BTreeMap<StreamId, (u64, u16)>,
-    /// What it asked for, up to where.
+    /// Per stream that the follower has requested, the number up to which to send.
     pulls: BTreeMap<StreamId, u64>,
-    /// What it said at first that it holds, until that is found to be ours, or not.
+    /// Heads from its hello that have not been compared with the log yet.
     unverified: BTreeMap<StreamId, Head>,
     mismatched: BTreeSet<StreamId>,
     /// Whether it has been sent everything since its hello.
@@ -171,7 +179,7 @@
     Client { last_heard: Micros, message_budget: Bucket },
 }
 
-/// A stream of which a store holds more.
+/// A stream of which a store holds more than this machine.
 #[derive(Clone, Debug, Hash)]
 struct MissingChanges {
     held: u64,
@@ -180,7 +188,7 @@
     turn: usize,
 }
 
-/// A question of status that waits for counts.
+/// A status query that waits for counts.
 #[derive(Clone, Debug, Hash)]
 struct StatusQuery {
     peer: PeerId,
@@ -195,7 +203,7 @@
     unheard: BTreeSet<ControlId>,
 }
 
-/// See the file's comment.
+/// The state machine of a control machine; see the module documentation.
 #[derive(Clone, Debug, Hash)]
 pub struct Control {
     rules: Rules,
@@ -203,7 +211,7 @@
     roster: BTreeSet<FollowerId>,
     logs: BTreeMap<StreamId, Log>,
     held: Position,
-    /// What is held and committed: what goes to followers.
+    /// What is both held and committed, and may be sent to followers.
     deliverable: Position,
     quorum: Quorum,
     missing: BTreeMap<StreamId, MissingChanges>,
@@ -213,8 +221,8 @@
     slots: [BTreeSet<PeerId>; SLOTS],
     slots_at: [Micros; SLOTS],
     poll_at: Micros,
-    /// Whether it began with nothing; whether its answers count for a majority; whether it takes submissions; and
-    /// which stores it has heard since its start.
+    /// Whether it started without records, whether its answers to polls count towards a majority, whether it
+    /// accepts submissions, and which stores have answered since the start.
     empty: bool,
     counts: bool,
     accepting: bool,
@@ -230,8 +238,8 @@
 }
 
 impl Control {
-    /// One that begins. `roster` names the followers that there are; `restored` is what it had written down, in
-    /// order. It fails on rules or records that do not fit.
+    /// Creates a control machine. `roster` lists all followers; `restored` contains the persisted records in
+    /// the order in which they were written. Fails if rules or records are inconsistent.
     pub fn new(
         now: Micros,
         rules: Rules,
@@ -297,7 +305,7 @@
         Ok(control)
     }
 
-    /// A connection is up.
+    /// A connection was established.
     pub fn up(&mut self, now: Micros, peer: PeerId, who: ConnectionKind, out: &mut Vec<Output>) {
         let strangers = self.peers.values().filter(|p| matches!(p, Peer::Unidentified { .. })).count();
         let dialled = match who {
@@ -314,13 +322,14 @@
         }
     }
 
-    /// A connection is gone.
+    /// A connection was lost.
     pub fn down(&mut self, now: Micros, peer: PeerId, out: &mut Vec<Output>) {
         self.remove_peer(now, peer);
         self.answer_status_queries(now, out);
     }
 
-    /// A message came. On an error the host says why and closes; no [`Control::down`] need follow.
+    /// Handles a message. On an error the host sends the reason and closes; [`Control::down`] need not be
+    /// called.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -338,7 +347,7 @@
         done
     }
 
-    /// Time passed.
+    /// Performs everything that is due at `now`.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         if now >= self.poll_at {
             self.poll_at = now + self.rules.poll_interval;
@@ -356,33 +365,33 @@
         self.answer_status_queries(now, out);
     }
 
-    /// When [`Control::tick`] is due.
+    /// When [`Control::tick`] must be called next.
     pub fn next_tick(&self) -> Micros {
         let questions = self.status_queries.values().map(|q| q.until);
         self.slots_at.into_iter().chain([self.poll_at]).chain(questions).min().unwrap_or(self.poll_at)
     }
 
-    /// The list of followers has changed.
+    /// Replaces the list of followers.
     pub fn set_roster(&mut self, roster: Vec<FollowerId>) {
         self.roster = roster.into_iter().collect();
     }
 
-    /// Who it is.
+    /// The id of this control machine.
     pub fn id(&self) -> ControlId {
         self.me
     }
 
-    /// What is held, as records: what a store's file need hold, for a host that writes it anew.
+    /// Everything held, as records, for a host that rewrites the file of a store.
     pub fn records(&self) -> Vec<Record> {
         self.logs.values().flat_map(Log::records).collect()
     }
 
-    /// How far a stream is held.
+    /// The head of a stream.
     pub fn head(&self, stream: StreamId) -> Head {
         self.logs.get(&stream).map(Log::head).unwrap_or_default()
     }
 
-    /// Figures for logs.
+    /// Statistics for logs.
     pub fn stats(&self, _now: Micros) -> Stats {
         let followers = || {
             self.peers.values().filter_map(|p| match p {
@@ -440,14 +449,14 @@
         out.push(Output::Close(peer, why));
     }
 
-    /// Closes who has been silent for too long, and dials control machines.
+    /// Closes connections that have been silent for too long, and dials control machines.
     fn close_idle_and_dial(&mut self, now: Micros, out: &mut Vec<Output>) {
         let gone = self.rules.idle_timeout;
         let silent = |p: &Peer| match p {
             Peer::Unidentified { since, .. } => now - since > gone,
             Peer::Control(id) => self.links.get(id).is_none_or(|l| now - l.last_heard > gone),
             Peer::Follower(c) => now - c.last_heard > gone,
-            // A client may think for a while between two questions.
+            // Clients may pause between two queries.
             Peer::Client { last_heard, .. } => now - last_heard > 12 * gone,
         };
         let silent: Vec<PeerId> = self.peers.iter().filter(|(_, p)| silent(p)).map(|(id, _)| *id).collect();
@@ -474,7 +483,7 @@
         out.extend(self.links.values().map(|l| Output::Send(l.peer, message.clone())));
     }
 
-    /// Asks for what stores hold and this machine has lacked for some time.
+    /// Requests changes that a store holds and that this machine has been missing for some time.
     fn request_missing(&mut self, now: Micros, out: &mut Vec<Output>) {
         for stream in self.quorum.streams() {
             let held = self.held.get(stream);
@@ -494,7 +503,8 @@
         }
     }
 
-    /// Asks a store for what comes after what is held; the one named, or the next that has it.
+    /// Requests the changes after the held position from the store `from`, or else from the next store that
+    /// has them.
     fn send_pull(&mut self, now: Micros, stream: StreamId, from: Option<ControlId>, out: &mut Vec<Output>) {
         let held = self.held.get(stream);
         let has = |id: &ControlId| self.quorum.reported(*id).is_some_and(|p| p.get(stream) > held);
@@ -567,7 +577,7 @@
             }
             Some(Peer::Client { last_heard, message_budget }) => {
                 *last_heard = now;
-                // A submission has a bucket of its own, which does not close.
+                // Submissions are limited by the admission bucket, which does not close the connection.
                 if !matches!(message, Message::Submit { .. }) {
                     if message_budget.level(now) < 1 {
                         return Err(CloseReason::TooManyMessages);
@@ -583,15 +593,15 @@
         self.slots.iter().map(BTreeSet::len).sum()
     }
 
-    /// What is sent to a follower goes at instants that are a beat apart at least, so no second has more of them
-    /// than beats, and no more bytes than the rate. It begins with a debt, for another control machine may have sent
-    /// its last a moment ago.
+    /// Messages to a follower are sent at least a beat apart, so no second contains more of them than beats,
+    /// nor more bytes than the rate. The bucket starts in debt, because another control machine may have sent
+    /// to the follower just before.
     fn new_bucket(&self, now: Micros, rate: u32) -> Bucket {
         let depth = i64::from(rate) * self.rules.beat_interval / SECOND;
         Bucket::new_in_debt(now, rate, u32::try_from(depth).unwrap_or(u32::MAX))
     }
 
-    // Other control machines.
+    // Messages from other control machines.
 
     fn accept_control(
         &mut self,
@@ -676,7 +686,7 @@
                 }
             }
             Message::Counted { token, have, refused, last } => {
-                // One that comes too late belongs to no question any more.
+                // A late answer belongs to no query any more.
                 if let Some(q) = self.status_queries.get_mut(token).filter(|q| q.waits.contains(&id)) {
                     q.have.extend(have.iter().filter(|f| self.roster.contains(f)));
                     q.refused.extend(refused.iter().filter(|f| self.roster.contains(f)));
@@ -691,7 +701,7 @@
         Ok(())
     }
 
-    /// Changes from another control machine.
+    /// Handles changes from another control machine.
     fn handle_batch(
         &mut self,
         now: Micros,
@@ -702,7 +712,7 @@
         for piece in pieces {
             let stream = piece.stream;
             let log = self.logs.get_mut(&stream).ok_or(CloseReason::Bounds("a stream that there is not"))?;
-            // What this store numbers it takes from others only until it numbers on.
+            // A store takes changes of its own streams from others only until it accepts submissions again.
             let own = stream.store == self.me && self.accepting;
             let before = log.head().number;
             let records = match log.apply_piece(piece) {
@@ -734,7 +744,8 @@
         Ok(())
     }
 
-    /// Draws the conclusions from what has come to be held or known.
+    /// Updates everything that depends on what is held and committed: deliverable changes, freshness,
+    /// retention, recovery, and pending submissions.
     fn update_commits(&mut self, now: Micros, out: &mut Vec<Output>) {
         let committed = self.quorum.committed();
         for (stream, held) in self.held.iter() {
@@ -761,9 +772,10 @@
         }
     }
 
-    /// A store numbers on when it has heard a majority since its start and holds all that they hold of its own
-    /// streams. One that began with nothing needs a majority without itself, and all that they hold: before that
-    /// its answers count for nothing, for what it has lost may have been acknowledged by its word.
+    /// A restarted store accepts submissions again when it has heard a majority since its start, and holds
+    /// everything that they hold of its own streams. A store that started empty needs a majority without
+    /// itself and everything that they hold. Before that its answers do not count, because it may have lost
+    /// changes that were acknowledged on the strength of its confirmation.
     fn finish_recovery(&mut self) {
         if self.accepting || !self.rules.is_store(self.me) {
             return;
@@ -783,7 +795,7 @@
         }
     }
 
-    // Clients.
+    // Messages from clients.
 
     fn handle_client(
         &mut self,
@@ -817,7 +829,7 @@
         }
     }
 
-    /// Whether there is room for one more change, else when there may be.
+    /// Admits a change of this size; on rejection, returns the time after which to try again.
     fn admit(
         &mut self,
         now: Micros,
@@ -853,21 +865,23 @@
         }
     }
 
-    /// A large change that another store took is follower beside what this one takes: it leaves its share of the room.
+    /// A large change accepted by another store is sent along with the changes accepted here, so this store
+    /// reserves its share of the bandwidth for it.
     fn reserve_for_large(&mut self, now: Micros, records: &[Record]) {
         for record in records {
             let Record::Change(change, _) = record else { continue };
             let Some(kind) = self.rules.kind(change.stream.topic) else { continue };
             let cost = change_cost(kind, change.body.len());
-            // Not for each of many that come at once, as they do to one that was away.
+            // Not for each of the many changes that arrive at once after an absence.
             if cost > self.depth && self.admission.level(now) >= 0 {
                 self.admission.take(now, cost / usize::from(self.rules.stores));
             }
         }
     }
 
-    /// Whether this store takes changes that are larger than what it takes in advance: the first that is heard
-    /// does. One at a time is follower well within the lease, beside all else; five at once would not be.
+    /// Whether this store accepts changes larger than its burst size: only the first reachable store does.
+    /// One large change at a time is delivered well within the lease next to all other traffic; five at once
+    /// would not be.
     fn accepts_large(&self, now: Micros) -> bool {
         let live = |l: &ControlLink| now - l.last_heard <= self.rules.silence_timeout;
         !(0..self.me.0).any(|id| self.links.get(&ControlId(id)).is_some_and(live))
@@ -934,7 +948,8 @@
         self.answer_status_queries(now, out);
     }
 
-    /// Followers whose primary is here and that said that they have a change; of them, those that refused it.
+    /// Followers that use this machine as primary and have confirmed a change, and those among them that
+    /// refused it.
     fn followers_holding(&self, stream: StreamId, number: u64) -> (Vec<FollowerId>, Vec<FollowerId>) {
         let (mut have, mut refused) = (Vec::new(), Vec::new());
         for peer in self.peers.values() {
@@ -951,7 +966,7 @@
         (have, refused)
     }
 
-    /// Answers questions for which all have counted, or whose time is over.
+    /// Answers status queries that have all counts or have timed out.
     fn answer_status_queries(&mut self, now: Micros, out: &mut Vec<Output>) {
         let done = |q: &StatusQuery| q.waits.is_empty() || q.until <= now;
         let done: Vec<u32> = self.status_queries.iter().filter(|(_, q)| done(q)).map(|(t, _)| *t).collect();
@@ -974,7 +989,7 @@
         }
     }
 
-    // Followers.
+    // Messages from and to followers.
 
     fn handle_follower(
         &mut self,
@@ -1038,7 +1053,7 @@
         Ok(())
     }
 
-    /// Compares what a follower said that it holds with what is held here.
+    /// Compares the heads from a follower's hello with the log here.
     fn verify_heads(&mut self, now: Micros, peer: PeerId, out: &mut Vec<Output>) {
         let Some(Peer::Follower(c)) = self.peers.get_mut(&peer) else { return };
         if !c.welcomed || c.unverified.is_empty() {
@@ -1050,7 +1065,8 @@
             let Some(log) = self.logs.get(stream) else { return false };
             let known = log.digest(head.number);
             let ours = if self.deliverable.get(*stream) >= head.number {
-                // Of a set what is unknown is so old that a mark comes; of a register nothing would mend it.
+                // Of a set, an unknown digest is so old that a mark will replace the history. Of a register
+                // nothing would correct it, so it counts as a mismatch.
                 known
                     .map(|d| d == head.digest)
                     .or(Some(self.rules.kind(stream.topic) == Some(TopicKind::Set)))
@@ -1081,7 +1097,7 @@
         let Some(Peer::Follower(c)) = self.peers.get_mut(&peer) else { return Ok(()) };
         c.challenge = ack.challenge;
         c.acked.gain(&ack.gains);
-        // What it asked for may have come another way.
+        // The follower may have received the requested changes from elsewhere.
         let (told, sent, parts) = (&c.acked, &mut c.sent, &mut c.parts);
         c.pulls.retain(|stream, limit| {
             let holds = told.get(*stream);
@@ -1095,7 +1111,7 @@
             (c.primary, c.bucket) = (ack.primary, bucket);
             c.sent = c.acked.clone();
             (c.parts, c.pulls) = Default::default();
-            // Another has follower it until now.
+            // Another control machine was its primary until now.
             c.caught_up = true;
         }
         for (stream, number) in &ack.refused {
@@ -1132,7 +1148,7 @@
         }
     }
 
-    /// Sends what a follower lacks, as far as its bucket allows.
+    /// Sends missing changes to a follower, as far as its bucket allows.
     fn send_batch(
         &mut self,
         now: Micros,
@@ -1147,7 +1163,7 @@
         c.caught_up |= c.primary && c.sent.covers(&self.deliverable);
         let budget =
             usize::try_from(c.bucket.level(now)).unwrap_or(0).saturating_sub(BEAT_RESERVE + BATCH_HEADER);
-        // Those that are at the same place, as most are, get the same.
+        // Followers at the same position, as most are, share one batch.
         let plain = c.primary && c.caught_up && c.parts.is_empty() && c.mismatched.is_empty();
         let known = common.get(&c.sent).filter(|k| plain && k.1 <= budget + BATCH_HEADER);
         let (message, bytes) = match known {
@@ -1190,8 +1206,8 @@
         out.push(Output::Send(peer, message));
     }
 
-    /// The pieces that a follower is to get now, in so many bytes at most. Streams share them evenly, and what one
-    /// does not need goes to the others.
+    /// Selects the pieces to send to a follower within `budget` bytes. Streams share the budget evenly, and
+    /// what one does not need goes to the others.
     fn plan_batch(&self, c: &FollowerState, budget: usize) -> Vec<Piece> {
         let limit = |stream: StreamId| {
             let deliverable = self.deliverable.get(stream);
@@ -1220,7 +1236,7 @@
                 marks.insert(**stream);
             }
         }
-        // A mark is small and spares the others' room.
+        // Marks come first: they are small and leave the budget to the others.
         lacks.sort_by_key(|l| (!marks.contains(l.1), l.0, *l.1));
         let (mut left, count, mut pieces) = (budget, lacks.len(), Vec::new());
         for (at, (_, stream, log)) in lacks.into_iter().enumerate() {
@@ -1238,7 +1254,7 @@
         pieces
     }
 
-    /// Whether a batch brings a primary follower up to all that may be passed on.
+    /// Whether a batch brings a primary follower up to everything that is deliverable.
     fn completes_delivery(&self, sent: &Position, message: &Message) -> bool {
         let Message::Batch(pieces) = message else { return false };
         let mut sent = sent.clone();
@@ -1252,7 +1268,7 @@
         let fresh = self.quorum.fresh().filter(|_| proven);
         let gains = self.deliverable.gains(&c.announced);
         c.announced.merge(&self.deliverable);
-        // Rounded up; one that is too old for a number is none.
+        // Rounded up; none if the age does not fit the field.
         let age = fresh.and_then(|f| u32::try_from((now - f).max(0) / 1000 + 1).ok());
         let message = Message::Beat(Beat { echo: c.challenge, age, gains });
         let bytes = frame::size(&message);
@@ -1262,7 +1278,7 @@
     }
 }
 
-/// Bytes of a mark, at most: stream, two numbers, digest, kind.
+/// Upper bound of the size of a mark: stream, two numbers, digest, kind.
 const MARK_BYTES: usize = 24;
 
 impl FollowerState {
@@ -1289,7 +1305,7 @@
     }
 }
 
-/// Bytes that a change takes on its way to a follower, less the head of its piece.
+/// Bytes that a change takes in a batch, without the piece header.
 fn change_cost(kind: TopicKind, bytes: usize) -> usize {
     match kind {
         TopicKind::Set => bytes + 1,
@@ -1307,7 +1323,7 @@
     (peer % SLOTS as PeerId) as usize
 }
 
-/// Rounded up.
+/// Converts to milliseconds, rounding up.
 fn ceil_ms(span: Micros) -> u32 {
     u32::try_from(span.max(0).saturating_add(999) / 1000).unwrap_or(u32::MAX)
 }
--- a/crates/dissemination/src/follower.rs
+++ b/crates/dissemination/src/follower.rs
@@ -1,18 +1,18 @@
-//! A proxy's side: it holds two connections to control machines, applies what it is sent, once and in order, and
-//! knows by its own clock as of when it holds everything that was acknowledged.
+//! The state machine of a proxy. It keeps connections to two control machines, applies the changes that they
+//! send exactly once and in order, and knows by its own clock as of when it holds everything acknowledged.
 //!
-//! What it holds: a number and a digest of each stream, two connections with [`bounds::MAX_CHALLENGES`] challenges and
-//! three positions each, of each stream at most one change that is not whole yet; 64 KB at the most, 10 KB as a
-//! rule.
+//! Memory: a number and a digest per stream; per connection [`bounds::MAX_CHALLENGES`] challenges and three
+//! positions; per stream at most one partially received change. At most 64 KB, usually 10 KB.
 //!
-//! What it sends: to its primary an ack of 10 to 50 bytes every [`Rules::ack_interval`], and after changes at most one every
-//! [`Rules::beat_interval`]; to its secondary an ack of 8 bytes every [`Rules::ack_interval`]. All of it within [`Rules::follower_rate`],
-//! except hellos, which are as rare as new connections.
+//! Traffic: to its primary an ack of 10 to 50 bytes every [`Rules::ack_interval`], and after changes at most
+//! one every [`Rules::beat_interval`]; to its secondary an ack of 8 bytes every [`Rules::ack_interval`]. The
+//! total is limited to [`Rules::follower_rate`], except for hellos, which are as rare as new connections.
 //!
-//! Why it is sound: a beat says "who holds all that I showed you is as fresh as your challenge less this age". The
-//! age is that of the start of a poll which a majority of the stores answered. The beat was sent after the
-//! challenge, so that start is no earlier than the challenge's instant less the age, by the follower's own clock.
-//! Clocks may differ in rate by 200 ppm: over a lease that is 1.4 ms, for which the lease has room.
+//! Why freshness is sound: a beat states that a follower that holds everything announced is up to date as of
+//! its challenge minus an age. The age is that of the start of a poll answered by a majority of the stores.
+//! The beat was sent after the challenge, so the poll started no earlier than the send time of the challenge
+//! minus the age, by the follower's own clock. Clock rates may differ by 200 ppm, which is 1.4 ms over a
+//! lease; the lease has room for that.
 
 use crate::bucket::Bucket;
 use crate::change::{self, Content, Entry, Fit, Head, Piece, Position, SavedState};
@@ -25,38 +25,39 @@
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-/// What the host is to do, in order.
+/// Actions for the host, to be carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Open a connection to a control machine. [`Follower::down`] says that it failed.
+    /// Open a connection to a control machine. A failure is reported through [`Follower::down`].
     Dial(ControlId),
-    /// Send.
+    /// Send a message.
     Send(ControlId, Message),
-    /// Say why, as [`frame::refusal`], and close, also one that is only being opened. No [`Follower::down`] need
-    /// follow.
+    /// Send the reason as [`frame::refusal`] and close, or abort an attempt to connect. [`Follower::down`]
+    /// need not be called.
     Close(ControlId, CloseReason),
-    /// Apply this: changes in order, or a mark: whatever is held of the topic from before now is stale.
+    /// Apply a piece: changes in order, or a mark, after which everything obtained before now on the topic is
+    /// stale.
     Apply(Piece),
-    /// What is held of a stream is not what was said by the stores. Of a set's topic, whatever is held from before
-    /// now is stale; of a register, the stream's values are void. All of it comes anew.
+    /// The follower's history of a stream differs from that of the stores. On the topic of a set, everything
+    /// obtained before now is stale; of a register, the stream's values are void. All changes are sent again.
     Stale(StreamId),
-    /// The lease has run out: serve nothing that a change could have touched.
+    /// The lease has expired: serve nothing that a change could have affected.
     OutOfService,
-    /// Everything acknowledged until lately is held again.
+    /// The follower is up to date within the lease again.
     InService,
 }
 
-/// Figures for logs.
+/// Statistics for logs. The lab's report prints this type with `Debug`, names included.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shown {
-    /// Who pushes changes, and who stands by; whether each is up.
+    /// The control machine that pushes changes and the one that stands by, and whether each is connected.
     pub primary: Option<(ControlId, bool)>,
     /// See [`Shown::primary`].
     pub secondary: Option<(ControlId, bool)>,
-    /// Age of the instant as of which everything acknowledged is held.
+    /// Time since the instant as of which everything acknowledged is held.
     pub age: Option<Micros>,
-    /// Since the start: changes applied, marks, changes asked for from the secondary, promotions of it, pieces that
-    /// did not fit, streams begun anew.
+    /// Since the start: changes applied, marks applied, pull requests, promotions of the secondary, pieces
+    /// that did not match the history, and streams that were reset.
     pub applied: u64,
     /// See [`Shown::applied`].
     pub marks: u64,
@@ -68,46 +69,49 @@
     pub misfits: u64,
     /// See [`Shown::applied`].
     pub stale: u64,
-    /// Since the start: bytes of frames that came, and that went.
+    /// Bytes of frames received and sent since the start.
     pub bytes_in: u64,
     /// See [`Shown::bytes_in`].
     pub bytes_out: u64,
 }
 
-/// Figures do nothing: states that differ by them alone go on alike, so they have the same hash.
+/// Statistics do not influence behaviour. They are left out of the hash so that states that differ only in
+/// them compare as equal.
 impl Hash for Shown {
     fn hash<H: Hasher>(&self, _: &mut H) {}
 }
 
-/// A claim: who holds this is as fresh as that.
+/// A freshness claim: a follower that holds this position is up to date as of this instant.
 type Claim = (Micros, Position);
 
 #[derive(Clone, Debug, Hash)]
 struct Connection {
     up: bool,
-    /// When it was asked for, or came up; when it was last heard.
+    /// When the connection was requested or established, and when a beat, batch or welcome last arrived.
     since: Micros,
     last_heard: Micros,
-    /// Hellos that have not been answered: what is shown until then does not count.
+    /// Hellos without an answer. Announcements are ignored while there are any.
     unanswered_hellos: u32,
     challenge: u32,
     challenges: VecDeque<(u32, Micros)>,
-    /// What it showed; what was told to it.
+    /// What the control machine has announced, and what has been confirmed to it.
     announced: Position,
     acked: Position,
-    /// The freshest instant that it claimed, whether held or not.
+    /// The latest instant claimed by the control machine, whether the claimed position is held or not.
     freshest_claim: Option<Micros>,
-    /// The claim that is waited for, and the last one: while changes come all the time, the last is never reached.
+    /// The claim that is waited for, and the latest one. While changes keep coming, the latest claim is never
+    /// reached, so an older one is kept until it is covered.
     pending_claim: Option<Claim>,
     latest_claim: Option<Claim>,
     last_ack: Micros,
-    /// How many refusals it was told.
+    /// How many refusals have been reported on this connection.
     refused: u64,
-    /// Whether it was asked for what lacks: then it is told what has come another way.
+    /// Whether missing changes were requested here. The control machine is then told what arrived through the
+    /// other connection.
     pulled: bool,
 }
 
-/// A stream of which more is shown than held.
+/// A stream of which more has been announced than is held.
 #[derive(Clone, Debug, Hash)]
 struct MissingChanges {
     held: u64,
@@ -116,7 +120,7 @@
     asked: Option<Micros>,
 }
 
-/// A change that is not whole yet.
+/// A change of which only some fragments have been received.
 #[derive(Clone, Debug, Hash)]
 struct PartialChange {
     number: u64,
@@ -125,7 +129,8 @@
     check: u32,
     digest: u32,
     bytes: Vec<u8>,
-    /// Who sent the first part, and whether another sent any: then nobody is to blame for a wrong byte.
+    /// Who sent the first fragment, and whether another machine sent some as well. In that case a wrong byte
+    /// cannot be attributed.
     from: ControlId,
     mixed: bool,
 }
@@ -137,7 +142,7 @@
     failures: u32,
 }
 
-/// See the file's comment.
+/// The state machine of a proxy; see the module documentation.
 #[derive(Clone, Debug, Hash)]
 pub struct Follower {
     rules: Rules,
@@ -153,7 +158,7 @@
     backoffs: BTreeMap<ControlId, Backoff>,
     missing: BTreeMap<StreamId, MissingChanges>,
     partial_changes: BTreeMap<StreamId, PartialChange>,
-    /// Control machines that hold another history of a stream.
+    /// Control machines that reported a different history of a stream.
     mismatch_reports: BTreeMap<StreamId, BTreeSet<ControlId>>,
     refused: VecDeque<(StreamId, u64)>,
     refused_total: u64,
@@ -161,7 +166,7 @@
     serving: bool,
     /// Whether anything was applied since the last ack to the primary.
     unacked: bool,
-    /// Whether control machines are to be told at the next tick what is held.
+    /// Whether to send a hello to all control machines at the next tick.
     hello_due: bool,
     bucket: Bucket,
     last_tick: Micros,
@@ -169,8 +174,8 @@
 }
 
 impl Follower {
-    /// One that begins. `order` is as [`order::preference_order`](crate::order::preference_order) gives it; `life` differs from one start
-    /// to the next. It fails on rules or an order that do not fit.
+    /// Creates a follower. `order` comes from [`order::preference_order`](crate::order::preference_order);
+    /// `life` differs between process starts. Fails if rules or order are invalid.
     pub fn new(
         now: Micros,
         rules: Rules,
@@ -220,7 +225,7 @@
         })
     }
 
-    /// A connection that was asked for is up.
+    /// A requested connection was established.
     pub fn up(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         let Some(conn) = self.conns.get_mut(&control) else {
             return out.push(Output::Close(control, CloseReason::NoLongerNeeded));
@@ -229,7 +234,7 @@
         self.send_hello(now, control, out);
     }
 
-    /// A connection is gone, or could not be opened.
+    /// A connection was lost or could not be established.
     pub fn down(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         if self.conns.contains_key(&control) {
             self.drop_connection(now, control, false);
@@ -237,7 +242,8 @@
         }
     }
 
-    /// A message came. On an error the host says why and closes; no [`Follower::down`] need follow.
+    /// Handles a message. On an error the host sends the reason and closes; [`Follower::down`] need not be
+    /// called.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -254,7 +260,7 @@
             .map_err(CloseReason::Bounds)
             .and_then(|()| self.dispatch(now, control, message, out));
         if let Err(why) = &done {
-            // Who says what is wrong is asked again last.
+            // A control machine that sent something wrong is tried again last.
             let wrong = !matches!(why, CloseReason::NoCapacity | CloseReason::ByPeer(_));
             self.drop_connection(now, control, wrong);
         }
@@ -265,7 +271,7 @@
         done
     }
 
-    /// The host could not put a change in force. It counts as applied, and control machines are told.
+    /// The host could not put a change into effect. It counts as applied, and the control machines are told.
     pub fn report_refused(&mut self, stream: StreamId, number: u64) {
         self.refused.push_back((stream, number));
         self.refused_total += 1;
@@ -275,7 +281,7 @@
         self.unacked = true;
     }
 
-    /// Time passed.
+    /// Performs everything that is due at `now`.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.adjust_for_stall(now);
         self.last_tick = now;
@@ -290,7 +296,7 @@
         self.update_freshness(now, out);
     }
 
-    /// When [`Follower::tick`] is due.
+    /// When [`Follower::tick`] must be called next.
     pub fn next_tick(&self) -> Micros {
         let beat = self.rules.beat_interval;
         if self.hello_due {
@@ -310,17 +316,17 @@
         let dials = self.order.iter().filter(|c| open && !self.conns.contains_key(c));
         let dials = dials.map(|c| self.backoffs.get(c).and_then(|w| w.retry_at).unwrap_or(self.last_tick));
         let next = conns.flatten().chain(gaps).chain(lease).chain(dials).min();
-        // Never at once again: a millisecond is less than anything here takes.
+        // Wait at least a millisecond, which is shorter than any timeout here, to avoid a busy loop.
         next.unwrap_or(self.last_tick + beat).max(self.last_tick + 1000)
     }
 
-    /// Whether it may serve: everything acknowledged a lease ago is applied.
+    /// Whether it may serve: everything acknowledged before the last lease interval is applied.
     pub fn in_service(&self, now: Micros) -> bool {
         let lease = self.rules.lease;
         self.fresh.is_some_and(|f| self.rules.has_fault(InjectedFault::NoLease) || now - f <= lease)
     }
 
-    /// What is applied.
+    /// The applied position.
     pub fn position(&self) -> &Position {
         &self.position
     }
@@ -330,17 +336,17 @@
         self.fresh
     }
 
-    /// The epoch of what is applied.
+    /// The epoch of the applied changes.
     pub fn epoch(&self) -> u32 {
         self.epoch
     }
 
-    /// What it holds, for its next start.
+    /// The state to save for the next start.
     pub fn saved_state(&self) -> SavedState {
         SavedState { epoch: self.epoch, heads: self.heads.iter().map(|(s, h)| (*s, *h)).collect() }
     }
 
-    /// Figures for logs.
+    /// Statistics for logs.
     pub fn stats(&self, now: Micros) -> Shown {
         let who = |c: Option<ControlId>| c.map(|c| (c, self.conns.get(&c).is_some_and(|c| c.up)));
         Shown {
@@ -351,9 +357,9 @@
         }
     }
 
-    // Connections.
+    // Connection management.
 
-    /// Fills the two places, nearest in the order first.
+    /// Dials control machines for an empty primary or secondary slot, in order of preference.
     fn fill_connections(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.primary.is_none() {
             self.promote(now, out);
@@ -374,7 +380,7 @@
         }
     }
 
-    /// Makes the secondary the primary, if it is there.
+    /// Makes the secondary the primary, if it is connected.
     fn promote(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(next) = self.secondary.filter(|s| self.conns.get(s).is_some_and(|c| c.up)) else { return };
         (self.primary, self.secondary) = (Some(next), None);
@@ -382,8 +388,8 @@
         self.send_ack(now, next, out);
     }
 
-    /// The machine forgets a connection. Its control machine is dialled again after a while, a longer one if it has
-    /// failed before or said what is wrong.
+    /// Forgets a connection. The control machine is dialled again after a delay, which is longer if it has
+    /// failed before or has sent something wrong.
     fn drop_connection(&mut self, now: Micros, control: ControlId, wrong: bool) {
         self.conns.remove(&control);
         for place in [&mut self.primary, &mut self.secondary] {
@@ -405,7 +411,8 @@
         out.push(Output::Close(control, why));
     }
 
-    /// A host that was held up itself has not heard, though there may be what waits to be read.
+    /// If the host itself was stalled, messages may be waiting to be read; extends the silence timeouts by
+    /// the delay.
     fn adjust_for_stall(&mut self, now: Micros) {
         let due = self.next_tick().max(self.last_tick + self.rules.beat_interval);
         let late = now - due;
@@ -414,7 +421,7 @@
         }
     }
 
-    /// Leaves control machines that say nothing.
+    /// Leaves control machines that have been silent for too long.
     fn close_silent(&mut self, now: Micros, out: &mut Vec<Output>) {
         let silent = self.conns.iter().filter(|(_, c)| now - c.last_heard > self.rules.silence_timeout);
         let silent: Vec<ControlId> = silent.map(|(id, _)| *id).collect();
@@ -423,7 +430,7 @@
         }
     }
 
-    /// Leaves a primary that knows much less than the secondary.
+    /// Leaves a primary whose claims are far older than those of the secondary.
     fn leave_stale_primary(&mut self, now: Micros, out: &mut Vec<Output>) {
         let (Some(primary), Some(secondary)) = (self.primary, self.secondary) else { return };
         let (Some(first), Some(second)) = (self.conns.get(&primary), self.conns.get(&secondary)) else {
@@ -435,8 +442,8 @@
         }
     }
 
-    /// Asks for what was shown and did not come: the secondary first, which is there for that. If that does not
-    /// help either, the secondary becomes the primary.
+    /// Requests changes that were announced but did not arrive, preferably from the secondary, whose purpose
+    /// this is. If that does not help, the secondary becomes the primary.
     fn request_missing(&mut self, now: Micros, out: &mut Vec<Output>) {
         let mut shown = Position::default();
         self.conns.values().filter(|c| c.unanswered_hellos == 0).for_each(|c| shown.merge(&c.announced));
@@ -535,7 +542,7 @@
         self.send(now, control, Message::Ack(ack), out);
     }
 
-    // Words.
+    // Message handling.
 
     fn dispatch(
         &mut self,
@@ -588,7 +595,7 @@
             let streams: Vec<StreamId> = self.heads.keys().copied().collect();
             self.epoch = epoch;
             self.reset_streams(&streams, out);
-            // The others are told as well: they may hold the new epoch, or say that they do not.
+            // Tell the others too: they may already have the new epoch, or reply that they do not.
             self.send_hello_to_all(now, out);
         }
         Ok(())
@@ -599,7 +606,7 @@
         up.into_iter().for_each(|c| self.send_hello(now, c, out));
     }
 
-    /// All that is held of streams is void.
+    /// Discards everything held of these streams.
     fn reset_streams(&mut self, streams: &[StreamId], out: &mut Vec<Output>) {
         self.fresh = None;
         for stream in streams {
@@ -613,13 +620,14 @@
         }
     }
 
-    /// A control machine holds another history of a stream. One may be wrong; two are believed.
+    /// Records that a control machine has a different history of a stream. A single one may be wrong; two are
+    /// believed.
     fn record_mismatch(&mut self, control: ControlId, stream: StreamId, out: &mut Vec<Output>) {
         let doubts = self.mismatch_reports.entry(stream).or_default();
         doubts.insert(control);
         if doubts.len() >= self.order.len().min(2) {
             self.reset_streams(&[stream], out);
-            // At the next tick, for where one stream differs others do as well.
+            // Sent at the next tick, because other streams usually differ as well.
             self.hello_due = true;
         }
     }
@@ -674,7 +682,7 @@
         let part = matches!(piece.content, Content::Part { .. });
         if let Some(conn) = self.conns.get_mut(&control) {
             conn.last_heard = now;
-            // What was sent before the hello was heard is shown anew.
+            // What was sent before the hello arrived is announced again.
             if conn.unanswered_hellos == 0 && !part {
                 conn.announced.raise(stream, piece.upto());
             }
@@ -706,7 +714,7 @@
         }
     }
 
-    /// How a piece goes on from a head, with what tests plant.
+    /// Determines how a piece relates to a head, applying an injected fault.
     fn fit_with_fault(&self, piece: &Piece, head: Head) -> Fit {
         let fit = piece.continue_from(head);
         let end = Head { number: piece.upto(), digest: piece.digest };
@@ -722,7 +730,7 @@
         }
     }
 
-    /// Puts a part to those before it; the whole change as a piece if it is the last.
+    /// Appends a fragment to those received; returns the whole change as a piece after the last one.
     fn assemble_part(&mut self, control: ControlId, piece: &Piece, head: Head) -> Option<Piece> {
         let Content::Part { number, key, whole, offset, check, bytes } = &piece.content else { return None };
         let stream = piece.stream;
@@ -743,7 +751,7 @@
         if *offset == 0 && !self.partial_changes.get(&stream).is_some_and(same) {
             self.partial_changes.insert(stream, new.clone());
         }
-        // Both control machines may send it; what is new in a part is what goes on from here.
+        // Both control machines may send fragments; only bytes beyond those received are new.
         let held = self.partial_changes.get_mut(&stream).filter(|held| same(held))?;
         let known = held.bytes.len().checked_sub(usize::from(*offset))?;
         held.bytes.extend_from_slice(bytes.get(known..)?);
@@ -757,7 +765,8 @@
         if !right && held.mixed {
             return None;
         }
-        // A wrong byte makes a digest that is wrong for certain, also where it could not be computed.
+        // On a wrong checksum, use a digest that is certain not to match, including where digests cannot be
+        // recomputed.
         let digest = if right { held.digest } else { !held.digest };
         let content = match self.rules.kind(stream.topic)? {
             TopicKind::Set => Content::Bodies(vec![body]),
@@ -770,7 +779,7 @@
         Some(Piece { stream, after: head.number, digest: held.digest, content })
     }
 
-    /// As of when everything is held, and whether that is enough.
+    /// Updates the fresh instant, and reports when the follower enters or leaves service.
     fn update_freshness(&mut self, now: Micros, out: &mut Vec<Output>) {
         for conn in self.conns.values_mut() {
             for _ in 0..2 {
@@ -811,7 +820,7 @@
         }
     }
 
-    /// One more challenge, as of now.
+    /// Creates a challenge and remembers when it was sent.
     fn next_challenge(&mut self, now: Micros) -> u32 {
         self.challenge = self.challenge.wrapping_add(1);
         self.challenges.push_back((self.challenge, now));
