--- a/crates/dissemination/src/control.rs
+++ b/crates/dissemination/src/control.rs
@@ -196,10 +196,10 @@
     stream: StreamId,
     number: u64,
     from: FollowerId,
-    until: Micros,
+    deadline: Micros,
     have: BTreeSet<FollowerId>,
     refused: BTreeSet<FollowerId>,
-    waits: BTreeSet<ControlId>,
+    awaited: BTreeSet<ControlId>,
     unheard: BTreeSet<ControlId>,
 }
 
@@ -249,7 +249,7 @@
     ) -> Result<Self, &'static str> {
         rules.check()?;
         if me.0 >= rules.controls {
-            return Err("a control machine that is not on the list");
+            return Err("the number of this control machine exceeds the list of control machines");
         }
         let mut logs = BTreeMap::new();
         for (topic, kind) in (0..).zip(&rules.topics) {
@@ -260,13 +260,13 @@
         }
         let empty = restored.is_empty();
         for record in restored {
-            let log = logs.get_mut(&record.stream()).ok_or("a record of a stream that there is not")?;
+            let log = logs.get_mut(&record.stream()).ok_or("a record belongs to an unknown stream")?;
             log.restore(record)?;
         }
         logs.values_mut().for_each(Log::finish_restore);
         let held = logs.iter().map(|(stream, log)| (*stream, log.head().number)).collect();
-        let whole = i64::from(rules.primary_rate) * i64::from(rules.change_share) / 1000;
-        let rate = u32::try_from(whole / i64::from(rules.stores)).unwrap_or(u32::MAX).max(1);
+        let change_rate = i64::from(rules.primary_rate) * i64::from(rules.change_share) / 1000;
+        let rate = u32::try_from(change_rate / i64::from(rules.stores)).unwrap_or(u32::MAX).max(1);
         let depth = u32::try_from(i64::from(rate) * rules.max_backlog / SECOND).unwrap_or(u32::MAX).max(1);
         let slot = rules.beat_interval / SLOTS as Micros;
         let mut control = Control {
@@ -306,11 +306,11 @@
     }
 
     /// A connection was established.
-    pub fn up(&mut self, now: Micros, peer: PeerId, who: ConnectionKind, out: &mut Vec<Output>) {
-        let strangers = self.peers.values().filter(|p| matches!(p, Peer::Unidentified { .. })).count();
-        let dialled = match who {
+    pub fn up(&mut self, now: Micros, peer: PeerId, kind: ConnectionKind, out: &mut Vec<Output>) {
+        let unidentified = self.peers.values().filter(|p| matches!(p, Peer::Unidentified { .. })).count();
+        let dialled = match kind {
             ConnectionKind::Control(id) => Some(id),
-            ConnectionKind::Accepted if strangers >= self.rules.max_unidentified => {
+            ConnectionKind::Accepted if unidentified >= self.rules.max_unidentified => {
                 self.stats.at_capacity += 1;
                 return out.push(Output::Close(peer, CloseReason::NoCapacity));
             }
@@ -337,14 +337,14 @@
         message: &Message,
         out: &mut Vec<Output>,
     ) -> Result<(), CloseReason> {
-        let done = message
+        let result = message
             .check()
             .map_err(CloseReason::Bounds)
             .and_then(|()| self.dispatch(now, peer, message, out));
-        if done.is_err() {
+        if result.is_err() {
             self.remove_peer(now, peer);
         }
-        done
+        result
     }
 
     /// Performs everything that is due at `now`.
@@ -367,8 +367,8 @@
 
     /// When [`Control::tick`] must be called next.
     pub fn next_tick(&self) -> Micros {
-        let questions = self.status_queries.values().map(|q| q.until);
-        self.slots_at.into_iter().chain([self.poll_at]).chain(questions).min().unwrap_or(self.poll_at)
+        let deadlines = self.status_queries.values().map(|q| q.deadline);
+        self.slots_at.into_iter().chain([self.poll_at]).chain(deadlines).min().unwrap_or(self.poll_at)
     }
 
     /// Replaces the list of followers.
@@ -431,8 +431,8 @@
                     self.links.remove(&id);
                     self.dials.entry(id).and_modify(|at| *at = now);
                 }
-                for q in self.status_queries.values_mut().filter(|q| q.waits.contains(&id)) {
-                    q.waits.remove(&id);
+                for q in self.status_queries.values_mut().filter(|q| q.awaited.contains(&id)) {
+                    q.awaited.remove(&id);
                     q.unheard.insert(id);
                 }
             }
@@ -451,16 +451,16 @@
 
     /// Closes connections that have been silent for too long, and dials control machines.
     fn close_idle_and_dial(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let gone = self.rules.idle_timeout;
-        let silent = |p: &Peer| match p {
-            Peer::Unidentified { since, .. } => now - since > gone,
-            Peer::Control(id) => self.links.get(id).is_none_or(|l| now - l.last_heard > gone),
-            Peer::Follower(c) => now - c.last_heard > gone,
+        let idle_timeout = self.rules.idle_timeout;
+        let idle = |p: &Peer| match p {
+            Peer::Unidentified { since, .. } => now - since > idle_timeout,
+            Peer::Control(id) => self.links.get(id).is_none_or(|l| now - l.last_heard > idle_timeout),
+            Peer::Follower(c) => now - c.last_heard > idle_timeout,
             // Clients may pause between two queries.
-            Peer::Client { last_heard, .. } => now - last_heard > 12 * gone,
+            Peer::Client { last_heard, .. } => now - last_heard > 12 * idle_timeout,
         };
-        let silent: Vec<PeerId> = self.peers.iter().filter(|(_, p)| silent(p)).map(|(id, _)| *id).collect();
-        for peer in silent {
+        let idle: Vec<PeerId> = self.peers.iter().filter(|(_, p)| idle(p)).map(|(id, _)| *id).collect();
+        for peer in idle {
             if matches!(self.peers.get(&peer), Some(Peer::Follower(_))) {
                 self.stats.timed_out += 1;
             }
@@ -492,12 +492,12 @@
                 continue;
             }
             let new = MissingChanges { held, since: now, asked: None, turn: usize::from(self.me.0) };
-            let want = self.missing.entry(stream).or_insert(new);
-            if want.held != held {
-                (want.held, want.since) = (held, now);
+            let missing = self.missing.entry(stream).or_insert(new);
+            if missing.held != held {
+                (missing.held, missing.since) = (held, now);
             }
-            let due = now - want.since >= self.rules.poll_interval;
-            if due && want.asked.is_none_or(|at| now - at >= self.rules.gap_timeout) {
+            let due = now - missing.since >= self.rules.poll_interval;
+            if due && missing.asked.is_none_or(|at| now - at >= self.rules.gap_timeout) {
                 self.send_pull(now, stream, None, out);
             }
         }
@@ -511,12 +511,12 @@
         let live =
             self.links.iter().filter(|(id, l)| now - l.last_heard <= self.rules.silence_timeout && has(id));
         let live: Vec<(ControlId, PeerId)> = live.map(|(id, l)| (*id, l.peer)).collect();
-        let Some(want) = self.missing.get_mut(&stream) else { return };
+        let Some(missing) = self.missing.get_mut(&stream) else { return };
         let named = live.iter().find(|l| Some(l.0) == from);
-        let next = live.get(want.turn % live.len().max(1));
+        let next = live.get(missing.turn % live.len().max(1));
         let Some((_, peer)) = named.or(next) else { return };
-        want.turn = want.turn.wrapping_add(1);
-        want.asked = Some(now);
+        missing.turn = missing.turn.wrapping_add(1);
+        missing.asked = Some(now);
         out.push(Output::Send(*peer, Rc::new(Message::Pull { stream, after: held })));
     }
 
@@ -687,11 +687,11 @@
             }
             Message::Counted { token, have, refused, last } => {
                 // A late answer belongs to no query any more.
-                if let Some(q) = self.status_queries.get_mut(token).filter(|q| q.waits.contains(&id)) {
+                if let Some(q) = self.status_queries.get_mut(token).filter(|q| q.awaited.contains(&id)) {
                     q.have.extend(have.iter().filter(|f| self.roster.contains(f)));
                     q.refused.extend(refused.iter().filter(|f| self.roster.contains(f)));
                     if *last {
-                        q.waits.remove(&id);
+                        q.awaited.remove(&id);
                     }
                 }
                 self.answer_status_queries(now, out);
@@ -780,8 +780,8 @@
         if self.accepting || !self.rules.is_store(self.me) {
             return;
         }
-        let need = self.rules.majority() - usize::from(!self.empty);
-        let need = need.min(usize::from(self.rules.stores) - 1);
+        let required = self.rules.majority() - usize::from(!self.empty);
+        let required = required.min(usize::from(self.rules.stores) - 1);
         let holds = |own: bool| {
             self.stores_heard.iter().filter_map(|id| self.quorum.reported(*id)).all(|p| {
                 let mine = |s: &(StreamId, u64)| !own || s.0.store == self.me;
@@ -789,7 +789,7 @@
             })
         };
         if self.rules.has_fault(InjectedFault::NoRecovery)
-            || (self.stores_heard.len() >= need && holds(!self.empty))
+            || (self.stores_heard.len() >= required && holds(!self.empty))
         {
             (self.accepting, self.counts) = (true, true);
         }
@@ -931,17 +931,17 @@
         let count = Rc::new(Message::Count { token: self.last_query_token, stream, number });
         out.extend(self.links.values().map(|l| Output::Send(l.peer, count.clone())));
         let others = (0..self.rules.controls).map(ControlId).filter(|c| *c != self.me);
-        let (waits, unheard) = others.partition(|c| self.links.contains_key(c));
+        let (awaited, unheard) = others.partition(|c| self.links.contains_key(c));
         let question = StatusQuery {
             peer,
             token,
             stream,
             number,
             from,
-            until: now + self.rules.count_timeout,
+            deadline: now + self.rules.count_timeout,
             have: have.into_iter().filter(listed).collect(),
             refused: refused.into_iter().filter(listed).collect(),
-            waits,
+            awaited,
             unheard,
         };
         self.status_queries.insert(self.last_query_token, question);
@@ -968,13 +968,13 @@
 
     /// Answers status queries that have all counts or have timed out.
     fn answer_status_queries(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let done = |q: &StatusQuery| q.waits.is_empty() || q.until <= now;
+        let done = |q: &StatusQuery| q.awaited.is_empty() || q.deadline <= now;
         let done: Vec<u32> = self.status_queries.iter().filter(|(_, q)| done(q)).map(|(t, _)| *t).collect();
         for token in done {
             let Some(q) = self.status_queries.remove(&token) else { continue };
             let age = self.quorum.committed_for(now, q.stream, q.number);
             let missing = self.roster.range(q.from..).filter(|f| !q.have.contains(f));
-            let told = StatusReport {
+            let report = StatusReport {
                 token: q.token,
                 committed: age.is_some(),
                 since: ceil_ms(age.unwrap_or(0)),
@@ -983,9 +983,9 @@
                 lapsed: age.is_some_and(|a| a > self.rules.lease + self.rules.lease / LEASE_MARGIN_DIVISOR),
                 missing: missing.copied().take(bounds::MAX_NAMES).collect(),
                 refused: q.refused.into_iter().take(MAX_REFUSERS).collect(),
-                unheard: q.unheard.union(&q.waits).copied().collect(),
+                unheard: q.unheard.union(&q.awaited).copied().collect(),
             };
-            out.push(Output::Send(q.peer, Rc::new(Message::Told(told))));
+            out.push(Output::Send(q.peer, Rc::new(Message::Told(report))));
         }
     }
 
@@ -1135,13 +1135,13 @@
 
     /// Sends batches and beats to the followers of a slot.
     fn serve_slot(&mut self, now: Micros, slot: usize, out: &mut Vec<Output>) {
-        let mut common = HashMap::new();
+        let mut shared = HashMap::new();
         let peers: Vec<PeerId> = self.slots[slot].iter().copied().collect();
         for peer in peers {
             self.verify_heads(now, peer, out);
             let Some(Peer::Follower(mut c)) = self.peers.remove(&peer) else { continue };
             if c.welcomed {
-                self.send_batch(now, peer, &mut c, &mut common, out);
+                self.send_batch(now, peer, &mut c, &mut shared, out);
                 self.send_beat(now, peer, &mut c, out);
             }
             self.peers.insert(peer, Peer::Follower(c));
@@ -1154,7 +1154,7 @@
         now: Micros,
         peer: PeerId,
         c: &mut FollowerState,
-        common: &mut HashMap<Position, (Rc<Message>, usize)>,
+        shared: &mut HashMap<Position, (Rc<Message>, usize)>,
         out: &mut Vec<Output>,
     ) {
         if !c.primary && c.pulls.is_empty() {
@@ -1164,8 +1164,8 @@
         let budget =
             usize::try_from(c.bucket.level(now)).unwrap_or(0).saturating_sub(BEAT_RESERVE + BATCH_HEADER);
         // Followers at the same position, as most are, share one batch.
-        let plain = c.primary && c.caught_up && c.parts.is_empty() && c.mismatched.is_empty();
-        let known = common.get(&c.sent).filter(|k| plain && k.1 <= budget + BATCH_HEADER);
+        let shareable = c.primary && c.caught_up && c.parts.is_empty() && c.mismatched.is_empty();
+        let known = shared.get(&c.sent).filter(|k| shareable && k.1 <= budget + BATCH_HEADER);
         let (message, bytes) = match known {
             Some((message, bytes)) => (message.clone(), *bytes),
             None => {
@@ -1175,8 +1175,8 @@
                 }
                 let message = Rc::new(Message::Batch(pieces));
                 let bytes = frame::size(&message);
-                if plain && self.completes_delivery(&c.sent, &message) {
-                    common.insert(c.sent.clone(), (message.clone(), bytes));
+                if shareable && self.completes_delivery(&c.sent, &message) {
+                    shared.insert(c.sent.clone(), (message.clone(), bytes));
                 }
                 (message, bytes)
             }
@@ -1218,28 +1218,31 @@
             }
         };
         let rate = if c.primary { self.rules.primary_rate } else { self.rules.secondary_rate };
-        let behind = i64::from(rate).saturating_mul(self.rules.max_backlog) / SECOND;
-        let behind = u64::try_from(behind).unwrap_or(0);
-        let lacks =
+        let backlog_limit = i64::from(rate).saturating_mul(self.rules.max_backlog) / SECOND;
+        let backlog_limit = u64::try_from(backlog_limit).unwrap_or(0);
+        let pending_streams =
             self.logs.iter().filter(|(s, _)| c.sent.get(**s) < limit(**s) && !c.mismatched.contains(s));
-        let mut lacks: Vec<(u64, &StreamId, &Log)> =
-            lacks.map(|(s, log)| (log.bytes(c.sent.get(*s), limit(*s)), s, log)).collect();
-        lacks.sort_by_key(|l| (l.0, *l.1));
+        let mut pending_streams: Vec<(u64, &StreamId, &Log)> =
+            pending_streams.map(|(s, log)| (log.bytes(c.sent.get(*s), limit(*s)), s, log)).collect();
+        pending_streams.sort_by_key(|l| (l.0, *l.1));
         let is_set = |s: &StreamId| self.rules.kind(s.topic) == Some(TopicKind::Set);
-        let mut backlog: u64 = lacks.iter().filter(|l| is_set(l.1)).map(|l| l.0).sum();
-        let joint =
-            if c.caught_up { behind.saturating_mul(TOTAL_BACKLOG_FACTOR) } else { behind / CATCH_UP_DIVISOR };
+        let mut backlog: u64 = pending_streams.iter().filter(|l| is_set(l.1)).map(|l| l.0).sum();
+        let total_limit = if c.caught_up {
+            backlog_limit.saturating_mul(TOTAL_BACKLOG_FACTOR)
+        } else {
+            backlog_limit / CATCH_UP_DIVISOR
+        };
         let mut marks = BTreeSet::new();
-        for (bytes, stream, _) in lacks.iter().rev().filter(|l| is_set(l.1)) {
-            if *bytes > behind || backlog > joint {
+        for (bytes, stream, _) in pending_streams.iter().rev().filter(|l| is_set(l.1)) {
+            if *bytes > backlog_limit || backlog > total_limit {
                 backlog -= bytes;
                 marks.insert(**stream);
             }
         }
         // Marks come first: they are small and leave the budget to the others.
-        lacks.sort_by_key(|l| (!marks.contains(l.1), l.0, *l.1));
-        let (mut left, count, mut pieces) = (budget, lacks.len(), Vec::new());
-        for (at, (_, stream, log)) in lacks.into_iter().enumerate() {
+        pending_streams.sort_by_key(|l| (!marks.contains(l.1), l.0, *l.1));
+        let (mut left, count, mut pieces) = (budget, pending_streams.len(), Vec::new());
+        for (at, (_, stream, log)) in pending_streams.into_iter().enumerate() {
             let (after, upto) = (c.sent.get(*stream), limit(*stream));
             let share = left / (count - at);
             let piece = if marks.contains(stream) {
--- a/crates/dissemination/src/follower.rs
+++ b/crates/dissemination/src/follower.rs
@@ -187,7 +187,7 @@
         rules.check()?;
         let distinct: BTreeSet<ControlId> = order.iter().copied().collect();
         if order.is_empty() || distinct.len() < order.len() || order.iter().any(|c| c.0 >= rules.controls) {
-            return Err("an order of control machines that is none");
+            return Err("the order of control machines is empty, names one twice, or names an unknown one");
         }
         let kept = kept.unwrap_or_default();
         let known = |(stream, head): &(StreamId, Head)| {
@@ -195,11 +195,11 @@
             sane && rules.kind(stream.topic).is_some() && rules.is_store(stream.store)
         };
         let heads: BTreeMap<StreamId, Head> = kept.heads.into_iter().filter(known).collect();
-        let own = i64::from(rules.follower_rate) * SECOND / (SECOND + rules.beat_interval);
-        let depth = i64::from(rules.follower_rate) - own;
+        let steady_rate = i64::from(rules.follower_rate) * SECOND / (SECOND + rules.beat_interval);
+        let depth = i64::from(rules.follower_rate) - steady_rate;
         let bytes = |n: i64| u32::try_from(n).unwrap_or(u32::MAX);
         Ok(Follower {
-            bucket: Bucket::new(now, bytes(own), bytes(depth)),
+            bucket: Bucket::new(now, bytes(steady_rate), bytes(depth)),
             me,
             life,
             order,
@@ -255,20 +255,20 @@
             return Err(CloseReason::Unexpected(message.name()));
         }
         self.stats.bytes_in += frame::size(message) as u64;
-        let done = message
+        let result = message
             .check()
             .map_err(CloseReason::Bounds)
             .and_then(|()| self.dispatch(now, control, message, out));
-        if let Err(why) = &done {
+        if let Err(why) = &result {
             // A control machine that sent something wrong is tried again last.
             let wrong = !matches!(why, CloseReason::NoCapacity | CloseReason::ByPeer(_));
             self.drop_connection(now, control, wrong);
         }
         self.update_freshness(now, out);
-        if done.is_err() {
+        if result.is_err() {
             self.fill_connections(now, out);
         }
-        done
+        result
     }
 
     /// The host could not put a change into effect. It counts as applied, and the control machines are told.
@@ -348,10 +348,10 @@
 
     /// Statistics for logs.
     pub fn stats(&self, now: Micros) -> Shown {
-        let who = |c: Option<ControlId>| c.map(|c| (c, self.conns.get(&c).is_some_and(|c| c.up)));
+        let with_state = |c: Option<ControlId>| c.map(|c| (c, self.conns.get(&c).is_some_and(|c| c.up)));
         Shown {
-            primary: who(self.primary),
-            secondary: who(self.secondary),
+            primary: with_state(self.primary),
+            secondary: with_state(self.secondary),
             age: self.fresh.map(|f| now - f),
             ..self.stats.clone()
         }
@@ -524,7 +524,7 @@
 
     fn send_ack(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         let primary = self.primary == Some(control);
-        let unsaid =
+        let unreported =
             |said: u64| self.refused.len() - ((self.refused_total - said) as usize).min(self.refused.len());
         let Some(conn) = self.conns.get_mut(&control).filter(|c| c.up) else { return };
         conn.last_ack = now;
@@ -535,7 +535,7 @@
             conn.pulled &= !self.missing.is_empty();
         }
         if primary {
-            ack.refused = self.refused.iter().skip(unsaid(conn.refused)).copied().collect();
+            ack.refused = self.refused.iter().skip(unreported(conn.refused)).copied().collect();
             conn.refused = self.refused_total;
             self.unacked = false;
         }
--- a/crates/dissemination/src/rules.rs
+++ b/crates/dissemination/src/rules.rs
@@ -180,33 +180,51 @@
     /// Checks that the values are consistent; the error names the violated rule.
     pub fn check(&self) -> Result<(), &'static str> {
         let require = |holds: bool, what| if holds { Ok(()) } else { Err(what) };
-        require((1..=bounds::MAX_CONTROLS).contains(&self.controls), "control machines: 1 to 64")?;
-        require((1..=self.controls).contains(&self.stores), "stores: 1 to as many as control machines")?;
-        require((1..=usize::from(bounds::MAX_TOPICS)).contains(&self.topics.len()), "topics: 1 to 4")?;
+        require(
+            (1..=bounds::MAX_CONTROLS).contains(&self.controls),
+            "control machines: 1 to 64 are allowed",
+        )?;
+        require(
+            (1..=self.controls).contains(&self.stores),
+            "stores: at least 1, at most as many as control machines",
+        )?;
+        require(
+            (1..=usize::from(bounds::MAX_TOPICS)).contains(&self.topics.len()),
+            "topics: 1 to 4 are allowed",
+        )?;
         require(
             self.beat_interval > 0 && self.poll_interval > 0 && self.ack_interval > 0,
-            "times between words: above 0",
+            "beat_interval, poll_interval and ack_interval must be above 0",
         )?;
-        require(self.silence_timeout > self.beat_interval, "silence: longer than the time between beats")?;
-        require(self.gap_timeout >= self.beat_interval, "gap: at least the time between beats")?;
+        require(self.silence_timeout > self.beat_interval, "silence_timeout must exceed beat_interval")?;
+        require(self.gap_timeout >= self.beat_interval, "gap_timeout must be at least beat_interval")?;
         require(
             self.idle_timeout > self.ack_interval && self.idle_timeout > self.poll_interval,
-            "gone: longer than the time between acks and polls",
+            "idle_timeout must exceed ack_interval and poll_interval",
         )?;
         require(
             self.lease > self.silence_timeout + self.poll_interval + self.ack_interval,
-            "lease: longer than silence, poll and ack",
+            "lease must exceed silence_timeout, poll_interval and ack_interval together",
         )?;
         require(
             (1..=self.max_redial_delay).contains(&self.min_redial_delay),
-            "dial: above 0, at most the longest wait",
+            "min_redial_delay must be above 0 and at most max_redial_delay",
+        )?;
+        require((1..=1000).contains(&self.change_share), "change_share must be 1 to 1000")?;
+        require(
+            (1..=bounds::MAX_BODY_BYTES).contains(&self.max_change_bytes),
+            "max_change_bytes must be 1 to 4096",
+        )?;
+        require(
+            self.retained_changes >= 1 && self.max_keys >= 1,
+            "retained_changes and max_keys must be at least 1",
+        )?;
+        require(
+            self.retained_bytes >= self.max_change_bytes,
+            "retained_bytes must be at least max_change_bytes",
         )?;
-        require((1..=1000).contains(&self.change_share), "fill: 1 to 1000")?;
-        require((1..=bounds::MAX_BODY_BYTES).contains(&self.max_change_bytes), "change: 1 to 4096 bytes")?;
-        require(self.retained_changes >= 1 && self.max_keys >= 1, "changes and keys held: at least 1")?;
-        require(self.retained_bytes >= self.max_change_bytes, "bytes held: at least one change")?;
         let one = self.primary_rate >= 256 && self.secondary_rate >= 256 && self.follower_rate >= 64;
-        require(one, "rates: at least 256 bytes a second, 64 of a follower's own")
+        require(one, "primary_rate and secondary_rate must be at least 256, follower_rate at least 64")
     }
 
     /// How many stores form a majority.
