--- a/crates/dissemination/tests/admission.rs
+++ b/crates/dissemination/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What stores take, and what followers are sent: never more than their rates.
+//! Admission at the stores and traffic to followers stay within their rates.
 
 mod world;
 
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use world::{World, STEP};
 
-/// Hops of a second.
+/// Simulation steps per second.
 const SECOND: usize = (dissemination::SECOND / STEP) as usize;
 
 fn started(followers: usize) -> World {
@@ -16,8 +16,9 @@
     world
 }
 
-/// So many purges a second for some seconds, over all stores, with another try at the next store. Bytes that came
-/// to each follower in each hop, and how many changes no store took. No follower that runs leaves service.
+/// Submits `rate` purges per second, spread over all stores; each is retried at the next store if one is
+/// busy. Returns the bytes received by each follower in each step and the number of changes that no store
+/// accepted. Asserts that no running follower leaves service.
 fn load(world: &mut World, rate: usize, seconds: usize) -> (Vec<Vec<u64>>, usize) {
     let (mut came, mut refused, mut token, mut served) = (vec![], 0, 0u32, true);
     for hop in 0..seconds * SECOND {
@@ -41,7 +42,7 @@
     (came, refused)
 }
 
-/// The most that came to any follower in any second.
+/// The most bytes that any follower received in any second.
 fn worst(came: &[Vec<u64>]) -> u64 {
     let followers = came.first().map_or(0, Vec::len);
     let second = |f: usize| came.windows(SECOND).map(move |w| w.iter().map(|hop| hop[f]).sum::<u64>());
@@ -109,7 +110,7 @@
     assert_eq!(world.busy.iter().map(|b| b.0).collect::<Vec<_>>(), [1, 2, 3, 4]);
     world.submit_body(0, 1, 0, 10, large.clone());
     assert_eq!(world.busy.len(), 5, "the last one first");
-    // Beside all else that is taken, it is carried well within the lease.
+    // Next to all other accepted changes, it is delivered well within the lease.
     let (came, refused) = load(&mut world, 190, 5);
     println!("with 190 a second: {} B in the worst second, {refused} refused", worst(&came));
     let held = |w: &World| w.applied.iter().all(|a| a.bodies.values().any(|b| *b == large));
@@ -117,7 +118,7 @@
     assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
     world.run(10 * SECOND);
     world.check_converged();
-    // Also beside all that stores take: they leave room for it.
+    // The same while the stores accept as much as they can: they reserve bandwidth for it.
     world.submit_body(0, 1, 2, 11, Rc::from(vec![8; 4096]));
     let (came, refused) = load(&mut world, 1900, 8);
     println!("with 1900 a second: {} B in the worst second, {refused} refused", worst(&came));
@@ -126,7 +127,7 @@
     assert!(world.applied.iter().all(|a| a.marks == 0), "no cache is emptied by it");
     world.run(2 * SECOND);
     world.check_converged();
-    // Without the first two the third does.
+    // Without the first two stores, the third accepts large changes.
     world.kill_control(0);
     world.kill_control(1);
     world.run(2 * SECOND);
--- a/crates/dissemination/tests/costs.rs
+++ b/crates/dissemination/tests/costs.rs
@@ -1,4 +1,4 @@
-//! Bytes of the words that go four times a second, as the design's arithmetic takes them.
+//! Sizes of the messages that are sent four times a second, against the traffic budget of the design.
 
 use dissemination::frame::{encode, size};
 use dissemination::message::{Ack, Beat, Message};
@@ -9,7 +9,8 @@
     (0..5).map(|store| StreamId { topic: 0, store: ControlId(store) })
 }
 
-/// 190 purges a second in four batches: 48 of 6 bytes each, of five stores, after a day's numbers.
+/// 190 purges a second in four batches: 48 changes of 6 bytes each from five stores, numbered as after a day
+/// of traffic.
 fn batch() -> Message {
     let piece = |(n, stream): (usize, StreamId)| {
         let bytes: Rc<[u8]> = Rc::from(vec![7u8; 6 * (9 + usize::from(n < 3))]);
--- a/crates/dissemination/tests/explore.rs
+++ b/crates/dissemination/tests/explore.rs
@@ -1,14 +1,15 @@
-//! Small worlds explored whole: three control machines that are all stores, two followers, three changes, and
-//! whatever can go wrong at any hop.
+//! Exhaustive exploration of small simulations: three control machines that are all stores, two followers,
+//! three changes, and any possible fault at any step.
 //!
-//! Without faults the order of words is that of the connections, hop by hop. At each hop of a window anything of
-//! [`Fault`] may happen: one connection's direction is late, so that what it carries comes after all that the
-//! others carry; a connection breaks, with what is on the way lost or heard by one end alone; a machine ends and
-//! starts again with what it had written down, or without; one hangs, hears nothing, is not heard, or carries
-//! wrong bytes. Depth first, with one fault at every hop and with pairs of them; a state that was met before with
-//! no fewer faults left is left out. After the window the world goes on until leases have passed.
+//! Without faults, messages are delivered connection by connection in each step. At each step of a window any
+//! [`Fault`] may occur: one direction of a connection is delayed, so that its messages arrive after those of
+//! the others; a connection breaks, with messages in transit lost or received by one end only; a machine
+//! stops and restarts with or without its persisted records; one hangs, drops incoming or outgoing messages,
+//! or corrupts bytes. The search is depth-first, with one fault at every step and with pairs of faults. A
+//! state already visited with at least as many faults left is skipped. After the window each simulation
+//! continues until leases have expired.
 //!
-//! The properties are named in [`Broken`]; each is shown to break by a planted fault.
+//! [`Violation`] lists the properties. For each, a test injects a fault that violates it.
 
 mod world;
 
@@ -18,32 +19,32 @@
 use std::collections::HashMap;
 use world::{rules, Endpoint, Violation, World, STEP};
 
-/// Hops before the first change; the window of faults; hops after it: two leases.
+/// Steps before the first change, in the window of faults, and after it: two leases.
 const WARM_UP: usize = 12;
 const WINDOW: usize = 14;
 const SETTLE: usize = 70;
-/// Of the window, hops between those at which a pair of faults may begin.
+/// For pairs of faults, the steps in the window between those at which one may occur.
 const PAIR_EVERY: usize = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Fault {
-    /// A direction of a connection, in the order of their beginnings, is late by some words' time.
+    /// Delays one direction of a connection. Connections are numbered in the order in which they were opened.
     Late(usize, usize),
-    /// Breaks; what is on the way is lost, or comes.
+    /// Breaks a connection; messages in transit are lost, or delivered if true.
     Breaks(usize, bool),
-    /// Carries nothing from now on, one way or both.
+    /// A connection carries nothing from now on, in one direction or both.
     Hangs(usize, [bool; 2]),
-    /// Ends, and starts again with what it wrote down some hops later.
+    /// A control machine stops and restarts with its persisted records some steps later.
     Crashes(usize),
-    /// Ends, and starts again at once with nothing.
+    /// A control machine restarts at once without its records.
     Wiped(usize),
     Freezes(usize),
     Deaf(usize),
     Mute(usize),
     Lies(usize),
-    /// What it says to other control machines is late.
+    /// Its messages to other control machines are delayed.
     Slow(usize),
-    /// A follower starts again, with what it has kept or with nothing.
+    /// A follower restarts, with its saved state or without.
     Restarts(usize, bool),
     /// No connection of a follower works any more.
     CutOff(usize),
@@ -51,12 +52,12 @@
 
 const CONTROLS: usize = 3;
 const FOLLOWERS: usize = 2;
-/// Hops for which a direction is late, and for which a control machine is away.
+/// Steps for which a direction is delayed, and for which a control machine is stopped.
 const DELAY: u8 = 7;
 const DOWNTIME: usize = 8;
 
 impl Fault {
-    /// All that can happen now.
+    /// All faults that can occur now.
     fn all(world: &World, pairs: bool) -> Vec<Fault> {
         let mut all = vec![];
         let connections = world.connections.values().filter(|w| !w.ends.contains(&Endpoint::Client)).count();
@@ -72,7 +73,7 @@
             if !pairs {
                 all.extend([Fault::Freezes(c), Fault::Deaf(c), Fault::Mute(c), Fault::Lies(c)]);
             }
-            // Two lost disks among three stores are more than is claimed.
+            // Losing two of three disks is outside of what the protocol tolerates.
             if !world.store_wiped {
                 all.push(Fault::Wiped(c));
             }
@@ -162,7 +163,7 @@
 }
 
 impl Run {
-    /// One hop of the story: three changes in the window, one after it, and questions of status.
+    /// One step of the scenario: three changes in the window, one after it, and status queries.
     fn step(&mut self) {
         let due = |a: &(usize, usize)| a.0 <= self.world.steps;
         let back: Vec<usize> = self.restarts.iter().filter(|a| due(a)).map(|a| a.1).collect();
@@ -225,7 +226,7 @@
                 break;
             }
             run.step();
-            // The world's own count of hops is a part of its state, through its clock.
+            // The step count is part of the state through the clock.
             let state = (run.world.hash(), run.restarts.clone());
             if self.visited.get(&state).is_some_and(|before| *before >= left) {
                 return;
@@ -278,7 +279,7 @@
     assert_no_violation(2, 300_000);
 }
 
-/// The search ends at the first that it finds; the fault is planted in every machine.
+/// The search stops at the first violation of the given kind. The fault is injected into every machine.
 #[rstest]
 #[case::ack_alone(InjectedFault::AckAlone, 1, Violation::Fresh)]
 #[case::uncommitted(InjectedFault::Uncommitted, 2, Violation::Lost)]
--- a/crates/dissemination/tests/follower.rs
+++ b/crates/dissemination/tests/follower.rs
@@ -1,4 +1,4 @@
-//! Followers: positions old, new and from the future, epochs, silence, gaps, large changes, refusals, restarts.
+//! Followers: old, diverging and future positions, epochs, silence, gaps, large changes, refusals, restarts.
 
 mod world;
 
@@ -61,7 +61,7 @@
     world.run(60);
     world.check_converged();
     assert_eq!(world.result, Ok(()));
-    // That stream alone.
+    // Only that stream is reset.
     assert_eq!(world.applied[0].stale, 1);
     assert!(world.controls.iter().flatten().map(|c| c.stats(world.now).history_mismatches).sum::<u64>() >= 2);
 }
@@ -80,8 +80,8 @@
     assert_eq!(world.applied[1].stale, 1);
 }
 
-/// Three stores in epoch 1, restored from an old copy without the last two changes of each stream: two of them begin
-/// in epoch 2, one is forgotten.
+/// Three stores of epoch 1 are restored from an old copy that lacks the last two changes of each stream. Two
+/// of them start in epoch 2; the third is left in epoch 1 by mistake.
 fn restored() -> World {
     let mut world = started(2);
     let kept: Vec<SavedState> = (0..2).map(|f| world.kill_follower(f)).collect();
@@ -89,7 +89,7 @@
     for (f, kept) in kept.into_iter().enumerate() {
         world.start_follower(f, Some(kept));
     }
-    // What the operators have given up is gone: its numbers are given again.
+    // Changes given up by the operators are gone, and their numbers are assigned again.
     world.acknowledged.retain(|at, _| at.1 <= 4);
     world.first_applied.retain(|at, _| at.1 <= 4);
     let keep = |r: &Record| !matches!(r, Record::Change(c, _) if c.number > 4);
@@ -121,7 +121,7 @@
     assert!(world.errors.iter().any(|e| e.contains("epoch 1 is not in force here")), "{:?}", world.errors);
 }
 
-/// A follower is made to begin a stream anew while changes go on: what was on the way then leaves a gap.
+/// A follower resets a stream while changes keep arriving; changes in transit at that moment leave a gap.
 #[test]
 fn one_that_begins_anew_while_changes_go_on_applies_them_in_order() {
     let mut world = started(2);
@@ -137,7 +137,7 @@
     assert_eq!(world.result, Ok(()));
 }
 
-/// What a follower applies of three pieces, of which the second comes last.
+/// The numbers that a follower applies when the second of three pieces arrives last.
 fn applied_numbers(fault: Option<InjectedFault>) -> Vec<u64> {
     let mut follower = Follower::new(0, rules(2, 2, fault), FollowerId(1), vec![ControlId(0)], None, 1)
         .expect("sound rules");
@@ -177,7 +177,7 @@
     let mut world = started(1);
     (0..3).for_each(|c| world.machine_faults[c].frozen = true);
     let lease = (world.rules.lease / world::STEP) as usize;
-    // What it knew was up to 20 hops old: a poll, a beat, an ack, and the ways between.
+    // Its freshness may already be 20 steps old: a poll, a beat, an ack, and the transit times.
     world.run(lease - 20);
     assert!(world.followers[0].as_ref().expect("it runs").in_service(world.now));
     world.run(21);
@@ -231,7 +231,7 @@
     let large: Rc<[u8]> = (0..4096).map(|i| (i % 251) as u8).collect();
     world.submit_body(0, topic, 5, 1, large.clone());
     world.run(15);
-    // Beside it go small ones of another store, and none waits for it.
+    // Meanwhile small changes of another store are sent, and none waits for the large one.
     for token in 10..20 {
         world.submit(1, topic, token, token);
         world.run(5);
@@ -260,7 +260,7 @@
     world.run(50);
     let large: Rc<[u8]> = (0..4096).map(|i| (i % 251) as u8).collect();
     world.submit_body(0, topic, 6, 2, large.clone());
-    // The other stores have it; from now on the primary says it wrong.
+    // The other stores have it. From now on the primary corrupts it.
     world.run(4);
     assert_eq!(world.acknowledged.len(), 2);
     world.corruption_expected = true;
--- a/crates/dissemination/tests/frame.rs
+++ b/crates/dissemination/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: every message comes back, garbage is refused, and nothing is held beyond bounds.
+//! Frames: every message round-trips, garbage is refused, and nothing beyond the bounds is buffered.
 
 use dissemination::change::{self, Content, Entry, Fit, Head, Piece, Position};
 use dissemination::frame::{encode, refusal, size, CloseReason, Reader, VERSION};
@@ -231,7 +231,7 @@
     assert_eq!(beat.len(), 2 + 1 + 1 + 3 + 1);
     assert_eq!(beat[0], beat.len() as u8 - 1);
     assert_eq!(beat[1], VERSION);
-    // The same length in two bytes is none.
+    // The same length encoded in two bytes is invalid.
     let mut long = vec![beat[0] | 0x80, 0];
     long.extend(&beat[1..]);
     assert_eq!(Reader::default().read(&mut &long[..]), Err(CloseReason::Length(u32::from(beat[0]))));
--- a/crates/dissemination/tests/order.rs
+++ b/crates/dissemination/tests/order.rs
@@ -1,4 +1,4 @@
-//! Which control machines followers turn to.
+//! The order in which followers try control machines.
 
 use dissemination::order::preference_order;
 use dissemination::{ControlId, FollowerId, Location};
@@ -29,7 +29,7 @@
 
 #[test]
 fn neighbours_in_an_order_stand_in_different_zones() {
-    // Eight zones with three control machines each; and one zone that has most.
+    // Eight zones with three control machines each, and an uneven layout in which one zone has most.
     let even: Vec<Location> = (0..24).map(|c| Location { region: c % 4, zone: c % 8, site: c }).collect();
     let uneven: Vec<Location> =
         (0..24u16).map(|c| Location { region: 0, zone: c.saturating_sub(13), site: c }).collect();
@@ -43,7 +43,7 @@
         let all = preference_order(id, place, &even);
         let same =
             all.windows(2).filter(|w| even[usize::from(w[0].0)].zone == even[usize::from(w[1].0)].zone);
-        // Only the last few may have none of another zone left.
+        // Only for the last few there may be none left in another zone.
         assert!(same.count() <= 2, "{all:?}");
     }
 }
@@ -81,7 +81,8 @@
         let first = preference_order(*id, *place, &controls)[0];
         controls[usize::from(first.0)].region == place.region
     });
-    // Three quarters of the sites have one control machine in their region; by chance it is first once in 24.
+    // Three quarters of the sites have one control machine in their region; by chance it would be first once
+    // in 24.
     let near = near.count();
     println!("{near} of 11000");
     assert!(near > 11_000 / 12, "{near}");
--- a/crates/dissemination/tests/store.rs
+++ b/crates/dissemination/tests/store.rs
@@ -1,4 +1,4 @@
-//! Stores: numbers, majorities, restarts, what lacks, what is dropped.
+//! Stores: numbering, majorities, restarts, catching up, and compaction.
 
 mod world;
 
@@ -142,12 +142,12 @@
     }
     world.check_converged();
     assert_eq!(world.result, Ok(()));
-    // What such a store wrote down is the same when it starts from it.
+    // A store that restarts from its records holds the same.
     let records = world.controls[2].as_ref().expect("it runs").records();
     world.kill_control(2);
     world.start_control(2);
     assert_eq!(world.controls[2].as_ref().expect("it runs").records(), records);
-    // And so is what a host writes anew.
+    // So does one that starts from the rewritten file.
     world.kill_control(2);
     world.disks[2] = records.clone();
     world.start_control(2);
--- a/crates/dissemination/tests/world/mod.rs
+++ b/crates/dissemination/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! A few control machines and followers in one process: queues for connections, a clock that goes in hops, and
-//! judges that look after every word.
+//! Simulates a few control machines and followers in one process, with queues for connections and a clock
+//! that advances in steps. Invariants are checked after every step.
 //!
-//! In a hop each connection hands over what was queued when the hop began, and machines whose time has come tick.
+//! In a step each connection delivers what was queued when the step began, and machines that are due tick.
 #![allow(dead_code)]
 
 use dissemination::control::{self, ConnectionKind};
@@ -18,10 +18,10 @@
 
 pub const STEP: Micros = 20_000;
 
-/// A change's place.
+/// Identifies a change.
 pub type ChangeId = (StreamId, u64);
 
-/// Short times, in hops; the relations are those of the defaults.
+/// Short times, in steps, with the same relations as the defaults.
 pub fn rules(controls: u8, stores: u8, injected_fault: Option<InjectedFault>) -> Rules {
     let rules = Rules {
         controls,
@@ -52,62 +52,62 @@
 pub enum Endpoint {
     Control(usize),
     Follower(usize),
-    /// A client, which the world plays.
+    /// A client, played by the simulation.
     Client,
 }
 
 #[derive(Clone, Debug, Hash)]
 pub struct Connection {
     pub ends: [Endpoint; 2],
-    /// On the way from the first to the second, and back.
+    /// Messages in transit from the first end to the second, and back.
     pub queues: [VecDeque<Rc<Message>>; 2],
-    /// Nothing comes through any more, and nobody is told.
+    /// Nothing is delivered any more, and neither end is notified.
     pub stalled: [bool; 2],
-    /// Hops for which a direction is late.
+    /// Steps for which a direction is delayed.
     pub late: [u8; 2],
-    /// The end that has closed it: what it sent before still comes.
+    /// The end that has closed the connection. What it sent before is still delivered.
     pub closed: Option<usize>,
 }
 
-/// What holds for a machine, until it is told otherwise.
+/// Faults of a machine that last until they are cleared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct MachineFault {
-    /// Does nothing at all.
+    /// Does not run at all.
     pub frozen: bool,
-    /// Hears nothing.
+    /// Drops incoming messages.
     pub deaf: bool,
-    /// What it says does not arrive.
+    /// Its outgoing messages are dropped.
     pub mute: bool,
-    /// What it carries has wrong bytes.
+    /// Corrupts the changes that it sends.
     pub corrupts: bool,
 }
 
-/// A property, broken.
+/// A violated property.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Violation {
     /// A change was applied a second time.
     Twice,
-    /// A change was applied before one that comes before it, or over a gap.
+    /// A change was applied out of order or across a gap.
     Order,
-    /// Bytes were applied that nobody submitted as that change.
+    /// Bytes were applied that were not submitted as that change.
     Bytes,
-    /// An acknowledged number was given to another change.
+    /// The number of an acknowledged change was assigned to another change.
     Lost,
-    /// A follower holds itself fresh as of an instant and lacks what was acknowledged before it.
+    /// A follower claims to be up to date as of an instant but is missing a change acknowledged before it.
     Fresh,
-    /// A follower serves without what was acknowledged a lease ago.
+    /// A follower is in service without a change that was acknowledged more than a lease ago.
     Lease,
-    /// A status says that all have what some in service have not.
+    /// A status report counts a change as present on a follower that is in service without it.
     Count,
-    /// A machine refused what an honest one said.
+    /// A machine rejected a valid message from a correct peer.
     UnexpectedRejection,
-    /// Long after a single fault a follower is not in service, or lacks something.
+    /// Long after a single fault a follower is out of service or missing a change.
     Stuck,
 }
 
 #[derive(Clone, Debug, Hash)]
 pub struct Applied {
-    /// The last number of each stream, and the bodies since the last mark or start.
+    /// The last number of each stream, and the bodies applied since the last mark or restart.
     pub upto: BTreeMap<StreamId, u64>,
     pub bodies: BTreeMap<(StreamId, u64), Rc<[u8]>>,
     pub marks: u64,
@@ -126,17 +126,17 @@
     pub incarnations: Vec<u64>,
     pub applied: Vec<Applied>,
     pub machine_faults: Vec<MachineFault>,
-    /// Followers of which no connection works.
+    /// Followers without any working connection.
     pub isolated: Vec<bool>,
     pub connections: BTreeMap<PeerId, Connection>,
     pub count: PeerId,
     dials: Vec<(Endpoint, ControlId)>,
     submitted: BTreeMap<u32, Rc<[u8]>>,
-    /// What was acknowledged, and when.
+    /// Acknowledged changes, with the time of the acknowledgement.
     pub acknowledged: BTreeMap<ChangeId, (Rc<[u8]>, Micros)>,
     pub busy: Vec<(u32, u32)>,
     pub status_reports: Vec<StatusReport>,
-    /// The bodies that any follower applied, the first time.
+    /// The body with which each change was first applied by any follower.
     pub first_applied: BTreeMap<(StreamId, u64), Rc<[u8]>>,
     status_queries: BTreeMap<u32, (StreamId, u64)>,
     pub corruption_expected: bool,
@@ -202,7 +202,7 @@
         self.incarnations[f] += 1;
         let (id, order) = (FollowerId(f as u64), self.orders[f].clone());
         let applied = &mut self.applied[f];
-        // What it has forgotten it has to be told again.
+        // A follower without its saved state must receive everything again.
         applied.upto =
             kept.iter().flat_map(|k| k.heads.iter().map(|(stream, head)| (*stream, head.number))).collect();
         if kept.is_none() {
@@ -212,7 +212,7 @@
         self.followers[f] = Some(follower.expect("sound rules"));
     }
 
-    /// Ends a control machine. Nobody hears what is on the way.
+    /// Stops a control machine. Messages in transit are lost.
     pub fn kill_control(&mut self, c: usize) {
         self.controls[c] = None;
         self.drop_connections(Endpoint::Control(c));
@@ -231,7 +231,7 @@
         self.dials.retain(|d| d.0 != end);
     }
 
-    /// Breaks a connection. What is on the way is lost, or comes before the ends know.
+    /// Breaks a connection. Messages in transit are lost, or delivered before the ends notice.
     pub fn break_connection(&mut self, id: PeerId, comes: bool) {
         let Some(mut connection) = self.connections.remove(&id) else { return };
         for dir in 0..2 {
@@ -261,7 +261,7 @@
             Endpoint::Follower(f) => {
                 let mut out = vec![];
                 let Endpoint::Control(c) = other else { return };
-                // Another connection to the same one may have begun: the host keeps them apart.
+                // There may already be a new connection to the same machine; the host tells them apart.
                 let other = self.connections.values().any(|w| w.ends == [end, other] && w.closed.is_none());
                 if let Some(follower) = self.followers[f].as_mut().filter(|_| !other) {
                     follower.down(self.now, ControlId(c as u8), &mut out);
@@ -272,7 +272,7 @@
         }
     }
 
-    /// One hop.
+    /// Advances the simulation by one step.
     pub fn step(&mut self) {
         self.now += STEP;
         self.steps += 1;
@@ -349,7 +349,7 @@
                 self.deliver_message(id, from, to, &message);
             }
         }
-        // Last comes that it was closed.
+        // The close is delivered after all messages.
         if self
             .connections
             .get(&id)
@@ -400,7 +400,7 @@
         self.result = self.result.and(Err(what));
     }
 
-    /// One end closed it; the other hears so after what is on the way.
+    /// One end closed the connection; the other is notified after the messages in transit.
     fn closed(&mut self, id: PeerId, by: Endpoint) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let at = usize::from(connection.ends[0] != by);
@@ -418,7 +418,7 @@
             Endpoint::Control(c) => self.machine_faults[c].frozen,
             Endpoint::Client => false,
         };
-        // Those cut off are not even told that it failed.
+        // An isolated follower is not even notified that the attempt failed.
         if fails {
             return;
         }
@@ -621,7 +621,7 @@
         }
     }
 
-    // Judges.
+    // Invariants.
 
     fn check_invariants(&mut self) {
         let lease = self.rules.lease;
@@ -644,7 +644,7 @@
         }
     }
 
-    /// Whether what was acknowledged is still what control machines hold under its number.
+    /// Checks that control machines still hold every acknowledged change under its number.
     pub fn check_held(&mut self) {
         for control in self.controls.iter().flatten() {
             for record in control.records() {
@@ -657,7 +657,7 @@
         }
     }
 
-    /// Whether every follower that can be is in service, and has all that was acknowledged.
+    /// Checks that every follower that is not isolated is in service and has everything acknowledged.
     pub fn check_converged(&mut self) {
         self.check_held();
         for (f, follower) in self.followers.iter().enumerate() {
@@ -685,7 +685,7 @@
     }
 }
 
-/// The same with one wrong byte in the first change that it carries.
+/// A copy of a message with one wrong byte in its first change.
 fn corrupted(message: &Message) -> Message {
     let flip = |b: &Rc<[u8]>| {
         let mut bytes = b.to_vec();
--- a/tests/dissemination.rs
+++ b/tests/dissemination.rs
@@ -1,6 +1,6 @@
-//! Control machines and followers as processes on loopback: three stores, proxies with `control` lines, and every
-//! connection between them through a link whose directions are cut apart. Every wait is for an event or for an answer
-//! of the command line, with a generous bound; verdicts are on what is told and counted.
+//! Runs control machines and followers as processes on loopback: three stores, proxies with `control` lines,
+//! and a link for every connection, whose directions can be cut separately. Every wait is for a log event or
+//! for an answer of the command line, with a generous timeout. Assertions are on the output and on counts.
 
 use dissemination::frame::{CloseReason, Reader};
 use lab::fleet::links::{Condition, Links};
@@ -17,28 +17,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// No step waits longer; far more than any needs.
+/// Timeout of each step; far longer than any needs.
 const PATIENCE: Duration = Duration::from_secs(60);
-/// The same for the command line.
+/// The same timeout in seconds, for the command line.
 const FOR: &str = "60";
 const CONTROLS: usize = 3;
-/// Nobody listens there.
+/// An address without a listener.
 const NOBODY: &str = "127.0.0.1:1";
 const PLACES: [&str; CONTROLS] = ["north/z0/s0", "north/z1/s1", "south/z2/s2"];
 
-/// The program itself: no process of it outlives this test, however that ends.
+/// The program under test. Its processes never outlive this test, however the test ends.
 fn program() -> Program {
     Program::of_test(Path::new(env!("CARGO_BIN_EXE_martenweir")), "guard").expect("the program")
 }
 
-/// Not a test of its own: what the processes are started by.
+/// Not a test: the entry point of the process that starts and supervises the others.
 #[test]
 #[ignore = "the guard of the other tests' processes"]
 fn guard() {
     in_a_test();
 }
 
-/// What `martenweir change` says, and its exit status.
+/// Runs `martenweir change`; returns its exit status and output.
 fn change(words: &[&str], addresses: &[SocketAddr]) -> (Option<i32>, String) {
     let addresses: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
     let mut command = Command::new(env!("CARGO_BIN_EXE_martenweir"));
@@ -48,7 +48,7 @@
     (end.status.code(), said(&end.stdout) + &said(&end.stderr))
 }
 
-/// The changes that a submission told as acknowledged: stream and number.
+/// The acknowledged changes in the output of a submission, as stream and number.
 fn acknowledged(said: &str) -> Vec<(String, u64)> {
     let change = |line: &str| {
         let (name, _) = line.split_once(" acknowledged: ")?;
@@ -61,9 +61,9 @@
 struct Fleet {
     processes: Processes,
     links: Links,
-    /// Behind what was waited for last, by process.
+    /// Per process, the log position after the last awaited line.
     heard: BTreeMap<String, Mark>,
-    /// Where the control machines listen.
+    /// The addresses of the control machines.
     controls: Vec<SocketAddr>,
     followers: Vec<String>,
     roster: PathBuf,
@@ -74,7 +74,7 @@
 }
 
 impl Fleet {
-    /// All of it in service.
+    /// Starts all processes and waits until the followers are in service.
     fn new(followers: usize) -> Self {
         let processes = Processes::in_temporary(&Log::new(Clock::start(0))).expect("a fleet");
         let roster = processes.settings("roster").expect("a folder").join("followers");
@@ -93,7 +93,7 @@
         fleet
     }
 
-    /// The `control` lines of a process: its own links to all of them.
+    /// The `control` lines of a process, which point to its own links to all control machines.
     fn lines(&self, name: &str) -> String {
         let nobody: SocketAddr = NOBODY.parse().expect("an address");
         let line = |at: usize| {
@@ -109,7 +109,7 @@
         path
     }
 
-    /// Writes a control machine's file.
+    /// Writes a control machine's configuration file.
     fn configure(&self, at: usize, epoch: u32) {
         let name = control(at);
         let roster = self.roster.display();
@@ -120,7 +120,7 @@
         self.file(&name, "control.conf", &text);
     }
 
-    /// Starts control machines at once; each of them takes submissions when this returns.
+    /// Starts control machines together; returns when each of them accepts submissions.
     fn start_controls(&mut self, which: &[usize]) {
         for at in which {
             let name = control(*at);
@@ -142,7 +142,7 @@
 
     fn start_follower(&mut self, name: &str) {
         let lines = self.lines(name) + "controlplace north/z0/s9\ntapsample 0.5\n";
-        // Links that were made before the control machines were started anew know where they are.
+        // Links created before the control machines were restarted need the new addresses.
         for at in 0..CONTROLS {
             self.links.aim(&control(at), "control", self.controls[at]).expect("links");
         }
@@ -157,7 +157,7 @@
         self.processes.start(spec.arg("--conf").arg(conf).arg(config)).expect("it starts");
     }
 
-    /// Waits for a line of a process, behind those that were waited for before.
+    /// Waits for a log event of a process after the previously awaited one.
     fn hear(&mut self, name: &str, event: &str) -> Arc<Line> {
         self.hear_when(name, Wanted::event(event))
     }
@@ -175,13 +175,13 @@
         self.processes.wait(name, PATIENCE).expect("an end");
     }
 
-    /// What befalls both directions between a follower and a control machine.
+    /// Sets the condition of both directions between a follower and a control machine.
     fn both(&self, follower: &str, at: usize, condition: &Condition) {
         self.links.set(follower, &control(at), condition.clone()).expect("links");
         self.links.set(&control(at), follower, condition.clone()).expect("links");
     }
 
-    /// Submits; all of it is acknowledged.
+    /// Submits changes and asserts that all are acknowledged.
     fn submit(&self, words: &[&str]) -> Vec<(String, u64)> {
         let (status, said) = change(&[&["submit"], words].concat(), &self.controls);
         assert_eq!(status, Some(0), "{said}");
@@ -190,7 +190,7 @@
         changes
     }
 
-    /// Waits until a change is done; what is said then.
+    /// Waits until a change is done; returns the output.
     fn wait(&self, (stream, number): &(String, u64)) -> String {
         let (name, roster) = (format!("{stream}.{number}"), self.roster.display().to_string());
         let words = ["wait", "--for", FOR, "--followers", &roster, &name];
@@ -199,7 +199,7 @@
         said
     }
 
-    /// Waits until all followers are known to have a change, and nobody is out of service for it.
+    /// Waits until all followers are known to have a change, instead of being counted as out of service.
     fn wait_for_all(&self, change: &(String, u64)) -> String {
         let all = self.followers.len();
         let known = format!("{all} of {all} proxies are known to have it");
@@ -211,7 +211,7 @@
         change(&["status", "--followers", &roster, &name], &self.controls).1
     }
 
-    /// Asks again until the answer is as wanted.
+    /// Repeats a query until the answer satisfies the condition.
     fn until(&self, ask: impl Fn() -> String, wanted: impl Fn(&str) -> bool) -> String {
         let until = std::time::Instant::now() + PATIENCE;
         loop {
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Ends all; each ends by itself when it is told to.
+    /// Ends all processes and asserts that each exits by itself when told to.
     fn end(self) {
         assert_eq!(self.processes.end(PATIENCE).expect("an end"), [""; 0]);
     }
@@ -274,7 +274,7 @@
     let fleet = Fleet::new(3);
     fleet.processes.stop("c0").expect("it runs");
     let change = fleet.submit(&["--purge", "a"]).remove(0);
-    // Asked of another: the first does not answer.
+    // Another control machine is asked, because the first does not answer.
     fleet.wait_for_all(&change);
     let said = fleet.until(|| fleet.status(&change), |said| said.contains("not heard: 0"));
     assert!(said.contains("3 of 3 proxies"), "{said}");
@@ -285,7 +285,8 @@
     fleet.end();
 }
 
-/// Each direction between a follower and each control machine alone, in turn: the other way out is enough.
+/// Cuts each direction between a follower and each control machine in turn; the other control machines must
+/// suffice.
 #[test]
 fn a_link_cut_one_way_stops_nothing() {
     let fleet = Fleet::new(3);
@@ -311,7 +312,7 @@
     last.extend(fleet.submit(&["--setting", "tapsample 0.25"]));
     let all: Vec<usize> = (0..CONTROLS).collect();
     all.iter().for_each(|at| fleet.kill(&control(*at)));
-    // One of them was writing: the end of what it wrote is missing.
+    // Simulate a write that was interrupted: the end of the last record is missing.
     let store = fleet.processes.folder("c2").join("store");
     let mut file = std::fs::OpenOptions::new().append(true).open(store).expect("the file");
     file.write_all(&[9, 0, 0, 0, 1]).expect("it is written");
@@ -321,7 +322,7 @@
     for change in &last {
         fleet.wait_for_all(&(change.0.clone(), *change.1));
     }
-    // Their numbers go on.
+    // Numbering continues.
     for n in 0..6 {
         for (stream, number) in fleet.submit(&["--purge", &format!("later-{n}")]) {
             let before = last.insert(stream.clone(), number);
@@ -346,7 +347,7 @@
         let first = fleet.heard.get("f1").copied().unwrap_or_default();
         let wanted = Wanted::event("configured").when(move |l| l.text("setting") == Some(setting));
         fleet.hear_when("f1", wanted);
-        // They are numbered by different stores, and come in any order.
+        // They are numbered by different stores and may arrive in any order.
         fleet.heard.insert("f1".into(), first);
     }
     for change in changes.iter().chain(&late) {
@@ -414,7 +415,7 @@
 #[test]
 fn a_submission_beyond_what_can_be_carried_is_refused_with_a_time() {
     let fleet = Fleet::new(1);
-    // All about one setting, 3 KB each.
+    // All change one setting, 3 KB each.
     let lines = (0..160).map(|n| format!("deny 10.0.{n}.0/24")).collect::<Vec<_>>().join("\n");
     let submit = || change(&["submit", "--setting", &lines], &fleet.controls);
     let mut taken = Vec::new();
@@ -429,7 +430,7 @@
     assert_eq!(status, Some(2), "{said}");
     let after = said.split_once("try again after ").and_then(|(_, rest)| rest.split_once(" ms; 1 not taken"));
     assert!(after.is_some_and(|(ms, _)| ms.parse::<u32>().is_ok_and(|ms| ms > 0)), "{said}");
-    // It is taken when there is room again, and what was taken before is not lost.
+    // It is accepted once there is capacity again, and what was accepted before is not lost.
     fleet.until(|| format!("{:?}", submit()), |said| said.contains("acknowledged: "));
     assert!(!taken.is_empty());
     for change in taken {
@@ -438,7 +439,7 @@
     fleet.end();
 }
 
-/// What a control machine tells a peer before it closes.
+/// Returns the reason that a control machine sends before it closes.
 fn last_words(mut socket: TcpStream) -> CloseReason {
     socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     let (mut reader, mut bytes) = (Reader::default(), [0; 4096]);
@@ -487,7 +488,7 @@
     let said = String::from_utf8_lossy(&end.stderr).into_owned();
     assert_eq!((end.status.code(), said.lines().count()), (Some(1), 1), "{said}");
     assert!(said.starts_with("martenweir: control: store: byte ") && said.contains("damaged"), "{said}");
-    // The others go on.
+    // The others keep working.
     let change = fleet.submit(&["--purge", "c"]).remove(0);
     fleet.wait_for_all(&change);
     fleet.end();
