--- a/crates/dissemination/tests/admission.rs
+++ b/crates/dissemination/tests/admission.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_stated_rate_is_taken_whole_and_stays_far_below_the_bounds() {
+fn the_design_rate_is_accepted_in_full_and_stays_within_the_traffic_limits() {
     let mut world = started(5);
     let (came, refused) = load(&mut world, 190, 10);
     assert_eq!(refused, 0);
@@ -67,23 +67,23 @@
 }
 
 #[test]
-fn ten_times_as_much_is_refused_with_a_time_and_what_was_taken_comes() {
+fn ten_times_the_rate_is_rejected_with_a_retry_time_and_accepted_changes_arrive() {
     let mut world = started(5);
     let (came, refused) = load(&mut world, 1900, 10);
     world.run(3 * SECOND);
     let taken = world.acknowledged.len();
     println!("1900 a second: {taken} taken, {refused} refused, {} B in the worst second", worst(&came));
-    assert_eq!(taken + refused, 19_000, "taken and carried, or refused at once");
+    assert_eq!(taken + refused, 19_000, "every submission is either acknowledged or rejected at once");
     assert!((2000..4000).contains(&taken), "{taken}");
     assert!(world.busy.iter().all(|(_, after)| (1..60_000).contains(after)));
     assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
-    assert!(world.applied.iter().all(|a| a.marks == 0), "no cache is emptied by a flood");
+    assert!(world.applied.iter().all(|a| a.marks == 0), "excess load empties no cache");
     world.check_converged();
     assert_eq!(world.result, Ok(()));
 }
 
 #[test]
-fn a_time_to_return_is_right() {
+fn the_retry_time_is_accurate() {
     let mut world = started(0);
     let mut token = 0;
     while world.busy.is_empty() {
@@ -94,14 +94,14 @@
     let steps = (i64::from(after) * 1000 / STEP) as usize;
     world.run(steps.saturating_sub(1));
     world.submit(0, 0, 0, 500);
-    assert_eq!(world.busy.len(), 2, "not yet");
+    assert_eq!(world.busy.len(), 2, "still busy before the retry time");
     world.run(2);
     world.submit(0, 0, 0, 501);
     assert_eq!(world.busy.len(), 2);
 }
 
 #[test]
-fn large_changes_are_taken_by_the_first_store_that_lives_and_one_in_a_while() {
+fn large_changes_are_accepted_one_at_a_time_by_the_first_reachable_store() {
     let mut world = started(2);
     let large: Rc<[u8]> = Rc::from(vec![9; 4096]);
     for store in 0..5 {
@@ -109,7 +109,7 @@
     }
     assert_eq!(world.busy.iter().map(|b| b.0).collect::<Vec<_>>(), [1, 2, 3, 4]);
     world.submit_body(0, 1, 0, 10, large.clone());
-    assert_eq!(world.busy.len(), 5, "the last one first");
+    assert_eq!(world.busy.len(), 5, "only one large change at a time");
     // Next to all other accepted changes, it is delivered well within the lease.
     let (came, refused) = load(&mut world, 190, 5);
     println!("with 190 a second: {} B in the worst second, {refused} refused", worst(&came));
@@ -124,7 +124,7 @@
     println!("with 1900 a second: {} B in the worst second, {refused} refused", worst(&came));
     let two = |a: &world::Applied| a.bodies.values().filter(|b| b.len() == 4096).count() == 2;
     assert!(world.applied.iter().all(two));
-    assert!(world.applied.iter().all(|a| a.marks == 0), "no cache is emptied by it");
+    assert!(world.applied.iter().all(|a| a.marks == 0), "a large change empties no cache");
     world.run(2 * SECOND);
     world.check_converged();
     // Without the first two stores, the third accepts large changes.
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_follower_far_behind_on_a_set_gets_a_mark_and_no_backlog() {
+fn a_follower_far_behind_on_a_set_gets_marks_instead_of_the_backlog() {
     let mut world = started(2);
     let kept = world.kill_follower(0);
     let (_, refused) = load(&mut world, 190, 30);
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn what_is_held_stays_within_the_rules() {
+fn retained_changes_stay_within_the_limits() {
     let rules = Rules { controls: 3, stores: 3, retained_changes: 40, max_keys: 20, ..Rules::default() };
     let mut world = World::new(rules, 1);
     world.run(2 * SECOND);
@@ -176,7 +176,7 @@
             }
         }
     }
-    assert!(world.busy.iter().any(|(_, after)| *after == 60_000), "no room for more keys");
+    assert!(world.busy.iter().any(|(_, after)| *after == 60_000), "the key limit is reached");
     world.check_converged();
     assert_eq!(world.result, Ok(()));
 }
--- a/crates/dissemination/tests/costs.rs
+++ b/crates/dissemination/tests/costs.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_words_of_a_quarter_of_a_second_are_as_small_as_the_budget_needs() {
+fn message_sizes_fit_the_traffic_budget() {
     let gains = || streams().map(|s| (s, 10)).collect::<Vec<_>>();
     let batch = size(&batch());
     let beat = size(&Message::Beat(Beat { echo: 100_000, age: Some(700), gains: vec![] }));
--- a/crates/dissemination/tests/explore.rs
+++ b/crates/dissemination/tests/explore.rs
@@ -261,7 +261,7 @@
 fn assert_no_violation(faults: usize, states: usize) {
     let explored = explore(faults, None, None);
     println!(
-        "{} states, {} completed to the end, {} changes acknowledged in them, {} us each",
+        "{} states, {} completed simulations, {} changes acknowledged in them, {} us per step",
         explored.states, explored.completed, explored.acknowledged, STEP
     );
     assert_eq!(explored.found, HashMap::new());
@@ -292,7 +292,7 @@
 #[case::twice(InjectedFault::Twice, 1, Violation::Twice)]
 #[case::no_digest(InjectedFault::NoDigest, 1, Violation::Bytes)]
 #[case::counts_sent(InjectedFault::CountsSent, 1, Violation::Count)]
-fn each_guard_is_missed_when_it_is_gone(
+fn each_injected_fault_is_detected(
     #[case] fault: InjectedFault,
     #[case] faults: usize,
     #[case] what: Violation,
@@ -300,5 +300,5 @@
     let explored = explore(faults, Some(fault), Some(what));
     let way = explored.found.get(&what);
     println!("{fault:?}: {what:?} after {} states by {way:?}", explored.states);
-    assert!(way.is_some(), "{fault:?} is not found; {:?}", explored.found);
+    assert!(way.is_some(), "{fault:?} was not detected; {:?}", explored.found);
 }
--- a/crates/dissemination/tests/follower.rs
+++ b/crates/dissemination/tests/follower.rs
@@ -30,11 +30,11 @@
 }
 
 fn figures(world: &World, f: usize) -> dissemination::follower::Shown {
-    world.followers[f].as_ref().expect("it runs").stats(world.now)
+    world.followers[f].as_ref().expect("running").stats(world.now)
 }
 
 #[test]
-fn one_with_an_old_position_gets_the_rest_and_nothing_twice() {
+fn an_old_position_gets_the_missing_changes_and_none_twice() {
     let mut world = started(2);
     let kept = world.kill_follower(0);
     for token in 20..30 {
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn one_from_the_future_starts_that_stream_anew_when_two_have_said_so() {
+fn a_position_ahead_of_the_stores_resets_that_stream_after_two_reports() {
     let mut world = started(2);
     let mut kept = world.kill_follower(0);
-    let set = kept.heads.iter_mut().find(|h| h.0 == SET).expect("it held it");
+    let set = kept.heads.iter_mut().find(|h| h.0 == SET).expect("the stream is held");
     set.1 = Head { number: set.1.number + 7, digest: 99 };
     world.start_follower(0, Some(kept));
     world.run(5);
-    assert!(!world.followers[0].as_ref().expect("it runs").in_service(world.now));
+    assert!(!world.followers[0].as_ref().expect("running").in_service(world.now));
     world.run(60);
     world.check_converged();
     assert_eq!(world.result, Ok(()));
@@ -69,7 +69,7 @@
 #[rstest]
 #[case::set(SET)]
 #[case::register(REGISTER)]
-fn one_with_another_history_of_the_same_length_is_found(#[case] stream: StreamId) {
+fn a_different_history_of_the_same_length_is_detected(#[case] stream: StreamId) {
     let mut world = started(2);
     let mut kept = world.kill_follower(1);
     kept.heads.iter_mut().filter(|h| h.0 == stream).for_each(|h| h.1.digest ^= 1);
@@ -110,11 +110,11 @@
 }
 
 #[test]
-fn a_higher_epoch_makes_all_before_stale_and_a_lower_one_is_refused() {
+fn a_higher_epoch_resets_all_streams_and_a_lower_one_is_refused() {
     let world = restored();
     assert_eq!(world.result, Ok(()));
     for f in 0..2 {
-        let follower = world.followers[f].as_ref().expect("it runs");
+        let follower = world.followers[f].as_ref().expect("running");
         assert_eq!(follower.epoch(), 2);
         assert_eq!(world.applied[f].stale, 2, "both streams");
     }
@@ -123,7 +123,7 @@
 
 /// A follower resets a stream while changes keep arriving; changes in transit at that moment leave a gap.
 #[test]
-fn one_that_begins_anew_while_changes_go_on_applies_them_in_order() {
+fn a_stream_reset_during_traffic_applies_changes_in_order() {
     let mut world = started(2);
     let mut kept = world.kill_follower(0);
     kept.heads.iter_mut().filter(|h| h.0 == SET).for_each(|h| h.1.digest ^= 1);
@@ -140,7 +140,7 @@
 /// The numbers that a follower applies when the second of three pieces arrives last.
 fn applied_numbers(fault: Option<InjectedFault>) -> Vec<u64> {
     let mut follower = Follower::new(0, rules(2, 2, fault), FollowerId(1), vec![ControlId(0)], None, 1)
-        .expect("sound rules");
+        .expect("valid rules");
     let mut out = vec![];
     follower.tick(1, &mut out);
     follower.up(2, ControlId(0), &mut out);
@@ -157,7 +157,7 @@
         Message::Batch(vec![Piece { stream: SET, after, digest, content }])
     };
     for message in [welcome, piece(1), piece(3), piece(2), piece(3)] {
-        follower.handle_message(3, ControlId(0), &message, &mut out).expect("sound words");
+        follower.handle_message(3, ControlId(0), &message, &mut out).expect("valid messages");
     }
     let applied = |o: follower::Output| match o {
         follower::Output::Apply(piece) => Some(piece.upto()),
@@ -169,19 +169,19 @@
 #[test]
 fn nothing_is_applied_over_a_gap() {
     assert_eq!(applied_numbers(None), [1, 2, 3]);
-    assert_eq!(applied_numbers(Some(InjectedFault::Gaps)), [1, 3], "the guard is what keeps it so");
+    assert_eq!(applied_numbers(Some(InjectedFault::Gaps)), [1, 3], "without the check changes are skipped");
 }
 
 #[test]
-fn one_without_any_way_to_the_stores_leaves_service_by_itself_and_comes_back() {
+fn a_follower_cut_from_all_stores_leaves_service_and_returns() {
     let mut world = started(1);
     (0..3).for_each(|c| world.machine_faults[c].frozen = true);
     let lease = (world.rules.lease / world::STEP) as usize;
     // Its freshness may already be 20 steps old: a poll, a beat, an ack, and the transit times.
     world.run(lease - 20);
-    assert!(world.followers[0].as_ref().expect("it runs").in_service(world.now));
+    assert!(world.followers[0].as_ref().expect("running").in_service(world.now));
     world.run(21);
-    assert!(!world.followers[0].as_ref().expect("it runs").in_service(world.now));
+    assert!(!world.followers[0].as_ref().expect("running").in_service(world.now));
     (0..3).for_each(|c| world.machine_faults[c].frozen = false);
     world.run(60);
     world.check_converged();
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_silent_primary_is_left_for_the_secondary_and_a_third_stands_by() {
+fn a_silent_primary_is_replaced_by_the_secondary_and_a_new_secondary_is_dialled() {
     let mut world = started(1);
     let shown = figures(&world, 0);
     assert_eq!((shown.primary, shown.secondary), (Some((ControlId(0), true)), Some((ControlId(1), true))));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn one_that_carries_wrong_bytes_is_left_and_nothing_of_it_is_applied() {
+fn a_control_machine_that_corrupts_changes_is_left_and_none_are_applied() {
     let mut world = started(2);
     world.corruption_expected = true;
     world.machine_faults[0].corrupts = true;
@@ -218,13 +218,13 @@
     world.check_converged();
     assert_eq!(world.result, Ok(()));
     assert!(figures(&world, 0).misfits >= 1);
-    assert_eq!(world.applied[0].stale, 0, "one that is wrong does not make others doubt what they hold");
+    assert_eq!(world.applied[0].stale, 0, "a single wrong control machine causes no reset");
 }
 
 #[rstest]
 #[case::set(0)]
 #[case::register(1)]
-fn the_largest_change_goes_in_parts_and_holds_up_no_other_stream(#[case] topic: u8) {
+fn the_largest_change_is_sent_in_parts_and_delays_no_other_stream(#[case] topic: u8) {
     let defaults = Rules { controls: 3, stores: 3, ..Rules::default() };
     let mut world = World::new(defaults, 1);
     world.run(100);
@@ -241,7 +241,7 @@
     assert_eq!(world.applied[0].upto.get(&small), Some(&10));
     let at = StreamId { topic, store: ControlId(0) };
     world.run(200);
-    assert!(world.applied[0].bodies.get(&(at, 1)) == Some(&large), "it came whole");
+    assert!(world.applied[0].bodies.get(&(at, 1)) == Some(&large), "the change was reassembled");
     assert_eq!(world.applied[0].marks, 0);
     let parts: u64 = world.controls.iter().flatten().map(|c| c.stats(world.now).parts).sum();
     assert!(parts >= 7, "{parts} parts");
@@ -252,7 +252,7 @@
 #[rstest]
 #[case::set(0)]
 #[case::register(1)]
-fn wrong_bytes_in_a_part_are_found_when_the_change_is_whole(#[case] topic: u8) {
+fn wrong_bytes_in_a_part_are_detected_after_reassembly(#[case] topic: u8) {
     let defaults = Rules { controls: 3, stores: 3, ..Rules::default() };
     let mut world = World::new(defaults, 1);
     world.run(100);
@@ -275,13 +275,13 @@
 }
 
 #[test]
-fn a_change_that_all_refuse_is_named_by_all_and_blocks_nothing() {
+fn a_change_refused_by_all_is_reported_by_all_and_blocks_nothing() {
     let mut world = started(2);
     world.submit(0, 1, 77, 60);
     world.run(20);
     let number = world.applied[0].upto[&REGISTER];
     for f in 0..2 {
-        world.followers[f].as_mut().expect("it runs").report_refused(REGISTER, number);
+        world.followers[f].as_mut().expect("running").report_refused(REGISTER, number);
     }
     world.submit(0, 1, 78, 61);
     world.run(40);
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_status_names_who_is_not_known_to_have_it_and_who_was_not_heard() {
+fn a_status_report_lists_missing_followers_and_unreachable_control_machines() {
     let mut world = started(3);
     world.isolated[1] = true;
     world
@@ -331,7 +331,7 @@
 }
 
 #[test]
-fn twenty_restarts_in_a_row_end_with_all_of_it() {
+fn a_follower_has_everything_after_twenty_restarts_in_a_row() {
     let mut world = started(2);
     for i in 0..20u32 {
         let kept = world.kill_follower(0);
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn an_order_or_a_position_that_is_none_is_told() {
+fn an_invalid_order_is_rejected_and_unknown_streams_are_ignored() {
     let new = |order: Vec<ControlId>, kept| {
         dissemination::Follower::new(0, rules(3, 3, None), FollowerId(1), order, kept, 1)
             .map(|f| f.position().len())
@@ -356,6 +356,6 @@
     assert!(new(vec![ControlId(3)], None).is_err());
     let beyond = StreamId { topic: 3, store: ControlId(9) };
     let kept = SavedState { epoch: 1, heads: vec![(beyond, Head { number: 4, digest: 4 })] };
-    assert_eq!(new(vec![ControlId(0)], Some(kept)), Ok(0), "of a stream that there is not nothing is held");
+    assert_eq!(new(vec![ControlId(0)], Some(kept)), Ok(0), "heads of unknown streams are dropped");
     assert_eq!(body(1).len(), 6);
 }
--- a/crates/dissemination/tests/frame.rs
+++ b/crates/dissemination/tests/frame.rs
@@ -133,7 +133,7 @@
 
 proptest! {
     #[test]
-    fn what_goes_in_comes_out_however_it_is_cut(messages in vec(message(), 1..5), cuts in vec(1..40usize, 1..9)) {
+    fn messages_round_trip_however_the_bytes_are_split(messages in vec(message(), 1..5), cuts in vec(1..40usize, 1..9)) {
         let frames: Vec<Vec<u8>> = messages.iter().map(|m| encode(m).expect("within bounds")).collect();
         for (m, f) in messages.iter().zip(&frames) {
             prop_assert_eq!(size(m), f.len());
@@ -143,7 +143,7 @@
         for cut in cuts.iter().cycle() {
             let mut part = &stream[at..(at + cut).min(stream.len())];
             at += part.len();
-            while let Some(message) = reader.read(&mut part).expect("sound frames") {
+            while let Some(message) = reader.read(&mut part).expect("valid frames") {
                 read.push(message);
             }
             prop_assert!(part.is_empty());
@@ -163,7 +163,7 @@
                 Ok(Some(message)) => prop_assert_eq!(message.check(), Ok(())),
                 Ok(None) => break,
                 Err(why) => {
-                    prop_assert_eq!(reader.read(&mut rest), Err(why), "broken for good");
+                    prop_assert_eq!(reader.read(&mut rest), Err(why), "the error is permanent");
                     prop_assert_eq!(reader.buffered(), 0);
                     break;
                 }
@@ -173,7 +173,7 @@
     }
 
     #[test]
-    fn a_wrong_byte_is_no_panic(message in message(), at in any::<prop::sample::Index>(), to in any::<u8>()) {
+    fn a_wrong_byte_does_not_panic(message in message(), at in any::<prop::sample::Index>(), to in any::<u8>()) {
         let mut bytes = encode(&message).expect("within bounds");
         let at = at.index(bytes.len());
         bytes[at] = to;
@@ -188,7 +188,7 @@
     }
 
     #[test]
-    fn a_piece_that_overlaps_is_cut_to_what_is_new(widths in vec(1..9usize, 1..12), skip in 0..12usize, register: bool) {
+    fn an_overlapping_piece_is_reduced_to_its_new_changes(widths in vec(1..9usize, 1..12), skip in 0..12usize, register: bool) {
         let bodies: Vec<Rc<[u8]>> = widths.iter().map(|w| Rc::from(vec![*w as u8; *w])).collect();
         let heads: Vec<Head> = bodies.iter().enumerate().scan(Head { number: 7, digest: 3 }, |at, (i, b)| {
             *at = at.advance(if register { i as u32 } else { 0 }, b);
@@ -203,7 +203,7 @@
         } else {
             Content::Bodies(bodies.clone())
         };
-        let last = *heads.last().expect("one at least");
+        let last = *heads.last().expect("at least one");
         let piece = Piece { stream: StreamId::from(3), after: 7, digest: last.digest, content };
         prop_assert_eq!(piece.check(), Ok(()));
         let skip = skip.min(bodies.len());
@@ -225,7 +225,7 @@
 }
 
 #[test]
-fn headers_are_small_and_lengths_as_short_as_they_can_be() {
+fn headers_are_small_and_lengths_use_the_shortest_encoding() {
     let beat =
         encode(&Message::Beat(Beat { echo: 9, age: Some(300), gains: vec![] })).expect("within bounds");
     assert_eq!(beat.len(), 2 + 1 + 1 + 3 + 1);
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_refusal_is_understood_and_other_versions_are_not() {
+fn a_refusal_is_decoded_and_other_versions_are_refused() {
     let bytes = refusal(&CloseReason::NoCapacity);
     let why = Reader::default().read(&mut &bytes[..]);
     assert_eq!(why, Err(CloseReason::ByPeer(CloseReason::NoCapacity.to_string())));
--- a/crates/dissemination/tests/order.rs
+++ b/crates/dissemination/tests/order.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_order_has_each_control_machine_once_and_is_the_same_again() {
+fn every_order_has_each_control_machine_once_and_is_deterministic() {
     let (_, controls) = places();
     for (id, place) in followers(300) {
         let first = preference_order(id, place, &controls);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn neighbours_in_an_order_stand_in_different_zones() {
+fn adjacent_machines_in_an_order_are_in_different_zones() {
     // Eight zones with three control machines each, and an uneven layout in which one zone has most.
     let even: Vec<Location> = (0..24).map(|c| Location { region: c % 4, zone: c % 8, site: c }).collect();
     let uneven: Vec<Location> =
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn the_load_is_even_and_stays_so_when_any_one_is_gone() {
+fn the_load_is_even_and_stays_so_without_any_one_machine() {
     let (_, controls) = places();
     let orders: Vec<Vec<ControlId>> =
         followers(11_000).map(|(id, place)| preference_order(id, place, &controls)).collect();
     let load = |gone: Option<ControlId>, rank: usize| {
         let mut load = vec![0usize; 24];
         for o in &orders {
-            let there = o.iter().filter(|c| Some(**c) != gone).nth(rank).expect("enough of them");
+            let there = o.iter().filter(|c| Some(**c) != gone).nth(rank).expect("enough control machines");
             load[usize::from(there.0)] += 1;
         }
         load
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_near_come_first_more_often_than_by_chance() {
+fn near_machines_come_first_more_often_than_by_chance() {
     let (_, controls) = places();
     let near = followers(11_000).filter(|(id, place)| {
         let first = preference_order(*id, *place, &controls)[0];
--- a/crates/dissemination/tests/store.rs
+++ b/crates/dissemination/tests/store.rs
@@ -16,11 +16,11 @@
 }
 
 #[test]
-fn what_a_majority_holds_is_acknowledged_and_reaches_everybody() {
+fn a_change_held_by_a_majority_is_acknowledged_and_reaches_all_followers() {
     let mut world = started(3, 2);
     world.submit(0, 0, 0, 1);
     world.submit(1, 1, 9, 2);
-    assert_eq!(world.acknowledged.len(), 0, "nobody else holds it yet");
+    assert_eq!(world.acknowledged.len(), 0, "no other store holds it yet");
     world.run(30);
     assert_eq!(world.acknowledged.len(), 2);
     for f in 0..2 {
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_store_without_a_majority_takes_nothing() {
+fn a_store_without_a_majority_accepts_nothing() {
     let mut world = started(3, 0);
     world.kill_control(1);
     world.kill_control(2);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn all_stores_restart_at_once_and_go_on_where_they_were() {
+fn all_stores_restart_at_once_and_continue_numbering() {
     let mut world = started(5, 4);
     for token in 0..20 {
         world.submit(token as usize % 5, (token % 2) as u8, token, token);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn one_that_was_away_takes_what_it_lacks_from_the_others_in_order() {
+fn a_store_that_was_down_catches_up_from_the_others() {
     let mut world = started(3, 0);
     world.kill_control(2);
     for token in 0..50 {
@@ -82,14 +82,14 @@
     assert_eq!(world.acknowledged.len(), 50);
     world.start_control(2);
     world.run(40);
-    let held = |c: usize| world.controls[c].as_ref().expect("it runs").stats(world.now).held;
+    let held = |c: usize| world.controls[c].as_ref().expect("running").stats(world.now).held;
     assert_eq!(held(2), held(0));
-    let records = |c: usize| world.controls[c].as_ref().expect("it runs").records();
+    let records = |c: usize| world.controls[c].as_ref().expect("running").records();
     assert_eq!(records(2), records(0));
 }
 
 #[test]
-fn a_store_that_lost_everything_numbers_on_after_what_was_acknowledged() {
+fn a_store_that_lost_its_disk_continues_after_the_acknowledged_changes() {
     let mut world = started(3, 1);
     for token in 0..5 {
         world.submit(0, 0, 0, token);
@@ -100,7 +100,7 @@
     world.disks[0].clear();
     world.start_control(0);
     world.submit(0, 0, 0, 10);
-    assert_eq!(world.busy.len(), 1, "it does not know yet what it has numbered");
+    assert_eq!(world.busy.len(), 1, "it has not recovered its numbering yet");
     world.run(40);
     world.submit(0, 0, 0, 11);
     world.run(30);
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn behind_the_horizon_stands_a_mark_for_a_set_and_the_last_values_for_a_register() {
+fn compaction_leaves_a_mark_for_a_set_and_the_last_values_of_a_register() {
     let rules = Rules { retained_changes: 8, ..rules(3, 3, None) };
     let mut world = World::new(rules, 1);
     world.run(15);
@@ -122,7 +122,7 @@
     }
     world.run(20);
     assert_eq!(world.acknowledged.len(), 60);
-    let control = world.controls[0].as_ref().expect("it runs");
+    let control = world.controls[0].as_ref().expect("running");
     assert!(control.records().len() <= 8 + 8 + 3 + 2, "{} records", control.records().len());
     world.start_control(2);
     world.start_follower(0, Some(kept));
@@ -137,19 +137,19 @@
         of_key.next_back().map(|(at, a)| (*at, a.0.clone()))
     };
     for key in [1, 3, 5] {
-        let (at, body) = last(key).expect("each key was set");
+        let (at, body) = last(key).expect("each key has a value");
         assert_eq!(bodies.get(&at), Some(&body), "the last value of key {key}");
     }
     world.check_converged();
     assert_eq!(world.result, Ok(()));
     // A store that restarts from its records holds the same.
-    let records = world.controls[2].as_ref().expect("it runs").records();
+    let records = world.controls[2].as_ref().expect("running").records();
     world.kill_control(2);
     world.start_control(2);
-    assert_eq!(world.controls[2].as_ref().expect("it runs").records(), records);
+    assert_eq!(world.controls[2].as_ref().expect("running").records(), records);
     // So does one that starts from the rewritten file.
     world.kill_control(2);
     world.disks[2] = records.clone();
     world.start_control(2);
-    assert_eq!(world.controls[2].as_ref().expect("it runs").records(), records);
+    assert_eq!(world.controls[2].as_ref().expect("running").records(), records);
 }
--- a/crates/dissemination/tests/world/mod.rs
+++ b/crates/dissemination/tests/world/mod.rs
@@ -44,7 +44,7 @@
         injected_fault,
         ..Rules::default()
     };
-    rules.check().expect("sound rules");
+    rules.check().expect("valid rules");
     rules
 }
 
@@ -195,7 +195,7 @@
         let roster = (0..self.followers.len()).map(|f| FollowerId(f as u64)).collect();
         let control =
             Control::new(self.now, self.rules.clone(), ControlId(c as u8), roster, self.disks[c].clone());
-        self.controls[c] = Some(control.expect("sound rules and records"));
+        self.controls[c] = Some(control.expect("valid rules and records"));
     }
 
     pub fn start_follower(&mut self, f: usize, kept: Option<dissemination::SavedState>) {
@@ -209,7 +209,7 @@
             applied.bodies.clear();
         }
         let follower = Follower::new(self.now, self.rules.clone(), id, order, kept, self.incarnations[f]);
-        self.followers[f] = Some(follower.expect("sound rules"));
+        self.followers[f] = Some(follower.expect("valid rules"));
     }
 
     /// Stops a control machine. Messages in transit are lost.
@@ -519,11 +519,11 @@
         }
         let Some(follower) = &self.followers[f] else { return };
         let held: BTreeMap<StreamId, u64> = follower.position().iter().collect();
-        assert_eq!(held, self.applied[f].upto, "what it says that it holds is what it was given to apply");
+        assert_eq!(held, self.applied[f].upto, "the reported position matches the applied changes");
     }
 
     fn apply(&mut self, f: usize, piece: &Piece) {
-        assert!(!matches!(piece.content, Content::Part { .. }), "hosts see no parts");
+        assert!(!matches!(piece.content, Content::Part { .. }), "fragments never reach the host");
         let applied = &mut self.applied[f];
         let upto = applied.upto.entry(piece.stream).or_insert(0);
         let mut broken = None;
