--- a/crates/dissemination/src/bucket.rs
+++ b/crates/dissemination/src/bucket.rs
@@ -26,7 +26,7 @@
         Bucket { level: -full.capacity, ..full }
     }
 
-    /// Bytes that may be sent now; negative if overdrawn.
+    /// Bytes that may be sent now; below 0 if overdrawn.
     pub fn level(&mut self, now: Micros) -> i64 {
         let refilled = now.saturating_sub(self.updated_at).max(0).saturating_mul(self.rate);
         self.updated_at = self.updated_at.max(now);
--- a/crates/dissemination/tests/frame.rs
+++ b/crates/dissemination/tests/frame.rs
@@ -133,7 +133,10 @@
 
 proptest! {
     #[test]
-    fn messages_round_trip_however_the_bytes_are_split(messages in vec(message(), 1..5), cuts in vec(1..40usize, 1..9)) {
+    fn messages_round_trip_however_the_bytes_are_split(
+        messages in vec(message(), 1..5),
+        cuts in vec(1..40usize, 1..9)
+    ) {
         let frames: Vec<Vec<u8>> = messages.iter().map(|m| encode(m).expect("within bounds")).collect();
         for (m, f) in messages.iter().zip(&frames) {
             prop_assert_eq!(size(m), f.len());
@@ -173,14 +176,21 @@
     }
 
     #[test]
-    fn a_wrong_byte_does_not_panic(message in message(), at in any::<prop::sample::Index>(), to in any::<u8>()) {
+    fn a_wrong_byte_does_not_panic(
+        message in message(),
+        at in any::<prop::sample::Index>(),
+        to in any::<u8>()
+    ) {
         let mut bytes = encode(&message).expect("within bounds");
         let at = at.index(bytes.len());
         bytes[at] = to;
         if let Ok(Some(Message::Batch(pieces))) = Reader::default().read(&mut &bytes[..]) {
             for piece in pieces {
                 let head = Head { number: piece.after.saturating_add(1), digest: 1 };
-                let fits = matches!(piece.continue_from(head), Fit::Continues(p, h) if p.upto() <= piece.upto() && h.number == p.upto());
+                let fits = matches!(
+                    piece.continue_from(head),
+                    Fit::Continues(p, h) if p.upto() <= piece.upto() && h.number == p.upto()
+                );
                 prop_assert!(fits || !matches!(piece.continue_from(head), Fit::Continues(..)));
                 prop_assert!(piece.changes().count() <= bounds::MAX_CHANGES);
             }
@@ -188,7 +198,11 @@
     }
 
     #[test]
-    fn an_overlapping_piece_is_reduced_to_its_new_changes(widths in vec(1..9usize, 1..12), skip in 0..12usize, register: bool) {
+    fn an_overlapping_piece_is_reduced_to_its_new_changes(
+        widths in vec(1..9usize, 1..12),
+        skip in 0..12usize,
+        register: bool
+    ) {
         let bodies: Vec<Rc<[u8]>> = widths.iter().map(|w| Rc::from(vec![*w as u8; *w])).collect();
         let heads: Vec<Head> = bodies.iter().enumerate().scan(Head { number: 7, digest: 3 }, |at, (i, b)| {
             *at = at.advance(if register { i as u32 } else { 0 }, b);
