--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,7 +3,7 @@
 
 use martenweir::choice::Balancer;
 use martenweir::codec::discovery::{self, Cluster, Listed};
-use martenweir::core::{Answer, Ask, Core, DownstreamId, Effect, Input, Message, Stage};
+use martenweir::core::{Answer, Core, DownstreamId, Effect, Input, Message, NewStream, Stage};
 use martenweir::door::{self, Door, Limits, Shown, Side, Waits};
 use martenweir::interface::*;
 use martenweir::settings::{self, Site};
@@ -147,7 +147,7 @@
     #[case] cut: bool,
 ) {
     let class = Class { repeat, group, window: window_ms * MS, ..Class::default() };
-    let half = class.aim / 2;
+    let half = class.target_latency / 2;
     let mut m = Module::new(aside(class), fleet(8, cell));
     m.learn(0, false);
     for _ in 0..20 {
@@ -167,7 +167,7 @@
     #[case] cut: bool,
 ) {
     let class = Class { repeat: Repeat::Dedup, window: window_ms * MS, ..Class::default() };
-    let half = class.aim / 2;
+    let half = class.target_latency / 2;
     let mut m = Module::new(aside(class), fleet(2, 1));
     m.learn(0, true);
     let (id, out) = m.ask(0, true, 1_000 * MS);
@@ -182,8 +182,8 @@
 /// fail all those whose class can wait.
 #[test]
 fn a_class_that_can_wait_is_not_held_to_the_aim_of_one_that_cannot() {
-    let short = Class { aim: 100 * MS, limit: 300 * MS, ..Class::default() };
-    let long = Class { aim: 8_000 * MS, limit: 20_000 * MS, ..Class::default() };
+    let short = Class { target_latency: 100 * MS, limit: 300 * MS, ..Class::default() };
+    let long = Class { target_latency: 8_000 * MS, limit: 20_000 * MS, ..Class::default() };
     let mut settings = aside(short);
     settings.classes.push(long);
     let mut m = Module::new(settings, fleet(2, 1));
@@ -203,7 +203,7 @@
             out.extend(sent(&m.pass(50 * MS)));
         }
     }
-    let origin = m.balancer.origin_sight(m.now).expect("an origin");
+    let origin = m.balancer.origin_status(m.now).expect("an origin");
     assert!(origin.failing < 0.01 && origin.window >= 4.0, "{origin:?}");
     assert_eq!(served, asked);
 }
@@ -327,7 +327,7 @@
         let class = ClassId((place % settings.classes.len() as u64) as u16);
         core.input(
             now,
-            Input::Stream(Ask {
+            Input::Stream(NewStream {
                 downstream: DownstreamId(1),
                 place,
                 class,
@@ -353,7 +353,10 @@
                 Effect::Dial { connection, .. } => core.input(now, Input::Broken(connection, Stage::Idle)),
                 Effect::Answer { answer, .. } => {
                     answered += 1;
-                    assert!(!matches!(answer, Answer::Value(_) | Answer::Absent | Answer::Taken), "{told}");
+                    assert!(
+                        !matches!(answer, Answer::Value(_) | Answer::Absent | Answer::DuplicateId),
+                        "{told}"
+                    );
                     if settings.max_retry_after.is_none() {
                         assert!(!matches!(answer, Answer::Busy(Some(_))), "{told}: {answer:?}");
                     }
@@ -493,7 +496,7 @@
         let mut member = json!({"id": "s", "host_port": "127.0.0.1:1", "phase": "SERVING", "flavor": "x"});
         member["locality"] = locality;
         let list = json!({"revision": 1, "complete": true, "members": [member]});
-        discovery::object(list.to_string().as_bytes(), site).expect("a list").0.nodes[0].member.zone
+        discovery::parse_list(list.to_string().as_bytes(), site).expect("a list").0.nodes[0].member.zone
     };
     for site in [site(&[]), site(&["north"]), site(&["north", "north-2", "north"])] {
         let others = ["north-1", "north-22", "nort", "North", "south", "", "\u{5317}"];
@@ -532,7 +535,7 @@
 }
 
 fn asked(patience: Micros) -> Input {
-    Input::Stream(Ask {
+    Input::Stream(NewStream {
         downstream: DownstreamId(1),
         place: 0,
         class: ClassId(0),
@@ -579,8 +582,8 @@
 
 /// Requests of a class with an aim of 100 ms and a deadline of 600, one each 200 ms, before nodes that answer after
 /// 120 ms, and a part of them after 20: how many of 500 are served.
-fn served_late(late_worth: f64, quick: u64) -> usize {
-    let class = Class { aim: 100 * MS, limit: 600 * MS, late_worth, ..Class::default() };
+fn served_late(late_value: f64, quick: u64) -> usize {
+    let class = Class { target_latency: 100 * MS, limit: 600 * MS, late_value, ..Class::default() };
     let settings = Settings { classes: vec![class], may_copy: true, max_attempts: 4, ..Settings::default() };
     let mut m = Module::new(settings, fleet(8, 2));
     let mut served = 0;
