--- a/crates/dissemination/src/control.rs
+++ b/crates/dissemination/src/control.rs
@@ -444,9 +444,9 @@
         }
     }
 
-    fn close(&mut self, now: Micros, peer: PeerId, why: CloseReason, out: &mut Vec<Output>) {
+    fn close(&mut self, now: Micros, peer: PeerId, reason: CloseReason, out: &mut Vec<Output>) {
         self.remove_peer(now, peer);
-        out.push(Output::Close(peer, why));
+        out.push(Output::Close(peer, reason));
     }
 
     /// Closes connections that have been silent for too long, and dials control machines.
@@ -1098,9 +1098,9 @@
         c.challenge = ack.challenge;
         c.acked.gain(&ack.gains);
         // The follower may have received the requested changes from elsewhere.
-        let (told, sent, parts) = (&c.acked, &mut c.sent, &mut c.parts);
+        let (acked, sent, parts) = (&c.acked, &mut c.sent, &mut c.parts);
         c.pulls.retain(|stream, limit| {
-            let holds = told.get(*stream);
+            let holds = acked.get(*stream);
             if holds > sent.get(*stream) {
                 sent.set(*stream, holds);
                 parts.remove(stream);
@@ -1261,8 +1261,8 @@
     fn completes_delivery(&self, sent: &Position, message: &Message) -> bool {
         let Message::Batch(pieces) = message else { return false };
         let mut sent = sent.clone();
-        let whole = |p: &&Piece| !matches!(p.content, Content::Part { .. });
-        pieces.iter().filter(whole).for_each(|p| sent.raise(p.stream, p.upto()));
+        let is_complete = |p: &&Piece| !matches!(p.content, Content::Part { .. });
+        pieces.iter().filter(is_complete).for_each(|p| sent.raise(p.stream, p.upto()));
         sent.covers(&self.deliverable)
     }
 
--- a/crates/dissemination/src/follower.rs
+++ b/crates/dissemination/src/follower.rs
@@ -181,7 +181,7 @@
         rules: Rules,
         me: FollowerId,
         order: Vec<ControlId>,
-        kept: Option<SavedState>,
+        saved: Option<SavedState>,
         life: u64,
     ) -> Result<Self, &'static str> {
         rules.check()?;
@@ -189,12 +189,12 @@
         if order.is_empty() || distinct.len() < order.len() || order.iter().any(|c| c.0 >= rules.controls) {
             return Err("the order of control machines is empty, names one twice, or names an unknown one");
         }
-        let kept = kept.unwrap_or_default();
+        let saved = saved.unwrap_or_default();
         let known = |(stream, head): &(StreamId, Head)| {
             let sane = (1..=bounds::MAX_NUMBER).contains(&head.number);
             sane && rules.kind(stream.topic).is_some() && rules.is_store(stream.store)
         };
-        let heads: BTreeMap<StreamId, Head> = kept.heads.into_iter().filter(known).collect();
+        let heads: BTreeMap<StreamId, Head> = saved.heads.into_iter().filter(known).collect();
         let steady_rate = i64::from(rules.follower_rate) * SECOND / (SECOND + rules.beat_interval);
         let depth = i64::from(rules.follower_rate) - steady_rate;
         let bytes = |n: i64| u32::try_from(n).unwrap_or(u32::MAX);
@@ -203,7 +203,7 @@
             me,
             life,
             order,
-            epoch: kept.epoch,
+            epoch: saved.epoch,
             position: heads.iter().map(|(stream, head)| (*stream, head.number)).collect(),
             heads,
             conns: BTreeMap::new(),
@@ -259,10 +259,10 @@
             .check()
             .map_err(CloseReason::Bounds)
             .and_then(|()| self.dispatch(now, control, message, out));
-        if let Err(why) = &result {
+        if let Err(reason) = &result {
             // A control machine that sent something wrong is tried again last.
-            let wrong = !matches!(why, CloseReason::NoCapacity | CloseReason::ByPeer(_));
-            self.drop_connection(now, control, wrong);
+            let misbehaved = !matches!(reason, CloseReason::NoCapacity | CloseReason::ByPeer(_));
+            self.drop_connection(now, control, misbehaved);
         }
         self.update_freshness(now, out);
         if result.is_err() {
@@ -390,7 +390,7 @@
 
     /// Forgets a connection. The control machine is dialled again after a delay, which is longer if it has
     /// failed before or has sent something wrong.
-    fn drop_connection(&mut self, now: Micros, control: ControlId, wrong: bool) {
+    fn drop_connection(&mut self, now: Micros, control: ControlId, misbehaved: bool) {
         self.conns.remove(&control);
         for place in [&mut self.primary, &mut self.secondary] {
             *place = place.filter(|c| *c != control);
@@ -401,14 +401,14 @@
             .min_redial_delay
             .saturating_mul(1 << backoff.failures.min(16))
             .min(self.rules.max_redial_delay);
-        let span = if wrong { self.rules.max_redial_delay } else { span };
+        let span = if misbehaved { self.rules.max_redial_delay } else { span };
         backoff.retry_at = Some(now + span / 2 + hash_jitter((self.me, control, backoff.failures), span / 2));
         backoff.failures = backoff.failures.saturating_add(1);
     }
 
-    fn close(&mut self, now: Micros, control: ControlId, why: CloseReason, out: &mut Vec<Output>) {
+    fn close(&mut self, now: Micros, control: ControlId, reason: CloseReason, out: &mut Vec<Output>) {
         self.drop_connection(now, control, false);
-        out.push(Output::Close(control, why));
+        out.push(Output::Close(control, reason));
     }
 
     /// If the host itself was stalled, messages may be waiting to be read; extends the silence timeouts by
@@ -524,8 +524,9 @@
 
     fn send_ack(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         let primary = self.primary == Some(control);
-        let unreported =
-            |said: u64| self.refused.len() - ((self.refused_total - said) as usize).min(self.refused.len());
+        let unreported = |reported: u64| {
+            self.refused.len() - ((self.refused_total - reported) as usize).min(self.refused.len())
+        };
         let Some(conn) = self.conns.get_mut(&control).filter(|c| c.up) else { return };
         conn.last_ack = now;
         let mut ack = Ack { primary, challenge: conn.next_challenge(now), ..Ack::default() };
--- a/crates/dissemination/tests/admission.rs
+++ b/crates/dissemination/tests/admission.rs
@@ -20,9 +20,9 @@
 /// busy. Returns the bytes received by each follower in each step and the number of changes that no store
 /// accepted. Asserts that no running follower leaves service.
 fn load(world: &mut World, rate: usize, seconds: usize) -> (Vec<Vec<u64>>, usize) {
-    let (mut came, mut refused, mut token, mut served) = (vec![], 0, 0u32, true);
-    for hop in 0..seconds * SECOND {
-        let upto = (hop + 1) * rate / SECOND;
+    let (mut received, mut refused, mut token, mut served) = (vec![], 0, 0u32, true);
+    for step in 0..seconds * SECOND {
+        let upto = (step + 1) * rate / SECOND;
         while (token as usize) < upto {
             let taken = (0..5).any(|i| {
                 let busy = world.busy.len();
@@ -36,31 +36,34 @@
         world.step();
         let serves = |w: &World| w.followers.iter().flatten().all(|f| f.in_service(w.now));
         served &= serves(world);
-        came.push(world.bytes_received.iter().zip(before).map(|(now, before)| now - before).collect());
+        received.push(world.bytes_received.iter().zip(before).map(|(now, before)| now - before).collect());
     }
     assert!(served, "a follower left service");
-    (came, refused)
+    (received, refused)
 }
 
 /// The most bytes that any follower received in any second.
-fn worst(came: &[Vec<u64>]) -> u64 {
-    let followers = came.first().map_or(0, Vec::len);
-    let second = |f: usize| came.windows(SECOND).map(move |w| w.iter().map(|hop| hop[f]).sum::<u64>());
+fn worst_second(received: &[Vec<u64>]) -> u64 {
+    let followers = received.first().map_or(0, Vec::len);
+    let second = |f: usize| received.windows(SECOND).map(move |w| w.iter().map(|step| step[f]).sum::<u64>());
     (0..followers).flat_map(second).max().unwrap_or(0)
 }
 
 #[test]
 fn the_design_rate_is_accepted_in_full_and_stays_within_the_traffic_limits() {
     let mut world = started(5);
-    let (came, refused) = load(&mut world, 190, 10);
+    let (received, refused) = load(&mut world, 190, 10);
     assert_eq!(refused, 0);
     world.run(SECOND);
     assert_eq!(world.acknowledged.len(), 1900);
-    let bytes: u64 = came.iter().flatten().sum();
+    let bytes: u64 = received.iter().flatten().sum();
     let mean = bytes / 5 / 10;
-    println!("190 changes a second: {mean} B/s to a follower, {} B in the worst second", worst(&came));
+    println!(
+        "190 changes a second: {mean} B/s to a follower, {} B in the worst second",
+        worst_second(&received)
+    );
     assert!(mean <= 2048, "{mean} B/s");
-    assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
+    assert!(worst_second(&received) <= 3400, "{} B in a second", worst_second(&received));
     assert!(world.applied.iter().all(|a| a.marks == 0));
     world.check_converged();
     assert_eq!(world.result, Ok(()));
@@ -69,14 +72,17 @@
 #[test]
 fn ten_times_the_rate_is_rejected_with_a_retry_time_and_accepted_changes_arrive() {
     let mut world = started(5);
-    let (came, refused) = load(&mut world, 1900, 10);
+    let (received, refused) = load(&mut world, 1900, 10);
     world.run(3 * SECOND);
     let taken = world.acknowledged.len();
-    println!("1900 a second: {taken} taken, {refused} refused, {} B in the worst second", worst(&came));
+    println!(
+        "1900 a second: {taken} taken, {refused} refused, {} B in the worst second",
+        worst_second(&received)
+    );
     assert_eq!(taken + refused, 19_000, "every submission is either acknowledged or rejected at once");
     assert!((2000..4000).contains(&taken), "{taken}");
     assert!(world.busy.iter().all(|(_, after)| (1..60_000).contains(after)));
-    assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
+    assert!(worst_second(&received) <= 3400, "{} B in a second", worst_second(&received));
     assert!(world.applied.iter().all(|a| a.marks == 0), "excess load empties no cache");
     world.check_converged();
     assert_eq!(world.result, Ok(()));
@@ -111,17 +117,17 @@
     world.submit_body(0, 1, 0, 10, large.clone());
     assert_eq!(world.busy.len(), 5, "only one large change at a time");
     // Next to all other accepted changes, it is delivered well within the lease.
-    let (came, refused) = load(&mut world, 190, 5);
-    println!("with 190 a second: {} B in the worst second, {refused} refused", worst(&came));
+    let (received, refused) = load(&mut world, 190, 5);
+    println!("with 190 a second: {} B in the worst second, {refused} refused", worst_second(&received));
     let held = |w: &World| w.applied.iter().all(|a| a.bodies.values().any(|b| *b == large));
     assert!(held(&world));
-    assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
+    assert!(worst_second(&received) <= 3400, "{} B in a second", worst_second(&received));
     world.run(10 * SECOND);
     world.check_converged();
     // The same while the stores accept as much as they can: they reserve bandwidth for it.
     world.submit_body(0, 1, 2, 11, Rc::from(vec![8; 4096]));
-    let (came, refused) = load(&mut world, 1900, 8);
-    println!("with 1900 a second: {} B in the worst second, {refused} refused", worst(&came));
+    let (received, refused) = load(&mut world, 1900, 8);
+    println!("with 1900 a second: {} B in the worst second, {refused} refused", worst_second(&received));
     let two = |a: &world::Applied| a.bodies.values().filter(|b| b.len() == 4096).count() == 2;
     assert!(world.applied.iter().all(two));
     assert!(world.applied.iter().all(|a| a.marks == 0), "a large change empties no cache");
@@ -144,10 +150,10 @@
 #[test]
 fn a_follower_far_behind_on_a_set_gets_marks_instead_of_the_backlog() {
     let mut world = started(2);
-    let kept = world.kill_follower(0);
+    let saved = world.kill_follower(0);
     let (_, refused) = load(&mut world, 190, 30);
     assert_eq!(refused, 0);
-    world.start_follower(0, Some(kept));
+    world.start_follower(0, Some(saved));
     world.run(2 * SECOND);
     assert!(world.applied[0].marks >= 5, "{} marks", world.applied[0].marks);
     world.check_converged();
--- a/crates/dissemination/tests/explore.rs
+++ b/crates/dissemination/tests/explore.rs
@@ -139,8 +139,8 @@
             Fault::Lies(c) => (world.machine_faults[c].corrupts, world.corruption_expected) = (true, true),
             Fault::Restarts(f, keeps) => {
                 if world.followers[f].is_some() {
-                    let kept = world.kill_follower(f);
-                    world.start_follower(f, Some(kept).filter(|_| keeps));
+                    let saved = world.kill_follower(f);
+                    world.start_follower(f, Some(saved).filter(|_| keeps));
                 }
             }
             Fault::CutOff(f) => {
--- a/crates/dissemination/tests/follower.rs
+++ b/crates/dissemination/tests/follower.rs
@@ -29,19 +29,19 @@
     world
 }
 
-fn figures(world: &World, f: usize) -> dissemination::follower::Shown {
+fn follower_stats(world: &World, f: usize) -> dissemination::follower::Shown {
     world.followers[f].as_ref().expect("running").stats(world.now)
 }
 
 #[test]
 fn an_old_position_gets_the_missing_changes_and_none_twice() {
     let mut world = started(2);
-    let kept = world.kill_follower(0);
+    let saved = world.kill_follower(0);
     for token in 20..30 {
         world.submit(1, 0, 0, token);
         world.run(1);
     }
-    world.start_follower(0, Some(kept));
+    world.start_follower(0, Some(saved));
     world.run(60);
     world.check_converged();
     assert_eq!(world.result, Ok(()));
@@ -52,10 +52,10 @@
 #[test]
 fn a_position_ahead_of_the_stores_resets_that_stream_after_two_reports() {
     let mut world = started(2);
-    let mut kept = world.kill_follower(0);
-    let set = kept.heads.iter_mut().find(|h| h.0 == SET).expect("the stream is held");
+    let mut saved = world.kill_follower(0);
+    let set = saved.heads.iter_mut().find(|h| h.0 == SET).expect("the stream is held");
     set.1 = Head { number: set.1.number + 7, digest: 99 };
-    world.start_follower(0, Some(kept));
+    world.start_follower(0, Some(saved));
     world.run(5);
     assert!(!world.followers[0].as_ref().expect("running").in_service(world.now));
     world.run(60);
@@ -71,9 +71,9 @@
 #[case::register(REGISTER)]
 fn a_different_history_of_the_same_length_is_detected(#[case] stream: StreamId) {
     let mut world = started(2);
-    let mut kept = world.kill_follower(1);
-    kept.heads.iter_mut().filter(|h| h.0 == stream).for_each(|h| h.1.digest ^= 1);
-    world.start_follower(1, Some(kept));
+    let mut saved = world.kill_follower(1);
+    saved.heads.iter_mut().filter(|h| h.0 == stream).for_each(|h| h.1.digest ^= 1);
+    world.start_follower(1, Some(saved));
     world.run(60);
     world.check_converged();
     assert_eq!(world.result, Ok(()));
@@ -84,10 +84,10 @@
 /// of them start in epoch 2; the third is left in epoch 1 by mistake.
 fn restored() -> World {
     let mut world = started(2);
-    let kept: Vec<SavedState> = (0..2).map(|f| world.kill_follower(f)).collect();
+    let saved: Vec<SavedState> = (0..2).map(|f| world.kill_follower(f)).collect();
     (0..3).for_each(|c| world.kill_control(c));
-    for (f, kept) in kept.into_iter().enumerate() {
-        world.start_follower(f, Some(kept));
+    for (f, saved) in saved.into_iter().enumerate() {
+        world.start_follower(f, Some(saved));
     }
     // Changes given up by the operators are gone, and their numbers are assigned again.
     world.acknowledged.retain(|at, _| at.1 <= 4);
@@ -125,9 +125,9 @@
 #[test]
 fn a_stream_reset_during_traffic_applies_changes_in_order() {
     let mut world = started(2);
-    let mut kept = world.kill_follower(0);
-    kept.heads.iter_mut().filter(|h| h.0 == SET).for_each(|h| h.1.digest ^= 1);
-    world.start_follower(0, Some(kept));
+    let mut saved = world.kill_follower(0);
+    saved.heads.iter_mut().filter(|h| h.0 == SET).for_each(|h| h.1.digest ^= 1);
+    world.start_follower(0, Some(saved));
     for token in 100..160 {
         world.submit(0, 0, 0, token);
         world.run(1);
@@ -191,14 +191,14 @@
 #[test]
 fn a_silent_primary_is_replaced_by_the_secondary_and_a_new_secondary_is_dialled() {
     let mut world = started(1);
-    let shown = figures(&world, 0);
-    assert_eq!((shown.primary, shown.secondary), (Some((ControlId(0), true)), Some((ControlId(1), true))));
+    let stats = follower_stats(&world, 0);
+    assert_eq!((stats.primary, stats.secondary), (Some((ControlId(0), true)), Some((ControlId(1), true))));
     world.machine_faults[0].frozen = true;
     let silence = (world.rules.silence_timeout / world::STEP) as usize;
     world.run(silence + 6);
-    let shown = figures(&world, 0);
-    assert_eq!((shown.primary, shown.secondary), (Some((ControlId(1), true)), Some((ControlId(2), true))));
-    assert_eq!(shown.promotions, 1);
+    let stats = follower_stats(&world, 0);
+    assert_eq!((stats.primary, stats.secondary), (Some((ControlId(1), true)), Some((ControlId(2), true))));
+    assert_eq!(stats.promotions, 1);
     world.submit(1, 0, 0, 40);
     world.run(30);
     world.check_converged();
@@ -217,7 +217,7 @@
     world.run(60);
     world.check_converged();
     assert_eq!(world.result, Ok(()));
-    assert!(figures(&world, 0).misfits >= 1);
+    assert!(follower_stats(&world, 0).misfits >= 1);
     assert_eq!(world.applied[0].stale, 0, "a single wrong control machine causes no reset");
 }
 
@@ -269,7 +269,7 @@
     let at = StreamId { topic, store: ControlId(0) };
     assert!(world.applied[0].bodies.get(&(at, 1)) == Some(&large), "{:?}", world.errors);
     assert_eq!(world.applied[0].stale, 0, "{:?}", world.errors);
-    assert!(figures(&world, 0).misfits >= 1);
+    assert!(follower_stats(&world, 0).misfits >= 1);
     world.check_converged();
     assert_eq!(world.result, Ok(()));
 }
@@ -287,9 +287,9 @@
     world.run(40);
     world.ask(1, REGISTER, number, 1);
     world.run(5);
-    let told = world.status_reports.last().expect("an answer");
-    assert!(told.all());
-    assert_eq!(told.refused, [FollowerId(0), FollowerId(1)]);
+    let report = world.status_reports.last().expect("an answer");
+    assert!(report.all());
+    assert_eq!(report.refused, [FollowerId(0), FollowerId(1)]);
     let named: u32 =
         world.controls.iter().flatten().flat_map(|c| c.stats(world.now).refused).map(|r| r.2).sum();
     assert_eq!(named, 2);
@@ -313,9 +313,9 @@
     assert!(world.acknowledged.contains_key(&at));
     world.ask(2, SET, 7, 1);
     world.run(5);
-    let told = world.status_reports.last().expect("an answer").clone();
-    assert!(told.committed && !told.all() && !told.lapsed);
-    assert_eq!((told.missing, told.unheard), (vec![FollowerId(1)], vec![]));
+    let report = world.status_reports.last().expect("an answer").clone();
+    assert!(report.committed && !report.all() && !report.lapsed);
+    assert_eq!((report.missing, report.unheard), (vec![FollowerId(1)], vec![]));
     world.run(40);
     world.ask(2, SET, 7, 2);
     world.run(5);
@@ -324,9 +324,9 @@
     world.run(2);
     world.ask(2, SET, 7, 3);
     world.run(15);
-    let told = world.status_reports.last().expect("an answer");
-    assert_eq!(told.unheard, [ControlId(0)]);
-    assert!(told.missing.contains(&FollowerId(1)));
+    let report = world.status_reports.last().expect("an answer");
+    assert_eq!(report.unheard, [ControlId(0)]);
+    assert!(report.missing.contains(&FollowerId(1)));
     assert_eq!(world.result, Ok(()));
 }
 
@@ -334,8 +334,8 @@
 fn a_follower_has_everything_after_twenty_restarts_in_a_row() {
     let mut world = started(2);
     for i in 0..20u32 {
-        let kept = world.kill_follower(0);
-        world.start_follower(0, Some(kept).filter(|_| i % 2 == 0));
+        let saved = world.kill_follower(0);
+        world.start_follower(0, Some(saved).filter(|_| i % 2 == 0));
         world.submit(0, (i % 2) as u8, i, 100 + i);
         world.run(1 + i as usize % 7);
     }
@@ -347,15 +347,15 @@
 
 #[test]
 fn an_invalid_order_is_rejected_and_unknown_streams_are_ignored() {
-    let new = |order: Vec<ControlId>, kept| {
-        dissemination::Follower::new(0, rules(3, 3, None), FollowerId(1), order, kept, 1)
+    let new = |order: Vec<ControlId>, saved| {
+        dissemination::Follower::new(0, rules(3, 3, None), FollowerId(1), order, saved, 1)
             .map(|f| f.position().len())
     };
     assert!(new(vec![], None).is_err());
     assert!(new(vec![ControlId(1), ControlId(1)], None).is_err());
     assert!(new(vec![ControlId(3)], None).is_err());
     let beyond = StreamId { topic: 3, store: ControlId(9) };
-    let kept = SavedState { epoch: 1, heads: vec![(beyond, Head { number: 4, digest: 4 })] };
-    assert_eq!(new(vec![ControlId(0)], Some(kept)), Ok(0), "heads of unknown streams are dropped");
+    let saved = SavedState { epoch: 1, heads: vec![(beyond, Head { number: 4, digest: 4 })] };
+    assert_eq!(new(vec![ControlId(0)], Some(saved)), Ok(0), "heads of unknown streams are dropped");
     assert_eq!(body(1).len(), 6);
 }
--- a/crates/dissemination/tests/frame.rs
+++ b/crates/dissemination/tests/frame.rs
@@ -76,7 +76,7 @@
     );
     let beat = (any::<u32>(), any::<Option<u32>>(), gains())
         .prop_map(|(echo, age, gains)| Message::Beat(Beat { echo, age, gains }));
-    let told = (any::<u32>(), any::<(bool, bool)>(), names(), names(), vec(0..64u8, 0..9)).prop_map(
+    let status = (any::<u32>(), any::<(bool, bool)>(), names(), names(), vec(0..64u8, 0..9)).prop_map(
         |(n, (committed, lapsed), missing, refused, unheard)| {
             let unheard = unheard.into_iter().map(ControlId).collect();
             Message::Told(StatusReport {
@@ -98,7 +98,7 @@
         hello,
         ack,
         beat,
-        told,
+        status,
         (any::<u32>(), 0..64u8).prop_map(|(epoch, c)| Message::Welcome { epoch, control: ControlId(c) }),
         (stream(), number()).prop_map(|(stream, after)| Message::Pull { stream, after }),
         (stream(), number()).prop_map(|(stream, number)| Message::Differs { stream, number }),
@@ -165,8 +165,8 @@
             match reader.read(&mut rest) {
                 Ok(Some(message)) => prop_assert_eq!(message.check(), Ok(())),
                 Ok(None) => break,
-                Err(why) => {
-                    prop_assert_eq!(reader.read(&mut rest), Err(why), "the error is permanent");
+                Err(reason) => {
+                    prop_assert_eq!(reader.read(&mut rest), Err(reason), "the error is permanent");
                     prop_assert_eq!(reader.buffered(), 0);
                     break;
                 }
@@ -259,8 +259,8 @@
 #[test]
 fn a_refusal_is_decoded_and_other_versions_are_refused() {
     let bytes = refusal(&CloseReason::NoCapacity);
-    let why = Reader::default().read(&mut &bytes[..]);
-    assert_eq!(why, Err(CloseReason::ByPeer(CloseReason::NoCapacity.to_string())));
+    let reason = Reader::default().read(&mut &bytes[..]);
+    assert_eq!(reason, Err(CloseReason::ByPeer(CloseReason::NoCapacity.to_string())));
     let long = refusal(&CloseReason::ByPeer("é".repeat(4000)));
     assert!(long.len() <= bounds::MAX_REASON_BYTES + 4);
     assert!(matches!(Reader::default().read(&mut &long[..]), Err(CloseReason::ByPeer(_))));
--- a/crates/dissemination/tests/store.rs
+++ b/crates/dissemination/tests/store.rs
@@ -115,7 +115,7 @@
     let mut world = World::new(rules, 1);
     world.run(15);
     world.kill_control(2);
-    let kept = world.kill_follower(0);
+    let saved = world.kill_follower(0);
     for token in 0..60 {
         world.submit(0, (token % 2) as u8, token % 6, token);
         world.run(1);
@@ -125,7 +125,7 @@
     let control = world.controls[0].as_ref().expect("running");
     assert!(control.records().len() <= 8 + 8 + 3 + 2, "{} records", control.records().len());
     world.start_control(2);
-    world.start_follower(0, Some(kept));
+    world.start_follower(0, Some(saved));
     world.run(60);
     assert_eq!(world.applied[0].marks, 1);
     let bodies = &world.applied[0].bodies;
--- a/crates/dissemination/tests/world/mod.rs
+++ b/crates/dissemination/tests/world/mod.rs
@@ -198,17 +198,17 @@
         self.controls[c] = Some(control.expect("valid rules and records"));
     }
 
-    pub fn start_follower(&mut self, f: usize, kept: Option<dissemination::SavedState>) {
+    pub fn start_follower(&mut self, f: usize, saved: Option<dissemination::SavedState>) {
         self.incarnations[f] += 1;
         let (id, order) = (FollowerId(f as u64), self.orders[f].clone());
         let applied = &mut self.applied[f];
         // A follower without its saved state must receive everything again.
         applied.upto =
-            kept.iter().flat_map(|k| k.heads.iter().map(|(stream, head)| (*stream, head.number))).collect();
-        if kept.is_none() {
+            saved.iter().flat_map(|k| k.heads.iter().map(|(stream, head)| (*stream, head.number))).collect();
+        if saved.is_none() {
             applied.bodies.clear();
         }
-        let follower = Follower::new(self.now, self.rules.clone(), id, order, kept, self.incarnations[f]);
+        let follower = Follower::new(self.now, self.rules.clone(), id, order, saved, self.incarnations[f]);
         self.followers[f] = Some(follower.expect("valid rules"));
     }
 
@@ -219,9 +219,9 @@
     }
 
     pub fn kill_follower(&mut self, f: usize) -> dissemination::SavedState {
-        let kept = self.followers[f].take().map(|f| f.saved_state()).unwrap_or_default();
+        let saved = self.followers[f].take().map(|f| f.saved_state()).unwrap_or_default();
         self.drop_connections(Endpoint::Follower(f));
-        kept
+        saved
     }
 
     fn drop_connections(&mut self, end: Endpoint) {
@@ -368,8 +368,8 @@
                 let Some(control) = self.controls[c].as_mut() else { return };
                 let done = control.handle_message(self.now, id, &message, &mut out);
                 self.run_control_outputs(c, out);
-                if let Err(why) = done {
-                    self.record_rejection(format!("{to:?} of {from:?}: {why}"));
+                if let Err(reason) = done {
+                    self.record_rejection(format!("{to:?} of {from:?}: {reason}"));
                     self.closed(id, to);
                 }
             }
@@ -380,8 +380,8 @@
                 self.bytes_received[f] += dissemination::frame::size(&message) as u64;
                 let done = follower.handle_message(self.now, ControlId(c as u8), &message, &mut out);
                 self.run_follower_outputs(f, out);
-                if let Err(why) = done {
-                    self.record_rejection(format!("{to:?} of {from:?}: {why}"));
+                if let Err(reason) = done {
+                    self.record_rejection(format!("{to:?} of {from:?}: {reason}"));
                     self.closed(id, to);
                 }
             }
@@ -603,19 +603,19 @@
                 }
             }
             Message::Busy { token, after } => self.busy.push((*token, *after)),
-            Message::Told(told) => {
-                let (stream, number) = self.status_queries[&told.token];
-                let lacks = |f: usize| {
+            Message::Told(report) => {
+                let (stream, number) = self.status_queries[&report.token];
+                let is_missing = |f: usize| {
                     let Some(follower) = &self.followers[f] else { return false };
                     follower.in_service(self.now)
                         && self.applied[f].upto.get(&stream).copied().unwrap_or(0) < number
                 };
-                let named = |f: usize| told.missing.contains(&FollowerId(f as u64));
-                let unnamed = (0..self.followers.len()).any(|f| lacks(f) && !named(f));
-                if unnamed || (told.lapsed && (0..self.followers.len()).any(lacks)) {
+                let named = |f: usize| report.missing.contains(&FollowerId(f as u64));
+                let unnamed = (0..self.followers.len()).any(|f| is_missing(f) && !named(f));
+                if unnamed || (report.lapsed && (0..self.followers.len()).any(is_missing)) {
                     self.record_violation(Violation::Count);
                 }
-                self.status_reports.push(told.clone());
+                self.status_reports.push(report.clone());
             }
             other => panic!("a client does not expect {}", other.name()),
         }
