--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,6 +1,7 @@
-//! Every decision of a router: which cache server a request goes to, and when it is held, refused or
-//! tried again. The interface (settings, events, actions) is `src/interface.rs`; `docs/design.md` says
-//! what is kept of the paper's mechanism, what departs from it and when each departure acts.
+//! The decisions of a router: which cache server a request goes to, and when it is queued, refused
+//! or retried. The interface (settings, events, actions) is in `src/interface.rs`; `docs/design.md`
+//! lists which parts of the paper's mechanism are kept, what departs from it and when each departure
+//! applies.
 
 mod estimates;
 mod origin_fetches;
@@ -14,129 +15,147 @@
 use limits::{backoff, cold, Bucket, Budget, Extra, Limit, OriginLimit, PopularityCounter, Sample};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Candidates a key is spread over (d); 2 makes the shares of Eq. 7 as sharp as they get.
+/// Candidate servers over which a key is spread (d). With 2 the shares of Eq. 7 differ the most.
 pub const CANDIDATES: usize = 2;
-/// Candidates ranked a request: room for overflow past d and for servers already tried.
-const RANKED: usize = 6 * CANDIDATES;
+/// Candidates ranked per request: leaves room to overflow past the first d and to skip servers
+/// already tried.
+const MAX_RANKED: usize = 6 * CANDIDATES;
 /// Congestion index from which a server counts as busy: the paper's "approaches 1".
 pub const CONGESTED: f64 = 1.0;
-/// And from which its keys are spread, while the origin has room for misses elsewhere: by then a server of
-/// several cores has a wait near its service time. It rises with the square of what room is lacking.
-const SPREAD: f64 = 8.0;
-/// What a server of another zone counts for in the ranking while the origin has room for a second copy.
-const FAR: f64 = 0.05;
-/// The least room that counts.
-const ROOM_LEAST: f64 = 1e-3;
-/// Utilisation is clamped here, so that 1 - rho never vanishes.
+/// Congestion index from which a server's keys are spread, while the origin has room for the extra
+/// misses: at this index a server with several cores has a wait near its service time. The effective
+/// threshold rises with the square of the room that the origin lacks.
+const SPREAD_THRESHOLD: f64 = 8.0;
+/// Weight factor of servers in other zones while the origin has room for a second copy of a key.
+const REMOTE_WEIGHT: f64 = 0.05;
+/// Lower bound of the origin's room in the index calculation.
+const MIN_ROOM: f64 = 1e-3;
+/// Upper bound of utilisation, so that 1 - rho is never zero.
 const RHO_MAX: f64 = 0.98;
-/// Utilisation from which a candidate counts as saturated: nothing more fits.
-const RHO_FULL: f64 = 0.95;
-/// Re-solve period of the per-server terms, in us: several times a second, far above a request's cost.
-const REFRESH: Micros = 200_000;
-/// Samples that weigh as much as the pooled moments; about what a variance needs to mean anything.
+/// Utilisation from which a candidate counts as saturated and gets no more overflow.
+const RHO_SATURATED: f64 = 0.95;
+/// Interval at which the per-server terms are recalculated, in us: several times a second, and far
+/// above the cost of a request.
+const REFRESH_INTERVAL: Micros = 200_000;
+/// Number of samples that weigh as much as the pooled moments: about as many as a variance estimate
+/// needs.
 const PRIOR_SAMPLES: f64 = 8.0;
 /// Prior of every squared coefficient of variation: Poisson arrivals, exponential service.
 const PRIOR_SCV: f64 = 1.0;
-/// First stay of an evicted server outside, in us, and the longest.
-const EVICT: Micros = 500_000;
-const EVICT_LONGEST: Micros = 8_000_000;
-/// Failures in a row that evict; one that shows a dead process counts as this many.
-const FAILURES: u32 = 3;
-/// Further attempts and trials of evicted servers, as parts of the requests, and the burst of them.
-const RETRY_PART: f64 = 0.2;
-const TRIAL_PART: f64 = 0.1;
+/// Duration of a server's first eviction and the longest one, in us.
+const MIN_EVICTION: Micros = 500_000;
+const MAX_EVICTION: Micros = 8_000_000;
+/// Consecutive failures after which a server is evicted; one that shows a dead process counts as
+/// this many.
+const FAILURES_TO_EVICT: u32 = 3;
+/// Retries and trial requests to evicted servers, as fractions of all requests, and the burst
+/// allowed for both.
+const RETRY_RATIO: f64 = 0.2;
+const TRIAL_RATIO: f64 = 0.1;
 const RETRY_BURST: f64 = 10.0;
-/// Reads fetched past full caches, as a part of those that missed: twice the usual fetches at most.
-const SPILL_PART: f64 = 1.0;
-/// Part of the attempts refused a connection at which all are closed after use, and how many are looked at.
-const SCARCE: f64 = 0.1;
+/// Reads fetched from the origin because caches are full, as a fraction of the misses: at most twice
+/// the usual fetches.
+const SPILL_RATIO: f64 = 1.0;
+/// Fraction of attempts with a refused connection at which every connection is closed after use, and
+/// the number of attempts averaged over.
+const REFUSED_CONNECTIONS_HIGH: f64 = 0.1;
 const CONNECT_MEMORY: f64 = 20.0;
-/// What probes may cost of the service, and the age in us from which a report is asked anew.
-const PROBE_WORTH: f64 = 0.004;
-const PROBE_AGAIN: Micros = 5 * REFRESH;
-/// Silence with two or more out that tells of a hang, in us: longer than a busy server's pauses.
-const SILENT: Micros = 300_000;
-/// Memory of how often keys are asked for, in us, and what each ask lately is worth beside one that waits.
-const ASKED_MEMORY: f64 = 10e6;
-const ASKED_WORTH: f64 = 0.3;
-/// Asks for a key within that memory that say nothing of how popular it is.
-const ASKED_BY_CHANCE: f64 = 2.0;
+/// Upper bound of the cost of probes, as a fraction of the service, and the age in us at which a
+/// load report is probed for again.
+const PROBE_COST_RATIO: f64 = 0.004;
+const PROBE_INTERVAL: Micros = 5 * REFRESH_INTERVAL;
+/// Time without an answer, with two or more attempts out, after which a server counts as hung, in
+/// us. Longer than the pauses of a busy server.
+const HANG_SILENCE: Micros = 300_000;
+/// Averaging time of key popularity, in us, and the value of a recent request for a key relative to
+/// one that is waiting for it.
+const POPULARITY_MEMORY: f64 = 10e6;
+const POPULARITY_VALUE: f64 = 0.3;
+/// Requests for a key within `POPULARITY_MEMORY` that may be chance and don't make it popular.
+const POPULARITY_NOISE: f64 = 2.0;
 /// First back-off after a failed discovery call, in us.
-const ASK_AGAIN: Micros = 500_000;
-/// Memory of the tenants' use, in us, and requests a tenant may bunch at a quiet router without being over.
+const DISCOVERY_BACKOFF: Micros = 500_000;
+/// Averaging time of tenants' usage, in us, and the burst that a tenant may send to a quiet router
+/// without exceeding its quota.
 const QUOTA_MEMORY: f64 = 10e6;
 const QUOTA_BURST: f64 = 5.0;
-/// Part of what wants a cache going without an answer in time from which the rest is refused early.
-const UNANSWERED: f64 = 0.5;
-/// Sent for each answer in time while refusing: enough above 1 to find capacity that came back.
-const SURPLUS: f64 = 1.2;
-/// Part refused at most: a fault that no refusal cures must not starve what still works.
-const MOST_REFUSED: f64 = 0.95;
-/// Part of the outcomes failing from which the fault lies behind the fleet, and how many are looked at.
-const FAILING: f64 = 0.3;
-const FAILING_MEMORY: f64 = 50.0;
-/// A server that planners have found silent is tried after this long, in us: its answer ends it for all.
-const TRY_MARKED: Micros = 2_000_000;
-const TICK: Token = Token(1 << 62);
-const ASK: Token = Token(1 << 61);
+/// Fraction of the demand for caches that is not answered in time at which load shedding starts.
+const SHED_THRESHOLD: f64 = 0.5;
+/// Requests sent per request answered in time while shedding: enough above 1 to find capacity that
+/// has returned.
+const SEND_MARGIN: f64 = 1.2;
+/// Upper bound of the fraction that is shed: a fault that shedding does not cure must not starve
+/// what still works.
+const MAX_SHED: f64 = 0.95;
+/// Failure rate of caches from which the cause is taken to lie behind the fleet, and the number of
+/// outcomes averaged over.
+const FLEET_FAILURE_RATE: f64 = 0.3;
+const FAILURE_MEMORY: f64 = 50.0;
+/// Interval of trial requests to a server that planners report as silent, in us: an answer clears
+/// the report for all routers.
+const MARKED_TRIAL_INTERVAL: Micros = 2_000_000;
+const REFRESH_TIMER: Token = Token(1 << 62);
+const SUBSCRIBE_TIMER: Token = Token(1 << 61);
 
 #[derive(Default)]
 pub struct Balancer {
     settings: Settings,
     rng: u64,
     pub(crate) servers: Servers,
-    pub(crate) open: BTreeMap<RequestId, Open>,
-    /// Quotas: a bucket a tenant, and the part of the quotas that is this router's.
+    pub(crate) open: BTreeMap<RequestId, OpenRequest>,
+    /// Quotas: one token bucket per tenant, and the fraction of each quota that this router may use.
     pub(crate) tenants: Vec<Bucket>,
-    part: f64,
-    /// Hints lately.
-    hints: Moments,
+    quota_fraction: f64,
+    /// Recent work hints of requests.
+    hint_moments: Moments,
     slow_start: SlowStart,
-    /// What warm caches of all zones were seen to do.
+    /// Observed capacity of the warm caches of all zones.
     capacity: ObservedCapacity,
-    /// Requests within quota that wanted a cache lately, and those a cache answered within the aim.
-    wanted: f64,
-    answered: f64,
-    /// Part of the caches' outcomes that were errors or time-outs, lately.
-    failing: f64,
+    /// Recent demand within quota for caches, and the part that caches answered within the target
+    /// latency.
+    cache_demand: f64,
+    answered_in_time: f64,
+    /// Recent fraction of cache outcomes that were errors or time-outs.
+    failure_rate: f64,
     retries: Budget,
     spills: Budget,
-    trials: f64,
-    probes: f64,
-    /// The time that few answers of the caches exceed, and the shortest aim of a class.
-    long: Micros,
-    aim: Micros,
-    /// Part of the attempts that got no connection, lately.
-    unconnected: f64,
+    trial_budget: f64,
+    probe_budget: f64,
+    /// The latency that few cache answers exceed, and the shortest target latency of any class.
+    long_latency: Micros,
+    min_target_latency: Micros,
+    /// Recent fraction of attempts whose connection was refused by a live server.
+    refused_connection_rate: f64,
     pub(crate) zones: BTreeMap<ZoneId, Zone>,
-    /// Aside mode: the requests that wait for each key's fetch, its leader first; the queue for the origin,
-    /// and how much may be out there.
+    /// Aside mode: the requests that wait for each key's fetch, with the request that fetches first;
+    /// the queue for the origin; and the limit on origin requests.
     pub(crate) fetches: BTreeMap<Key, VecDeque<RequestId>>,
-    pub(crate) queue: Vec<RequestId>,
-    /// Keys in order: whose turn it is, and requests that are over while an attempt of theirs is out.
-    pub(crate) turns: BTreeMap<Key, Turns>,
-    pub(crate) lingering: BTreeMap<RequestId, Open>,
+    pub(crate) origin_queue: Vec<RequestId>,
+    /// Keys with ordered requests: the queue of each key, and finished requests with an attempt
+    /// still out.
+    pub(crate) key_queues: BTreeMap<Key, KeyQueue>,
+    pub(crate) lingering: BTreeMap<RequestId, OpenRequest>,
     pub(crate) origin: OriginLimit,
-    /// The time that origins take, and how often keys are asked for, lately.
+    /// Recent response times of origins, and how often each key is requested.
     origin_time: Moments,
-    asked: PopularityCounter,
-    failed_calls: u32,
-    /// What planners say of this router's parts.
+    popularity: PopularityCounter,
+    discovery_failures: u32,
+    /// The latest information from planners about this router's shares.
     plan: Plan,
 }
 
 impl Balancer {
     pub fn new(settings: Settings, seed: u64) -> Self {
         let tenants = vec![Bucket { tokens: QUOTA_BURST, ..Bucket::default() }; settings.quotas.len()];
-        let part = 1.0 / f64::from(settings.routers.max(1));
-        let aim = settings.classes.iter().map(|c| c.target_latency).min().unwrap_or(0);
+        let quota_fraction = 1.0 / f64::from(settings.routers.max(1));
+        let min_target_latency = settings.classes.iter().map(|c| c.target_latency).min().unwrap_or(0);
         Balancer {
             rng: seed,
             tenants,
-            part,
-            aim,
-            retries: Budget::new(RETRY_PART, RETRY_BURST),
-            spills: Budget::new(SPILL_PART, cold::burst(settings.routers)),
+            quota_fraction,
+            min_target_latency,
+            retries: Budget::new(RETRY_RATIO, RETRY_BURST),
+            spills: Budget::new(SPILL_RATIO, cold::burst(settings.routers)),
             origin: OriginLimit::for_fleet(settings.routers),
             slow_start: SlowStart::new(&settings),
             settings,
@@ -151,27 +170,27 @@
 
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Members { form, entries } => self.members(now, form, entries, out),
-            Event::Request(r) => self.request(now, r, out),
-            Event::First { request, .. } => self.open.get_mut(&request).map_or((), |o| o.begun = true),
-            Event::Outcome(o) => self.outcome(now, o, out),
-            Event::ClientLeft(id) => self.forget(now, id, out),
+            Event::Members { form, entries } => self.on_members(now, form, entries, out),
+            Event::Request(r) => self.on_request(now, r, out),
+            Event::First { request, .. } => self.open.get_mut(&request).map_or((), |o| o.answering = true),
+            Event::Outcome(o) => self.on_outcome(now, o, out),
+            Event::ClientLeft(id) => self.close_request(now, id, out),
             Event::Sooner(id, at) => {
                 self.open.entry(id).and_modify(|o| o.request.deadline = o.request.deadline.min(at));
-                self.parked_long(now, id, out);
+                self.on_wait_timer(now, id, out);
             }
-            Event::Timer(TICK) => {
+            Event::Timer(REFRESH_TIMER) => {
                 self.refresh(now);
-                self.give_up(now, out);
+                self.drop_late_waiters(now, out);
                 self.drain_origin(now, out);
-                out.push(Action::Timer { after: REFRESH, token: TICK });
+                out.push(Action::Timer { after: REFRESH_INTERVAL, token: REFRESH_TIMER });
             }
             Event::Plan(plan) => self.plan = self.servers.apply_plan(plan),
-            Event::Timer(ASK) => out.push(Action::Subscribe),
-            Event::Timer(Token(id)) => self.parked_long(now, RequestId(id), out),
+            Event::Timer(SUBSCRIBE_TIMER) => out.push(Action::Subscribe),
+            Event::Timer(Token(id)) => self.on_wait_timer(now, RequestId(id), out),
             Event::Probed { server, verdict, report, .. } => {
-                self.report(now, server, &report);
-                self.busy(now, server, verdict);
+                self.record_report(now, server, &report);
+                self.mark_busy(now, server, verdict);
                 self.close_idle(server, out);
             }
         }
@@ -179,22 +198,27 @@
 
     // ---- membership and discovery
 
-    fn members(&mut self, now: Micros, form: ListForm, entries: Vec<Member>, out: &mut Vec<Action>) {
+    fn on_members(&mut self, now: Micros, form: ListForm, entries: Vec<Member>, out: &mut Vec<Action>) {
         if form == ListForm::Failed {
-            // Discovery is one small service for all routers: back off, spread by the seed.
-            let span = backoff(ASK_AGAIN, self.failed_calls, self.settings.discovery_retry_limit);
+            // Discovery is one small service for all routers, so the retries back off and are spread
+            // by the seed.
+            let span =
+                backoff(DISCOVERY_BACKOFF, self.discovery_failures, self.settings.discovery_retry_limit);
             let after = (span as f64 * (0.5 + self.random())) as Micros;
-            self.failed_calls += 1;
-            return out.extend(self.settings.must_subscribe.then_some(Action::Timer { after, token: ASK }));
+            self.discovery_failures += 1;
+            return out.extend(
+                self.settings.must_subscribe.then_some(Action::Timer { after, token: SUBSCRIBE_TIMER }),
+            );
         }
-        self.failed_calls = 0;
+        self.discovery_failures = 0;
         if form != ListForm::Delta {
             let listed: BTreeSet<ServerId> = entries.iter().map(|m| m.server).collect();
             self.servers.retain(|id, _| listed.contains(id));
         }
         for member in entries {
             let (id, allowance) = (member.server, Allowance::new(self.random()));
-            // A restart under the same id is a new, cold process: nothing known of the old one holds.
+            // A restart under the same id is a new, cold process: nothing known about the old one
+            // applies.
             if self.servers.get(&id).is_none_or(|s| s.member.started != member.started) {
                 self.servers.insert(id, Server { allowance, ..Server::default() });
             }
@@ -204,76 +228,95 @@
         self.servers.retain(|_, s| s.member.phase != Phase::Gone);
         self.refresh_terms(now);
         if form == ListForm::Cached {
-            // Routers that start together must not call, or re-solve, in step.
-            out.push(Action::Timer { after: (self.random() * REFRESH as f64) as Micros, token: TICK });
+            // Routers that start together must not call discovery or recalculate at the same
+            // moments.
+            out.push(Action::Timer {
+                after: (self.random() * REFRESH_INTERVAL as f64) as Micros,
+                token: REFRESH_TIMER,
+            });
             if self.settings.must_subscribe {
                 let after = (self.random() * self.settings.discovery_retry_limit as f64 / 4.0) as Micros;
-                out.push(Action::Timer { after, token: ASK });
+                out.push(Action::Timer { after, token: SUBSCRIBE_TIMER });
             }
         }
     }
 
-    /// Closing on drains: at the notice and at each later outcome there nothing idle stays connected. Nor,
-    /// for a part, where connections are refused: what idles is another router's refusal, and a router with a
-    /// few servers has few keys' copies. A new connection costs a handshake, a lost copy a fetch.
+    /// Closes idle connections to draining servers, when the notice arrives and after each later
+    /// outcome there. Also closes a fraction of them where connections are refused: an idle
+    /// connection there takes the place of another router's, and a router connected to few servers
+    /// reaches the copies of few keys. A new connection costs a handshake, a lost copy costs a
+    /// fetch.
     fn close_idle(&mut self, server: ServerId, out: &mut Vec<Action>) {
-        let scarce = self.unconnected > 0.0 && self.random() < self.unconnected / SCARCE;
+        let scarce = self.refused_connection_rate > 0.0
+            && self.random() < self.refused_connection_rate / REFUSED_CONNECTIONS_HIGH;
         let ready = self.servers.get(&server).filter(|s| s.member.phase == Phase::Ready);
         let drained = self.settings.drain_close.is_some() && ready.is_none();
-        let scarce = scarce && ready.is_some_and(|s| s.gate.out() == 0);
+        let scarce = scarce && ready.is_some_and(|s| s.limiter.out() == 0);
         out.extend((drained || scarce).then_some(Action::Release { server }));
     }
 
     // ---- requests
 
-    fn request(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
+    fn on_request(&mut self, now: Micros, request: Request, out: &mut Vec<Action>) {
         let class = self.settings.classes[usize::from(request.class.0)].clone();
         self.retries.request(now);
         if request.repeat {
-            // A client's own retry is work beside first attempts too: what it takes is not there for ours.
+            // A client's own retry adds to the load as a router's retry does, so it uses the same
+            // budget.
             self.retries.take(Extra::ClientRetry);
         }
-        self.trials = (self.trials + TRIAL_PART).min(RETRY_BURST);
-        self.probes = (self.probes + PROBE_WORTH / self.settings.probe_price).min(RETRY_BURST);
+        self.trial_budget = (self.trial_budget + TRIAL_RATIO).min(RETRY_BURST);
+        self.probe_budget =
+            (self.probe_budget + PROBE_COST_RATIO / self.settings.probe_price).min(RETRY_BURST);
         if !request.write {
-            self.asked.record(mix(request.key.0));
+            self.popularity.record(mix(request.key.0));
         }
         if !(request.write && self.settings.origin_kind.is_some()) {
             self.slow_start.request();
         }
-        request.hint.into_iter().for_each(|h| self.hints.add(h));
+        request.hint.into_iter().for_each(|h| self.hint_moments.add(h));
         let (id, at) = (request.id, request.tenant.0 as usize);
-        let part = self.plan.quota(at, self.part);
+        let part = self.plan.quota_fraction(at, self.quota_fraction);
         let bucket = self.tenants.get_mut(at).zip(self.settings.quotas.get(at));
-        let over = bucket.is_some_and(|(b, q)| q.is_finite() && !b.take(now, q * part, QUOTA_BURST));
-        let o = Open { request, class, taken: now, over, attempts: Vec::new(), parked: false, begun: false };
-        if let Some(key) = o.in_order() {
-            self.turns.entry(key).or_default().queue.push_back(id);
+        let over_quota = bucket.is_some_and(|(b, q)| q.is_finite() && !b.take(now, q * part, QUOTA_BURST));
+        let o = OpenRequest {
+            request,
+            class,
+            taken: now,
+            over_quota,
+            attempts: Vec::new(),
+            queued: false,
+            answering: false,
+        };
+        if let Some(key) = o.ordered_key() {
+            self.key_queues.entry(key).or_default().queue.push_back(id);
         }
         self.open.insert(id, o);
         self.advance(now, id, out);
     }
 
-    fn split_quotas(&mut self, keep: f64) {
+    fn update_quota_fraction(&mut self, keep: f64) {
         let even = 1.0 / f64::from(self.settings.routers.max(1));
-        let second = keep * REFRESH as f64 / 1e6 / (1.0 - keep);
-        self.part = middle_part(&mut self.tenants, &self.settings.quotas, second, keep).max(even);
+        let second = keep * REFRESH_INTERVAL as f64 / 1e6 / (1.0 - keep);
+        self.quota_fraction =
+            median_quota_use(&mut self.tenants, &self.settings.quotas, second, keep).max(even);
     }
 
-    /// Whether a server may be sent a request now: listed ready, what may run twice where, its slow start.
-    /// Asked right before each send, since a request can have waited. `home` is where its key belongs.
-    fn permitted(&self, now: Micros, o: &Open, s: &Server, home: Option<ServerId>) -> bool {
-        let allowed = o.repeats_at(now + self.settings.period, s) && o.placed_at(s);
-        let open = allowed && s.weight > 0.0 && now < o.request.deadline && self.left(o) > 0;
-        open && (!s.cold || self.admitted(now, o, s, home))
+    /// Whether a server may receive a request now: it is listed as ready, the rules on repeats allow
+    /// it and slow start admits it. Checked right before each send, because a request may have
+    /// waited. `home` is the server to which its key belongs.
+    fn permitted(&self, now: Micros, o: &OpenRequest, s: &Server, home: Option<ServerId>) -> bool {
+        let allowed = o.may_repeat_on(now + self.settings.period, s) && o.placed_on(s);
+        let open = allowed && s.weight > 0.0 && now < o.request.deadline && self.attempts_left(o) > 0;
+        open && (!s.cold || self.slow_start_admits(now, o, s, home))
     }
 
-    /// Whether a server in slow start may be sent a request now.
-    fn admitted(&self, now: Micros, o: &Open, s: &Server, home: Option<ServerId>) -> bool {
+    /// Whether slow start admits a request to a server.
+    fn slow_start_admits(&self, now: Micros, o: &OpenRequest, s: &Server, home: Option<ServerId>) -> bool {
         let first = o.attempts.is_empty() && home == Some(s.member.server);
-        let popularity =
-            (self.asked.count(mix(o.request.key.0)) - ASKED_BY_CHANCE).max(0.0) * 1e6 / ASKED_MEMORY;
-        let weight = s.weight * self.nearness(s, self.far());
+        let popularity = (self.popularity.count(mix(o.request.key.0)) - POPULARITY_NOISE).max(0.0) * 1e6
+            / POPULARITY_MEMORY;
+        let weight = s.weight * self.zone_factor(s, self.remote_weight());
         let demand = match first {
             true => self.slow_start.demand(weight, self.slow_start_rate(s), popularity),
             false => Demand::Excess,
@@ -281,24 +324,25 @@
         s.allowance.admits(now, demand, self.slow_start.window())
     }
 
-    /// Where a key belongs by the list alone, whatever is known of the servers, while any is in slow start.
-    fn home(&self, o: &Open, key: u64) -> Option<ServerId> {
-        if !self.slow_start.is_on() {
+    /// The server to which a key belongs by the list alone, whatever its state; only computed while
+    /// a server is in slow start.
+    fn home_server(&self, o: &OpenRequest, key: u64) -> Option<ServerId> {
+        if !self.slow_start.is_active() {
             return None;
         }
-        let far = self.far();
+        let far = self.remote_weight();
         let weight =
-            |s: &Server| (s.weight > 0.0 && o.placed_at(s)).then(|| s.weight * self.nearness(s, far));
-        let best = self.servers.best(key, 1, self.scales(far), weight);
+            |s: &Server| (s.weight > 0.0 && o.placed_on(s)).then(|| s.weight * self.zone_factor(s, far));
+        let best = self.servers.best(key, 1, self.weight_scales(far), weight);
         best.first().map(|s| s.member.server)
     }
 
-    /// What servers of other zones count for: more as the origin has less room for a second copy.
-    fn far(&self) -> f64 {
-        FAR.powf(self.origin.headroom())
+    /// Weight factor of servers in other zones: rises as the origin has less room for a second copy.
+    fn remote_weight(&self) -> f64 {
+        REMOTE_WEIGHT.powf(self.origin.headroom())
     }
 
-    fn nearness(&self, s: &Server, far: f64) -> f64 {
+    fn zone_factor(&self, s: &Server, far: f64) -> f64 {
         if s.member.zone == self.settings.zone {
             1.0
         } else {
@@ -306,111 +350,124 @@
         }
     }
 
-    /// The most that a weight of either side may be over that listed.
-    fn scales(&self, far: f64) -> [f64; 2] {
+    /// Upper bounds of a server's weight relative to its listed weight, for the local and for remote
+    /// zones.
+    fn weight_scales(&self, far: f64) -> [f64; 2] {
         let warmest = self.settings.slow_start_from.max(1.0);
         [warmest, warmest * far]
     }
 
-    fn left(&self, o: &Open) -> usize {
+    fn attempts_left(&self, o: &OpenRequest) -> usize {
         (self.settings.max_attempts as usize).saturating_sub(o.attempts.len())
     }
 
-    /// The next step of a request that has nothing out: an attempt, a wait for a fetch, or its answer.
+    /// The next step of a request without an attempt out: another attempt, a wait for a fetch, or
+    /// the final answer.
     fn advance(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id) else { return };
-        // Order: the first attempt waits until those taken before it are over and the key has rested.
-        let turns = o.in_order().filter(|_| o.attempts.is_empty()).and_then(|k| self.turns.get(&k));
-        let starts = turns.map_or(0, |t| if t.queue.front() == Some(&id) { t.rest } else { Micros::MAX });
-        if starts > now {
-            let after = (starts.min(o.request.deadline - self.settings.period) - now).max(0);
-            self.open.entry(id).and_modify(|o| o.parked = true);
+        // Ordered keys: the first attempt waits until earlier requests are finished and the key's
+        // pause is over.
+        let key_queue =
+            o.ordered_key().filter(|_| o.attempts.is_empty()).and_then(|k| self.key_queues.get(&k));
+        let start =
+            key_queue.map_or(0, |t| if t.queue.front() == Some(&id) { t.paused_until } else { Micros::MAX });
+        if start > now {
+            let after = (start.min(o.request.deadline - self.settings.period) - now).max(0);
+            self.open.entry(id).and_modify(|o| o.queued = true);
             return out.push(Action::Timer { after, token: Token(id.0) });
         }
-        let fetch = self.settings.origin_kind.is_some() && (o.request.write || o.missed_at().is_some());
-        if fetch && self.left(o) > 0 {
+        let fetch = self.settings.origin_kind.is_some() && (o.request.write || o.missed_server().is_some());
+        if fetch && self.attempts_left(o) > 0 {
             return self.fetch(now, id, out);
         }
-        match self.choose(now, id) {
+        match self.choose_server(now, id) {
             Some(server) => self.send(now, id, server, out),
             None => {
-                self.want(id, 0);
+                self.count_cache_demand(id, 0);
                 self.spill(now, id, out);
             }
         }
     }
 
-    /// Counts a request that wants a cache, but not before its first attempt had the time to be answered.
-    fn want(&mut self, id: RequestId, ended: usize) {
-        let first = self.open.get(&id).is_some_and(|o| !o.over && o.attempts.len() == ended);
-        self.wanted += f64::from(u8::from(first));
+    /// Counts a request as demand for a cache, once its first attempt has had time to be answered.
+    fn count_cache_demand(&mut self, id: RequestId, ended: usize) {
+        let first = self.open.get(&id).is_some_and(|o| !o.over_quota && o.attempts.len() == ended);
+        self.cache_demand += f64::from(u8::from(first));
     }
 
-    /// The ready candidates of a key by weighted rendezvous hashing, best first: the same on all routers of a
-    /// zone with the same list, and a change of the list moves only keys it must. While the origin has room
-    /// for a copy in each zone, servers of others count for little; as it has less, all zones share one copy,
-    /// which is one of those that are there already.
+    /// The ready candidates of a key by weighted rendezvous hashing, best first. All routers of a
+    /// zone with the same list get the same order, and a list change moves only the keys that it
+    /// must. While the origin has room for a copy in each zone, servers in other zones weigh little;
+    /// as the room shrinks, all zones share one of the existing copies.
     fn ranked(&self, now: Micros, key: u64, want: usize, usable: impl Fn(&Server) -> bool) -> Vec<&Server> {
-        // Evicted servers are tried by a part of the requests: where most refuse to connect, or are dead, a
-        // router keeps to those it reaches. With none within reach the fault is elsewhere.
-        let within = |s: &Server| {
-            let marked = s.avoids(key);
-            let due = !marked || s.last_send.is_none_or(|t| t + TRY_MARKED <= now);
-            let tried = due && s.evicted_until <= now && self.trials >= 1.0;
-            let reached = self.zones.get(&s.member.zone).is_none_or(|z| z.reach.allows(now, self.silent()));
-            reached && !self.hangs(now, s) && (tried || (s.evictions == 0 && !marked))
+        // Only a fraction of the requests try evicted servers: where most servers refuse connections
+        // or are dead, a router uses those that it can reach. If none is reachable the fault lies
+        // elsewhere and all are candidates.
+        let reachable = |s: &Server| {
+            let avoided = s.avoids(key);
+            let due = !avoided || s.last_send.is_none_or(|t| t + MARKED_TRIAL_INTERVAL <= now);
+            let on_trial = due && s.evicted_until <= now && self.trial_budget >= 1.0;
+            let in_reach = self
+                .zones
+                .get(&s.member.zone)
+                .is_none_or(|z| z.reachability.allows(now, self.silence_limit()));
+            in_reach && !self.is_hung(now, s) && (on_trial || (s.evictions == 0 && !avoided))
         };
-        let far = self.far();
-        let weight = |s: &Server| (s.weight > 0.0 && usable(s)).then(|| s.weight * self.nearness(s, far));
-        let scales = self.scales(far);
-        let reached = self.servers.best(key, want, scales, |s| weight(s).filter(|_| within(s)));
-        match reached.is_empty() {
+        let far = self.remote_weight();
+        let weight = |s: &Server| (s.weight > 0.0 && usable(s)).then(|| s.weight * self.zone_factor(s, far));
+        let scales = self.weight_scales(far);
+        let in_reach = self.servers.best(key, want, scales, |s| weight(s).filter(|_| reachable(s)));
+        match in_reach.is_empty() {
             true => self.servers.best(key, want, scales, weight),
-            false => reached,
+            false => in_reach,
         }
     }
 
-    /// Silence that tells of more than pauses.
-    fn silent(&self) -> Micros {
-        SILENT.max(self.long)
+    /// Time without an answer that is longer than ordinary pauses.
+    fn silence_limit(&self) -> Micros {
+        HANG_SILENCE.max(self.long_latency)
     }
 
-    /// Whether a server takes requests and says nothing: known long before the first runs out of time.
-    pub(crate) fn hangs(&self, now: Micros, s: &Server) -> bool {
-        s.gate.out() > 1 && s.gate.silence(now) > SILENT.max(self.long / 2)
+    /// Whether a server accepts requests and does not answer. Detected long before the first request
+    /// times out.
+    pub(crate) fn is_hung(&self, now: Micros, s: &Server) -> bool {
+        s.limiter.out() > 1 && s.limiter.silence(now) > HANG_SILENCE.max(self.long_latency / 2)
     }
 
-    fn choose(&mut self, now: Micros, id: RequestId) -> Option<ServerId> {
+    fn choose_server(&mut self, now: Micros, id: RequestId) -> Option<ServerId> {
         let (draw, refuse) = (self.random(), self.random());
         let o = self.open.get(&id)?;
         let key = if o.request.key == Key(0) { id.0 } else { o.request.key.0 };
-        let home = self.home(o, mix(key));
+        let home = self.home_server(o, mix(key));
         let usable = |s: &Server| {
-            let takes = s.gate.allows(now, s.gate.out());
+            let takes = s.limiter.allows(now, s.limiter.out());
             takes
                 && self.permitted(now, o, s, home)
                 && !o.attempts.iter().any(|a| a.server == s.member.server)
         };
         let first = *self.ranked(now, mix(key), 1, usable).first()?;
-        // Under strain a router sends a little more than its caches answered in time of late and refuses the
-        // rest early: queues past the aim serve nobody, and a cache waiting for a swamped origin looks idle
-        // by its cores. What is over quota goes first.
-        let (index, surplus) = (first.terms.index(), self.surplus());
-        let surplus = o.attempts.is_empty() && surplus >= UNANSWERED && (o.over || refuse < surplus);
-        if surplus && (index >= CONGESTED || self.failing >= FAILING) {
+        // Under overload a router sends slightly more than its caches recently answered in time and
+        // sheds the rest early: requests queued beyond the target latency serve nobody, and a cache
+        // that waits for an overloaded origin looks idle by its CPU. Requests over quota are shed
+        // first.
+        let (index, excess) = (first.terms.congestion_index(), self.excess_demand());
+        let excess = o.attempts.is_empty() && excess >= SHED_THRESHOLD && (o.over_quota || refuse < excess);
+        if excess && (index >= CONGESTED || self.failure_rate >= FLEET_FAILURE_RATE) {
             return None;
         }
-        // A copy elsewhere is a fetch more: without room for it the key stays with its first candidate.
+        // A copy on another server costs one more fetch: if the origin has no room for it, the key
+        // stays with its first candidate.
         let room = self.origin.headroom() * (1.0 - self.origin.failure_ratio());
-        let index = index * room.powi(2).max(ROOM_LEAST);
-        // The size cut falls from the mean hint as congestion grows past the threshold.
-        let small = o.request.hint.is_some_and(|h| h < self.hints.mean() * SPREAD / index);
-        if index < SPREAD || small {
+        let index = index * room.powi(2).max(MIN_ROOM);
+        // The size cut-off falls from the mean hint as congestion grows past the threshold.
+        let small = o.request.hint.is_some_and(|h| h < self.hint_moments.mean() * SPREAD_THRESHOLD / index);
+        if index < SPREAD_THRESHOLD || small {
             return Some(first.member.server);
         }
-        // Overflow: a hot key can swamp its d candidates; the next d in rank order take over from them.
-        let ranked = self.ranked(now, mix(key), RANKED, usable);
-        let full = |w: &&[&Server]| w.iter().all(|s| s.terms.rho >= RHO_FULL);
+        // Overflow: a hot key can saturate its d candidates; the next d in rank order then take
+        // over.
+        let ranked = self.ranked(now, mix(key), MAX_RANKED, usable);
+        let full = |w: &&[&Server]| w.iter().all(|s| s.terms.rho >= RHO_SATURATED);
         let window = ranked.chunks(CANDIDATES).find(|w| !full(w));
         let window = window.unwrap_or(&ranked[..ranked.len().min(CANDIDATES)]);
         let terms: Vec<Terms> = window.iter().map(|s| s.terms).collect();
@@ -423,84 +480,95 @@
     }
 
     fn send(&mut self, now: Micros, id: RequestId, server: ServerId, out: &mut Vec<Action>) {
-        let (surplus, silent, draw) = (self.surplus(), self.silent(), unit(mix(self.rng ^ now as u64)));
+        let (excess, silent, draw) =
+            (self.excess_demand(), self.silence_limit(), unit(mix(self.rng ^ now as u64)));
         let (Some(o), Some(s)) = (self.open.get_mut(&id), self.servers.get_mut(&server)) else { return };
         if let Some(last) = s.last_send.replace(now) {
-            s.gaps.add((now - last) as f64);
+            s.inter_arrivals.add((now - last) as f64);
         }
-        s.gate.sent(now, s.gate.out() + 1);
+        s.limiter.sent(now, s.limiter.out() + 1);
         if !s.origin {
-            self.zones.entry(s.member.zone).or_default().reach.sent(now, server.0, silent, draw);
+            self.zones.entry(s.member.zone).or_default().reachability.sent(now, server.0, silent, draw);
         }
-        self.trials -= f64::from(u8::from(s.evictions > 0 || s.avoid > 0.0)).min(self.trials);
-        // A request far above the mean work draws as much more of a server's allowance.
+        self.trial_budget -=
+            f64::from(u8::from(s.evictions > 0 || s.avoided_fraction > 0.0)).min(self.trial_budget);
+        // A request with far more than the mean work uses correspondingly more of a server's
+        // allowance.
         if s.cold {
-            s.allowance.spend(o.request.hint.map_or(1.0, |h| (h / self.hints.mean().max(1.0)).max(1.0)));
+            s.allowance
+                .spend(o.request.hint.map_or(1.0, |h| (h / self.hint_moments.mean().max(1.0)).max(1.0)));
         }
-        o.parked = false;
-        let begin_by = o.repeats_until();
+        o.queued = false;
+        let begin_by = o.repeat_deadline();
         o.attempts.push(Attempt::sent(now, &s.member));
-        // While much is refused, an answer past the aim takes a place: called off unless worth more than it.
-        let worth = self.answered >= o.class.late_value * self.wanted && o.class.repeat == Repeat::Retryable;
-        let cap = worth && surplus >= UNANSWERED && !s.origin;
-        let aim = cap.then_some((o.taken + o.class.target_latency - now).max(o.class.target_latency / 2));
-        let timeout = aim.or(self.patience(now, id, server));
+        // While much is shed, an answer after the target latency takes the place of another request:
+        // cut the attempt off at the target unless a late answer is worth more.
+        let prefer_in_time = self.answered_in_time >= o.class.late_value * self.cache_demand
+            && o.class.repeat == Repeat::Retryable;
+        let cap = prefer_in_time && excess >= SHED_THRESHOLD && !s.origin;
+        let target = cap.then_some((o.taken + o.class.target_latency - now).max(o.class.target_latency / 2));
+        let timeout = target.or(self.attempt_timeout(now, id, server));
         out.push(Action::Send { request: id, server, timeout, begin_by });
         self.probe(now, server, out);
     }
 
-    /// How long an attempt may take before another is made: where answers come well within the aim, one that
-    /// takes half of it sits on a connection that fell silent, or at a hung server. A second fetch wants
-    /// an origin with room; and what may run once has to have a place by then where it may go again.
-    fn patience(&self, now: Micros, id: RequestId, server: ServerId) -> Option<Micros> {
+    /// Time after which an attempt is given up for another one. Where answers usually come well
+    /// within the target latency, an attempt that takes half of it is on a dead connection or at a
+    /// hung server. A second origin fetch needs an origin with room, and a request that must not run
+    /// twice needs a server to which it may still be sent by then.
+    fn attempt_timeout(&self, now: Micros, id: RequestId, server: ServerId) -> Option<Micros> {
         let (o, s) = (self.open.get(&id)?, self.servers.get(&server)?);
         let half = o.class.target_latency / 2;
         let other = |x: &&Server| x.origin == s.origin && (s.origin || x.member.server != server);
         let place = || self.servers.values().filter(other).any(|x| self.permitted(now + half, o, x, None));
         let more = o.class.repeat == Repeat::Retryable || place();
-        let again = self.settings.may_copy && o.in_order().is_none() && more;
-        let origin = long(self.origin_time.shrunk(PRIOR_SAMPLES, half as f64 / 4.0, PRIOR_SCV));
-        let usual = if s.origin { origin } else { self.long };
-        let quick = usual <= half && !self.strained() && (!s.origin || self.origin.headroom() >= 1.0);
-        (again && quick && self.left(o) > 0 && self.retries.left() >= 1.0).then_some(half)
+        let again = self.settings.may_copy && o.ordered_key().is_none() && more;
+        let origin = long_time(self.origin_time.shrunk(PRIOR_SAMPLES, half as f64 / 4.0, PRIOR_SCV));
+        let usual = if s.origin { origin } else { self.long_latency };
+        let quick = usual <= half && !self.overloaded() && (!s.origin || self.origin.headroom() >= 1.0);
+        (again && quick && self.attempts_left(o) > 0 && self.retries.left() >= 1.0).then_some(half)
     }
 
-    /// The part of what wants a cache beyond what caches answer in time, and so refused under strain.
-    fn surplus(&self) -> f64 {
-        ((self.wanted - SURPLUS * self.answered - 1.0) / self.wanted).min(MOST_REFUSED)
+    /// Fraction of the demand for caches beyond what they answer in time, which is shed under
+    /// overload.
+    fn excess_demand(&self) -> f64 {
+        ((self.cache_demand - SEND_MARGIN * self.answered_in_time - 1.0) / self.cache_demand).min(MAX_SHED)
     }
 
-    /// Whether caches fail all over the fleet, or answer less than is wanted: another attempt adds to it.
-    fn strained(&self) -> bool {
-        self.failing >= FAILING || self.surplus() >= UNANSWERED
+    /// Whether caches fail across the fleet or answer less than the demand: further attempts would
+    /// add to it.
+    fn overloaded(&self) -> bool {
+        self.failure_rate >= FLEET_FAILURE_RATE || self.excess_demand() >= SHED_THRESHOLD
     }
 
-    fn outcome(&mut self, now: Micros, end: Outcome, out: &mut Vec<Action>) {
+    fn on_outcome(&mut self, now: Micros, end: Outcome, out: &mut Vec<Action>) {
         let id = end.request;
-        self.report(now, end.server, &end.report);
+        self.record_report(now, end.server, &end.report);
         let open = self.open.get_mut(&id).or_else(|| self.lingering.get_mut(&id));
-        let key = open.as_ref().and_then(|o| o.in_order());
+        let key = open.as_ref().and_then(|o| o.ordered_key());
         let attempt = open.and_then(|o| o.attempts.get_mut(usize::from(end.attempt)));
         let sent = attempt.as_ref().map_or(now - end.elapsed, |a| a.sent);
-        let mine = attempt.filter(|a| a.verdict.is_none()).map(|a| a.verdict = Some(end.verdict)).is_some();
-        if let Some(turns) = key.and_then(|k| self.turns.get_mut(&k)).filter(|_| mine && end.may_still_run())
+        let pending =
+            attempt.filter(|a| a.verdict.is_none()).map(|a| a.verdict = Some(end.verdict)).is_some();
+        if let Some(key_queue) =
+            key.and_then(|k| self.key_queues.get_mut(&k)).filter(|_| pending && end.may_still_run())
         {
-            turns.rest = now + self.settings.order_settle;
+            key_queue.paused_until = now + self.settings.order_settle;
         }
-        self.judge(now, &end, sent);
+        self.record_outcome(now, &end, sent);
         self.close_idle(end.server, out);
-        if self.lingering.get(&id).is_some_and(|o| !o.is_out()) {
+        if self.lingering.get(&id).is_some_and(|o| !o.has_attempt_out()) {
             self.lingering.remove(&id);
-            self.next_turn(now, id, key, out);
+            self.advance_key_queue(now, id, key, out);
         }
-        let mine = mine && self.open.contains_key(&id);
-        if mine && end.finished {
-            self.forget(now, id, out);
-        } else if mine && end.verdict == Verdict::Miss && self.settings.origin_kind.is_some() {
+        let pending = pending && self.open.contains_key(&id);
+        if pending && end.finished {
+            self.close_request(now, id, out);
+        } else if pending && end.verdict == Verdict::Miss && self.settings.origin_kind.is_some() {
             self.spills.request(now);
             self.advance(now, id, out);
-        } else if mine {
-            match self.pays(now, id, &end) {
+        } else if pending {
+            match self.may_try_again(now, id, &end) {
                 true => self.advance(now, id, out),
                 false => self.spill(now, id, out),
             }
@@ -508,72 +576,83 @@
         self.drain_origin(now, out);
     }
 
-    /// Whether another attempt is in the budget: a broken connection is no load and takes nothing; nothing is
-    /// left to pay with where a time-out was all the time the request had, or no other may be made beside it.
-    fn pays(&mut self, now: Micros, id: RequestId, end: &Outcome) -> bool {
+    /// Whether the budget allows another attempt. A broken connection adds no load and costs no
+    /// budget. There is no further attempt where a time-out used all the time of the request, or
+    /// where a second copy is not allowed.
+    fn may_try_again(&mut self, now: Micros, id: RequestId, end: &Outcome) -> bool {
         let Some(o) = self.open.get(&id) else { return false };
-        let (left, strained) = (o.request.deadline - now, self.strained());
+        let (left, overloaded) = (o.request.deadline - now, self.overloaded());
         match end.verdict {
             Verdict::Timeout | Verdict::Moot => {
-                let more = left > 2 * self.settings.period && self.settings.may_copy && !strained;
+                let more = left > 2 * self.settings.period && self.settings.may_copy && !overloaded;
                 more && self.retries.take(Extra::Retry)
             }
-            // Over quota it is served where there is room, and not tried elsewhere where there is none.
-            Verdict::Full if o.over => false,
-            _ if end.connection_failed() && !strained => true,
+            // Requests over quota are served where there is room and not retried where there is
+            // none.
+            Verdict::Full if o.over_quota => false,
+            _ if end.connection_failed() && !overloaded => true,
             _ => self.retries.take(Extra::Retry),
         }
     }
 
-    /// Turned away or not answered in time: busy now, whatever the last report said.
-    fn busy(&mut self, now: Micros, server: ServerId, verdict: Verdict) {
+    /// Marks a server as busy after a refusal or a time-out, whatever its last report says.
+    fn mark_busy(&mut self, now: Micros, server: ServerId, verdict: Verdict) {
         let busy = matches!(verdict, Verdict::Full | Verdict::Timeout);
         if let Some(s) = self.servers.get_mut(&server).filter(|_| busy) {
             (s.rho, s.reported) = (RHO_MAX, Some(now));
         }
     }
 
-    /// What an outcome says of its server's health and speed.
-    fn judge(&mut self, now: Micros, end: &Outcome, sent: Micros) {
+    /// Updates the health and latency estimates of a server from an outcome.
+    fn record_outcome(&mut self, now: Micros, end: &Outcome, sent: Micros) {
         let jitter = 0.5 + self.random();
-        let (own, aim) = self.open.get(&end.request).map_or((0, 0), |o| (o.class.target_latency, o.counts()));
-        let told = |s: &Server| (s.overtook(sent, end.verdict), usize::from(!s.origin));
-        let (lone, first) = self.servers.get(&end.server).map_or((false, 0), told);
-        if !lone && !end.no_place {
-            self.busy(now, end.server, end.verdict);
-        }
-        self.want(end.request, first);
-        // Later than twice the shortest aim nobody waits for it, unless its own class does.
-        let (late, kept_waiting, silent) = ((self.aim * 2).max(own), !self.queue.is_empty(), self.silent());
+        let (own, on_time) =
+            self.open.get(&end.request).map_or((0, 0), |o| (o.class.target_latency, o.on_time_limit()));
+        let connection_only = |s: &Server| (s.answered_later_send(sent, end.verdict), usize::from(!s.origin));
+        let (connection_fault, first) = self.servers.get(&end.server).map_or((false, 0), connection_only);
+        if !connection_fault && !end.no_place {
+            self.mark_busy(now, end.server, end.verdict);
+        }
+        self.count_cache_demand(end.request, first);
+        // After twice the shortest target latency nobody waits for an answer, unless its own class
+        // does.
+        let (late, kept_waiting, silent) =
+            ((self.min_target_latency * 2).max(own), !self.origin_queue.is_empty(), self.silence_limit());
         let Some(s) = self.servers.get_mut(&end.server) else { return };
         let ending = s.ending(end, sent, late);
-        // A zone that is out of reach says nothing of the rest of the fleet, nor of its own servers.
+        // An unreachable zone says nothing about the rest of the fleet, nor about its own servers.
         let zone = self.zones.entry(s.member.zone).or_default();
-        zone.reach.ended(!s.origin && end.process_responded());
-        let lost = !s.origin && zone.reach.is_lost(now, silent);
-        // A server that refused connections and answers now has too few; one that says nothing more is gone.
-        s.refused += u32::from(end.verdict == Verdict::ConnectFailed && !lost);
-        let full = if end.process_responded() { std::mem::take(&mut s.refused) } else { 0 };
-        self.unconnected += (f64::from(full.min(1)) - self.unconnected) / CONNECT_MEMORY;
-        let sample = Sample { now, sent, ending, out_at_send: s.gate.out(), kept_waiting };
-        s.gate.ended(&sample);
-        let (good, lone) = (matches!(end.verdict, Verdict::Served | Verdict::Miss), lone || lost);
-        let bad = matches!(end.verdict, Verdict::Error | Verdict::Timeout) && !lone;
-        if matches!(end.verdict, Verdict::Served | Verdict::Timeout) && !lone {
+        zone.reachability.ended(!s.origin && end.process_responded());
+        let lost = !s.origin && zone.reachability.is_lost(now, silent);
+        // A server that refused connections and answers now has too few of them; one that stays
+        // silent is gone.
+        s.refused_connections += u32::from(end.verdict == Verdict::ConnectFailed && !lost);
+        let full = if end.process_responded() { std::mem::take(&mut s.refused_connections) } else { 0 };
+        self.refused_connection_rate +=
+            (f64::from(full.min(1)) - self.refused_connection_rate) / CONNECT_MEMORY;
+        let sample = Sample { now, sent, ending, out_at_send: s.limiter.out(), kept_waiting };
+        s.limiter.ended(&sample);
+        let (good, connection_fault) =
+            (matches!(end.verdict, Verdict::Served | Verdict::Miss), connection_fault || lost);
+        let bad = matches!(end.verdict, Verdict::Error | Verdict::Timeout) && !connection_fault;
+        if matches!(end.verdict, Verdict::Served | Verdict::Timeout) && !connection_fault {
             s.latency.add(end.elapsed.max(0) as f64);
         }
-        // A process that answered a moment ago did not die: it was that connection.
-        let alive = end.verdict == Verdict::Reset && s.answered + REFRESH > now;
+        // A process that answered a moment ago is alive: only that connection was lost.
+        let alive = end.verdict == Verdict::Reset && s.last_answered_send + REFRESH_INTERVAL > now;
         let broken = matches!(end.verdict, Verdict::ConnectFailed | Verdict::Reset) && !alive && !lost;
-        // Errors and time-outs all over the fleet come from behind it, and moving keys would add misses.
-        s.failures += u32::from(broken || (bad && self.failing < FAILING));
+        // Errors and time-outs across the fleet are caused behind it, and moving keys would only add
+        // misses.
+        s.failures += u32::from(broken || (bad && self.failure_rate < FLEET_FAILURE_RATE));
         if good {
-            (s.failures, s.evictions, s.answered) = (0, 0, s.answered.max(sent));
-        }
-        if s.failures >= FAILURES {
-            // Failing or vanished, with its last report and its keys: out for a while, tried, out for longer.
-            s.failures = FAILURES - 1;
-            s.evicted_until = now + (backoff(EVICT, s.evictions, EVICT_LONGEST) as f64 * jitter) as Micros;
+            (s.failures, s.evictions, s.last_answered_send) = (0, 0, s.last_answered_send.max(sent));
+        }
+        if s.failures >= FAILURES_TO_EVICT {
+            // Failing or gone, still with its last report and its keys: evicted for a while, tried
+            // again, then evicted for longer.
+            s.failures = FAILURES_TO_EVICT - 1;
+            s.evicted_until =
+                now + (backoff(MIN_EVICTION, s.evictions, MAX_EVICTION) as f64 * jitter) as Micros;
             s.evictions += 1;
         }
         if s.origin {
@@ -581,50 +660,53 @@
             self.origin.ended(&sample);
             self.spills.ended(&sample);
         } else if good || bad {
-            self.failing += (f64::from(u8::from(bad)) - self.failing) / FAILING_MEMORY;
+            self.failure_rate += (f64::from(u8::from(bad)) - self.failure_rate) / FAILURE_MEMORY;
             self.retries.ended(&sample);
-            self.answered += f64::from(u8::from(good && end.elapsed <= aim));
-            // A miss takes a part of the work of a hit that a router cannot know: a server answers many more
-            // of them than it can do requests of mean work, so none of them proves capacity.
+            self.answered_in_time += f64::from(u8::from(good && end.elapsed <= on_time));
+            // A miss takes an unknown fraction of the work of a hit. A server answers many more
+            // misses than requests of mean work, so misses are no evidence of capacity.
             zone.served += f64::from(u8::from(end.verdict == Verdict::Served && !s.cold));
         }
     }
 
-    /// The final answer to a request without one: a refusal where that promise is true.
+    /// Sends the final answer of a request that has none: a refusal if a repeat is safe, otherwise a
+    /// failure.
     fn finish(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let draw = self.random();
         let Some(o) = self.open.get(&id) else { return };
         let dropped = o.class.repeat == Repeat::Dedup && o.class.group == Group::All;
-        let harmless = o.ran().is_none() || o.class.repeat == Repeat::Retryable || dropped;
-        // Over quota stays away longest: it would come back into the same overload. Others come back spread.
-        let part = if o.over { 1.0 } else { 0.25 + 0.5 * draw };
+        let harmless = o.first_possibly_run().is_none() || o.class.repeat == Repeat::Retryable || dropped;
+        // Requests over quota get the longest retry delay, as they would return into the same
+        // overload. The others return spread over time.
+        let part = if o.over_quota { 1.0 } else { 0.25 + 0.5 * draw };
         let retry_after = self.settings.max_retry_after.map(|t| (t as f64 * part) as Micros);
-        out.push(if harmless && !o.begun {
+        out.push(if harmless && !o.answering {
             Action::Refuse { request: id, retry_after }
         } else {
             Action::Fail { request: id }
         });
-        self.forget(now, id, out);
+        self.close_request(now, id, out);
     }
 
-    /// Drops a finished request; those who waited for its fetch go on, and so does its key's next in order.
-    fn forget(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
+    /// Removes a finished request; requests waiting for its fetch continue, and so does the next
+    /// request of its ordered key.
+    fn close_request(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(o) = self.open.remove(&id) else { return };
         self.share_fetch(now, id, &o, out);
-        let key = o.in_order();
-        if key.is_some() && o.is_out() {
+        let key = o.ordered_key();
+        if key.is_some() && o.has_attempt_out() {
             self.lingering.insert(id, o);
         } else {
-            self.next_turn(now, id, key, out);
+            self.advance_key_queue(now, id, key, out);
         }
     }
 
-    /// A request that is over, with nothing out, passes the turn of its key on.
-    fn next_turn(&mut self, now: Micros, id: RequestId, key: Option<Key>, out: &mut Vec<Action>) {
-        let Some(turns) = key.and_then(|k| self.turns.get_mut(&k)) else { return };
-        let had_it = turns.queue.front() == Some(&id);
-        turns.queue.retain(|w| *w != id);
-        if let Some(next) = turns.queue.front().copied().filter(|_| had_it) {
+    /// Starts the next request of an ordered key after a finished request that has no attempt out.
+    fn advance_key_queue(&mut self, now: Micros, id: RequestId, key: Option<Key>, out: &mut Vec<Action>) {
+        let Some(key_queue) = key.and_then(|k| self.key_queues.get_mut(&k)) else { return };
+        let was_first = key_queue.queue.front() == Some(&id);
+        key_queue.queue.retain(|w| *w != id);
+        if let Some(next) = key_queue.queue.front().copied().filter(|_| was_first) {
             self.advance(now, next, out);
         }
     }
--- a/src/choice/estimates.rs
+++ b/src/choice/estimates.rs
@@ -1,27 +1,28 @@
-//! What the router estimates of servers and re-solves on a timer: utilisation, moments of service and arrival
-//! times, observed capacity, and from them the terms by which servers are compared and the attempts issued in
-//! slow start.
+//! The router's estimates of servers, recalculated on a timer: utilisation, moments of service and
+//! inter-arrival times, observed capacity, and from these the terms by which servers are compared
+//! and the attempts issued in slow start.
 
 use super::*;
 
-/// Utilisation of a fleet that has reported nothing: no sign of congestion.
+/// Assumed utilisation of a fleet that has reported nothing: no sign of congestion.
 const RHO_PRIOR: f64 = 0.3;
-/// Memory of the moments and of a report's truth, in us: some report periods, shorter than a trouble.
+/// Averaging time of the moments, and decay time of a report's weight, in us: several report
+/// periods, and shorter than a typical fault.
 const MEMORY: f64 = 4e6;
 
 impl Balancer {
-    /// Where load is told to probes alone, one goes with a request to a server unknown of late: without it
-    /// rho stays the prior and no key is ever spread.
+    /// Where only probes return load reports, sends a probe along with a request to a server without
+    /// a recent report. Without it rho would stay at the prior and no key would ever be spread.
     pub(super) fn probe(&mut self, now: Micros, server: ServerId, out: &mut Vec<Action>) {
         let asked = self.settings.may_probe && self.settings.reports == ReportSource::Probe;
         let Some(s) = self.servers.get_mut(&server).filter(|s| asked && !s.origin) else { return };
-        if self.probes >= 1.0 && s.probed.max(s.reported.unwrap_or(0)) + PROBE_AGAIN <= now {
-            (self.probes, s.probed) = (self.probes - 1.0, now);
+        if self.probe_budget >= 1.0 && s.probed.max(s.reported.unwrap_or(0)) + PROBE_INTERVAL <= now {
+            (self.probe_budget, s.probed) = (self.probe_budget - 1.0, now);
             out.push(Action::Probe { server });
         }
     }
 
-    pub(super) fn report(&mut self, now: Micros, server: ServerId, report: &[f32]) {
+    pub(super) fn record_report(&mut self, now: Micros, server: ServerId, report: &[f32]) {
         let Some(at) = self.settings.columns.iter().position(|c| *c == Column::Utilisation) else { return };
         let (Some(s), Some(&rho)) = (self.servers.get_mut(&server), report.get(at)) else { return };
         if rho.is_finite() && (0.0..=16.0).contains(&rho) {
@@ -30,27 +31,27 @@
     }
 
     pub(super) fn refresh(&mut self, now: Micros) {
-        let second = REFRESH as f64 / 1e6;
-        let keep = (-(REFRESH as f64) / MEMORY).exp();
-        self.split_quotas(keep.powf(MEMORY / QUOTA_MEMORY));
+        let second = REFRESH_INTERVAL as f64 / 1e6;
+        let keep = (-(REFRESH_INTERVAL as f64) / MEMORY).exp();
+        self.update_quota_fraction(keep.powf(MEMORY / QUOTA_MEMORY));
         let (mut all_served, mut all_warm) = (0.0, 0.0);
         for (id, zone) in &mut self.zones {
             let warm = self.servers.values().filter(|s| !s.origin && !s.cold && s.member.zone == *id);
             let served = std::mem::take(&mut zone.served) / second;
-            zone.warm = warm.map(|s| s.weight).sum();
-            zone.capacity.add(served, zone.warm, keep);
-            (all_served, all_warm) = (all_served + served, all_warm + zone.warm);
+            zone.warm_weight = warm.map(|s| s.weight).sum();
+            zone.capacity.add(served, zone.warm_weight, keep);
+            (all_served, all_warm) = (all_served + served, all_warm + zone.warm_weight);
         }
         self.capacity.add(all_served, all_warm, keep);
-        (self.wanted, self.answered) = (self.wanted * keep, self.answered * keep);
-        self.hints.decay(keep);
-        self.turns.retain(|_, t| !t.queue.is_empty() || t.rest > now);
+        (self.cache_demand, self.answered_in_time) = (self.cache_demand * keep, self.answered_in_time * keep);
+        self.hint_moments.decay(keep);
+        self.key_queues.retain(|_, t| !t.queue.is_empty() || t.paused_until > now);
         self.origin_time.decay(keep);
-        self.asked.decay(keep.powf(MEMORY / ASKED_MEMORY));
-        self.origin.observe_in_flight(now, self.fetching());
-        self.slow_start.refresh(REFRESH);
+        self.popularity.decay(keep.powf(MEMORY / POPULARITY_MEMORY));
+        self.origin.observe_in_flight(now, self.origin_attempts());
+        self.slow_start.refresh(REFRESH_INTERVAL);
         for s in self.servers.values_mut() {
-            s.gaps.decay(keep);
+            s.inter_arrivals.decay(keep);
             s.latency.decay(keep);
         }
         self.issue_allowances(now);
@@ -64,56 +65,58 @@
         let window = self.slow_start.window();
         for (server, rate) in rates {
             if let Some(s) = self.servers.get_mut(&server) {
-                s.allowance.issue(now, REFRESH, rate, window);
+                s.allowance.issue(now, REFRESH_INTERVAL, rate, window);
             }
         }
     }
 
-    /// Attempts a second that this router is issued at a server in slow start.
+    /// Attempts per second issued to this router at a server in slow start.
     pub(crate) fn slow_start_rate(&self, s: &Server) -> f64 {
         self.slow_start.rate(s.weight, self.observed_capacity(s.member.zone), self.plan.cold())
     }
 
-    /// What warm caches of a zone were seen to do; where it has none, those of all zones.
+    /// Observed capacity of the warm caches of a zone, or of all zones if it has none.
     pub(super) fn observed_capacity(&self, zone: ZoneId) -> f64 {
-        match self.zones.get(&zone).filter(|z| z.warm > 0.0) {
+        match self.zones.get(&zone).filter(|z| z.warm_weight > 0.0) {
             Some(zone) => zone.capacity.get(),
             None => self.capacity.get(),
         }
     }
 
     pub(super) fn refresh_terms(&mut self, now: Micros) {
-        let truth = |s: &Server| s.reported.map_or(0.0, |at| (-((now - at) as f64) / MEMORY).exp());
+        let report_weight = |s: &Server| s.reported.map_or(0.0, |at| (-((now - at) as f64) / MEMORY).exp());
         let (mut latency, mut gaps) = (Moments::default(), Moments::default());
         let (mut rho, mut known) = (RHO_PRIOR * 0.01, 0.01);
         for s in self.servers.values().filter(|s| !s.origin) {
             latency.pool(&s.latency);
-            gaps.pool(&s.gaps);
-            rho += truth(s) * s.rho;
-            known += truth(s);
+            gaps.pool(&s.inter_arrivals);
+            rho += report_weight(s) * s.rho;
+            known += report_weight(s);
         }
-        let prior = self.aim as f64 / 4.0;
+        let prior = self.min_target_latency as f64 / 4.0;
         let (service, service_scv) = latency.shrunk(PRIOR_SAMPLES, prior, PRIOR_SCV);
-        self.long = long((service, service_scv));
+        self.long_latency = long_time((service, service_scv));
         let (gap, gap_scv) = gaps.shrunk(PRIOR_SAMPLES, 1e6, PRIOR_SCV);
         self.servers.change(self.settings.zone, |s| {
-            // Silence is not health: an old report fades into the fleet's mean.
-            let t = truth(s);
+            // A missing report is not a sign of health: an old report fades into the fleet's mean.
+            let t = report_weight(s);
             let rho = (t * s.rho + (1.0 - t) * rho / known).clamp(0.0, RHO_MAX);
             let (service, service_scv) = s.latency.shrunk(PRIOR_SAMPLES, service, service_scv);
-            let arrival_scv = s.gaps.shrunk(PRIOR_SAMPLES, gap, gap_scv).1;
-            let sure = if s.rho >= RHO_MAX { t * s.rho } else { 0.0 };
-            s.terms = Terms { rho, service, arrival_scv, service_scv }.planned(s.solved, sure);
+            let arrival_scv = s.inter_arrivals.shrunk(PRIOR_SAMPLES, gap, gap_scv).1;
+            let observed = if s.rho >= RHO_MAX { t * s.rho } else { 0.0 };
+            s.terms =
+                Terms { rho, service, arrival_scv, service_scv }.with_planned(s.planned_terms, observed);
             s.origin = Some(s.member.kind) == self.settings.origin_kind;
             let ramp = self.slow_start.ramp(s.member.age(now)).filter(|_| !s.origin);
             s.cold = ramp.is_some();
-            s.listed = Some(s.member.weight).filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
-            s.weight = if s.member.phase == Phase::Ready { s.listed * ramp.unwrap_or(1.0) } else { 0.0 };
+            s.listed_weight = Some(s.member.weight).filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
+            s.weight =
+                if s.member.phase == Phase::Ready { s.listed_weight * ramp.unwrap_or(1.0) } else { 0.0 };
         });
-        let far = self.far();
+        let far = self.remote_weight();
         let caches = || self.servers.values().filter(|s| !s.origin);
-        let weights = caches().map(|s| s.weight * self.nearness(s, far)).sum();
+        let weights = caches().map(|s| s.weight * self.zone_factor(s, far)).sum();
         let starting = caches().filter(|s| s.cold).count();
-        self.slow_start.listed(weights, starting);
+        self.slow_start.set_ranking(weights, starting);
     }
 }
