--- a/crates/dissemination/src/quorum.rs
+++ b/crates/dissemination/src/quorum.rs
@@ -1,9 +1,11 @@
-//! What a majority of the stores holds, and as of when everything acknowledged is held here.
+//! Tracks what a majority of the stores has persisted, and as of when this machine holds everything
+//! acknowledged.
 //!
-//! A change is acknowledged when a majority has persisted it, so any majority that answers a poll shows what was
-//! acknowledged before the poll began. A poll is whole when a majority has answered such that all that it showed is
-//! committed and held here; its start is the fresh instant. Answers that show more do not count, so a store that
-//! holds what no majority will ever hold stops nobody.
+//! A change is acknowledged when a majority has persisted it, so the answers of any majority to a poll
+//! include everything acknowledged before the poll began. A poll is complete when a majority has answered and
+//! everything in those answers is committed and held here; the start of the poll is then the fresh instant.
+//! An answer that includes more than that is not counted, so a store that holds changes which no majority
+//! will ever hold blocks nobody.
 
 use crate::change::Position;
 use crate::rules::InjectedFault;
@@ -17,85 +19,92 @@
     answers: BTreeMap<ControlId, Position>,
 }
 
-/// See the file's comment.
+/// Commit state and polls of the stores; see the module documentation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Quorum {
     /// What each store is known to have persisted.
     reported: BTreeMap<ControlId, Position>,
     committed: Position,
-    /// When how much of a stream was known to be committed; the latest [`INSTANTS`].
-    since: BTreeMap<StreamId, VecDeque<(u64, Micros)>>,
+    /// Per stream, the times at which the committed number rose; the latest [`MAX_COMMIT_TIMES`].
+    committed_since: BTreeMap<StreamId, VecDeque<(u64, Micros)>>,
     polls: VecDeque<Poll>,
     token: u32,
     fresh: Option<Micros>,
 }
 
-/// Instants remembered of each stream: with a few a second, more than a lease.
-const INSTANTS: usize = 64;
+/// Commit times remembered per stream. With a few a second they cover more than a lease.
+const MAX_COMMIT_TIMES: usize = 64;
 
 impl Quorum {
-    /// One that knows nothing.
+    /// A state in which nothing is known.
     pub fn new() -> Self {
         let (reported, committed) = (BTreeMap::new(), Position::default());
-        let (since, polls) = (BTreeMap::new(), VecDeque::new());
-        Quorum { reported, committed, since, polls, token: 0, fresh: None }
+        let (committed_since, polls) = (BTreeMap::new(), VecDeque::new());
+        Quorum { reported, committed, committed_since, polls, token: 0, fresh: None }
     }
 
-    /// What a majority is known to hold.
+    /// What a majority is known to have persisted.
     pub fn committed(&self) -> &Position {
         &self.committed
     }
 
-    /// What a store is known to hold.
+    /// What a store is known to have persisted.
     pub fn reported(&self, store: ControlId) -> Option<&Position> {
         self.reported.get(&store)
     }
 
-    /// Streams of which any store holds anything.
+    /// Streams of which any store holds a change.
     pub fn streams(&self) -> BTreeSet<StreamId> {
         self.reported.values().flat_map(|p| p.iter().map(|s| s.0)).collect()
     }
 
-    /// The most that any store is known to hold of a stream.
-    pub fn most(&self, stream: StreamId) -> u64 {
+    /// The highest number that any store is known to hold of a stream.
+    pub fn highest_reported(&self, stream: StreamId) -> u64 {
         self.reported.values().map(|p| p.get(stream)).max().unwrap_or(0)
     }
 
-    /// See the file's comment.
+    /// Everything acknowledged before this instant is committed and held here; see the module documentation.
     pub fn fresh(&self) -> Option<Micros> {
         self.fresh
     }
 
-    /// The poll that goes on; 0 is none.
+    /// The token of the current poll; 0 if none was started.
     pub fn token(&self) -> u32 {
         self.token
     }
 
-    /// For how long at least a change is known to be committed.
-    pub fn age(&self, now: Micros, stream: StreamId, number: u64) -> Option<Micros> {
-        let known = self.since.get(&stream)?.iter().find(|k| k.0 >= number)?;
+    /// Lower bound of the time for which a change has been known to be committed.
+    pub fn committed_for(&self, now: Micros, stream: StreamId, number: u64) -> Option<Micros> {
+        let known = self.committed_since.get(&stream)?.iter().find(|k| k.0 >= number)?;
         Some(now.saturating_sub(known.1))
     }
 
-    /// A store has persisted a stream up to a number.
-    pub fn report(&mut self, now: Micros, rules: &Rules, store: ControlId, stream: StreamId, number: u64) {
+    /// Records that a store has persisted a stream up to a number.
+    pub fn report_persisted(
+        &mut self,
+        now: Micros,
+        rules: &Rules,
+        store: ControlId,
+        stream: StreamId,
+        number: u64,
+    ) {
         self.reported.entry(store).or_default().raise(stream, number);
         let mut numbers: Vec<u64> = self.reported.values().map(|p| p.get(stream)).collect();
         numbers.sort_unstable_by(|a, b| b.cmp(a));
-        let majority = if rules.is(InjectedFault::AckAlone) { 1 } else { rules.majority() };
-        let common = numbers.get(majority - 1).copied().unwrap_or(0);
-        if common > self.committed.get(stream) {
-            self.committed.raise(stream, common);
-            let since = self.since.entry(stream).or_default();
-            since.push_back((common, now));
-            if since.len() > INSTANTS {
-                since.pop_front();
+        let majority = if rules.has_fault(InjectedFault::AckAlone) { 1 } else { rules.majority() };
+        let majority_held = numbers.get(majority - 1).copied().unwrap_or(0);
+        if majority_held > self.committed.get(stream) {
+            self.committed.raise(stream, majority_held);
+            let committed_since = self.committed_since.entry(stream).or_default();
+            committed_since.push_back((majority_held, now));
+            if committed_since.len() > MAX_COMMIT_TIMES {
+                committed_since.pop_front();
             }
         }
     }
 
-    /// Begins a poll. Its token is to be sent to all stores.
-    pub fn begin(&mut self, now: Micros) -> u32 {
+    /// Starts a poll and returns the token to send to all stores.
+    pub fn begin_poll(&mut self, now: Micros) -> u32 {
         self.token = self.token.wrapping_add(1).max(1);
         self.polls.push_back(Poll { token: self.token, start: now, answers: BTreeMap::new() });
         if self.polls.len() > bounds::MAX_POLLS {
@@ -104,8 +113,9 @@
         self.token
     }
 
-    /// A store's answer; also this machine's own, if it is one. One that does not count only reports.
-    pub fn answer(
+    /// Records a store's answer to a poll, including this machine's own if it is a store. An answer with
+    /// `counts` false only reports what is persisted.
+    pub fn record_answer(
         &mut self,
         now: Micros,
         rules: &Rules,
@@ -115,7 +125,7 @@
         position: &Position,
     ) {
         for (stream, number) in position.iter() {
-            self.report(now, rules, store, stream, number);
+            self.report_persisted(now, rules, store, stream, number);
         }
         self.reported.entry(store).or_default();
         if let Some(poll) = self.polls.iter_mut().find(|p| p.token == token && counts) {
@@ -123,13 +133,15 @@
         }
     }
 
-    /// Whether the fresh instant has moved on, now that this much is held and committed.
-    pub fn settle(&mut self, now: Micros, rules: &Rules, passable: &Position) {
-        let majority = if rules.is(InjectedFault::PollOfOne) { 1 } else { rules.majority() };
-        let whole = |p: &Poll| p.answers.values().filter(|a| passable.covers(a)).count() >= majority;
-        let Some(at) = self.polls.iter().rposition(whole) else { return };
+    /// Advances the fresh instant to the start of the latest poll that is complete, given what is held and
+    /// committed.
+    pub fn advance_fresh(&mut self, now: Micros, rules: &Rules, deliverable: &Position) {
+        let majority = if rules.has_fault(InjectedFault::PollOfOne) { 1 } else { rules.majority() };
+        let complete = |p: &Poll| p.answers.values().filter(|a| deliverable.covers(a)).count() >= majority;
+        let Some(at) = self.polls.iter().rposition(complete) else { return };
         let start = self.polls.get(at).map(|p| p.start);
-        self.fresh = if rules.is(InjectedFault::FreshAtAnswer) { Some(now) } else { self.fresh.max(start) };
+        self.fresh =
+            if rules.has_fault(InjectedFault::FreshAtAnswer) { Some(now) } else { self.fresh.max(start) };
         self.polls.drain(..=at);
     }
 }
--- a/crates/dissemination/tests/admission.rs
+++ b/crates/dissemination/tests/admission.rs
@@ -1,13 +1,13 @@
-//! What stores take, and what followers are sent: never more than their rates.
+//! Admission at the stores and traffic to followers stay within their rates.
 
 mod world;
 
 use dissemination::{Record, Rules, StreamId};
 use std::rc::Rc;
-use world::{World, HOP};
+use world::{World, STEP};
 
-/// Hops of a second.
-const SECOND: usize = (dissemination::SECOND / HOP) as usize;
+/// Simulation steps per second.
+const SECOND: usize = (dissemination::SECOND / STEP) as usize;
 
 fn started(followers: usize) -> World {
     let rules = Rules { controls: 5, stores: 5, ..Rules::default() };
@@ -16,12 +16,13 @@
     world
 }
 
-/// So many purges a second for some seconds, over all stores, with another try at the next store. Bytes that came
-/// to each follower in each hop, and how many changes no store took. No follower that runs leaves service.
+/// Submits `rate` purges per second, spread over all stores; each is retried at the next store if one is
+/// busy. Returns the bytes received by each follower in each step and the number of changes that no store
+/// accepted. Asserts that no running follower leaves service.
 fn load(world: &mut World, rate: usize, seconds: usize) -> (Vec<Vec<u64>>, usize) {
-    let (mut came, mut refused, mut token, mut served) = (vec![], 0, 0u32, true);
-    for hop in 0..seconds * SECOND {
-        let upto = (hop + 1) * rate / SECOND;
+    let (mut received, mut refused, mut token, mut served) = (vec![], 0, 0u32, true);
+    for step in 0..seconds * SECOND {
+        let upto = (step + 1) * rate / SECOND;
         while (token as usize) < upto {
             let taken = (0..5).any(|i| {
                 let busy = world.busy.len();
@@ -31,58 +32,64 @@
             refused += usize::from(!taken);
             token += 1;
         }
-        let before = world.bytes_to.clone();
-        world.hop();
+        let before = world.bytes_received.clone();
+        world.step();
         let serves = |w: &World| w.followers.iter().flatten().all(|f| f.in_service(w.now));
         served &= serves(world);
-        came.push(world.bytes_to.iter().zip(before).map(|(now, before)| now - before).collect());
+        received.push(world.bytes_received.iter().zip(before).map(|(now, before)| now - before).collect());
     }
     assert!(served, "a follower left service");
-    (came, refused)
+    (received, refused)
 }
 
-/// The most that came to any follower in any second.
-fn worst(came: &[Vec<u64>]) -> u64 {
-    let followers = came.first().map_or(0, Vec::len);
-    let second = |f: usize| came.windows(SECOND).map(move |w| w.iter().map(|hop| hop[f]).sum::<u64>());
+/// The most bytes that any follower received in any second.
+fn worst_second(received: &[Vec<u64>]) -> u64 {
+    let followers = received.first().map_or(0, Vec::len);
+    let second = |f: usize| received.windows(SECOND).map(move |w| w.iter().map(|step| step[f]).sum::<u64>());
     (0..followers).flat_map(second).max().unwrap_or(0)
 }
 
 #[test]
-fn the_stated_rate_is_taken_whole_and_stays_far_below_the_bounds() {
+fn the_design_rate_is_accepted_in_full_and_stays_within_the_traffic_limits() {
     let mut world = started(5);
-    let (came, refused) = load(&mut world, 190, 10);
+    let (received, refused) = load(&mut world, 190, 10);
     assert_eq!(refused, 0);
     world.run(SECOND);
     assert_eq!(world.acknowledged.len(), 1900);
-    let bytes: u64 = came.iter().flatten().sum();
+    let bytes: u64 = received.iter().flatten().sum();
     let mean = bytes / 5 / 10;
-    println!("190 changes a second: {mean} B/s to a follower, {} B in the worst second", worst(&came));
+    println!(
+        "190 changes a second: {mean} B/s to a follower, {} B in the worst second",
+        worst_second(&received)
+    );
     assert!(mean <= 2048, "{mean} B/s");
-    assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
+    assert!(worst_second(&received) <= 3400, "{} B in a second", worst_second(&received));
     assert!(world.applied.iter().all(|a| a.marks == 0));
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
-fn ten_times_as_much_is_refused_with_a_time_and_what_was_taken_comes() {
+fn ten_times_the_rate_is_rejected_with_a_retry_time_and_accepted_changes_arrive() {
     let mut world = started(5);
-    let (came, refused) = load(&mut world, 1900, 10);
+    let (received, refused) = load(&mut world, 1900, 10);
     world.run(3 * SECOND);
     let taken = world.acknowledged.len();
-    println!("1900 a second: {taken} taken, {refused} refused, {} B in the worst second", worst(&came));
-    assert_eq!(taken + refused, 19_000, "taken and carried, or refused at once");
+    println!(
+        "1900 a second: {taken} taken, {refused} refused, {} B in the worst second",
+        worst_second(&received)
+    );
+    assert_eq!(taken + refused, 19_000, "every submission is either acknowledged or rejected at once");
     assert!((2000..4000).contains(&taken), "{taken}");
     assert!(world.busy.iter().all(|(_, after)| (1..60_000).contains(after)));
-    assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
-    assert!(world.applied.iter().all(|a| a.marks == 0), "no cache is emptied by a flood");
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    assert!(worst_second(&received) <= 3400, "{} B in a second", worst_second(&received));
+    assert!(world.applied.iter().all(|a| a.marks == 0), "excess load empties no cache");
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
-fn a_time_to_return_is_right() {
+fn the_retry_time_is_accurate() {
     let mut world = started(0);
     let mut token = 0;
     while world.busy.is_empty() {
@@ -90,17 +97,17 @@
         token += 1;
     }
     let (_, after) = world.busy[0];
-    let hops = (i64::from(after) * 1000 / HOP) as usize;
-    world.run(hops.saturating_sub(1));
+    let steps = (i64::from(after) * 1000 / STEP) as usize;
+    world.run(steps.saturating_sub(1));
     world.submit(0, 0, 0, 500);
-    assert_eq!(world.busy.len(), 2, "not yet");
+    assert_eq!(world.busy.len(), 2, "still busy before the retry time");
     world.run(2);
     world.submit(0, 0, 0, 501);
     assert_eq!(world.busy.len(), 2);
 }
 
 #[test]
-fn large_changes_are_taken_by_the_first_store_that_lives_and_one_in_a_while() {
+fn large_changes_are_accepted_one_at_a_time_by_the_first_reachable_store() {
     let mut world = started(2);
     let large: Rc<[u8]> = Rc::from(vec![9; 4096]);
     for store in 0..5 {
@@ -108,25 +115,25 @@
     }
     assert_eq!(world.busy.iter().map(|b| b.0).collect::<Vec<_>>(), [1, 2, 3, 4]);
     world.submit_body(0, 1, 0, 10, large.clone());
-    assert_eq!(world.busy.len(), 5, "the last one first");
-    // Beside all else that is taken, it is carried well within the lease.
-    let (came, refused) = load(&mut world, 190, 5);
-    println!("with 190 a second: {} B in the worst second, {refused} refused", worst(&came));
+    assert_eq!(world.busy.len(), 5, "only one large change at a time");
+    // Next to all other accepted changes, it is delivered well within the lease.
+    let (received, refused) = load(&mut world, 190, 5);
+    println!("with 190 a second: {} B in the worst second, {refused} refused", worst_second(&received));
     let held = |w: &World| w.applied.iter().all(|a| a.bodies.values().any(|b| *b == large));
     assert!(held(&world));
-    assert!(worst(&came) <= 3400, "{} B in a second", worst(&came));
+    assert!(worst_second(&received) <= 3400, "{} B in a second", worst_second(&received));
     world.run(10 * SECOND);
-    world.judge_whole();
-    // Also beside all that stores take: they leave room for it.
+    world.check_converged();
+    // The same while the stores accept as much as they can: they reserve bandwidth for it.
     world.submit_body(0, 1, 2, 11, Rc::from(vec![8; 4096]));
-    let (came, refused) = load(&mut world, 1900, 8);
-    println!("with 1900 a second: {} B in the worst second, {refused} refused", worst(&came));
+    let (received, refused) = load(&mut world, 1900, 8);
+    println!("with 1900 a second: {} B in the worst second, {refused} refused", worst_second(&received));
     let two = |a: &world::Applied| a.bodies.values().filter(|b| b.len() == 4096).count() == 2;
     assert!(world.applied.iter().all(two));
-    assert!(world.applied.iter().all(|a| a.marks == 0), "no cache is emptied by it");
+    assert!(world.applied.iter().all(|a| a.marks == 0), "a large change empties no cache");
     world.run(2 * SECOND);
-    world.judge_whole();
-    // Without the first two the third does.
+    world.check_converged();
+    // Without the first two stores, the third accepts large changes.
     world.kill_control(0);
     world.kill_control(1);
     world.run(2 * SECOND);
@@ -136,25 +143,25 @@
     }
     assert_eq!(world.busy[busy..].iter().map(|b| b.0).collect::<Vec<_>>(), [23, 24]);
     world.run(6 * SECOND);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
-fn a_follower_far_behind_on_a_set_gets_a_mark_and_no_backlog() {
+fn a_follower_far_behind_on_a_set_gets_marks_instead_of_the_backlog() {
     let mut world = started(2);
-    let kept = world.kill_follower(0);
+    let saved = world.kill_follower(0);
     let (_, refused) = load(&mut world, 190, 30);
     assert_eq!(refused, 0);
-    world.start_follower(0, Some(kept));
+    world.start_follower(0, Some(saved));
     world.run(2 * SECOND);
     assert!(world.applied[0].marks >= 5, "{} marks", world.applied[0].marks);
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
 
 #[test]
-fn what_is_held_stays_within_the_rules() {
+fn retained_changes_stay_within_the_limits() {
     let rules = Rules { controls: 3, stores: 3, retained_changes: 40, max_keys: 20, ..Rules::default() };
     let mut world = World::new(rules, 1);
     world.run(2 * SECOND);
@@ -175,7 +182,7 @@
             }
         }
     }
-    assert!(world.busy.iter().any(|(_, after)| *after == 60_000), "no room for more keys");
-    world.judge_whole();
-    assert_eq!(world.verdict, Ok(()));
+    assert!(world.busy.iter().any(|(_, after)| *after == 60_000), "the key limit is reached");
+    world.check_converged();
+    assert_eq!(world.result, Ok(()));
 }
--- a/crates/dissemination/tests/order.rs
+++ b/crates/dissemination/tests/order.rs
@@ -1,4 +1,4 @@
-//! Which control machines followers turn to.
+//! The order in which followers try control machines.
 
 use dissemination::order::preference_order;
 use dissemination::{ControlId, FollowerId, Location};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn every_order_has_each_control_machine_once_and_is_the_same_again() {
+fn every_order_has_each_control_machine_once_and_is_deterministic() {
     let (_, controls) = places();
     for (id, place) in followers(300) {
         let first = preference_order(id, place, &controls);
@@ -28,8 +28,8 @@
 }
 
 #[test]
-fn neighbours_in_an_order_stand_in_different_zones() {
-    // Eight zones with three control machines each; and one zone that has most.
+fn adjacent_machines_in_an_order_are_in_different_zones() {
+    // Eight zones with three control machines each, and an uneven layout in which one zone has most.
     let even: Vec<Location> = (0..24).map(|c| Location { region: c % 4, zone: c % 8, site: c }).collect();
     let uneven: Vec<Location> =
         (0..24u16).map(|c| Location { region: 0, zone: c.saturating_sub(13), site: c }).collect();
@@ -43,20 +43,20 @@
         let all = preference_order(id, place, &even);
         let same =
             all.windows(2).filter(|w| even[usize::from(w[0].0)].zone == even[usize::from(w[1].0)].zone);
-        // Only the last few may have none of another zone left.
+        // Only for the last few there may be none left in another zone.
         assert!(same.count() <= 2, "{all:?}");
     }
 }
 
 #[test]
-fn the_load_is_even_and_stays_so_when_any_one_is_gone() {
+fn the_load_is_even_and_stays_so_without_any_one_machine() {
     let (_, controls) = places();
     let orders: Vec<Vec<ControlId>> =
         followers(11_000).map(|(id, place)| preference_order(id, place, &controls)).collect();
     let load = |gone: Option<ControlId>, rank: usize| {
         let mut load = vec![0usize; 24];
         for o in &orders {
-            let there = o.iter().filter(|c| Some(**c) != gone).nth(rank).expect("enough of them");
+            let there = o.iter().filter(|c| Some(**c) != gone).nth(rank).expect("enough control machines");
             load[usize::from(there.0)] += 1;
         }
         load
@@ -75,13 +75,14 @@
 }
 
 #[test]
-fn the_near_come_first_more_often_than_by_chance() {
+fn near_machines_come_first_more_often_than_by_chance() {
     let (_, controls) = places();
     let near = followers(11_000).filter(|(id, place)| {
         let first = preference_order(*id, *place, &controls)[0];
         controls[usize::from(first.0)].region == place.region
     });
-    // Three quarters of the sites have one control machine in their region; by chance it is first once in 24.
+    // Three quarters of the sites have one control machine in their region; by chance it would be first once
+    // in 24.
     let near = near.count();
     println!("{near} of 11000");
     assert!(near > 11_000 / 12, "{near}");
