--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,20 +1,20 @@
-//! What goes in and out of the core: the [`Input`]s that a host hands in, the [`Effect`]s that it carries out, and what
-//! both are made of.
+//! The core's interface to its host: the [`Input`]s passed in, the [`Effect`]s to carry out, and the types
+//! they are made of.
 
 use crate::codec::discovery::Cluster;
 use crate::interface::*;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A connection of a client.
+/// A client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DownstreamId(pub u64);
 
-/// A connection to a node: a slot in its pool.
+/// A connection to a node, as a slot in the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// What a stream asks a node, byte for byte as it came.
+/// The request of a stream, byte for byte as received from the downstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Message {
     pub verb: Vec<u8>,
@@ -25,17 +25,17 @@
     pub value: Option<Vec<u8>>,
 }
 
-/// A stream as a downstream's protocol hands it over.
+/// A new stream as parsed by a downstream's protocol.
 #[derive(Clone, Debug)]
 pub struct NewStream {
     pub downstream: DownstreamId,
-    /// Its place among the streams of its downstream.
+    /// Sequence number among the streams of its downstream; answers are returned in this order.
     pub place: u64,
     pub class: ClassId,
     pub tenant: TenantId,
     pub key: Key,
     pub repeat: bool,
-    /// How long the downstream waits from now on.
+    /// How long the downstream waits, counted from now.
     pub patience: Micros,
     pub hint: Option<f64>,
     pub message: Rc<Message>,
@@ -45,18 +45,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     Value(Vec<u8>),
-    /// Nobody has such a key: the origin said so.
+    /// The origin reported that the key does not exist.
     Absent,
-    /// A local reply: refused, come again after this time.
+    /// Local reply: refused, with the time after which to retry if known.
     Busy(Option<Micros>),
     Failed,
-    /// It ran out of time.
+    /// The stream ran out of time.
     Late,
-    /// Not taken: its id is that of an open stream.
+    /// Rejected because an open stream has the same id.
     DuplicateId,
 }
 
-/// What goes out on a connection.
+/// What is written to a connection.
 #[derive(Clone, Debug)]
 pub enum Job {
     Stream { message: Rc<Message>, patience: Micros },
@@ -66,14 +66,14 @@
 /// What a node answered.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reply {
-    /// Served, Miss, Error or Full.
+    /// One of Served, Miss, Error and Full.
     pub verdict: Verdict,
     pub value: Vec<u8>,
     pub note: u32,
     pub report: Vec<f32>,
-    /// The connection can carry another upstream request.
+    /// Whether the connection can carry another upstream request.
     pub keep: bool,
-    /// The node turned a new connection away: it has no place for another.
+    /// Whether the node rejected a new connection because its connection table is full.
     pub no_place: bool,
 }
 
@@ -83,12 +83,12 @@
     Served,
     Refused,
     Failed,
-    /// Its downstream was gone.
+    /// The downstream closed its connection before the answer.
     Left,
 }
 
 impl StreamOutcome {
-    /// As lines and figures name it.
+    /// The name used in log lines and figures.
     pub fn name(self) -> &'static str {
         match self {
             StreamOutcome::Served => "served",
@@ -99,106 +99,107 @@
     }
 }
 
-/// How a node says that a read went: [`Outcome::note`] counts these from 1.
+/// Names of read results as nodes report them; [`Outcome::note`] holds the index counted from 1.
 pub const READ_RESULTS: [&str; 3] = ["hit", "miss", "pending"];
 
 /// Why a stream was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// As many streams are open as may be.
+    /// The limit on open streams was reached.
     Full,
     /// No upstream request was sent.
     NotSent,
-    /// It wanted the origin, and found no place there or no answer in time.
+    /// The stream needed the origin, which had no free place or did not answer in time.
     Origin,
-    /// Its upstream requests came to nothing.
+    /// None of its upstream requests succeeded.
     Attempts,
 }
 
-/// What became of a stream on its way, beside its end.
+/// How a stream was handled before it ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamDetails {
-    /// Another upstream request was made after one had failed.
+    /// Whether another upstream request was made after a failed one.
     pub retried: bool,
-    /// It missed, and a cache served it then, which another stream's fetch had filled.
+    /// Whether it missed and was then served by a cache node that another stream's fetch had filled.
     pub joined: bool,
     pub refused: Option<Refusal>,
 }
 
-/// What is told of a stream when it has ended.
+/// The record of a finished stream.
 #[derive(Clone, Debug)]
 pub struct Record {
     pub class: ClassId,
     pub tenant: TenantId,
     pub message: Rc<Message>,
-    /// The node that served it, else the last one tried.
+    /// The node that served the stream, otherwise the last one tried.
     pub node: Option<Rc<str>>,
-    /// How a node said that the read went, as in [`Outcome::note`].
+    /// How the node reported the read, as in [`Outcome::note`].
     pub note: u32,
     pub ended: StreamOutcome,
     pub details: StreamDetails,
-    /// How long it took, and when it was over.
+    /// The stream's duration and the time when it ended.
     pub time: Micros,
     pub at: Micros,
 }
 
 impl Record {
-    /// `hit`, `miss` or `pending`, where a node said so.
+    /// `hit`, `miss` or `pending`, if a node reported it.
     pub fn read(&self) -> Option<&'static str> {
         READ_RESULTS.get((self.note as usize).checked_sub(1)?).copied()
     }
 }
 
-/// What goes on at nodes, for whoever joins it with what others see.
+/// An event at a node, from which a forwarder builds its reports for the planners.
 #[derive(Clone, Debug)]
 pub enum NodeEvent {
-    /// A list, or what changed in it, with the nodes' names.
+    /// A complete list or a change to it, with the nodes' names.
     Listed { revision: u64, form: ListForm, nodes: Vec<(Member, Rc<str>)> },
-    /// A stream was taken.
+    /// A new stream was accepted.
     StreamTaken { class: ClassId, tenant: TenantId, write: bool },
-    /// An upstream request or a probe was made.
+    /// An upstream request or a probe was started.
     Sent(ServerId),
-    /// One ended, with the utilisation that the node reported.
+    /// An upstream request or a probe ended, with the utilisation reported by the node.
     Ended { server: ServerId, verdict: Verdict, elapsed: Micros, load: Option<f32> },
-    /// A node gave an answer that nobody waits for any more.
+    /// A node answered a request that had already been abandoned.
     LateAnswer(ServerId),
 }
 
-/// How far a connection was with its job when it broke.
+/// How much of its job a connection had written when it broke or the job was withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Not a byte of a job was written; a job on its way to it is still whole.
+    /// No byte of a job was written; a job already handed over can still be sent elsewhere.
     Idle,
-    /// The last byte of the job was not written.
+    /// Part of the job was written, but not its last byte.
     Writing,
-    /// It was.
+    /// The whole job was written; the answer is awaited.
     Reading,
 }
 
-/// What a host tells the core.
+/// An input from the host to the core.
 #[derive(Debug)]
 pub enum Input {
-    /// What planners say.
+    /// A plan received from the planners.
     Plan(Plan),
     Stream(NewStream),
     DownstreamClosed(DownstreamId),
     Connected(ConnectionId),
     Broken(ConnectionId, Stage),
-    /// A job was taken back, of which no byte was written (idle) or not the last one (writing): it never ran.
+    /// A job was withdrawn with no byte (idle) or not its last byte (writing) written, so it never ran.
     Withdrawn(ConnectionId, Stage),
     Replied(ConnectionId, Reply),
-    /// A list, or `None` for a sign of life.
+    /// A list or a change from discovery, or `None` for a keep-alive.
     Cluster(Option<Cluster>),
-    /// A list of the watch before, while the present one has told nothing.
+    /// A list from the previous watch, received while the present one has sent nothing.
     PreviousWatch(Cluster),
     WatchEnded,
-    /// Discovery is to be found elsewhere now.
+    /// The address of discovery has changed.
     DiscoveryMoved,
-    /// The proxy ends: whatever was taken has its answer by then, also what came before and could have taken longer.
+    /// The proxy shuts down: every stream is answered by this time, including open ones that had longer
+    /// deadlines.
     ShutdownBy(Micros),
 }
 
-/// What the core has its host do.
+/// An instruction from the core to its host.
 #[derive(Debug)]
 pub enum Effect {
     Answer {
@@ -218,22 +219,23 @@
     Close {
         connection: ConnectionId,
     },
-    /// Nobody waits for the job any more. [`Input::Withdrawn`] follows unless its last byte is out.
+    /// Nobody waits for the job any more. The host replies with [`Input::Withdrawn`] unless the job's last
+    /// byte is written.
     Withdraw {
         connection: ConnectionId,
     },
-    /// Watch discovery anew for what changed after this revision; `None` asks for the whole list.
+    /// Open a new watch on discovery for changes after this revision; `None` asks for the whole list.
     Watch {
         after: Option<u64>,
     },
     Note(String),
-    /// A stream has ended; handed out only if somebody listens.
+    /// A stream has ended; emitted only if `Core::wants_records` is set.
     StreamEnded(Record),
-    /// Something goes on at a node; handed out only if somebody watches.
+    /// An event at a node; emitted only if `Core::wants_node_events` is set.
     NodeEvent(NodeEvent),
 }
 
-/// Counted since the start, for the log.
+/// Counters since the start, reported in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     pub taken: u64,
@@ -241,12 +243,14 @@
     pub refused: u64,
     pub failed: u64,
     pub left: u64,
-    /// Of those that left, the ones that waited: nothing was out just then, or its last byte was not.
+    /// Of the streams in `left`, those that had no upstream request out, or one whose last byte was not
+    /// written.
     pub left_unsent: u64,
     pub overdue: u64,
-    /// Never answered: their downstream was closed here, or the proxy ended, with them open.
+    /// Streams never answered: the proxy closed their downstream or shut down while they were open.
     pub unanswered: u64,
-    /// Spells of 4 s and longer in which all that came, 15 streams at the least, was turned away with no attempt.
+    /// Periods of 4 s or longer in which every stream, 15 at the least, was refused or failed without an
+    /// attempt.
     pub refused_all: u64,
     pub upstream: u64,
     pub probes: u64,
@@ -254,20 +258,21 @@
     pub timeouts: u64,
     pub unconnected: u64,
     pub resets: u64,
-    /// Lists and changes that discovery told, calls to it, and watches on it that ended.
+    /// Lists and changes received from discovery, calls to it, and watches on it that ended.
     pub lists: u64,
     pub calls: u64,
     pub watches_ended: u64,
-    /// What nodes answered to upstream requests; `moot` were never written.
+    /// Outcomes of upstream requests; those in `moot` were never written.
     pub missed: u64,
     pub turned_away: u64,
     pub errors: u64,
     pub moot: u64,
-    /// Sent to nodes within their cold time, and to the origin; of these reads that no node had missed.
+    /// Attempts sent to nodes within their cold time, attempts sent to the origin, and of the latter the
+    /// reads that no node had missed.
     pub cold: u64,
     pub fetched: u64,
     pub spilled: u64,
-    /// Refused, by reason as [`Refusal`] has them.
+    /// Refused streams by reason, see [`Refusal`].
     pub refused_full: u64,
     pub refused_unsent: u64,
     pub refused_origin: u64,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,11 +1,12 @@
-//! The proxy without sockets and without a clock: streams, upstream requests, connections as slots, timers,
-//! and the [`Balancer`] that decides. Whatever speaks with downstreams or nodes hands in [`Input`]s and
-//! carries out [`Effect`]s; nothing in here knows a protocol, so another one can be put in front.
+//! The proxy core without I/O and without a clock: streams, upstream requests, connection slots, timers, and
+//! the [`Balancer`] that makes the decisions. The host that talks to downstreams and nodes passes in
+//! [`Input`]s and carries out the resulting [`Effect`]s. The core knows no wire protocol, so any protocol can
+//! be put in front of it.
 
 mod messages;
 mod pool;
 mod slow_start;
-mod starts;
+mod start_times;
 pub mod status;
 mod upstream;
 mod watch;
@@ -18,49 +19,50 @@
 pub use messages::*;
 use pool::{Pool, Turn};
 use slow_start::SlowStartLog;
-use starts::Starts;
-use status::{ClusterStatus, Marks, Spell};
+use start_times::StartTimes;
+use status::{ClusterStatus, NodeTable, RefusalPeriod};
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::rc::Rc;
 use tracing::debug;
-use watch::Watch;
+use watch::WatchSchedule;
 use wheel::Wheel;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct UpstreamId(u64);
 
 impl UpstreamId {
-    /// That of a stream's attempt: the stream's number, which no probe has, and the attempt's.
+    /// The id of a stream's attempt: the stream's id, which no probe shares, and the attempt's number.
     fn attempt((stream, attempt): (RequestId, u8)) -> Self {
         UpstreamId(stream.0 << 8 | u64::from(attempt))
     }
 
-    /// That of a probe, of a number of its own.
+    /// The id of a probe, made from a number taken from the same counter as stream ids.
     fn probe(number: u64) -> Self {
         UpstreamId(number << 8)
     }
 }
 
-enum Due {
+enum TimerEvent {
     Module(Token),
-    /// The upstream request's time is up.
+    /// The upstream request has reached its timeout.
     Expired(UpstreamId),
-    /// It has waited for a connection for the dial time-out, or until it may not begin any more.
-    Unconnected(UpstreamId),
-    Undialled(ConnectionId),
-    /// A request may have waited long enough for a connection of this node that is busy.
+    /// The upstream request has waited for a connection for the dial timeout, or until it may no longer
+    /// begin.
+    NoConnection(UpstreamId),
+    DialTimeout(ConnectionId),
+    /// A request may have waited long enough for a busy connection of this node; dial another one.
     Dial(ServerId),
-    /// A connection has waited long enough for an answer that nobody wants.
-    Lingered(ConnectionId),
-    /// A connection of this node that answered may carry another job.
+    /// A lingering connection has waited long enough for the answer to an abandoned request.
+    LingerEnded(ConnectionId),
+    /// A connection of this node has settled after its last answer and may carry another job.
     Settled(ServerId),
-    /// A stream's downstream has given up.
+    /// The stream's downstream has stopped waiting.
     Overdue(RequestId),
-    /// Idle connections are looked at.
+    /// Close idle connections and drop outdated node rows.
     Sweep,
-    /// The watch may have been silent for too long, by the call that opened it.
-    Silent(u64),
-    Rewatch,
+    /// The discovery watch may have been silent for too long; carries the number of the call that opened it.
+    WatchSilent(u64),
+    CallDiscovery,
 }
 
 struct Stream {
@@ -71,73 +73,76 @@
     taken: Micros,
     deadline: Micros,
     attempts: u8,
-    /// For its record: the node that served it or was tried last, and how the read went there.
+    /// For its record: the node that served the stream or was tried last, and the node's note on how the read
+    /// went.
     server: Option<ServerId>,
     note: u32,
-    /// An upstream request missed, or failed; and what comes of that.
+    /// Whether an upstream request of this stream missed, or failed.
     missed: bool,
     failed: bool,
     details: StreamDetails,
     message: Rc<Message>,
 }
 
-/// One attempt, or a probe (without a stream).
+/// One attempt of a stream, or a probe (which has no stream).
 struct UpstreamRequest {
     stream: Option<(RequestId, u8)>,
     message: Option<Rc<Message>>,
     server: ServerId,
     sent: Micros,
     expires: Micros,
-    /// Its first byte goes out before then or never.
+    /// If set, the request's first byte is written before this time or not at all.
     begin_by: Option<Micros>,
-    /// Its turn while it waits for a connection.
+    /// Its position in the node's queue while it waits for a connection.
     turn: Option<Turn>,
-    /// The connection that carries it, once it has one.
+    /// The connection that carries it, once one is assigned.
     connection: Option<ConnectionId>,
 }
 
-/// A probe that takes longer than this tells that the node is stuck.
+/// A node whose probe takes longer than this counts as stuck.
 const PROBE_TIMEOUT: Micros = 400_000;
-const SWEEP: Micros = 500_000;
-/// How long after its downstream's patience a stream without an answer is failed here, whatever the module does.
-const OVERDUE: Micros = 30_000;
+const SWEEP_INTERVAL: Micros = 500_000;
+/// How long after the downstream's timeout a stream without an answer is failed by the core, whatever the
+/// module does.
+const OVERDUE_AFTER: Micros = 30_000;
 
 pub struct Core {
     balancer: Balancer,
     settings: Settings,
-    wheel: Wheel<Due>,
+    wheel: Wheel<TimerEvent>,
     streams: IdMap<RequestId, Stream>,
     by_downstream: BTreeSet<(DownstreamId, RequestId)>,
-    /// The ids of open streams as downstreams gave them; none where a protocol has no ids.
+    /// Request ids of open streams as given by downstreams; empty for protocols without ids.
     ids: HashSet<Vec<u8>>,
     upstream: IdMap<UpstreamId, UpstreamRequest>,
     pool: Pool,
-    /// What is known of each node for those who watch.
-    marks: Marks,
+    /// Per-node state and counters for monitoring.
+    node_table: NodeTable,
     slow_starts: SlowStartLog,
-    starts: Starts,
-    spell: Spell,
-    /// What the module has yet to hear.
+    start_times: StartTimes,
+    refusal_period: RefusalPeriod,
+    /// Events not yet passed to the module.
     events: VecDeque<Event>,
     effects: Vec<Effect>,
-    /// Streams whose downstream has left, with the number of their next attempt, until the module has heard of it.
-    left: BTreeMap<RequestId, u8>,
-    /// What the module answers, taken out at once; kept for its room.
+    /// Streams whose downstream has closed, with the number of their next attempt, until the module has been
+    /// told.
+    abandoned: BTreeMap<RequestId, u8>,
+    /// Buffer for the module's actions; drained at once and kept to reuse its allocation.
     actions: Vec<Action>,
     last_id: u64,
-    /// The last revision told by the discovery that is watched now, or known at the start.
+    /// The last revision received from the discovery service being watched, or known at the start.
     revision: Option<u64>,
-    watch: Watch,
-    told: bool,
-    /// When discovery was last heard of, and before the list that is taken over now.
-    heard: Option<Micros>,
-    list_heard: Option<Micros>,
-    /// By when all have their answers, once the proxy ends.
-    ends: Option<Micros>,
+    watch: WatchSchedule,
+    has_list: bool,
+    /// When discovery last sent anything, and the value of that time before the list being applied arrived.
+    last_heard: Option<Micros>,
+    previous_heard: Option<Micros>,
+    /// During a planned shutdown, the time by which every stream has its answer.
+    shutdown_at: Option<Micros>,
     pub counters: Counters,
-    /// Somebody wants the records of streams.
+    /// Emit an [`Effect::StreamEnded`] for each stream.
     pub wants_records: bool,
-    /// Somebody wants to hear what goes on at nodes.
+    /// Emit an [`Effect::NodeEvent`] for each event at a node.
     pub wants_node_events: bool,
 }
 
@@ -151,35 +156,35 @@
             ids: HashSet::new(),
             upstream: IdMap::default(),
             pool: Pool::new(most_connections, &settings),
-            marks: Marks::default(),
+            node_table: NodeTable::default(),
             slow_starts: SlowStartLog::new(settings.cold_for, settings.fall_for),
-            starts: Starts::new(settings.cold_for),
-            spell: Spell::default(),
+            start_times: StartTimes::new(settings.cold_for),
+            refusal_period: RefusalPeriod::default(),
             events: VecDeque::new(),
             effects: Vec::new(),
-            left: BTreeMap::new(),
+            abandoned: BTreeMap::new(),
             actions: Vec::new(),
             last_id: 0,
             revision: Some(known.revision),
-            watch: Watch::new(now, &settings, seed),
-            told: false,
-            heard: None,
-            list_heard: None,
-            ends: None,
+            watch: WatchSchedule::new(now, &settings, seed),
+            has_list: false,
+            last_heard: None,
+            previous_heard: None,
+            shutdown_at: None,
             counters: Counters::default(),
             wants_records: false,
             wants_node_events: false,
             settings,
         };
         core.effects.push(Effect::Note(core.settings_line()));
-        core.cluster(now, known, ListForm::Cached);
-        core.wheel.insert(now + SWEEP, Due::Sweep);
-        core.call(now, core.revision);
-        core.settle(now);
+        core.apply_list(now, known, ListForm::Cached);
+        core.wheel.insert(now + SWEEP_INTERVAL, TimerEvent::Sweep);
+        core.call_discovery(now, core.revision);
+        core.run_module(now);
         core
     }
 
-    /// What the settings say of slow start and the fleet, for the log.
+    /// A log line with the slow start and fleet settings.
     fn settings_line(&self) -> String {
         let s = &self.settings;
         format!(
@@ -194,7 +199,7 @@
         )
     }
 
-    /// When `tick` wants to be called next.
+    /// When `tick` is to be called next.
     pub fn next(&self) -> Micros {
         self.wheel.next()
     }
@@ -203,18 +208,19 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// As [`Core::take_effects`], into an empty list whose room the core has back for the next ones.
+    /// Like [`Core::take_effects`], but swaps in the caller's cleared buffer so that its allocation is
+    /// reused.
     pub fn swap_effects(&mut self, taken: &mut Vec<Effect>) {
         taken.clear();
         std::mem::swap(&mut self.effects, taken);
     }
 
-    /// Discovery has told the list since the start.
+    /// Whether discovery has sent a list since the start.
     pub fn has_list(&self) -> bool {
-        self.told
+        self.has_list
     }
 
-    /// Nodes that are listed as ready.
+    /// The number of nodes listed as ready.
     pub fn serving(&self) -> usize {
         self.pool.nodes.values().filter(|n| n.phase == Phase::Ready).count()
     }
@@ -227,76 +233,78 @@
         self.pool.len()
     }
 
-    /// Whose a connection is, for what is spoken there.
+    /// The node a connection belongs to and its kind, which select the protocol spoken on it.
     pub fn node(&self, connection: ConnectionId) -> Option<(ServerId, KindId)> {
         let server = self.pool.server(connection)?;
         Some((server, self.pool.nodes.get(&server)?.kind))
     }
 
-    /// So many connections to nodes may be open from now on; those that are stay.
+    /// Sets the limit on open connections to nodes; connections already open stay.
     pub fn limit_connections(&mut self, most: usize) {
         self.pool.most = most;
     }
 
-    /// Whether a downstream has a stream without its answer.
+    /// Whether a downstream has unanswered streams.
     pub fn busy(&self, downstream: DownstreamId) -> bool {
         self.open_streams_of(downstream) > 0
     }
 
-    /// How many streams without their answer a downstream has.
+    /// How many unanswered streams a downstream has.
     pub fn open_streams_of(&self, downstream: DownstreamId) -> usize {
         let from = (downstream, RequestId(0));
         self.by_downstream.range(from..).take_while(|(d, _)| *d == downstream).count()
     }
 
-    /// What there is to see now.
+    /// The present state of the cluster for monitoring.
     pub fn status(&self, now: Micros) -> ClusterStatus {
         let sights = self.balancer.sights(now).map(|s| (s.server, s)).collect();
         let origin = self.balancer.origin_sight(now);
-        self.marks.status(&sights, origin, &self.pool.held(), self.revision)
+        self.node_table.status(&sights, origin, &self.pool.held(), self.revision)
     }
 
     pub fn input(&mut self, now: Micros, input: Input) {
         match input {
             Input::Plan(plan) => self.events.push_back(Event::Plan(plan)),
-            Input::Stream(ask) => self.ask(now, ask),
+            Input::Stream(new) => self.start_stream(now, new),
             Input::DownstreamClosed(id) => {
                 let mine = self.by_downstream.range((id, RequestId(0))..).take_while(|(d, _)| *d == id);
                 let mine: Vec<RequestId> = mine.map(|(_, s)| *s).collect();
-                // All of them before what they give back: no place that gets free is for another of them.
+                // Announce all departures before releasing any stream, so that no freed place goes to another
+                // stream of the same downstream.
                 self.events.extend(mine.iter().map(|s| Event::ClientLeft(*s)));
                 for id in mine {
                     self.counters.left += 1;
-                    self.counters.left_unsent += u64::from(!self.is_out(id));
+                    self.counters.left_unsent += u64::from(!self.has_connection(id));
                     let Some(stream) = self.end_stream(now, id) else { continue };
-                    self.left.insert(id, stream.attempts);
-                    self.record(now, &stream, StreamOutcome::Left);
+                    self.abandoned.insert(id, stream.attempts);
+                    self.record_end(now, &stream, StreamOutcome::Left);
                 }
             }
             Input::Connected(c) => {
                 if let Some(server) = self.pool.connected(c, now) {
-                    self.free(now, server, c);
+                    self.release_connection(now, server, c);
                 }
             }
             Input::Broken(c, stage) => self.broken(now, c, stage),
             Input::Withdrawn(c, stage) => self.withdrawn(now, c, stage),
             Input::Replied(c, reply) => self.replied(now, c, reply),
             Input::Cluster(list) => {
-                self.list_heard = self.heard.replace(now);
+                self.previous_heard = self.last_heard.replace(now);
                 self.watch.heard(now);
-                self.marks.heard(now, list.is_some());
+                self.node_table.heard(now, list.is_some());
                 if let Some(list) = list {
-                    self.told = true;
+                    self.has_list = true;
                     self.counters.lists += 1;
-                    let form = form(&list);
-                    self.cluster(now, list, form);
+                    let form = list_form(&list);
+                    self.apply_list(now, list, form);
                 }
             }
             Input::PreviousWatch(list) => {
-                // Told all the same; but its revision may be another discovery's, and it is no sign of life.
+                // The list is applied, but its revision may belong to another discovery service, and it does
+                // not show that the present watch is alive.
                 self.counters.lists += 1;
-                let (form, revision) = (form(&list), self.revision);
-                self.cluster(now, list, form);
+                let (form, revision) = (list_form(&list), self.revision);
+                self.apply_list(now, list, form);
                 self.revision = revision;
             }
             Input::WatchEnded => {
@@ -304,124 +312,124 @@
                 if self.settings.must_subscribe {
                     self.events.push_back(Event::Members { form: ListForm::Failed, entries: Vec::new() });
                 }
-                self.rewatch(now);
+                self.schedule_call(now);
             }
             Input::DiscoveryMoved => {
-                // The new one counts its revisions for itself, so the whole list is asked for.
+                // The new discovery service has its own revision numbers, so ask for the whole list.
                 self.watch.moved(now);
                 self.revision = None;
-                self.call(now, None);
+                self.call_discovery(now, None);
             }
-            Input::ShutdownBy(at) => self.end_by(now, at),
+            Input::ShutdownBy(at) => self.shorten_deadlines(now, at),
         }
-        self.settle(now);
+        self.run_module(now);
     }
 
-    /// Carries out the timers that are due.
+    /// Runs the timers that are due.
     pub fn tick(&mut self, now: Micros) {
         for due in self.wheel.due(now) {
             match due {
-                Due::Module(token) => self.events.push_back(Event::Timer(token)),
-                Due::Expired(id) => self.expired(now, id),
-                Due::Unconnected(id) => {
+                TimerEvent::Module(token) => self.events.push_back(Event::Timer(token)),
+                TimerEvent::Expired(id) => self.expired(now, id),
+                TimerEvent::NoConnection(id) => {
                     if let Some(u) = self.upstream.get(&id).filter(|u| u.connection.is_none()) {
                         let past = self.is_past(now, u.begin_by);
                         self.counters.unconnected += u64::from(!past);
                         let verdict = if past { Verdict::Moot } else { Verdict::ConnectFailed };
-                        self.end(now, id, verdict, None);
+                        self.finish(now, id, verdict, None);
                     }
                 }
-                Due::Dial(server) => match self.pool.lacking(server) {
+                TimerEvent::Dial(server) => match self.pool.first_without_dial(server) {
                     Some(_) if self.pool.is_ready(server) => self.dial(now, server),
-                    Some(id) => self.end(now, id, Verdict::ConnectFailed, None),
+                    Some(id) => self.finish(now, id, Verdict::ConnectFailed, None),
                     None => {}
                 },
-                Due::Undialled(c) => self.undialled(now, c),
-                Due::Lingered(c) => {
-                    if self.pool.has_lingered(c, now) {
+                TimerEvent::DialTimeout(c) => self.dial_timed_out(now, c),
+                TimerEvent::LingerEnded(c) => {
+                    if self.pool.linger_ended(c, now) {
                         self.close(c);
                     }
                 }
-                Due::Settled(server) => {
-                    while self.pool.is_awaited(server) {
-                        let Some(c) = self.take(now, server) else { break };
-                        self.free(now, server, c);
+                TimerEvent::Settled(server) => {
+                    while self.pool.has_waiting(server) {
+                        let Some(c) = self.take_idle(now, server) else { break };
+                        self.release_connection(now, server, c);
                     }
                 }
-                Due::Overdue(id) => {
+                TimerEvent::Overdue(id) => {
                     if self.streams.contains_key(&id) {
-                        // The module has an answer to every time-out; should it ever owe one, a downstream
-                        // must not wait for it.
+                        // The module answers every timeout; if it ever fails to, the downstream must not be
+                        // left waiting.
                         self.counters.overdue += 1;
-                        self.effects.push(Effect::Note(format!("stream {} was overdue: failed", id.0)));
+                        self.effects.push(Effect::Note(format!("stream {} had no answer after its deadline: failed", id.0)));
                         self.answer(now, id, Answer::Late);
                         self.events.push_back(Event::ClientLeft(id));
                     }
                 }
-                Due::Sweep => {
-                    for c in self.pool.stale(now) {
+                TimerEvent::Sweep => {
+                    for c in self.pool.idle_too_long(now) {
                         self.close(c);
                     }
-                    self.marks.forget(now);
-                    self.starts.retain(|id| self.marks.is_known(*id));
+                    self.node_table.remove_expired(now);
+                    self.start_times.retain(|id| self.node_table.is_known(*id));
                     let lines = self.slow_starts.sweep(now);
                     self.effects.extend(lines.into_iter().map(Effect::Note));
-                    self.wheel.insert(now + SWEEP, Due::Sweep);
+                    self.wheel.insert(now + SWEEP_INTERVAL, TimerEvent::Sweep);
                 }
-                Due::Silent(call) => {
-                    // That of an earlier call: the present one has its own.
+                TimerEvent::WatchSilent(call) => {
+                    // Timers of earlier calls are ignored; the present call has its own.
                     if call == self.counters.calls {
                         if self.watch.is_silent(now) {
-                            if !self.watch.fails() {
-                                self.effects.push(Effect::Note("discovery is silent: watching anew".into()));
+                            if !self.watch.has_failed() {
+                                self.effects.push(Effect::Note("discovery has gone silent: opening a new watch".into()));
                             }
-                            self.rewatch(now);
+                            self.schedule_call(now);
                         }
-                        self.wheel.insert(self.watch.look(now), Due::Silent(call));
+                        self.wheel.insert(self.watch.next_check(now), TimerEvent::WatchSilent(call));
                     }
                 }
-                Due::Rewatch => {
+                TimerEvent::CallDiscovery => {
                     if self.watch.due(now) {
-                        self.call(now, self.revision);
+                        self.call_discovery(now, self.revision);
                     }
                 }
             }
-            self.settle(now);
+            self.run_module(now);
         }
     }
 
-    /// Calls discovery: the one place where that is counted.
-    fn call(&mut self, now: Micros, after: Option<u64>) {
+    /// Calls discovery. All calls go through here so that they are counted.
+    fn call_discovery(&mut self, now: Micros, after: Option<u64>) {
         self.counters.calls += 1;
-        self.wheel.insert(self.watch.look(now), Due::Silent(self.counters.calls));
+        self.wheel.insert(self.watch.next_check(now), TimerEvent::WatchSilent(self.counters.calls));
         self.effects.push(Effect::Watch { after });
     }
 
-    /// The watch has ended, or says nothing more: discovery is called again in a while.
-    fn rewatch(&mut self, now: Micros) {
+    /// The watch has ended or gone silent: schedules the next call to discovery.
+    fn schedule_call(&mut self, now: Micros) {
         let at = self.watch.ended(now);
-        self.wheel.insert(at, Due::Rewatch);
+        self.wheel.insert(at, TimerEvent::CallDiscovery);
     }
 
-    fn id(&mut self) -> u64 {
+    fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
-    /// Tells the module all that happened and carries out what it answers.
-    fn settle(&mut self, now: Micros) {
+    /// Passes queued events to the module and applies the actions it returns.
+    fn run_module(&mut self, now: Micros) {
         let mut actions = std::mem::take(&mut self.actions);
         while let Some(event) = self.events.pop_front() {
             self.balancer.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(now, action);
+                self.apply_action(now, action);
             }
         }
         self.actions = actions;
-        self.left.clear();
+        self.abandoned.clear();
     }
 
-    fn act(&mut self, now: Micros, action: Action) {
+    fn apply_action(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { request, server, timeout, begin_by } => {
                 self.send(now, request, server, timeout, begin_by)
@@ -434,13 +442,13 @@
             }
             Action::Refuse { request, retry_after } => self.answer(now, request, Answer::Busy(retry_after)),
             Action::Fail { request } => {
-                // What is left by then is a tick: no attempt could still go out in it.
+                // With no more than one tick left, no attempt could still be written.
                 let period = self.settings.period;
                 let late = self.streams.get(&request).is_some_and(|s| s.deadline - now <= period);
                 self.answer(now, request, if late { Answer::Late } else { Answer::Failed });
             }
             Action::Timer { after, token } => {
-                self.wheel.insert(now + after.max(1), Due::Module(token));
+                self.wheel.insert(now + after.max(1), TimerEvent::Module(token));
             }
             Action::Probe { server } => {
                 self.counters.probes += 1;
@@ -449,29 +457,30 @@
             Action::Release { server } => self.close_idle(server),
             Action::List => {
                 self.watch.called(now);
-                self.call(now, None);
+                self.call_discovery(now, None);
             }
-            // Sockets always watch; a module that asks again has heard that the watch ended.
+            // The core always keeps a watch open and renews it itself; the module asks again only when told
+            // that it ended.
             Action::Subscribe => {}
         }
     }
 
-    // ---- streams
+    // Streams.
 
-    fn ask(&mut self, now: Micros, ask: NewStream) {
-        let id = RequestId(self.id());
+    fn start_stream(&mut self, now: Micros, new: NewStream) {
+        let id = RequestId(self.next_id());
         self.counters.taken += 1;
-        let patience = self.ends.map_or(ask.patience, |at| ask.patience.min(at - now));
-        // A tick early: timers are coarse, and the answer has a way to go.
+        let patience = self.shutdown_at.map_or(new.patience, |at| new.patience.min(at - now));
+        // One tick early: timers are coarse, and the answer has to travel to the downstream.
         let deadline = now + (patience - self.settings.period).max(0);
-        let write = ask.message.value.is_some();
-        self.see(|| NodeEvent::StreamTaken { class: ask.class, tenant: ask.tenant, write });
-        let (downstream, place, message) = (ask.downstream, ask.place, ask.message);
+        let write = new.message.value.is_some();
+        self.emit_node_event(|| NodeEvent::StreamTaken { class: new.class, tenant: new.tenant, write });
+        let (downstream, place, message) = (new.downstream, new.place, new.message);
         let stream = Stream {
             downstream,
             place,
-            class: ask.class,
-            tenant: ask.tenant,
+            class: new.class,
+            tenant: new.tenant,
             taken: now,
             deadline,
             attempts: 0,
@@ -482,7 +491,8 @@
             details: StreamDetails::default(),
             message: message.clone(),
         };
-        // A node would take the second for a repeat, and one's answer could come to the other.
+        // A node would take the second stream for a repeat of the first, and either could receive the other's
+        // answer.
         if self.ids.contains(&message.id) {
             return self.reply(now, &stream, Answer::DuplicateId);
         }
@@ -496,26 +506,26 @@
         }
         self.streams.insert(id, stream);
         self.by_downstream.insert((downstream, id));
-        self.wheel.insert(now + patience.max(0) + OVERDUE, Due::Overdue(id));
+        self.wheel.insert(now + patience.max(0) + OVERDUE_AFTER, TimerEvent::Overdue(id));
         self.events.push_back(Event::Request(Request {
             id,
-            class: ask.class,
-            tenant: ask.tenant,
-            key: ask.key,
+            class: new.class,
+            tenant: new.tenant,
+            key: new.key,
             write,
-            repeat: ask.repeat,
+            repeat: new.repeat,
             deadline,
-            hint: ask.hint,
+            hint: new.hint,
         }));
     }
 
-    /// Gives all that is open no more time than till then, and what comes later neither.
-    fn end_by(&mut self, now: Micros, at: Micros) {
-        self.ends = Some(at);
+    /// Limits the deadlines of all open streams, and of later ones, to `at`.
+    fn shorten_deadlines(&mut self, now: Micros, at: Micros) {
+        self.shutdown_at = Some(at);
         let deadline = (at - self.settings.period).max(now);
         let mut late: Vec<RequestId> =
             self.streams.iter().filter(|(_, s)| s.deadline > deadline).map(|(id, _)| *id).collect();
-        // In the order in which they were taken: that of the table differs from one process to the next.
+        // Sort by arrival: the iteration order of the map differs between processes.
         late.sort_unstable();
         for id in late {
             let Some(stream) = self.streams.get_mut(&id) else { continue };
@@ -524,28 +534,29 @@
                 let id = UpstreamId::attempt((id, attempt));
                 if let Some(u) = self.upstream.get_mut(&id).filter(|u| u.expires > deadline) {
                     u.expires = deadline;
-                    self.wheel.insert(deadline, Due::Expired(id));
+                    self.wheel.insert(deadline, TimerEvent::Expired(id));
                 }
             }
-            self.wheel.insert(at + OVERDUE, Due::Overdue(id));
+            self.wheel.insert(at + OVERDUE_AFTER, TimerEvent::Overdue(id));
             self.events.push_back(Event::Sooner(id, deadline));
         }
     }
 
-    /// Tells what goes on at nodes to whoever watches.
-    fn see(&mut self, seen: impl FnOnce() -> NodeEvent) {
+    /// Emits a node event if the host wants them.
+    fn emit_node_event(&mut self, event: impl FnOnce() -> NodeEvent) {
         if self.wants_node_events {
-            self.effects.push(Effect::NodeEvent(seen()));
+            self.effects.push(Effect::NodeEvent(event()));
         }
     }
 
-    fn load(&self, report: &[f32]) -> Option<f32> {
+    fn utilisation(&self, report: &[f32]) -> Option<f32> {
         let at = self.settings.columns.iter().position(|c| *c == Column::Utilisation)?;
         report.get(at).copied()
     }
 
-    /// The one place where a stream is given back, and with it each of its attempts of which the last byte is not out:
-    /// nobody waits for it. Whether an attempt may be cancelled is another matter: that is of work already sent.
+    /// Removes a stream. Attempts whose last byte has not been written are withdrawn, since nobody waits for
+    /// them. This is independent of whether attempts may be cancelled, which is about work already sent. All
+    /// streams are removed here.
     fn end_stream(&mut self, now: Micros, id: RequestId) -> Option<Stream> {
         let stream = self.streams.remove(&id)?;
         self.by_downstream.remove(&(stream.downstream, id));
@@ -554,19 +565,20 @@
             let Some(u) = self.upstream.get(&attempt) else { continue };
             match u.connection {
                 Some(connection) => self.effects.push(Effect::Withdraw { connection }),
-                None => self.end(now, attempt, Verdict::Moot, None),
+                None => self.finish(now, attempt, Verdict::Moot, None),
             }
         }
         Some(stream)
     }
 
-    /// Whether an attempt of a stream has a connection.
-    fn is_out(&self, id: RequestId) -> bool {
+    /// Whether any attempt of a stream has a connection.
+    fn has_connection(&self, id: RequestId) -> bool {
         let mut attempts = (0..self.streams.get(&id).map_or(0, |s| s.attempts)).map(|n| (id, n));
         attempts.any(|a| self.upstream.get(&UpstreamId::attempt(a)).is_some_and(|u| u.connection.is_some()))
     }
 
-    /// Whether anybody waits for an upstream request: the stream of an attempt is open.
+    /// Whether anything waits for an upstream request: a probe always counts, an attempt while its stream is
+    /// open.
     fn is_wanted(&self, u: &UpstreamRequest) -> bool {
         u.stream.is_none_or(|(stream, _)| self.streams.contains_key(&stream))
     }
@@ -577,8 +589,8 @@
         }
     }
 
-    /// Counts why a stream was refused, if it was, and tells of its end whoever listens.
-    fn record(&mut self, now: Micros, stream: &Stream, ended: StreamOutcome) {
+    /// Counts the reason if the stream was refused, and emits its record if the host wants records.
+    fn record_end(&mut self, now: Micros, stream: &Stream, ended: StreamOutcome) {
         let refused = self.refusal(stream, ended);
         let counter = match refused {
             Some(Refusal::Full) => Some(&mut self.counters.refused_full),
@@ -614,11 +626,11 @@
         }));
     }
 
-    /// Why a stream was refused, if it was.
+    /// Why a stream was refused, or `None` if it ended otherwise.
     fn refusal(&self, stream: &Stream, ended: StreamOutcome) -> Option<Refusal> {
         let write = stream.message.value.is_some() && self.settings.origin_kind.is_some();
-        // A read may get there without a miss, where its nodes are full.
-        let asked = stream.missed || stream.server.is_some_and(|s| self.marks.is_origin(s));
+        // A read can reach the origin without a miss when its cache nodes are full.
+        let asked = stream.missed || stream.server.is_some_and(|s| self.node_table.is_origin(s));
         let why = match stream.attempts {
             _ if write || asked => Refusal::Origin,
             0 => Refusal::NotSent,
@@ -627,7 +639,7 @@
         (ended == StreamOutcome::Refused).then(|| stream.details.refused.unwrap_or(why))
     }
 
-    /// A final answer on its way to its downstream, counted.
+    /// Counts a final answer and sends it to the downstream.
     fn reply(&mut self, now: Micros, stream: &Stream, answer: Answer) {
         let (ended, counter) = match answer {
             Answer::Value(_) | Answer::Absent => (StreamOutcome::Served, &mut self.counters.served),
@@ -639,38 +651,38 @@
         *counter += 1;
         match ended {
             StreamOutcome::Refused | StreamOutcome::Failed => {
-                self.counters.refused_all += u64::from(self.spell.turned_away(now));
+                self.counters.refused_all += u64::from(self.refusal_period.record_rejection(now));
             }
             StreamOutcome::Served | StreamOutcome::Left => {}
         }
-        self.record(now, stream, ended);
+        self.record_end(now, stream, ended);
         let (downstream, place) = (stream.downstream, stream.place);
         self.effects.push(Effect::Answer { downstream, place, answer });
     }
 
-    // ---- the cluster
+    // The cluster.
 
-    fn cluster(&mut self, now: Micros, mut list: Cluster, form: ListForm) {
-        let (first, heard) = (form == ListForm::Cached, self.list_heard);
+    fn apply_list(&mut self, now: Micros, mut list: Cluster, form: ListForm) {
+        let (first, previous_heard) = (form == ListForm::Cached, self.previous_heard);
         for listed in &mut list.nodes {
-            self.starts.correct(now, &mut listed.member, first, heard);
+            self.start_times.correct(now, &mut listed.member, first, previous_heard);
         }
         self.revision = Some(list.revision);
         let named = |l: &Listed| (l.member.clone(), l.name.clone());
-        self.see(|| NodeEvent::Listed {
+        self.emit_node_event(|| NodeEvent::Listed {
             revision: list.revision,
             form,
             nodes: list.nodes.iter().map(named).collect(),
         });
-        self.marks.listed(now, &list.nodes, form != ListForm::Delta, self.settings.origin_kind);
-        let lines = self.slow_starts.listed(now, &list.nodes, form != ListForm::Delta);
+        self.node_table.apply_list(now, &list.nodes, form != ListForm::Delta, self.settings.origin_kind);
+        let lines = self.slow_starts.apply_list(now, &list.nodes, form != ListForm::Delta);
         self.effects.extend(lines.into_iter().map(Effect::Note));
-        for c in self.pool.listed(&list.nodes, form != ListForm::Delta) {
+        for c in self.pool.apply_list(&list.nodes, form != ListForm::Delta) {
             self.close(c);
         }
         let entries: Vec<Member> = list.nodes.into_iter().map(|l| l.member).collect();
         if form == ListForm::Full {
-            // A whole list that names nothing new still removes what it lacks: the module does that.
+            // A complete list without new entries still removes the nodes it lacks; the module does that.
             self.effects.push(Effect::Note(format!("cluster: whole list, {} nodes", entries.len())));
         } else if form == ListForm::Delta && !entries.is_empty() {
             self.effects.push(Effect::Note(format!("cluster: {} changed", entries.len())));
@@ -679,7 +691,7 @@
     }
 }
 
-fn form(list: &Cluster) -> ListForm {
+fn list_form(list: &Cluster) -> ListForm {
     if list.complete {
         ListForm::Full
     } else {
--- a/src/core/slow_start.rs
+++ b/src/core/slow_start.rs
@@ -1,34 +1,36 @@
-//! What each server in slow start was sent by this proxy: told in the log when slow start begins and when it is over.
+//! Logs how many attempts this proxy sent to each server in slow start, when slow start begins and when it
+//! ends.
 //!
-//! It owns the counts of those servers and nothing else; what may be sent is decided by the decision module. Adding the
-//! lines of all proxies up gives the load that a server bore while its capacity was reduced.
+//! This module only counts; the decision module decides what may be sent. Adding up the lines of all proxies
+//! gives the load a server carried while its capacity was reduced.
 
 use crate::codec::discovery::Listed;
 use crate::interface::{Member, Micros, Phase, ServerId, SlowStartSight};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Servers that are followed at the most; one beyond them has no line.
-const ROWS: usize = 4096;
-/// Attempts within one window that are remembered for each server; more are counted as this many.
-const RECENT: usize = 1024;
+/// The maximum number of servers tracked; further ones get no log line.
+const MAX_ROWS: usize = 4096;
+/// The maximum number of attempts remembered per server and window; higher counts are reported as this
+/// number.
+const MAX_RECENT: usize = 1024;
 
-/// Why the slow start of a server is over.
+/// Why the slow start of a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
+enum EndReason {
     Warm,
     Restarted,
     NotListed,
     Draining,
 }
 
-impl End {
+impl EndReason {
     fn name(self) -> &'static str {
         match self {
-            End::Warm => "warm",
-            End::Restarted => "started again",
-            End::NotListed => "no longer listed",
-            End::Draining => "draining",
+            EndReason::Warm => "warm",
+            EndReason::Restarted => "started again",
+            EndReason::NotListed => "no longer listed",
+            EndReason::Draining => "draining",
         }
     }
 }
@@ -38,19 +40,19 @@
     started: Micros,
     attempts: u64,
     recent: VecDeque<Micros>,
-    /// Most attempts within one window, and the server's age at the last of them.
-    most: usize,
-    most_at: Micros,
-    /// What the decision module made of the server then.
+    /// The maximum number of attempts within one window, and the server's age at the last of them.
+    peak: usize,
+    peak_age: Micros,
+    /// The decision module's slow start state of the server at that time.
     sight: Option<SlowStartSight>,
 }
 
 impl Row {
     fn new(name: Rc<str>, started: Micros) -> Self {
-        Row { name, started, attempts: 0, recent: VecDeque::new(), most: 0, most_at: 0, sight: None }
+        Row { name, started, attempts: 0, recent: VecDeque::new(), peak: 0, peak_age: 0, sight: None }
     }
 
-    fn line(&self, now: Micros, window: Micros, end: End) -> String {
+    fn line(&self, now: Micros, window: Micros, end: EndReason) -> String {
         let seconds = |span: Micros| span as f64 / 1e6;
         let sight = self.sight.map(|s| format!(", then {s}")).unwrap_or_default();
         format!(
@@ -59,14 +61,14 @@
             seconds(now - self.started),
             end.name(),
             self.attempts,
-            self.most,
+            self.peak,
             seconds(window),
-            seconds(self.most_at),
+            seconds(self.peak_age),
         )
     }
 }
 
-/// The servers in slow start.
+/// The servers in slow start and their counts.
 pub(super) struct SlowStartLog {
     rows: BTreeMap<ServerId, Row>,
     duration: Micros,
@@ -74,41 +76,42 @@
 }
 
 impl SlowStartLog {
-    /// `duration` is how long slow start lasts, `window` the time over which a server's load is judged, in us.
+    /// `duration` is how long slow start lasts, `window` the time over which a server's load is measured, in
+    /// us.
     pub fn new(duration: Micros, window: Micros) -> Self {
         SlowStartLog { rows: BTreeMap::new(), duration, window }
     }
 
-    /// How many servers are followed.
+    /// The number of servers tracked.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Takes over a list, or what changed in it; the lines that come of it.
-    pub fn listed(&mut self, now: Micros, nodes: &[Listed], whole: bool) -> Vec<String> {
+    /// Applies a complete list or a change to it; returns the resulting log lines.
+    pub fn apply_list(&mut self, now: Micros, nodes: &[Listed], whole: bool) -> Vec<String> {
         let mut lines = Vec::new();
         if whole {
             let absent = |id: &ServerId| !nodes.iter().any(|l| l.member.server == *id);
             let absent: Vec<ServerId> = self.rows.keys().copied().filter(absent).collect();
             for id in absent {
-                lines.extend(self.end(now, id, End::NotListed));
+                lines.extend(self.end(now, id, EndReason::NotListed));
             }
         }
         for listed in nodes {
-            lines.extend(self.entry(now, listed));
+            lines.extend(self.update(now, listed));
         }
         lines
     }
 
-    fn entry(&mut self, now: Micros, listed: &Listed) -> Vec<String> {
+    fn update(&mut self, now: Micros, listed: &Listed) -> Vec<String> {
         let member = &listed.member;
         let mut lines = Vec::new();
         let end = match member.phase {
-            Phase::Gone => Some(End::NotListed),
-            Phase::Draining => Some(End::Draining),
+            Phase::Gone => Some(EndReason::NotListed),
+            Phase::Draining => Some(EndReason::Draining),
             Phase::Ready => {
                 let again = self.rows.get(&member.server).is_some_and(|r| Some(r.started) != member.started);
-                again.then_some(End::Restarted)
+                again.then_some(EndReason::Restarted)
             }
         };
         if let Some(end) = end {
@@ -121,38 +124,38 @@
     fn begin(&mut self, now: Micros, member: &Member, name: &Rc<str>) -> Option<String> {
         let started = member.started.filter(|_| member.phase == Phase::Ready)?;
         let new = member.age(now) < self.duration && !self.rows.contains_key(&member.server);
-        if !new || self.rows.len() >= ROWS {
+        if !new || self.rows.len() >= MAX_ROWS {
             return None;
         }
         self.rows.insert(member.server, Row::new(name.clone(), started));
         Some(format!("slow start of {name}: listed {:.1} s after its start", (now - started) as f64 / 1e6))
     }
 
-    /// An attempt goes there.
+    /// Counts an attempt sent to `server`.
     pub fn sent(&mut self, now: Micros, server: ServerId, sight: impl FnOnce() -> Option<SlowStartSight>) {
         let window = self.window;
         let Some(row) = self.rows.get_mut(&server) else { return };
         row.attempts += 1;
         row.recent.push_back(now);
-        while row.recent.len() > RECENT || row.recent.front().is_some_and(|at| at + window <= now) {
+        while row.recent.len() > MAX_RECENT || row.recent.front().is_some_and(|at| at + window <= now) {
             row.recent.pop_front();
         }
-        if row.recent.len() > row.most {
-            row.most = row.recent.len();
-            row.most_at = now - row.started;
+        if row.recent.len() > row.peak {
+            row.peak = row.recent.len();
+            row.peak_age = now - row.started;
             row.sight = sight();
         }
     }
 
-    /// The lines of servers whose time of slow start has passed.
+    /// Returns the log lines of servers whose slow start has run its full duration.
     pub fn sweep(&mut self, now: Micros) -> Vec<String> {
         let duration = self.duration;
-        let over = self.rows.iter().filter(|(_, r)| now - r.started >= duration);
-        let over: Vec<ServerId> = over.map(|(id, _)| *id).collect();
-        over.into_iter().filter_map(|id| self.end(now, id, End::Warm)).collect()
+        let expired = self.rows.iter().filter(|(_, r)| now - r.started >= duration);
+        let expired: Vec<ServerId> = expired.map(|(id, _)| *id).collect();
+        expired.into_iter().filter_map(|id| self.end(now, id, EndReason::Warm)).collect()
     }
 
-    fn end(&mut self, now: Micros, server: ServerId, end: End) -> Option<String> {
+    fn end(&mut self, now: Micros, server: ServerId, end: EndReason) -> Option<String> {
         let row = self.rows.remove(&server)?;
         Some(row.line(now, self.window, end))
     }
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -1,6 +1,5 @@
-//! What there is to see of the cluster, for those who watch it: a row for each node, kept for a while after it
-//! has left, with what became of the upstream requests there; and how much the core keeps. Nothing is decided
-//! by it.
+//! The state of the cluster for monitoring: one row per node, kept for a while after the node has left, with
+//! the outcomes of its upstream requests, and the sizes of the core's tables. Nothing here affects decisions.
 
 use super::Core;
 use crate::codec::discovery::Listed;
@@ -9,17 +8,17 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How long a node's row stays after the node has left the list: one that returns finds its counters.
-pub const KEPT: Micros = 600_000_000;
-/// Rows at the most; nodes beyond them have none.
-const ROWS: usize = 4096;
+/// How long a row is kept after its node has left the list, so that a returning node keeps its counters.
+pub const ROW_RETENTION: Micros = 600_000_000;
+/// The maximum number of rows; further nodes have none.
+const MAX_ROWS: usize = 4096;
 
-/// A table, and how many things it holds.
+/// The name of a table and its number of entries.
 pub type Size = (&'static str, usize);
 
 impl Core {
-    /// How many things each table of the core and of the module holds now: entries, not the room that a table keeps
-    /// from its fullest time. Counted when asked; nothing is kept for it.
+    /// The number of entries in each table of the core and the module, not their allocated capacity. Counted
+    /// on request; nothing is maintained for it.
     pub fn sizes(&self) -> Vec<Size> {
         let mut sizes = vec![
             ("core.streams", self.streams.len()),
@@ -29,9 +28,9 @@
             ("core.timers", self.wheel.len()),
             ("core.events", self.events.len()),
             ("core.effects", self.effects.len()),
-            ("core.rows", self.marks.rows.len()),
+            ("core.rows", self.node_table.rows.len()),
             ("core.slow_starts", self.slow_starts.len()),
-            ("core.starts", self.starts.len()),
+            ("core.starts", self.start_times.len()),
         ];
         sizes.extend(self.pool.sizes());
         sizes.extend(self.balancer.sizes());
@@ -39,46 +38,47 @@
     }
 }
 
-/// So many streams, and so long a time in us, in which a proxy turns all of them away count as a spell of it: the
-/// figures of the standing test.
-const SPELL: (u64, Micros) = (15, 4_000_000);
+/// The minimum number of streams and the minimum duration, in us, for a period in which all streams are
+/// rejected to be counted; the same figures as in the continuous test.
+const MIN_REFUSAL_PERIOD: (u64, Micros) = (15, 4_000_000);
 
-/// A time in which all that came was turned away.
+/// A period in which every stream was refused or failed without an attempt.
 #[derive(Default)]
-pub(super) struct Spell {
+pub(super) struct RefusalPeriod {
     since: Micros,
     streams: u64,
     counted: bool,
 }
 
-impl Spell {
-    /// An attempt begins: it is over.
-    pub fn over(&mut self) {
+impl RefusalPeriod {
+    /// Ends the period because an attempt is being written.
+    pub fn end(&mut self) {
         self.streams = 0;
     }
 
-    /// A stream was refused, or failed. Whether the spell is one that counts from now on.
-    pub fn turned_away(&mut self, now: Micros) -> bool {
+    /// A stream was refused or failed. Returns true once per period, when it becomes long enough to be
+    /// counted.
+    pub fn record_rejection(&mut self, now: Micros) -> bool {
         if self.streams == 0 {
             (self.since, self.counted) = (now, false);
         }
         self.streams += 1;
-        let counts = self.streams >= SPELL.0 && now - self.since >= SPELL.1;
+        let counts = self.streams >= MIN_REFUSAL_PERIOD.0 && now - self.since >= MIN_REFUSAL_PERIOD.1;
         counts && !std::mem::replace(&mut self.counted, true)
     }
 }
 
-/// Upstream requests, by how they ended.
+/// Upstream request counts by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OutcomeCounts {
     pub served: u64,
     pub missed: u64,
     pub refused: u64,
-    /// Errors, time-outs, resets and what found no connection.
+    /// Errors, timeouts, resets and requests that found no connection.
     pub failed: u64,
 }
 
-/// A node, for those who watch.
+/// The state of a node for monitoring.
 #[derive(Clone, Debug)]
 pub struct NodeStatus {
     pub name: Rc<str>,
@@ -87,7 +87,7 @@
     pub kind: KindId,
     pub origin: bool,
     pub phase: Phase,
-    /// What the module makes of it; nothing once it is gone.
+    /// The module's state of the node; `None` once it is gone.
     pub sight: Option<Sight>,
     pub connections: u32,
     pub ends: OutcomeCounts,
@@ -95,56 +95,56 @@
     pub since: Micros,
 }
 
-/// What there is to see at a moment.
+/// A snapshot of the cluster state.
 #[derive(Clone, Debug)]
 pub struct ClusterStatus {
-    /// In the order of names.
+    /// Sorted by name.
     pub nodes: Vec<NodeStatus>,
     pub origin: Option<OriginSight>,
     pub revision: Option<u64>,
-    /// When discovery last said anything, and when it last told a list.
+    /// When discovery last sent anything, and when it last sent a list.
     pub heard: Option<Micros>,
     pub told: Option<Micros>,
 }
 
-struct Mark {
+struct NodeRow {
     name: Rc<str>,
     address: SocketAddr,
     member: Member,
     origin: bool,
-    /// Since when it is not listed.
+    /// Since when the node is no longer listed.
     gone: Option<Micros>,
     ends: OutcomeCounts,
     since: Micros,
 }
 
-/// The rows.
+/// The rows by node, and when discovery was last in contact.
 #[derive(Default)]
-pub(super) struct Marks {
-    rows: BTreeMap<ServerId, Mark>,
+pub(super) struct NodeTable {
+    rows: BTreeMap<ServerId, NodeRow>,
     heard: Option<Micros>,
     told: Option<Micros>,
 }
 
-impl Marks {
-    /// Discovery has said something, and perhaps told a list.
+impl NodeTable {
+    /// Discovery has sent something; `list` tells whether it was a list.
     pub fn heard(&mut self, now: Micros, list: bool) {
         self.heard = Some(now);
         self.told = if list { Some(now) } else { self.told };
     }
 
-    /// Takes over a list, or what changed in it.
-    pub fn listed(&mut self, now: Micros, nodes: &[Listed], whole: bool, origin: Option<KindId>) {
+    /// Applies a complete list or a change to it.
+    pub fn apply_list(&mut self, now: Micros, nodes: &[Listed], whole: bool, origin: Option<KindId>) {
         let mut absent: Vec<ServerId> = self.rows.keys().copied().filter(|_| whole).collect();
         absent.retain(|id| !nodes.iter().any(|l| l.member.server == *id));
         for id in absent {
-            self.rows.entry(id).and_modify(|mark| {
-                mark.gone.get_or_insert(now);
+            self.rows.entry(id).and_modify(|row| {
+                row.gone.get_or_insert(now);
             });
         }
         for Listed { member, address, name } in nodes {
             let id = member.server;
-            if self.rows.len() >= ROWS && !self.rows.contains_key(&id) {
+            if self.rows.len() >= MAX_ROWS && !self.rows.contains_key(&id) {
                 continue;
             }
             let (ends, since) =
@@ -153,24 +153,24 @@
             let gone = gone.and(self.rows.get(&id).and_then(|m| m.gone).or(gone));
             let (address, name, member) = (*address, name.clone(), member.clone());
             let origin = Some(member.kind) == origin;
-            self.rows.insert(id, Mark { name, address, member, origin, gone, ends, since });
+            self.rows.insert(id, NodeRow { name, address, member, origin, gone, ends, since });
         }
     }
 
-    /// Forgets nodes that have been gone for long.
-    pub fn forget(&mut self, now: Micros) {
-        self.rows.retain(|_, m| m.gone.is_none_or(|at| now - at < KEPT));
+    /// Removes rows of nodes that have been gone for longer than [`ROW_RETENTION`].
+    pub fn remove_expired(&mut self, now: Micros) {
+        self.rows.retain(|_, m| m.gone.is_none_or(|at| now - at < ROW_RETENTION));
     }
 
-    /// An upstream request has ended there; probes do not count.
+    /// Counts the outcome of an upstream request; probes are not counted.
     pub fn count(&mut self, server: ServerId, verdict: Verdict) {
-        let Some(mark) = self.rows.get_mut(&server) else { return };
+        let Some(row) = self.rows.get_mut(&server) else { return };
         match verdict {
-            Verdict::Served => mark.ends.served += 1,
-            Verdict::Miss => mark.ends.missed += 1,
-            Verdict::Full => mark.ends.refused += 1,
+            Verdict::Served => row.ends.served += 1,
+            Verdict::Miss => row.ends.missed += 1,
+            Verdict::Full => row.ends.refused += 1,
             Verdict::Error | Verdict::Timeout | Verdict::ConnectFailed | Verdict::Reset => {
-                mark.ends.failed += 1;
+                row.ends.failed += 1;
             }
             Verdict::Cancelled | Verdict::Moot => {}
         }
@@ -184,7 +184,7 @@
         self.rows.get(&server).is_some_and(|m| m.origin)
     }
 
-    /// Whether a node is within its cold time.
+    /// Whether a node started less than `cold_for` ago.
     pub fn is_cold(&self, server: ServerId, now: Micros, cold_for: Micros) -> bool {
         self.rows.get(&server).is_some_and(|m| m.member.age(now) < cold_for)
     }
@@ -196,7 +196,7 @@
         held: &BTreeMap<ServerId, u32>,
         revision: Option<u64>,
     ) -> ClusterStatus {
-        let seen = |(id, m): (&ServerId, &Mark)| NodeStatus {
+        let seen = |(id, m): (&ServerId, &NodeRow)| NodeStatus {
             name: m.name.clone(),
             address: m.address,
             zone: m.member.zone,
--- a/src/core/watch.rs
+++ b/src/core/watch.rs
@@ -1,130 +1,149 @@
-//! When to call discovery: one chain of calls a proxy, with exponential backoff and jitter.
+//! Schedules calls to discovery: one sequence of calls per proxy, with exponential backoff and jitter.
 //!
-//! It owns the time of the next call and how many have failed in a row. It opens nothing and reads no clock. All
-//! proxies of a fleet lose discovery in the same moment, and it answers a fixed number of calls a second: what
-//! they may ask of it together is divided by how many they are.
+//! This module holds the time of the next call and the number of consecutive failures; it does no I/O and
+//! reads no clock. All proxies of a fleet can lose discovery at the same moment, and discovery answers a
+//! fixed number of calls per second, so the rate at which each proxy calls is divided by the number of
+//! proxies.
 
 use crate::interface::{Micros, Settings};
 use crate::state::{mix, unit};
 use limits::backoff;
 
-/// A watch that stands says something every 2 s; this long a silence means that it is dead.
-const SILENCE: Micros = 3_000_000;
-/// A call may wait its turn at discovery; with no answer for this long it is dead too.
-const UNANSWERED: Micros = 4_500_000;
-/// What a dead watch misses counts as told this long after its last word (the protocol's figure), and what came right
-/// after a call that failed, was refused or given up this long after that call. Before then discovery is called again.
-const KNOWN: Micros = 6_000_000;
-/// What is left of that for the answer, in us: where nodes that start cold are told there is no grace beside it.
-const ANSWERS: Micros = 400_000;
-/// What the calls of a fleet that keep to that are spread over, each from its last one, in us: they are spread already.
-const APART: Micros = 800_000;
-/// Where lists are pushed, what the agent beside the proxy has counts as told at once, whether or not a watch stands. A
-/// call there costs nobody else anything, and is answered at once. So of the time that the rule leaves for a drain, one
-/// part goes by before a call without an answer is given up and one before the next call; two are left for its answer.
-const PARTS: Micros = 4;
-/// Such a pause, in us: shorter ones would have a proxy whose agent is gone do little else, longer ones gain nothing.
-const PAUSES: (Micros, Micros) = (25_000, 2_000_000);
-/// The least time that an agent is given for its answer, in us: it may have its turn of the processor only then.
-const ANSWER: Micros = 100_000;
-/// The least time from the end of a watch to the next call where one service is asked by all, in us.
-const LEAST: Micros = 300_000;
-/// What the first calls after a common end are spread over, for each proxy of the fleet, in us: together they
-/// call discovery fifty times a second, whatever their number.
-const SPREAD: Micros = 20_000;
-/// The most that the doublings make of it, in us, for fleets up to a hundred; for larger ones four times the first. It
-/// moves the next call towards the end of what [`KNOWN`] leaves, never past it.
-const LONGEST: Micros = 8_000_000;
+/// An established watch sends something every 2 s; after this much silence it counts as dead.
+const WATCH_TIMEOUT: Micros = 3_000_000;
+/// A call may be queued at discovery; without an answer for this long it counts as dead too.
+const CALL_TIMEOUT: Micros = 4_500_000;
+/// Changes missed by a dead watch count as delivered this long after its last message (the protocol's
+/// figure), and changes right after a call that failed, was rejected or was given up, this long after that
+/// call. Discovery has to be called again before then.
+const KNOWN_AFTER: Micros = 6_000_000;
+/// The part of [`KNOWN_AFTER`] left for the answer, in us: where nodes start cold, no other grace period is
+/// added.
+const ANSWER_MARGIN: Micros = 400_000;
+/// The range over which the fleet's calls under this limit are spread, each counted from the proxy's last
+/// call, in us; those last calls are already spread.
+const MIN_SPREAD: Micros = 800_000;
+/// Where lists are pushed, whatever the local agent has counts as delivered at once, whether or not a watch
+/// is open. A call to the agent costs nothing elsewhere and is answered at once. Of the grace period for a
+/// drain, one part passes before an unanswered call is given up and one before the next call, which leaves
+/// two for its answer.
+const GRACE_PARTS: Micros = 4;
+/// Limits of such a pause, in us: with a shorter one a proxy without its agent would do little but call, and
+/// a longer one gains nothing.
+const PAUSE_LIMITS: (Micros, Micros) = (25_000, 2_000_000);
+/// The minimum time the agent has to answer, in us: it may be scheduled on the processor only then.
+const MIN_ANSWER_TIME: Micros = 100_000;
+/// The minimum time from the end of a watch to the next call where all proxies share one discovery service,
+/// in us.
+const MIN_PAUSE: Micros = 300_000;
+/// The first calls after watches end together are spread over this time for each proxy of the fleet, in us:
+/// all proxies together call discovery fifty times a second, whatever their number.
+const SPREAD_PER_PROXY: Micros = 20_000;
+/// The maximum backoff, in us, for fleets up to a hundred proxies; for larger ones, four times the initial
+/// one. The backoff moves the next call towards the end of [`KNOWN_AFTER`], never past it.
+const MAX_BACKOFF: Micros = 8_000_000;
 
 #[derive(Debug)]
-pub(super) struct Watch {
-    /// The spread of this fleet's first calls.
+pub(super) struct WatchSchedule {
+    /// The range over which this fleet's first calls are spread.
     spread: Micros,
-    /// The least pause before a call, and the most where an agent beside the proxy has the lists, in spite of all
-    /// that failed; `None` where one service for the whole fleet is asked for them.
-    least: Micros,
-    most: Option<Micros>,
-    /// After this long a call has no answer any more.
-    unanswered: Micros,
+    /// The minimum pause before a call, and the maximum one where a local agent has the lists, regardless of
+    /// failures; `None` where one service for the whole fleet is asked for them.
+    min_pause: Micros,
+    max_pause: Option<Micros>,
+    /// After this time an unanswered call is given up.
+    call_timeout: Micros,
     rng: u64,
     failed: u32,
     heard: Micros,
-    /// The call was answered: a watch stands.
-    stands: bool,
+    /// Whether the call was answered, that is, a watch is open.
+    established: bool,
     /// When to call next; `None` while a call or a watch is open.
     due: Option<Micros>,
 }
 
-impl Watch {
-    /// A call is made at once, by whoever makes this.
+impl WatchSchedule {
+    /// The caller makes the first call at once.
     pub fn new(now: Micros, settings: &Settings, seed: u64) -> Self {
-        let spread = (SPREAD * Micros::from(settings.routers)).max(LEAST);
+        let spread = (SPREAD_PER_PROXY * Micros::from(settings.routers)).max(MIN_PAUSE);
         let rng = mix(seed ^ 0x77a7_c4e5);
-        let part = (settings.drain_grace / PARTS).clamp(PAUSES.0, PAUSES.1);
-        let (least, most, unanswered) = match settings.must_subscribe {
-            true => (LEAST, None, UNANSWERED),
-            false => (LEAST.min(part / 2), Some(part), UNANSWERED.min(part.max(ANSWER))),
+        let part = (settings.drain_grace / GRACE_PARTS).clamp(PAUSE_LIMITS.0, PAUSE_LIMITS.1);
+        let (min_pause, max_pause, call_timeout) = match settings.must_subscribe {
+            true => (MIN_PAUSE, None, CALL_TIMEOUT),
+            false => (MIN_PAUSE.min(part / 2), Some(part), CALL_TIMEOUT.min(part.max(MIN_ANSWER_TIME))),
         };
-        Watch { spread, least, most, unanswered, rng, failed: 0, heard: now, stands: false, due: None }
+        WatchSchedule {
+            spread,
+            min_pause,
+            max_pause,
+            call_timeout,
+            rng,
+            failed: 0,
+            heard: now,
+            established: false,
+            due: None,
+        }
     }
 
-    /// Discovery has said something.
+    /// Discovery has sent something.
     pub fn heard(&mut self, now: Micros) {
-        (self.heard, self.stands, self.failed, self.due) = (now, true, 0, None);
+        (self.heard, self.established, self.failed, self.due) = (now, true, 0, None);
     }
 
-    /// The call or the watch has ended, or is silent: when to call again. One that was given up for silent ends once
-    /// more.
+    /// The call or the watch has ended or is silent: returns when to call again. A watch given up for silence
+    /// reports its end once more.
     pub fn ended(&mut self, now: Micros) -> Micros {
         if let Some(at) = self.due {
             return at;
         }
-        let over = backoff(self.spread, self.failed, LONGEST.max(4 * self.spread));
-        // Discovery may have changed, and be within reach, right after the last word or the call that came to nothing.
-        let most = self.most.unwrap_or(self.heard + KNOWN - ANSWERS - now);
-        // At the least there is something to spread over.
-        let most = (most - self.least).max(self.least);
-        // Where the back-off wants more than that, its mean is kept as far as it goes. First calls are together, and
-        // use all there is.
-        let late = if self.failed == 0 || self.most.is_some() { 0 } else { over - most };
-        let from = late.clamp(0, (most - APART).max(0));
+        let backoff_time = backoff(self.spread, self.failed, MAX_BACKOFF.max(4 * self.spread));
+        // Discovery may have a change and be reachable right after the last message or the failed call.
+        let max_pause = self.max_pause.unwrap_or(self.heard + KNOWN_AFTER - ANSWER_MARGIN - now);
+        // Keep a minimum range to spread the calls over.
+        let max_pause = (max_pause - self.min_pause).max(self.min_pause);
+        // Where the backoff exceeds this limit, its mean is kept as far as possible. First calls happen
+        // together and use the whole range.
+        let shift = if self.failed == 0 || self.max_pause.is_some() { 0 } else { backoff_time - max_pause };
+        let from = shift.clamp(0, (max_pause - MIN_SPREAD).max(0));
         self.failed += 1;
         self.rng = mix(self.rng.wrapping_add(1));
-        let at = now + self.least + from + ((over.min(most) - from) as f64 * unit(self.rng)) as Micros;
+        let at = now
+            + self.min_pause
+            + from
+            + ((backoff_time.min(max_pause) - from) as f64 * unit(self.rng)) as Micros;
         self.due = Some(at);
         at
     }
 
-    /// Whether the watch has been silent for so long that it is dead.
+    /// Whether the watch has been silent for so long that it counts as dead.
     pub fn is_silent(&self, now: Micros) -> bool {
-        self.due.is_none() && now - self.heard >= self.patience()
+        self.due.is_none() && now - self.heard >= self.timeout()
     }
 
-    /// When to look whether it is, next.
-    pub fn look(&self, now: Micros) -> Micros {
-        // One that is put off may yet be taken over by news, and is silent no sooner than this.
+    /// When to check for silence next.
+    pub fn next_check(&self, now: Micros) -> Micros {
+        // A scheduled call may still be superseded by news; the watch cannot be silent before then.
         if self.due.is_some() {
-            now + SILENCE
+            now + WATCH_TIMEOUT
         } else {
-            self.heard + self.patience()
+            self.heard + self.timeout()
         }
     }
 
-    fn patience(&self) -> Micros {
-        if self.stands {
-            SILENCE
+    fn timeout(&self) -> Micros {
+        if self.established {
+            WATCH_TIMEOUT
         } else {
-            self.unanswered
+            self.call_timeout
         }
     }
 
-    /// Whether calls have failed in a row before this one.
-    pub fn fails(&self) -> bool {
+    /// Whether preceding calls have failed.
+    pub fn has_failed(&self) -> bool {
         self.failed > 0
     }
 
-    /// Whether the call that was put off till now is to be made. One that was taken over by news, or by a call
-    /// elsewhere, is not.
+    /// Whether the scheduled call is due. It is not if news arrived or another call was made meanwhile.
     pub fn due(&mut self, now: Micros) -> bool {
         let due = self.due.is_some_and(|at| at <= now);
         if due {
@@ -133,12 +152,12 @@
         due
     }
 
-    /// A call is made, for whatever reason.
+    /// A call is made.
     pub fn called(&mut self, now: Micros) {
-        (self.heard, self.stands, self.due) = (now, false, None);
+        (self.heard, self.established, self.due) = (now, false, None);
     }
 
-    /// Discovery is to be found elsewhere: what failed before says nothing of it.
+    /// The address of discovery has changed: earlier failures say nothing about the new one.
     pub fn moved(&mut self, now: Micros) {
         self.failed = 0;
         self.called(now);
--- a/src/core/wheel.rs
+++ b/src/core/wheel.rs
@@ -1,10 +1,10 @@
-//! Coarse timers: a hashed wheel whose slots are ticks of one period.
+//! Coarse timers: a hashed timer wheel with one slot per tick of the period.
 
 use crate::interface::Micros;
 
 const SLOTS: usize = 512;
-/// The furthest that one look ahead goes; a sleeper then looks again.
-const AHEAD: u64 = 128;
+/// How many ticks ahead `next` searches; if nothing is due by then, the caller wakes and searches again.
+const MAX_LOOKAHEAD: u64 = 128;
 
 pub struct Wheel<T> {
     period: Micros,
@@ -23,14 +23,14 @@
         self.slots.iter().map(Vec::len).sum()
     }
 
-    /// Due at the first tick at or after `at`, and never within the present one.
-    pub fn insert(&mut self, at: Micros, what: T) {
+    /// Inserts a timer due at the first tick at or after `at`, but never within the present tick.
+    pub fn insert(&mut self, at: Micros, item: T) {
         let tick = ((at + self.period - 1) / self.period).max(0) as u64;
         let tick = tick.max(self.tick);
-        self.slots[tick as usize % SLOTS].push((tick, what));
+        self.slots[tick as usize % SLOTS].push((tick, item));
     }
 
-    /// Takes out all that is due by `now`, in the order of ticks.
+    /// Removes and returns all timers due by `now`, in tick order.
     pub fn due(&mut self, now: Micros) -> Vec<T> {
         let last = (now / self.period) as u64;
         let mut due = Vec::new();
@@ -39,7 +39,7 @@
             let slot = &mut self.slots[tick as usize % SLOTS];
             if slot.iter().any(|(t, _)| *t == tick) {
                 let (now, later): (Vec<_>, Vec<_>) = slot.drain(..).partition(|(t, _)| *t == tick);
-                due.extend(now.into_iter().map(|(_, what)| what));
+                due.extend(now.into_iter().map(|(_, item)| item));
                 *slot = later;
             }
             self.tick += 1;
@@ -47,10 +47,11 @@
         due
     }
 
-    /// When to look again: the next tick that holds something, or the end of the look ahead.
+    /// When to check again: the next tick with a timer, or the end of the search range.
     pub fn next(&self) -> Micros {
-        let holds = |t: &u64| self.slots[*t as usize % SLOTS].iter().any(|(tick, _)| tick == t);
-        let tick = (self.tick..self.tick + AHEAD).find(holds).unwrap_or(self.tick + AHEAD);
+        let has_timer = |t: &u64| self.slots[*t as usize % SLOTS].iter().any(|(tick, _)| tick == t);
+        let tick =
+            (self.tick..self.tick + MAX_LOOKAHEAD).find(has_timer).unwrap_or(self.tick + MAX_LOOKAHEAD);
         tick as Micros * self.period
     }
 }
