--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -361,7 +361,10 @@
                         // The module answers every timeout; if it ever fails to, the downstream must not be
                         // left waiting.
                         self.counters.overdue += 1;
-                        self.effects.push(Effect::Note(format!("stream {} had no answer after its deadline: failed", id.0)));
+                        self.effects.push(Effect::Note(format!(
+                            "stream {} had no answer after its deadline: failed",
+                            id.0
+                        )));
                         self.answer(now, id, Answer::Late);
                         self.events.push_back(Event::ClientLeft(id));
                     }
@@ -381,7 +384,9 @@
                     if call == self.counters.calls {
                         if self.watch.is_silent(now) {
                             if !self.watch.has_failed() {
-                                self.effects.push(Effect::Note("discovery has gone silent: opening a new watch".into()));
+                                self.effects.push(Effect::Note(
+                                    "discovery has gone silent: opening a new watch".into(),
+                                ));
                             }
                             self.schedule_call(now);
                         }
--- a/src/owner/controls.rs
+++ b/src/owner/controls.rs
@@ -1,5 +1,5 @@
-//! The connections to control machines, a task each, and what goes over them. With no `control` line there is none of
-//! this. What is to be said, and to whom, is [`Following`]'s.
+//! Connections to control machines, one task each. Without a `control` setting there are none. What is sent
+//! to which machine is decided by [`Following`].
 
 use crate::features::follower::{Following, Wish};
 use crate::interface::Micros;
@@ -17,27 +17,27 @@
     _task: Task<()>,
 }
 
-pub(super) struct Connections {
+pub(super) struct Controls {
     pub(super) following: Following,
-    /// With [`Connections::leaving`] the one place where a connection's descriptor is given back.
+    /// Open connections. Together with [`Controls::leaving`] this holds all descriptors of such connections.
     open: BTreeMap<ControlId, Connection>,
-    /// Connections whose last words are on their way, by their number.
+    /// Connections that are closed once their final message is written, by connection number.
     leaving: BTreeMap<u64, Connection>,
     last: u64,
     wishes: Vec<Wish>,
 }
 
-/// Connections that may be on their way out at a time; beyond, no last words are said.
-const LEAVING: usize = 4;
+/// The maximum number of connections closing this way; beyond it no final message is sent.
+const MAX_LEAVING: usize = 4;
 
-impl Connections {
+impl Controls {
     pub(super) fn new(following: Following) -> Self {
         let (open, leaving) = (BTreeMap::new(), BTreeMap::new());
-        Connections { following, open, leaving, last: 0, wishes: Vec::new() }
+        Controls { following, open, leaving, last: 0, wishes: Vec::new() }
     }
 
-    /// A connection's word. What an earlier connection left behind in the queue means nothing.
-    pub(super) fn hear(&mut self, now: Micros, control: ControlId, number: u64, word: Word<Message>) {
+    /// Handles an event of a connection. Events of earlier connections left in the queue are ignored.
+    pub(super) fn handle(&mut self, now: Micros, control: ControlId, number: u64, word: Word<Message>) {
         if matches!(word, Word::Down(_)) {
             self.leaving.remove(&number);
         }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Runs due work and carries out the resulting wishes.
     pub(super) fn tick(&mut self, now: Micros, executor: &LocalExecutor<'static>, queue: &Queue) {
         self.following.tick(now, &mut self.wishes);
         for wish in std::mem::take(&mut self.wishes) {
@@ -77,7 +77,7 @@
 
     fn close(&mut self, control: ControlId, why: &Refused) {
         let Some(connection) = self.open.remove(&control) else { return };
-        if self.leaving.len() < LEAVING && connection.outbox.last(frame::refusal(why)) {
+        if self.leaving.len() < MAX_LEAVING && connection.outbox.last(frame::refusal(why)) {
             self.leaving.insert(connection.number, connection);
         }
     }
@@ -88,12 +88,12 @@
             Ok(bytes) => {
                 if !connection.outbox.push(bytes.into()) {
                     self.open.remove(&control);
-                    self.following.down(now, control, "it does not take what it is told");
+                    self.following.down(now, control, "its send queue is full");
                 }
             }
             Err(why) => {
                 let (number, why) = (control.0, why.to_string());
-                warn!(event = "not_told", why, "control machine {number} is not told: {why}");
+                warn!(event = "not_told", why, "cannot encode a message to control machine {number}: {why}");
             }
         }
     }
--- a/src/owner/discovery.rs
+++ b/src/owner/discovery.rs
@@ -1,5 +1,4 @@
-//! Where discovery is, the watch on it, and the one thing that a reload of the configuration changes: its
-//! address.
+//! The address of discovery and the watch on it. The address is the only setting that a reload changes.
 
 use crate::config;
 use crate::core::Input;
@@ -11,25 +10,27 @@
 use tracing::{info, warn};
 
 pub(super) struct Discovery {
-    /// The configuration's file.
+    /// The path of the configuration file.
     path: String,
     address: SocketAddr,
-    /// The watches made so far. News of one may still be in the queue when the next is made.
-    made: u64,
+    /// The number of watches opened so far. Events of an earlier one may still be queued when the next is
+    /// opened.
+    opened: u64,
     watch: Option<Task<()>>,
-    /// The last watch that has spoken, until the present one does: what it told counts, and what it may yet tell is
-    /// better than nothing while the present call has no answer.
-    before: Option<(u64, Task<()>)>,
-    /// The present one has told something.
-    spoken: bool,
+    /// The last watch that has sent a list, kept until the present one sends one: its lists are valid, and
+    /// while the present call is unanswered they are better than nothing.
+    previous: Option<(u64, Task<()>)>,
+    /// Whether the present watch has sent a list or a keep-alive.
+    active: bool,
 }
 
 impl Discovery {
     pub(super) fn new(path: String, address: SocketAddr) -> Self {
-        Discovery { path, address, made: 0, watch: None, before: None, spoken: false }
+        Discovery { path, address, opened: 0, watch: None, previous: None, active: false }
     }
 
-    /// Watches anew. A watch that has spoken lives on till the new one has; a call without an answer is given up.
+    /// Opens a new watch. A watch that has sent something is kept until the new one has; an unanswered call
+    /// is dropped.
     pub(super) fn watch(
         &mut self,
         after: Option<u64>,
@@ -37,32 +38,32 @@
         queue: &Queue,
         site: &Rc<Site>,
     ) {
-        if std::mem::take(&mut self.spoken) {
-            self.before = self.watch.take().map(|task| (self.made, task));
+        if std::mem::take(&mut self.active) {
+            self.previous = self.watch.take().map(|task| (self.opened, task));
         }
-        self.made += 1;
-        let watch = cluster::watch(self.made, self.address, after, queue.clone(), site.clone());
+        self.opened += 1;
+        let watch = cluster::watch(self.opened, self.address, after, queue.clone(), site.clone());
         self.watch = Some(executor.spawn(watch));
     }
 
-    /// What a watch tells, for the core. That of one before the present says nothing of the present one; its lists
-    /// hold until the present one has spoken.
-    pub(super) fn hear(&mut self, number: u64, heard: Heard) -> Option<Input> {
-        let present = number == self.made;
-        if present && matches!(heard, Heard::Told(_)) {
-            (self.spoken, self.before) = (true, None);
+    /// Converts an event of a watch into an input for the core. An earlier watch says nothing about the state
+    /// of the present one, but its lists are used until the present one has sent something.
+    pub(super) fn handle(&mut self, number: u64, heard: Heard) -> Option<Input> {
+        let current = number == self.opened;
+        if current && matches!(heard, Heard::Told(_)) {
+            (self.active, self.previous) = (true, None);
         }
         match heard {
-            Heard::Answered if present => Some(Input::Cluster(None)),
-            Heard::Told(list) if present => Some(Input::Cluster(list)),
-            Heard::Ended if present => Some(Input::WatchEnded),
-            Heard::Told(Some(list)) if !self.spoken => Some(Input::PreviousWatch(list)),
+            Heard::Answered if current => Some(Input::Cluster(None)),
+            Heard::Told(list) if current => Some(Input::Cluster(list)),
+            Heard::Ended if current => Some(Input::WatchEnded),
+            Heard::Told(Some(list)) if !self.active => Some(Input::PreviousWatch(list)),
             Heard::Answered | Heard::Told(_) | Heard::Ended => None,
         }
     }
 
-    /// Reads the configuration again; whether it could be used. Only `discovery` takes effect: streams,
-    /// connections and what the module has learnt live on.
+    /// Reloads the configuration file; returns whether it was valid. Only `discovery` takes effect: streams,
+    /// connections and the module's state are kept.
     pub(super) fn reload(&mut self) -> bool {
         match config::load(&self.path) {
             Ok(config) => {
--- a/src/owner/discovery/tests.rs
+++ b/src/owner/discovery/tests.rs
@@ -1,29 +1,35 @@
 use super::*;
 use crate::codec::discovery::Cluster;
 
-fn told(revision: u64) -> Heard {
+fn list_event(revision: u64) -> Heard {
     Heard::Told(Some(Cluster { revision, complete: false, nodes: Vec::new() }))
 }
 
-/// Guards against what an old watch said last, in the queue or on its way as the next call is made: neither is it
-/// lost, nor taken for the new one's, nor does it come over what the new one has told.
+/// The last messages of an old watch may still be queued or arriving when the next call is made: they must be
+/// neither lost, nor attributed to the new watch, nor applied over what the new one has sent.
 #[test]
-fn what_the_watch_before_says_is_told_from_what_the_present_one_says() {
+fn messages_of_the_previous_watch_are_told_from_those_of_the_current_one() {
     let (executor, site) = (LocalExecutor::new(), Rc::new(Site::default()));
     let (queue, _news) = async_channel::bounded(8);
-    let mut d = Discovery::new(String::new(), "127.0.0.1:1".parse().expect("an address"));
-    d.watch(Some(1), &executor, &queue, &site);
-    assert!(matches!(d.hear(1, told(2)), Some(Input::Cluster(Some(_)))));
-    d.watch(None, &executor, &queue, &site);
-    assert!(d.before.is_some(), "till the present one speaks");
-    assert!(matches!(d.hear(1, told(3)), Some(Input::PreviousWatch(_))));
-    assert!(d.hear(1, Heard::Told(None)).is_none() && d.hear(1, Heard::Ended).is_none());
-    // A call without an answer gives way to the next; the watch that has spoken does not.
-    d.watch(None, &executor, &queue, &site);
-    assert!(d.hear(2, Heard::Ended).is_none() && d.before.is_some());
-    assert!(matches!(d.hear(1, told(4)), Some(Input::PreviousWatch(_))));
-    assert!(matches!(d.hear(3, Heard::Answered), Some(Input::Cluster(None))) && d.before.is_some());
-    assert!(matches!(d.hear(3, told(1)), Some(Input::Cluster(Some(_)))) && d.before.is_none());
-    assert!(d.hear(1, told(5)).is_none() && d.hear(2, told(5)).is_none());
-    assert!(matches!(d.hear(3, Heard::Ended), Some(Input::WatchEnded)));
+    let mut discovery = Discovery::new(String::new(), "127.0.0.1:1".parse().expect("an address"));
+    discovery.watch(Some(1), &executor, &queue, &site);
+    assert!(matches!(discovery.handle(1, list_event(2)), Some(Input::Cluster(Some(_)))));
+    discovery.watch(None, &executor, &queue, &site);
+    assert!(discovery.previous.is_some(), "kept until the current one sends a list");
+    assert!(matches!(discovery.handle(1, list_event(3)), Some(Input::PreviousWatch(_))));
+    assert!(discovery.handle(1, Heard::Told(None)).is_none() && discovery.handle(1, Heard::Ended).is_none());
+    // An unanswered call is replaced by the next; the watch that has sent something is kept.
+    discovery.watch(None, &executor, &queue, &site);
+    assert!(discovery.handle(2, Heard::Ended).is_none() && discovery.previous.is_some());
+    assert!(matches!(discovery.handle(1, list_event(4)), Some(Input::PreviousWatch(_))));
+    assert!(
+        matches!(discovery.handle(3, Heard::Answered), Some(Input::Cluster(None)))
+            && discovery.previous.is_some()
+    );
+    assert!(
+        matches!(discovery.handle(3, list_event(1)), Some(Input::Cluster(Some(_))))
+            && discovery.previous.is_none()
+    );
+    assert!(discovery.handle(1, list_event(5)).is_none() && discovery.handle(2, list_event(5)).is_none());
+    assert!(matches!(discovery.handle(3, Heard::Ended), Some(Input::WatchEnded)));
 }
--- a/src/owner/downstreams.rs
+++ b/src/owner/downstreams.rs
@@ -1,6 +1,6 @@
-//! The connections of clients and watchers: the task of each, and the ways to it. Who comes and who goes is
-//! the door's. Its descriptor is held here and by its task, and both let go of it in [`Downstreams::remove`]
-//! alone.
+//! Connections of clients and tap watchers: their tasks and the channels to them. Who is accepted and who is
+//! closed is decided by the door. Each descriptor is held here and by its task, and both release it only in
+//! [`Downstreams::remove`].
 
 use super::ports::Service;
 use crate::core::{DownstreamId, Input};
@@ -33,14 +33,14 @@
     }
 }
 
-/// A connection that has been accepted.
-pub(super) struct New {
+/// A newly accepted connection.
+pub(super) struct NewDownstream {
     pub(super) socket: Socket,
     pub(super) caller: Caller,
     pub(super) service: Service,
-    /// Streams that it may have open.
+    /// The maximum number of open streams.
     pub(super) streams: usize,
-    /// What it has to say first.
+    /// What the downstream has to send first.
     pub(super) waits: Waits,
 }
 
@@ -55,24 +55,24 @@
         Downstreams { open: HashMap::new(), moved: Rc::new(Moved::new(queue)), last_id: 0 }
     }
 
-    /// Takes one in; its task is what `serve` makes of its link.
+    /// Adds a downstream; `serve` makes its task from its link.
     pub(super) fn add<F: Future<Output = ()> + 'static>(
         &mut self,
-        new: New,
+        new: NewDownstream,
         executor: &LocalExecutor<'static>,
         queue: &Queue,
         serve: impl FnOnce(Link) -> F,
     ) -> DownstreamId {
         self.last_id += 1;
         let id = DownstreamId(self.last_id);
-        // An answer to each stream, and one each of the other orders at a time.
-        let (orders, ordered) = async_channel::bounded(new.streams + 3);
+        // Room for an answer to each stream and one of each other order at a time.
+        let (orders, order_receiver) = async_channel::bounded(new.streams + 3);
         let progress = Rc::new(Progress::new(id, new.waits, self.moved.clone()));
         let socket = Rc::new(new.socket);
-        let served = serve(Link {
+        let task_future = serve(Link {
             id,
             socket: socket.clone(),
-            orders: ordered,
+            orders: order_receiver,
             queue: queue.clone(),
             progress: progress.clone(),
             caller: new.caller,
@@ -81,81 +81,87 @@
         });
         let queue = queue.clone();
         let task = executor.spawn(async move {
-            served.await;
+            task_future.await;
             let _ = queue.send(News::Core(Input::DownstreamClosed(id))).await;
         });
         let service = new.service;
-        let one =
+        let downstream =
             Downstream { socket, orders, progress, service, finishing: false, leaving: false, _task: task };
-        self.open.insert(id, one);
+        self.open.insert(id, downstream);
         id
     }
 
-    /// The one place where a downstream's descriptor is given back. What it showed last comes back.
+    /// Removes a downstream and releases its descriptor; returns its last reported progress. All downstream
+    /// descriptors are released here.
     pub(super) fn remove(&mut self, id: DownstreamId) -> Option<Shown> {
-        self.open.remove(&id).map(|one| one.progress.look())
+        self.open.remove(&id).map(|downstream| downstream.progress.look())
     }
 
     pub(super) fn has(&self, id: DownstreamId) -> bool {
         self.open.contains_key(&id)
     }
 
-    /// Those that show something new, and what. While `eager` the owner is woken for the next change.
-    pub(super) fn moved(&self, eager: bool) -> Vec<(DownstreamId, Shown)> {
+    /// Downstreams with new progress. With `eager`, the event loop is woken for the next change.
+    pub(super) fn changed(&self, eager: bool) -> Vec<(DownstreamId, Shown)> {
         let shown = |id| Some((id, self.open.get(&id)?.progress.look()));
         self.moved.take(eager).into_iter().filter_map(shown).collect()
     }
 
-    /// Something it has sent waits to be read: a command may be on its way.
-    pub(super) fn speaks(&self, id: DownstreamId) -> bool {
-        self.open.get(&id).is_some_and(|one| !one.socket.is_quiet())
+    /// Whether the downstream has sent unread bytes: a command may be on its way.
+    pub(super) fn has_unread(&self, id: DownstreamId) -> bool {
+        self.open.get(&id).is_some_and(|downstream| !downstream.socket.is_quiet())
     }
 
-    /// Something it has sent waits to be read, and is read next.
-    pub(super) fn reads(&self, id: DownstreamId) -> bool {
-        self.speaks(id) && self.open.get(&id).is_some_and(|one| !one.progress.is_paused())
+    /// Whether the downstream has sent unread bytes and is not paused, so they are read next.
+    pub(super) fn reads_next(&self, id: DownstreamId) -> bool {
+        self.has_unread(id) && self.open.get(&id).is_some_and(|downstream| !downstream.progress.is_paused())
     }
 
-    /// Tells one; the queue has room for all its answers, and one that has gone needs none.
+    /// Sends an order to a downstream. The channel has room for all its answers; a closed downstream needs
+    /// none.
     pub(super) fn order(&self, id: DownstreamId, order: Order) {
-        if let Some(one) = self.open.get(&id) {
-            let _ = one.orders.try_send(order);
+        if let Some(downstream) = self.open.get(&id) {
+            let _ = downstream.orders.try_send(order);
         }
     }
 
-    /// Whether one is to be read. Who was told to leave is read for good: what it has sent has to be answered.
+    /// Pauses or resumes reading from a downstream. One that was told to leave stays readable: everything it
+    /// has sent must be answered.
     pub(super) fn pause(&self, id: DownstreamId, paused: bool) {
-        if let Some(one) = self.open.get(&id) {
-            if one.progress.pause(paused && !one.leaving) {
-                let _ = one.orders.try_send(Order::Look);
+        if let Some(downstream) = self.open.get(&id) {
+            if downstream.progress.pause(paused && !downstream.leaving) {
+                let _ = downstream.orders.try_send(Order::Look);
             }
         }
     }
 
-    /// Tells one to finish once nothing is owed to it.
+    /// Tells a downstream to finish once everything is answered.
     pub(super) fn finish(&mut self, id: DownstreamId) {
-        if let Some(one) = self.open.get_mut(&id) {
-            one.finish();
+        if let Some(downstream) = self.open.get_mut(&id) {
+            downstream.finish();
         }
     }
 
-    /// Tells all to leave, each of them once, and reads those that were not read for want of bytes.
+    /// Tells each downstream once to leave, and resumes those paused because of the byte limit.
     pub(super) fn leave(&mut self) {
-        for one in self.open.values_mut() {
-            one.finishing = true;
-            if !std::mem::replace(&mut one.leaving, true) {
-                let _ = one.orders.try_send(Order::Leave);
-                if one.progress.is_paused() && one.progress.pause(false) {
-                    let _ = one.orders.try_send(Order::Look);
+        for downstream in self.open.values_mut() {
+            downstream.finishing = true;
+            if !std::mem::replace(&mut downstream.leaving, true) {
+                let _ = downstream.orders.try_send(Order::Leave);
+                if downstream.progress.is_paused() && downstream.progress.pause(false) {
+                    let _ = downstream.orders.try_send(Order::Look);
                 }
             }
         }
     }
 
-    /// A watcher that has sent no filter is told so rather than closed.
-    pub(super) fn told(&mut self, id: DownstreamId) -> bool {
-        let watcher = self.open.get_mut(&id).filter(|one| {
-            one.service == Service::Tap && one.progress.waits() == Waits::Command && !one.finishing
+    /// A tap watcher that has sent no filter is told so and finished, rather than just closed. Returns
+    /// whether this applied.
+    pub(super) fn finish_unsubscribed(&mut self, id: DownstreamId) -> bool {
+        let watcher = self.open.get_mut(&id).filter(|downstream| {
+            downstream.service == Service::Tap
+                && downstream.progress.waits() == Waits::Command
+                && !downstream.finishing
         });
         watcher.map(Downstream::finish).is_some()
     }
--- a/src/owner/downstreams/tests.rs
+++ b/src/owner/downstreams/tests.rs
@@ -4,10 +4,10 @@
 use async_io::Async;
 use std::net::{TcpListener, TcpStream};
 
-/// Guards what a paused downstream has sent at a planned end: told to leave, it is read, and bytes that run short do not
-/// stop that again.
+/// What a paused downstream has sent must be read at a planned shutdown: once told to leave, it is read, and
+/// running short of the byte limit must not pause it again.
 #[test]
-fn who_is_told_to_leave_is_read_though_bytes_run_short() {
+fn a_downstream_told_to_leave_is_read_even_when_bytes_run_short() {
     let (executor, gate) = (LocalExecutor::new(), Rc::new(Gate::default()));
     let (queue, _news) = async_channel::bounded(8);
     let mut downstreams = Downstreams::new(queue.clone());
@@ -17,15 +17,16 @@
         let (socket, client) = listener.accept().expect("a connection");
         let socket = Socket::new(Async::new(socket).expect("a socket"), &gate, Side::Main);
         let caller = Caller { client, via: None };
-        let new = New { socket, caller, service: Service::Main, streams: 16, waits: Waits::Command };
+        let new =
+            NewDownstream { socket, caller, service: Service::Main, streams: 16, waits: Waits::Command };
         let link = Rc::new(Cell::new(None));
-        let taken = link.clone();
-        let id = downstreams.add(new, &executor, &queue, |link| async move { taken.set(Some(link)) });
+        let link_slot = link.clone();
+        let id = downstreams.add(new, &executor, &queue, |link| async move { link_slot.set(Some(link)) });
         while executor.try_tick() {}
         (id, link.take().expect("its task has run"), peer)
     };
     let (paused, link, _peer) = add(&mut downstreams);
-    let (other, beside, _other) = add(&mut downstreams);
+    let (other, other_link, _other_peer) = add(&mut downstreams);
     let orders = |link: &Link| std::iter::from_fn(|| link.orders.try_recv().ok()).collect::<Vec<_>>();
     downstreams.pause(paused, true);
     assert!(link.progress.is_paused() && matches!(orders(&link)[..], [Order::Look]));
@@ -33,9 +34,9 @@
     downstreams.leave();
     assert!(!link.progress.is_paused());
     assert!(matches!(orders(&link)[..], [Order::Leave, Order::Look]));
-    assert!(matches!(orders(&beside)[..], [Order::Leave]), "it was read all the time");
+    assert!(matches!(orders(&other_link)[..], [Order::Leave]), "it was read all the time");
     downstreams.leave();
     downstreams.pause(other, true);
-    assert!(!beside.progress.is_paused() && !link.progress.is_paused());
+    assert!(!other_link.progress.is_paused() && !link.progress.is_paused());
     assert!(orders(&link).is_empty(), "each is told once");
 }
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -1,12 +1,14 @@
-//! The one task that owns the core, and with it the module: takes news from the sockets, carries out effects,
-//! and holds the task of every connection, each of which is dropped in one place.
+//! The event loop: the single task that owns the core and, through it, the decision module. It receives
+//! events from the sockets, carries out the core's effects, and holds the task of every connection. Each of
+//! these tasks is dropped in exactly one place.
 //!
-//! A file for each thing that it looks after: the [`ports`] it listens on, [`downstreams`] and [`upstreams`],
-//! where [`discovery`] is, the features at work ([`side`]), the [`planners`], the [`controls`] and what it tells
-//! ([`report`]). None of them knows another but for their words; how they meet is here.
+//! Each submodule handles one concern: the [`ports`] it listens on, [`downstreams`] and [`upstreams`], the
+//! address and watch of [`discovery`], the optional features ([`side`]), the connections to [`planners`] and
+//! control machines ([`controls`]), and the figures it logs ([`report`]). The submodules do not depend on
+//! each other except for shared types; this file connects them.
 //!
-//! A decision about a request has no place here: it is the module's. Who may connect, who makes room and how
-//! a planned end goes is the [`door`]'s.
+//! No decision about a request is made here: that is the module's. Who may connect, which connection is
+//! closed to make room and how a planned shutdown proceeds is decided by the [`door`].
 //!
 //! [`door`]: crate::door
 
@@ -42,9 +44,9 @@
 use async_channel::Receiver;
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use controls::Connections;
+use controls::Controls;
 use discovery::Discovery;
-use downstreams::{Downstreams, New};
+use downstreams::{Downstreams, NewDownstream};
 use futures_lite::future;
 use planners::Planners;
 use ports::Ports;
@@ -56,25 +58,25 @@
 use tracing::{info, warn};
 use upstreams::Upstreams;
 
-/// News that may wait for the owner, and news taken before it looks at its timers.
-const QUEUE: usize = 1024;
-const AT_ONCE: usize = 256;
-/// How often what changes slowly is looked at.
-const SWEEP: Micros = 250_000;
-/// How often a planned end is looked at.
-const ENDING: Micros = 20_000;
-/// Ready without discovery's word this long after the start, if a list was known.
-const PATIENCE: Micros = 1_000_000;
+/// The capacity of the event queue, and the number of events handled before timers are checked.
+const QUEUE_CAPACITY: usize = 1024;
+const MAX_EVENTS_PER_TURN: usize = 256;
+/// How often periodic work such as publishing figures is done.
+const SWEEP_INTERVAL: Micros = 250_000;
+/// How often the progress of a planned shutdown is checked.
+const SHUTDOWN_CHECK_INTERVAL: Micros = 20_000;
+/// With a known list, the proxy reports ready this long after the start even if discovery has not answered.
+const READY_AFTER: Micros = 1_000_000;
 
-struct Owner {
+struct EventLoop {
     clock: Clock,
     core: Core,
-    /// Room for what the core wants done; empty between.
+    /// Reused buffer for the core's effects; empty between uses.
     effects: Vec<Effect>,
     executor: Rc<LocalExecutor<'static>>,
     queue: Queue,
     site: Rc<Site>,
-    words: Rc<Vocabulary>,
+    vocabulary: Rc<Vocabulary>,
     ports: Ports,
     door: Door,
     downstreams: Downstreams,
@@ -82,18 +84,18 @@
     discovery: Discovery,
     side: Side,
     planners: Option<Planners>,
-    controls: Option<Connections>,
+    controls: Option<Controls>,
     report: Report,
-    /// What the door had counted when figures were flushed last.
+    /// The door's counters when the figures were last flushed.
     flushed: Counts,
     started: Micros,
     swept: Micros,
-    ending: Option<Ending>,
+    shutdown: Option<Ending>,
 }
 
-/// Serves until a planned end, SIGTERM or SIGINT. `path` is where the configuration came from, which SIGHUP
-/// reads again; `stderr` is where figures go that are meant for it. All tasks are spawned on `executor`,
-/// whose thread this has to be. An error says why it cannot serve.
+/// Serves until a planned shutdown (SIGTERM or SIGINT) is complete. `path` is the configuration file, read
+/// again on SIGHUP; `stderr` receives the figures meant for standard error. All tasks are spawned on
+/// `executor`, which must run on the calling thread. The error says why the proxy cannot serve.
 pub async fn run(
     config: Config,
     path: String,
@@ -101,18 +103,18 @@
     stderr: Writer,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
-    // Before it is known to listen: who hears of that may send one.
+    // Install the handlers before announcing the port: whoever reads the announcement may send a signal.
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     let bound = ports::bind(config.listen, &features, &config.name, config.known.nodes.len())?;
     let agent = features.snmp.as_ref().map(|agent| snmp::bind(config.listen.ip(), agent)).transpose()?;
     if let Some(odd) = &config.odd {
         warn!(event = "odd_entry", why = odd, "the known list holds {odd}");
     }
-    let (queue, news) = async_channel::bounded(QUEUE);
+    let (queue, news) = async_channel::bounded(QUEUE_CAPACITY);
     let clock = Clock::new();
     let now = clock.now();
     let site = Rc::new(config.site);
-    // Ids that are made here must differ between proxies, also where no seed is configured.
+    // Ids generated here must differ between proxies even where no seed is configured.
     let seed = config.seed ^ hash_id(config.name.as_bytes()) ^ now as u64;
     let limits =
         Limits { descriptors: config.sockets, memory: config.memory, side_ports: bound.side_ports() };
@@ -131,7 +133,7 @@
         None => None,
         Some(settings) => {
             let carried = Box::new(Carried::new(settings.text.clone(), site.clone()));
-            Some(Connections::new(Following::new(now, &settings, &config.name, carried)?))
+            Some(Controls::new(Following::new(now, &settings, &config.name, carried)?))
         }
     };
     let side = Side::new(now, features, Identity { name: &config.name, site: site.clone(), seed })?;
@@ -142,13 +144,13 @@
         (answers, executor.spawn(snmp.notify(move || clock.now())))
     });
     let door = Door::new(&door, limits);
-    let mut owner = Owner {
+    let mut event_loop = EventLoop {
         clock,
         core: Core::new(now, site.settings.clone(), config.seed, door.most_nodes([0; 2]), config.known),
         effects: Vec::new(),
         executor: executor.clone(),
         queue: queue.clone(),
-        words: Rc::new(Vocabulary { site: site.clone(), ready: false.into() }),
+        vocabulary: Rc::new(Vocabulary { site: site.clone(), ready: false.into() }),
         ports,
         door,
         downstreams: Downstreams::new(queue.clone()),
@@ -161,7 +163,7 @@
         flushed: Counts::default(),
         started: now,
         swept: now,
-        ending: None,
+        shutdown: None,
         site,
     };
     let _signals = executor.spawn(async move {
@@ -173,78 +175,80 @@
             let _ = queue.send(news).await;
         }
     });
-    owner.work(&news).await;
+    event_loop.run_loop(&news).await;
     drop(snmp);
-    if let Some(planners) = &mut owner.planners {
-        planners.bye(owner.clock.now()).await;
+    if let Some(planners) = &mut event_loop.planners {
+        planners.send_farewell(event_loop.clock.now()).await;
     }
-    if let Some((figures, writer)) = owner.side.figures().zip(writer) {
-        figures.end(owner.gauges(), writer).await;
+    if let Some((figures, writer)) = event_loop.side.figures().zip(writer) {
+        figures.end(event_loop.gauges(), writer).await;
     }
     Ok(())
 }
 
-impl Owner {
-    async fn work(&mut self, news: &Receiver<News>) {
+impl EventLoop {
+    async fn run_loop(&mut self, news: &Receiver<News>) {
         let mut timer = Timer::at(Instant::now());
         loop {
-            // All that has happened comes before the timers: an answer that is here is no time-out.
+            // Handle queued events before timers: an answer that has arrived must not be treated as a
+            // timeout.
             let now = self.clock.now();
             self.core.wants_records = self.side.listens() || self.planners.is_some();
             self.core.wants_node_events = self.planners.is_some();
             self.core.limit_connections(self.door.most_nodes(self.ports.open()));
-            for _ in 0..AT_ONCE {
-                let Ok(one) = news.try_recv() else { break };
-                self.hear(now, one);
+            for _ in 0..MAX_EVENTS_PER_TURN {
+                let Ok(event) = news.try_recv() else { break };
+                self.handle(now, event);
             }
             self.core.tick(now);
-            self.carry_out();
-            self.look_ready(now);
-            self.keep_door(now);
-            self.plan(now);
+            self.apply_effects();
+            self.update_ready(now);
+            self.apply_door(now);
+            self.run_planners(now);
             if let Some(controls) = &mut self.controls {
                 controls.tick(now, &self.executor, &self.queue);
             }
-            if now - self.swept >= SWEEP {
+            if now - self.swept >= SWEEP_INTERVAL {
                 self.sweep(now);
             }
-            if self.ended(now) {
+            if self.advance_shutdown(now) {
                 return;
             }
-            // Downstreams that the door has closed give back what they had.
-            self.carry_out();
+            // Apply the effects of downstreams the door has closed.
+            self.apply_effects();
             self.ports.allow(&self.door);
             if !news.is_empty() {
                 future::yield_now().await;
                 continue;
             }
-            let soon = now + if self.ending.is_some() { ENDING } else { SWEEP };
-            let soon = self.door.next(now).map_or(soon, |at| soon.min(at));
-            let soon = self.planners.as_ref().map_or(soon, |p| soon.min(p.forwarding.next(now)));
-            let soon = self.controls.as_ref().map_or(soon, |c| soon.min(c.following.next()));
-            timer.set_at(self.clock.instant(self.core.next().min(soon)));
+            let wake_at =
+                now + if self.shutdown.is_some() { SHUTDOWN_CHECK_INTERVAL } else { SWEEP_INTERVAL };
+            let wake_at = self.door.next(now).map_or(wake_at, |at| wake_at.min(at));
+            let wake_at = self.planners.as_ref().map_or(wake_at, |p| wake_at.min(p.forwarding.next(now)));
+            let wake_at = self.controls.as_ref().map_or(wake_at, |c| wake_at.min(c.following.next()));
+            timer.set_at(self.clock.instant(self.core.next().min(wake_at)));
             let tick = async {
                 (&mut timer).await;
                 None
             };
-            let one = future::or(async { news.recv().await.ok() }, tick).await;
-            if let Some(one) = one {
-                self.hear(self.clock.now(), one);
-                self.carry_out();
+            let event = future::or(async { news.recv().await.ok() }, tick).await;
+            if let Some(event) = event {
+                self.handle(self.clock.now(), event);
+                self.apply_effects();
             }
         }
     }
 
-    /// Does what is due towards planners, and tells the module what they say.
-    fn plan(&mut self, now: Micros) {
+    /// Runs due work for the planner connections, and passes a new plan to the module.
+    fn run_planners(&mut self, now: Micros) {
         let Some(planners) = &mut self.planners else { return };
         if let Some(plan) = planners.tick(now, &self.executor, &self.queue) {
             self.core.input(now, Input::Plan(plan));
-            self.carry_out();
+            self.apply_effects();
         }
     }
 
-    fn hear(&mut self, now: Micros, news: News) {
+    fn handle(&mut self, now: Micros, news: News) {
         match news {
             News::Core(input) => {
                 if let Input::DownstreamClosed(id) = input {
@@ -253,7 +257,7 @@
                         self.door.left(id);
                     }
                 }
-                // Closed by the door while its command waited here: nobody is left to answer.
+                // The door closed the downstream while its command was queued: there is nobody to answer.
                 let gone = matches!(&input, Input::Stream(ask) if !self.downstreams.has(ask.downstream));
                 if !gone {
                     self.core.input(now, input);
@@ -262,30 +266,30 @@
             News::Accepted(socket, peer, port) => {
                 self.accepted(now, socket, Caller { client: peer, via: None }, port)
             }
-            // What they show is looked at in each turn.
+            // Progress of downstreams is read in every iteration of the loop; this event only wakes it.
             News::Moved => {}
             News::Fronted(id, caller) => {
                 self.door.fronted(id, caller.client.ip());
                 let (client, via) = (display(caller.client), caller.via.map(display));
-                info!(event = "fronted", client, via, "{caller} taken from a front");
+                info!(event = "fronted", client, via, "{caller}: client address taken from a PROXY header");
             }
             News::Discovery(number, heard) => {
-                if let Some(input) = self.discovery.hear(number, heard) {
+                if let Some(input) = self.discovery.handle(number, heard) {
                     self.core.input(now, input);
                 }
             }
             News::Planner(slot, number, word) => {
                 if let Some(planners) = &mut self.planners {
-                    planners.hear(now, slot, number, word);
+                    planners.handle(now, slot, number, word);
                 }
             }
             News::Control(control, number, word) => {
                 if let Some(controls) = &mut self.controls {
-                    controls.hear(now, control, number, word);
+                    controls.handle(now, control, number, word);
                 }
             }
             News::Crowded => {
-                self.tell_door(now);
+                self.report_to_door(now);
                 self.make_room(now, true);
             }
             News::Note(note) => self.report.note(*note),
@@ -297,64 +301,64 @@
                     self.core.input(now, Input::DiscoveryMoved);
                 }
             }
-            News::End if self.ending.is_some() => {}
+            News::End if self.shutdown.is_some() => {}
             News::End => {
                 let streams = self.core.open_streams();
                 info!(event = "told_to_end", streams, "told to end: {streams} streams open");
                 let longest = self.site.settings.classes.iter().map(|class| class.limit).max();
                 let ending = Ending::new(now, longest);
                 self.core.input(now, Input::ShutdownBy(ending.answered()));
-                self.ending = Some(ending);
+                self.shutdown = Some(ending);
             }
         }
     }
 
-    /// `PING` is answered `+PONG` from the moment that there is a list.
-    fn look_ready(&mut self, now: Micros) {
-        let waited = now - self.started >= PATIENCE && self.core.serving() > 0;
-        if !self.words.ready.get() && (self.core.has_list() || waited) {
-            self.words.ready.set(true);
+    /// Marks the proxy ready once it has a list; from then on `PING` is answered `+PONG`.
+    fn update_ready(&mut self, now: Micros) {
+        let waited = now - self.started >= READY_AFTER && self.core.serving() > 0;
+        if !self.vocabulary.ready.get() && (self.core.has_list() || waited) {
+            self.vocabulary.ready.set(true);
             info!(event = "ready", "ready");
         }
     }
 
     fn accepted(&mut self, now: Micros, socket: Socket, caller: Caller, port: Port) {
         let service = self.ports.service(port);
-        let protocol = self.side.protocol(service, &self.words);
+        let protocol = self.side.protocol(service, &self.vocabulary);
         let (streams, waits) = (protocol.streams(), self.side.first(caller.client));
         let ip = caller.client.ip();
-        let new = New { socket, caller, service, streams, waits };
+        let new = NewDownstream { socket, caller, service, streams, waits };
         let serve = |link| self.side.serve(service, link, protocol);
         let id = self.downstreams.add(new, &self.executor, &self.queue, serve);
         self.door.accepted(now, id, service.side(), ip, waits);
-        if let Some(ending) = &mut self.ending {
+        if let Some(ending) = &mut self.shutdown {
             ending.accepted(now, id);
         }
     }
 
-    /// Tells the door what has changed.
-    fn tell_door(&mut self, now: Micros) {
-        for (id, shown) in self.downstreams.moved(self.door.is_pressed()) {
+    /// Reports changes of downstream and upstream connections to the door.
+    fn report_to_door(&mut self, now: Micros) {
+        for (id, shown) in self.downstreams.changed(self.door.is_pressed()) {
             self.door.shows(now, id, shown);
         }
         self.door.nodes(self.core.open_connections());
     }
 
-    /// Does what the door says.
-    fn keep_door(&mut self, now: Micros) {
-        self.tell_door(now);
+    /// Closes, pauses and resumes downstreams as the door decides.
+    fn apply_door(&mut self, now: Micros) {
+        self.report_to_door(now);
         while let Some((id, why)) = self.door.due(now) {
-            if self.downstreams.told(id) {
+            if self.downstreams.finish_unsubscribed(id) {
                 self.door.extend(now, id);
-            } else if matches!(why, Why::Speechless | Why::Idle) && self.downstreams.reads(id) {
-                // Its command has come and is read next.
+            } else if matches!(why, Why::Speechless | Why::Idle) && self.downstreams.reads_next(id) {
+                // A command has arrived and is read next.
                 self.door.again(now, id);
             } else {
                 self.close(id, why);
             }
         }
         self.make_room(now, false);
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_EVENTS_PER_TURN {
             match self.door.feed() {
                 Some(Feed::Pause(id)) => self.downstreams.pause(id, true),
                 Some(Feed::Resume(id)) => self.downstreams.pause(id, false),
@@ -364,11 +368,11 @@
         }
     }
 
-    /// Closes who has to go, as the door says; one, if a descriptor is missing. Bytes in a socket are a
-    /// command on its way: whoever has sent them stays.
+    /// Closes the downstreams the door selects to make room; exactly one if a descriptor is missing. Unread
+    /// bytes in a socket are a command on its way, so a downstream that has sent some stays.
     fn make_room(&mut self, now: Micros, mut missing: bool) {
         while let Some((id, why)) = self.door.worst(now, missing) {
-            if self.downstreams.speaks(id) {
+            if self.downstreams.has_unread(id) {
                 self.door.spoke(id);
                 continue;
             }
@@ -385,11 +389,11 @@
 
     fn drop_downstream(&mut self, id: DownstreamId) {
         let now = self.clock.now();
-        self.hear(now, News::Core(Input::DownstreamClosed(id)));
+        self.handle(now, News::Core(Input::DownstreamClosed(id)));
     }
 
-    fn carry_out(&mut self) {
-        let (mut effects, mut again) = (std::mem::take(&mut self.effects), false);
+    fn apply_effects(&mut self) {
+        let (mut effects, mut rerun) = (std::mem::take(&mut self.effects), false);
         self.core.swap_effects(&mut effects);
         for effect in effects.drain(..) {
             match effect {
@@ -405,7 +409,7 @@
                 Effect::Withdraw { connection } => {
                     if let Some(stage) = self.upstreams.withdraw(connection) {
                         self.core.input(self.clock.now(), Input::Withdrawn(connection, stage));
-                        again = true;
+                        rerun = true;
                     }
                 }
                 Effect::Watch { after } => {
@@ -427,17 +431,17 @@
             }
         }
         self.effects = effects;
-        // What was taken back has freed a connection for the next.
-        if again {
-            self.carry_out();
+        // A withdrawn job has freed a connection for the next request.
+        if rerun {
+            self.apply_effects();
         }
     }
 
     fn sweep(&mut self, now: Micros) {
         self.swept = now;
         self.ports.wake();
-        self.side.tell_refused(now, false);
-        self.side.tell_logins(now, false);
+        self.side.log_refused(now, false);
+        self.side.log_logins(now, false);
         self.side.publish(|| Published {
             counters: self.core.counters,
             uptime: ((now - self.started) / 1_000_000).max(0) as u64,
@@ -454,12 +458,12 @@
         self.report.tick(now, &self.core, &self.door);
     }
 
-    /// Shows the agent, if there is one, what there is to see.
+    /// Publishes a snapshot to the SNMP agent, if there is one and an update is due.
     fn publish(&self, now: Micros) {
         let Some(snmp) = self.side.snmp().filter(|snmp| snmp.due(now)) else { return };
         let counts = self.door.counts();
-        let owned = Owned {
-            ready: self.words.ready.get(),
+        let process_state = Owned {
+            ready: self.vocabulary.ready.get(),
             downstreams: self.door.len(),
             downstreams_limit: self.door.most_of_all(),
             downstreams_refused: self.side.refused(),
@@ -470,10 +474,10 @@
             streams: self.core.open_streams(),
             counters: self.core.counters,
         };
-        snmp.publish(now, self.core.status(now), owned);
+        snmp.publish(now, self.core.status(now), process_state);
     }
 
-    /// What is open, and what has happened since this was asked last.
+    /// The numbers of open connections, and the closings since the last call.
     fn gauges(&mut self) -> Gauges {
         let counts = self.door.counts();
         let closed = counts.since(&std::mem::replace(&mut self.flushed, counts)).collect();
@@ -482,25 +486,26 @@
         Gauges { downstreams, upstreams, serving: self.core.serving(), closed, controlled }
     }
 
-    /// A planned end, if one is under way: goes on with it, and tells whether it is over.
-    fn ended(&mut self, now: Micros) -> bool {
-        let Some(ending) = &mut self.ending else { return false };
-        // Counted from accept on: who is here and was not heard of yet is here.
+    /// Continues a planned shutdown if one is in progress; returns whether it is complete.
+    fn advance_shutdown(&mut self, now: Micros) -> bool {
+        let Some(ending) = &mut self.shutdown else { return false };
+        // Connections are counted from accept on, so accepted ones not yet reported to the event loop are
+        // included.
         let none_open = self.ports.open() == [0; 2];
         if !ending.accepts(now, none_open) {
             self.ports.close();
         }
-        let told = ending.tell(now, || self.door.order());
-        told.finish.into_iter().for_each(|id| self.downstreams.finish(id));
-        if told.all {
+        let step = ending.tell(now, || self.door.order());
+        step.finish.into_iter().for_each(|id| self.downstreams.finish(id));
+        if step.all {
             self.downstreams.leave();
         }
         let over = ending.over(now, none_open && self.ports.are_closed());
         if over {
             let streams = self.core.open_streams();
             self.core.counters.unanswered += streams as u64;
-            self.side.tell_refused(now, true);
-            self.side.tell_logins(now, true);
+            self.side.log_refused(now, true);
+            self.side.log_logins(now, true);
             report::figures(&self.core, &self.door);
             info!(event = "ended", streams, "ended with {streams} streams open");
         }
--- a/src/owner/planners.rs
+++ b/src/owner/planners.rs
@@ -1,5 +1,5 @@
-//! The connections to planners, a task each, and what goes over them. With no `planner` line there is none of
-//! this. What is to be said, and to whom, is [`Forwarding`]'s.
+//! Connections to planners, one task each. Without a `planner` setting there are none. What is sent to which
+//! planner is decided by [`Forwarding`].
 
 use crate::features::forwarder::{Forwarding, Wish};
 use crate::interface::{Micros, Plan};
@@ -12,9 +12,9 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// How often a planned end looks whether the last words are out, and after what time each.
-const FAREWELLS: usize = 10;
-const FAREWELL: Duration = Duration::from_millis(5);
+/// How many times a planned shutdown checks whether the farewells are written, and the time between checks.
+const FAREWELL_CHECKS: usize = 10;
+const FAREWELL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 struct Connection {
     number: u64,
@@ -24,7 +24,7 @@
 
 pub(super) struct Planners {
     pub(super) forwarding: Forwarding,
-    /// By slot; the one place where a connection's descriptor is given back.
+    /// Open connections by slot. All descriptors of such connections are held here.
     open: BTreeMap<usize, Connection>,
     last: u64,
     wishes: Vec<Wish>,
@@ -35,8 +35,9 @@
         Planners { forwarding, open: BTreeMap::new(), last: 0, wishes: Vec::new() }
     }
 
-    /// A connection's word. What an earlier connection of a slot left behind in the queue means nothing.
-    pub(super) fn hear(&mut self, now: Micros, slot: usize, number: u64, word: Word) {
+    /// Handles an event of a connection. Events of earlier connections of the slot left in the queue are
+    /// ignored.
+    pub(super) fn handle(&mut self, now: Micros, slot: usize, number: u64, word: Word) {
         if self.open.get(&slot).is_none_or(|c| c.number != number) {
             return;
         }
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Does what is due. What the module is to be told comes back.
+    /// Runs due work and carries out the resulting wishes; returns a new plan for the module, if any.
     pub(super) fn tick(
         &mut self,
         now: Micros,
@@ -66,14 +67,14 @@
                 Wish::Close(slot) => {
                     self.open.remove(&slot);
                 }
-                Wish::Plan(told) => plan = Some(told),
+                Wish::Plan(new_plan) => plan = Some(new_plan),
             }
         }
         plan
     }
 
-    /// Says farewell to all; waits a moment for it to be written.
-    pub(super) async fn bye(&mut self, now: Micros) {
+    /// Sends a farewell to all planners and waits briefly until it is written.
+    pub(super) async fn send_farewell(&mut self, now: Micros) {
         let mut wishes = Vec::new();
         self.forwarding.bye(&mut wishes);
         for wish in wishes {
@@ -81,11 +82,11 @@
                 self.send(now, slot, &message);
             }
         }
-        for _ in 0..FAREWELLS {
+        for _ in 0..FAREWELL_CHECKS {
             if self.open.values().all(|c| c.outbox.is_empty()) {
                 return;
             }
-            Timer::after(FAREWELL).await;
+            Timer::after(FAREWELL_CHECK_INTERVAL).await;
         }
     }
 
@@ -104,10 +105,14 @@
             Ok(bytes) => {
                 if !connection.outbox.push(bytes.into()) {
                     self.open.remove(&slot);
-                    self.forwarding.down(now, slot, "it does not take what it is told");
+                    self.forwarding.down(now, slot, "its send queue is full");
                 }
             }
-            Err(why) => warn!(event = "not_told", why = why.to_string(), "planner {slot} is not told: {why}"),
+            Err(why) => warn!(
+                event = "not_told",
+                why = why.to_string(),
+                "cannot encode a message to planner {slot}: {why}"
+            ),
         }
     }
 }
--- a/src/owner/ports.rs
+++ b/src/owner/ports.rs
@@ -1,4 +1,4 @@
-//! The ports that the proxy listens on: a task each that accepts, and a gate before each sort of them.
+//! The ports the proxy listens on: an accepting task for each, and a connection gate shared by them.
 
 use crate::door::{Door, Side};
 use crate::features::file::Features;
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use tracing::info;
 
-/// What is spoken on a port.
+/// The service offered on a port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Service {
-    /// Where clients connect.
+    /// The main client port.
     Main,
     Multiget,
     Tap,
@@ -30,15 +30,16 @@
     }
 }
 
-/// The ports, bound; they accept once [`Bound::open`] is called.
-pub(super) struct Bound(Vec<(Async<TcpListener>, Service)>);
+/// Bound listeners; they accept connections once [`BoundPorts::open`] is called.
+pub(super) struct BoundPorts(Vec<(Async<TcpListener>, Service)>);
 
 pub(super) struct Ports {
-    /// By the number of a port.
+    /// Indexed by port number, see [`Port`].
     services: Vec<Service>,
-    /// One for each port; it ends, and the port with it, once the planned end takes no more.
+    /// One accepting task per port; it ends and closes its port once a planned shutdown takes no more
+    /// connections.
     accept: Vec<Task<()>>,
-    /// What comes while it is full waits in the backlog.
+    /// Limits open connections; while it is full, new connections wait in the listen backlog.
     gate: Rc<Gate>,
 }
 
@@ -49,14 +50,14 @@
     Ok((listener, bound))
 }
 
-/// Binds the port of `listen` and, on the same address, those of features. `name` and `nodes` are told with
-/// it.
+/// Binds the port of `listen` and, on the same address, the ports of features. `name` and `nodes` are logged
+/// with it.
 pub(super) fn bind(
     listen: SocketAddr,
     features: &Features,
     name: &str,
     nodes: usize,
-) -> Result<Bound, String> {
+) -> Result<BoundPorts, String> {
     let (listener, address) = bind_one(listen)?;
     info!(event = "listening", name, %address, nodes, "{name}: listening on {address}, {nodes} nodes known");
     let mut ports = vec![(listener, Service::Main)];
@@ -71,16 +72,16 @@
         info!(event = "side_port", name, %address, "{name}: listening on {address}");
         ports.push((listener, service));
     }
-    Ok(Bound(ports))
+    Ok(BoundPorts(ports))
 }
 
-impl Bound {
-    /// Ports besides the main one.
+impl BoundPorts {
+    /// The number of ports besides the main one.
     pub(super) fn side_ports(&self) -> usize {
         self.0.len() - 1
     }
 
-    /// Accepts whom `admits` lets in, and tells `queue`.
+    /// Starts accepting connections from peers that `admits` allows, and reports them to `queue`.
     pub(super) fn open(
         self,
         executor: &LocalExecutor<'static>,
@@ -103,27 +104,27 @@
         self.services.get(port.0).copied().unwrap_or(Service::Main)
     }
 
-    /// How many the door lets in by now.
+    /// Sets the connection limits from the door's present ones.
     pub(super) fn allow(&self, door: &Door) {
         self.gate.allow([Side::Main, Side::Port].map(|side| door.most(side)), door.most_of_all());
     }
 
-    /// How many of each side have been accepted and are open, whether or not the owner has heard of them.
+    /// The numbers of open accepted connections per side, including those not yet reported to the event loop.
     pub(super) fn open(&self) -> [usize; 2] {
         self.gate.open()
     }
 
-    /// Who waits for a descriptor tries again, whoever may have given one back.
+    /// Lets accepting tasks that wait for a descriptor try again, wherever one may have been released.
     pub(super) fn wake(&self) {
         self.gate.wake();
     }
 
-    /// Takes no more but what the kernel has accepted by now.
+    /// Stops accepting, except for connections already in the listen backlog.
     pub(super) fn close(&self) {
         self.gate.shut();
     }
 
-    /// Whether the ports are given back, with nobody left at them.
+    /// Whether all ports are closed.
     pub(super) fn are_closed(&self) -> bool {
         self.accept.iter().all(Task::is_finished)
     }
--- a/src/owner/report.rs
+++ b/src/owner/report.rs
@@ -1,4 +1,4 @@
-//! Lines of the log that the owner has to ration: those about peers, and the figures between them.
+//! Rate-limited log lines about peers, and the periodic figures.
 
 use crate::core::Core;
 use crate::door::{Counts, Door};
@@ -7,27 +7,27 @@
 use tracing::field::display;
 use tracing::{info, warn};
 
-/// Lines told at the most between two of figures about peers that misbehave.
-const NOTES: u64 = 20;
-/// How often the log tells the figures.
-const FIGURES: Micros = 10_000_000;
+/// The maximum number of lines about misbehaving peers between two figures lines.
+const MAX_NOTES: u64 = 20;
+/// How often the figures are logged.
+const FIGURES_INTERVAL: Micros = 10_000_000;
 
 #[derive(Debug)]
 pub(super) struct Report {
-    /// Lines about peers since the last figures.
+    /// Lines about peers since the last figures line.
     notes: u64,
-    told: Micros,
+    last_figures: Micros,
 }
 
 impl Report {
     pub(super) fn new(now: Micros) -> Self {
-        Report { notes: 0, told: now }
+        Report { notes: 0, last_figures: now }
     }
 
-    /// A line about a peer.
+    /// Logs a warning about a peer, up to the limit.
     pub(super) fn note(&mut self, note: Note) {
         self.notes += 1;
-        if self.notes <= NOTES {
+        if self.notes <= MAX_NOTES {
             let Note { event, text, caller, node, why } = note;
             let client = caller.as_ref().map(|c| display(c.client));
             let via = caller.as_ref().and_then(|c| c.via).map(display);
@@ -35,21 +35,21 @@
         }
     }
 
-    /// Tells the figures if it is time to, and how many lines about peers were left out since.
+    /// Logs the figures if due, and how many lines about peers were suppressed since.
     pub(super) fn tick(&mut self, now: Micros, core: &Core, door: &Door) {
-        if now - self.told < FIGURES {
+        if now - self.last_figures < FIGURES_INTERVAL {
             return;
         }
-        self.told = now;
+        self.last_figures = now;
         figures(core, door);
-        let lines = std::mem::take(&mut self.notes).saturating_sub(NOTES);
+        let lines = std::mem::take(&mut self.notes).saturating_sub(MAX_NOTES);
         if lines > 0 {
-            warn!(event = "left_out", lines, "{lines} more lines about peers left out");
+            warn!(event = "left_out", lines, "{lines} further lines about peers suppressed");
         }
     }
 }
 
-/// Figures since the start, and what is open now.
+/// Logs the counters since the start and what is open now.
 pub(super) fn figures(core: &Core, door: &Door) {
     let (c, counts) = (core.counters, door.counts());
     let (downstreams, silent) = (door.len(), counts.silent());
@@ -94,8 +94,9 @@
     closed(door);
 }
 
-/// What a whole fleet's lines have to be added up for: what nodes said, what cold ones, the ledger and discovery were
-/// asked, why streams were refused, and how often all of them were or had no answer. Since the start.
+/// Logs counters since the start that are meant to be summed over a whole fleet: node outcomes, requests to
+/// cold nodes, the origin and discovery, reasons for refusals, and how often all streams were refused or went
+/// unanswered.
 fn upstream(core: &Core) {
     let c = core.counters;
     info!(
@@ -138,7 +139,7 @@
     );
 }
 
-/// Why downstreams were closed since the start, if any was.
+/// Logs why downstreams were closed since the start, if any was.
 fn closed(door: &Door) {
     let (counts, (bytes, paused)) = (door.counts(), door.bytes());
     let closed = counts.since(&Counts::default()).map(|(name, n)| format!("{name} {n}"));
--- a/src/owner/side.rs
+++ b/src/owner/side.rs
@@ -1,5 +1,5 @@
-//! The features at work in this proxy, as far as the owner deals with them: what is spoken on side ports, who
-//! is let in, and who hears of streams that ended. With none on, all of it does nothing.
+//! The optional features of this proxy as the event loop uses them: protocols on side ports, address filters,
+//! and receivers of stream records. With no feature enabled, everything here does nothing.
 
 use super::ports::Service;
 use crate::core::Record;
@@ -24,35 +24,35 @@
 use tracing::field::display;
 use tracing::warn;
 
-/// Refused logins are told once in this time at the most.
-const LOGINS: Micros = 1_000_000;
+/// Refused logins are logged at most once in this time.
+const LOGIN_LOG_INTERVAL: Micros = 1_000_000;
 
 pub(super) struct Side {
     multiget: Option<multiget::Settings>,
-    /// Reads that multi-gets have open, all downstreams together.
+    /// Open reads of multi-gets of all downstreams.
     reads: Rc<Cell<usize>>,
     tap: Option<Rc<Tap>>,
     addresses: Option<Rc<Addresses>>,
     figures: Option<Rc<Figures>>,
     memcached: Option<Rc<Desk>>,
-    /// The nodes that speak the memcached protocol.
+    /// Nodes that speak the memcached protocol.
     speakers: Speakers,
-    /// When refused logins were told last.
-    logins_told: Micros,
+    /// When refused logins were last logged.
+    logins_logged: Micros,
     snmp: Option<Rc<Snmp>>,
-    /// When figures were flushed last.
+    /// When the figures were last flushed.
     flushed: Micros,
 }
 
 impl Side {
-    /// An error tells what of the features does not fit the site.
+    /// The error says which feature setting does not fit the site.
     pub(super) fn new(now: Micros, features: Features, identity: Identity) -> Result<Self, String> {
         let (site, seed) = (&identity.site.clone(), identity.seed);
         let memcached = features.memcached.map(|settings| Desk::new(&settings, site, seed)).transpose()?;
         Ok(Side {
             memcached: memcached.map(Rc::new),
             speakers: Speakers::new(&features.memcachednodes, site)?,
-            logins_told: now,
+            logins_logged: now,
             multiget: features.multiget,
             reads: Rc::default(),
             tap: features.tap.map(|settings| Rc::new(Tap::new(settings, site.clone()))),
@@ -63,7 +63,7 @@
         })
     }
 
-    /// What a node speaks; one that is known no more is not spoken to.
+    /// The protocol a node speaks. A node that is no longer known is sent nothing.
     pub(super) fn dialect(&self, origin: bool, node: Option<(ServerId, KindId)>) -> Dialect {
         match origin {
             true => Dialect::Origin,
@@ -72,18 +72,19 @@
         }
     }
 
-    /// Whoever asks the memcached port for figures is shown these.
+    /// Publishes the figures that the memcached port returns.
     pub(super) fn publish(&self, published: impl FnOnce() -> Published) {
         if let Some(desk) = &self.memcached {
             desk.stats.published.set(published());
         }
     }
 
-    /// Tells of logins that were refused, if it is time to or this is the end.
-    pub(super) fn tell_logins(&mut self, now: Micros, end: bool) {
-        let desk = self.memcached.as_ref().filter(|_| end || now - self.logins_told >= LOGINS);
+    /// Logs refused logins if due, or if the proxy is ending.
+    pub(super) fn log_logins(&mut self, now: Micros, ending: bool) {
+        let desk =
+            self.memcached.as_ref().filter(|_| ending || now - self.logins_logged >= LOGIN_LOG_INTERVAL);
         let Some((n, last)) = desk.and_then(|desk| desk.refused()) else { return };
-        self.logins_told = now;
+        self.logins_logged = now;
         let user = last.as_deref().unwrap_or("nobody known");
         warn!(
             event = "logins_refused",
@@ -101,18 +102,18 @@
         self.snmp.clone()
     }
 
-    /// Connections that the address lists refused since the start.
+    /// The number of connections refused by the address lists since the start.
     pub(super) fn refused(&self) -> u64 {
         self.addresses.as_ref().map_or(0, |a| a.refused())
     }
 
-    /// Who may connect, for the ports.
+    /// A filter telling whether a peer may connect.
     pub(super) fn admits(&self) -> impl Fn(SocketAddr) -> bool + Clone {
         let lists = self.addresses.clone();
         move |peer| lists.as_ref().is_none_or(|lists| lists.accepts(peer))
     }
 
-    /// What a connection has to say first.
+    /// What a connection from `peer` has to send first.
     pub(super) fn first(&self, peer: SocketAddr) -> Waits {
         match self.addresses.as_ref().is_some_and(|lists| lists.trusts(peer)) {
             true => Waits::Header,
@@ -120,14 +121,14 @@
         }
     }
 
-    /// What is spoken on a port. A tap's downstream speaks it only as far as its orders go.
-    pub(super) fn protocol(&self, service: Service, words: &Rc<Vocabulary>) -> Box<dyn Protocol> {
+    /// The protocol of a port. For a tap only its handling of orders is used.
+    pub(super) fn protocol(&self, service: Service, vocabulary: &Rc<Vocabulary>) -> Box<dyn Protocol> {
         match (service, &self.multiget, &self.memcached) {
             (Service::Multiget, Some(settings), _) => {
-                Box::new(Batches::new(settings, words.clone(), self.reads.clone()))
+                Box::new(Batches::new(settings, vocabulary.clone(), self.reads.clone()))
             }
-            (Service::Memcached, _, Some(desk)) => Box::new(Front::new(desk.clone(), words.clone())),
-            _ => Box::new(Plain(words.clone())),
+            (Service::Memcached, _, Some(desk)) => Box::new(Front::new(desk.clone(), vocabulary.clone())),
+            _ => Box::new(Plain(vocabulary.clone())),
         }
     }
 
@@ -152,13 +153,13 @@
         }
     }
 
-    /// Somebody wants to hear of streams that end.
+    /// Whether anything needs records of finished streams.
     pub(super) fn listens(&self) -> bool {
         let figures = self.figures.as_ref().is_some_and(|f| f.listens());
         figures || self.snmp.is_some() || self.tap.as_ref().is_some_and(|t| t.watched())
     }
 
-    /// A stream has ended.
+    /// Passes the record of a finished stream to the features that use it.
     pub(super) fn record(&self, record: &Record) {
         if let Some(tap) = &self.tap {
             tap.offer(record);
@@ -171,16 +172,16 @@
         }
     }
 
-    /// The figures, if it is time to flush them.
+    /// The figures, if a flush is due.
     pub(super) fn due(&mut self, now: Micros) -> Option<Rc<Figures>> {
         let figures = self.figures.as_ref().filter(|f| now - self.flushed >= f.flush_every())?;
         self.flushed = now;
         Some(figures.clone())
     }
 
-    /// Tells of callers that the address lists refused, if it is time to or this is the end.
-    pub(super) fn tell_refused(&self, now: Micros, end: bool) {
-        let Some((n, last)) = self.addresses.as_ref().and_then(|a| a.told(now, end)) else { return };
+    /// Logs connections refused by the address lists if due, or if the proxy is ending.
+    pub(super) fn log_refused(&self, now: Micros, ending: bool) {
+        let Some((n, last)) = self.addresses.as_ref().and_then(|a| a.told(now, ending)) else { return };
         let (client, via) = (display(last.client), last.via.map(display));
         warn!(
             event = "refused",
--- a/src/owner/upstreams.rs
+++ b/src/owner/upstreams.rs
@@ -1,5 +1,5 @@
-//! The connections to nodes and the origin: a task each. When to dial, what to send and when to close is the
-//! core's.
+//! Connections to nodes and the origin, one task each. When to dial, what to send and when to close is
+//! decided by the core.
 
 use crate::core::{ConnectionId, Job, Stage};
 use crate::net::upstream::{carry, Dialect, Jobs};
@@ -18,7 +18,7 @@
 
 pub(super) struct Upstreams {
     open: HashMap<ConnectionId, Upstream>,
-    /// The names in load reports.
+    /// The column names in load reports.
     columns: Rc<Vec<String>>,
 }
 
@@ -35,11 +35,11 @@
         executor: &LocalExecutor<'static>,
         queue: &Queue,
     ) {
-        // One request at a time: there is never a second job to wait.
-        let (jobs, taken) = async_channel::bounded(1);
-        let given = Jobs::from(taken);
-        let carried = carry(id, address, dialect, given.clone(), queue.clone(), self.columns.clone());
-        let task = executor.spawn(carried);
+        // One request at a time: a second job is never queued.
+        let (jobs, receiver) = async_channel::bounded(1);
+        let given = Jobs::from(receiver);
+        let connection_task = carry(id, address, dialect, given.clone(), queue.clone(), self.columns.clone());
+        let task = executor.spawn(connection_task);
         self.open.insert(id, Upstream { jobs, given, _task: task });
     }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Takes a job back that nobody waits for, unless its last byte is out: how far it was.
+    /// Withdraws a job that nobody waits for, unless its last byte is written; returns how much was written.
     pub(super) fn withdraw(&self, id: ConnectionId) -> Option<Stage> {
         let given = &self.open.get(&id)?.given;
         match given.back() {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The one place where an upstream descriptor is given back.
+    /// Closes a connection. All upstream descriptors are released here.
     pub(super) fn close(&mut self, id: ConnectionId) {
         self.open.remove(&id);
     }
