--- a/crates/lab/src/capacity/roles/discovery.rs
+++ b/crates/lab/src/capacity/roles/discovery.rs
@@ -74,7 +74,7 @@
         .ok_or_else(|| Fault::broken("half a chunk"))?;
     let mut objects = ObjectSplitter::default();
     objects.feed(&piece);
-    match objects.piece().map_err(Fault::broken)? {
+    match objects.next_item().map_err(Fault::broken)? {
         Some(WatchItem::Object(text)) => {
             let (list, odd) = parse_list(&text, site).map_err(Fault::broken)?;
             odd.map_or(Ok(list), |odd| Err(Fault::broken(odd)))
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,27 +1,28 @@
-//! The clock that the cores go by.
+//! The clock whose times are passed to the core.
 
 use crate::interface::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time at the start, running on evenly whatever happens to the system's clock.
+/// Unix time read once at the start and advanced by the monotonic clock, unaffected by changes of the
+/// system's clock.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
-    start: Instant,
+    started: Instant,
     unix: Micros,
 }
 
 impl Clock {
     pub(crate) fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_micros() as Micros }
+        Clock { started: Instant::now(), unix: unix.as_micros() as Micros }
     }
 
     pub(crate) fn now(&self) -> Micros {
-        self.unix + self.start.elapsed().as_micros() as Micros
+        self.unix + self.started.elapsed().as_micros() as Micros
     }
 
-    /// A time of this clock as timers want it.
+    /// Converts a time of this clock to an [`Instant`] for timers.
     pub(crate) fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros((at - self.unix).max(0) as u64)
+        self.started + Duration::from_micros((at - self.unix).max(0) as u64)
     }
 }
--- a/src/codec/http.rs
+++ b/src/codec/http.rs
@@ -1,15 +1,15 @@
-//! HTTP/1.1 as a client speaks it to the origin and to discovery.
+//! The client side of HTTP/1.1, used with the origin and discovery.
 
 use super::{length, line, Malformed, Parsed};
 
-const LINE: usize = 8 * 1024;
-const HEADERS: usize = 64;
-/// Responses with a status of 1xx before the final one.
-const INTERIM: usize = 8;
-/// The most bytes of a head: a peer that has sent more without ending it is malformed.
+const MAX_LINE: usize = 8 * 1024;
+const MAX_HEADERS: usize = 64;
+/// The maximum number of interim responses (status 1xx) before the final one.
+const MAX_INTERIM: usize = 8;
+/// The maximum size of a head; a longer one without an end is malformed.
 pub const MAX_HEAD: usize = 16 * 1024;
 
-/// How the end of a body is told.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     Length(usize),
@@ -18,12 +18,12 @@
     Close,
 }
 
-/// What may follow the bytes that have come.
+/// Whether more input may follow the bytes received so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerState {
-    /// More bytes, or the end.
+    /// More bytes may follow.
     Open,
-    /// Nothing: the peer has closed in order. A reset is no such end.
+    /// The peer has closed the connection in order. A reset does not count.
     Closed,
 }
 
@@ -32,7 +32,7 @@
     pub status: u16,
     pub headers: Vec<(String, Vec<u8>)>,
     pub framing: Framing,
-    /// The connection can carry another request.
+    /// Whether the connection can carry another request.
     pub keep: bool,
 }
 
@@ -42,9 +42,9 @@
     }
 }
 
-/// A response's status line and headers. `most` bounds the length of its body.
+/// Parses a response's status line and headers. `most` limits the length of the body.
 pub fn head(bytes: &[u8], most: usize) -> Parsed<Head> {
-    let Some((status, mut at)) = line(bytes, LINE)? else { return Ok(None) };
+    let Some((status, mut at)) = line(bytes, MAX_LINE)? else { return Ok(None) };
     let version = status.get(..9).ok_or(Malformed("a short status line"))?;
     if !matches!(version, b"HTTP/1.1 " | b"HTTP/1.0 ") {
         return Err(Malformed("not HTTP/1.x"));
@@ -58,10 +58,10 @@
     };
     let (mut lengths, mut chunked) = (None, false);
     loop {
-        if at > MAX_HEAD || head.headers.len() > HEADERS {
+        if at > MAX_HEAD || head.headers.len() > MAX_HEADERS {
             return Err(Malformed("the headers are too long"));
         }
-        let Some((text, taken)) = line(&bytes[at..], LINE)? else { return Ok(None) };
+        let Some((text, taken)) = line(&bytes[at..], MAX_LINE)? else { return Ok(None) };
         at += taken;
         if text.is_empty() {
             head.framing = match (lengths, chunked) {
@@ -82,7 +82,7 @@
         let value = text[colon + 1..].trim_ascii();
         if name.eq_ignore_ascii_case("content-length") {
             let n = length(value, most).ok_or(Malformed("an invalid or oversized content-length"))?;
-            // Two lengths that differ, or one beside chunks: no telling where the body ends.
+            // With two different lengths, or a length and chunked encoding, the end of the body is ambiguous.
             if lengths.replace(n).is_some_and(|other| other != n) {
                 return Err(Malformed("conflicting lengths"));
             }
@@ -98,7 +98,7 @@
     }
 }
 
-/// The next piece of a chunked body, empty at the body's end.
+/// Parses the next chunk of a chunked body; it is empty at the end of the body.
 pub fn chunk(bytes: &[u8], most: usize) -> Parsed<Vec<u8>> {
     let Some((size, at)) = line(bytes, 64)? else { return Ok(None) };
     let size = size.split(|b| *b == b';').next().unwrap_or_default().trim_ascii();
@@ -111,7 +111,7 @@
         // Trailers, then an empty line.
         let mut end = at;
         loop {
-            let Some((text, taken)) = line(&bytes[end..], LINE)? else { return Ok(None) };
+            let Some((text, taken)) = line(&bytes[end..], MAX_LINE)? else { return Ok(None) };
             end += taken;
             if text.is_empty() {
                 return Ok(Some((Vec::new(), end)));
@@ -128,14 +128,14 @@
     }
 }
 
-/// The head of the final response: interim ones (1xx) may come before it, a few of them.
+/// Parses the head of the final response, skipping a few interim ones (1xx).
 fn final_head(bytes: &[u8], most: usize) -> Parsed<Head> {
     let mut at = 0;
-    for _ in 0..=INTERIM {
+    for _ in 0..=MAX_INTERIM {
         let Some((head, taken)) = head(&bytes[at..], most)? else { return Ok(None) };
         at += taken;
         match head.status {
-            // An upgrade that nobody asked for.
+            // A protocol upgrade was not requested.
             101 => return Err(Malformed("an invalid status")),
             100..=199 => {}
             200.. => return Ok(Some((head, at))),
@@ -145,11 +145,11 @@
     Err(Malformed("too many interim responses"))
 }
 
-/// A whole response with a body of at most `most`; `None` for one that is not whole yet.
+/// Parses a complete response with a body of at most `most` bytes; `None` if it is incomplete.
 ///
-/// A body without a length is whole once the peer has closed in order (RFC 9112, section 6.3). One that is empty then is
-/// none: what broke off behind the head looks the same.
-pub fn response(bytes: &[u8], most: usize, rest: PeerState) -> Parsed<(Head, Vec<u8>)> {
+/// A body without a length is complete once the peer has closed in order (RFC 9112, section 6.3). If it is
+/// empty then, the response counts as incomplete, because a connection lost after the head looks the same.
+pub fn response(bytes: &[u8], most: usize, peer: PeerState) -> Parsed<(Head, Vec<u8>)> {
     let Some((head, mut at)) = final_head(bytes, most)? else { return Ok(None) };
     match head.framing {
         Framing::Length(n) => match bytes.get(at..at + n) {
@@ -175,13 +175,13 @@
             if body.len() > most {
                 return Err(Malformed("an oversized body"));
             }
-            let whole = rest == PeerState::Closed && !body.is_empty();
-            Ok(whole.then(|| ((head, body.to_vec()), bytes.len())))
+            let complete = peer == PeerState::Closed && !body.is_empty();
+            Ok(complete.then(|| ((head, body.to_vec()), bytes.len())))
         }
     }
 }
 
-/// A request; header values are passed on as they are, so they must hold no line end.
+/// Encodes a request. Header values are written unchanged, so they must not contain line ends.
 pub fn put_request(
     out: &mut Vec<u8>,
     method: &str,
--- a/src/codec/mod.rs
+++ b/src/codec/mod.rs
@@ -1,20 +1,21 @@
-//! Parsers and encoders of the project's own: pure, incremental and bounded in size.
+//! The project's own parsers and encoders: pure, incremental and bounded in size.
 //!
-//! A parser is given all bytes that have come so far. It answers `Ok(None)` until a whole message is there,
-//! then the message and how many bytes it took; `Err` means that no further byte can make sense.
+//! A parser is given all bytes received so far. It returns `Ok(None)` until a whole message is there, then
+//! the message and the number of bytes it took; `Err` means that no further bytes can make the input valid.
 
 pub mod discovery;
 pub mod http;
 pub mod proxy;
 pub mod resp;
 
-/// Why bytes are no message: for the log, and for a downstream's `-ERR`.
+/// Why the input is malformed: for the log and for a downstream's `-ERR`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
 pub type Parsed<T> = Result<Option<(T, usize)>, Malformed>;
 
-/// The end of the first line in `bytes` (without its CRLF), if it is whole and no longer than `most`.
+/// The first line in `bytes` (without its CRLF) and its length in bytes, if it is complete and no longer than
+/// `most`.
 pub(crate) fn line(bytes: &[u8], most: usize) -> Parsed<&[u8]> {
     match bytes.iter().take(most + 2).position(|b| *b == b'\n') {
         Some(at) if at > 0 && bytes[at - 1] == b'\r' => Ok(Some((&bytes[..at - 1], at + 1))),
@@ -24,15 +25,16 @@
     }
 }
 
-/// A decimal length of at most `most`.
+/// Parses a decimal length of at most `most`.
 pub(crate) fn length(digits: &[u8], most: usize) -> Option<usize> {
     let ok = !digits.is_empty() && digits.len() <= 10 && digits.iter().all(u8::is_ascii_digit);
     let n = digits.iter().filter(|_| ok).fold(0usize, |n, d| n * 10 + usize::from(d - b'0'));
     Some(n).filter(|n| ok && *n <= most)
 }
 
-/// A load report (`inflight=7,util=0.61`) as the values of `columns`; not a number where one is absent.
-/// Empty where nothing in the text is a report, or one of the values is no load.
+/// Parses a load report (`inflight=7,util=0.61`) into the values of `columns`, NaN where one is absent.
+/// Returns an empty list if the text contains no known column, or if a value is not a finite, non-negative
+/// number.
 pub fn report(text: &[u8], columns: &[String]) -> Vec<f32> {
     let text = std::str::from_utf8(text).unwrap_or("");
     let mut values = vec![f32::NAN; columns.len()];
--- a/src/codec/proxy.rs
+++ b/src/codec/proxy.rs
@@ -1,48 +1,49 @@
-//! PROXY headers, versions 1 and 2: who a front speaks for, ahead of the first byte of the protocol behind it.
+//! PROXY protocol headers, versions 1 and 2: they name the client a load balancer forwards, ahead of the
+//! first byte of the proxied protocol.
 
 use super::{length, line, Malformed, Parsed};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
-const V1: &[u8] = b"PROXY ";
-const V2: &[u8] = b"\r\n\r\n\0\r\nQUIT\n";
-/// The longest line of version 1, without its CRLF.
-const LINE: usize = 105;
-/// What version 2 may hold behind its fixed part: addresses, and what is skipped behind them.
-const REST: usize = 2048;
+const V1_PREFIX: &[u8] = b"PROXY ";
+const V2_SIGNATURE: &[u8] = b"\r\n\r\n\0\r\nQUIT\n";
+/// The maximum line length of version 1, without its CRLF.
+const MAX_V1_LINE: usize = 105;
+/// The maximum size of version 2 after its fixed part: addresses, and further data that is skipped.
+const MAX_V2_REST: usize = 2048;
 
-/// Whom a front speaks for.
+/// The client address given by a header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
     Client(SocketAddr),
-    /// The front itself, or somebody that it does not name.
+    /// The sender of the header itself, or a client that it does not name: use the socket's address.
     Socket,
 }
 
-/// Whether these bytes begin a header; `None` while they are too few to tell.
+/// Whether these bytes begin a header; `None` while there are too few to tell.
 pub fn begins(bytes: &[u8]) -> Option<bool> {
     let alike = |start: &[u8]| bytes.iter().zip(start).all(|(a, b)| a == b);
-    match [V1, V2].into_iter().find(|start| alike(start)) {
+    match [V1_PREFIX, V2_SIGNATURE].into_iter().find(|start| alike(start)) {
         Some(start) if bytes.len() < start.len() => None,
         Some(_) => Some(true),
         None => Some(false),
     }
 }
 
-/// A whole header.
+/// Parses a complete header.
 pub fn header(bytes: &[u8]) -> Parsed<Source> {
     match begins(bytes) {
         None => Ok(None),
         Some(false) => Err(Malformed("no PROXY header")),
-        Some(true) if bytes.starts_with(V1) => {
-            let Some((text, taken)) = line(bytes, LINE)? else { return Ok(None) };
-            Ok(Some((first(text)?, taken)))
+        Some(true) if bytes.starts_with(V1_PREFIX) => {
+            let Some((text, taken)) = line(bytes, MAX_V1_LINE)? else { return Ok(None) };
+            Ok(Some((parse_v1(text)?, taken)))
         }
-        Some(true) => second(bytes),
+        Some(true) => parse_v2(bytes),
     }
 }
 
-/// `PROXY TCP4 203.0.113.7 10.0.0.5 51022 6379`
-fn first(text: &[u8]) -> Result<Source, Malformed> {
+/// Parses a line of version 1, such as `PROXY TCP4 203.0.113.7 10.0.0.5 51022 6379`.
+fn parse_v1(text: &[u8]) -> Result<Source, Malformed> {
     let text = std::str::from_utf8(text).map_err(|_| Malformed("a PROXY header that is no text"))?;
     let words: Vec<&str> = text.split(' ').collect();
     let ip = |family: &str, word: &str| match family {
@@ -65,10 +66,12 @@
     Ok(Source::Client(SocketAddr::new(ip, port)))
 }
 
-fn second(bytes: &[u8]) -> Parsed<Source> {
-    let Some(&[command, family, high, low]) = bytes.get(V2.len()..V2.len() + 4) else { return Ok(None) };
+fn parse_v2(bytes: &[u8]) -> Parsed<Source> {
+    let Some(&[command, family, high, low]) = bytes.get(V2_SIGNATURE.len()..V2_SIGNATURE.len() + 4) else {
+        return Ok(None);
+    };
     let rest = usize::from(u16::from_be_bytes([high, low]));
-    if rest > REST {
+    if rest > MAX_V2_REST {
         return Err(Malformed("a PROXY header is too long"));
     }
     let local = match command {
@@ -76,7 +79,7 @@
         0x21 => false,
         _ => return Err(Malformed("an unknown version or command in a PROXY header")),
     };
-    // Of its families, only those of TCP say who the caller is.
+    // Only the TCP families give the client's address.
     let needed = match family {
         _ if local => 0,
         0x00 => 0,
@@ -88,7 +91,7 @@
     if rest < needed {
         return Err(Malformed("a PROXY header without its addresses"));
     }
-    let start = V2.len() + 4;
+    let start = V2_SIGNATURE.len() + 4;
     let Some(rest) = bytes.get(start..start + rest) else { return Ok(None) };
     let port = |at: usize| u16::from_be_bytes([rest[at], rest[at + 1]]);
     let source = match (family, local) {
--- a/src/codec/resp.rs
+++ b/src/codec/resp.rs
@@ -1,20 +1,20 @@
-//! RESP2: the commands of downstreams, the replies of cache nodes, and both the other way round.
+//! RESP2: parsing and encoding of commands and replies, for both downstreams and cache nodes.
 
 use super::{length, line, Malformed, Parsed};
 
-/// The longest value, the longest other word, and the most words of a command.
+/// The maximum sizes of a value and of any other word, and the maximum number of words of a command.
 pub const MAX_VALUE: usize = 64 * 1024;
 pub const MAX_WORD: usize = 4 * 1024;
 pub const MAX_WORDS: usize = 8;
-/// The most bytes a command takes: who has sent more than this has sent a whole one or a malformed one.
+/// The maximum size of a command: any longer input holds a complete command or is malformed.
 pub const MAX_COMMAND: usize = MAX_VALUE + MAX_WORDS * (MAX_WORD + 16);
-const LINE: usize = 1024;
-/// A bulk string that is null.
+const MAX_LINE: usize = 1024;
+/// A null bulk string.
 pub const NULL: &[u8] = b"$-1\r\n";
 
-/// A command: the words of an array of bulk strings. Only the last may be as long as a value.
+/// Parses a command: the words of an array of bulk strings. Only the last word may be as long as a value.
 pub fn command(bytes: &[u8]) -> Parsed<Vec<Vec<u8>>> {
-    // What starts with the wrong byte is malformed at once, not when its line has ended.
+    // A wrong first byte is reported at once, not only when the line is complete.
     if bytes.first().is_some_and(|b| *b != b'*') {
         return Err(Malformed("expected an array of bulk strings"));
     }
@@ -43,7 +43,7 @@
     }
 }
 
-/// A reply; arrays hold bulk strings and nulls alone, as cache nodes send them.
+/// A reply. Arrays hold only bulk strings and nulls, as cache nodes send them.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     Simple(Vec<u8>),
@@ -53,8 +53,8 @@
 }
 
 pub fn reply(bytes: &[u8]) -> Parsed<Reply> {
-    let Some((head, mut at)) = line(bytes, LINE)? else { return Ok(None) };
-    let Some((&sort, rest)) = head.split_first() else { return Err(Malformed("an empty reply line")) };
+    let Some((head, mut at)) = line(bytes, MAX_LINE)? else { return Ok(None) };
+    let Some((&kind, rest)) = head.split_first() else { return Err(Malformed("an empty reply line")) };
     let item = |bytes: &[u8], head: &[u8]| -> Parsed<Option<Vec<u8>>> {
         match head.strip_prefix(b"$") {
             Some(b"-1") => Ok(Some((None, 0))),
@@ -66,7 +66,7 @@
             None => Err(Malformed("expected a bulk string")),
         }
     };
-    let reply = match sort {
+    let reply = match kind {
         b'+' => Reply::Simple(rest.to_vec()),
         b'-' => Reply::Error(rest.to_vec()),
         b'$' => {
@@ -79,7 +79,7 @@
             let n = length(rest, MAX_WORDS).ok_or(Malformed("invalid array length"))?;
             let mut items = Vec::with_capacity(n);
             for _ in 0..n {
-                let Some((head, taken)) = line(&bytes[at..], LINE)? else { return Ok(None) };
+                let Some((head, taken)) = line(&bytes[at..], MAX_LINE)? else { return Ok(None) };
                 at += taken;
                 let Some((value, taken)) = item(&bytes[at..], head)? else { return Ok(None) };
                 at += taken;
@@ -92,22 +92,22 @@
     Ok(Some((reply, at)))
 }
 
-/// A line of a type and a length.
-fn put_length(out: &mut Vec<u8>, sort: u8, length: usize) {
-    // Digits from the last on; a length has twenty at most.
-    let (mut digits, mut at, mut left) = ([0; 20], 20, length);
-    while at == 20 || (left > 0 && at > 0) {
+/// Writes a line consisting of a type byte and a length.
+fn put_length(out: &mut Vec<u8>, kind: u8, length: usize) {
+    // Digits are written from the last on; a length has at most twenty.
+    let (mut digits, mut at, mut remaining) = ([0; 20], 20, length);
+    while at == 20 || (remaining > 0 && at > 0) {
         at -= 1;
-        digits[at] = b'0' + (left % 10) as u8;
-        left /= 10;
+        digits[at] = b'0' + (remaining % 10) as u8;
+        remaining /= 10;
     }
-    out.push(sort);
+    out.push(kind);
     out.extend_from_slice(&digits[at..]);
     out.extend_from_slice(b"\r\n");
 }
 
 pub fn put_bulk(out: &mut Vec<u8>, word: &[u8]) {
-    // Once for the whole: a type, twenty digits and two ends of lines at most.
+    // Reserve once: a type byte, twenty digits and two line ends at most.
     out.reserve(word.len() + 25);
     put_length(out, b'$', word.len());
     out.extend_from_slice(word);
@@ -119,7 +119,7 @@
     words.iter().for_each(|w| put_bulk(out, w));
 }
 
-/// An error line; `text` begins with its code (`ERR`, `BUSY`).
+/// Writes an error line; `text` begins with its code (`ERR`, `BUSY`).
 pub fn put_error(out: &mut Vec<u8>, text: &str) {
     out.extend_from_slice(format!("-{text}\r\n").as_bytes());
 }
--- a/src/id_map.rs
+++ b/src/id_map.rs
@@ -1,8 +1,8 @@
-//! Tables by the core's own numbers and by ids of nodes, for the core and the module.
+//! Hash maps keyed by the proxy's own counters and by node ids, for the core and the module.
 //!
-//! Streams, upstream requests and connections are counted here, and nodes come from discovery: nobody outside
-//! chooses these numbers to make them collide, so a mix takes the place of the standard library's keyed hash. Not
-//! for what downstreams send.
+//! Streams, upstream requests and connections are numbered by the proxy, and node ids come from discovery.
+//! Nobody outside can choose these numbers to cause collisions, so a simple mix replaces the standard
+//! library's keyed hash. Do not use these maps for keys chosen by downstreams.
 
 use crate::state::mix;
 use std::collections::HashMap;
--- a/src/net/cluster.rs
+++ b/src/net/cluster.rs
@@ -65,7 +65,7 @@
             }
             body.feed(&piece);
         }
-        while let Some(piece) = body.piece()? {
+        while let Some(piece) = body.next_item()? {
             let list = match piece {
                 WatchItem::Blank => None,
                 WatchItem::Object(text) => {
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,8 +1,9 @@
-//! The signals that tell a program of this package to end or to read its files again.
+//! The signals that ask a program of this package to shut down or to reload its files.
 //!
-//! It owns the handlers and the socket pair that wakes whoever waits for a signal; what a signal means is decided elsewhere.
-//! A handler raises a flag before it writes to the socket pair, and the bytes written say nothing: one that is lost to an
-//! interrupted or a full system call costs a signal no more than [`LOOK`].
+//! This module installs the handlers and holds the socket pair that wakes the waiting task; what a signal
+//! means is decided elsewhere. A handler sets a flag before it writes to the socket pair, and the bytes
+//! written carry no information: if one is lost to an interrupted or failed system call, the signal is
+//! delayed by at most [`POLL_INTERVAL`].
 
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -14,8 +15,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often the flags are looked at while nothing wakes who waits.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often the flags are checked without a wake-up.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a signal asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,32 +27,34 @@
     Reload,
 }
 
-/// Signals that have come and were not told yet. Several of a kind that come before the first is told are one.
+/// Received signals that have not been returned yet. Several of one kind count as one until the first is
+/// returned.
 #[derive(Debug)]
 pub struct Signals {
     end: Arc<AtomicBool>,
     reload: Arc<AtomicBool>,
-    woken: Async<UnixStream>,
+    wake_socket: Async<UnixStream>,
 }
 
 impl Signals {
-    /// Takes the signals over from the system: from here on they no longer end the process by themselves.
+    /// Installs the handlers: from here on the signals no longer end the process by themselves.
     ///
     /// # Errors
     ///
-    /// Where the system has no descriptor left, or refuses a handler.
+    /// If no descriptor is available or a handler cannot be installed.
     pub fn new() -> io::Result<Self> {
         let (read, write) = UnixStream::pair()?;
-        let signals = Signals { end: Arc::default(), reload: Arc::default(), woken: Async::new(read)? };
+        let signals = Signals { end: Arc::default(), reload: Arc::default(), wake_socket: Async::new(read)? };
         for (signal, raised) in [(SIGTERM, &signals.end), (SIGINT, &signals.end), (SIGHUP, &signals.reload)] {
-            // Handlers of a signal run in the order in which they are registered: who is woken finds the flag raised.
+            // Handlers of a signal run in the order of registration, so the flag is set before the waiting
+            // task is woken.
             flag::register(signal, raised.clone())?;
             pipe::register(signal, write.try_clone()?)?;
         }
         Ok(signals)
     }
 
-    /// Waits for the next one; an end comes before a reload.
+    /// Waits for the next signal; a shutdown is returned before a reload.
     pub async fn next(&self) -> SignalRequest {
         loop {
             if self.end.swap(false, Ordering::SeqCst) {
@@ -60,16 +63,17 @@
             if self.reload.swap(false, Ordering::SeqCst) {
                 return SignalRequest::Reload;
             }
-            let look = async {
-                Timer::after(LOOK).await;
+            let poll = async {
+                Timer::after(POLL_INTERVAL).await;
             };
-            future::or(self.wake(), look).await;
+            future::or(self.wake(), poll).await;
         }
     }
 
-    /// Waits until a handler has written. What cannot be read wakes nobody, who looks at the flags in time all the same.
+    /// Waits until a handler has written. On a read error it waits forever; the caller still checks the flags
+    /// periodically.
     async fn wake(&self) {
-        let read = self.woken.read_with(|mut socket| socket.read(&mut [0; 64])).await;
+        let read = self.wake_socket.read_with(|mut socket| socket.read(&mut [0; 64])).await;
         if !matches!(read, Ok(1..)) {
             future::pending::<()>().await;
         }
--- a/tests/upstream.rs
+++ b/tests/upstream.rs
@@ -1,4 +1,4 @@
-//! A connection to a node, driven by hand.
+//! Tests of a connection to a node, with the node scripted by the test.
 
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -13,56 +13,61 @@
 use std::net::TcpListener;
 use std::rc::Rc;
 
-/// A connection that has come up, as `play` drives it: the node's port, the way of its jobs, and what it tells.
-fn driven<F: Future>(play: impl FnOnce(TcpListener, Sender<Job>, Receiver<News>) -> F) -> F::Output {
-    driven_as(Dialect::Cache, play)
+/// Runs `script` on an established connection, with the node's listener, the sender of its jobs and the
+/// receiver of its events.
+fn with_connection<F: Future>(
+    script: impl FnOnce(TcpListener, Sender<Job>, Receiver<News>) -> F,
+) -> F::Output {
+    with_connection_as(Dialect::Cache, script)
 }
 
-/// The same with a node that speaks this.
-fn driven_as<F: Future>(
+/// The same with a node that speaks `dialect`.
+fn with_connection_as<F: Future>(
     dialect: Dialect,
-    play: impl FnOnce(TcpListener, Sender<Job>, Receiver<News>) -> F,
+    script: impl FnOnce(TcpListener, Sender<Job>, Receiver<News>) -> F,
 ) -> F::Output {
     let node = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = node.local_addr().expect("an address");
-    let (tell, news) = async_channel::bounded(4);
-    let (give, jobs) = async_channel::bounded(1);
+    let (event_sender, news) = async_channel::bounded(4);
+    let (send_job, jobs) = async_channel::bounded(1);
     let executor = LocalExecutor::new();
-    let carried = carry(ConnectionId(1), address, dialect, jobs, tell, Rc::new(Vec::new()));
-    let _task = executor.spawn(carried);
+    let connection_task = carry(ConnectionId(1), address, dialect, jobs, event_sender, Rc::new(Vec::new()));
+    let _task = executor.spawn(connection_task);
     async_io::block_on(executor.run(async {
         assert!(matches!(news.recv().await, Ok(News::Core(Input::Connected(_)))));
-        play(node, give, news).await
+        script(node, send_job, news).await
     }))
 }
 
-/// Guards against a job written to a connection that is known to be closed, where both are seen at once: it would
-/// be a reset, and what may have run must not always go again.
+/// A job must not be written to a connection that is already known to be closed when both are seen at once:
+/// it would end in a reset, and a job that may have run cannot always be sent again.
 #[test]
 fn a_job_is_not_written_to_a_connection_that_was_just_closed() {
-    let ended = driven(|node, give, news| async move {
+    let ended = with_connection(|node, send_job, news| async move {
         for _ in 0..10 {
             futures_lite::future::yield_now().await;
         }
         let (socket, peer) = node.accept().expect("a connection");
         drop(socket);
-        // The kernel knows of the close (CLOSE_WAIT is 08); nothing here waits, so the poller is not asked.
+        // Wait until the kernel has seen the close (CLOSE_WAIT is 08), without yielding, so that the poller
+        // does not report it.
         let closed = |l: &str| l.contains(&format!(":{:04X} ", peer.port())) && l.contains(" 08 ");
         while !std::fs::read_to_string("/proc/net/tcp").expect("the table").lines().any(closed) {}
-        give.try_send(Job::Probe).expect("room for a job");
+        send_job.try_send(Job::Probe).expect("room for a job");
         news.recv().await
     });
     assert!(matches!(ended, Ok(News::Core(Input::Broken(_, Stage::Idle)))));
 }
 
-/// Guards what is believed of a node with a full table: it turns a new connection away and closes it, and is not busy.
+/// A node with a full connection table rejects a new connection and closes it; this must not be taken for a
+/// busy node.
 #[rstest]
 #[case(true)]
 #[case(false)]
-fn a_node_that_turns_a_new_connection_away_and_closes_it_has_no_place(#[case] closes: bool) {
-    let told = driven(|node, give, news| async move {
+fn a_node_that_rejects_a_new_connection_and_closes_it_has_no_place(#[case] closes: bool) {
+    let event = with_connection(|node, send_job, news| async move {
         let (mut socket, peer) = node.accept().expect("a connection");
-        give.try_send(Job::Probe).expect("room for a job");
+        send_job.try_send(Job::Probe).expect("room for a job");
         socket.set_nonblocking(true).expect("a socket");
         while socket.read(&mut [0; 256]).is_err() {
             futures_lite::future::yield_now().await;
@@ -71,57 +76,58 @@
         let kept = (!closes).then_some(socket);
         let closed = |l: &str| l.contains(&format!(":{:04X} ", peer.port())) && l.contains(" 08 ");
         while closes && !std::fs::read_to_string("/proc/net/tcp").expect("the table").lines().any(closed) {}
-        let told = news.recv().await;
+        let event = news.recv().await;
         drop(kept);
-        told
+        event
     });
-    let Ok(News::Core(Input::Replied(_, reply))) = told else { panic!("no reply") };
+    let Ok(News::Core(Input::Replied(_, reply))) = event else { panic!("no reply") };
     assert_eq!((reply.verdict, reply.no_place, reply.keep), (Verdict::Full, closes, !closes));
 }
 
-/// Guards what is said of a large job that its node speaks into, before it has heard all of it: nothing ran. A refusal
-/// is one; a value can be no answer to it, and must not be served.
+/// A node may answer a large job before it has read all of it: the job has not run. A refusal is valid then;
+/// a value cannot be an answer to it and must not be served.
 #[rstest]
 #[case(Some("-BUSY\r\n"), false, Some(Verdict::Full))]
 #[case(Some("-BUSY\r\n"), true, Some(Verdict::Full))]
 #[case(Some("*3\r\n$1\r\nx\r\n$-1\r\n$-1\r\n"), false, None)]
 #[case(Some("-ERR failed\r\n"), false, None)]
 #[case(None, true, None)]
-fn what_comes_before_the_last_byte_is_no_answer(
-    #[case] said: Option<&str>,
+fn an_answer_before_the_last_byte_of_the_job_is_no_answer(
+    #[case] sent: Option<&str>,
     #[case] closes: bool,
     #[case] verdict: Option<Verdict>,
 ) {
-    let told = driven(|node, give, news| async move {
+    let event = with_connection(|node, send_job, news| async move {
         let (mut socket, _) = node.accept().expect("a connection");
-        // Far more than both kernels hold while nobody reads.
+        // Far more than the socket buffers on both sides hold.
         let message = Message { value: Some(vec![b'x'; 64 << 20]), ..Message::default() };
-        give.try_send(Job::Stream { message: Rc::new(message), patience: 1_000_000 })
+        send_job
+            .try_send(Job::Stream { message: Rc::new(message), patience: 1_000_000 })
             .expect("room for a job");
         socket.set_nonblocking(true).expect("a socket");
         while socket.peek(&mut [0; 1]).is_err() {
             futures_lite::future::yield_now().await;
         }
-        socket.write_all(said.unwrap_or_default().as_bytes()).expect("it is written");
+        socket.write_all(sent.unwrap_or_default().as_bytes()).expect("it is written");
         if closes {
             socket.shutdown(std::net::Shutdown::Write).expect("a socket");
         }
-        let told = news.recv().await;
+        let event = news.recv().await;
         drop(socket);
-        told
+        event
     });
-    match (told, verdict) {
+    match (event, verdict) {
         (Ok(News::Core(Input::Replied(_, reply))), Some(verdict)) => {
             assert_eq!((reply.verdict, reply.keep), (verdict, false))
         }
         (Ok(News::Core(Input::Broken(_, stage))), None) => assert_eq!(stage, Stage::Writing),
-        (told, _) => panic!("{told:?}"),
+        (event, _) => panic!("{event:?}"),
     }
 }
 
-/// Guards the memory of a proxy whose origin's answer never ends: its trailers are bounded like its head.
+/// Trailers that never end must not exhaust the proxy's memory: they are limited like the head.
 #[test]
-fn trailers_that_never_end_are_no_answer() {
+fn endless_trailers_are_no_answer() {
     let response = |trailers: usize| {
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n";
         let bytes = [&head[..], &b"a: b\r\n".repeat(trailers)].concat();
@@ -132,61 +138,61 @@
 
 /// How an origin ends its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ends {
+enum Ending {
     Closes,
     Resets,
 }
 
-/// An answer without a length was never forwarded, also where it came whole: it was taken for malformed with its head. Its
-/// end says that it is whole; a reset does not, nor does the end of one that has a length and not all of it.
+/// An answer without a length used to be rejected as malformed with its head, even if complete. Closing in
+/// order completes it; a reset does not, nor does a close before the end of an answer with a length.
 #[rstest]
-#[case::whole("HTTP/1.1 200 OK\r\n\r\na value", Ends::Closes, Some("a value"))]
+#[case::whole("HTTP/1.1 200 OK\r\n\r\na value", Ending::Closes, Some("a value"))]
 #[case::whole_by_its_word(
     "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\na value",
-    Ends::Closes,
+    Ending::Closes,
     Some("a value")
 )]
-#[case::reset("HTTP/1.1 200 OK\r\n\r\nhalf a val", Ends::Resets, None)]
-#[case::no_byte_of_it("HTTP/1.1 200 OK\r\n\r\n", Ends::Closes, None)]
-#[case::no_whole_head("HTTP/1.1 200 OK\r\nX-A: b\r\n", Ends::Closes, None)]
-#[case::less_than_its_length("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", Ends::Closes, None)]
-#[case::half_a_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal", Ends::Closes, None)]
-fn an_answer_without_a_length_is_whole_once_the_origin_has_closed(
-    #[case] said: &str,
-    #[case] ends: Ends,
+#[case::reset("HTTP/1.1 200 OK\r\n\r\nhalf a val", Ending::Resets, None)]
+#[case::no_byte_of_it("HTTP/1.1 200 OK\r\n\r\n", Ending::Closes, None)]
+#[case::no_whole_head("HTTP/1.1 200 OK\r\nX-A: b\r\n", Ending::Closes, None)]
+#[case::less_than_its_length("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf", Ending::Closes, None)]
+#[case::half_a_chunk("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhal", Ending::Closes, None)]
+fn an_answer_without_a_length_is_complete_once_the_origin_has_closed(
+    #[case] sent: &str,
+    #[case] ending: Ending,
     #[case] value: Option<&str>,
 ) {
-    let told = driven_as(Dialect::Origin, |node, give, news| async move {
+    let event = with_connection_as(Dialect::Origin, |node, send_job, news| async move {
         let (mut socket, _) = node.accept().expect("a connection");
         let job = Job::Stream { message: Rc::new(Message::default()), patience: 1_000_000 };
-        give.try_send(job).expect("room for a job");
+        send_job.try_send(job).expect("room for a job");
         socket.set_nonblocking(true).expect("a socket");
         while socket.read(&mut [0; 1024]).is_err() {
             futures_lite::future::yield_now().await;
         }
-        socket.write_all(said.as_bytes()).expect("it is written");
-        // What was read before is whole or not by what ends it.
+        socket.write_all(sent.as_bytes()).expect("it is written");
+        // Let the connection read the bytes first; the way the connection ends then decides.
         for _ in 0..100 {
             futures_lite::future::yield_now().await;
         }
-        if ends == Ends::Resets {
+        if ending == Ending::Resets {
             let linger = socket2::SockRef::from(&socket).set_linger(Some(std::time::Duration::ZERO));
             linger.expect("a socket");
         }
         drop(socket);
         news.recv().await
     });
-    match (told, value) {
+    match (event, value) {
         (Ok(News::Core(Input::Replied(_, reply))), Some(value)) => {
             assert_eq!((reply.verdict, reply.value.as_slice()), (Verdict::Served, value.as_bytes()));
             assert!(!reply.keep, "the connection is over");
         }
         (Ok(News::Core(Input::Broken(_, stage))), None) => assert_eq!(stage, Stage::Reading),
-        (told, _) => panic!("{told:?}"),
+        (event, _) => panic!("{event:?}"),
     }
 }
 
-/// Guards the memory of a proxy whose origin never ends a body without a length.
+/// A body without a length that never ends must not exhaust the proxy's memory.
 #[test]
 fn a_body_without_a_length_is_bounded() {
     let response = |length: usize, rest| {
@@ -198,7 +204,8 @@
     assert!(response(1025, PeerState::Open).is_err() && response(1025, PeerState::Closed).is_err());
 }
 
-/// Guards the module's beliefs: a report with a value that is no load counts for nothing, not even in part.
+/// A load report with an invalid value must be ignored completely, so that it cannot distort the module's
+/// estimates.
 #[rstest]
 #[case("eps=0.5,util=0.61", &[0.5, 0.61])]
 #[case("ERR failed util=1", &[f32::NAN, 1.0])]
@@ -207,7 +214,7 @@
 #[case("eps=-1,util=0.61", &[])]
 #[case("eps=0.5,util=0.6x", &[])]
 #[case("ERR failed", &[])]
-fn a_report_is_whole_or_none(#[case] text: &str, #[case] values: &[f32]) {
+fn a_report_is_accepted_whole_or_not_at_all(#[case] text: &str, #[case] values: &[f32]) {
     let read = martenweir::codec::report(text.as_bytes(), &["eps".to_owned(), "util".to_owned()]);
     let same = |(a, b): (&f32, &f32)| a == b || (a.is_nan() && b.is_nan());
     assert!(read.len() == values.len() && read.iter().zip(values).all(same), "{read:?}");
