--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -157,8 +157,8 @@
             upstream: IdMap::default(),
             pool: Pool::new(most_connections, &settings),
             node_table: NodeTable::default(),
-            slow_starts: SlowStartLog::new(settings.cold_for, settings.fall_for),
-            start_times: StartTimes::new(settings.cold_for),
+            slow_starts: SlowStartLog::new(settings.slow_start_duration, settings.overload_window),
+            start_times: StartTimes::new(settings.slow_start_duration),
             refusal_period: RefusalPeriod::default(),
             events: VecDeque::new(),
             effects: Vec::new(),
@@ -191,11 +191,11 @@
             "settings: {} proxies, this is number {}; slow start from {:.2} over {:.1} s, at most {:.2} times the capacity \
              within {:.1} s",
             s.routers,
-            s.me,
-            s.cold_from,
-            s.cold_for as f64 / 1e6,
-            s.fall_multiple,
-            s.fall_for as f64 / 1e6,
+            s.router_index,
+            s.slow_start_from,
+            s.slow_start_duration as f64 / 1e6,
+            s.overload_multiple,
+            s.overload_window as f64 / 1e6,
         )
     }
 
@@ -257,8 +257,8 @@
 
     /// The present state of the cluster for monitoring.
     pub fn status(&self, now: Micros) -> ClusterStatus {
-        let sights = self.balancer.sights(now).map(|s| (s.server, s)).collect();
-        let origin = self.balancer.origin_sight(now);
+        let sights = self.balancer.server_statuses(now).map(|s| (s.server, s)).collect();
+        let origin = self.balancer.origin_status(now);
         self.node_table.status(&sights, origin, &self.pool.held(), self.revision)
     }
 
--- a/src/core/slow_start.rs
+++ b/src/core/slow_start.rs
@@ -5,7 +5,7 @@
 //! gives the load a server carried while its capacity was reduced.
 
 use crate::codec::discovery::Listed;
-use crate::interface::{Member, Micros, Phase, ServerId, SlowStartSight};
+use crate::interface::{Member, Micros, Phase, ServerId, SlowStartStatus};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
@@ -44,7 +44,7 @@
     peak: usize,
     peak_age: Micros,
     /// The decision module's slow start state of the server at that time.
-    sight: Option<SlowStartSight>,
+    sight: Option<SlowStartStatus>,
 }
 
 impl Row {
@@ -132,7 +132,7 @@
     }
 
     /// Counts an attempt sent to `server`.
-    pub fn sent(&mut self, now: Micros, server: ServerId, sight: impl FnOnce() -> Option<SlowStartSight>) {
+    pub fn sent(&mut self, now: Micros, server: ServerId, sight: impl FnOnce() -> Option<SlowStartStatus>) {
         let window = self.window;
         let Some(row) = self.rows.get_mut(&server) else { return };
         row.attempts += 1;
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -88,7 +88,7 @@
     pub origin: bool,
     pub phase: Phase,
     /// The module's state of the node; `None` once it is gone.
-    pub sight: Option<Sight>,
+    pub sight: Option<ServerStatus>,
     pub connections: u32,
     pub ends: OutcomeCounts,
     /// Since when `ends` counts.
@@ -100,7 +100,7 @@
 pub struct ClusterStatus {
     /// Sorted by name.
     pub nodes: Vec<NodeStatus>,
-    pub origin: Option<OriginSight>,
+    pub origin: Option<OriginStatus>,
     pub revision: Option<u64>,
     /// When discovery last sent anything, and when it last sent a list.
     pub heard: Option<Micros>,
@@ -191,8 +191,8 @@
 
     pub fn status(
         &self,
-        sights: &BTreeMap<ServerId, Sight>,
-        origin: Option<OriginSight>,
+        sights: &BTreeMap<ServerId, ServerStatus>,
+        origin: Option<OriginStatus>,
         held: &BTreeMap<ServerId, u32>,
         revision: Option<u64>,
     ) -> ClusterStatus {
