--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -257,9 +257,9 @@
 
     /// The present state of the cluster for monitoring.
     pub fn status(&self, now: Micros) -> ClusterStatus {
-        let sights = self.balancer.server_statuses(now).map(|s| (s.server, s)).collect();
+        let statuses = self.balancer.server_statuses(now).map(|s| (s.server, s)).collect();
         let origin = self.balancer.origin_status(now);
-        self.node_table.status(&sights, origin, &self.pool.held(), self.revision)
+        self.node_table.status(&statuses, origin, &self.pool.held(), self.revision)
     }
 
     pub fn input(&mut self, now: Micros, input: Input) {
--- a/src/core/slow_start.rs
+++ b/src/core/slow_start.rs
@@ -44,19 +44,19 @@
     peak: usize,
     peak_age: Micros,
     /// The decision module's slow start state of the server at that time.
-    sight: Option<SlowStartStatus>,
+    status: Option<SlowStartStatus>,
 }
 
 impl Row {
     fn new(name: Rc<str>, started: Micros) -> Self {
-        Row { name, started, attempts: 0, recent: VecDeque::new(), peak: 0, peak_age: 0, sight: None }
+        Row { name, started, attempts: 0, recent: VecDeque::new(), peak: 0, peak_age: 0, status: None }
     }
 
     fn line(&self, now: Micros, window: Micros, end: EndReason) -> String {
         let seconds = |span: Micros| span as f64 / 1e6;
-        let sight = self.sight.map(|s| format!(", then {s}")).unwrap_or_default();
+        let status = self.status.map(|s| format!(", then {s}")).unwrap_or_default();
         format!(
-            "slow start of {} is over after {:.1} s, {}: {} attempts, at most {} within {:.1} s at an age of {:.1} s{sight}",
+            "slow start of {} is over after {:.1} s, {}: {} attempts, at most {} within {:.1} s at an age of {:.1} s{status}",
             self.name,
             seconds(now - self.started),
             end.name(),
@@ -132,7 +132,7 @@
     }
 
     /// Counts an attempt sent to `server`.
-    pub fn sent(&mut self, now: Micros, server: ServerId, sight: impl FnOnce() -> Option<SlowStartStatus>) {
+    pub fn sent(&mut self, now: Micros, server: ServerId, status: impl FnOnce() -> Option<SlowStartStatus>) {
         let window = self.window;
         let Some(row) = self.rows.get_mut(&server) else { return };
         row.attempts += 1;
@@ -143,7 +143,7 @@
         if row.recent.len() > row.peak {
             row.peak = row.recent.len();
             row.peak_age = now - row.started;
-            row.sight = sight();
+            row.status = status();
         }
     }
 
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -88,10 +88,10 @@
     pub origin: bool,
     pub phase: Phase,
     /// The module's state of the node; `None` once it is gone.
-    pub sight: Option<ServerStatus>,
+    pub server_status: Option<ServerStatus>,
     pub connections: u32,
-    pub ends: OutcomeCounts,
-    /// Since when `ends` counts.
+    pub outcomes: OutcomeCounts,
+    /// Since when `outcomes` counts.
     pub since: Micros,
 }
 
@@ -114,7 +114,7 @@
     origin: bool,
     /// Since when the node is no longer listed.
     gone: Option<Micros>,
-    ends: OutcomeCounts,
+    outcomes: OutcomeCounts,
     since: Micros,
 }
 
@@ -147,13 +147,13 @@
             if self.rows.len() >= MAX_ROWS && !self.rows.contains_key(&id) {
                 continue;
             }
-            let (ends, since) =
-                self.rows.get(&id).map_or((OutcomeCounts::default(), now), |m| (m.ends, m.since));
+            let (outcomes, since) =
+                self.rows.get(&id).map_or((OutcomeCounts::default(), now), |m| (m.outcomes, m.since));
             let gone = (member.phase == Phase::Gone).then_some(now);
             let gone = gone.and(self.rows.get(&id).and_then(|m| m.gone).or(gone));
             let (address, name, member) = (*address, name.clone(), member.clone());
             let origin = Some(member.kind) == origin;
-            self.rows.insert(id, NodeRow { name, address, member, origin, gone, ends, since });
+            self.rows.insert(id, NodeRow { name, address, member, origin, gone, outcomes, since });
         }
     }
 
@@ -166,11 +166,11 @@
     pub fn count(&mut self, server: ServerId, verdict: Verdict) {
         let Some(row) = self.rows.get_mut(&server) else { return };
         match verdict {
-            Verdict::Served => row.ends.served += 1,
-            Verdict::Miss => row.ends.missed += 1,
-            Verdict::Full => row.ends.refused += 1,
+            Verdict::Served => row.outcomes.served += 1,
+            Verdict::Miss => row.outcomes.missed += 1,
+            Verdict::Full => row.outcomes.refused += 1,
             Verdict::Error | Verdict::Timeout | Verdict::ConnectFailed | Verdict::Reset => {
-                row.ends.failed += 1;
+                row.outcomes.failed += 1;
             }
             Verdict::Cancelled | Verdict::Moot => {}
         }
@@ -191,24 +191,24 @@
 
     pub fn status(
         &self,
-        sights: &BTreeMap<ServerId, ServerStatus>,
+        statuses: &BTreeMap<ServerId, ServerStatus>,
         origin: Option<OriginStatus>,
         held: &BTreeMap<ServerId, u32>,
         revision: Option<u64>,
     ) -> ClusterStatus {
-        let seen = |(id, m): (&ServerId, &NodeRow)| NodeStatus {
+        let to_status = |(id, m): (&ServerId, &NodeRow)| NodeStatus {
             name: m.name.clone(),
             address: m.address,
             zone: m.member.zone,
             kind: m.member.kind,
             origin: m.origin,
             phase: if m.gone.is_some() { Phase::Gone } else { m.member.phase },
-            sight: sights.get(id).copied().filter(|_| m.gone.is_none()),
+            server_status: statuses.get(id).copied().filter(|_| m.gone.is_none()),
             connections: held.get(id).copied().unwrap_or(0),
-            ends: m.ends,
+            outcomes: m.outcomes,
             since: m.since,
         };
-        let mut nodes: Vec<NodeStatus> = self.rows.iter().map(seen).collect();
+        let mut nodes: Vec<NodeStatus> = self.rows.iter().map(to_status).collect();
         nodes.sort_by(|a, b| a.name.cmp(&b.name));
         ClusterStatus { nodes, origin, revision, heard: self.heard, told: self.told }
     }
--- a/src/core/upstream.rs
+++ b/src/core/upstream.rs
@@ -374,7 +374,7 @@
 impl std::fmt::Display for SlowStartText {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.0 {
-            Some(sight) => write!(f, "slow start: {sight}"),
+            Some(status) => write!(f, "slow start: {status}"),
             None => f.write_str("no slow start"),
         }
     }
--- a/src/features/snmp/sight.rs
+++ b/src/features/snmp/sight.rs
@@ -53,7 +53,7 @@
 }
 
 fn state(seen: &NodeStatus) -> State {
-    match seen.sight.map(|s| s.health) {
+    match seen.server_status.map(|s| s.health) {
         None => State::Gone,
         Some(Health::Serving) => State::Serving,
         Some(Health::Cold) => State::Cold,
@@ -107,13 +107,13 @@
             ledger: seen.origin,
             phase,
             state,
-            out: seen.sight.map_or(0, |s| s.out),
+            out: seen.server_status.map_or(0, |s| s.out),
             connections: seen.connections,
-            utilisation: seen.sight.and_then(|s| s.rho),
-            served: seen.ends.served,
-            missed: seen.ends.missed,
-            refused: seen.ends.refused,
-            failed: seen.ends.failed,
+            utilisation: seen.server_status.and_then(|s| s.rho),
+            served: seen.outcomes.served,
+            missed: seen.outcomes.missed,
+            refused: seen.outcomes.refused,
+            failed: seen.outcomes.failed,
             changed,
             since: seen.since,
             name: seen.name,
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -929,7 +929,7 @@
     assert_eq!(joined(&p.input(Input::Replied(cache, served()))), Some(true));
     let nodes = p.core.status(p.now).nodes;
     let shutdown_at: Vec<_> =
-        nodes.iter().map(|n| (&*n.name, n.origin, n.ends.served, n.ends.missed)).collect();
+        nodes.iter().map(|n| (&*n.name, n.origin, n.outcomes.served, n.outcomes.missed)).collect();
     assert_eq!(shutdown_at, [("s-1", false, 1, 2), ("s-2", true, 1, 0)]);
 }
 
@@ -964,7 +964,7 @@
     p.input(Input::Replied(c, served()));
     let row = |p: &Proxy| {
         let nodes = p.core.status(p.now).nodes;
-        nodes.first().map(|n| (n.phase, n.sight.is_some(), n.ends.served, n.since))
+        nodes.first().map(|n| (n.phase, n.server_status.is_some(), n.outcomes.served, n.since))
     };
     let began = p.now;
     let none = |revision| Cluster { revision, complete: true, nodes: Vec::new() };
