--- a/src/codec/discovery.rs
+++ b/src/codec/discovery.rs
@@ -190,8 +190,8 @@
         Ok(None)
     }
 
-    /// Detects a truncated object early. It would otherwise swallow everything that follows, and if little
-    /// follows, only the watch timeout would end it. Checked again only once the object has grown to twice
+    /// Detects a truncated object early. It would otherwise absorb everything that follows, and if that is
+    /// only an object or two, until the watch timeout. Checked again only once the object has grown to twice
     /// the length, so that the total cost stays linear.
     fn check_prefix(&mut self) -> Result<(), String> {
         if self.scanned < 2 * self.checked {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -147,7 +147,7 @@
 }
 
 impl Core {
-    pub fn new(now: Micros, settings: Settings, seed: u64, most_connections: usize, known: Cluster) -> Self {
+    pub fn new(now: Micros, settings: Settings, seed: u64, max_connections: usize, known: Cluster) -> Self {
         let mut core = Core {
             balancer: Balancer::new(settings.clone(), seed),
             wheel: Wheel::new(settings.period, now),
@@ -155,7 +155,7 @@
             by_downstream: BTreeSet::new(),
             ids: HashSet::new(),
             upstream: IdMap::default(),
-            pool: Pool::new(most_connections, &settings),
+            pool: Pool::new(max_connections, &settings),
             node_table: NodeTable::default(),
             slow_starts: SlowStartLog::new(settings.slow_start_duration, settings.overload_window),
             start_times: StartTimes::new(settings.slow_start_duration),
@@ -240,8 +240,8 @@
     }
 
     /// Sets the limit on open connections to nodes; connections already open stay.
-    pub fn limit_connections(&mut self, most: usize) {
-        self.pool.most = most;
+    pub fn limit_connections(&mut self, limit: usize) {
+        self.pool.max_connections = limit;
     }
 
     /// Whether a downstream has unanswered streams.
@@ -267,12 +267,12 @@
             Input::Plan(plan) => self.events.push_back(Event::Plan(plan)),
             Input::Stream(new) => self.start_stream(now, new),
             Input::DownstreamClosed(id) => {
-                let mine = self.by_downstream.range((id, RequestId(0))..).take_while(|(d, _)| *d == id);
-                let mine: Vec<RequestId> = mine.map(|(_, s)| *s).collect();
+                let abandoned = self.by_downstream.range((id, RequestId(0))..).take_while(|(d, _)| *d == id);
+                let abandoned: Vec<RequestId> = abandoned.map(|(_, s)| *s).collect();
                 // Announce all departures before releasing any stream, so that no freed place goes to another
                 // stream of the same downstream.
-                self.events.extend(mine.iter().map(|s| Event::ClientLeft(*s)));
-                for id in mine {
+                self.events.extend(abandoned.iter().map(|s| Event::ClientLeft(*s)));
+                for id in abandoned {
                     self.counters.left += 1;
                     self.counters.left_unsent += u64::from(!self.has_connection(id));
                     let Some(stream) = self.end_stream(now, id) else { continue };
--- a/src/core/pool.rs
+++ b/src/core/pool.rs
@@ -16,8 +16,8 @@
 /// handshake.
 const MAX_IDLE: Micros = 10_000_000;
 /// In fleets of up to this many proxies, every idle connection of a node is kept that long. A node's
-/// connection table is shared by all proxies: in larger fleets the idle time of all but one connection is
-/// divided by the fleet's size.
+/// connection table is shared by all proxies: in larger fleets the idle time of all but the connection used
+/// last shrinks in inverse proportion to the number of proxies.
 const FULL_IDLE_PROXIES: Micros = 10;
 /// How long a request waits for a busy connection of its node before another is dialled, for each proxy of
 /// the fleet, in us; at most half the dial timeout. A handshake costs a busy node about as much as a request,
@@ -35,12 +35,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Dialling,
-    /// In its node's list of idle connections, sorted by when they have settled.
+    /// In its node's list of idle connections; holds the time when the connection has settled.
     Idle(Micros),
     /// Open, and about to be given a job or made idle.
     Unassigned,
     Busy(UpstreamId),
-    /// Waits until then for an answer that is discarded.
+    /// Waits until the given time for an answer that is discarded.
     Lingering(Micros),
 }
 
@@ -96,7 +96,7 @@
     /// All idle connections, the longest idle first.
     idle: BTreeSet<(Micros, ConnectionId)>,
     last_turn: Turn,
-    pub most: usize,
+    pub max_connections: usize,
     idle_for: Micros,
     /// How long a connection may idle if its node has another idle one.
     surplus_idle_for: Micros,
@@ -105,7 +105,7 @@
 }
 
 impl Pool {
-    pub fn new(most: usize, settings: &Settings) -> Self {
+    pub fn new(max_connections: usize, settings: &Settings) -> Self {
         let proxies = Micros::from(settings.routers.max(1));
         // Close well before the node's own idle limit: a request that crosses the node's closing would end in
         // a reset. A quarter of the limit is left for the network, and two ticks because an answer may be
@@ -117,7 +117,7 @@
         let dial_delay = (DIAL_DELAY_PER_PROXY * proxies).min(settings.connect_timeout / 2);
         // A wait shorter than a tick cannot be timed.
         let dial_delay = if dial_delay < settings.period { 0 } else { dial_delay };
-        Pool { nodes, slots, idle, last_turn: 0, most, idle_for, surplus_idle_for, dial_delay }
+        Pool { nodes, slots, idle, last_turn: 0, max_connections, idle_for, surplus_idle_for, dial_delay }
     }
 
     pub fn len(&self) -> usize {
@@ -156,7 +156,8 @@
         self.slots.get(&c).is_some_and(|s| s.state == State::Dialling)
     }
 
-    /// Whether a connection has lingered for its full time. A connection used again since may linger anew.
+    /// Whether a connection has lingered for its full time. A connection used again since then may linger
+    /// once more.
     pub fn linger_ended(&self, c: ConnectionId, now: Micros) -> bool {
         self.slots.get(&c).is_some_and(|s| matches!(s.state, State::Lingering(until) if until <= now))
     }
@@ -239,13 +240,13 @@
 
     /// An idle connection to close if the pool is full.
     pub fn evictable(&self) -> Option<ConnectionId> {
-        let full = self.slots.len() >= self.most;
+        let full = self.slots.len() >= self.max_connections;
         self.idle.first().filter(|_| full).map(|(_, c)| *c)
     }
 
     /// Adds a slot for a connection to be dialled; `None` if the pool is full or the node is not known.
     pub fn dial(&mut self, server: ServerId, c: ConnectionId) -> Option<(SocketAddr, KindId)> {
-        let node = self.nodes.get_mut(&server).filter(|_| self.slots.len() < self.most)?;
+        let node = self.nodes.get_mut(&server).filter(|_| self.slots.len() < self.max_connections)?;
         node.dialling += 1;
         node.held += 1;
         let slot = Slot { server, address: node.address, state: State::Dialling, settled: 0 };
--- a/src/core/upstream.rs
+++ b/src/core/upstream.rs
@@ -160,8 +160,8 @@
     fn start_request(&mut self, now: Micros, c: ConnectionId, id: UpstreamId) {
         let Some(u) = self.upstream.get(&id) else { return };
         let (server, ready) = (u.server, self.pool.is_ready(u.server));
-        let over = self.lacks_time(now, u) || self.is_past(now, u.begin_by) || !self.is_wanted(u);
-        if over || !ready {
+        let not_wanted = self.lacks_time(now, u) || self.is_past(now, u.begin_by) || !self.is_wanted(u);
+        if not_wanted || !ready {
             let verdict = if ready { Verdict::Moot } else { Verdict::ConnectFailed };
             self.finish(now, id, verdict, None);
             return self.release_connection(now, server, c);
--- a/src/owner/discovery/tests.rs
+++ b/src/owner/discovery/tests.rs
@@ -8,7 +8,7 @@
 /// The last messages of an old watch may still be queued or arriving when the next call is made: they must be
 /// neither lost, nor attributed to the new watch, nor applied over what the new one has sent.
 #[test]
-fn messages_of_the_previous_watch_are_told_from_those_of_the_current_one() {
+fn messages_of_the_previous_watch_are_distinguished_from_those_of_the_current_one() {
     let (executor, site) = (LocalExecutor::new(), Rc::new(Site::default()));
     let (queue, _news) = async_channel::bounded(8);
     let mut discovery = Discovery::new(String::new(), "127.0.0.1:1".parse().expect("an address"));
--- a/src/owner/upstreams.rs
+++ b/src/owner/upstreams.rs
@@ -50,7 +50,8 @@
         }
     }
 
-    /// Withdraws a job that nobody waits for, unless its last byte is written; returns how much was written.
+    /// Withdraws a job that nobody waits for, unless its last byte is written; returns how far the job had
+    /// got.
     pub(super) fn withdraw(&self, id: ConnectionId) -> Option<Stage> {
         let given = &self.open.get(&id)?.given;
         match given.back() {
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -325,7 +325,11 @@
         p.ask(1_000 * MS);
         p.input(Input::Cluster(Some(list(Phase::Draining, 2))));
         let effects = p.advance(waits);
-        assert_eq!((dialled(&effects), answered(&effects)), (None, 1), "nor at a node that drains by now");
+        assert_eq!(
+            (dialled(&effects), answered(&effects)),
+            (None, 1),
+            "nor at a node that has begun to drain"
+        );
     }
 }
 
@@ -596,7 +600,7 @@
     let c = dialled(&p.ask(1_000 * MS)).expect("a dial");
     assert!(written(&p.input(Input::Connected(c))));
     assert!(!sent(&p.ask_from(DownstreamId(2), Key(7), 1_000 * MS)), "it is not its turn");
-    assert!(!sent(&p.ask_from(DownstreamId(3), Key(7), 1_000 * MS)), "nor that one's");
+    assert!(!sent(&p.ask_from(DownstreamId(3), Key(7), 1_000 * MS)), "nor the other one's turn");
     p.input(Input::DownstreamClosed(DownstreamId(2)));
     let effects = p.input(Input::Broken(c, Stage::Reading));
     assert_eq!((answered(&effects), sent(&effects)), (1, false), "the key settles");
@@ -802,7 +806,7 @@
 /// the window is not written after it, and the stream is answered then.
 #[test]
 fn a_keyed_repeat_that_waits_past_its_window_is_never_written() {
-    for (window, wait, goes) in [(300, 100, true), (300, 190, true), (300, 200, false), (150, 60, false)] {
+    for (window, wait, is_sent) in [(300, 100, true), (300, 190, true), (300, 200, false), (150, 60, false)] {
         let class = Class {
             limit: 2_000 * MS,
             repeat: Repeat::Dedup,
@@ -828,9 +832,9 @@
         p.advance(100 * MS);
         let second = dialled(&p.input(Input::Broken(first, Stage::Reading))).expect("a dial to the other");
         let ended = p.advance(wait * MS);
-        assert_eq!(written(&p.input(Input::Connected(second))), goes, "window {window}, waited {wait}");
+        assert_eq!(written(&p.input(Input::Connected(second))), is_sent, "window {window}, waited {wait}");
         let ended = answered(&ended) + answered(&p.advance(5 * MS));
-        assert_eq!(ended, usize::from(!goes), "it is answered as its window ends");
+        assert_eq!(ended, usize::from(!is_sent), "it is answered as its window ends");
         assert_eq!(p.core.counters.unconnected, 0, "and no failure is counted against the node");
     }
 }
@@ -1053,7 +1057,8 @@
 #[test]
 fn a_miss_at_the_last_moment_leads_to_no_attempt_at_the_origin() {
     // With a timeout of a second the deadline is one tick before its end.
-    for (after, goes) in [(900, true), (990, true), (991, false), (994, false), (995, false), (999, false)] {
+    for (after, is_sent) in [(900, true), (990, true), (991, false), (994, false), (995, false), (999, false)]
+    {
         for up in [false, true] {
             let mut p = with_origin(1_000_000 * MS);
             let cache = dialled(&p.ask(1_000 * MS)).expect("a dial");
@@ -1068,12 +1073,12 @@
             p.now += after * MS;
             let effects = p.input(Input::Replied(cache, miss()));
             let begins = written(&effects) || dialled(&effects).is_some();
-            assert_eq!(begins, goes, "{after} ms, up: {up}");
-            if !goes {
+            assert_eq!(begins, is_sent, "{after} ms, up: {up}");
+            if !is_sent {
                 // Within the tick left to the client.
                 assert_eq!(answered(&effects) + answered(&p.advance(5 * MS)), 1, "{after} ms, up: {up}");
             }
-            if goes && up {
+            if is_sent && up {
                 assert_eq!(patience_written(&effects), Some((995 - after) * MS));
             }
             assert_eq!(p.core.counters.unconnected, 0, "and no failure is counted against a node");
