--- a/crates/memcached/tests/properties.rs
+++ b/crates/memcached/tests/properties.rs
@@ -81,7 +81,8 @@
             Err(Fault::Lengths(h)) => prop_assert!(value < 0 && h == header),
             Err(Fault::Refused(_, Status::TOO_LARGE, _)) => prop_assert!(value > 4096 && key <= 250),
             Err(Fault::Refused(_, Status::INVALID, _)) => prop_assert!(value >= 0 && key > 250),
-            Ok(Step::Incomplete(n)) => prop_assert!(n == header::LEN + body as usize && n <= LIMITS.max_frame_len()),
+            Ok(Step::Incomplete(n)) =>
+                prop_assert!(n == header::LEN + body as usize && n <= LIMITS.max_frame_len()),
             Ok(Step::Complete(_, n)) => prop_assert!(n == header::LEN && body == 0),
             Err(other) => prop_assert!(false, "{:?}", other),
         }
--- a/crates/snmp/src/agent.rs
+++ b/crates/snmp/src/agent.rs
@@ -82,7 +82,7 @@
     /// Whether the context engine `engine` is served; `mine` is this agent's own engine.
     fn serves_engine(&self, engine: &[u8], mine: &[u8]) -> bool;
 
-    /// Returns the response, with bindings of at most `room` bytes; `None` if the PDU is not confirmed.
+    /// Returns the response, with bindings of at most `space` bytes; `None` if the PDU is not confirmed.
     fn respond(&mut self, incoming: &Pdu, view: &View, space: usize) -> Option<Pdu>;
 }
 
@@ -359,7 +359,7 @@
     max_size.saturating_sub(size + LENGTH_OVERHEAD)
 }
 
-/// Builds the response to a request, with bindings of at most `room` bytes (RFC 3416, 4.2).
+/// Builds the response to a request, with bindings of at most `space` bytes (RFC 3416, 4.2).
 fn respond(enterprise: u32, incoming: &Pdu, view: &View, tree: &Tree, space: usize) -> Pdu {
     let response = |status, index, bindings| Pdu { status, index, bindings, ..empty_response(incoming) };
     let bindings = match incoming.kind {
