--- a/crates/snmp/src/notify.rs
+++ b/crates/snmp/src/notify.rs
@@ -165,20 +165,20 @@
             let index = tree::node_index(&node.name);
             let column = |column: u32| [&[2, 6, 1, column], index.as_slice()].concat();
             vec![
-                object(&column(3), Value::text(&node.hall)),
+                object(&column(3), Value::text(&node.zone)),
                 object(&column(6), Value::Integer(node.state as i32)),
             ]
         };
         let fleet = |usable: u32, bound: u32| {
             vec![object(&[2, 3, 0], Value::Gauge(usable)), object(&[2, 4, 0], Value::Gauge(bound))]
         };
-        let ledger = |state| vec![object(&[6, 1, 0], Value::Integer(state))];
+        let origin = |state| vec![object(&[6, 1, 0], Value::Integer(state))];
         match change {
             Change::NodeDrains(n) => (name(1), node(n)),
             Change::NodeSilent(n) => (name(2), node(n)),
             Change::NodeBack(n) => (name(3), node(n)),
-            Change::LedgerClosed => (name(4), ledger(crate::snapshot::LedgerState::Closed as i32)),
-            Change::LedgerBack => (name(5), ledger(crate::snapshot::LedgerState::Open as i32)),
+            Change::OriginClosed => (name(4), origin(crate::snapshot::OriginState::Closed as i32)),
+            Change::OriginBack => (name(5), origin(crate::snapshot::OriginState::Open as i32)),
             Change::FleetUnder { usable, bound } => (name(6), fleet(*usable, *bound)),
             Change::FleetBack { usable, bound } => (name(7), fleet(*usable, *bound)),
             Change::PlannersLost => (name(8), vec![object(&[8, 2, 0], Value::Gauge(0))]),
--- a/crates/snmp/src/snapshot.rs
+++ b/crates/snmp/src/snapshot.rs
@@ -63,11 +63,11 @@
     /// Its address.
     pub address: String,
     /// Name of its zone in the settings.
-    pub hall: Rc<str>,
+    pub zone: Rc<str>,
     /// Name of its kind of machine in the settings.
     pub kind: Rc<str>,
     /// Whether it is the origin.
-    pub ledger: bool,
+    pub origin: bool,
     /// Its phase as listed by discovery.
     pub phase: Phase,
     /// Its state as seen by the proxy.
@@ -176,7 +176,7 @@
 
 /// State of the origin as seen by the proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LedgerState {
+pub enum OriginState {
     /// No origin is listed.
     #[default]
     None = 1,
@@ -190,9 +190,9 @@
 
 /// State of the origin.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ledger {
+pub struct Origin {
     /// Its state as seen by the proxy.
-    pub state: LedgerState,
+    pub state: OriginState,
     /// Outstanding requests.
     pub outstanding: u32,
     /// Maximum number of outstanding requests; below 1, the proxy pauses between two requests.
@@ -249,7 +249,7 @@
     /// Its name.
     pub name: Rc<str>,
     /// Name of its zone.
-    pub hall: Rc<str>,
+    pub zone: Rc<str>,
     /// When it last reported its view; `None` if never.
     pub heard: Option<Micros>,
     /// Number of nodes that it sees as silent.
@@ -285,7 +285,7 @@
     /// Role of the proxy.
     pub role: Role,
     /// Name of the proxy's zone.
-    pub hall: Rc<str>,
+    pub zone: Rc<str>,
     /// Whether the proxy is ready.
     pub ready: bool,
     /// Number of times its configuration was reloaded.
@@ -311,7 +311,7 @@
     /// Connections.
     pub connections: Connections,
     /// The origin.
-    pub ledger: Ledger,
+    pub origin: Origin,
     /// Discovery.
     pub discovery: Discovery,
     /// Planners and forwarders.
@@ -321,7 +321,7 @@
 impl Snapshot {
     /// Number of cache nodes listed as serving by discovery, and of those that the proxy considers usable.
     pub fn fleet(&self) -> (u32, u32) {
-        let serving = || self.nodes.iter().filter(|n| !n.ledger && n.phase == Phase::Serving);
+        let serving = || self.nodes.iter().filter(|n| !n.origin && n.phase == Phase::Serving);
         (serving().count() as u32, serving().filter(|n| n.state.usable()).count() as u32)
     }
 
--- a/crates/snmp/src/tally.rs
+++ b/crates/snmp/src/tally.rs
@@ -38,7 +38,7 @@
     /// No upstream request was sent: the load was shed, or no node was usable.
     NotSent,
     /// It needed the origin and got no place there, or no response in time.
-    Ledger,
+    Origin,
     /// All of its upstream requests failed.
     Attempts,
 }
--- a/crates/snmp/src/tree.rs
+++ b/crates/snmp/src/tree.rs
@@ -136,7 +136,7 @@
         group(3, &|b| requests(b, s));
         group(4, &|b| times(b, s));
         group(5, &|b| connections(b, s));
-        group(6, &|b| ledger(b, s));
+        group(6, &|b| origin(b, s));
         group(7, &|b| discovery(b, now, s));
         group(8, &|b| plans(b, now, s));
         group(9, &|b| notifications(b, &info.notifications));
@@ -229,7 +229,7 @@
             Value::text(&s.name),
             Value::text(&s.version),
             Value::Integer(s.role as i32),
-            Value::text(&s.hall),
+            Value::text(&s.zone),
             Value::date(s.started_unix),
             Value::ticks(now - s.started),
             // Counters start with the program, as sysUpTime does.
@@ -255,7 +255,7 @@
     let utilisation = n.utilisation.map_or(-1, |(u, _)| (u.clamp(0.0, 100.0) * 1000.0) as i32);
     [
         Value::text(&n.address),
-        Value::text(&n.hall),
+        Value::text(&n.zone),
         Value::text(&n.kind),
         Value::Integer(n.phase as i32),
         Value::Integer(n.state as i32),
@@ -314,8 +314,8 @@
     b.scalars(5, [c.upstreams, c.upstreams_limit].map(Value::gauge).into_iter().chain(counters));
 }
 
-fn ledger(b: &mut InstanceWriter, s: &Snapshot) {
-    let l = s.ledger;
+fn origin(b: &mut InstanceWriter, s: &Snapshot) {
+    let l = s.origin;
     b.scalars(
         1,
         [
@@ -363,7 +363,7 @@
     for f in p.forwarders.iter().take(MAX_OTHER_ROWS) {
         let columns = [
             Value::text(&f.name),
-            Value::text(&f.hall),
+            Value::text(&f.zone),
             age(now, f.heard),
             Value::Gauge(f.silent),
             Value::Gauge(f.rate),
--- a/crates/snmp/src/watch.rs
+++ b/crates/snmp/src/watch.rs
@@ -9,7 +9,7 @@
 //! exceeds it is reported as soon as the limit permits, unless it has been reverted by then. Changes that are
 //! held back are counted.
 
-use crate::snapshot::{self, LedgerState, Phase, Snapshot, State};
+use crate::snapshot::{self, OriginState, Phase, Snapshot, State};
 use crate::{Micros, SECOND};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -40,9 +40,9 @@
     /// The node serves again.
     NodeBack(Node),
     /// Almost no requests are sent to the origin.
-    LedgerClosed,
+    OriginClosed,
     /// Requests are sent to the origin again.
-    LedgerBack,
+    OriginBack,
     /// Fewer nodes are usable than the bound.
     FleetUnder {
         /// Number of usable nodes.
@@ -71,7 +71,7 @@
     /// Its name in discovery.
     pub name: Rc<str>,
     /// The name of its zone.
-    pub hall: Rc<str>,
+    pub zone: Rc<str>,
     /// Its state as seen by the proxy.
     pub state: State,
 }
@@ -158,7 +158,7 @@
 #[derive(Clone, Debug)]
 pub struct Watch {
     nodes: BTreeMap<Rc<str>, Watched>,
-    ledger: Subject<bool>,
+    origin: Subject<bool>,
     fleet: Subject<bool>,
     planners: Subject<bool>,
     /// Number of refused plans of each planner that was last reported, and when.
@@ -172,7 +172,7 @@
     pub fn new(now: Micros) -> Watch {
         Watch {
             nodes: BTreeMap::new(),
-            ledger: Subject::new(true),
+            origin: Subject::new(true),
             fleet: Subject::new(true),
             planners: Subject::new(true),
             refused: BTreeMap::new(),
@@ -193,7 +193,7 @@
         let left = self.budget.0 + (now - self.budget.1).max(0) as f64 / REFILL_INTERVAL as f64;
         self.budget = (left.min(BURST), now);
         let (_, mut usable) = s.fleet();
-        for node in s.nodes.iter().filter(|n| !n.ledger).take(MAX_NODES) {
+        for node in s.nodes.iter().filter(|n| !n.origin).take(MAX_NODES) {
             let watched = self
                 .nodes
                 .entry(node.name.clone())
@@ -207,7 +207,7 @@
             let permitted = self.budget.0 >= 1.0;
             if watched.subject.observe(now, current, permitted, &mut self.held) {
                 self.budget.0 -= 1.0;
-                let reported = Node { name: node.name.clone(), hall: node.hall.clone(), state: node.state };
+                let reported = Node { name: node.name.clone(), zone: node.zone.clone(), state: node.state };
                 changes.push(match current {
                     Condition::Drains => Change::NodeDrains(reported),
                     Condition::Silent => Change::NodeSilent(reported),
@@ -218,9 +218,9 @@
         if self.nodes.len() > s.nodes.len() {
             self.nodes.retain(|name, _| s.nodes.iter().any(|n| n.name == *name));
         }
-        let open = s.ledger.state != LedgerState::Closed;
-        if self.ledger.observe(now, open, true, &mut self.held) {
-            changes.push(if open { Change::LedgerBack } else { Change::LedgerClosed });
+        let open = s.origin.state != OriginState::Closed;
+        if self.origin.observe(now, open, true, &mut self.held) {
+            changes.push(if open { Change::OriginBack } else { Change::OriginClosed });
         }
         let bound = s.bound();
         let enough = usable >= bound;
--- a/crates/snmp/tests/common/mod.rs
+++ b/crates/snmp/tests/common/mod.rs
@@ -71,7 +71,7 @@
 
 pub fn node(n: usize) -> Node {
     let name = format!("s-{n:03}");
-    Node { name: name.into(), hall: "hofdi".into(), kind: "full-node".into(), ..Node::default() }
+    Node { name: name.into(), zone: "hofdi".into(), kind: "full-node".into(), ..Node::default() }
 }
 
 /// A snapshot in which every table has a row.
@@ -85,7 +85,7 @@
         at: NOW - 250_000,
         name: "n3".into(),
         version: "0.1.0".into(),
-        hall: "hofdi".into(),
+        zone: "hofdi".into(),
         nodes: (0..nodes).map(node).collect(),
         requests: vec![row("lookup", "nordurbanki"), row("instruct", "heidisjodur")],
         times: vec![class("instruct"), class("lookup")],
--- a/crates/snmp/tests/mib.rs
+++ b/crates/snmp/tests/mib.rs
@@ -71,14 +71,14 @@
 #[test]
 fn notifications_carry_the_objects_listed_in_the_mib() {
     let (mib, mut checked) = (Mib::read(TEXT), BTreeSet::new());
-    let node = Node { name: "s-001".into(), hall: "hofdi".into(), state: snmp::snapshot::State::Silent };
+    let node = Node { name: "s-001".into(), zone: "hofdi".into(), state: snmp::snapshot::State::Silent };
     let (usable, bound) = (1, 2);
     let changes = [
         Change::NodeDrains(node.clone()),
         Change::NodeSilent(node.clone()),
         Change::NodeBack(node),
-        Change::LedgerClosed,
-        Change::LedgerBack,
+        Change::OriginClosed,
+        Change::OriginBack,
         Change::FleetUnder { usable, bound },
         Change::FleetBack { usable, bound },
         Change::PlannersLost,
--- a/crates/snmp/tests/notify.rs
+++ b/crates/snmp/tests/notify.rs
@@ -201,7 +201,7 @@
 fn notifications_arrive_once_and_in_order(#[case] informs: bool, #[case] credentials: Credentials) {
     let (mut notifier, mut listener) = (notifier(informs, credentials), listener(NOW));
     notifier.started(NOW, false);
-    (0..9).for_each(|_| notifier.change(NOW, &Change::LedgerClosed));
+    (0..9).for_each(|_| notifier.change(NOW, &Change::OriginClosed));
     let (received, _) = run(&mut notifier, &mut listener, NOW..NOW + 10 * SECOND, |_| false);
     assert_eq!(numbers(&received), (1..=10).collect::<Vec<_>>());
     let start = Value::Oid(oid("1.3.6.1.6.3.1.1.5.1"));
@@ -216,7 +216,7 @@
 #[case(Credentials::User(user("private")))]
 fn informs_arrive_despite_heavy_loss(#[case] credentials: Credentials) {
     let (mut notifier, mut listener) = (notifier(true, credentials), listener(NOW));
-    (0..10).for_each(|_| notifier.change(NOW, &Change::LedgerClosed));
+    (0..10).for_each(|_| notifier.change(NOW, &Change::OriginClosed));
     let mut n = 0;
     let (received, _) = run(&mut notifier, &mut listener, NOW..NOW + 600 * SECOND, |_| {
         n += 1;
@@ -232,7 +232,7 @@
     let mut sent = 0;
     for minute in 0..58 {
         let now = NOW + minute * 60 * SECOND;
-        (0..4).for_each(|_| notifier.change(now, &Change::LedgerBack));
+        (0..4).for_each(|_| notifier.change(now, &Change::OriginBack));
         sent += run(&mut notifier, &mut listener, now..now + 60 * SECOND, |_| true).1;
     }
     assert!(sent <= 6 + 58, "{sent} datagrams in 58 minutes");
@@ -244,7 +244,7 @@
     let kept: Vec<u32> = std::iter::once(1).chain(234 - MAX_QUEUE as u32..=232).collect();
     assert_eq!(numbers(&received), kept);
     // Notifications that have waited for an hour are dropped.
-    notifier.change(now, &Change::LedgerClosed);
+    notifier.change(now, &Change::OriginClosed);
     run(&mut notifier, &mut listener, now..now + 3600 * SECOND, |_| true);
     let (received, sent) =
         run(&mut notifier, &mut listener, now + 3601 * SECOND..now + 4000 * SECOND, |_| false);
@@ -254,14 +254,14 @@
 #[test]
 fn a_restarted_receiver_is_discovered_again() {
     let mut notifier = notifier(true, Credentials::User(user("auth")));
-    notifier.change(NOW, &Change::LedgerClosed);
+    notifier.change(NOW, &Change::OriginClosed);
     let (received, _) = run(&mut notifier, &mut listener(NOW), NOW..NOW + 5 * SECOND, |_| false);
     assert_eq!(received.len(), 1);
     // First with another boot, then with another engine.
     for id in [b"a listener", b"Another on"] {
         let engine = Engine::new(id.to_vec(), 4, NOW + 5 * SECOND);
         let mut listener = Listener::new(NOW, engine, access(), 12);
-        notifier.change(NOW + 9 * SECOND, &Change::LedgerBack);
+        notifier.change(NOW + 9 * SECOND, &Change::OriginBack);
         let span = NOW + 9 * SECOND..NOW + 12 * SECOND;
         assert_eq!(run(&mut notifier, &mut listener, span, |_| false).0.len(), 1, "{id:?}");
     }
@@ -272,10 +272,10 @@
     let user: User = user("private");
     let mut notifier = notifier(false, Credentials::User(user));
     let mut listener = listener(NOW);
-    notifier.change(NOW, &Change::LedgerClosed);
+    notifier.change(NOW, &Change::OriginClosed);
     let (_, old) = notifier.send(NOW).expect("a trap");
     assert!(listener.receive(NOW, address(SENDER), &old).1.is_some());
-    notifier.change(NOW + 400 * SECOND, &Change::LedgerBack);
+    notifier.change(NOW + 400 * SECOND, &Change::OriginBack);
     let (_, new) = notifier.send(NOW + 400 * SECOND).expect("a trap");
     assert!(listener.receive(NOW, address(SENDER), &new).1.is_some());
     assert!(listener.receive(NOW, address(SENDER), &old).1.is_none());
--- a/src/features/snmp/mod.rs
+++ b/src/features/snmp/mod.rs
@@ -121,7 +121,7 @@
         let reason = match record.details.refused {
             Some(Refusal::Full) => Reason::Full,
             Some(Refusal::NotSent) => Reason::NotSent,
-            Some(Refusal::Origin) => Reason::Ledger,
+            Some(Refusal::Origin) => Reason::Origin,
             Some(Refusal::Attempts) | None => Reason::Attempts,
         };
         let outcome = match record.ended {
--- a/src/features/snmp/sight.rs
+++ b/src/features/snmp/sight.rs
@@ -4,7 +4,7 @@
 use crate::core::Counters;
 use crate::interface::{Health, Micros, Phase};
 use crate::settings::Site;
-use snmp::snapshot::{self, Connections, Discovery, Ledger, LedgerState, Node, Snapshot, State};
+use snmp::snapshot::{self, Connections, Discovery, Node, Origin, OriginState, Snapshot, State};
 use snmp::tally::Tally;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -63,17 +63,17 @@
     }
 }
 
-fn ledger(survey: &ClusterStatus) -> Ledger {
-    let Some(origin) = survey.origin else { return Ledger::default() };
+fn origin(survey: &ClusterStatus) -> Origin {
+    let Some(origin) = survey.origin else { return Origin::default() };
     let state = if !origin.available || origin.window < CLOSED {
-        LedgerState::Closed
+        OriginState::Closed
     } else if origin.latency_ratio >= STRAINED {
-        LedgerState::Strained
+        OriginState::Strained
     } else {
-        LedgerState::Open
+        OriginState::Open
     };
     let (outstanding, window, waiting) = (origin.out, origin.window, origin.waiting);
-    Ledger {
+    Origin {
         state,
         outstanding,
         window,
@@ -110,9 +110,9 @@
         let named = |names: &[Rc<str>], at: u16| names.get(usize::from(at)).cloned().unwrap_or_default();
         Node {
             address: seen.address.to_string(),
-            hall: named(&self.zones, seen.zone.0),
+            zone: named(&self.zones, seen.zone.0),
             kind: named(&self.kinds, seen.kind.0),
-            ledger: seen.origin,
+            origin: seen.origin,
             phase,
             state,
             outstanding: seen.server_status.map_or(0, |s| s.out),
@@ -130,14 +130,14 @@
 
     /// The snapshot of this moment.
     pub fn take(&mut self, now: Micros, survey: ClusterStatus, tally: &mut Tally, o: Owned) -> Snapshot {
-        let ledger = ledger(&survey);
+        let origin = origin(&survey);
         let ClusterStatus { nodes, revision, heard, told, .. } = survey;
         let nodes: Vec<Node> = nodes.into_iter().map(|seen| self.node(now, seen)).collect();
         if self.changed.len() > nodes.len() {
             self.changed.retain(|name, _| nodes.binary_search_by(|n| n.name.cmp(name)).is_ok());
         }
         let c = o.counters;
-        let hall = self.zones.get(usize::from(self.site.settings.zone.0)).cloned().unwrap_or_default();
+        let zone = self.zones.get(usize::from(self.site.settings.zone.0)).cloned().unwrap_or_default();
         Snapshot {
             at: now,
             started: self.started,
@@ -145,7 +145,7 @@
             started_unix: self.started,
             name: self.name.clone(),
             version: self.version.clone(),
-            hall,
+            zone,
             ready: o.ready,
             reloads: self.reloads,
             nodes,
@@ -172,7 +172,7 @@
                 requests: c.upstream,
                 probes: c.probes,
             },
-            ledger,
+            origin,
             discovery: Discovery {
                 revision: revision.unwrap_or(0),
                 heard,
