--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -9,7 +9,7 @@
 use super::{Start, Subject, Subjects};
 use martenweir::core::status::Size;
 use martenweir::core::{Core, Effect, Input};
-use martenweir::features::forwarder::{rules, Forwarding, Settings, Wish};
+use martenweir::features::forwarder::{rules, ForwarderDriver, HostAction, Settings};
 use martenweir::interface::{Micros, Plan};
 use plan::merge::MarkTarget;
 use plan::planner::Output;
@@ -341,13 +341,13 @@
 /// A proxy with planners.
 struct Planned {
     core: Core,
-    forwarding: Forwarding,
+    forwarding: ForwarderDriver,
     hub: Arc<Mutex<Hub>>,
     proxy: u32,
     hall: u16,
     now: Micros,
     links: BTreeMap<usize, Link>,
-    wishes: Vec<Wish>,
+    wishes: Vec<HostAction>,
     kept: Kept,
     in_force: BTreeSet<MarkTarget>,
 }
@@ -360,7 +360,7 @@
         let settings = Settings { planners, forwarders: None };
         debug_assert_eq!(rules(None, &s.settings).forwarders, s.settings.routers);
         let (name, known, hall) = (format!("p{}", s.proxy.0), (s.known.revision, nodes), s.settings.zone.0);
-        let made = Forwarding::new(s.now.max(1), settings, &name, &s.settings, known, s.seed);
+        let made = ForwarderDriver::new(s.now.max(1), settings, &name, &s.settings, known, s.seed);
         let mut core = Core::new(s.now, s.settings, s.seed, s.most_connections, s.known);
         let Ok(forwarding) = made else { return Box::new(core) };
         (core.wants_node_events, core.wants_records) = (true, true);
@@ -387,7 +387,7 @@
         hub.advance(now);
         for (link, slot, message) in hub.mail.remove(&self.proxy).unwrap_or_default() {
             if self.links.get(&slot) == Some(&link) {
-                self.forwarding.said(now, slot, &message, &mut self.wishes);
+                self.forwarding.handle_message(now, slot, &message, &mut self.wishes);
             }
         }
         let over = |(_, link): &(&usize, &Link)| {
@@ -402,10 +402,12 @@
         self.forwarding.tick(now, &mut self.wishes);
         for wish in std::mem::take(&mut self.wishes) {
             match wish {
-                Wish::Dial(slot) if hub.cut(now, slot, self.hall) || !hub.reaches(now, self.proxy, slot) => {
+                HostAction::Dial(slot)
+                    if hub.cut(now, slot, self.hall) || !hub.reaches(now, self.proxy, slot) =>
+                {
                     self.forwarding.down(now, slot, "cut off");
                 }
-                Wish::Dial(slot) => {
+                HostAction::Dial(slot) => {
                     hub.last += 1;
                     let link = hub.last;
                     let open = Open { proxy: self.proxy, slot, hall: self.hall, heard: now };
@@ -417,17 +419,17 @@
                         self.forwarding.up(now, slot);
                     }
                 }
-                Wish::Send(slot, message) => {
+                HostAction::Send(slot, message) => {
                     if let Some(link) = self.links.get(&slot) {
                         hub.send(now, To::Planner, *link, message);
                     }
                 }
-                Wish::Close(slot) => {
+                HostAction::Close(slot) => {
                     if let Some(link) = self.links.remove(&slot) {
                         hub.close(link);
                     }
                 }
-                Wish::Plan(mut plan) => {
+                HostAction::Plan(mut plan) => {
                     self.kept.from(&mut plan);
                     self.core.input(now, Input::Plan(plan));
                 }
@@ -458,7 +460,7 @@
         let (forwarding, now) = (&mut self.forwarding, self.now);
         into.retain(|effect| match effect {
             Effect::NodeEvent(seen) => {
-                forwarding.seen(now, seen.clone());
+                forwarding.handle_node_event(now, seen.clone());
                 false
             }
             Effect::StreamEnded(record) => {
--- a/src/commands/change.rs
+++ b/src/commands/change.rs
@@ -131,7 +131,7 @@
         None => setting.join("\n"),
     };
     if !lines.is_empty() {
-        let name = file::about(&lines).ok_or("the lines are not about one setting")?;
+        let name = file::setting_name(&lines).ok_or("the lines are not about one setting")?;
         // The greatest version counts: that of who says it last, by the clock of the machine where it is said.
         let version = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let body = applier::body(version, &lines).into();
@@ -274,7 +274,7 @@
     let mut parts = change.split('.');
     let mut part = || parts.next().and_then(|p| p.parse::<u64>().ok()).ok_or_else(wrong);
     let (topic, store, number) = (part()?, part()?, part()?);
-    let fits = topic < u64::from(dissemination::bounds::MAX_TOPICS) && store < settings::MOST as u64;
+    let fits = topic < u64::from(dissemination::bounds::MAX_TOPICS) && store < settings::MAX_CONTROLS as u64;
     if parts.next().is_some() || !fits || !(1..=dissemination::bounds::MAX_NUMBER).contains(&number) {
         return Err(wrong());
     }
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -42,7 +42,7 @@
     let Some(path) = path else { return fail("no configuration: name a file or set NODE_CONFIG") };
     let fit = |config: config::Config| {
         let conf = options.conf.as_deref().unwrap_or_default();
-        features.fit(&config.site).map(|()| config).map_err(|what| format!("{conf}: {what}"))
+        features.check_site(&config.site).map(|()| config).map_err(|what| format!("{conf}: {what}"))
     };
     let config = match config::load(&path).and_then(fit) {
         Err(what) => return fail(&what),
--- a/src/config.rs
+++ b/src/config.rs
@@ -17,7 +17,7 @@
     pub memory: usize,
     pub known: Cluster,
     /// What of it could not be read, in a line.
-    pub odd: Option<String>,
+    pub known_error: Option<String>,
     pub site: Site,
 }
 
@@ -39,7 +39,8 @@
     // Discovery tells the list soon: an old one that cannot be read is no reason not to start.
     let none = || Cluster { revision: 0, complete: true, nodes: Vec::new() };
     let known = v.get("known").map(|known| discovery::list_from_json(known, &site));
-    let (known, odd) = known.unwrap_or_else(|| Ok((none(), None))).unwrap_or_else(|why| (none(), Some(why)));
+    let (known, known_error) =
+        known.unwrap_or_else(|| Ok((none(), None))).unwrap_or_else(|why| (none(), Some(why)));
     let seed = v.get("seed").and_then(Value::as_str).unwrap_or_default();
     let sockets = v.pointer("/limits/sockets").map(|n| n.as_u64().filter(|n| *n >= 64));
     let memory = v.pointer("/limits/memory_mb").map(|n| n.as_f64().filter(|mb| (1.0..=1e7).contains(mb)));
@@ -54,7 +55,7 @@
             as usize,
         memory: (memory * 1024.0 * 1024.0) as usize,
         known,
-        odd,
+        known_error,
         site,
     })
 }
--- a/src/features/addresses.rs
+++ b/src/features/addresses.rs
@@ -13,7 +13,7 @@
 const TELL: Micros = 1_000_000;
 
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Lists {
+pub struct AddressLists {
     pub allow: Vec<IpNet>,
     pub deny: Vec<IpNet>,
     pub proxyfrom: Vec<IpNet>,
@@ -33,44 +33,44 @@
     Some(network.trunc())
 }
 
-fn holds(list: &[IpNet], ip: IpAddr) -> bool {
+fn contains(list: &[IpNet], ip: IpAddr) -> bool {
     let ip = ip.to_canonical();
     list.iter().any(|n| n.contains(&ip))
 }
 
-impl Lists {
+impl AddressLists {
     /// Whether a caller may connect: a deny line wins, and without allow lines all others may.
     pub fn admits(&self, ip: IpAddr) -> bool {
-        !holds(&self.deny, ip) && (self.allow.is_empty() || holds(&self.allow, ip))
+        !contains(&self.deny, ip) && (self.allow.is_empty() || contains(&self.allow, ip))
     }
 
     /// Whether a connection from there must begin with a PROXY header.
     pub fn trusts(&self, ip: IpAddr) -> bool {
-        holds(&self.proxyfrom, ip)
+        contains(&self.proxyfrom, ip)
     }
 }
 
 /// The lists at work, and what is still to be told of those they refused.
 #[derive(Debug)]
-pub struct Addresses {
-    lists: Lists,
+pub struct AddressFilter {
+    lists: AddressLists,
     refused: Cell<u64>,
     /// All of them since the start.
-    refused_ever: Cell<u64>,
+    refused_total: Cell<u64>,
     last: RefCell<Option<Caller>>,
     told: Cell<Micros>,
 }
 
-impl Addresses {
-    pub fn new(lists: Lists) -> Self {
-        let (refused, refused_ever, told) = Default::default();
-        Addresses { lists, refused, refused_ever, last: RefCell::default(), told }
+impl AddressFilter {
+    pub fn new(lists: AddressLists) -> Self {
+        let (refused, refused_total, told) = Default::default();
+        AddressFilter { lists, refused, refused_total, last: RefCell::default(), told }
     }
 
     /// Judges a socket at accept: a front is let in unless it is denied itself, and whom it speaks for is
     /// judged behind its header.
     pub fn accepts(&self, peer: SocketAddr) -> bool {
-        let front = self.trusts(peer) && !holds(&self.lists.deny, peer.ip());
+        let front = self.trusts(peer) && !contains(&self.lists.deny, peer.ip());
         front || self.admits(&Caller { client: peer, via: None })
     }
 
@@ -82,7 +82,7 @@
         let admitted = self.lists.admits(caller.client.ip());
         if !admitted {
             self.refused.set(self.refused.get() + 1);
-            self.refused_ever.set(self.refused_ever.get() + 1);
+            self.refused_total.set(self.refused_total.get() + 1);
             *self.last.borrow_mut() = Some(caller.clone());
         }
         admitted
@@ -90,12 +90,12 @@
 
     /// How many were refused since the start.
     pub fn refused(&self) -> u64 {
-        self.refused_ever.get()
+        self.refused_total.get()
     }
 
     /// How many were refused since this was told last, and the last of them; if it is time to tell it or this
     /// is the end.
-    pub fn told(&self, now: Micros, end: bool) -> Option<(u64, Caller)> {
+    pub fn take_refused(&self, now: Micros, end: bool) -> Option<(u64, Caller)> {
         if self.refused.get() == 0 || (now - self.told.get() < TELL && !end) {
             return None;
         }
@@ -104,7 +104,7 @@
     }
 
     /// Learns who has connected before anything of the protocol is read. `false`: it is to be closed.
-    pub async fn introduce(&self, link: &mut Link) -> bool {
+    pub async fn identify(&self, link: &mut Link) -> bool {
         let peer = link.caller.client;
         let trusted = self.trusts(peer);
         let mut input = Vec::new();
--- a/src/features/control.rs
+++ b/src/features/control.rs
@@ -9,10 +9,10 @@
 pub mod settings;
 pub mod store;
 
-pub use settings::{Controls, Listed, Settings, MOST};
+pub use settings::{ControlEntry, ControlList, Settings, MAX_CONTROLS};
 
 use crate::clock::Clock;
-use crate::features::addresses::Lists;
+use crate::features::addresses::AddressLists;
 use crate::interface::Micros;
 use crate::net::framed::{self, Outbox, Word};
 use crate::net::unmapped;
@@ -85,7 +85,7 @@
     settings: Settings,
     peers: BTreeMap<PeerId, Peer>,
     last: PeerId,
-    lists: Lists,
+    lists: AddressLists,
     queue: Sender<News>,
     executor: Rc<LocalExecutor<'static>>,
     disk: Disk,
@@ -108,7 +108,7 @@
 pub struct Start {
     pub address: SocketAddr,
     pub settings: Settings,
-    pub lists: Lists,
+    pub lists: AddressLists,
     /// The followers that there are, by their names' numbers.
     pub roster: BTreeMap<FollowerId, String>,
     /// A store's file as it was found.
@@ -227,7 +227,7 @@
 }
 
 /// A stream as lines name it: its topic and the store that numbers it.
-pub fn stream(of: StreamId) -> String {
+pub fn stream_name(of: StreamId) -> String {
     format!("{}.{}", of.topic, of.store.0)
 }
 
@@ -372,7 +372,7 @@
         let mut last: Option<(Rc<Message>, Rc<[u8]>)> = None;
         while !matches!(self.disk, Disk::Writes { .. }) {
             match self.todo.pop_front() {
-                None => return self.renew(now),
+                None => return self.rewrite(now),
                 Some(Output::Persist(records)) => self.persist(now, records),
                 Some(Output::Dial(control)) => self.dial(control),
                 Some(Output::Close(peer, why)) => self.refuse(peer, &why),
@@ -431,16 +431,16 @@
     }
 
     /// Has the file written anew if it has grown. All that the machine holds lasts by now.
-    fn renew(&mut self, now: Micros) {
+    fn rewrite(&mut self, now: Micros) {
         let Disk::Idle(store) = &self.disk else { return };
-        if !store.is_grown() {
+        if !store.needs_rewrite() {
             return;
         }
         let Disk::Idle(store) = std::mem::replace(&mut self.disk, Disk::None) else { return };
         let bytes = store::encode(&self.control.records());
         let (queue, failed) = (self.queue.clone(), self.disk_failed(""));
         let task = self.executor.spawn(async move {
-            let written = blocking::unblock(move || bytes.and_then(|bytes| store.renew(&bytes))).await;
+            let written = blocking::unblock(move || bytes.and_then(|bytes| store.rewrite(&bytes))).await;
             let written = written.map(Box::new).map_err(|e| format!("{failed}{e}"));
             let _ = queue.send(News::Written(written)).await;
         });
@@ -502,7 +502,7 @@
         }
         for of in stats.conflicts.iter().filter(|s| !self.conflicts.contains(s)).copied().collect::<Vec<_>>()
         {
-            let name = stream(of);
+            let name = stream_name(of);
             self.line(|| {
                 warn!(
                     event = "conflict",
@@ -515,7 +515,7 @@
         let refused: BTreeSet<_> =
             stats.refused.iter().map(|(stream, number, _)| (*stream, *number)).collect();
         for (of, number) in refused.difference(&self.refused).copied().collect::<Vec<_>>() {
-            let name = stream(of);
+            let name = stream_name(of);
             self.line(|| {
                 warn!(
                     event = "change_refused",
--- a/src/features/control/settings.rs
+++ b/src/features/control/settings.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 
 /// Control machines on the list.
-pub const MOST: usize = bounds::MAX_CONTROLS as usize;
+pub const MAX_CONTROLS: usize = bounds::MAX_CONTROLS as usize;
 /// Stores, where the list is long enough and the file says nothing else.
 const STORES: u8 = 5;
 /// The longest list of followers, in bytes and names.
@@ -16,7 +16,7 @@
 
 /// A control machine as the file names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ControlEntry {
     pub address: SocketAddr,
     /// Region, zone, site.
     pub place: [String; 3],
@@ -24,21 +24,21 @@
 
 /// The control machines, as all of them and all proxies know them.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Controls {
+pub struct ControlList {
     /// In the order of their lines, which gives them their numbers.
-    pub listed: Vec<Listed>,
+    pub listed: Vec<ControlEntry>,
     /// How many of them, the first ones, are stores.
     pub stores: Option<u8>,
     pub epoch: u32,
 }
 
-impl Default for Controls {
+impl Default for ControlList {
     fn default() -> Self {
-        Controls { listed: Vec::new(), stores: None, epoch: 1 }
+        ControlList { listed: Vec::new(), stores: None, epoch: 1 }
     }
 }
 
-impl Controls {
+impl ControlList {
     /// What control machines and followers go by.
     ///
     /// # Errors
@@ -81,7 +81,7 @@
     pub port: u16,
     /// Its place in the list, from 0.
     pub number: u8,
-    pub controls: Controls,
+    pub controls: ControlList,
     /// Where a store writes its changes down.
     pub store: Option<PathBuf>,
     /// The list of proxies' names.
--- a/src/features/control/store.rs
+++ b/src/features/control/store.rs
@@ -17,13 +17,13 @@
 /// What the file begins with; the last byte is the form's version.
 const MAGIC: &[u8; 8] = b"mwstore\x01";
 /// Bytes before a body.
-const HEADER: usize = 12;
+const HEADER_BYTES: usize = 12;
 /// The longest body: a change of the largest size, and what names it.
-const BODY: usize = 8 * 1024;
+const MAX_BODY: usize = 8 * 1024;
 /// A file that has grown by so many bytes beyond twice what it needs is written anew. Large, so that it is seldom.
-const GROWN: u64 = 16 << 20;
+const REWRITE_THRESHOLD: u64 = 16 << 20;
 /// The largest file that is read at the start: what is held, and several times of what is let grow.
-const MOST: u64 = 1 << 30;
+const MAX_FILE: u64 = 1 << 30;
 
 /// Whose file it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,7 +57,7 @@
 /// A value as a frame. It fails on what no machine makes: a record beyond its bounds.
 fn frame(value: &impl Serialize, to: &mut Vec<u8>) -> io::Result<()> {
     let body = postcard::to_allocvec(value).map_err(io::Error::other)?;
-    if body.len() > BODY {
+    if body.len() > MAX_BODY {
         return Err(io::Error::other("a record beyond its bounds"));
     }
     let length = (body.len() as u32).to_le_bytes();
@@ -100,10 +100,10 @@
             false => Next::Damaged("a record's length is damaged"),
         };
     }
-    let Some(body) = bytes.get(HEADER..HEADER + length as usize) else { return Next::Torn };
+    let Some(body) = bytes.get(HEADER_BYTES..HEADER_BYTES + length as usize) else { return Next::Torn };
     match crc32fast::hash(body) == of_body {
         true => Next::Body(body),
-        false if bytes.get(HEADER..).unwrap_or_default().iter().all(|b| *b == 0) => Next::Torn,
+        false if bytes.get(HEADER_BYTES..).unwrap_or_default().iter().all(|b| *b == 0) => Next::Torn,
         false => Next::Damaged("a record is damaged"),
     }
 }
@@ -117,7 +117,7 @@
 }
 
 /// The folder's entry of a file lasts.
-fn keep_name(path: &Path) -> io::Result<()> {
+fn sync_directory(path: &Path) -> io::Result<()> {
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     File::open(folder)?.sync_all()
 }
@@ -138,7 +138,7 @@
                 return Ok(Loaded { store, records: Vec::new(), torn: 0, older: None });
             }
             Err(e) => return Err(failed(e)),
-            Ok(of) if of.len() > MOST => return Err(format!("{}: larger than 1 GB", path.display())),
+            Ok(of) if of.len() > MAX_FILE => return Err(format!("{}: larger than 1 GB", path.display())),
             Ok(_) => fs::read(path).map_err(failed)?,
         };
         let Whole { head: before, records, bytes: whole } =
@@ -179,8 +179,8 @@
     }
 
     /// Whether most of the file is no longer needed.
-    pub fn is_grown(&self) -> bool {
-        self.bytes > 2 * self.needed + GROWN
+    pub fn needs_rewrite(&self) -> bool {
+        self.bytes > 2 * self.needed + REWRITE_THRESHOLD
     }
 
     /// The file with these records alone, as [`encode`] has made them. It is whole at any moment: the new one takes the old one's name once it
@@ -189,7 +189,7 @@
     /// # Errors
     ///
     /// Those of the files.
-    pub fn renew(&self, records: &[u8]) -> io::Result<Store> {
+    pub fn rewrite(&self, records: &[u8]) -> io::Result<Store> {
         Store::write(&self.path, self.head, records)
     }
 
@@ -203,7 +203,7 @@
         file.write_all(&bytes)?;
         file.sync_data()?;
         fs::rename(&new, path)?;
-        keep_name(path)?;
+        sync_directory(path)?;
         let length = bytes.len() as u64;
         Ok(Store { path: path.into(), file, head, bytes: length, needed: length })
     }
@@ -233,7 +233,7 @@
                     None => head = Some(value(body).map_err(|what| (at, what))?),
                     Some(_) => records.push(value(body).map_err(|what| (at, what))?),
                 }
-                at += HEADER + body.len();
+                at += HEADER_BYTES + body.len();
             }
         }
     }
--- a/src/features/control/store/tests.rs
+++ b/src/features/control/store/tests.rs
@@ -72,7 +72,7 @@
     let ends: Vec<usize> = {
         let mut ends = vec![MAGIC.len()];
         while let Next::Body(body) = next(&bytes[ends[ends.len() - 1]..]) {
-            ends.push(ends[ends.len() - 1] + HEADER + body.len());
+            ends.push(ends[ends.len() - 1] + HEADER_BYTES + body.len());
         }
         ends
     };
@@ -138,8 +138,8 @@
     let folder = Folder::new();
     let (records, bytes) = written(&folder, 8);
     let loaded = open(&folder.file()).expect("the file");
-    assert!(!loaded.store.is_grown());
-    let mut store = loaded.store.renew(&encode(&records[6..]).expect("records")).expect("written anew");
+    assert!(!loaded.store.needs_rewrite());
+    let mut store = loaded.store.rewrite(&encode(&records[6..]).expect("records")).expect("written anew");
     assert!(fs::read(folder.file()).expect("the file").len() < bytes.len());
     append(&mut store, &[record(9)]);
     let expected = [&records[6..], &[record(9)]].concat();
@@ -154,11 +154,11 @@
     let large = |number| Record::Change(Change { stream, number, key: 1, body: vec![7; 4096].into() }, 1);
     let some: Vec<Record> = (1..=1024).map(large).collect();
     let mut times = 0;
-    while !store.is_grown() {
+    while !store.needs_rewrite() {
         append(&mut store, &some);
         times += 1;
         assert!(times < 10, "{} bytes", store.bytes);
     }
-    assert!(store.bytes > GROWN);
-    assert!(!store.renew(&encode(&some).expect("records")).expect("written anew").is_grown());
+    assert!(store.bytes > REWRITE_THRESHOLD);
+    assert!(!store.rewrite(&encode(&some).expect("records")).expect("written anew").needs_rewrite());
 }
--- a/src/features/figures.rs
+++ b/src/features/figures.rs
@@ -20,10 +20,10 @@
 use tracing::warn;
 
 /// Bytes of a batch, which is whole lines, and of all that is held: the oldest batches are dropped first.
-const BATCH: usize = 1400;
-const PENDING: usize = 64 * 1024;
+const MAX_BATCH: usize = 1400;
+const MAX_PENDING: usize = 64 * 1024;
 /// How long a planned end waits for the last batches.
-const FAREWELL: Duration = Duration::from_millis(200);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Format {
@@ -65,7 +65,7 @@
 }
 
 #[derive(Clone, Copy)]
-enum Sort {
+enum MetricKind {
     Counter,
     Gauge,
     Timer,
@@ -73,24 +73,24 @@
 
 impl Format {
     /// One line: `name` has dots, what the format cannot hold in a tag is escaped or becomes `_`.
-    fn line(self, name: &str, sort: Sort, tags: &[(&str, &str)], value: u64) -> String {
+    fn line(self, name: &str, kind: MetricKind, tags: &[(&str, &str)], value: u64) -> String {
         match self {
             Format::Statsd => {
                 let tags: Vec<String> = tags.iter().map(|(k, v)| format!("{k}:{}", statsd(v))).collect();
                 let tags = if tags.is_empty() { String::new() } else { format!("|#{}", tags.join(",")) };
-                let sort = match sort {
-                    Sort::Counter => "c",
-                    Sort::Gauge => "g",
-                    Sort::Timer => "ms",
+                let kind = match kind {
+                    MetricKind::Counter => "c",
+                    MetricKind::Gauge => "g",
+                    MetricKind::Timer => "ms",
                 };
-                format!("martenweir.{name}:{value}|{sort}{tags}\n")
+                format!("martenweir.{name}:{value}|{kind}{tags}\n")
             }
             Format::Influx => {
                 let tags: String = tags.iter().map(|(k, v)| format!(",{k}={}", influx(v))).collect();
-                let field = match sort {
-                    Sort::Counter => "count",
-                    Sort::Gauge => "value",
-                    Sort::Timer => "ms",
+                let field = match kind {
+                    MetricKind::Counter => "count",
+                    MetricKind::Gauge => "value",
+                    MetricKind::Timer => "ms",
                 };
                 format!("martenweir_{}{tags} {field}={value}\n", name.replace('.', "_"))
             }
@@ -152,19 +152,19 @@
         if !batch.bytes.is_empty() {
             self.ready.push_back(batch);
         }
-        while self.held() + BATCH > PENDING {
+        while self.held() + MAX_BATCH > MAX_PENDING {
             let Some(oldest) = self.ready.pop_front() else { return };
             self.dropped += 1 + oldest.dropped;
         }
     }
 
     fn push(&mut self, line: &str) {
-        if line.len() > BATCH {
+        if line.len() > MAX_BATCH {
             // No batch could hold it: names of that length are no tags.
             self.dropped += 1;
             return;
         }
-        if self.current.bytes.len() + line.len() > BATCH {
+        if self.current.bytes.len() + line.len() > MAX_BATCH {
             self.close();
         }
         self.current.bytes.extend_from_slice(line.as_bytes());
@@ -190,12 +190,12 @@
         Figures { settings, site, state, stopped, wake, woken }
     }
 
-    pub fn flush_every(&self) -> Micros {
+    pub fn flush_interval(&self) -> Micros {
         self.settings.flush
     }
 
     /// Records are wanted.
-    pub fn listens(&self) -> bool {
+    pub fn wants_records(&self) -> bool {
         !self.stopped.get()
     }
 
@@ -219,7 +219,7 @@
             let tags = self.tags(record.class, record.tenant);
             let ms = (record.time / 1000).max(0) as u64;
             let ready = state.ready.len();
-            state.push(&self.settings.format.line("latency", Sort::Timer, &tags, ms));
+            state.push(&self.settings.format.line("latency", MetricKind::Timer, &tags, ms));
             // A full batch goes out at once.
             if state.ready.len() > ready {
                 let _ = self.wake.try_send(());
@@ -233,20 +233,20 @@
             return;
         }
         let mut state = self.state.borrow_mut();
-        let line = |name, sort, tags: &[_], value| self.settings.format.line(name, sort, tags, value);
-        let open = |side, n: usize| line("connections", Sort::Gauge, &[("side", side)], n as u64);
+        let line = |name, kind, tags: &[_], value| self.settings.format.line(name, kind, tags, value);
+        let open = |side, n: usize| line("connections", MetricKind::Gauge, &[("side", side)], n as u64);
         state.push(&open("downstream", gauges.downstreams));
         state.push(&open("upstream", gauges.upstreams));
         for (reason, n) in gauges.closed {
-            state.push(&line("downstreams.closed", Sort::Counter, &[("reason", reason)], n));
+            state.push(&line("downstreams.closed", MetricKind::Counter, &[("reason", reason)], n));
         }
-        state.push(&line("nodes.serving", Sort::Gauge, &[], gauges.serving as u64));
+        state.push(&line("nodes.serving", MetricKind::Gauge, &[], gauges.serving as u64));
         if let Some(controlled) = gauges.controlled {
-            state.push(&line("control.inservice", Sort::Gauge, &[], u64::from(controlled)));
+            state.push(&line("control.inservice", MetricKind::Gauge, &[], u64::from(controlled)));
         }
         if state.dropped > 0 {
             let dropped = std::mem::take(&mut state.dropped);
-            state.push(&line("figures.dropped", Sort::Counter, &[], dropped));
+            state.push(&line("figures.dropped", MetricKind::Counter, &[], dropped));
             state.current.dropped += dropped;
         }
         for (counter, n) in std::mem::take(&mut state.counters) {
@@ -260,11 +260,11 @@
     /// Turns what is due into lines, as far as there is room: what is not told yet stays summed.
     fn fill(&self, state: &mut State) {
         let nothing = state.due.is_empty();
-        while state.held() + 3 * BATCH < PENDING {
+        while state.held() + 3 * MAX_BATCH < MAX_PENDING {
             let Some(((name, class, tenant, tag), n)) = state.due.pop_first() else { break };
             let [class, tenant] = self.tags(class, tenant);
             let last = if name == "reads" { ("result", tag) } else { ("outcome", tag) };
-            state.push(&self.settings.format.line(name, Sort::Counter, &[class, tenant, last], n));
+            state.push(&self.settings.format.line(name, MetricKind::Counter, &[class, tenant, last], n));
         }
         if !nothing {
             state.close();
@@ -299,7 +299,7 @@
         self.state.borrow_mut().closing = true;
         let _ = self.wake.try_send(());
         let late = async {
-            Timer::after(FAREWELL).await;
+            Timer::after(SHUTDOWN_TIMEOUT).await;
         };
         future::or(writer, late).await;
     }
--- a/src/features/file.rs
+++ b/src/features/file.rs
@@ -1,6 +1,6 @@
 //! Our own file: `name value` a line, `#` before a comment. It is read once, at the start.
 
-use super::control::{self, Controls, Listed};
+use super::control::{self, ControlEntry, ControlList};
 use super::{addresses, figures, follower, forwarder, multiget, planner, snmp, tap};
 use crate::door;
 use crate::interface::Micros;
@@ -11,14 +11,14 @@
 use std::ops::RangeInclusive;
 
 /// The longest file that makes sense.
-const MOST: u64 = 1024 * 1024;
+const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
 /// What the file says; a feature that nothing in it turns on is `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Features {
     pub multiget: Option<multiget::Settings>,
     pub tap: Option<tap::Settings>,
-    pub addresses: Option<addresses::Lists>,
+    pub addresses: Option<addresses::AddressLists>,
     pub figures: Option<figures::Settings>,
     pub memcached: Option<memcached::Settings>,
     /// Nodes that speak the memcached protocol.
@@ -34,7 +34,7 @@
 
 impl Features {
     /// Whether the site has what is named here; an error tells the setting. With this, nothing is used yet.
-    pub fn fit(&self, site: &Site) -> Result<(), String> {
+    pub fn check_site(&self, site: &Site) -> Result<(), String> {
         self.memcached.as_ref().map(|settings| Desk::new(settings, site, 0)).transpose()?;
         Speakers::new(&self.memcachednodes, site)?;
         self.follower.as_ref().map_or(Ok(()), |settings| settings.controls.rules().map(drop))
@@ -44,7 +44,7 @@
 /// Reads the file; an error is one line that names the file and the line in it.
 pub fn load(path: &str) -> Result<Features, String> {
     let size = std::fs::metadata(path).map_err(|e| format!("{path}: {e}"))?.len();
-    if size > MOST {
+    if size > MAX_FILE_BYTES {
         return Err(format!("{path}: larger than 1 MB"));
     }
     let bytes = std::fs::read(path).map_err(|e| format!("{path}: {e}"))?;
@@ -62,7 +62,7 @@
 }
 
 /// The one setting that some lines are about; none if they are about several or nothing.
-pub fn about(lines: &str) -> Option<&str> {
+pub fn setting_name(lines: &str) -> Option<&str> {
     let mut names = lines.lines().filter_map(setting).map(|(name, _)| name);
     let first = names.next()?;
     names.all(|name| name == first).then_some(first)
@@ -70,7 +70,7 @@
 
 /// A file's text with the lines about some settings, by their names, in place of its own. Lines without a value say
 /// that the file's own hold.
-pub fn overlaid<'a>(text: &str, over: impl Iterator<Item = (&'a str, &'a str)>) -> String {
+pub fn apply_overrides<'a>(text: &str, over: impl Iterator<Item = (&'a str, &'a str)>) -> String {
     let valued = |lines: &str| lines.lines().filter_map(setting).any(|(_, value)| !value.is_empty());
     let over: Vec<(&str, &str)> = over.filter(|(_, lines)| valued(lines)).collect();
     let stays = |line: &str| setting(line).is_none_or(|(name, _)| over.iter().all(|(o, _)| *o != name));
@@ -82,14 +82,14 @@
 pub fn read(text: &str) -> Result<Features, (usize, String)> {
     let mut multiget = multiget::Settings::default();
     let mut tap = tap::Settings::default();
-    let mut lists = addresses::Lists::default();
+    let mut lists = addresses::AddressLists::default();
     let mut figures = figures::Settings::default();
     let (mut memcached, mut nodes) = (memcached::Settings::default(), Nodes::default());
-    let mut agent = snmp::Lines::default();
+    let mut agent = snmp::SettingLines::default();
     let mut door = door::Settings::default();
     let (mut multigetport, mut tapport, mut memcacheport) = (None, None, None);
     let (mut planners, mut plannerport, mut forwarders) = (Vec::new(), None, None);
-    let (mut controls, mut control) = (Controls::default(), control::Settings::default());
+    let (mut controls, mut control) = (ControlList::default(), control::Settings::default());
     let (mut controlport, mut place) = (None, None);
     let mut seen: Vec<&str> = Vec::new();
     for (i, line) in text.lines().enumerate() {
@@ -97,7 +97,7 @@
         let mut set = || {
             match name {
                 "multigetport" => multigetport = Some(port(value)?),
-                "multigetmaxkeys" => multiget.max_keys = whole(value, 1..=multiget::READS)?,
+                "multigetmaxkeys" => multiget.max_keys = whole(value, 1..=multiget::MAX_OPEN_READS)?,
                 "tapport" => tapport = Some(port(value)?),
                 "tapsample" => tap.sample = fraction(value)?,
                 "tapbuffer" => tap.buffer = size(value, 1024..=64 * 1024 * 1024)?,
@@ -123,11 +123,11 @@
                 "plannerport" => plannerport = Some(port(value)?),
                 "planforwarders" => forwarders = Some(whole(value, 1..=bounds::FORWARDERS)? as u32),
                 "control" => controls.listed.push(listed(value, &controls.listed)?),
-                "controlstores" => controls.stores = Some(whole(value, 1..=control::MOST)? as u8),
+                "controlstores" => controls.stores = Some(whole(value, 1..=control::MAX_CONTROLS)? as u8),
                 "controlepoch" => controls.epoch = whole(value, 1..=u32::MAX as usize)? as u32,
                 "controlplace" => place = Some(self::place(value)?),
                 "controlport" => controlport = Some(port(value)?),
-                "controlnumber" => control.number = whole(value, 0..=control::MOST - 1)? as u8,
+                "controlnumber" => control.number = whole(value, 0..=control::MAX_CONTROLS - 1)? as u8,
                 "controlstore" => control.store = Some(named(value, "a file")?.into()),
                 "followers" => control.followers = Some(named(value, "a file")?.into()),
                 _ if name.starts_with("snmp") => agent.set(i + 1, name, value)?,
@@ -137,7 +137,7 @@
         };
         set().map_err(|what| (i + 1, format!("{}: {what}", name.escape_debug())))?;
         let many = matches!(name, "allow" | "deny" | "proxyfrom" | "planner" | "memcachenodes" | "control");
-        let many = many || snmp::Lines::many(name);
+        let many = many || snmp::SettingLines::is_repeatable(name);
         if !many && seen.contains(&name) {
             return Err((i + 1, format!("{name}: set twice")));
         }
@@ -162,7 +162,7 @@
             place,
             text: text.into(),
         }),
-        addresses: Some(lists).filter(|lists| *lists != addresses::Lists::default()),
+        addresses: Some(lists).filter(|lists| *lists != addresses::AddressLists::default()),
     })
 }
 
@@ -233,17 +233,17 @@
 }
 
 /// Another control machine beside those that are listed already.
-fn listed(value: &str, before: &[Listed]) -> Result<Listed, String> {
+fn listed(value: &str, before: &[ControlEntry]) -> Result<ControlEntry, String> {
     let (address, at) = value.split_once(char::is_whitespace).unwrap_or((value, ""));
     let address = address.parse().ok().filter(|a: &SocketAddr| a.port() > 0);
     match (address, place(at.trim())) {
         (Some(address), _) if before.iter().any(|l| l.address == address) => {
             Err(format!("{address} is named twice"))
         }
-        (Some(_), _) if before.len() >= control::MOST => {
-            Err(format!("more than {} control machines", control::MOST))
+        (Some(_), _) if before.len() >= control::MAX_CONTROLS => {
+            Err(format!("more than {} control machines", control::MAX_CONTROLS))
         }
-        (Some(address), Ok(place)) => Ok(Listed { address, place }),
+        (Some(address), Ok(place)) => Ok(ControlEntry { address, place }),
         _ => wanted(value, "an address and a place, like 127.0.0.1:7500 REGION/ZONE/SITE,"),
     }
 }
--- a/src/features/follower.rs
+++ b/src/features/follower.rs
@@ -4,11 +4,11 @@
 //!
 //! Nothing is kept over a restart, since what changes are applied to is not: a proxy that starts takes all of it anew.
 //!
-//! Feed it what connections say and [`Following::tick`] at [`Following::next`]; carry out its [`Wish`]es.
+//! Feed it what connections say and [`FollowerDriver::tick`] at [`FollowerDriver::next`]; carry out its [`HostAction`]es.
 
 pub mod applier;
 
-use super::control::{settings, stream, Controls};
+use super::control::{settings, stream_name, ControlList};
 use crate::interface::Micros;
 use applier::{Applier, Refusal};
 use dissemination::follower::Output;
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    pub controls: Controls,
+    pub controls: ControlList,
     /// Where this proxy stands: region, zone, site.
     pub place: Option<[String; 3]>,
     /// The text of our own file, which carried settings change.
@@ -35,7 +35,7 @@
 
 /// What is to be done for it.
 #[derive(Debug)]
-pub enum Wish {
+pub enum HostAction {
     /// Connect to a control machine.
     Dial(ControlId),
     Send(ControlId, Message),
@@ -45,7 +45,7 @@
 
 /// See the file's comment.
 #[derive(Debug)]
-pub struct Following {
+pub struct FollowerDriver {
     machine: Follower,
     topics: Vec<TopicKind>,
     addresses: Vec<SocketAddr>,
@@ -60,7 +60,7 @@
     refused: u64,
 }
 
-impl Following {
+impl FollowerDriver {
     /// For a proxy of this name. An error tells what of the settings does not fit together.
     pub fn new(
         now: Micros,
@@ -78,7 +78,7 @@
             event = "follower",
             controls, first, "follower {id:016x} of {controls} control machines, the first is {first}"
         );
-        Ok(Following {
+        Ok(FollowerDriver {
             machine: Follower::new(now, rules, me, order, None, now.unsigned_abs())?,
             topics,
             addresses: settings.controls.listed.iter().map(|l| l.address).collect(),
@@ -116,7 +116,7 @@
     }
 
     /// A control machine has said something.
-    pub fn said(&mut self, now: Micros, control: ControlId, message: &Message) {
+    pub fn handle_message(&mut self, now: Micros, control: ControlId, message: &Message) {
         let welcome = matches!(message, Message::Welcome { .. });
         match self.machine.handle_message(now, control, message, &mut self.out) {
             Err(why) => {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// When [`Following::tick`] has something to do.
+    /// When [`FollowerDriver::tick`] has something to do.
     pub fn next(&self) -> Micros {
         self.machine.next_tick()
     }
@@ -147,19 +147,19 @@
     }
 
     /// Does what is due, and hands out what is to be done.
-    pub fn tick(&mut self, now: Micros, wishes: &mut Vec<Wish>) {
+    pub fn tick(&mut self, now: Micros, wishes: &mut Vec<HostAction>) {
         if self.machine.next_tick() <= now {
             self.machine.tick(now, &mut self.out);
         }
         for output in std::mem::take(&mut self.out) {
             match output {
-                Output::Dial(control) => wishes.push(Wish::Dial(control)),
-                Output::Send(control, message) => wishes.push(Wish::Send(control, message)),
+                Output::Dial(control) => wishes.push(HostAction::Dial(control)),
+                Output::Send(control, message) => wishes.push(HostAction::Send(control, message)),
                 Output::Close(control, why) => {
                     if !matches!(why, CloseReason::NoLongerNeeded) {
                         self.trouble(control, &why.to_string());
                     }
-                    wishes.push(Wish::Close(control, why));
+                    wishes.push(HostAction::Close(control, why));
                 }
                 Output::Apply(piece) => self.apply(&piece),
                 Output::Stale(of) => self.stale(of),
@@ -184,8 +184,8 @@
         let of = piece.stream;
         match self.topics.get(usize::from(of.topic)) {
             Some(TopicKind::Set) if piece.is_mark() => {
-                self.applier.all_stale();
-                let (name, upto) = (stream(of), piece.upto());
+                self.applier.mark_all_stale();
+                let (name, upto) = (stream_name(of), piece.upto());
                 self.line(|| {
                     info!(
                         event = "mark",
@@ -195,7 +195,7 @@
                     );
                 });
             }
-            Some(TopicKind::Set) => piece.changes().for_each(|(_, _, body)| self.applier.stale(body)),
+            Some(TopicKind::Set) => piece.changes().for_each(|(_, _, body)| self.applier.mark_stale(body)),
             Some(TopicKind::Register) => {
                 for (number, key, body) in piece.changes() {
                     let done = self.applier.configure(of, key, body);
@@ -208,7 +208,7 @@
     }
 
     fn configured(&mut self, of: StreamId, number: u64, done: Result<String, Refusal>) {
-        let name = stream(of);
+        let name = stream_name(of);
         match done {
             Ok(setting) => self.line(|| {
                 info!(
@@ -237,11 +237,11 @@
 
     fn stale(&mut self, of: StreamId) {
         match self.topics.get(usize::from(of.topic)) {
-            Some(TopicKind::Set) => self.applier.all_stale(),
-            Some(TopicKind::Register) => self.applier.void(of),
+            Some(TopicKind::Set) => self.applier.mark_all_stale(),
+            Some(TopicKind::Register) => self.applier.void_stream(of),
             None => {}
         }
-        let name = stream(of);
+        let name = stream_name(of);
         self.line(|| {
             warn!(event = "begun_anew", stream = name, "{name}: what was held is void, it comes anew")
         });
--- a/src/features/follower/applier.rs
+++ b/src/features/follower/applier.rs
@@ -1,4 +1,4 @@
-//! What changes are applied to. So far that is [`Carried`], which stands in for the request path: purges go to a
+//! What changes are applied to. So far that is [`StagingApplier`], which stands in for the request path: purges go to a
 //! bounded record of what is stale, settings are checked and kept. Nothing of it is in force yet.
 
 use crate::features::file;
@@ -19,17 +19,17 @@
     pub stale: usize,
     /// Times that everything was taken for stale, since the start.
     pub all_stale: u64,
-    /// Carried settings that stand.
+    /// StagingApplier settings that stand.
     pub settings: usize,
 }
 
 /// What a proxy does with changes. All of it may come again; what it refuses counts as taken all the same.
 pub trait Applier: Debug {
     /// What nodes hold under a key from before now is stale. The key is opaque: six bytes of a hash, as a rule.
-    fn stale(&mut self, key: &[u8]);
+    fn mark_stale(&mut self, key: &[u8]);
 
     /// Whatever nodes hold from before now is stale.
-    fn all_stale(&mut self);
+    fn mark_all_stale(&mut self);
 
     /// Takes a change of settings; what it is about comes back.
     ///
@@ -39,19 +39,19 @@
     fn configure(&mut self, stream: StreamId, key: u32, body: &[u8]) -> Result<String, Refusal>;
 
     /// All settings that came in a stream are void.
-    fn void(&mut self, stream: StreamId);
+    fn void_stream(&mut self, stream: StreamId);
 
     fn counts(&self) -> Counts;
 }
 
 /// Keys of the record of what is stale: six minutes at 190 a second, 1.5 MB. Beyond, all is taken for stale.
-pub const STALE: usize = 65_536;
+pub const MAX_STALE_KEYS: usize = 65_536;
 /// The longest key.
-pub const KEY: usize = 64;
+pub const MAX_KEY_BYTES: usize = 64;
 /// Settings that may be carried; our own file has fewer names.
-pub const SETTINGS: usize = 256;
+pub const MAX_SETTINGS: usize = 256;
 /// Bytes before a setting's lines: its version.
-const VERSION: usize = 8;
+const VERSION_BYTES: usize = 8;
 
 /// A change of settings. The greatest version counts, wherever it was numbered, so that all proxies agree whatever the
 /// order in which two stores' changes come.
@@ -75,7 +75,7 @@
 
 /// See the file's comment.
 #[derive(Debug)]
-pub struct Carried {
+pub struct StagingApplier {
     text: Rc<str>,
     site: Rc<Site>,
     stale: BTreeSet<Box<[u8]>>,
@@ -86,11 +86,11 @@
     good: BTreeMap<u32, (Setting, Rc<str>)>,
 }
 
-impl Carried {
+impl StagingApplier {
     /// For a proxy whose own file has this text, at this site.
     pub fn new(text: Rc<str>, site: Rc<Site>) -> Self {
         let (held, good) = (BTreeMap::new(), BTreeMap::new());
-        Carried { text, site, stale: BTreeSet::new(), all_stale: 0, held, good }
+        StagingApplier { text, site, stale: BTreeSet::new(), all_stale: 0, held, good }
     }
 
     /// Whether a key stands in the record by itself.
@@ -100,20 +100,23 @@
 
     /// Our own file as it would be with all that was carried and fits.
     pub fn text(&self) -> String {
-        file::overlaid(&self.text, self.good.values().map(|(setting, name)| (&**name, &*setting.lines)))
+        file::apply_overrides(
+            &self.text,
+            self.good.values().map(|(setting, name)| (&**name, &*setting.lines)),
+        )
     }
 
     /// Puts the newest of a setting among those that stand, if our own file fits with it.
-    fn settle(&mut self, key: u32) -> Result<(), Refusal> {
+    fn activate(&mut self, key: u32) -> Result<(), Refusal> {
         let Some(newest) = self.held.get(&key).and_then(|of| of.values().max()).cloned() else {
             self.good.remove(&key);
             return Ok(());
         };
-        let name: Rc<str> = file::about(&newest.lines).unwrap_or_default().into();
+        let name: Rc<str> = file::setting_name(&newest.lines).unwrap_or_default().into();
         let before = self.good.insert(key, (newest, name));
         let why = match file::read(&self.text()) {
             Err((_, why)) => Some(why),
-            Ok(features) => features.fit(&self.site).err(),
+            Ok(features) => features.check_site(&self.site).err(),
         };
         let Some(why) = why else { return Ok(()) };
         match before {
@@ -124,43 +127,44 @@
     }
 
     /// What did not fit may do so after another change.
-    fn settle_rest(&mut self) {
+    fn activate_rest(&mut self) {
         let newest = |of: &BTreeMap<StreamId, Setting>| of.values().max().cloned();
         loop {
             let open =
                 |(key, of)| (newest(of).as_ref() != self.good.get(key).map(|(s, _)| s)).then_some(*key);
             let open: Vec<u32> = self.held.iter().filter_map(open).collect();
-            if !open.into_iter().any(|key| self.settle(key).is_ok()) {
+            if !open.into_iter().any(|key| self.activate(key).is_ok()) {
                 return;
             }
         }
     }
 }
 
-impl Applier for Carried {
-    fn stale(&mut self, key: &[u8]) {
-        if key.len() > KEY || self.stale.len() >= STALE {
-            return self.all_stale();
+impl Applier for StagingApplier {
+    fn mark_stale(&mut self, key: &[u8]) {
+        if key.len() > MAX_KEY_BYTES || self.stale.len() >= MAX_STALE_KEYS {
+            return self.mark_all_stale();
         }
         self.stale.insert(key.into());
     }
 
-    fn all_stale(&mut self) {
+    fn mark_all_stale(&mut self) {
         self.stale.clear();
         self.all_stale += 1;
     }
 
     fn configure(&mut self, stream: StreamId, key: u32, body: &[u8]) -> Result<String, Refusal> {
         let refusal = |why: &str| Refusal(why.to_owned());
-        let (version, lines) = body.split_at_checked(VERSION).ok_or_else(|| refusal("no version"))?;
+        let (version, lines) = body.split_at_checked(VERSION_BYTES).ok_or_else(|| refusal("no version"))?;
         let version = u64::from_be_bytes(version.try_into().map_err(|_| refusal("no version"))?);
         let lines: Rc<str> = std::str::from_utf8(lines).map_err(|_| refusal("no text"))?.into();
-        let name = file::about(&lines).ok_or_else(|| refusal("lines that are not about one setting"))?;
+        let name =
+            file::setting_name(&lines).ok_or_else(|| refusal("lines that are not about one setting"))?;
         if self::key(name) != key {
             return Err(refusal("lines that are not about the change's key"));
         }
         let name = name.to_owned();
-        if !self.held.contains_key(&key) && self.held.len() >= SETTINGS {
+        if !self.held.contains_key(&key) && self.held.len() >= MAX_SETTINGS {
             // There are not so many settings: some of these are none, and make room.
             let unfit = self.held.keys().find(|key| !self.good.contains_key(key)).copied();
             let unfit = unfit.ok_or_else(|| refusal("more settings than can be carried"))?;
@@ -171,13 +175,13 @@
         // Another stream has a newer one: this one has been overwritten already.
         let newest = of.values().max().is_none_or(|s| s.stream == stream);
         if newest {
-            self.settle(key)?;
-            self.settle_rest();
+            self.activate(key)?;
+            self.activate_rest();
         }
         Ok(name)
     }
 
-    fn void(&mut self, stream: StreamId) {
+    fn void_stream(&mut self, stream: StreamId) {
         self.held.values_mut().for_each(|of| drop(of.remove(&stream)));
         self.held.retain(|_, of| !of.is_empty());
         let gone: Vec<u32> =
@@ -185,9 +189,9 @@
         for key in gone {
             self.good.remove(&key);
             // Of what is left, what does not fit stays out.
-            let _ = self.settle(key);
+            let _ = self.activate(key);
         }
-        self.settle_rest();
+        self.activate_rest();
     }
 
     fn counts(&self) -> Counts {
--- a/src/features/follower/applier/tests.rs
+++ b/src/features/follower/applier/tests.rs
@@ -4,21 +4,21 @@
 
 const OWN: &str = "tapport 7101\ntapsample 0.5 # half\ndeny 10.0.0.0/8\ndeny 10.1.0.0/16\n";
 
-fn carried() -> Carried {
-    Carried::new(OWN.into(), Rc::new(Site::default()))
+fn carried() -> StagingApplier {
+    StagingApplier::new(OWN.into(), Rc::new(Site::default()))
 }
 
 fn of(store: u8) -> StreamId {
     StreamId { topic: 1, store: ControlId(store) }
 }
 
-fn change(to: &mut Carried, store: u8, version: u64, lines: &str) -> Result<String, Refusal> {
-    let name = file::about(lines).expect("one setting");
+fn change(to: &mut StagingApplier, store: u8, version: u64, lines: &str) -> Result<String, Refusal> {
+    let name = file::setting_name(lines).expect("one setting");
     to.configure(of(store), key(name), &body(version, lines))
 }
 
 /// Lines of the text that say something.
-fn said(of: &Carried) -> Vec<String> {
+fn said(of: &StagingApplier) -> Vec<String> {
     of.text().lines().map(str::trim).filter(|l| !l.is_empty()).map(str::to_owned).collect()
 }
 
@@ -112,7 +112,7 @@
     assert!(change(&mut to, 0, 1, "tapsample 0.1").is_ok());
     assert!(change(&mut to, 1, 2, "tapsample 0.2").is_ok());
     assert!(change(&mut to, 1, 3, "tapport 7200").is_ok());
-    to.void(of(1));
+    to.void_stream(of(1));
     assert_eq!(to.counts().settings, 1);
     assert!(to.text().contains("tapsample 0.1\n") && to.text().contains("tapport 7101\n"), "{}", to.text());
 }
@@ -120,14 +120,14 @@
 #[test]
 fn the_record_of_what_is_stale_is_bounded_and_forgets_nothing() {
     let mut to = carried();
-    (0..STALE as u64).for_each(|n| to.stale(&n.to_be_bytes()));
-    to.stale(&0u64.to_be_bytes());
+    (0..MAX_STALE_KEYS as u64).for_each(|n| to.mark_stale(&n.to_be_bytes()));
+    to.mark_stale(&0u64.to_be_bytes());
     assert_eq!(to.counts(), Counts { stale: 0, all_stale: 1, settings: 0 });
-    to.stale(b"a key");
+    to.mark_stale(b"a key");
     assert!(to.is_stale(b"a key") && !to.is_stale(b"another"));
-    to.stale(&[0; KEY + 1]);
+    to.mark_stale(&[0; MAX_KEY_BYTES + 1]);
     assert_eq!((to.counts().stale, to.counts().all_stale), (0, 2));
-    to.all_stale();
+    to.mark_all_stale();
     assert_eq!(to.counts().all_stale, 3);
 }
 
@@ -135,11 +135,11 @@
 #[test]
 fn settings_that_are_carried_are_bounded() {
     let mut to = carried();
-    for n in 0..2 * SETTINGS {
+    for n in 0..2 * MAX_SETTINGS {
         assert!(change(&mut to, 0, 1, &format!("nonesuch{n} 1")).is_err());
-        assert!(to.held.len() <= SETTINGS);
+        assert!(to.held.len() <= MAX_SETTINGS);
     }
     assert_eq!(change(&mut to, 0, 1, "tapport 1"), Ok("tapport".into()));
     assert!(change(&mut to, 0, 1, "nonesuch 1").is_err());
-    assert!(to.held.len() <= SETTINGS && to.text().contains("tapport 1\n"));
+    assert!(to.held.len() <= MAX_SETTINGS && to.text().contains("tapport 1\n"));
 }
--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -2,8 +2,8 @@
 //! as the module's event. It owns the [`plan::Forwarder`] of this proxy and the names of its nodes; no socket
 //! and no clock, so that virtual time can drive it too. Without `planner` lines there is none.
 //!
-//! Feed it [`NodeEvent`] and [`Record`]s, what planners' connections say, and [`Forwarding::tick`] at
-//! [`Forwarding::next`]; carry out its [`Wish`]es.
+//! Feed it [`NodeEvent`] and [`Record`]s, what planners' connections say, and [`ForwarderDriver::tick`] at
+//! [`ForwarderDriver::next`]; carry out its [`HostAction`]es.
 
 use crate::codec::discovery;
 use crate::core::{NodeEvent, Record, StreamOutcome};
@@ -35,7 +35,7 @@
 
 /// What is to be done for it.
 #[derive(Debug)]
-pub enum Wish {
+pub enum HostAction {
     /// Connect to the planner of a slot.
     Dial(usize),
     Send(usize, Message),
@@ -47,7 +47,7 @@
 
 /// See the file's comment.
 #[derive(Debug)]
-pub struct Forwarding {
+pub struct ForwarderDriver {
     machine: Forwarder,
     planners: Vec<SocketAddr>,
     members: BTreeMap<ServerId, (Member, Rc<str>)>,
@@ -85,7 +85,7 @@
     }
 }
 
-impl Forwarding {
+impl ForwarderDriver {
     /// For a proxy of this name, with the list as it is known; `seed` is new with each start.
     pub fn new(
         now: Micros,
@@ -111,7 +111,7 @@
             event = "forwarder",
             planners, forwarders, "forwarder {id:016x} of {forwarders}, {planners} planners"
         );
-        let mut forwarding = Forwarding {
+        let mut forwarding = ForwarderDriver {
             machine: Forwarder::new(now, rules, config)?,
             planners: settings.planners,
             members: BTreeMap::new(),
@@ -135,7 +135,7 @@
     }
 
     /// Something went on at a node.
-    pub fn seen(&mut self, now: Micros, seen: NodeEvent) {
+    pub fn handle_node_event(&mut self, now: Micros, seen: NodeEvent) {
         match seen {
             NodeEvent::Listed { revision, form, nodes } => self.list(now, revision, form, nodes),
             NodeEvent::StreamTaken { class, tenant, write } => {
@@ -226,9 +226,15 @@
     }
 
     /// A planner has said something.
-    pub fn said(&mut self, now: Micros, slot: usize, message: &Message, wishes: &mut Vec<Wish>) {
+    pub fn handle_message(
+        &mut self,
+        now: Micros,
+        slot: usize,
+        message: &Message,
+        wishes: &mut Vec<HostAction>,
+    ) {
         if let Err(why) = self.machine.message(now, slot, message, &mut self.out) {
-            wishes.push(Wish::Close(slot));
+            wishes.push(HostAction::Close(slot));
             self.down(now, slot, &why.to_string());
         }
     }
@@ -238,13 +244,13 @@
         self.machine.in_force()
     }
 
-    /// When [`Forwarding::tick`] has something to do.
+    /// When [`ForwarderDriver::tick`] has something to do.
     pub fn next(&self, now: Micros) -> Micros {
         self.machine.next(now)
     }
 
     /// Does what is due, and hands out what is to be done.
-    pub fn tick(&mut self, now: Micros, wishes: &mut Vec<Wish>) {
+    pub fn tick(&mut self, now: Micros, wishes: &mut Vec<HostAction>) {
         if self.machine.next(now) <= now {
             self.machine.tick(now, &mut self.out);
             // What stands fades, whether anything came or went.
@@ -253,8 +259,8 @@
         let mut stands = false;
         for output in std::mem::take(&mut self.out) {
             match output {
-                Output::Dial(slot) => wishes.push(Wish::Dial(slot)),
-                Output::Send(slot, message) => wishes.push(Wish::Send(slot, message)),
+                Output::Dial(slot) => wishes.push(HostAction::Dial(slot)),
+                Output::Send(slot, message) => wishes.push(HostAction::Send(slot, message)),
                 Output::GuidanceChanged => stands = true,
                 Output::Refused(slot, why) => {
                     let planner = self.address(slot).map(tracing::field::display);
@@ -268,17 +274,17 @@
             let plan = self.plan(now);
             if plan != self.said {
                 self.said = plan.clone();
-                wishes.push(Wish::Plan(plan));
+                wishes.push(HostAction::Plan(plan));
             }
         }
     }
 
     /// The planned end.
-    pub fn bye(&mut self, wishes: &mut Vec<Wish>) {
+    pub fn bye(&mut self, wishes: &mut Vec<HostAction>) {
         let mut out = Vec::new();
         self.machine.bye(&mut out);
         let send = |o| match o {
-            Output::Send(slot, message) => Some(Wish::Send(slot, message)),
+            Output::Send(slot, message) => Some(HostAction::Send(slot, message)),
             _ => None,
         };
         wishes.extend(out.into_iter().filter_map(send));
--- a/src/features/multiget.rs
+++ b/src/features/multiget.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 
 /// Reads that all multi-gets together may have open or unread: each can bring a value of 64 KB.
-pub const READS: usize = 256;
+pub const MAX_OPEN_READS: usize = 256;
 /// Bytes of the commands of one multi-get: a plain read each, and one with as much as a command may hold.
-const READ: usize = 1024;
+const READ_BYTES: usize = 1024;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
@@ -26,11 +26,11 @@
     }
 }
 
-/// The reads of one multi-get among [`READS`]; given back when dropped.
+/// The reads of one multi-get among [`MAX_OPEN_READS`]; given back when dropped.
 #[derive(Debug)]
-struct Seats(Rc<Cell<usize>>, usize);
+struct ReadPermits(Rc<Cell<usize>>, usize);
 
-impl Drop for Seats {
+impl Drop for ReadPermits {
     fn drop(&mut self) {
         self.0.set(self.0.get() - self.1);
     }
@@ -49,22 +49,22 @@
 
 /// The multi-gets of one downstream, one after the other.
 #[derive(Debug)]
-pub struct Batches {
+pub struct MultigetProtocol {
     words: Rc<Vocabulary>,
     max_keys: usize,
     open: Rc<Cell<usize>>,
     batch: Option<Batch>,
-    seats: Option<Seats>,
+    permits: Option<ReadPermits>,
 }
 
-impl Batches {
+impl MultigetProtocol {
     /// `open` is the number of reads that all downstreams have open.
     pub fn new(settings: &Settings, words: Rc<Vocabulary>, open: Rc<Cell<usize>>) -> Self {
-        Batches { words, max_keys: settings.max_keys, open, batch: None, seats: None }
+        MultigetProtocol { words, max_keys: settings.max_keys, open, batch: None, permits: None }
     }
 }
 
-impl Protocol for Batches {
+impl Protocol for MultigetProtocol {
     fn streams(&self) -> usize {
         self.max_keys
     }
@@ -80,7 +80,7 @@
 
     /// The answer to a multi-get is written, so that another may be read.
     fn written(&mut self) {
-        self.seats = None;
+        self.permits = None;
     }
 
     fn take(&mut self, downstream: DownstreamId, first: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
@@ -105,7 +105,7 @@
     }
 }
 
-impl Batches {
+impl MultigetProtocol {
     /// The reads of a multi-get come out together, in places from `first` on, once all of them are there and
     /// every one is sound.
     fn command(
@@ -117,7 +117,7 @@
     ) -> Parsed {
         let Some(batch) = &mut self.batch else { return self.begin(downstream, first, command) };
         batch.bytes += bytes;
-        if batch.bytes > resp::MAX_COMMAND + batch.wanted * READ {
+        if batch.bytes > resp::MAX_COMMAND + batch.wanted * READ_BYTES {
             return Parsed::Close(error("ERR the reads are too long"));
         }
         let read = read(&self.words, downstream, first + batch.taken as u64, command);
@@ -137,11 +137,11 @@
         if let Some(fault) = batch.fault {
             return Parsed::Local(error(&format!("ERR {fault}")));
         }
-        if self.open.get() + batch.wanted > READS {
+        if self.open.get() + batch.wanted > MAX_OPEN_READS {
             return Parsed::Local(error("BUSY"));
         }
         self.open.set(self.open.get() + batch.wanted);
-        self.seats = Some(Seats(self.open.clone(), batch.wanted));
+        self.permits = Some(ReadPermits(self.open.clone(), batch.wanted));
         Parsed::Asks(batch.asks)
     }
 
--- a/src/features/planner.rs
+++ b/src/features/planner.rs
@@ -2,7 +2,7 @@
 //! the connections of forwarders, a task each ([`crate::net::framed`]). Nothing is kept over a restart.
 
 use crate::clock::Clock;
-use crate::features::addresses::Lists;
+use crate::features::addresses::AddressLists;
 use crate::interface::Micros;
 use crate::net::framed::{self, Outbox};
 use crate::net::unmapped;
@@ -58,7 +58,7 @@
     planner: Planner,
     peers: BTreeMap<PeerId, Peer>,
     last: PeerId,
-    lists: Lists,
+    lists: AddressLists,
     queue: Sender<News>,
     executor: Rc<LocalExecutor<'static>>,
     lines: u64,
@@ -71,7 +71,7 @@
 pub async fn run(
     address: SocketAddr,
     rules: Rules,
-    lists: Lists,
+    lists: AddressLists,
     executor: Rc<LocalExecutor<'static>>,
 ) -> Result<(), String> {
     let failed = |e| format!("cannot listen on {address}: {e}");
--- a/src/features/snmp/boots.rs
+++ b/src/features/snmp/boots.rs
@@ -11,9 +11,9 @@
 use std::path::Path;
 
 /// 2020-01-01 as Unix time: the clock's boots last till 2088.
-const EPOCH: i64 = 1_577_836_800;
+const CLOCK_BASE: i64 = 1_577_836_800;
 /// More than any such file has.
-const LONGEST: u64 = 1024;
+const MAX_FILE: u64 = 1024;
 
 /// What a start is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,43 +23,43 @@
     pub warm: bool,
 }
 
-/// The file's two numbers: boots, and the mark of the settings.
+/// The file's two numbers: boots, and the fingerprint of the settings.
 fn read(path: &Path) -> Result<Option<(u32, u64)>, String> {
     match fs::metadata(path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(e.to_string()),
-        Ok(about) if about.len() > LONGEST => return Err("not a file of ours".into()),
+        Ok(about) if about.len() > MAX_FILE => return Err("not a file of ours".into()),
         Ok(_) => {}
     }
     let text = fs::read_to_string(path).map_err(|e| e.to_string())?;
     let mut lines = text.lines();
     let mut line = |name: &str| lines.next().and_then(|l| l.strip_prefix(name)).map(str::to_owned);
     let boots = line("boots ").and_then(|n| n.parse().ok());
-    let mark = line("settings ").and_then(|n| u64::from_str_radix(&n, 16).ok());
-    boots.zip(mark).map(Some).ok_or_else(|| "not a file of ours".into())
+    let fingerprint = line("settings ").and_then(|n| u64::from_str_radix(&n, 16).ok());
+    boots.zip(fingerprint).map(Some).ok_or_else(|| "not a file of ours".into())
 }
 
 /// Writes it so that it is there whole or as it was, whenever the machine stops.
-fn write(path: &Path, boots: u32, mark: u64) -> std::io::Result<()> {
+fn write(path: &Path, boots: u32, fingerprint: u64) -> std::io::Result<()> {
     let new = path.with_extension("new");
     let mut file = fs::File::create(&new)?;
-    file.write_all(format!("boots {boots}\nsettings {mark:016x}\n").as_bytes())?;
+    file.write_all(format!("boots {boots}\nsettings {fingerprint:016x}\n").as_bytes())?;
     file.sync_all()?;
     fs::rename(&new, path)
 }
 
-/// Counts a start at this Unix time in seconds, with the settings of this mark. What is wrong with the file
+/// Counts a start at this Unix time in seconds, with the settings of this fingerprint. What is wrong with the file
 /// comes with it: the clock goes on counting without it.
-pub fn count(path: Option<&Path>, unix: i64, mark: u64) -> (Start, Option<String>) {
-    let by_clock = u32::try_from(unix - EPOCH).unwrap_or(0).clamp(1, i32::MAX as u32);
+pub fn count(path: Option<&Path>, unix: i64, fingerprint: u64) -> (Start, Option<String>) {
+    let by_clock = u32::try_from(unix - CLOCK_BASE).unwrap_or(0).clamp(1, i32::MAX as u32);
     let Some(path) = path else { return (Start { boots: by_clock, warm: false }, None) };
     let (known, unread) = match read(path) {
         Ok(known) => (known, None),
         Err(why) => (None, Some(why)),
     };
     let boots = known.map_or(0, |(boots, _)| boots.saturating_add(1)).max(by_clock).min(i32::MAX as u32);
-    let warm = known.is_some_and(|(_, before)| before == mark);
-    let unwritten = write(path, boots, mark).err().map(|e| e.to_string());
+    let warm = known.is_some_and(|(_, before)| before == fingerprint);
+    let unwritten = write(path, boots, fingerprint).err().map(|e| e.to_string());
     (Start { boots, warm }, unread.or(unwritten))
 }
 
--- a/src/features/snmp/boots/tests.rs
+++ b/src/features/snmp/boots/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-const NOW: i64 = EPOCH + 1000;
+const NOW: i64 = CLOCK_BASE + 1000;
 
 #[test]
 fn boots_never_go_back_whatever_the_clock_and_the_file_do() {
     let dir = std::env::temp_dir().join(format!("martenweir-boots-{}", std::process::id()));
     fs::create_dir_all(&dir).expect("a folder");
     let path = dir.join("state");
-    let start = |unix, mark| count(Some(&path), unix, mark);
+    let start = |unix, fingerprint| count(Some(&path), unix, fingerprint);
     assert_eq!(start(NOW, 5), (Start { boots: 1000, warm: false }, None));
     assert_eq!(start(NOW, 5).0, Start { boots: 1001, warm: true }, "at once again");
     assert_eq!(start(NOW - 500, 6).0, Start { boots: 1002, warm: false }, "the clock was set back");
@@ -20,6 +20,6 @@
     assert_eq!(start(NOW, 6).0.boots, i32::MAX as u32, "it stays at the last");
     let nowhere = dir.join("none").join("state");
     assert!(count(Some(&nowhere), NOW, 5).1.is_some());
-    assert_eq!(count(None, EPOCH - 5, 5).0, Start { boots: 1, warm: false });
+    assert_eq!(count(None, CLOCK_BASE - 5, 5).0, Start { boots: 1, warm: false });
     fs::remove_dir_all(&dir).expect("the folder goes");
 }
--- a/src/features/snmp/mod.rs
+++ b/src/features/snmp/mod.rs
@@ -7,9 +7,9 @@
 
 pub(crate) mod boots;
 mod settings;
-pub mod sight;
+pub mod snapshot_builder;
 
-pub use settings::{Lines, Settings};
+pub use settings::{SettingLines, Settings};
 
 use crate::core::{Record, Refusal, StreamOutcome};
 use crate::interface::Micros;
@@ -18,7 +18,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
-use sight::{Owned, Sight};
+use snapshot_builder::{OwnerStatus, SnapshotBuilder};
 use snmp::reader::DATAGRAM;
 use snmp::tally::{self, Reason, Stream, Tally};
 use snmp::tree::Own;
@@ -58,7 +58,7 @@
     notifier: RefCell<Notifier>,
     watch: RefCell<Watch>,
     tally: RefCell<Tally>,
-    sight: RefCell<Sight>,
+    snapshot_builder: RefCell<SnapshotBuilder>,
     /// Swapped, never changed.
     published: RefCell<Rc<Snapshot>>,
     /// What the last requests were answered from, and when it was built.
@@ -86,7 +86,7 @@
 impl Snmp {
     /// `now` is Unix time at the start, as the owner's clock has it.
     pub fn new(now: Micros, settings: Settings, identity: Identity) -> Self {
-        let (start, why) = boots::count(settings.state.as_deref(), now / 1_000_000, settings.mark);
+        let (start, why) = boots::count(settings.state.as_deref(), now / 1_000_000, settings.fingerprint);
         if let Some((why, file)) = why.zip(settings.state.as_ref()) {
             let file = file.display().to_string();
             warn!(event = "snmp_state", file, why, "snmp: {file}: {why}; boots go by the clock");
@@ -99,13 +99,13 @@
         notifier.started(now, start.warm);
         let (wake, woken) = async_channel::bounded(1);
         let tally = Tally::new(now, &identity.site.classes, &identity.site.tenants);
-        let sight = Sight::new(now, identity.name, identity.site, settings.fleet_least);
+        let snapshot_builder = SnapshotBuilder::new(now, identity.name, identity.site, settings.fleet_least);
         let snmp = Snmp {
             agent: RefCell::new(agent),
             notifier: RefCell::new(notifier),
             watch: RefCell::new(Watch::new(now)),
             tally: RefCell::new(tally),
-            sight: RefCell::new(sight),
+            snapshot_builder: RefCell::new(snapshot_builder),
             published: RefCell::default(),
             tree: RefCell::default(),
             wake,
@@ -143,7 +143,7 @@
 
     /// The configuration was read again.
     pub fn reloaded(&self) {
-        self.sight.borrow_mut().reloads += 1;
+        self.snapshot_builder.borrow_mut().reloads += 1;
     }
 
     /// Whether the last snapshot is old enough for another.
@@ -152,9 +152,9 @@
     }
 
     /// Publishes what there is to see, and hands on what changed since.
-    pub fn publish(&self, now: Micros, survey: crate::core::status::ClusterStatus, owned: Owned) {
+    pub fn publish(&self, now: Micros, survey: crate::core::status::ClusterStatus, owned: OwnerStatus) {
         let mut tally = self.tally.borrow_mut();
-        let snapshot = Rc::new(self.sight.borrow_mut().take(now, survey, &mut tally, owned));
+        let snapshot = Rc::new(self.snapshot_builder.borrow_mut().take(now, survey, &mut tally, owned));
         if owned.ready {
             // Before that the list is as old as the configuration, and nothing was asked yet.
             let changes = self.watch.borrow_mut().look(now, &snapshot);
--- a/src/features/snmp/settings.rs
+++ b/src/features/snmp/settings.rs
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 
 /// The longest contact, location or path.
-const TEXT: usize = 255;
+const MAX_TEXT: usize = 255;
 
 /// What the agent is to be.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,7 +29,7 @@
     /// Fewer usable nodes than this are told; 0 is half of those that are listed as serving.
     pub fleet_least: u32,
     /// A hash of all lines but their secrets: whether the agent starts with the settings that it had before.
-    pub mark: u64,
+    pub fingerprint: u64,
 }
 
 /// A line whose words mean something only with the other lines.
@@ -41,7 +41,7 @@
 
 /// The lines, as they are read.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct SettingLines {
     port: Option<u16>,
     enterprise: Option<u32>,
     open: bool,
@@ -53,7 +53,7 @@
     communities: Vec<Line>,
     users: Vec<Line>,
     targets: Vec<Line>,
-    mark: u64,
+    fingerprint: u64,
 }
 
 fn number<T: std::str::FromStr + Copy>(
@@ -72,14 +72,14 @@
 
 fn text(value: &str) -> Result<String, String> {
     match value.len() {
-        1..=TEXT => Ok(value.to_owned()),
-        _ => Err(format!("a text of up to {TEXT} bytes is wanted")),
+        1..=MAX_TEXT => Ok(value.to_owned()),
+        _ => Err(format!("a text of up to {MAX_TEXT} bytes is wanted")),
     }
 }
 
-/// The words of a line that are no secret: the mark of the settings is kept in a file, and must not help anybody
+/// The words of a line that are no secret: the fingerprint of the settings is kept in a file, and must not help anybody
 /// to guess a passphrase or a community.
-fn open<'a>(name: &'a str, words: &'a [String]) -> impl Iterator<Item = &'a str> {
+fn public_words<'a>(name: &'a str, words: &'a [String]) -> impl Iterator<Item = &'a str> {
     let secret = move |at: usize| match name {
         "snmpcommunity" => at == 0,
         "snmptrapto" => at == 3 && words[2] == "community",
@@ -89,18 +89,19 @@
     words.iter().enumerate().filter(move |(at, _)| !secret(*at)).map(|(_, word)| word.as_str())
 }
 
-impl Lines {
+impl SettingLines {
     /// Whether a line with this name may stand more than once.
-    pub fn many(name: &str) -> bool {
+    pub fn is_repeatable(name: &str) -> bool {
         matches!(name, "snmpview" | "snmpcommunity" | "snmpuser" | "snmptrapto")
     }
 
     /// Takes the line with this number. An error never repeats a passphrase.
     pub fn set(&mut self, number_of_line: usize, name: &str, value: &str) -> Result<(), String> {
         let words: Vec<String> = value.split_whitespace().map(str::to_owned).collect();
-        for word in std::iter::once(name).chain(open(name, &words)) {
+        for word in std::iter::once(name).chain(public_words(name, &words)) {
             for byte in word.bytes().chain([b'\n']) {
-                self.mark = (self.mark ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3).rotate_left(1);
+                self.fingerprint =
+                    (self.fingerprint ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3).rotate_left(1);
             }
         }
         let line = Line { number: number_of_line, words };
@@ -253,7 +254,7 @@
         let targets = self
             .targets
             .iter()
-            .map(|line| Lines::target(line, &access).map_err(|what| of(line, "snmptrapto", what)));
+            .map(|line| SettingLines::target(line, &access).map_err(|what| of(line, "snmptrapto", what)));
         let targets = targets.collect::<Result<_, _>>()?;
         Ok(self.port.map(|port| Settings {
             port,
@@ -264,7 +265,7 @@
             contact: self.contact,
             location: self.location,
             fleet_least: self.fleet_least,
-            mark: self.mark,
+            fingerprint: self.fingerprint,
         }))
     }
 }
--- a/src/features/snmp/settings/tests.rs
+++ b/src/features/snmp/settings/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-fn mark(line: &str) -> u64 {
+fn fingerprint(line: &str) -> u64 {
     let (name, value) = line.split_once(' ').expect("a value");
-    let mut lines = Lines::default();
+    let mut lines = SettingLines::default();
     lines.set(1, name, value).expect("a line");
-    lines.mark
+    lines.fingerprint
 }
 
 #[test]
@@ -14,12 +14,12 @@
         ("snmpuser u sha256 passphrase aes passphrase", "snmpuser u sha256 12345678 aes 87654321"),
         ("snmptrapto trap 10.0.0.9:162 community one", "snmptrapto trap 10.0.0.9:162 community other"),
     ];
-    assert!(same.iter().all(|(a, b)| mark(a) == mark(b)));
+    assert!(same.iter().all(|(a, b)| fingerprint(a) == fingerprint(b)));
     let others = [
         ("snmpcommunity one 10.0.0.0/8 view v", "snmpcommunity one 10.0.0.0/9 view v"),
         ("snmpuser u sha256 passphrase aes passphrase", "snmpuser w sha256 passphrase aes passphrase"),
         ("snmptrapto trap 10.0.0.9:162 user one", "snmptrapto trap 10.0.0.9:162 user other"),
         ("snmpuser u noauth view v", "snmpuser u noauth view w"),
     ];
-    assert!(others.iter().all(|(a, b)| mark(a) != mark(b)));
+    assert!(others.iter().all(|(a, b)| fingerprint(a) != fingerprint(b)));
 }
--- a/src/features/snmp/sight.rs
+++ b/src/features/snmp/snapshot_builder.rs
@@ -16,7 +16,7 @@
 
 /// What the owner knows beside the core.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Owned {
+pub struct OwnerStatus {
     pub ready: bool,
     pub downstreams: usize,
     pub downstreams_limit: usize,
@@ -31,7 +31,7 @@
 
 /// What stays from one snapshot to the next.
 #[derive(Debug)]
-pub struct Sight {
+pub struct SnapshotBuilder {
     pub started: Micros,
     pub name: Rc<str>,
     pub version: Rc<str>,
@@ -84,10 +84,10 @@
     }
 }
 
-impl Sight {
+impl SnapshotBuilder {
     pub fn new(started: Micros, name: &str, site: Rc<Site>, fleet_least: u32) -> Self {
         let names = |names: &[String]| names.iter().map(|n| n.as_str().into()).collect();
-        Sight {
+        SnapshotBuilder {
             started,
             name: name.into(),
             version: env!("CARGO_PKG_VERSION").into(),
@@ -129,7 +129,13 @@
     }
 
     /// The snapshot of this moment.
-    pub fn take(&mut self, now: Micros, survey: ClusterStatus, tally: &mut Tally, o: Owned) -> Snapshot {
+    pub fn take(
+        &mut self,
+        now: Micros,
+        survey: ClusterStatus,
+        tally: &mut Tally,
+        o: OwnerStatus,
+    ) -> Snapshot {
         let ledger = ledger(&survey);
         let ClusterStatus { nodes, revision, heard, told, .. } = survey;
         let nodes: Vec<Node> = nodes.into_iter().map(|seen| self.node(now, seen)).collect();
--- a/src/features/tap.rs
+++ b/src/features/tap.rs
@@ -15,11 +15,11 @@
 use std::rc::Rc;
 
 /// The longest filter, and the most bytes written at once.
-const FILTER: usize = 256;
-const WRITE: usize = 16 * 1024;
+const MAX_FILTER: usize = 256;
+const MAX_WRITE: usize = 16 * 1024;
 /// Lines of the proxy's own.
 pub(crate) const CUT: &[u8] = b"# cut slow\n";
-const NONE: &str = "no filter came";
+const NO_FILTER: &str = "no filter came";
 pub(crate) const REFUSED: &str = "# refused: ";
 
 #[derive(Clone, Debug, PartialEq)]
@@ -104,12 +104,12 @@
     }
 
     fn write(&mut self, mut to: &TcpStream) -> io::Result<usize> {
-        let end = self.bytes.len().min(self.written + WRITE);
+        let end = self.bytes.len().min(self.written + MAX_WRITE);
         let n = uninterrupted(|| to.write(&self.bytes[self.written..end]))?;
         self.written += n;
         if self.left() == 0 {
             *self = Lines { cut: self.cut, ..Lines::default() };
-        } else if self.written > WRITE {
+        } else if self.written > MAX_WRITE {
             // The line that is half out stays, to tell that it is.
             let start = self.bytes[..self.written].iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1);
             self.bytes.drain(..start);
@@ -136,9 +136,9 @@
 }
 
 /// A watcher's place among the few there are; given back when dropped.
-struct Seat<'a>(&'a Tap, Rc<Watcher>);
+struct Registration<'a>(&'a Tap, Rc<Watcher>);
 
-impl Drop for Seat<'_> {
+impl Drop for Registration<'_> {
     fn drop(&mut self) {
         self.0.watchers.borrow_mut().retain(|w| !Rc::ptr_eq(w, &self.1));
     }
@@ -150,11 +150,11 @@
     }
 
     /// Somebody watches, so that records are wanted.
-    pub fn watched(&self) -> bool {
+    pub fn has_watchers(&self) -> bool {
         !self.watchers.borrow().is_empty()
     }
 
-    fn join(&self, filter: Filter) -> Result<(Seat<'_>, Receiver<()>), String> {
+    fn join(&self, filter: Filter) -> Result<(Registration<'_>, Receiver<()>), String> {
         let mut watchers = self.watchers.borrow_mut();
         if watchers.len() >= self.settings.watchers {
             return Err(format!("{} watchers are connected already", watchers.len()));
@@ -162,7 +162,7 @@
         let (wake, woken) = async_channel::bounded(1);
         let watcher = Rc::new(Watcher { filter, lines: RefCell::default(), wake });
         watchers.push(watcher.clone());
-        Ok((Seat(self, watcher), woken))
+        Ok((Registration(self, watcher), woken))
     }
 
     /// A request follows from its id alone into the sample: every proxy picks the same, none draws.
@@ -219,22 +219,22 @@
 /// Serves a watcher until it leaves, reads too slowly or the program ends.
 pub async fn serve(link: Link, tap: Rc<Tap>) {
     let (link, tap) = (&link, &tap);
-    let seat = filter(link, &tap.site).await.and_then(|f| tap.join(f));
-    let left = match seat {
-        Ok((seat, woken)) => {
+    let registration = filter(link, &tap.site).await.and_then(|f| tap.join(f));
+    let left = match registration {
+        Ok((registration, woken)) => {
             let note = Note::new("tap_watches", format!("tap: {} watches", link.caller)).caller(&link.caller);
             tell(&link.queue, note).await;
             link.progress.set(Waits::Answer);
-            match stream(link, &seat, &woken).await {
+            match stream(link, &registration, &woken).await {
                 Some(waits) => link.progress.set(waits),
                 None => return,
             }
-            if seat.1.lines.borrow().cut {
+            if registration.1.lines.borrow().cut {
                 let text = format!("tap: {} cut, it reads too slowly", link.caller);
                 tell(&link.queue, Note::new("tap_cut", text).caller(&link.caller)).await;
             }
             // Its place is free from here on, and no line comes any more.
-            seat.1.lines.take()
+            registration.1.lines.take()
         }
         Err(why) => {
             link.progress.set(Waits::Close);
@@ -253,11 +253,11 @@
     let mut input = link.input.take();
     loop {
         if link.finishing && link.socket.is_quiet() {
-            return Err(NONE.into());
+            return Err(NO_FILTER.into());
         }
         let line = input.iter().position(|b| *b == b'\n');
-        if line.unwrap_or(input.len()) > FILTER {
-            return Err(format!("the filter is longer than {FILTER} bytes"));
+        if line.unwrap_or(input.len()) > MAX_FILTER {
+            return Err(format!("the filter is longer than {MAX_FILTER} bytes"));
         }
         if let Some(end) = line {
             return Filter::parse(&input[..end], site);
@@ -271,14 +271,14 @@
         };
         match future::or(order, read(&link.socket, &mut input)).await {
             Ok(1..) => {}
-            _ => return Err(NONE.into()),
+            _ => return Err(NO_FILTER.into()),
         }
     }
 }
 
 /// Passes lines on. Comes back with what is waited for while the rest is written; `None` if nobody reads it.
-async fn stream(link: &Link, seat: &Seat<'_>, woken: &Receiver<()>) -> Option<Waits> {
-    let lines = &seat.1.lines;
+async fn stream(link: &Link, registration: &Registration<'_>, woken: &Receiver<()>) -> Option<Waits> {
+    let lines = &registration.1.lines;
     let mut input = Vec::new();
     loop {
         let (left, cut) = (lines.borrow().left(), lines.borrow().cut);
--- a/src/log/filter.rs
+++ b/src/log/filter.rs
@@ -8,7 +8,7 @@
 
 /// A directive that was left out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Invalid(pub String);
+pub struct InvalidDirective(pub String);
 
 /// Directives, those of longer modules first.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
 
 impl Filter {
     /// Reads directives; what cannot be read is left out and comes back.
-    pub fn new(text: &str) -> (Filter, Vec<Invalid>) {
+    pub fn new(text: &str) -> (Filter, Vec<InvalidDirective>) {
         let (mut directives, mut invalid) = (Vec::<(String, LevelFilter)>::new(), Vec::new());
         for directive in text.split(',').map(str::trim).filter(|d| !d.is_empty()) {
             let read = match directive.split_once('=') {
@@ -41,7 +41,7 @@
                     directives.retain(|(known, _)| known != module);
                     directives.push((module.to_owned(), level));
                 }
-                None => invalid.push(Invalid(directive.chars().take(80).collect())),
+                None => invalid.push(InvalidDirective(directive.chars().take(80).collect())),
             }
         }
         if directives.is_empty() {
@@ -58,7 +58,7 @@
     }
 
     /// The most verbose level that any module is told at.
-    pub fn most(&self) -> LevelFilter {
+    pub fn max_level(&self) -> LevelFilter {
         self.directives.iter().map(|(_, level)| *level).max().unwrap_or(LevelFilter::OFF)
     }
 }
--- a/src/log/format.rs
+++ b/src/log/format.rs
@@ -8,7 +8,7 @@
 use tracing::{Level, Metadata};
 
 /// Bytes of one message or field; the rest is cut off. Only what a peer sent could be as long.
-const MOST: usize = 4096;
+const MAX_TEXT: usize = 4096;
 /// Where a message of several lines goes on, so that none of them looks like a line of its own.
 const INDENT: &str = "    ";
 
@@ -22,24 +22,24 @@
 
 /// A form of lines that there is not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unknown;
+pub struct UnknownFormat;
 
-impl std::error::Error for Unknown {}
+impl std::error::Error for UnknownFormat {}
 
-impl fmt::Display for Unknown {
+impl fmt::Display for UnknownFormat {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("no form of the log, text and json are")
     }
 }
 
 impl FromStr for Format {
-    type Err = Unknown;
+    type Err = UnknownFormat;
 
-    fn from_str(text: &str) -> Result<Format, Unknown> {
+    fn from_str(text: &str) -> Result<Format, UnknownFormat> {
         match text {
             "text" => Ok(Format::Text),
             "json" => Ok(Format::Json),
-            _ => Err(Unknown),
+            _ => Err(UnknownFormat),
         }
     }
 }
@@ -50,8 +50,8 @@
         let text = format!("{n} lines of the log lost: nobody read them in time");
         let mut line = Line::begin(self, at_ms, &Level::WARN, module_path!());
         line.message(&text);
-        line.named("event", "lines_lost");
-        line.plain("lines", n);
+        line.text_field("event", "lines_lost");
+        line.raw_field("lines", n);
         line.end()
     }
 
@@ -63,8 +63,8 @@
         }
         let mut line = Line::begin(self, at_ms, &Level::ERROR, module_path!());
         line.message(&text);
-        line.named("event", "fatal");
-        line.named("why", what);
+        line.text_field("event", "fatal");
+        line.text_field("why", what);
         line.end()
     }
 }
@@ -96,30 +96,30 @@
     fn message(&mut self, text: &str) {
         match self.format {
             Format::Text => {
-                let text = cut(text);
+                let text = truncate(text);
                 self.text.push_str(&text.replace('\n', &format!("\n{INDENT}")));
             }
-            Format::Json => self.named("message", text),
+            Format::Json => self.text_field("message", text),
         }
     }
 
     /// A field that is text.
-    fn named(&mut self, name: &str, value: &str) {
+    fn text_field(&mut self, name: &str, value: &str) {
         if self.format == Format::Json {
-            let _ = write!(self.text, ",\"{name}\":{}", serde_json::Value::from(cut(value)));
+            let _ = write!(self.text, ",\"{name}\":{}", serde_json::Value::from(truncate(value)));
         }
     }
 
     /// A field that JSON writes as we do: a number, or `true` and `false`.
-    fn plain(&mut self, name: &str, value: impl fmt::Display) {
+    fn raw_field(&mut self, name: &str, value: impl fmt::Display) {
         if self.format == Format::Json {
             let _ = write!(self.text, ",\"{name}\":{value}");
         }
     }
 }
 
-fn cut(text: &str) -> &str {
-    let end = (0..=MOST.min(text.len())).rev().find(|at| text.is_char_boundary(*at));
+fn truncate(text: &str) -> &str {
+    let end = (0..=MAX_TEXT.min(text.len())).rev().find(|at| text.is_char_boundary(*at));
     &text[..end.unwrap_or(0)]
 }
 
@@ -128,34 +128,34 @@
         let text = format!("{value:?}");
         match field.name() {
             "message" => self.message(&text),
-            name => self.named(name, &text),
+            name => self.text_field(name, &text),
         }
     }
 
     fn record_str(&mut self, field: &Field, value: &str) {
         match field.name() {
             "message" => self.message(value),
-            name => self.named(name, value),
+            name => self.text_field(name, value),
         }
     }
 
     fn record_u64(&mut self, field: &Field, value: u64) {
-        self.plain(field.name(), value);
+        self.raw_field(field.name(), value);
     }
 
     fn record_i64(&mut self, field: &Field, value: i64) {
-        self.plain(field.name(), value);
+        self.raw_field(field.name(), value);
     }
 
     fn record_bool(&mut self, field: &Field, value: bool) {
-        self.plain(field.name(), value);
+        self.raw_field(field.name(), value);
     }
 
     fn record_f64(&mut self, field: &Field, value: f64) {
         // What is no number in JSON is none here either.
         match value.is_finite() {
-            true => self.plain(field.name(), value),
-            false => self.plain(field.name(), "null"),
+            true => self.raw_field(field.name(), value),
+            false => self.raw_field(field.name(), "null"),
         }
     }
 }
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -13,7 +13,7 @@
 mod format;
 pub mod writer;
 
-pub use filter::{Filter, Invalid};
+pub use filter::{Filter, InvalidDirective};
 pub use format::Format;
 
 use format::Line;
@@ -25,7 +25,7 @@
 use writer::Writer;
 
 /// How long the end waits for the last lines.
-const FAREWELL: Duration = Duration::from_millis(200);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The log at work. Dropped, it waits a moment for what is still to be written.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
         .map_err(|e| format!("the log cannot be started: {e}"))?;
     set_global_default(lines(format, filter, writer.clone()))
         .map_err(|_| "the log is started already".to_owned())?;
-    for Invalid(directive) in invalid {
+    for InvalidDirective(directive) in invalid {
         warn!(
             event = "invalid_filter",
             directive, "RUST_LOG: {directive:?} is ignored, no level or module=level"
@@ -71,7 +71,7 @@
 
 impl Drop for Log {
     fn drop(&mut self) {
-        self.writer.finish(FAREWELL);
+        self.writer.finish(SHUTDOWN_TIMEOUT);
     }
 }
 
@@ -101,7 +101,7 @@
     }
 
     fn max_level_hint(&self) -> Option<LevelFilter> {
-        Some(self.filter.most())
+        Some(self.filter.max_level())
     }
 
     fn event(&self, event: &Event<'_>) {
--- a/src/log/writer.rs
+++ b/src/log/writer.rs
@@ -14,11 +14,11 @@
 use std::time::Duration;
 
 /// Bytes of lines that may wait.
-const PENDING: usize = 64 * 1024;
+const MAX_PENDING: usize = 64 * 1024;
 /// A target that says "not now" is asked again after this.
-const AGAIN: Duration = Duration::from_millis(10);
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 /// Enough for the thread's few frames.
-const STACK: usize = 128 * 1024;
+const STACK_BYTES: usize = 128 * 1024;
 
 /// What waits to be written, and whom to tell that it is.
 struct Piece {
@@ -80,7 +80,7 @@
     ) -> io::Result<Writer> {
         let shared = Arc::new(Shared::default());
         let theirs = shared.clone();
-        let thread = thread::Builder::new().name("stderr".into()).stack_size(STACK);
+        let thread = thread::Builder::new().name("stderr".into()).stack_size(STACK_BYTES);
         // It ends with `finish` or with the process.
         thread.spawn(move || work(&theirs, to, lost))?;
         Ok(Writer { shared })
@@ -106,7 +106,7 @@
             return;
         }
         if piece.written.is_none() {
-            if state.held + piece.bytes.len() > PENDING {
+            if state.held + piece.bytes.len() > MAX_PENDING {
                 state.lost += 1;
                 return;
             }
@@ -165,7 +165,7 @@
             Ok(0) => return,
             Ok(n) => bytes = &bytes[n..],
             Err(e) if e.kind() == ErrorKind::Interrupted => {}
-            Err(e) if e.kind() == ErrorKind::WouldBlock => thread::sleep(AGAIN),
+            Err(e) if e.kind() == ErrorKind::WouldBlock => thread::sleep(RETRY_DELAY),
             Err(_) => return,
         }
     }
--- a/src/owner/controls.rs
+++ b/src/owner/controls.rs
@@ -1,7 +1,7 @@
 //! The connections to control machines, a task each, and what goes over them. With no `control` line there is none of
-//! this. What is to be said, and to whom, is [`Following`]'s.
+//! this. What is to be said, and to whom, is [`FollowerDriver`]'s.
 
-use crate::features::follower::{Following, Wish};
+use crate::features::follower::{FollowerDriver, HostAction};
 use crate::interface::Micros;
 use crate::net::framed::{self, Outbox, Word};
 use crate::net::{News, Queue};
@@ -18,20 +18,20 @@
 }
 
 pub(super) struct Connections {
-    pub(super) following: Following,
+    pub(super) following: FollowerDriver,
     /// With [`Connections::leaving`] the one place where a connection's descriptor is given back.
     open: BTreeMap<ControlId, Connection>,
     /// Connections whose last words are on their way, by their number.
     leaving: BTreeMap<u64, Connection>,
     last: u64,
-    wishes: Vec<Wish>,
+    wishes: Vec<HostAction>,
 }
 
 /// Connections that may be on their way out at a time; beyond, no last words are said.
 const LEAVING: usize = 4;
 
 impl Connections {
-    pub(super) fn new(following: Following) -> Self {
+    pub(super) fn new(following: FollowerDriver) -> Self {
         let (open, leaving) = (BTreeMap::new(), BTreeMap::new());
         Connections { following, open, leaving, last: 0, wishes: Vec::new() }
     }
@@ -46,7 +46,7 @@
         }
         match word {
             Word::Up => self.following.up(now, control),
-            Word::Said(message) => self.following.said(now, control, &message),
+            Word::Said(message) => self.following.handle_message(now, control, &message),
             Word::Down(why) => {
                 self.open.remove(&control);
                 self.following.down(now, control, &why);
@@ -59,9 +59,9 @@
         self.following.tick(now, &mut self.wishes);
         for wish in std::mem::take(&mut self.wishes) {
             match wish {
-                Wish::Dial(control) => self.dial(control, executor, queue),
-                Wish::Send(control, message) => self.send(now, control, &message),
-                Wish::Close(control, why) => self.close(control, &why),
+                HostAction::Dial(control) => self.dial(control, executor, queue),
+                HostAction::Send(control, message) => self.send(now, control, &message),
+                HostAction::Close(control, why) => self.close(control, &why),
             }
         }
     }
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -27,9 +27,9 @@
 use crate::door::{Counts, Door, Feed, Limits, Why};
 use crate::features::figures::Gauges;
 use crate::features::file::Features;
-use crate::features::follower::{applier::Carried, Following};
-use crate::features::forwarder::Forwarding;
-use crate::features::snmp::{self, sight::Owned, Identity};
+use crate::features::follower::{applier::StagingApplier, FollowerDriver};
+use crate::features::forwarder::ForwarderDriver;
+use crate::features::snmp::{self, snapshot_builder::OwnerStatus, Identity};
 use crate::interface::Micros;
 use crate::log::writer::Writer;
 use crate::net::accept::Socket;
@@ -105,7 +105,7 @@
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     let bound = ports::bind(config.listen, &features, &config.name, config.known.nodes.len())?;
     let agent = features.snmp.as_ref().map(|agent| snmp::bind(config.listen.ip(), agent)).transpose()?;
-    if let Some(odd) = &config.odd {
+    if let Some(odd) = &config.known_error {
         warn!(event = "odd_entry", why = odd, "the known list holds {odd}");
     }
     let (queue, news) = async_channel::bounded(QUEUE);
@@ -123,15 +123,15 @@
             let nodes = config.known.nodes.iter().map(|l| (l.member.clone(), l.name.clone())).collect();
             let known = (config.known.revision, nodes);
             let seed = config.seed ^ now.unsigned_abs();
-            let made = Forwarding::new(now, settings, &config.name, &site.settings, known, seed);
+            let made = ForwarderDriver::new(now, settings, &config.name, &site.settings, known, seed);
             Some(Planners::new(made.map_err(|e| format!("planners: {e}"))?))
         }
     };
     let controls = match features.follower.clone() {
         None => None,
         Some(settings) => {
-            let carried = Box::new(Carried::new(settings.text.clone(), site.clone()));
-            Some(Connections::new(Following::new(now, &settings, &config.name, carried)?))
+            let carried = Box::new(StagingApplier::new(settings.text.clone(), site.clone()));
+            Some(Connections::new(FollowerDriver::new(now, &settings, &config.name, carried)?))
         }
     };
     let side = Side::new(now, features, Identity { name: &config.name, site: site.clone(), seed })?;
@@ -421,7 +421,7 @@
                 Effect::NodeEvent(seen) => {
                     let now = self.clock.now();
                     if let Some(planners) = &mut self.planners {
-                        planners.forwarding.seen(now, seen);
+                        planners.forwarding.handle_node_event(now, seen);
                     }
                 }
             }
@@ -458,7 +458,7 @@
     fn publish(&self, now: Micros) {
         let Some(snmp) = self.side.snmp().filter(|snmp| snmp.due(now)) else { return };
         let counts = self.door.counts();
-        let owned = Owned {
+        let owned = OwnerStatus {
             ready: self.words.ready.get(),
             downstreams: self.door.len(),
             downstreams_limit: self.door.most_of_all(),
--- a/src/owner/planners.rs
+++ b/src/owner/planners.rs
@@ -1,7 +1,7 @@
 //! The connections to planners, a task each, and what goes over them. With no `planner` line there is none of
-//! this. What is to be said, and to whom, is [`Forwarding`]'s.
+//! this. What is to be said, and to whom, is [`ForwarderDriver`]'s.
 
-use crate::features::forwarder::{Forwarding, Wish};
+use crate::features::forwarder::{ForwarderDriver, HostAction};
 use crate::interface::{Micros, Plan};
 use crate::net::framed::{self, Outbox, Word};
 use crate::net::{News, Queue};
@@ -23,15 +23,15 @@
 }
 
 pub(super) struct Planners {
-    pub(super) forwarding: Forwarding,
+    pub(super) forwarding: ForwarderDriver,
     /// By slot; the one place where a connection's descriptor is given back.
     open: BTreeMap<usize, Connection>,
     last: u64,
-    wishes: Vec<Wish>,
+    wishes: Vec<HostAction>,
 }
 
 impl Planners {
-    pub(super) fn new(forwarding: Forwarding) -> Self {
+    pub(super) fn new(forwarding: ForwarderDriver) -> Self {
         Planners { forwarding, open: BTreeMap::new(), last: 0, wishes: Vec::new() }
     }
 
@@ -42,7 +42,7 @@
         }
         match word {
             Word::Up => self.forwarding.up(now, slot),
-            Word::Said(message) => self.forwarding.said(now, slot, &message, &mut self.wishes),
+            Word::Said(message) => self.forwarding.handle_message(now, slot, &message, &mut self.wishes),
             Word::Down(why) => {
                 self.open.remove(&slot);
                 self.forwarding.down(now, slot, &why);
@@ -61,12 +61,12 @@
         let mut plan = None;
         for wish in std::mem::take(&mut self.wishes) {
             match wish {
-                Wish::Dial(slot) => self.dial(slot, executor, queue),
-                Wish::Send(slot, message) => self.send(now, slot, &message),
-                Wish::Close(slot) => {
+                HostAction::Dial(slot) => self.dial(slot, executor, queue),
+                HostAction::Send(slot, message) => self.send(now, slot, &message),
+                HostAction::Close(slot) => {
                     self.open.remove(&slot);
                 }
-                Wish::Plan(told) => plan = Some(told),
+                HostAction::Plan(told) => plan = Some(told),
             }
         }
         plan
@@ -77,7 +77,7 @@
         let mut wishes = Vec::new();
         self.forwarding.bye(&mut wishes);
         for wish in wishes {
-            if let Wish::Send(slot, message) = wish {
+            if let HostAction::Send(slot, message) = wish {
                 self.send(now, slot, &message);
             }
         }
--- a/src/owner/side.rs
+++ b/src/owner/side.rs
@@ -3,10 +3,10 @@
 
 use super::ports::Service;
 use crate::core::Record;
-use crate::features::addresses::Addresses;
+use crate::features::addresses::AddressFilter;
 use crate::features::figures::Figures;
 use crate::features::file::Features;
-use crate::features::multiget::{self, Batches};
+use crate::features::multiget::{self, MultigetProtocol};
 use crate::features::snmp::{Identity, Snmp};
 use crate::features::tap::{self, Tap};
 use crate::interface::{KindId, Micros, ServerId};
@@ -32,7 +32,7 @@
     /// Reads that multi-gets have open, all downstreams together.
     reads: Rc<Cell<usize>>,
     tap: Option<Rc<Tap>>,
-    addresses: Option<Rc<Addresses>>,
+    addresses: Option<Rc<AddressFilter>>,
     figures: Option<Rc<Figures>>,
     memcached: Option<Rc<Desk>>,
     /// The nodes that speak the memcached protocol.
@@ -56,7 +56,7 @@
             multiget: features.multiget,
             reads: Rc::default(),
             tap: features.tap.map(|settings| Rc::new(Tap::new(settings, site.clone()))),
-            addresses: features.addresses.map(|lists| Rc::new(Addresses::new(lists))),
+            addresses: features.addresses.map(|lists| Rc::new(AddressFilter::new(lists))),
             figures: features.figures.map(|settings| Rc::new(Figures::new(settings, site.clone()))),
             snmp: features.snmp.map(|settings| Rc::new(Snmp::new(now, settings, identity))),
             flushed: now,
@@ -124,7 +124,7 @@
     pub(super) fn protocol(&self, service: Service, words: &Rc<Vocabulary>) -> Box<dyn Protocol> {
         match (service, &self.multiget, &self.memcached) {
             (Service::Multiget, Some(settings), _) => {
-                Box::new(Batches::new(settings, words.clone(), self.reads.clone()))
+                Box::new(MultigetProtocol::new(settings, words.clone(), self.reads.clone()))
             }
             (Service::Memcached, _, Some(desk)) => Box::new(Front::new(desk.clone(), words.clone())),
             _ => Box::new(Plain(words.clone())),
@@ -141,7 +141,7 @@
         let (addresses, tap) = (self.addresses.clone(), self.tap.clone().filter(|_| service == Service::Tap));
         async move {
             if let Some(addresses) = &addresses {
-                if !addresses.introduce(&mut link).await {
+                if !addresses.identify(&mut link).await {
                     return;
                 }
             }
@@ -154,8 +154,8 @@
 
     /// Somebody wants to hear of streams that end.
     pub(super) fn listens(&self) -> bool {
-        let figures = self.figures.as_ref().is_some_and(|f| f.listens());
-        figures || self.snmp.is_some() || self.tap.as_ref().is_some_and(|t| t.watched())
+        let figures = self.figures.as_ref().is_some_and(|f| f.wants_records());
+        figures || self.snmp.is_some() || self.tap.as_ref().is_some_and(|t| t.has_watchers())
     }
 
     /// A stream has ended.
@@ -173,14 +173,14 @@
 
     /// The figures, if it is time to flush them.
     pub(super) fn due(&mut self, now: Micros) -> Option<Rc<Figures>> {
-        let figures = self.figures.as_ref().filter(|f| now - self.flushed >= f.flush_every())?;
+        let figures = self.figures.as_ref().filter(|f| now - self.flushed >= f.flush_interval())?;
         self.flushed = now;
         Some(figures.clone())
     }
 
     /// Tells of callers that the address lists refused, if it is time to or this is the end.
     pub(super) fn tell_refused(&self, now: Micros, end: bool) {
-        let Some((n, last)) = self.addresses.as_ref().and_then(|a| a.told(now, end)) else { return };
+        let Some((n, last)) = self.addresses.as_ref().and_then(|a| a.take_refused(now, end)) else { return };
         let (client, via) = (display(last.client), last.via.map(display));
         warn!(
             event = "refused",
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -1,7 +1,7 @@
 //! The log without a program: what its writer promises to those who write, its filter, its lines.
 
 use martenweir::log::writer::Writer;
-use martenweir::log::{lines, Filter, Format, Invalid};
+use martenweir::log::{lines, Filter, Format, InvalidDirective};
 use rstest::rstest;
 use std::io::{self, ErrorKind, Write};
 use std::sync::mpsc::{self, Receiver, Sender};
@@ -123,7 +123,7 @@
 #[test]
 fn what_is_no_directive_comes_back_and_the_rest_holds() {
     let (filter, invalid) = Filter::new("a=loud, info/text,=,warn");
-    assert_eq!(invalid, ["a=loud", "info/text"].map(|d| Invalid(d.into())));
+    assert_eq!(invalid, ["a=loud", "info/text"].map(|d| InvalidDirective(d.into())));
     assert!(filter.admits("b", &Level::WARN));
 }
 
