--- a/crates/world/src/clients/mod.rs
+++ b/crates/world/src/clients/mod.rs
@@ -4,13 +4,13 @@
 //! Nothing here sends: hosts do.
 
 mod arrivals;
-mod desk;
 mod patience;
 mod popularity;
+mod request_table;
 mod traffic;
 
 pub use arrivals::{Arrivals, Request};
-pub use desk::{Desk, Place, Try};
 pub use patience::{Next, Tried, TryEnd};
 pub use popularity::Popularity;
+pub use request_table::{Desk, Place, Try};
 pub use traffic::Traffic;
--- a/crates/world/src/ledger.rs
+++ b/crates/world/src/ledger.rs
@@ -5,12 +5,12 @@
 //! the nodes. It keeps no values: that a copy of a written key goes void, and that
 //! a read is stored where it missed, is for the host (the world does it).
 
+use crate::dedup::Repeats;
 use crate::node::{begin, Answer, Ask, Dialled, Event, Happened, Script, Step};
-use crate::pressure::Pressure;
 use crate::random::{lognormal, ms, seconds, within, Map, Random};
-use crate::repeats::Repeats;
 use crate::scenario::{self, Range};
 use crate::station::Station;
+use crate::window_sum::Pressure;
 use crate::Micros;
 use slab::Slab;
 use std::collections::VecDeque;
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -9,24 +9,24 @@
 #![forbid(unsafe_code)]
 
 pub mod clients;
+pub mod dedup;
 pub mod discovery;
 pub mod facts;
 pub mod fleet;
 pub mod front;
 pub mod geography;
+pub mod initial_contents;
 pub mod ledger;
 pub mod network;
 pub mod node;
 pub mod outcome;
-pub mod past;
-pub mod pressure;
 pub mod random;
 pub mod recorder;
-pub mod repeats;
 pub mod rules;
 pub mod scenario;
 pub mod station;
 pub mod store;
+pub mod window_sum;
 pub mod world;
 
 /// A moment or a span, in microseconds.
--- a/crates/world/src/node/mod.rs
+++ b/crates/world/src/node/mod.rs
@@ -16,13 +16,13 @@
 pub use reports::Report;
 pub use script::{Script, Step};
 
+use crate::dedup::Repeats;
 use crate::facts::{ClassNo, TryNo};
-use crate::past::Past;
-use crate::pressure::Pressure;
+use crate::initial_contents::Past;
 use crate::random::{chance, exponential, factor, Map, Random};
-use crate::repeats::Repeats;
 use crate::station::Station;
 use crate::store::Store;
+use crate::window_sum::Pressure;
 use crate::Micros;
 use reports::Reports;
 use slab::Slab;
--- a/crates/world/src/rules/fail_back.rs
+++ b/crates/world/src/rules/fail_back.rs
@@ -15,9 +15,9 @@
 use crate::facts::{Fact, NodeNo, ProxyNo, Told, LEDGER};
 use crate::node::{chance_of, SLACK};
 use crate::outcome::Rule;
-use crate::pressure::Pressure;
 use crate::random::{ms, seconds, Map};
 use crate::scenario::Scenario;
+use crate::window_sum::Pressure;
 use crate::Micros;
 use std::collections::BTreeMap;
 
--- a/crates/world/tests/ledger.rs
+++ b/crates/world/tests/ledger.rs
@@ -1,9 +1,9 @@
 //! The ledger by itself.
 
+use world::dedup::Repeats;
 use world::ledger::Ledger;
 use world::node::{Answer, Ask, Dialled, Event, Happened};
 use world::random::stream;
-use world::repeats::Repeats;
 use world::scenario;
 use world::Micros;
 
