--- a/crates/lab/src/dissemination/baseline.rs
+++ b/crates/lab/src/dissemination/baseline.rs
@@ -381,7 +381,7 @@
         self.proxies[n].links[slot] = Link { conn, up: false, heard: self.now };
         self.owners.insert(conn, n);
         let (proxy, planner) = (Node::Proxy(n as u32), Node::Control(slot as u8));
-        let way = self.places.geography.way(self.places.spot(proxy), self.places.spot(planner));
+        let way = self.places.geography.one_way_delay(self.places.spot(proxy), self.places.spot(planner));
         let cut = !self.cuts.is_empty() && (self.is_cut(proxy, planner) || self.is_cut(planner, proxy));
         let (at, event) = if cut {
             (DIAL, Event::Failed(n, slot, conn))
@@ -412,7 +412,7 @@
             // What a cut holds comes too late to matter to a view; the next one replaces it.
             return;
         }
-        let way = self.places.geography.way(self.places.spot(from), self.places.spot(to));
+        let way = self.places.geography.one_way_delay(self.places.spot(from), self.places.spot(to));
         let last = self.last.entry((conn, up)).or_default();
         *last = (*last).max(self.now + delay(way, &mut self.rng));
         let event = match up {
--- a/crates/lab/src/dissemination/engine.rs
+++ b/crates/lab/src/dissemination/engine.rs
@@ -788,7 +788,7 @@
         let node = Node::Control(to.0);
         self.last_link += 1;
         let conn = self.last_link;
-        let way = self.places.geography.way(self.spot(from), spot);
+        let way = self.places.geography.one_way_delay(self.spot(from), spot);
         match from {
             Node::Proxy(n) => {
                 let links = &mut self.proxies[n as usize].links;
--- a/crates/lab/src/dissemination/places.rs
+++ b/crates/lab/src/dissemination/places.rs
@@ -64,7 +64,7 @@
         if let Part::Rack(c) = part {
             let spot = self.spot(Node::Control(c.0));
             let mut near: Vec<(Micros, u32)> =
-                g.proxies.iter().zip(0..).map(|(p, n)| (g.way(spot, *p), n)).collect();
+                g.proxies.iter().zip(0..).map(|(p, n)| (g.one_way_delay(spot, *p), n)).collect();
             near.sort_unstable();
             let proxies = near.iter().take(RACK).map(|(_, n)| Node::Proxy(*n));
             return [Node::Control(c.0)].into_iter().chain(proxies).collect();
--- a/crates/lab/src/loopback/settings.rs
+++ b/crates/lab/src/loopback/settings.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use world::discovery::Entry;
-use world::facts::{NodeNo, ProxyNo, Told, LEDGER};
+use world::facts::{NodeNo, ProxyNo, Status, LEDGER};
 use world::scenario::{ClientClass, Repeat, Scenario, Tenant};
 use world::world::{Member, World};
 
@@ -131,7 +131,7 @@
 pub fn serving(world: &World, address: impl Fn(NodeNo) -> SocketAddr) -> Value {
     let clock = Clock::start(0);
     let one = |node: NodeNo| {
-        let entry = Entry { node, what: Told::Ready, started: None };
+        let entry = Entry { node, status: Status::Ready, started: None };
         member(world.scenario(), world.member(node), &entry, address(node), &clock)
     };
     list(1, true, world.members().iter().map(|m| m.no).chain([LEDGER]).map(one).collect())
@@ -139,10 +139,10 @@
 
 /// An entry of it; `address` is where this proxy reaches the member.
 pub fn member(s: &Scenario, member: &Member, entry: &Entry, address: SocketAddr, clock: &Clock) -> Value {
-    let phase = match entry.what {
-        Told::Ready => "SERVING",
-        Told::Draining => "DRAINING",
-        Told::Gone => "DELETED",
+    let phase = match entry.status {
+        Status::Ready => "SERVING",
+        Status::Draining => "DRAINING",
+        Status::Gone => "DELETED",
     };
     json!({
         "id": member.name,
--- a/crates/lab/src/loopback/stage/agenda.rs
+++ b/crates/lab/src/loopback/stage/agenda.rs
@@ -3,7 +3,7 @@
 use crate::loopback::socket::LinkId;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
-use world::clients::Place;
+use world::clients::RequestSlot;
 use world::facts::{NodeNo, TryNo};
 use world::Micros;
 
@@ -36,7 +36,7 @@
     Break {
         link: LinkId,
     },
-    Retry(Place),
+    Retry(RequestSlot),
     /// A client's time for a try is up.
     GivesUp(TryNo),
     Heartbeat,
--- a/crates/lab/src/loopback/stage/listing.rs
+++ b/crates/lab/src/loopback/stage/listing.rs
@@ -7,7 +7,7 @@
 use crate::loopback::socket::speech::{self, Command};
 use crate::loopback::socket::LinkId;
 use serde_json::Value;
-use world::discovery::{Entry, News};
+use world::discovery::{Entry, ListUpdate};
 use world::facts::ProxyNo;
 use world::Micros;
 
@@ -63,7 +63,7 @@
     }
 
     /// Something has reached a proxy's agent.
-    pub(super) fn tell_watchers(&mut self, news: &News) {
+    pub(super) fn tell_watchers(&mut self, news: &ListUpdate) {
         let list = settings::list(news.revision, false, self.entries(news.proxy, &[news.entry]));
         self.write_watchers(|proxy| proxy == news.proxy, &format!("{list}\n"));
     }
--- a/crates/lab/src/loopback/stage/mod.rs
+++ b/crates/lab/src/loopback/stage/mod.rs
@@ -28,9 +28,9 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use visits::{Connection, Job};
-use world::clients::{Arrivals, Desk};
+use world::clients::{Arrivals, RequestTable};
 use world::facts::{Fact, NodeNo, ProxyNo, TryNo};
-use world::outcome::{Latencies, Lateness, Meetings, Run};
+use world::outcome::{Latencies, Lateness, Run, SocketTryCounts};
 use world::random::seed_of;
 use world::world::{Occurrence, ProxyChange, World};
 use world::Micros;
@@ -76,7 +76,7 @@
 pub struct Stage {
     clock: Clock,
     world: World,
-    desk: Desk,
+    desk: RequestTable,
     arrivals: Peekable<Arrivals>,
     clients: Clients,
     executor: Rc<LocalExecutor<'static>>,
@@ -104,7 +104,7 @@
     /// Why the run is void, if a proxy has said what nobody may say.
     fault: Option<HostError>,
     /// What came of the tries on their sockets.
-    meetings: Meetings,
+    meetings: SocketTryCounts,
 }
 
 /// What a stage is made of.
@@ -131,7 +131,7 @@
         doors.add(&world, world::facts::LEDGER).map_err(system("a port for the ledger"))?;
         doors.settle(&world, &executor, &queue).map_err(system("a port"))?;
         let mut stage = Stage {
-            desk: world.desk(),
+            desk: world.request_table(),
             arrivals: world.arrivals().peekable(),
             alive: vec![true; world.proxies().len()],
             lives: vec![0; world.proxies().len()],
@@ -155,7 +155,7 @@
             begun: false,
             over: None,
             fault: None,
-            meetings: Meetings::default(),
+            meetings: SocketTryCounts::default(),
         };
         stage.agenda.add(stage.reached, Due::Heartbeat);
         let all = 0..stage.alive.len() as u32;
@@ -173,8 +173,10 @@
         // What is in its list from the start it has been told.
         let (_, entries) = self.world.discovery().known(proxy, None);
         for e in entries {
-            self.world
-                .tell(self.reached, Fact::Told { proxy, node: e.node, what: e.what, started: e.started });
+            self.world.observe(
+                self.reached,
+                Fact::Listed { proxy, node: e.node, status: e.status, started: e.started },
+            );
         }
         let place = settings::Place {
             proxy,
@@ -326,7 +328,7 @@
                 Occurrence::Ended { node } => self.node_ended(node),
                 Occurrence::Vanished { node } => self.node_vanished(node),
                 Occurrence::Started { node } => self.node_started(node),
-                Occurrence::Told(news) => self.tell_watchers(&news),
+                Occurrence::ListUpdated(news) => self.tell_watchers(&news),
                 Occurrence::CutOver { .. } => self.cut_over(),
                 Occurrence::Proxy { proxy, change } => self.change_proxy(at, proxy, change),
             }
@@ -361,7 +363,7 @@
             ProxyChange::Die => {
                 // What breaks from here on is the crash's doing, whoever notices first.
                 alive.into_iter().for_each(|a| *a = false);
-                self.world.tell(at, Fact::ProxyEnded { proxy, planned: false });
+                self.world.observe(at, Fact::ProxyEnded { proxy, planned: false });
             }
             ProxyChange::Start => alive.into_iter().for_each(|a| *a = true),
             ProxyChange::End => {}
@@ -378,7 +380,7 @@
         if let Some(alive) = self.alive.get_mut(proxy.0 as usize).filter(|a| **a) {
             *alive = false;
             // What it said last is on its way: it counts before its end does.
-            self.world.tell(self.reached, Fact::ProxyEnded { proxy, planned });
+            self.world.observe(self.reached, Fact::ProxyEnded { proxy, planned });
         }
     }
 
--- a/crates/lab/src/loopback/stage/tries.rs
+++ b/crates/lab/src/loopback/stage/tries.rs
@@ -6,7 +6,7 @@
 use crate::loopback::clients::{How, Said, Send};
 use crate::loopback::socket::speech::{Properties, TryId};
 use martenweir::codec::resp;
-use world::clients::{Place, Try, TryEnd};
+use world::clients::{RequestSlot, Try, TryEnd};
 use world::facts::{Fact, Final, TryNo};
 use world::random::ms;
 use world::scenario::Repeat;
@@ -18,7 +18,7 @@
 
 impl Stage {
     /// A client sends its next try, by way of the front.
-    pub(super) fn send(&mut self, at: Micros, place: Place) {
+    pub(super) fn send(&mut self, at: Micros, place: RequestSlot) {
         let Some(request) = self.desk.request(place) else { return };
         let Some(proxy) = self.world.front().pick(request.hall, request.no.0 ^ (at as u64) << 20) else {
             let next = self.desk.unreached(at, place, &mut self.world.recorder);
@@ -67,7 +67,7 @@
         (key, out)
     }
 
-    fn retry(&mut self, next: Option<(Micros, Place)>) {
+    fn retry(&mut self, next: Option<(Micros, RequestSlot)>) {
         if let Some((at, place)) = next {
             self.agenda.add(at, Due::Retry(place));
         }
@@ -94,7 +94,7 @@
                 self.meetings.crossed += 1;
                 // Not read, so not taken: nothing is owed for it.
                 if let Some(proxy) = self.desk.get(of).map(|t| t.proxy).filter(|_| self.taken.remove(&of)) {
-                    self.world.tell(at, Fact::Left { proxy, of });
+                    self.world.observe(at, Fact::Left { proxy, of });
                 }
             }
             Said::Short(kind) => {
@@ -111,7 +111,7 @@
         let Some(t) = self.desk.get(of) else { return };
         let (proxy, class, deadline) = (t.proxy, t.request.class, at + t.until - t.sent);
         if self.taken.insert(of) {
-            self.world.tell(at, Fact::Taken { proxy, of, class, deadline });
+            self.world.observe(at, Fact::Taken { proxy, of, class, deadline });
         }
     }
 
@@ -130,7 +130,7 @@
         } += 1;
         let end = match how {
             How::Answered(how, away) => {
-                self.world.tell(at, Fact::Answered { proxy, of, how });
+                self.world.observe(at, Fact::Answered { proxy, of, how });
                 match how {
                     Final::Served { .. } => TryEnd::Served,
                     Final::Refused => TryEnd::Refused(away),
@@ -139,7 +139,7 @@
             }
             How::Dropped => {
                 if self.alive.get(proxy.0 as usize).is_some_and(|alive| *alive) {
-                    self.world.tell(at, Fact::Dropped { proxy, of });
+                    self.world.observe(at, Fact::Dropped { proxy, of });
                 }
                 TryEnd::Failed
             }
@@ -147,7 +147,7 @@
             How::Left => {
                 // Given up before; told only now if the owner is behind.
                 self.end_try(t.until, of, TryEnd::Left);
-                self.world.tell(at, Fact::Left { proxy, of });
+                self.world.observe(at, Fact::Left { proxy, of });
                 return self.desk.forget(at, of);
             }
         };
--- a/crates/lab/src/loopback/stage/visits.rs
+++ b/crates/lab/src/loopback/stage/visits.rs
@@ -14,10 +14,10 @@
 use std::collections::VecDeque;
 use std::net::TcpStream;
 use world::facts::{ClassNo, Fact, NodeNo, ProxyNo, LEDGER};
-use world::node::{Answer, Ask, Dialled, Report};
+use world::node::{Answer, DialOutcome, NodeRequest, Report};
 use world::random::ms;
 use world::scenario::Repeat;
-use world::world::Visit;
+use world::world::NodeAttempt;
 use world::Micros;
 
 /// An answer that is owed.
@@ -59,7 +59,7 @@
 
 #[derive(Clone, Debug)]
 enum What {
-    Keyed { visit: Visit, key: Vec<u8>, id: Vec<u8> },
+    Keyed { visit: NodeAttempt, key: Vec<u8>, id: Vec<u8> },
     Load,
     Ping,
 }
@@ -95,13 +95,13 @@
         if let Some(node) = node {
             (address, hall) = (self.world.member(node).address, self.world.member(node).hall);
             match self.world.connect(now, node, id.0) {
-                Dialled::Accepted => {}
-                Dialled::Refused => {
+                DialOutcome::Accepted => {}
+                DialOutcome::Refused => {
                     // The table is full, or the process has ended this moment.
                     self.doors.full(&self.world, node, true);
                     return link.reset();
                 }
-                Dialled::Silent => link.hold(true),
+                DialOutcome::Silent => link.hold(true),
             }
         }
         // A handshake crosses the network and comes back before the first command can.
@@ -171,9 +171,9 @@
             Command::List | Command::Watch { .. } => return self.malformed(id, job, proxy, "no command"),
         };
         if let What::Keyed { visit, .. } = &what {
-            let of = visit.ask.of;
+            let of = visit.request.of;
             self.taken(begun, of);
-            self.world.tell(begun, Fact::AttemptBegun { proxy, node, of });
+            self.world.observe(begun, Fact::AttemptBegun { proxy, node, of });
             let here = self.world.proxies().get(proxy.0 as usize).copied();
             let crosses = here != Some(self.world.member(node).hall);
             let counts = self.world.recorder.work();
@@ -193,7 +193,7 @@
     }
 
     /// What the models need of a command; `None` if no client ever sent it like this.
-    fn visit(&self, link: LinkId, job: u64, at: Micros, said: &Said) -> Option<Visit> {
+    fn visit(&self, link: LinkId, job: u64, at: Micros, said: &Said) -> Option<NodeAttempt> {
         let Connection { proxy, node, .. } = self.links.get(&link)?;
         let (id, p) = (TryId::read(said.id)?, Properties::read(said.properties)?);
         let key = u64::from_str_radix(std::str::from_utf8(said.key).ok()?, 16).ok()?;
@@ -211,7 +211,7 @@
                 return None;
             }
         }
-        let ask = Ask {
+        let request = NodeRequest {
             job,
             connection: link.0,
             of: id.of,
@@ -224,7 +224,7 @@
             expires: at + p.patience,
         };
         let after = sent.and_then(|t| t.after).filter(|_| *node == Some(LEDGER));
-        Some(Visit { proxy: *proxy, ask, after })
+        Some(NodeAttempt { proxy: *proxy, request, after })
     }
 
     /// Answered as the protocol says, and the run is void.
@@ -253,18 +253,18 @@
         let open = job.as_ref().and_then(|j| self.links.get(&j.link)).is_some_and(|l| !l.lost);
         let mut useful = open && said != Answer::Error;
         if let Some(Job { what: What::Keyed { visit, .. }, .. }) = &job {
-            let waits = self.desk.get(visit.ask.of);
+            let waits = self.desk.get(visit.request.of);
             useful &= waits.is_some();
             let missed = waits.filter(|_| open).map(|t| t.missed);
             if node == LEDGER && said == Answer::Value {
-                if visit.ask.write {
-                    self.world.written(visit.ask.key);
+                if visit.request.write {
+                    self.world.invalidate_copies(visit.request.key);
                 } else if let Some(missed) = missed {
-                    self.world.keep(at, &missed, visit.ask.key, visit.ask.bytes);
+                    self.world.store_value(at, &missed, visit.request.key, visit.request.bytes);
                 }
             }
             if matches!(said, Answer::Miss { .. }) {
-                if let Some(t) = self.desk.get_mut(visit.ask.of) {
+                if let Some(t) = self.desk.get_mut(visit.request.of) {
                     t.missed_at(node);
                 }
             }
@@ -402,7 +402,7 @@
     }
     match (dialect, what, said) {
         (Dialect::Cache, What::Keyed { visit, key, id }, Answer::Value) => {
-            let value = speech::value(key, id, visit.ask.bytes as usize);
+            let value = speech::value(key, id, visit.request.bytes as usize);
             speech::put_array(&mut out, [Some(&value), Some(b"hit"), None]);
         }
         (Dialect::Cache, _, Answer::Miss { pending }) => {
@@ -414,7 +414,7 @@
         (Dialect::Cache, _, Answer::Busy) => resp::put_error(&mut out, "BUSY"),
         (Dialect::Cache, ..) => resp::put_error(&mut out, "ERR failed"),
         (_, What::Keyed { visit, key, id }, Answer::Value) => {
-            let bytes = if visit.ask.write { 0 } else { visit.ask.bytes as usize };
+            let bytes = if visit.request.write { 0 } else { visit.request.bytes as usize };
             speech::put_response(&mut out, 200, &[], &speech::value(key, id, bytes));
         }
         (_, _, Answer::Report(report)) => {
--- a/crates/lab/src/report/result.rs
+++ b/crates/lab/src/report/result.rs
@@ -6,7 +6,7 @@
 use crate::input::setting::Setting;
 use serde::Serialize;
 use std::collections::BTreeMap;
-use world::outcome::{Doorway, Latencies, Meetings, Run, Sizes};
+use world::outcome::{ConnectionCounts, Latencies, Run, Sizes, SocketTryCounts};
 
 /// Where a run was played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, clap::ValueEnum)]
@@ -65,13 +65,13 @@
     pub void: bool,
     /// Connections to proxies, where the scenario has a crowd.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub doorway: Option<Doorway>,
+    pub doorway: Option<ConnectionCounts>,
     /// Sizes of the proxies' tables, where the scenario asks for them.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub sizes: Option<SizesFile>,
     /// How tries met the proxies' sockets, on loopback.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub meetings: Option<Meetings>,
+    pub meetings: Option<SocketTryCounts>,
 }
 
 /// Sizes of tables, each of the proxy that had most in it.
--- a/crates/lab/src/virtual_host/engine.rs
+++ b/crates/lab/src/virtual_host/engine.rs
@@ -12,13 +12,13 @@
 use martenweir::interface::{ClassId, Key, Micros, Settings, TenantId, Verdict};
 use std::iter::Peekable;
 use std::rc::Rc;
-use world::clients::{Arrivals, Desk, Place, TryEnd};
-use world::discovery::News;
+use world::clients::{Arrivals, RequestSlot, RequestTable, TryEnd};
+use world::discovery::ListUpdate;
 use world::facts::{Fact, Final, NodeNo, ProxyNo, TryNo, LEDGER};
-use world::node::{Answer, Ask, Dialled};
-use world::outcome::{Doorway, Lateness, Run, Sizes};
+use world::node::{Answer, DialOutcome, NodeRequest};
+use world::outcome::{ConnectionCounts, Lateness, Run, Sizes};
 use world::random::{ms, seconds, seed_of, stream, Map};
-use world::world::{Occurrence, ProxyChange, Visit, World};
+use world::world::{NodeAttempt, Occurrence, ProxyChange, World};
 
 /// Discovery gives a sign of life this often.
 const LIFE: Micros = 2_000_000;
@@ -39,7 +39,7 @@
     /// A try reaches its proxy.
     Arrives(TryNo),
     /// A client sends its next try.
-    Retry(Place),
+    Retry(RequestSlot),
     /// A client's time for a try is up; and it closes.
     GivesUp(TryNo),
     Closes(TryNo),
@@ -56,7 +56,7 @@
     Tick(ProxyNo, u32),
     /// A proxy's agent answers a watch.
     Listed(ProxyNo, u32, Option<u64>),
-    Told(Box<News>),
+    Told(Box<ListUpdate>),
     /// Something happens to a proxy's connections from clients.
     Lobby(ProxyNo, u32),
     /// The sizes of the proxies' tables are taken.
@@ -83,7 +83,7 @@
 
 pub struct Engine<'a> {
     world: World,
-    desk: Desk,
+    desk: RequestTable,
     arrivals: Peekable<Arrivals>,
     subjects: &'a dyn Subjects,
     proxies: Vec<Proxy>,
@@ -99,7 +99,7 @@
     effects: Vec<Effect>,
     grace: Micros,
     /// Of all proxies' lives that are over.
-    doorway: Doorway,
+    doorway: ConnectionCounts,
     /// If the scenario asks for them.
     sizes: Option<Sizes>,
 }
@@ -122,7 +122,7 @@
         let mut listens = vec![LEDGER];
         listens.extend(world.members().iter().map(|m| m.no));
         Engine {
-            desk: world.desk(),
+            desk: world.request_table(),
             arrivals: world.arrivals().peekable(),
             proxies,
             links: Table::new(),
@@ -133,7 +133,7 @@
             occurrences: Vec::new(),
             effects: Vec::new(),
             grace: ms(world.scenario().rules.answer_grace_ms),
-            doorway: Doorway::default(),
+            doorway: ConnectionCounts::default(),
             sizes: world.scenario().sizes_every_s.map(|s| Sizes::new(seconds(s))),
             subjects,
             world,
@@ -236,7 +236,7 @@
     // ---- clients
 
     /// A client sends a try, by way of the front.
-    fn send_try(&mut self, at: Micros, place: Place) {
+    fn send_try(&mut self, at: Micros, place: RequestSlot) {
         let Some(request) = self.desk.request(place) else { return };
         let Some(proxy) = self.world.front().pick(request.hall, request.no.0 ^ (at as u64) << 20) else {
             let next = self.desk.unreached(at, place, &mut self.world.recorder);
@@ -249,7 +249,7 @@
         }
     }
 
-    fn retry(&mut self, next: Option<(Micros, Place)>) {
+    fn retry(&mut self, next: Option<(Micros, RequestSlot)>) {
         if let Some((at, place)) = next {
             self.queue.plan(at, Event::Retry(place));
         }
@@ -305,7 +305,7 @@
         let Some(t) = self.desk.get(of).copied() else { return };
         let patience = (t.until - t.sent).max(1);
         let (class, r) = (t.request.class, t.request);
-        self.world.tell(at, Fact::Taken { proxy: t.proxy, of, class, deadline: at + patience });
+        self.world.observe(at, Fact::Taken { proxy: t.proxy, of, class, deadline: at + patience });
         let write = self.desk.class(&r).is_some_and(|c| c.write);
         let message =
             Message { id: of.0.to_be_bytes().to_vec(), value: write.then(Vec::new), ..Message::default() };
@@ -337,7 +337,7 @@
         if let Some(lobby) = self.proxies[t.proxy.0 as usize].lobby.as_mut() {
             lobby.left(of);
         }
-        self.world.tell(at, Fact::Left { proxy: t.proxy, of });
+        self.world.observe(at, Fact::Left { proxy: t.proxy, of });
         self.input(at, t.proxy, Input::DownstreamClosed(DownstreamId(of.0)));
     }
 
@@ -350,7 +350,7 @@
             // Every key exists in this world: that one is nowhere is no good answer.
             Said::Absent | Said::Failed | Said::Late | Said::DuplicateId => (Final::Failed, TryEnd::Failed),
         };
-        self.world.tell(at, Fact::Answered { proxy, of, how });
+        self.world.observe(at, Fact::Answered { proxy, of, how });
         if let Some(lobby) = self.proxies[proxy.0 as usize].lobby.as_mut() {
             if let Some(next) = lobby.answered(at, of) {
                 self.taken(at, next);
@@ -374,7 +374,8 @@
         let (revision, entries) = self.world.discovery().known(proxy, None);
         let known = site::cluster(&self.world, revision, true, &entries);
         for e in &entries {
-            self.world.tell(at, Fact::Told { proxy, node: e.node, what: e.what, started: e.started });
+            self.world
+                .observe(at, Fact::Listed { proxy, node: e.node, status: e.status, started: e.started });
         }
         let most_connections = site::most_connections(&self.world.scenario().proxies);
         let p = &mut self.proxies[proxy.0 as usize];
@@ -440,7 +441,7 @@
         let p = &mut self.proxies[proxy.0 as usize];
         let mut links: Vec<(ConnectionId, Ref)> = p.links.drain().collect();
         links.sort_unstable();
-        self.world.tell(at, Fact::ProxyEnded { proxy, planned });
+        self.world.observe(at, Fact::ProxyEnded { proxy, planned });
         for (_, link) in links {
             self.close(at, link);
         }
@@ -540,7 +541,7 @@
     fn dialled(&mut self, at: Micros, link: Ref) {
         let Some(l) = self.links.get(link).filter(|l| l.open).copied() else { return };
         match self.world.connect(at, l.node, link.number()) {
-            Dialled::Accepted => {
+            DialOutcome::Accepted => {
                 if let Some(l) = self.links.get_mut(link) {
                     l.accepted = true;
                 }
@@ -548,8 +549,8 @@
                     self.queue.plan(arrives, Event::Connected(link));
                 }
             }
-            Dialled::Refused => self.break_link(at, link, Stage::Idle),
-            Dialled::Silent => {
+            DialOutcome::Refused => self.break_link(at, link, Stage::Idle),
+            DialOutcome::Silent => {
                 if let Some(l) = self.links.get_mut(link) {
                     l.lost = true;
                 }
@@ -560,7 +561,7 @@
     fn write(&mut self, at: Micros, proxy: ProxyNo, connection: ConnectionId, job: Job) {
         let Some(link) = self.proxies[proxy.0 as usize].links.get(&connection).copied() else { return };
         let Some(l) = self.links.get(link).copied() else { return };
-        let mut ask = Ask::nothing(0, link.number());
+        let mut ask = NodeRequest::nothing(0, link.number());
         let (mut of, mut after) = (None, None);
         if let Job::Stream { message, patience } = job {
             let id = message.id.as_slice().try_into().map_or(0, u64::from_be_bytes);
@@ -576,7 +577,7 @@
             ask.repeat = keyed.map(|c| (r.repeat_key(), ms(c.window_ms)));
             ask.expires = at + patience;
             (of, after) = (Some(t.no), t.after.filter(|_| l.node == LEDGER));
-            self.world.tell(at, Fact::AttemptBegun { proxy, node: l.node, of: t.no });
+            self.world.observe(at, Fact::AttemptBegun { proxy, node: l.node, of: t.no });
             let crosses = self.proxies[proxy.0 as usize].hall != self.world.member(l.node).hall;
             let counts = self.world.recorder.work();
             counts.attempts += 1;
@@ -604,7 +605,7 @@
         let mut out = std::mem::take(&mut self.occurrences);
         match a.of {
             Some(_) => {
-                let visit = Visit { proxy: l.proxy, ask: a.ask, after: a.after };
+                let visit = NodeAttempt { proxy: l.proxy, request: a.ask, after: a.after };
                 self.world.arrive(at, l.node, &visit, &mut out);
             }
             None => self.world.probe(at, l.node, a.ask.job, a.ask.connection, &mut out),
@@ -698,7 +699,7 @@
                     }
                 }
                 Occurrence::Started { node } => self.node_started(node),
-                Occurrence::Told(news) => self.queue.plan(at, Event::Told(Box::new(news))),
+                Occurrence::ListUpdated(news) => self.queue.plan(at, Event::Told(Box::new(news))),
                 Occurrence::CutOver { .. } => self.cut_over(at),
                 Occurrence::Proxy { proxy, change } => match change {
                     ProxyChange::End => {
@@ -738,7 +739,7 @@
         let waited = a.of.is_some_and(|of| self.desk.get(of).is_some());
         if node == LEDGER && answer == Answer::Value && !a.ask.write && open {
             if let Some(missed) = a.of.and_then(|of| self.desk.get(of)).map(|t| t.missed) {
-                self.world.keep(at, &missed, a.ask.key, a.ask.bytes);
+                self.world.store_value(at, &missed, a.ask.key, a.ask.bytes);
             }
         }
         if !open || !waited || answer == Answer::Error {
--- a/crates/lab/src/virtual_host/links.rs
+++ b/crates/lab/src/virtual_host/links.rs
@@ -4,7 +4,7 @@
 use martenweir::core::ConnectionId;
 use martenweir::interface::Micros;
 use world::facts::{NodeNo, ProxyNo, TryNo};
-use world::node::Ask;
+use world::node::NodeRequest;
 
 /// A number in a table: a place, and how often it was used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -109,7 +109,7 @@
     pub link: Ref,
     /// `None` for a probe.
     pub of: Option<TryNo>,
-    pub ask: Ask,
+    pub ask: NodeRequest,
     pub after: Option<NodeNo>,
 }
 
--- a/crates/lab/src/virtual_host/lobby.rs
+++ b/crates/lab/src/virtual_host/lobby.rs
@@ -11,9 +11,9 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::net::{IpAddr, Ipv4Addr};
 use world::facts::TryNo;
-use world::outcome::Doorway;
+use world::outcome::ConnectionCounts;
 use world::random::{exponential, seconds, Map, Random};
-use world::scenario::{Crowd, Judge, Manner};
+use world::scenario::{Crowd, CrowdBehavior, EvictionPolicy};
 
 /// As the program had them before the door: how long one is quiet before it makes room, and how often that is
 /// looked at.
@@ -98,7 +98,7 @@
     ample: usize,
     door: Option<Door>,
     bytes: usize,
-    pub counts: Doorway,
+    pub counts: ConnectionCounts,
 }
 
 impl Lobby {
@@ -113,7 +113,7 @@
     ) -> Self {
         let (descriptors, memory) = (sockets as usize, (memory_mb as usize) << 20);
         let limits = Limits { descriptors, memory, side_ports: 0 };
-        let door = (crowd.judge == Judge::Door).then(|| Door::new(&Settings::default(), limits));
+        let door = (crowd.judge == EvictionPolicy::Door).then(|| Door::new(&Settings::default(), limits));
         let gap = f64::from(proxies) * 1e6 / crowd.connections_per_s;
         let next_guest = after(now, gap, &mut rng);
         Lobby {
@@ -137,7 +137,7 @@
             ample: descriptors / AMPLE,
             door,
             bytes: 0,
-            counts: Doorway::default(),
+            counts: ConnectionCounts::default(),
         }
     }
 
@@ -251,11 +251,11 @@
     fn guest(&mut self, at: Micros) -> Waiting {
         let n = self.rng_below(6);
         let does = match self.crowd.manner {
-            Manner::Silent => Does::Nothing,
-            Manner::Ping => Does::Ping,
-            Manner::Mixed => [Does::Nothing, Does::Ping][n as usize % 2],
-            Manner::SlowReader => Does::Asks,
-            Manner::Rude => [Does::HalfACommand, Does::Nonsense, Does::Resets][n as usize % 3],
+            CrowdBehavior::Silent => Does::Nothing,
+            CrowdBehavior::Ping => Does::Ping,
+            CrowdBehavior::Mixed => [Does::Nothing, Does::Ping][n as usize % 2],
+            CrowdBehavior::SlowReader => Does::Asks,
+            CrowdBehavior::Rude => [Does::HalfACommand, Does::Nonsense, Does::Resets][n as usize % 3],
         };
         let from = match self.crowd.sources {
             0 => USUAL,
@@ -390,9 +390,9 @@
 
     fn make_room(&mut self, now: Micros, accepted: bool) {
         match self.crowd.judge {
-            Judge::Off => {}
-            Judge::Quiet => self.close_quiet(now, accepted),
-            Judge::Door => self.keep_door(now),
+            EvictionPolicy::Off => {}
+            EvictionPolicy::Quiet => self.close_quiet(now, accepted),
+            EvictionPolicy::Door => self.keep_door(now),
         }
         if now >= self.sweeps {
             self.sweeps = now + QUIET;
--- a/crates/lab/src/virtual_host/site.rs
+++ b/crates/lab/src/virtual_host/site.rs
@@ -4,7 +4,7 @@
 use martenweir::interface::*;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use world::discovery::Entry;
-use world::facts::{ProxyNo, Told};
+use world::facts::{ProxyNo, Status};
 use world::random::{ms, seconds};
 use world::scenario::{Proxies, Repeat as Runs, Scenario};
 use world::world::World;
@@ -95,10 +95,10 @@
             zone: ZoneId(m.hall),
             kind: KindId(m.kind_no),
             cell: CellId(0),
-            phase: match e.what {
-                Told::Ready => Phase::Ready,
-                Told::Draining => Phase::Draining,
-                Told::Gone => Phase::Gone,
+            phase: match e.status {
+                Status::Ready => Phase::Ready,
+                Status::Draining => Phase::Draining,
+                Status::Gone => Phase::Gone,
             },
             weight: m.weight,
             started: e.started,
--- a/crates/world/src/clients/mod.rs
+++ b/crates/world/src/clients/mod.rs
@@ -10,7 +10,7 @@
 mod traffic;
 
 pub use arrivals::{Arrivals, Request};
-pub use patience::{Next, Tried, TryEnd};
+pub use patience::{Next, RetryState, TryEnd};
 pub use popularity::Popularity;
-pub use request_table::{Desk, Place, Try};
+pub use request_table::{RequestSlot, RequestTable, Try};
 pub use traffic::Traffic;
--- a/crates/world/src/clients/patience.rs
+++ b/crates/world/src/clients/patience.rs
@@ -6,7 +6,7 @@
 use crate::Micros;
 
 /// Less time than this is not worth another try.
-const LEAST: Micros = 10_000;
+const MIN_TRY_TIME: Micros = 10_000;
 
 /// How a try ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +23,7 @@
 
 /// A client's request under way: the tries that it has made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tried {
+pub struct RetryState {
     pub tries: u32,
 }
 
@@ -33,7 +33,7 @@
     Over,
 }
 
-impl Tried {
+impl RetryState {
     /// Another try begins; when it is given up comes back.
     pub fn begin(&mut self, now: Micros, r: &Request, class: &ClientClass) -> Micros {
         self.tries += 1;
@@ -62,7 +62,7 @@
         let until = r.at + ms(class.patience_ms);
         // A keyed request comes again only while repeats of it are dropped.
         let window = if class.repeat == Repeat::Keyed { r.at + ms(class.window_ms) } else { Micros::MAX };
-        if at + LEAST > until.min(window) {
+        if at + MIN_TRY_TIME > until.min(window) {
             return Next::Over;
         }
         Next::Try { at }
--- a/crates/world/src/clients/patience/tests.rs
+++ b/crates/world/src/clients/patience/tests.rs
@@ -12,25 +12,35 @@
 #[test]
 fn a_client_waits_longer_before_each_try_and_stops_when_its_time_is_up() {
     let (r, class) = request();
-    let mut tried = Tried::default();
-    assert_eq!(tried.begin(1_000, &r, &class), 1_201_000);
-    let Next::Try { at } = tried.after(101_000, &r, &class, TryEnd::Failed) else { panic!("a second try") };
+    let mut retry_state = RetryState::default();
+    assert_eq!(retry_state.begin(1_000, &r, &class), 1_201_000);
+    let Next::Try { at } = retry_state.after(101_000, &r, &class, TryEnd::Failed) else {
+        panic!("a second try")
+    };
     assert!((150_000..=251_000).contains(&at), "{at}");
-    assert_eq!(tried.begin(1_500_000, &r, &class), 2_001_000, "no try outlasts the client's patience");
-    assert_eq!(tried.after(1_900_000, &r, &class, TryEnd::Left), Next::Over, "no time is left for a third");
-    tried.begin(300_000, &r, &class);
-    assert_eq!(tried.after(310_000, &r, &class, TryEnd::Failed), Next::Over, "it makes three tries at most");
+    assert_eq!(retry_state.begin(1_500_000, &r, &class), 2_001_000, "no try outlasts the client's patience");
+    assert_eq!(
+        retry_state.after(1_900_000, &r, &class, TryEnd::Left),
+        Next::Over,
+        "no time is left for a third"
+    );
+    retry_state.begin(300_000, &r, &class);
+    assert_eq!(
+        retry_state.after(310_000, &r, &class, TryEnd::Failed),
+        Next::Over,
+        "it makes three tries at most"
+    );
 }
 
 #[test]
 fn a_refusal_says_how_long_to_stay_away() {
     let (r, class) = request();
-    let mut tried = Tried::default();
-    tried.begin(1_000, &r, &class);
+    let mut retry_state = RetryState::default();
+    retry_state.begin(1_000, &r, &class);
     let refused = TryEnd::Refused(Some(900_000));
-    assert_eq!(tried.after(100_000, &r, &class, refused), Next::Try { at: 1_000_000 });
+    assert_eq!(retry_state.after(100_000, &r, &class, refused), Next::Try { at: 1_000_000 });
     let rude = Request { honours: false, ..r };
-    let Next::Try { at } = tried.after(100_000, &rude, &class, refused) else { panic!("a second try") };
+    let Next::Try { at } = retry_state.after(100_000, &rude, &class, refused) else { panic!("a second try") };
     assert!(at <= 250_000, "{at}");
 }
 
@@ -38,9 +48,9 @@
 fn what_must_not_run_twice_comes_again_only_if_it_never_ran() {
     let (r, class) = request();
     let class = ClientClass { repeat: Repeat::Unsafe, ..class };
-    let mut tried = Tried::default();
-    tried.begin(1_000, &r, &class);
-    assert_eq!(tried.after(2_000, &r, &class, TryEnd::Left), Next::Over);
-    assert_eq!(tried.after(2_000, &r, &class, TryEnd::Failed), Next::Over);
-    assert!(matches!(tried.after(2_000, &r, &class, TryEnd::Unreached), Next::Try { .. }));
+    let mut retry_state = RetryState::default();
+    retry_state.begin(1_000, &r, &class);
+    assert_eq!(retry_state.after(2_000, &r, &class, TryEnd::Left), Next::Over);
+    assert_eq!(retry_state.after(2_000, &r, &class, TryEnd::Failed), Next::Over);
+    assert!(matches!(retry_state.after(2_000, &r, &class, TryEnd::Unreached), Next::Try { .. }));
 }
--- a/crates/world/src/clients/popularity.rs
+++ b/crates/world/src/clients/popularity.rs
@@ -28,7 +28,7 @@
 
 const EPOCH: u64 = 1 << 32;
 /// The longest value of the protocol.
-const MOST_BYTES: f64 = 65_536.0;
+const MAX_BYTES: f64 = 65_536.0;
 /// Ranks that are summed one by one; beyond them the sum is taken as an integral.
 const EXACT: u32 = 200;
 
@@ -138,7 +138,7 @@
         let even: f64 = (0..4).map(|i| f64::from((hash >> (16 * i)) as u16) / 65_536.0).sum();
         let normal = (even - 2.0) * 3f64.sqrt();
         let bytes = self.bytes * (self.sigma * normal - self.sigma * self.sigma / 2.0).exp();
-        bytes.clamp(1.0, MOST_BYTES) as u64
+        bytes.clamp(1.0, MAX_BYTES) as u64
     }
 
     /// The part of all requests that a rank draws.
--- a/crates/world/src/clients/request_table.rs
+++ b/crates/world/src/clients/request_table.rs
@@ -2,7 +2,7 @@
 //!
 //! The same book-keeping for every host. A try ends once: whoever tells of its end later finds it gone.
 
-use super::{Next, Request, Tried, TryEnd};
+use super::{Next, Request, RetryState, TryEnd};
 use crate::facts::{NodeNo, ProxyNo, TryNo};
 use crate::recorder::Recorder;
 use crate::scenario::ClientClass;
@@ -15,14 +15,14 @@
 
 /// A request by its place at the desk, until it is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place(pub usize);
+pub struct RequestSlot(pub usize);
 
 /// A try that is out, or of which attempts still are.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Try {
     pub no: TryNo,
     pub request: Request,
-    place: Place,
+    place: RequestSlot,
     pub proxy: ProxyNo,
     /// Not the first of its request.
     pub retry: bool,
@@ -51,11 +51,11 @@
 #[derive(Clone, Copy, Debug)]
 struct Live {
     request: Request,
-    tried: Tried,
+    retry_state: RetryState,
 }
 
 #[derive(Clone, Debug)]
-pub struct Desk {
+pub struct RequestTable {
     classes: Vec<ClientClass>,
     live: Slab<Live>,
     /// In the order of their numbers, from the first that is remembered.
@@ -65,30 +65,36 @@
     out: usize,
 }
 
-impl Desk {
+impl RequestTable {
     pub fn new(classes: &[ClientClass]) -> Self {
-        Desk { classes: classes.to_vec(), live: Slab::new(), tries: VecDeque::new(), first: 1, out: 0 }
+        RequestTable {
+            classes: classes.to_vec(),
+            live: Slab::new(),
+            tries: VecDeque::new(),
+            first: 1,
+            out: 0,
+        }
     }
 
     /// A client comes with a request; its first try is to be sent.
-    pub fn open(&mut self, request: Request, recorder: &mut Recorder) -> Place {
+    pub fn open(&mut self, request: Request, recorder: &mut Recorder) -> RequestSlot {
         recorder.asked(&request);
-        Place(self.live.insert(Live { request, tried: Tried::default() }))
+        RequestSlot(self.live.insert(Live { request, retry_state: RetryState::default() }))
     }
 
     /// A try is sent now, to this proxy.
     pub fn send(
         &mut self,
         now: Micros,
-        place: Place,
+        place: RequestSlot,
         proxy: ProxyNo,
         recorder: &mut Recorder,
     ) -> Option<Try> {
         let live = self.live.get_mut(place.0)?;
         let class = self.classes.get(usize::from(live.request.class.0))?;
-        let retry = live.tried.tries > 0;
+        let retry = live.retry_state.tries > 0;
         recorder.tried(now, &live.request, retry);
-        let until = live.tried.begin(now, &live.request, class);
+        let until = live.retry_state.begin(now, &live.request, class);
         let no = TryNo(self.first + self.tries.len() as u64);
         let request = live.request;
         let (missed, after, sent) = ([None; 2], None, now);
@@ -103,17 +109,17 @@
     pub fn unreached(
         &mut self,
         now: Micros,
-        place: Place,
+        place: RequestSlot,
         recorder: &mut Recorder,
-    ) -> Option<(Micros, Place)> {
+    ) -> Option<(Micros, RequestSlot)> {
         let live = self.live.get_mut(place.0)?;
         let class = self.classes.get(usize::from(live.request.class.0))?;
-        recorder.tried(now, &live.request, live.tried.tries > 0);
-        live.tried.begin(now, &live.request, class);
-        self.follow(now, place, TryEnd::Unreached, recorder)
+        recorder.tried(now, &live.request, live.retry_state.tries > 0);
+        live.retry_state.begin(now, &live.request, class);
+        self.schedule_next(now, place, TryEnd::Unreached, recorder)
     }
 
-    pub fn request(&self, place: Place) -> Option<Request> {
+    pub fn request(&self, place: RequestSlot) -> Option<Request> {
         self.live.get(place.0).map(|l| l.request)
     }
 
@@ -149,24 +155,24 @@
         of: TryNo,
         end: TryEnd,
         recorder: &mut Recorder,
-    ) -> Option<(Micros, Place)> {
-        let found = self.get_mut(of).filter(|t| t.open)?;
-        found.open = false;
-        let place = found.place;
-        self.follow(now, place, end, recorder)
+    ) -> Option<(Micros, RequestSlot)> {
+        let live_try = self.get_mut(of).filter(|t| t.open)?;
+        live_try.open = false;
+        let place = live_try.place;
+        self.schedule_next(now, place, end, recorder)
     }
 
-    fn follow(
+    fn schedule_next(
         &mut self,
         now: Micros,
-        place: Place,
+        place: RequestSlot,
         end: TryEnd,
         recorder: &mut Recorder,
-    ) -> Option<(Micros, Place)> {
+    ) -> Option<(Micros, RequestSlot)> {
         let live = *self.live.get(place.0)?;
         recorder.ended(now, end);
         let class = self.classes.get(usize::from(live.request.class.0))?;
-        match live.tried.after(now, &live.request, class, end) {
+        match live.retry_state.after(now, &live.request, class, end) {
             Next::Try { at } => Some((at, place)),
             Next::Over => {
                 recorder.over(now, &live.request, end);
--- a/crates/world/src/dedup.rs
+++ b/crates/world/src/dedup.rs
@@ -6,18 +6,18 @@
 use crate::Micros;
 use std::collections::VecDeque;
 
-const MOST: usize = 1 << 20;
+const MAX_ENTRIES: usize = 1 << 20;
 
 #[derive(Clone, Debug, Default)]
-pub struct Repeats {
+pub struct DedupTable {
     until: Map<u64, Micros>,
     order: VecDeque<(Micros, u64)>,
 }
 
-impl Repeats {
+impl DedupTable {
     /// Whether the key was seen within its window. If not, its window begins.
     pub fn seen(&mut self, now: Micros, key: u64, window: Micros) -> bool {
-        while self.order.front().is_some_and(|(until, _)| *until <= now) || self.order.len() >= MOST {
+        while self.order.front().is_some_and(|(until, _)| *until <= now) || self.order.len() >= MAX_ENTRIES {
             let Some((until, old)) = self.order.pop_front() else { break };
             if self.until.get(&old) == Some(&until) {
                 self.until.remove(&old);
@@ -34,7 +34,7 @@
     }
 
     pub fn clear(&mut self) {
-        *self = Repeats::default();
+        *self = DedupTable::default();
     }
 }
 
--- a/crates/world/src/dedup/tests.rs
+++ b/crates/world/src/dedup/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_repeat_is_known_within_the_window_and_not_after_it() {
-    let mut r = Repeats::default();
+    let mut r = DedupTable::default();
     assert!(!r.seen(0, 7, 1000));
     assert!(r.seen(999, 7, 1000), "the window runs from the first");
     assert!(!r.seen(1000, 7, 1000));
--- a/crates/world/src/discovery.rs
+++ b/crates/world/src/discovery.rs
@@ -4,7 +4,7 @@
 //! times of their own; an agent answers at once with what it has, and that counts as told. While discovery is silent the
 //! agents learn nothing, and nothing counts as told; what was due by then reaches them as the silence ends.
 
-use crate::facts::{NodeNo, ProxyNo, Told};
+use crate::facts::{NodeNo, ProxyNo, Status};
 use crate::random::{ms, seconds, within, Random};
 use crate::scenario::{Range, Scenario};
 use crate::Micros;
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub node: NodeNo,
-    pub what: Told,
+    pub status: Status,
     /// When its process last started; `None` is long ago.
     pub started: Option<Micros>,
 }
@@ -31,7 +31,7 @@
 
 /// A change that has reached an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct News {
+pub struct ListUpdate {
     pub proxy: ProxyNo,
     pub revision: u64,
     pub entry: Entry,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Nothing is told until it is over; what was due by then is told then, not at its own time in the past.
+    /// Nothing is told until it is over; what was due by then is told then, not at its own time in the initial_contents.
     pub fn silence(&mut self, now: Micros, silent: bool) {
         if self.silent && !silent {
             let due = self.agents.iter_mut().flat_map(|a| &mut a.due);
@@ -121,7 +121,7 @@
     }
 
     /// All that is told by now, in the order of proxies and changes.
-    pub fn advance(&mut self, now: Micros, out: &mut Vec<News>) {
+    pub fn advance(&mut self, now: Micros, out: &mut Vec<ListUpdate>) {
         if self.silent {
             return;
         }
@@ -131,7 +131,7 @@
                 agent.due.pop_front();
                 agent.revision = due.revision;
                 agent.known.insert(due.entry.node, (due.revision, due.entry));
-                out.push(News { proxy, revision: due.revision, entry: due.entry });
+                out.push(ListUpdate { proxy, revision: due.revision, entry: due.entry });
             }
         }
     }
@@ -142,7 +142,7 @@
         let Some(agent) = self.agents.get(proxy.0 as usize) else { return (0, Vec::new()) };
         let wanted = |(revision, entry): &(u64, Entry)| match after {
             Some(after) => *revision > after,
-            None => entry.what != Told::Gone,
+            None => entry.status != Status::Gone,
         };
         (agent.revision, agent.known.values().filter(|k| wanted(k)).map(|k| k.1).collect())
     }
--- a/crates/world/src/discovery/tests.rs
+++ b/crates/world/src/discovery/tests.rs
@@ -3,29 +3,29 @@
 
 const NODE: NodeNo = NodeNo(3);
 
-fn entry(what: Told) -> Entry {
-    Entry { node: NODE, what, started: None }
+fn entry(status: Status) -> Entry {
+    Entry { node: NODE, status, started: None }
 }
 
-fn told(d: &mut Discovery, now: Micros) -> Vec<(u32, Told)> {
+fn told(d: &mut Discovery, now: Micros) -> Vec<(u32, Status)> {
     let mut out = Vec::new();
     d.advance(now, &mut out);
-    out.iter().map(|n| (n.proxy.0, n.entry.what)).collect()
+    out.iter().map(|n| (n.proxy.0, n.entry.status)).collect()
 }
 
 #[test]
 fn each_proxy_hears_late_and_in_order() {
     let s = Scenario::default();
     let mut d = Discovery::new(&s, stream(1, "discovery", 0));
-    d.list(entry(Told::Ready));
-    d.change(0, entry(Told::Draining), Notice::Vanished);
-    d.change(0, entry(Told::Gone), Notice::Added);
+    d.list(entry(Status::Ready));
+    d.change(0, entry(Status::Draining), Notice::Vanished);
+    d.change(0, entry(Status::Gone), Notice::Added);
     assert!(told(&mut d, 5_000_000).is_empty(), "the later change waits for the first");
     let all = told(&mut d, 20_000_000);
     assert_eq!(all.len(), 2 * s.proxies.count as usize);
-    assert!(all.chunks(2).all(|c| (c[0].1, c[1].1) == (Told::Draining, Told::Gone)));
+    assert!(all.chunks(2).all(|c| (c[0].1, c[1].1) == (Status::Draining, Status::Gone)));
     assert_eq!(d.known(ProxyNo(0), None).1, []);
-    assert_eq!(d.known(ProxyNo(0), Some(2)), (3, vec![entry(Told::Gone)]));
+    assert_eq!(d.known(ProxyNo(0), Some(2)), (3, vec![entry(Status::Gone)]));
 }
 
 /// `lab search scenarios/rolling_restart.toml --runs 300 --seed 4411`, runs 0, 27 and nine more, were said to break `drain`. Trace of run 27, shrunk: a node
@@ -37,7 +37,7 @@
     let s = Scenario::default();
     let mut d = Discovery::new(&s, stream(1, "discovery", 0));
     d.silence(0, true);
-    d.change(0, entry(Told::Draining), Notice::Process);
+    d.change(0, entry(Status::Draining), Notice::Process);
     assert_eq!(d.next(), None);
     assert!(told(&mut d, 20_000_000).is_empty(), "nobody was told");
     d.silence(20_000_001, false);
--- a/crates/world/src/facts.rs
+++ b/crates/world/src/facts.rs
@@ -38,7 +38,7 @@
 
 /// What discovery told a proxy of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Status {
     Ready,
     Draining,
     Gone,
@@ -65,7 +65,7 @@
     Ran { node: NodeNo, of: TryNo, class: ClassNo, key: Option<u64>, effect: bool, made: bool },
     /// Discovery has told a proxy about a node, or counts as having told. `started` is when the process of the node that
     /// this speaks of started; `None` is long ago.
-    Told { proxy: ProxyNo, node: NodeNo, what: Told, started: Option<Micros> },
+    Listed { proxy: ProxyNo, node: NodeNo, status: Status, started: Option<Micros> },
     /// A node has started; told at the start of a run of those that are there, as `warm`. Others are empty and cold.
     /// `weight` is what discovery lists it with. `capacity` is its work a second when warm, in micros of a standard
     /// core.
@@ -74,11 +74,11 @@
     /// that the node has at this moment.
     Arrived { proxy: ProxyNo, node: NodeNo, work: Micros, warmth: f64 },
     /// A node has fallen over for too much work.
-    Fell { node: NodeNo },
+    OverloadCrash { node: NodeNo },
     /// The process or machine of a node is gone.
     Ended { node: NodeNo },
     /// A read or write has reached the ledger. `after` names the node whose miss sent the read on.
     LedgerAsked { proxy: ProxyNo, of: TryNo, after: Option<NodeNo> },
     /// The ledger was sent more than a set multiple of its capacity from `since` until now, and stops if it can.
-    LedgerSwamped { since: Micros, stopped: bool },
+    LedgerOverloaded { since: Micros, stopped: bool },
 }
--- a/crates/world/src/geography.rs
+++ b/crates/world/src/geography.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 
 /// The users' fleet; smaller ones are drawn after it.
-pub const USERS: Size = Size { regions: 33, zones: 82, sites: 670, proxies: 11_000, controls: 24 };
+pub const FULL_SIZE: Size = Size { regions: 33, zones: 82, sites: 670, proxies: 11_000, controls: 24 };
 
 /// One way between two machines of a site, of a zone, and of a region.
 const IN_SITE_US: Micros = 100;
@@ -20,9 +20,9 @@
 /// One way between regions: the least, and between opposite corners of the plane.
 const BETWEEN_US: [Micros; 2] = [10_000, 120_000];
 /// Fewest of each that a scaled fleet has: five stores and one more; two zones a region, for two disjoint ways.
-const LEAST_CONTROLS: u32 = 6;
-/// See [`LEAST_CONTROLS`].
-const LEAST_REGIONS: u32 = 3;
+const MIN_CONTROLS: u32 = 6;
+/// See [`MIN_CONTROLS`].
+const MIN_REGIONS: u32 = 3;
 
 /// How many of each.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,12 +39,12 @@
     /// The users' fleet with this many proxies: the other numbers go with the root of the proxies, so that places
     /// shrink as well as their number.
     pub fn of(proxies: u32) -> Size {
-        let root = (f64::from(proxies) / f64::from(USERS.proxies)).sqrt().min(1.0);
+        let root = (f64::from(proxies) / f64::from(FULL_SIZE.proxies)).sqrt().min(1.0);
         let scaled = |of: u32, least: u32| ((f64::from(of) * root).round() as u32).max(least);
-        let regions = scaled(USERS.regions, LEAST_REGIONS);
-        let zones = scaled(USERS.zones, 2 * regions);
-        let sites = scaled(USERS.sites, zones).min((proxies / 3).max(zones));
-        Size { regions, zones, sites, proxies, controls: scaled(USERS.controls, LEAST_CONTROLS) }
+        let regions = scaled(FULL_SIZE.regions, MIN_REGIONS);
+        let zones = scaled(FULL_SIZE.zones, 2 * regions);
+        let sites = scaled(FULL_SIZE.sites, zones).min((proxies / 3).max(zones));
+        Size { regions, zones, sites, proxies, controls: scaled(FULL_SIZE.controls, MIN_CONTROLS) }
     }
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// One way between two places.
-    pub fn way(&self, a: Spot, b: Spot) -> Micros {
+    pub fn one_way_delay(&self, a: Spot, b: Spot) -> Micros {
         if a.site == b.site {
             IN_SITE_US
         } else if a.zone == b.zone {
--- a/crates/world/src/geography/tests.rs
+++ b/crates/world/src/geography/tests.rs
@@ -25,8 +25,8 @@
     let g = Geography::draw(Size::of(1_000), 5);
     for a in g.proxies.iter().step_by(37) {
         for b in g.proxies.iter().step_by(41) {
-            let way = g.way(*a, *b);
-            assert_eq!(way, g.way(*b, *a));
+            let way = g.one_way_delay(*a, *b);
+            assert_eq!(way, g.one_way_delay(*b, *a));
             assert_eq!(way >= 10_000, a.region != b.region);
             assert!(way <= 120_000);
         }
--- a/crates/world/src/initial_contents.rs
+++ b/crates/world/src/initial_contents.rs
@@ -11,7 +11,7 @@
 use crate::Micros;
 
 #[derive(Clone, Debug)]
-pub struct Past {
+pub struct InitialContents {
     known: Option<Known>,
     /// Who asks now, and who was the first to ask for each key so far.
     pub asker: NodeNo,
@@ -28,10 +28,10 @@
     salt: u64,
 }
 
-impl Past {
+impl InitialContents {
     /// Nodes begin empty.
     pub fn none() -> Self {
-        Past { known: None, asker: LEDGER, asked: Map::default() }
+        InitialContents { known: None, asker: LEDGER, asked: Map::default() }
     }
 
     /// Keys were asked for at this rate; a cache of all nodes together has room for so many values and keeps each
@@ -39,7 +39,7 @@
     pub fn new(popularity: Popularity, rate: f64, values: f64, keep: f64, seed: u64) -> Self {
         let stay = popularity.stay(values, rate);
         let known = Some(Known { popularity, rate, stay, keep, salt: seed });
-        Past { known, ..Past::none() }
+        InitialContents { known, ..InitialContents::none() }
     }
 
     /// A warm node lacks this key: when the copy that it holds from before was made, if it holds one. Each key is
@@ -70,7 +70,7 @@
     }
 
     /// A key has changed: who holds a copy from before, if anybody does; nobody will any more.
-    pub fn void(&mut self, key: u64) -> Option<NodeNo> {
+    pub fn invalidate(&mut self, key: u64) -> Option<NodeNo> {
         self.known.as_ref()?;
         self.asked.insert(key, LEDGER).filter(|holder| *holder != LEDGER)
     }
--- a/crates/world/src/ledger.rs
+++ b/crates/world/src/ledger.rs
@@ -1,23 +1,23 @@
 //! The origin that all share: slots and a queue, slow spells, and a stop when it is sent too much for too long.
 //!
 //! It owns what is between the last byte of a request and its answer, as [`crate::node`] does for a cache node, and
-//! speaks in the same [`Ask`]s and [`Event`]s. Keyed requests that it has run are in the table that it shares with
+//! speaks in the same [`NodeRequest`]s and [`Event`]s. Keyed requests that it has run are in the table that it shares with
 //! the nodes. It keeps no values: that a copy of a written key goes void, and that
 //! a read is stored where it missed, is for the host (the world does it).
 
-use crate::dedup::Repeats;
-use crate::node::{begin, Answer, Ask, Dialled, Event, Happened, Script, Step};
+use crate::dedup::DedupTable;
+use crate::node::{begin, Answer, DialOutcome, Event, EventKind, NodeRequest, Script, Step};
 use crate::random::{lognormal, ms, seconds, within, Map, Random};
 use crate::scenario::{self, Range};
 use crate::station::Station;
-use crate::window_sum::Pressure;
+use crate::window_sum::WindowSum;
 use crate::Micros;
 use slab::Slab;
 use std::collections::VecDeque;
 
 #[derive(Clone, Copy, Debug)]
 struct Job {
-    ask: Ask,
+    request: NodeRequest,
     /// Reads that it counts for.
     reads: f64,
     work: f64,
@@ -53,7 +53,7 @@
     jobs: Slab<Job>,
     waiting: VecDeque<usize>,
     connections: Map<u64, ()>,
-    pressure: Pressure,
+    window_sum: WindowSum,
     slower: f64,
     /// Down until then.
     back: Option<Micros>,
@@ -87,7 +87,7 @@
             jobs: Slab::new(),
             waiting: VecDeque::new(),
             connections: Map::default(),
-            pressure: Pressure::new(ms(l.fall_for_ms)),
+            window_sum: WindowSum::new(ms(l.fall_for_ms)),
             slower: 1.0,
             back: None,
             script: None,
@@ -113,15 +113,15 @@
         self.back.is_none()
     }
 
-    pub fn follow(&mut self, script: Script) {
+    pub fn set_script(&mut self, script: Script) {
         self.script = Some(script);
     }
 
     /// It runs this many times slower.
-    pub fn slow(&mut self, now: Micros, times: f64, repeats: &mut Repeats, out: &mut Vec<Event>) {
-        self.advance(now, repeats, out);
+    pub fn set_slowdown(&mut self, now: Micros, times: f64, dedup: &mut DedupTable, out: &mut Vec<Event>) {
+        self.advance(now, dedup, out);
         self.slower = times.max(0.001);
-        self.retune(now);
+        self.update_speed(now);
     }
 
     /// It is down until then; what it had is lost. The host breaks the connections.
@@ -131,18 +131,18 @@
         self.waiting.clear();
         self.connections.clear();
         self.planned.clear();
-        self.pressure.clear();
+        self.window_sum.clear();
         self.counted.stops += 1;
         let until = until.max(now + 1);
         self.back = Some(self.back.map_or(until, |back| back.max(until)));
     }
 
-    pub fn connect(&mut self, connection: u64) -> Dialled {
+    pub fn connect(&mut self, connection: u64) -> DialOutcome {
         if self.back.is_some() || self.connections.len() >= self.most_connections {
-            return Dialled::Refused;
+            return DialOutcome::Refused;
         }
         self.connections.insert(connection, ());
-        Dialled::Accepted
+        DialOutcome::Accepted
     }
 
     /// The other side has closed: what waits for nobody is dropped, if it does that.
@@ -152,7 +152,7 @@
         }
         let jobs = &mut self.jobs;
         self.waiting.retain(|i| {
-            let stays = jobs.get(*i).is_some_and(|j| j.ask.connection != connection);
+            let stays = jobs.get(*i).is_some_and(|j| j.request.connection != connection);
             if !stays {
                 jobs.try_remove(*i);
             }
@@ -160,28 +160,34 @@
         });
     }
 
-    pub fn arrive(&mut self, now: Micros, ask: Ask, repeats: &mut Repeats, out: &mut Vec<Event>) {
-        self.advance(now, repeats, out);
-        if !self.connections.contains_key(&ask.connection) {
-            return tell(out, now, ask.job, Answer::Reset, 0.0);
+    pub fn arrive(
+        &mut self,
+        now: Micros,
+        request: NodeRequest,
+        dedup: &mut DedupTable,
+        out: &mut Vec<Event>,
+    ) {
+        self.advance(now, dedup, out);
+        if !self.connections.contains_key(&request.connection) {
+            return tell(out, now, request.job, Answer::Reset, 0.0);
         }
-        let reads = if ask.write { self.write_work } else { 1.0 };
-        let counter = if ask.write { &mut self.counted.writes } else { &mut self.counted.reads };
+        let reads = if request.write { self.write_work } else { 1.0 };
+        let counter = if request.write { &mut self.counted.writes } else { &mut self.counted.reads };
         *counter += 1;
         if let Some(Step { answer, after }) = self.script.as_mut().map(Script::take) {
             let Some(answer) = answer else { return };
             if matches!(answer, Answer::Value | Answer::Error) {
-                begin(out, now, &ask, true, true);
+                begin(out, now, &request, true, true);
             }
-            return self.planned.push((now + after.max(0), ask.job, answer));
+            return self.planned.push((now + after.max(0), request.job, answer));
         }
-        let sent = self.pressure.add(now, reads);
+        let sent = self.window_sum.add(now, reads);
         let able = self.capacity * self.fall_for as f64 / 1e6;
         if self.fall_multiple > 0.0 && sent > self.fall_multiple * able {
             let stopped = self.counted.stops < u64::from(self.most_stops);
             let since = now - self.fall_for;
-            out.push(Event { at: now, what: Happened::Swamped { since, stopped } });
-            self.pressure.clear();
+            out.push(Event { at: now, kind: EventKind::Overloaded { since, stopped } });
+            self.window_sum.clear();
             if stopped {
                 let down = seconds(within(self.down, &mut self.rng));
                 return self.stop(now, now + down);
@@ -189,12 +195,12 @@
         }
         if self.waiting.len() >= self.most_waiting && !self.station.is_free() {
             self.counted.refused += 1;
-            return tell(out, now, ask.job, Answer::Busy, 0.0);
+            return tell(out, now, request.job, Answer::Busy, 0.0);
         }
-        let job = self.jobs.insert(Job { ask, reads, work: 0.0 });
+        let job = self.jobs.insert(Job { request, reads, work: 0.0 });
         self.waiting.push_back(job);
-        self.fill(now, repeats, out);
-        self.retune(now);
+        self.fill(now, dedup, out);
+        self.update_speed(now);
     }
 
     /// When it wants to be moved along next.
@@ -204,44 +210,44 @@
     }
 
     /// Carries out all that is due by now.
-    pub fn advance(&mut self, now: Micros, repeats: &mut Repeats, out: &mut Vec<Event>) {
+    pub fn advance(&mut self, now: Micros, dedup: &mut DedupTable, out: &mut Vec<Event>) {
         while let Some(at) = self.next().filter(|at| *at <= now) {
             if let Some((at, job)) = self.station.end(at) {
-                if let Some(Job { ask, work, .. }) = self.jobs.try_remove(job as usize) {
+                if let Some(Job { request, work, .. }) = self.jobs.try_remove(job as usize) {
                     self.counted.served += 1;
-                    tell(out, at, ask.job, Answer::Value, work);
+                    tell(out, at, request.job, Answer::Value, work);
                 }
-                self.fill(at, repeats, out);
-                self.retune(at);
+                self.fill(at, dedup, out);
+                self.update_speed(at);
             } else if let Some(i) = self.planned.iter().position(|p| p.0 <= at) {
                 let (at, job, answer) = self.planned.remove(i);
                 self.counted.served += u64::from(answer == Answer::Value);
                 tell(out, at, job, answer, 0.0);
             } else {
                 self.back = None;
-                self.retune(at);
+                self.update_speed(at);
             }
         }
     }
 
-    fn retune(&mut self, now: Micros) {
+    fn update_speed(&mut self, now: Micros) {
         let crowd = 1.0 + self.crowd_loss * self.waiting.len() as f64 / self.station.slots() as f64;
         let full = self.capacity * self.service / 1e6 / self.station.slots() as f64;
         self.station.set_speed(now, full / crowd / self.slower);
     }
 
-    fn fill(&mut self, now: Micros, repeats: &mut Repeats, out: &mut Vec<Event>) {
+    fn fill(&mut self, now: Micros, dedup: &mut DedupTable, out: &mut Vec<Event>) {
         while self.station.is_free() {
             let Some(i) = self.waiting.pop_front() else { return };
-            let Some(Job { ask, reads, .. }) = self.jobs.get(i).copied() else { continue };
-            if self.drops && ask.expires <= now {
+            let Some(Job { request, reads, .. }) = self.jobs.get(i).copied() else { continue };
+            if self.drops && request.expires <= now {
                 self.jobs.remove(i);
                 self.counted.refused += 1;
-                tell(out, now, ask.job, Answer::Busy, 0.0);
+                tell(out, now, request.job, Answer::Busy, 0.0);
                 continue;
             }
-            let dropped = ask.repeat.is_some_and(|(key, window)| repeats.seen(now, key, window));
-            begin(out, now, &ask, !dropped, true);
+            let dropped = request.repeat.is_some_and(|(key, window)| dedup.seen(now, key, window));
+            begin(out, now, &request, !dropped, true);
             let work = self.service * reads * lognormal(self.sigma, &mut self.rng);
             self.jobs[i].work = work;
             self.station.start(now, i as u64, work);
@@ -250,5 +256,5 @@
 }
 
 fn tell(out: &mut Vec<Event>, at: Micros, job: u64, answer: Answer, work: f64) {
-    out.push(Event { at, what: Happened::Answered { job, answer, work } });
+    out.push(Event { at, kind: EventKind::Answered { job, answer, work } });
 }
--- a/crates/world/src/node/machine.rs
+++ b/crates/world/src/node/machine.rs
@@ -23,7 +23,7 @@
         Limits {
             fall_multiple: rules.fall_multiple,
             fall_for: ms(rules.fall_for_ms),
-            fall_slack: SLACK * mean_work,
+            fall_slack: MAX_COUNTED_REQUESTS * mean_work,
             mean_work,
             warm_after: seconds(rules.cold_s),
         }
@@ -33,7 +33,7 @@
     /// so many requests of mean work.
     pub fn overload(&self, able: f64) -> f64 {
         let allowed = self.fall_multiple * able;
-        allowed + chance_of(allowed / self.mean_work) * self.mean_work
+        allowed + chance_margin(allowed / self.mean_work) * self.mean_work
     }
 
     /// What a request of this work counts for: no single one for more than the slack. A request runs on one
@@ -45,14 +45,14 @@
 }
 
 /// Requests of mean work that one request counts for at most.
-pub const SLACK: f64 = 5.0;
+pub const MAX_COUNTED_REQUESTS: f64 = 5.0;
 
 /// Requests up to which a node is taken to be sent few.
 const FEW: f64 = 30.0;
 
 /// What chance may add to so many requests of mean work, as the platform's page on slow start has it: twice the deviation of
 /// a Poisson count and two more, three times and three where they are few.
-pub fn chance_of(requests: f64) -> f64 {
+pub fn chance_margin(requests: f64) -> f64 {
     let times = if requests < FEW { 3.0 } else { 2.0 };
     times * requests.max(0.0).sqrt() + times
 }
--- a/crates/world/src/node/mod.rs
+++ b/crates/world/src/node/mod.rs
@@ -2,7 +2,7 @@
 //! what can go wrong with it.
 //!
 //! It owns what is between the last byte of a command and its answer. Delays, bytes and sockets are the host's:
-//! it hands in [`Ask`]s with the time, calls [`Node::advance`] when [`Node::next`] says so, and carries the
+//! it hands in [`NodeRequest`]s with the time, calls [`Node::advance`] when [`Node::next`] says so, and carries the
 //! [`Event`]s that come out to wherever they belong. Jobs and connections have numbers that the host gives; a
 //! number is free again once its job was answered or its connection closed. A node that ended has forgotten all of
 //! them: the host breaks the connections itself.
@@ -12,17 +12,17 @@
 mod script;
 mod warmth;
 
-pub use machine::{chance_of, Limits, Machine, SLACK};
+pub use machine::{chance_margin, Limits, Machine, MAX_COUNTED_REQUESTS};
 pub use reports::Report;
 pub use script::{Script, Step};
 
-use crate::dedup::Repeats;
+use crate::dedup::DedupTable;
 use crate::facts::{ClassNo, TryNo};
-use crate::initial_contents::Past;
+use crate::initial_contents::InitialContents;
 use crate::random::{chance, exponential, factor, Map, Random};
 use crate::station::Station;
 use crate::store::Store;
-use crate::window_sum::Pressure;
+use crate::window_sum::WindowSum;
 use crate::Micros;
 use reports::Reports;
 use slab::Slab;
@@ -31,7 +31,7 @@
 
 /// A command that has reached a node whole.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ask {
+pub struct NodeRequest {
     /// The host's number for it.
     pub job: u64,
     pub connection: u64,
@@ -50,10 +50,10 @@
     pub expires: Micros,
 }
 
-impl Ask {
+impl NodeRequest {
     /// One that asks for nothing, to start from.
     pub fn nothing(job: u64, connection: u64) -> Self {
-        Ask {
+        NodeRequest {
             job,
             connection,
             of: TryNo(0),
@@ -68,18 +68,18 @@
     }
 }
 
-/// What nodes, and the ledger, have in common.
+/// What nodes, and the ledger, have in shared.
 #[derive(Clone, Debug)]
-pub struct Common {
-    pub past: Past,
+pub struct SharedState {
+    pub initial_contents: InitialContents,
     /// Keyed requests that one of them has run of late: all of them drop repeats.
-    pub repeats: Repeats,
+    pub dedup: DedupTable,
 }
 
-impl Default for Common {
+impl Default for SharedState {
     /// Nodes that begin empty.
     fn default() -> Self {
-        Common { past: Past::none(), repeats: Repeats::default() }
+        SharedState { initial_contents: InitialContents::none(), dedup: DedupTable::default() }
     }
 }
 
@@ -103,7 +103,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happened {
+pub enum EventKind {
     /// Work on a job began. `key` is its idempotency key. `effect` tells whether it really ran: not for a miss, nor
     /// for a repeat that was dropped; `made` whether something comes of it that can be served: not of a miss.
     /// `writes` names what it changes.
@@ -119,20 +119,20 @@
     /// `work` was done for it, in microseconds of a standard core.
     Answered { job: u64, answer: Answer, work: f64 },
     /// It fell over, cold as it was, and stays down.
-    Fell,
+    OverloadCrash,
     /// The ledger has been sent too much since then; whether it has stopped for it.
-    Swamped { since: Micros, stopped: bool },
+    Overloaded { since: Micros, stopped: bool },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Event {
     pub at: Micros,
-    pub what: Happened,
+    pub kind: EventKind,
 }
 
 /// How a connection that somebody opens fares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dialled {
+pub enum DialOutcome {
     Accepted,
     /// Nobody listens, or the table is full.
     Refused,
@@ -159,7 +159,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Job {
-    ask: Ask,
+    request: NodeRequest,
     answer: Answer,
     work: f64,
 }
@@ -168,9 +168,9 @@
 const WARMING: Micros = 50_000;
 /// How long a miss makes later ones of its key `pending`, and keys that are remembered for it.
 const LEASE: Micros = 400_000;
-const MOST_LEASES: usize = 4096;
+const MAX_LEASES: usize = 4096;
 /// Jobs that a node which hangs takes in, each on a connection of its own.
-const MOST_HELD: usize = 4096;
+const MAX_HELD: usize = 4096;
 
 #[derive(Clone, Debug)]
 pub struct Node {
@@ -183,12 +183,12 @@
     store: Store,
     connections: Map<u64, Connection>,
     warmth: Warmth,
-    pressure: Pressure,
+    window_sum: WindowSum,
     reports: Reports,
     leases: Map<u64, Micros>,
     /// Taken in while it hangs.
     hung: bool,
-    held: Vec<(Ask, bool)>,
+    held: Vec<(NodeRequest, bool)>,
     /// Answers that come at their time whatever the station does: of probes and scripts, by time and order.
     planned: Vec<(Micros, u64, Answer)>,
     probes: usize,
@@ -198,7 +198,7 @@
     /// The end of the pause it is in, and when the next one begins.
     paused: Option<Micros>,
     pause_at: Micros,
-    retune_at: Micros,
+    speed_update_at: Micros,
     slower: f64,
     errors: f64,
     spoils: f64,
@@ -220,7 +220,7 @@
             store: Store::new(m.store_bytes, m.keep_for),
             connections: Map::default(),
             warmth: Warmth::warm(m),
-            pressure: Pressure::new(m.limits.fall_for),
+            window_sum: WindowSum::new(m.limits.fall_for),
             reports: Reports::new(m),
             leases: Map::default(),
             hung: false,
@@ -231,7 +231,7 @@
             debt: 0.0,
             paused: None,
             pause_at: if m.pause > 0.0 { first_pause } else { Micros::MAX },
-            retune_at: Micros::MAX,
+            speed_update_at: Micros::MAX,
             slower: 1.0,
             errors: 0.0,
             spoils: 0.0,
@@ -290,10 +290,10 @@
         let spent = self.station.spent().1;
         self.warmth =
             if cold { Warmth::cold(&self.machine, now, spent) } else { Warmth::warm(&self.machine) };
-        self.pressure.clear();
+        self.window_sum.clear();
         self.hung = false;
         self.pause_at = self.pause_at.max(now);
-        self.retune(now);
+        self.update_speed(now);
     }
 
     /// Its process is gone, and with it all that it had.
@@ -308,7 +308,7 @@
         self.held.clear();
         self.planned.clear();
         (self.probes, self.debt, self.paused) = (0, 0.0, None);
-        self.retune_at = Micros::MAX;
+        self.speed_update_at = Micros::MAX;
     }
 
     /// Its machine is gone without a word.
@@ -325,29 +325,29 @@
     }
 
     /// It takes work and answers nothing until told to go on; then it answers what it took.
-    pub fn hang(&mut self, now: Micros, hangs: bool, common: &mut Common, out: &mut Vec<Event>) {
-        self.advance(now, common, out);
+    pub fn set_hung(&mut self, now: Micros, hangs: bool, shared: &mut SharedState, out: &mut Vec<Event>) {
+        self.advance(now, shared, out);
         self.hung = hangs;
-        self.retune(now);
+        self.update_speed(now);
         if !hangs {
-            for (ask, probe) in std::mem::take(&mut self.held) {
+            for (request, probe) in std::mem::take(&mut self.held) {
                 match probe {
-                    true => self.probe(now, ask.job, ask.connection, common, out),
-                    false => self.arrive(now, ask, common, out),
+                    true => self.probe(now, request.job, request.connection, shared, out),
+                    false => self.arrive(now, request, shared, out),
                 }
             }
         }
     }
 
     /// It runs this many times slower.
-    pub fn slow(&mut self, now: Micros, times: f64, common: &mut Common, out: &mut Vec<Event>) {
-        self.advance(now, common, out);
+    pub fn set_slowdown(&mut self, now: Micros, times: f64, shared: &mut SharedState, out: &mut Vec<Event>) {
+        self.advance(now, shared, out);
         self.slower = times.max(0.001);
-        self.retune(now);
+        self.update_speed(now);
     }
 
     /// The part of its answers that are errors, beside its usual ones; and the part that cannot be read.
-    pub fn fail(&mut self, errors: f64, spoils: f64) {
+    pub fn set_failure_rates(&mut self, errors: f64, spoils: f64) {
         (self.errors, self.spoils) = (errors, spoils);
     }
 
@@ -358,20 +358,20 @@
     }
 
     /// From now on it answers as it is told, and does no work.
-    pub fn follow(&mut self, script: Script) {
+    pub fn set_script(&mut self, script: Script) {
         self.script = Some(script);
     }
 
     // ---- what reaches it
 
-    pub fn connect(&mut self, now: Micros, connection: u64) -> Dialled {
+    pub fn connect(&mut self, now: Micros, connection: u64) -> DialOutcome {
         match self.state {
-            State::Vanished => Dialled::Silent,
-            State::Down => Dialled::Refused,
-            _ if self.connections.len() >= self.machine.connections => Dialled::Refused,
+            State::Vanished => DialOutcome::Silent,
+            State::Down => DialOutcome::Refused,
+            _ if self.connections.len() >= self.machine.connections => DialOutcome::Refused,
             _ => {
                 self.connections.insert(connection, Connection { fresh: true, used: now });
-                Dialled::Accepted
+                DialOutcome::Accepted
             }
         }
     }
@@ -381,10 +381,10 @@
         if self.connections.remove(&connection).is_none() || !self.machine.drops_cancelled {
             return;
         }
-        self.held.retain(|(ask, _)| ask.connection != connection);
+        self.held.retain(|(request, _)| request.connection != connection);
         let jobs = &mut self.jobs;
         self.waiting.retain(|i| {
-            let stays = jobs.get(*i).is_some_and(|j| j.ask.connection != connection);
+            let stays = jobs.get(*i).is_some_and(|j| j.request.connection != connection);
             if !stays {
                 jobs.try_remove(*i);
             }
@@ -393,43 +393,49 @@
     }
 
     /// A whole command has come.
-    pub fn arrive(&mut self, now: Micros, ask: Ask, common: &mut Common, out: &mut Vec<Event>) {
-        self.advance(now, common, out);
+    pub fn arrive(
+        &mut self,
+        now: Micros,
+        request: NodeRequest,
+        shared: &mut SharedState,
+        out: &mut Vec<Event>,
+    ) {
+        self.advance(now, shared, out);
         let Some(connection) =
-            self.connections.get_mut(&ask.connection).filter(|_| self.state != State::Down)
+            self.connections.get_mut(&request.connection).filter(|_| self.state != State::Down)
         else {
-            return tell(out, now, ask.job, Answer::Reset);
+            return tell(out, now, request.job, Answer::Reset);
         };
         if now - connection.used >= self.machine.idle_close {
-            self.connections.remove(&ask.connection);
-            return tell(out, now, ask.job, Answer::Reset);
+            self.connections.remove(&request.connection);
+            return tell(out, now, request.job, Answer::Reset);
         }
         connection.used = now;
         if std::mem::take(&mut connection.fresh) {
             self.debt += self.machine.handshake;
         }
         if let Some(step) = self.script.as_mut().map(Script::take) {
-            return self.scripted(now, ask, step, out);
+            return self.scripted(now, request, step, out);
         }
-        if self.overrun(now, ask.work) {
+        if self.overrun(now, request.work) {
             self.end(now);
-            return out.push(Event { at: now, what: Happened::Fell });
+            return out.push(Event { at: now, kind: EventKind::OverloadCrash });
         }
         if self.hung {
-            if self.held.len() < MOST_HELD {
-                self.held.push((ask, false));
+            if self.held.len() < MAX_HELD {
+                self.held.push((request, false));
             }
             return;
         }
         let room = self.waiting.len() < self.machine.waiting || self.station.is_free();
         if self.state == State::Draining || !room {
             self.debt += self.machine.turn_away;
-            return tell(out, now, ask.job, Answer::Busy);
+            return tell(out, now, request.job, Answer::Busy);
         }
-        let job = self.jobs.insert(Job { ask, answer: Answer::Value, work: 0.0 });
+        let job = self.jobs.insert(Job { request, answer: Answer::Value, work: 0.0 });
         self.waiting.push_back(job);
-        self.fill(now, common, out);
-        self.retune(now);
+        self.fill(now, shared, out);
+        self.update_speed(now);
     }
 
     /// Somebody asks for its load.
@@ -438,10 +444,10 @@
         now: Micros,
         job: u64,
         connection: u64,
-        common: &mut Common,
+        shared: &mut SharedState,
         out: &mut Vec<Event>,
     ) {
-        self.advance(now, common, out);
+        self.advance(now, shared, out);
         let Some(c) = self.connections.get_mut(&connection) else {
             return tell(out, now, job, Answer::Reset);
         };
@@ -450,9 +456,9 @@
             self.debt += self.machine.handshake;
         }
         if self.hung {
-            if self.held.len() < MOST_HELD {
-                let ask = Ask::nothing(job, connection);
-                self.held.push((ask, true));
+            if self.held.len() < MAX_HELD {
+                let request = NodeRequest::nothing(job, connection);
+                self.held.push((request, true));
             }
             return;
         }
@@ -469,7 +475,7 @@
     }
 
     /// What the ledger answered is kept where it was missed, if it still wants to be.
-    pub fn keep(&mut self, now: Micros, key: u64, bytes: u64) {
+    pub fn store_value(&mut self, now: Micros, key: u64, bytes: u64) {
         if self.is_up() && self.script.is_none() {
             self.leases.remove(&key);
             self.store.put(now, now, key, bytes);
@@ -477,7 +483,7 @@
     }
 
     /// A key has changed at the ledger.
-    pub fn void(&mut self, key: u64) {
+    pub fn invalidate(&mut self, key: u64) {
         self.store.remove(key);
     }
 
@@ -490,24 +496,24 @@
         }
         let planned = self.planned.iter().map(|p| p.0).min();
         let pause = self.paused.unwrap_or(self.pause_at);
-        let own = self.retune_at.min(pause);
+        let own = self.speed_update_at.min(pause);
         let next = own.min(self.station.next().unwrap_or(Micros::MAX)).min(planned.unwrap_or(Micros::MAX));
         (next < Micros::MAX).then_some(next)
     }
 
     /// Carries out all that is due by now.
-    pub fn advance(&mut self, now: Micros, common: &mut Common, out: &mut Vec<Event>) {
+    pub fn advance(&mut self, now: Micros, shared: &mut SharedState, out: &mut Vec<Event>) {
         while let Some(at) = self.next().filter(|at| *at <= now) {
             if let Some((at, job)) = self.station.end(at) {
                 self.finish(at, job as usize, out);
-                self.fill(at, common, out);
-                self.retune(at);
+                self.fill(at, shared, out);
+                self.update_speed(at);
             } else if let Some(i) = self.first_planned().filter(|i| self.planned[*i].0 <= at) {
                 let (at, job, answer) = self.planned.remove(i);
                 self.probes -= usize::from(matches!(answer, Answer::Report(_)));
                 tell(out, at, job, answer);
-            } else if self.retune_at <= at {
-                self.retune(at);
+            } else if self.speed_update_at <= at {
+                self.update_speed(at);
             } else {
                 self.pause(at);
             }
@@ -534,16 +540,16 @@
                 self.paused = Some(at + (length as Micros).max(1));
             }
         }
-        self.retune(at);
+        self.update_speed(at);
     }
 
     /// Its speed, from all that bears on it.
-    fn retune(&mut self, now: Micros) {
+    fn update_speed(&mut self, now: Micros) {
         self.station.catch_up(now);
         let m = &self.machine;
         let spent = self.station.spent().1;
         let warmth = self.warmth.at(now, spent);
-        self.retune_at = if warmth < 1.0 { now + WARMING } else { Micros::MAX };
+        self.speed_update_at = if warmth < 1.0 { now + WARMING } else { Micros::MAX };
         let held = (self.station.running() + self.waiting.len()) as f64;
         let crowd = 1.0 + m.crowd_loss * (held / f64::from(m.cores) - m.crowd_from).max(0.0);
         let table = 1.0 - m.full_table_loss * self.connections.len() as f64 / m.connections as f64;
@@ -553,70 +559,70 @@
     }
 
     /// Starts what waits while slots are free.
-    fn fill(&mut self, now: Micros, common: &mut Common, out: &mut Vec<Event>) {
+    fn fill(&mut self, now: Micros, shared: &mut SharedState, out: &mut Vec<Event>) {
         while self.station.is_free() {
             let Some(i) = self.waiting.pop_front() else { return };
-            let Some(ask) = self.jobs.get(i).map(|j| j.ask) else { continue };
-            if self.machine.drops_expired && ask.expires <= now {
+            let Some(request) = self.jobs.get(i).map(|j| j.request) else { continue };
+            if self.machine.drops_expired && request.expires <= now {
                 self.jobs.remove(i);
-                tell(out, now, ask.job, Answer::Busy);
+                tell(out, now, request.job, Answer::Busy);
                 continue;
             }
-            let answer = self.decide(now, &ask, common);
+            let answer = self.decide(now, &request, shared);
             let part = if matches!(answer, Answer::Miss { .. }) { self.machine.miss_work } else { 1.0 };
-            let work = ask.work * part + std::mem::take(&mut self.debt);
+            let work = request.work * part + std::mem::take(&mut self.debt);
             // A repeat of what this or another node has run of late is known, and has no effect.
             let runs = !matches!(answer, Answer::Miss { .. });
-            let known = ask.repeat.filter(|_| runs);
-            let dropped = known.is_some_and(|(key, window)| common.repeats.seen(now, key, window));
-            begin(out, now, &ask, runs && !dropped, runs);
-            self.jobs[i] = Job { ask, answer, work };
+            let known = request.repeat.filter(|_| runs);
+            let dropped = known.is_some_and(|(key, window)| shared.dedup.seen(now, key, window));
+            begin(out, now, &request, runs && !dropped, runs);
+            self.jobs[i] = Job { request, answer, work };
             self.station.start(now, i as u64, work);
         }
     }
 
-    fn decide(&mut self, now: Micros, ask: &Ask, common: &mut Common) -> Answer {
+    fn decide(&mut self, now: Micros, request: &NodeRequest, shared: &mut SharedState) -> Answer {
         if chance(self.machine.error_rate + self.errors, &mut self.rng) {
             return Answer::Error;
         }
         // Writes belong to the ledger.
-        if ask.write {
+        if request.write {
             return Answer::Miss { pending: false };
         }
-        if self.store.get(now, ask.key) {
+        if self.store.get(now, request.key) {
             return Answer::Value;
         }
-        let before = self.warmth.was_always_warm().then(|| common.past.claim(now, ask.key));
+        let before = self.warmth.was_always_warm().then(|| shared.initial_contents.claim(now, request.key));
         if let Some(made) = before.flatten() {
-            self.store.put(now, made, ask.key, ask.bytes);
+            self.store.put(now, made, request.key, request.bytes);
             return Answer::Value;
         }
-        if self.leases.len() >= MOST_LEASES {
+        if self.leases.len() >= MAX_LEASES {
             self.leases.retain(|_, until| *until > now);
         }
-        let pending = self.leases.get(&ask.key).is_some_and(|until| *until > now);
-        if !pending && self.leases.len() < MOST_LEASES {
-            self.leases.insert(ask.key, now + LEASE);
+        let pending = self.leases.get(&request.key).is_some_and(|until| *until > now);
+        if !pending && self.leases.len() < MAX_LEASES {
+            self.leases.insert(request.key, now + LEASE);
         }
         Answer::Miss { pending }
     }
 
     fn finish(&mut self, at: Micros, job: usize, out: &mut Vec<Event>) {
-        let Some(Job { ask, answer, work }) = self.jobs.try_remove(job) else { return };
+        let Some(Job { request, answer, work }) = self.jobs.try_remove(job) else { return };
         let answer = if chance(self.spoils, &mut self.rng) { Answer::Spoilt } else { answer };
         if answer == Answer::Error {
             self.reports.error();
         }
-        out.push(Event { at, what: Happened::Answered { job: ask.job, answer, work } });
+        out.push(Event { at, kind: EventKind::Answered { job: request.job, answer, work } });
     }
 
-    fn scripted(&mut self, now: Micros, ask: Ask, step: Step, out: &mut Vec<Event>) {
+    fn scripted(&mut self, now: Micros, request: NodeRequest, step: Step, out: &mut Vec<Event>) {
         let Some(answer) = step.answer else { return };
         let effect = matches!(answer, Answer::Value | Answer::Error);
         if effect || matches!(answer, Answer::Miss { .. }) {
-            begin(out, now, &ask, effect, effect);
+            begin(out, now, &request, effect, effect);
         }
-        self.plan(now + step.after.max(0), ask.job, answer);
+        self.plan(now + step.after.max(0), request.job, answer);
     }
 
     /// Counts what has come while cold; whether it was too much.
@@ -626,7 +632,7 @@
             return false;
         }
         let limits = &self.machine.limits;
-        let sent = self.pressure.add(now, limits.counted(work));
+        let sent = self.window_sum.add(now, limits.counted(work));
         let able = self.capacity() * warmth * limits.fall_for as f64;
         sent > limits.overload(able)
     }
@@ -640,13 +646,13 @@
     }
 }
 
-pub(crate) fn begin(out: &mut Vec<Event>, at: Micros, ask: &Ask, effect: bool, made: bool) {
-    let Ask { job, of, class, .. } = *ask;
-    let key = ask.repeat.map(|(key, _)| key);
-    let writes = Some(ask.key).filter(|_| ask.write && effect);
-    out.push(Event { at, what: Happened::Began { job, of, class, key, effect, made, writes } });
+pub(crate) fn begin(out: &mut Vec<Event>, at: Micros, request: &NodeRequest, effect: bool, made: bool) {
+    let NodeRequest { job, of, class, .. } = *request;
+    let key = request.repeat.map(|(key, _)| key);
+    let writes = Some(request.key).filter(|_| request.write && effect);
+    out.push(Event { at, kind: EventKind::Began { job, of, class, key, effect, made, writes } });
 }
 
 fn tell(out: &mut Vec<Event>, at: Micros, job: u64, answer: Answer) {
-    out.push(Event { at, what: Happened::Answered { job, answer, work: 0.0 } });
+    out.push(Event { at, kind: EventKind::Answered { job, answer, work: 0.0 } });
 }
--- a/crates/world/src/node/reports.rs
+++ b/crates/world/src/node/reports.rs
@@ -14,7 +14,7 @@
 }
 
 /// Reports that are not seen yet, at most: as many as fit into the longest delay.
-const MOST: usize = 64;
+const MAX_ENTRIES: usize = 64;
 
 #[derive(Clone, Debug)]
 pub struct Reports {
@@ -57,7 +57,7 @@
         let noisy = |x: f64, rng: &mut Random| (x * factor(self.noise, rng)) as f32;
         let report = Report { util: noisy(util, rng).min(1.0), errors_per_s: noisy(errors, rng) };
         (self.since, self.busy, self.errors) = (now, busy, 0);
-        if self.made.len() >= MOST {
+        if self.made.len() >= MAX_ENTRIES {
             self.made.pop_front();
         }
         self.made.push_back((now, report));
--- a/crates/world/src/outcome.rs
+++ b/crates/world/src/outcome.rs
@@ -252,7 +252,7 @@
 }
 
 /// The breaches of a rule that a run lists by itself; the rest are only counted.
-pub const MOST_BREACHES: usize = 20;
+pub const MAX_BREACHES: usize = 20;
 
 /// What the generator and the host could not keep up with. Always zero in the virtual world.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -266,7 +266,7 @@
 
 /// What came of the connections to proxies, where a scenario has a crowd.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Doorway {
+pub struct ConnectionCounts {
     /// Connections accepted: of usual clients, and of the crowd.
     pub usual: u64,
     pub crowd: u64,
@@ -278,8 +278,8 @@
     pub most_bytes: u64,
 }
 
-impl Doorway {
-    pub fn merge(&mut self, o: &Doorway) {
+impl ConnectionCounts {
+    pub fn merge(&mut self, o: &ConnectionCounts) {
         self.usual += o.usual;
         self.crowd += o.crowd;
         self.usual_closed += o.usual_closed;
@@ -348,7 +348,7 @@
 
 /// How the tries of clients met the proxies' sockets, where there are any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Meetings {
+pub struct SocketTryCounts {
     /// No connection came up, or it broke before the last byte was written.
     pub unreached: u64,
     /// Closed idle by the proxy while the command was on its way; sent once more.
@@ -372,7 +372,7 @@
     /// The names of the nodes that `Second::node_load` lists, in its order.
     pub nodes: Vec<String>,
     pub faults: Vec<FaultMark>,
-    /// The first of each rule, at most [`MOST_BREACHES`] a rule, in the order of time.
+    /// The first of each rule, at most [`MAX_BREACHES`] a rule, in the order of time.
     pub rules_broken: Vec<Breach>,
     /// All breaches, those not listed included.
     pub breaches: u64,
@@ -381,13 +381,13 @@
     pub late: Lateness,
     /// `None` without a crowd.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub doorway: Option<Doorway>,
+    pub doorway: Option<ConnectionCounts>,
     /// `None` where the scenario does not ask for them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub sizes: Option<Sizes>,
     /// `None` in virtual time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub meetings: Option<Meetings>,
+    pub meetings: Option<SocketTryCounts>,
 }
 
 impl Run {
--- a/crates/world/src/random.rs
+++ b/crates/world/src/random.rs
@@ -103,13 +103,13 @@
 
 /// A hash table by numbers. Its order is never looked at: it says nothing, but it may differ between versions of
 /// the standard library.
-pub type Map<K, V> = HashMap<K, V, BuildHasherDefault<Fold>>;
+pub type Map<K, V> = HashMap<K, V, BuildHasherDefault<MixHasher>>;
 
 /// Mixes the numbers it is given.
 #[derive(Clone, Copy, Default)]
-pub struct Fold(u64);
+pub struct MixHasher(u64);
 
-impl Hasher for Fold {
+impl Hasher for MixHasher {
     fn finish(&self) -> u64 {
         self.0
     }
--- a/crates/world/src/recorder.rs
+++ b/crates/world/src/recorder.rs
@@ -9,7 +9,7 @@
 
 const SECOND: Micros = 1_000_000;
 /// A timeline is no longer than a day and a little, whatever a clock says.
-const MOST_SECONDS: usize = 100_000;
+const MAX_SECONDS: usize = 100_000;
 
 #[derive(Clone, Debug)]
 pub struct Recorder {
@@ -37,7 +37,7 @@
     }
 
     fn at(&mut self, at: Micros) -> &mut Second {
-        let i = ((at.max(0) / SECOND) as usize).min(MOST_SECONDS);
+        let i = ((at.max(0) / SECOND) as usize).min(MAX_SECONDS);
         if i >= self.timeline.len() {
             self.timeline.resize_with(i + 1, Second::default);
         }
@@ -103,7 +103,7 @@
 
     /// Closes the seconds before this moment.
     fn pass(&mut self, at: Micros) {
-        let now = ((at.max(0) / SECOND) as usize).min(MOST_SECONDS);
+        let now = ((at.max(0) / SECOND) as usize).min(MAX_SECONDS);
         if now <= self.second {
             return;
         }
--- a/crates/world/src/rules/drain.rs
+++ b/crates/world/src/rules/drain.rs
@@ -1,7 +1,7 @@
 //! Nothing new goes to a node that drains or is gone, once its proxy has been told and the grace is over.
 
-use super::Found;
-use crate::facts::{Fact, NodeNo, ProxyNo, Told};
+use super::Findings;
+use crate::facts::{Fact, NodeNo, ProxyNo, Status};
 use crate::outcome::Rule;
 use crate::random::{ms, Map};
 use crate::scenario::Scenario;
@@ -19,17 +19,17 @@
         Drain { grace: ms(s.rules.drain_grace_ms) + slack, told: Map::default() }
     }
 
-    pub fn hear(&mut self, at: Micros, fact: &Fact, found: &mut Found) {
+    pub fn observe(&mut self, at: Micros, fact: &Fact, findings: &mut Findings) {
         match *fact {
-            Fact::Told { proxy, node, what: Told::Ready, .. } => drop(self.told.remove(&(proxy, node))),
-            Fact::Told { proxy, node, .. } => drop(self.told.entry((proxy, node)).or_insert(at)),
+            Fact::Listed { proxy, node, status: Status::Ready, .. } => drop(self.told.remove(&(proxy, node))),
+            Fact::Listed { proxy, node, .. } => drop(self.told.entry((proxy, node)).or_insert(at)),
             Fact::ProxyEnded { proxy, .. } => self.told.retain(|(p, _), _| *p != proxy),
             Fact::AttemptBegun { proxy, node, of } => {
                 let Some(told) = self.told.get(&(proxy, node)).filter(|told| at > **told + self.grace) else {
                     return;
                 };
                 let after = (at - told) / 1000;
-                found.add(Rule::Drain, at, || {
+                findings.add(Rule::Drain, at, || {
                     format!(
                         "proxy {} sent try {} to node {} {after} ms after it was told to stop",
                         proxy.0, of.0, node.0
--- a/crates/world/src/rules/fail_back.rs
+++ b/crates/world/src/rules/fail_back.rs
@@ -8,16 +8,16 @@
 //! cut by the warm-up that proxies are told of.
 //!
 //! Beside the work, calls are counted: within any window no more than those that the settings allow a node by then, by
-//! the ramp that proxies are told of, and what chance adds to so many ([`chance_of`]). Here no call counts for more than
+//! the ramp that proxies are told of, and what chance adds to so many ([`chance_margin`]). Here no call counts for more than
 //! another, whatever it draws.
 
-use super::Found;
-use crate::facts::{Fact, NodeNo, ProxyNo, Told, LEDGER};
-use crate::node::{chance_of, SLACK};
+use super::Findings;
+use crate::facts::{Fact, NodeNo, ProxyNo, Status, LEDGER};
+use crate::node::{chance_margin, MAX_COUNTED_REQUESTS};
 use crate::outcome::Rule;
 use crate::random::{ms, seconds, Map};
 use crate::scenario::Scenario;
-use crate::window_sum::Pressure;
+use crate::window_sum::WindowSum;
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -32,19 +32,19 @@
     capacity: f64,
     /// `None` since ever.
     started: Option<Micros>,
-    sent: Pressure,
-    knowing: Pressure,
+    sent: WindowSum,
+    knowing: WindowSum,
     /// Said once a start.
     broken: bool,
-    calls: Pressure,
-    knowing_calls: Pressure,
+    calls: WindowSum,
+    knowing_calls: WindowSum,
     /// Said once a start.
     overloaded: bool,
 }
 
 impl Node {
     fn new(weight: f64, capacity: f64, started: Option<Micros>, window: Micros) -> Self {
-        let none = Pressure::new(window);
+        let none = WindowSum::new(window);
         Node {
             weight,
             capacity,
@@ -74,9 +74,9 @@
     told: Map<(ProxyNo, NodeNo), Option<Micros>>,
     /// At the ledger, over its own window: all that was asked, what came of misses at cold nodes, and reads due to
     /// such nodes.
-    asked: Pressure,
-    misses: Pressure,
-    due: Pressure,
+    asked: WindowSum,
+    misses: WindowSum,
+    due: WindowSum,
     /// Classes that read.
     reads: Vec<bool>,
     /// The part of the reads that is due to cold nodes, and when it was worked out.
@@ -87,11 +87,11 @@
 impl FailBack {
     pub fn new(s: &Scenario) -> Self {
         let r = &s.rules;
-        let ledger = Pressure::new(ms(s.ledger.fall_for_ms));
+        let ledger = WindowSum::new(ms(s.ledger.fall_for_ms));
         FailBack {
             multiple: r.fall_multiple,
             window: ms(r.fall_for_ms),
-            slack: SLACK * s.clients.mean_work(),
+            slack: MAX_COUNTED_REQUESTS * s.clients.mean_work(),
             mean_work: s.clients.mean_work(),
             cold_from: r.cold_from,
             cold_for: seconds(r.cold_s),
@@ -139,24 +139,24 @@
         self.share
     }
 
-    pub fn hear(&mut self, at: Micros, fact: &Fact, found: &mut Found) {
+    pub fn observe(&mut self, at: Micros, fact: &Fact, findings: &mut Findings) {
         match *fact {
             Fact::Started { node, weight, capacity, warm } => {
                 let started = (!warm).then_some(at);
                 self.nodes.insert(node, Node::new(weight, capacity, started, self.window));
                 self.shared = Micros::MIN;
             }
-            Fact::Ended { node } | Fact::Fell { node } => {
+            Fact::Ended { node } | Fact::OverloadCrash { node } => {
                 self.nodes.remove(&node);
                 self.shared = Micros::MIN;
             }
-            Fact::Told { proxy, node, what: Told::Ready, started } => {
+            Fact::Listed { proxy, node, status: Status::Ready, started } => {
                 self.told.insert((proxy, node), started);
             }
-            Fact::Told { proxy, node, .. } => drop(self.told.remove(&(proxy, node))),
+            Fact::Listed { proxy, node, .. } => drop(self.told.remove(&(proxy, node))),
             Fact::ProxyEnded { proxy, .. } => self.told.retain(|(p, _), _| *p != proxy),
             Fact::Arrived { proxy, node, work, warmth } => {
-                self.arrived(at, proxy, node, work as f64, warmth, found)
+                self.arrived(at, proxy, node, work as f64, warmth, findings)
             }
             Fact::Taken { class, .. } if self.reads.get(usize::from(class.0)).is_some_and(|r| *r) => {
                 let share = self.cold_share(at);
@@ -171,10 +171,10 @@
                     self.misses.add(at, 1.0);
                 }
             }
-            Fact::LedgerSwamped { stopped, .. } => {
+            Fact::LedgerOverloaded { stopped, .. } => {
                 let (asked, misses, due) = (self.asked.sum(at), self.misses.sum(at), self.due.sum(at));
                 if misses > self.miss_part * asked && misses > self.miss_multiple * due {
-                    found.add(Rule::FailBack, at, || {
+                    findings.add(Rule::FailBack, at, || {
                         let what = if stopped { "stopped" } else { "swamped" };
                         format!(
                             "the ledger was {what}: {misses:.0} of {asked:.0} reads came of misses at cold nodes, \
@@ -194,12 +194,12 @@
         node: NodeNo,
         work: f64,
         warmth: f64,
-        found: &mut Found,
+        findings: &mut Findings,
     ) {
         if node == LEDGER {
             return;
         }
-        self.called(at, proxy, node, found);
+        self.called(at, proxy, node, findings);
         if warmth >= 1.0 {
             return;
         }
@@ -209,10 +209,10 @@
         let sent = n.sent.add(at, work);
         let knowing = n.knowing.add(at, if knows { work } else { 0.0 });
         let allowed = self.multiple * n.capacity / 1e6 * warmth * self.window as f64;
-        let able = allowed + chance_of(allowed / self.mean_work) * self.mean_work;
+        let able = allowed + chance_margin(allowed / self.mean_work) * self.mean_work;
         if sent > able && knowing >= KNEW * sent && !n.broken {
             n.broken = true;
-            found.add(Rule::FailBack, at, || {
+            findings.add(Rule::FailBack, at, || {
                 let (sent, able) = (sent / 1e3, able / 1e3);
                 format!(
                     "cold node {} was sent {sent:.0} ms of work within the window, {able:.0} at most",
@@ -228,7 +228,7 @@
         (self.cold_from + (1.0 - self.cold_from) * along).min(1.0)
     }
 
-    fn called(&mut self, at: Micros, proxy: ProxyNo, node: NodeNo, found: &mut Found) {
+    fn called(&mut self, at: Micros, proxy: ProxyNo, node: NodeNo, findings: &mut Findings) {
         if !self.is_cold(at, node) {
             return;
         }
@@ -238,12 +238,12 @@
         let window = self.window as f64 / 1e6;
         let Some(n) = self.nodes.get_mut(&node) else { return };
         let allowed = self.multiple * n.capacity * ramp * window / self.mean_work;
-        let most = allowed + chance_of(allowed);
+        let most = allowed + chance_margin(allowed);
         let calls = n.calls.add(at, 1.0);
         let knowing = n.knowing_calls.add(at, if knows { 1.0 } else { 0.0 });
         if calls > most && knowing >= KNEW * calls && !n.overloaded {
             n.overloaded = true;
-            found.add(Rule::SlowStart, at, || {
+            findings.add(Rule::SlowStart, at, || {
                 let age = (at - started) as f64 / 1e6;
                 format!(
                     "node {} got {calls:.0} calls within the window {age:.1} s after its start: {allowed:.0} are allowed, \
--- a/crates/world/src/rules/mod.rs
+++ b/crates/world/src/rules/mod.rs
@@ -10,7 +10,7 @@
 mod run_once;
 
 use crate::facts::Fact;
-use crate::outcome::{Breach, Rule, MOST_BREACHES};
+use crate::outcome::{Breach, Rule, MAX_BREACHES};
 use crate::scenario::Scenario;
 use crate::Micros;
 use drain::Drain;
@@ -18,17 +18,17 @@
 use one_answer::OneAnswer;
 use run_once::RunOnce;
 
-/// What the checkers have found, bounded.
+/// What the checkers have findings, bounded.
 #[derive(Clone, Debug, Default)]
-pub struct Found {
+pub struct Findings {
     listed: Vec<Breach>,
     count: u64,
 }
 
-impl Found {
+impl Findings {
     fn add(&mut self, rule: Rule, at: Micros, what: impl FnOnce() -> String) {
         self.count += 1;
-        if self.listed.iter().filter(|b| b.rule == rule).count() < MOST_BREACHES {
+        if self.listed.iter().filter(|b| b.rule == rule).count() < MAX_BREACHES {
             self.listed.push(Breach { rule, at_us: at, what: what() });
         }
     }
@@ -41,7 +41,7 @@
     run_once: RunOnce,
     drain: Drain,
     fail_back: FailBack,
-    found: Found,
+    findings: Findings,
 }
 
 impl Rules {
@@ -52,22 +52,22 @@
             run_once: RunOnce::new(s),
             drain: Drain::new(s, slack),
             fail_back: FailBack::new(s),
-            found: Found::default(),
+            findings: Findings::default(),
         }
     }
 
     /// Facts come in the order of time.
-    pub fn hear(&mut self, at: Micros, fact: &Fact) {
-        self.one_answer.hear(at, fact, &mut self.found);
-        self.run_once.hear(at, fact, &mut self.found);
-        self.drain.hear(at, fact, &mut self.found);
-        self.fail_back.hear(at, fact, &mut self.found);
+    pub fn observe(&mut self, at: Micros, fact: &Fact) {
+        self.one_answer.observe(at, fact, &mut self.findings);
+        self.run_once.observe(at, fact, &mut self.findings);
+        self.drain.observe(at, fact, &mut self.findings);
+        self.fail_back.observe(at, fact, &mut self.findings);
     }
 
     /// The first breaches of each rule in the order of time, and the number of all; `at` is the end of the run.
     pub fn finish(mut self, at: Micros) -> (Vec<Breach>, u64) {
-        self.one_answer.finish(at, &mut self.found);
-        self.found.listed.sort_by(|a, b| (a.at_us, a.rule, &a.what).cmp(&(b.at_us, b.rule, &b.what)));
-        (self.found.listed, self.found.count)
+        self.one_answer.finish(at, &mut self.findings);
+        self.findings.listed.sort_by(|a, b| (a.at_us, a.rule, &a.what).cmp(&(b.at_us, b.rule, &b.what)));
+        (self.findings.listed, self.findings.count)
     }
 }
--- a/crates/world/src/rules/one_answer.rs
+++ b/crates/world/src/rules/one_answer.rs
@@ -1,6 +1,6 @@
 //! One final outcome in time for each request taken, and a value only from who made it for this request.
 
-use super::Found;
+use super::Findings;
 use crate::facts::{Fact, Final, ProxyNo, TryNo};
 use crate::outcome::Rule;
 use crate::random::{ms, Map};
@@ -39,13 +39,13 @@
         }
     }
 
-    pub fn hear(&mut self, at: Micros, fact: &Fact, found: &mut Found) {
+    pub fn observe(&mut self, at: Micros, fact: &Fact, findings: &mut Findings) {
         if at >= self.sweep {
-            self.overdue(at, found);
+            self.overdue(at, findings);
             self.before = std::mem::take(&mut self.answered);
             self.sweep = at + SWEEP;
         }
-        let mut breach = |what: String| found.add(Rule::OneAnswer, at, || what);
+        let mut breach = |what: String| findings.add(Rule::OneAnswer, at, || what);
         match *fact {
             Fact::Taken { proxy, of, deadline, .. } => {
                 self.open.insert(of, Open { proxy, due: deadline + self.grace, made: false });
@@ -110,10 +110,10 @@
         tries
     }
 
-    fn overdue(&mut self, at: Micros, found: &mut Found) {
+    fn overdue(&mut self, at: Micros, findings: &mut Findings) {
         for of in self.of(|o| o.due < at) {
             if let Some(open) = self.open.remove(&of) {
-                found.add(Rule::OneAnswer, open.due, || {
+                findings.add(Rule::OneAnswer, open.due, || {
                     format!("proxy {} never answered try {}", open.proxy.0, of.0)
                 });
             }
@@ -121,7 +121,7 @@
     }
 
     /// What is open at the end, and could have been answered by then, was lost.
-    pub fn finish(&mut self, at: Micros, found: &mut Found) {
-        self.overdue(at, found);
+    pub fn finish(&mut self, at: Micros, findings: &mut Findings) {
+        self.overdue(at, findings);
     }
 }
--- a/crates/world/src/rules/run_once.rs
+++ b/crates/world/src/rules/run_once.rs
@@ -2,7 +2,7 @@
 //!
 //! Counted where things run, by whether they had an effect; a repeat that was recognised has none.
 
-use super::Found;
+use super::Findings;
 use crate::facts::{Fact, Final, NodeNo};
 use crate::outcome::Rule;
 use crate::random::Map;
@@ -37,7 +37,7 @@
         }
     }
 
-    pub fn hear(&mut self, at: Micros, fact: &Fact, found: &mut Found) {
+    pub fn observe(&mut self, at: Micros, fact: &Fact, findings: &mut Findings) {
         if at >= self.turn {
             self.before = std::mem::take(&mut self.ran);
             self.turn = at + HORIZON;
@@ -51,7 +51,7 @@
                 let id = key.filter(|_| repeat == Repeat::Keyed).map_or((false, of.0), |key| (true, key));
                 let earlier = self.ran.get(&id).or_else(|| self.before.get(&id)).copied();
                 if let Some(earlier) = earlier {
-                    found.add(Rule::RunOnce, at, || {
+                    findings.add(Rule::RunOnce, at, || {
                         let apart = (at - earlier.at) / 1000;
                         format!(
                             "try {} ran again at {}, {apart} ms after it ran at {}",
@@ -67,7 +67,7 @@
             Fact::Answered { proxy, of, how: Final::Refused } => {
                 let id = (false, of.0);
                 if self.ran.contains_key(&id) || self.before.contains_key(&id) {
-                    found.add(Rule::RunOnce, at, || {
+                    findings.add(Rule::RunOnce, at, || {
                         format!(
                             "proxy {} refused try {}, which had run and must not run twice",
                             proxy.0, of.0
--- a/crates/world/src/scenario/crowd.rs
+++ b/crates/world/src/scenario/crowd.rs
@@ -7,7 +7,7 @@
 pub struct Crowd {
     /// New connections a second, over all proxies.
     pub connections_per_s: f64,
-    pub manner: Manner,
+    pub manner: CrowdBehavior,
     /// Addresses from which they come, each in a network of its own; 0: from the usual clients' address.
     pub sources: u32,
     /// How long one stays unless it is closed.
@@ -15,7 +15,7 @@
     /// What a slow reader leaves unread.
     pub bytes: u32,
     /// Who makes room.
-    pub judge: Judge,
+    pub judge: EvictionPolicy,
     /// Connections that clients and crowd may have open to one proxy together, as a front with a bounded pool has
     /// them; what comes beyond waits its turn. 0: no bound but the proxy's.
     pub connections: u32,
@@ -29,11 +29,11 @@
     fn default() -> Self {
         Crowd {
             connections_per_s: 300.0,
-            manner: Manner::Mixed,
+            manner: CrowdBehavior::Mixed,
             sources: 1000,
             hold_s: 20.0,
             bytes: 65_536,
-            judge: Judge::Door,
+            judge: EvictionPolicy::Door,
             connections: 0,
             accept_us: 63.0,
             backlog: 128,
@@ -44,7 +44,7 @@
 /// What they do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Manner {
+pub enum CrowdBehavior {
     /// They say nothing.
     Silent,
     /// They send PING once.
@@ -61,7 +61,7 @@
 /// Who decides which connections make room.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Judge {
+pub enum EvictionPolicy {
     /// Nobody: who came first stays for as long as its times allow.
     Off,
     /// Whoever has been quiet for longest, and for 250 ms at least: as the proxy did before it had a door.
--- a/crates/world/src/scenario/mod.rs
+++ b/crates/world/src/scenario/mod.rs
@@ -11,7 +11,7 @@
 mod faults;
 pub(crate) mod validate;
 
-pub use crowd::{Crowd, Judge, Manner};
+pub use crowd::{Crowd, CrowdBehavior, EvictionPolicy};
 pub use faults::{Fault, FaultKind, Reads};
 pub use validate::Problem;
 
--- a/crates/world/src/scenario/validate.rs
+++ b/crates/world/src/scenario/validate.rs
@@ -13,16 +13,16 @@
 }
 
 /// Bounds that keep a run of any scenario finite.
-const MOST_SECONDS: f64 = 24.0 * 3600.0;
-const MOST_NODES: u64 = 20_000;
-const MOST_PROXIES: u32 = 1_000;
-const MOST_RATE: f64 = 5e6;
-const MOST_REQUESTS: f64 = 1e9;
-const MOST_KEYS: u32 = 50_000_000;
-const MOST_VALUE: f64 = 65_536.0;
-const MOST_MS: f64 = 3.6e6;
+const MAX_SECONDS: f64 = 24.0 * 3600.0;
+const MAX_NODES: u64 = 20_000;
+const MAX_PROXIES: u32 = 1_000;
+const MAX_RATE: f64 = 5e6;
+const MAX_REQUESTS: f64 = 1e9;
+const MAX_KEYS: u32 = 50_000_000;
+const MAX_VALUE: f64 = 65_536.0;
+const MAX_MS: f64 = 3.6e6;
 /// Times that sizes are taken in a run.
-const MOST_SIZES: f64 = 1_000.0;
+const MAX_SIZES: f64 = 1_000.0;
 
 pub(crate) type Check = Result<(), Problem>;
 
@@ -66,7 +66,7 @@
 impl Scenario {
     /// The first value that is wrong.
     pub fn validate(&self) -> Check {
-        within("seconds", self.seconds, 0.1, MOST_SECONDS)?;
+        within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
         if !(1..=64).contains(&self.halls.len()) {
             return wrong("halls", "1 to 64 halls are wanted");
         }
@@ -87,10 +87,10 @@
         within("network.jitter", self.network.jitter, 0.0, 2.0)?;
         within("network.broken", self.network.broken, 0.0, 1.0)?;
         self.clients.validate()?;
-        if self.clients.rate_per_s * self.seconds > MOST_REQUESTS {
+        if self.clients.rate_per_s * self.seconds > MAX_REQUESTS {
             return wrong(
                 "clients.rate_per_s",
-                format!("times seconds, at most {MOST_REQUESTS} requests are wanted"),
+                format!("times seconds, at most {MAX_REQUESTS} requests are wanted"),
             );
         }
         if let Some(crowd) = &self.crowd {
@@ -99,7 +99,7 @@
         self.rules.validate()?;
         self.expect.validate()?;
         if let Some(every) = self.sizes_every_s {
-            within("sizes_every_s", every, (self.seconds / MOST_SIZES).max(0.1), MOST_SECONDS)?;
+            within("sizes_every_s", every, (self.seconds / MAX_SIZES).max(0.1), MAX_SECONDS)?;
         } else if self.expect.growth.is_some() {
             return wrong("expect.growth", "sizes_every_s is wanted beside it");
         }
@@ -120,8 +120,8 @@
 
     fn validate_nodes(&self) -> Check {
         let all: u64 = self.nodes.iter().map(|g| u64::from(g.count)).sum();
-        if !(1..=MOST_NODES).contains(&all) {
-            return wrong("nodes", format!("1 to {MOST_NODES} nodes in all are wanted, these are {all}"));
+        if !(1..=MAX_NODES).contains(&all) {
+            return wrong("nodes", format!("1 to {MAX_NODES} nodes in all are wanted, these are {all}"));
         }
         for (i, group) in self.nodes.iter().enumerate() {
             let path = |field: &str| format!("nodes[{i}].{field}");
@@ -139,7 +139,7 @@
             range(&path("crowd_loss"), group.crowd_loss, 0.0, 10.0)?;
             within(path("miss_work"), group.miss_work, 0.0, 1.0)?;
             range(&path("pause_every_s"), group.pause_every_s, 0.001, 1e6)?;
-            range(&path("pause_ms"), group.pause_ms, 0.0, MOST_MS)?;
+            range(&path("pause_ms"), group.pause_ms, 0.0, MAX_MS)?;
             range(&path("cold_from"), group.cold_from, 0.001, 1.0)?;
             range(&path("cold_s"), group.cold_s, 0.0, 3600.0)?;
             range(&path("error_rate"), group.error_rate, 0.0, 1.0)?;
@@ -161,8 +161,8 @@
     fn validate_fault(&self, path: &str, f: &Fault) -> Check {
         let at = |field: &str| format!("{path}.{field}");
         let (kind, reads) = (f.kind.name(), f.kind.reads());
-        within(at("at_s"), f.at_s, 0.0, MOST_SECONDS)?;
-        within(at("for_s"), f.for_s, if reads.lasts { 0.001 } else { 0.0 }, MOST_SECONDS)?;
+        within(at("at_s"), f.at_s, 0.0, MAX_SECONDS)?;
+        within(at("for_s"), f.for_s, if reads.lasts { 0.001 } else { 0.0 }, MAX_SECONDS)?;
         let given = [f.node.is_some(), f.nodes.is_some(), f.part.is_some()];
         let here = given.iter().filter(|g| **g).count();
         if reads.nodes && here != 1 {
@@ -205,7 +205,7 @@
             return wrong(at("node"), format!("there are nodes 0 to {}, not {node}", fleet - 1));
         }
         if let Some(nodes) = f.nodes {
-            within(at("nodes"), nodes.into(), 1.0, MOST_NODES as f64)?;
+            within(at("nodes"), nodes.into(), 1.0, MAX_NODES as f64)?;
         }
         if let Some(part) = f.part {
             within(at("part"), part, 0.0, 1.0)?;
@@ -228,10 +228,10 @@
             within(at("rate"), rate, 0.0, 1.0)?;
         }
         if let Some(every) = f.every_s {
-            within(at("every_s"), every, 0.0, MOST_SECONDS)?;
+            within(at("every_s"), every, 0.0, MAX_SECONDS)?;
         }
         match f.down_s {
-            Some(down) => within(at("down_s"), down, 0.0, MOST_SECONDS),
+            Some(down) => within(at("down_s"), down, 0.0, MAX_SECONDS),
             None => Ok(()),
         }
     }
@@ -239,15 +239,15 @@
 
 impl Proxies {
     fn validate(&self) -> Check {
-        within("proxies.count", self.count.into(), 1.0, MOST_PROXIES.into())?;
+        within("proxies.count", self.count.into(), 1.0, MAX_PROXIES.into())?;
         within("proxies.memory_mb", self.memory_mb.into(), 1.0, 1e6)?;
         within("proxies.sockets", self.sockets.into(), 64.0, 1e6)?;
         within("proxies.period_ms", self.period_ms, 1.0, 1000.0)?;
         within("proxies.max_attempts", self.max_attempts.into(), 1.0, 250.0)?;
         within("proxies.max_open", self.max_open.into(), 1.0, 1e7)?;
         within("proxies.probe_price", self.probe_price, 0.0, 100.0)?;
-        within("proxies.dial_timeout_ms", self.dial_timeout_ms, 1.0, MOST_MS)?;
-        within("proxies.max_retry_after_ms", self.max_retry_after_ms, 0.0, MOST_MS)
+        within("proxies.dial_timeout_ms", self.dial_timeout_ms, 1.0, MAX_MS)?;
+        within("proxies.max_retry_after_ms", self.max_retry_after_ms, 0.0, MAX_MS)
     }
 }
 
@@ -270,13 +270,13 @@
             within("ledger.capacity_per_s", capacity, 0.01, 1e8)?;
         }
         within("ledger.headroom", self.headroom, 0.01, 1e4)?;
-        within("ledger.service_ms", self.service_ms, 0.01, MOST_MS)?;
+        within("ledger.service_ms", self.service_ms, 0.01, MAX_MS)?;
         within("ledger.service_sigma", self.service_sigma, 0.0, 3.0)?;
         within("ledger.write_work", self.write_work, 0.0, 1000.0)?;
         within("ledger.queue_s", self.queue_s, 0.0, 3600.0)?;
         within("ledger.crowd_loss", self.crowd_loss, 0.0, 10.0)?;
         within("ledger.fall_multiple", self.fall_multiple, 0.0, 1000.0)?;
-        within("ledger.fall_for_ms", self.fall_for_ms, 1.0, MOST_MS)?;
+        within("ledger.fall_for_ms", self.fall_for_ms, 1.0, MAX_MS)?;
         range("ledger.down_s", self.down_s, 0.0, 3600.0)?;
         within("ledger.connections", self.connections.into(), 1.0, 1e6)
     }
@@ -284,7 +284,7 @@
 
 impl Clients {
     fn validate(&self) -> Check {
-        within("clients.rate_per_s", self.rate_per_s, 0.001, MOST_RATE)?;
+        within("clients.rate_per_s", self.rate_per_s, 0.001, MAX_RATE)?;
         if !(1..=64).contains(&self.classes.len()) {
             return wrong("clients.classes", "1 to 64 classes are wanted");
         }
@@ -292,14 +292,14 @@
             let path = |field: &str| format!("clients.classes[{i}].{field}");
             named(&path("name"), &class.name)?;
             within(path("share"), class.share, 0.0, 1e6)?;
-            within(path("aim_ms"), class.aim_ms, 0.1, MOST_MS)?;
-            within(path("patience_ms"), class.patience_ms, class.aim_ms, MOST_MS)?;
+            within(path("aim_ms"), class.aim_ms, 0.1, MAX_MS)?;
+            within(path("patience_ms"), class.patience_ms, class.aim_ms, MAX_MS)?;
             within(path("worth"), class.worth, 0.0, 1e6)?;
-            within(path("window_ms"), class.window_ms, 0.0, MOST_MS)?;
+            within(path("window_ms"), class.window_ms, 0.0, MAX_MS)?;
             if class.repeat == Repeat::Keyed && class.window_ms <= 0.0 {
                 return wrong(path("window_ms"), "a keyed class wants a window of more than 0");
             }
-            within(path("work_ms"), class.work_ms, 0.001, MOST_MS)?;
+            within(path("work_ms"), class.work_ms, 0.001, MAX_MS)?;
             within(path("work_cv"), class.work_cv, 0.0, 10.0)?;
         }
         distinct("clients.classes", self.classes.iter().map(|c| c.name.as_str()))?;
@@ -319,18 +319,18 @@
         if !self.tenants.is_empty() && self.tenants.iter().map(|t| t.usage).sum::<f64>() <= 0.0 {
             return wrong("clients.tenants", "at least one tenant wants a usage of more than 0");
         }
-        within("clients.popularity.keys", self.popularity.keys.into(), 1.0, MOST_KEYS.into())?;
+        within("clients.popularity.keys", self.popularity.keys.into(), 1.0, MAX_KEYS.into())?;
         within("clients.popularity.exponent", self.popularity.exponent, 0.0, 4.0)?;
         within("clients.popularity.offset", self.popularity.offset, 0.0, 1e6)?;
         within("clients.popularity.drift_per_s", self.popularity.drift_per_s, 0.0, 1.0)?;
-        within("clients.popularity.value_bytes", self.popularity.value_bytes, 1.0, MOST_VALUE)?;
+        within("clients.popularity.value_bytes", self.popularity.value_bytes, 1.0, MAX_VALUE)?;
         within("clients.popularity.value_sigma", self.popularity.value_sigma, 0.0, 3.0)?;
         range("clients.retries", self.retries, 0.0, 20.0)?;
         range("clients.try_part", self.try_part, 0.01, 1.0)?;
-        range("clients.backoff_ms", self.backoff_ms, 0.0, MOST_MS)?;
+        range("clients.backoff_ms", self.backoff_ms, 0.0, MAX_MS)?;
         within("clients.honour", self.honour, 0.0, 1.0)?;
         within("clients.swing", self.swing, 0.0, 1.0)?;
-        within("clients.swing_s", self.swing_s, 0.1, MOST_SECONDS)?;
+        within("clients.swing_s", self.swing_s, 0.1, MAX_SECONDS)?;
         within("clients.hall_skew", self.hall_skew, 0.0, 1.0)?;
         range("clients.front.notice_s", self.front.notice_s, 0.0, 600.0)
     }
@@ -338,13 +338,13 @@
 
 impl Rules {
     fn validate(&self) -> Check {
-        within("rules.answer_grace_ms", self.answer_grace_ms, 0.0, MOST_MS)?;
-        within("rules.drain_grace_ms", self.drain_grace_ms, 0.0, MOST_MS)?;
+        within("rules.answer_grace_ms", self.answer_grace_ms, 0.0, MAX_MS)?;
+        within("rules.drain_grace_ms", self.drain_grace_ms, 0.0, MAX_MS)?;
         within("rules.told_latest_s", self.told_latest_s, 0.0, 3600.0)?;
         within("rules.cold_from", self.cold_from, 0.001, 1.0)?;
         within("rules.cold_s", self.cold_s, 0.0, 3600.0)?;
         within("rules.fall_multiple", self.fall_multiple, 0.01, 1000.0)?;
-        within("rules.fall_for_ms", self.fall_for_ms, 1.0, MOST_MS)?;
+        within("rules.fall_for_ms", self.fall_for_ms, 1.0, MAX_MS)?;
         within("rules.cold_miss_part", self.cold_miss_part, 0.0, 1.0)?;
         within("rules.cold_miss_multiple", self.cold_miss_multiple, 0.0, 1000.0)?;
         within("rules.quota_multiple", self.quota_multiple, 0.001, 1000.0)?;
--- a/crates/world/src/window_sum.rs
+++ b/crates/world/src/window_sum.rs
@@ -9,15 +9,15 @@
 const SPANS: i64 = 50;
 
 #[derive(Clone, Debug)]
-pub struct Pressure {
+pub struct WindowSum {
     span: Micros,
     spans: VecDeque<(i64, f64)>,
     sum: f64,
 }
 
-impl Pressure {
+impl WindowSum {
     pub fn new(window: Micros) -> Self {
-        Pressure { span: (window / SPANS).max(1), spans: VecDeque::new(), sum: 0.0 }
+        WindowSum { span: (window / SPANS).max(1), spans: VecDeque::new(), sum: 0.0 }
     }
 
     /// Adds what comes now; the sum over the window up to now comes back. Time does not go back.
--- a/crates/world/src/world/faults.rs
+++ b/crates/world/src/world/faults.rs
@@ -2,7 +2,7 @@
 
 use super::{Occurrence, World};
 use crate::discovery::{Entry, Notice};
-use crate::facts::{Fact, NodeNo, ProxyNo, Told, LEDGER};
+use crate::facts::{Fact, NodeNo, ProxyNo, Status, LEDGER};
 use crate::node::Event;
 use crate::outcome::FaultMark;
 use crate::random::{seconds, stream};
@@ -59,21 +59,25 @@
     ProxyStarts(ProxyNo),
 }
 
-pub(super) struct Agenda {
+pub(super) struct FaultSchedule {
     steps: BinaryHeap<Reverse<(Micros, u64, Step)>>,
     planned: u64,
     faults: Vec<Fault>,
     marks: Vec<FaultMark>,
 }
 
-impl Agenda {
+impl FaultSchedule {
     pub fn new(s: &Scenario) -> Self {
-        let mut agenda =
-            Agenda { steps: BinaryHeap::new(), planned: 0, faults: s.faults.clone(), marks: Vec::new() };
+        let mut fault_schedule = FaultSchedule {
+            steps: BinaryHeap::new(),
+            planned: 0,
+            faults: s.faults.clone(),
+            marks: Vec::new(),
+        };
         for (i, fault) in s.faults.iter().enumerate() {
-            agenda.plan(seconds(fault.at_s), Step::Begin(i));
+            fault_schedule.plan(seconds(fault.at_s), Step::Begin(i));
         }
-        agenda
+        fault_schedule
     }
 
     fn plan(&mut self, at: Micros, step: Step) {
@@ -97,27 +101,29 @@
 
 impl World {
     /// Carries out the next step, due now.
-    pub(super) fn play(&mut self, at: Micros, out: &mut Vec<(Micros, Occurrence)>) {
-        let Some(Reverse((_, _, step))) = self.agenda.steps.pop() else { return };
+    pub(super) fn run_step(&mut self, at: Micros, out: &mut Vec<(Micros, Occurrence)>) {
+        let Some(Reverse((_, _, step))) = self.fault_schedule.steps.pop() else { return };
         let mut events = std::mem::take(&mut self.events);
         match step {
             Step::Begin(i) => self.begin(at, i, out),
-            Step::Hang(no, on) => self.at_node(no, &mut events, |n, common, out| n.hang(at, on, common, out)),
+            Step::Hang(no, on) => {
+                self.at_node(no, &mut events, |n, shared, out| n.set_hung(at, on, shared, out))
+            }
             Step::Slow(no, on, i) => {
-                let times = if on { self.agenda.faults[i].times.unwrap_or(1.0) } else { 1.0 };
-                self.at_node(no, &mut events, |n, common, out| n.slow(at, times, common, out));
+                let times = if on { self.fault_schedule.faults[i].times.unwrap_or(1.0) } else { 1.0 };
+                self.at_node(no, &mut events, |n, shared, out| n.set_slowdown(at, times, shared, out));
             }
             Step::Fail(no, on, i) => {
-                let fault = &self.agenda.faults[i];
+                let fault = &self.fault_schedule.faults[i];
                 let rate = if on { fault.rate.unwrap_or(0.0) } else { 0.0 };
                 let spoils = fault.kind == FaultKind::Spoil;
                 let (errors, spoils) = if spoils { (0.0, rate) } else { (rate, 0.0) };
-                self.at_node(no, &mut events, |n, _, _| n.fail(errors, spoils));
+                self.at_node(no, &mut events, |n, _, _| n.set_failure_rates(errors, spoils));
             }
             Step::Drain(no) => {
                 // Of a process that is gone already, discovery has nothing to tell.
                 if self.nodes.get(no.0 as usize).is_some_and(|n| n.is_up()) {
-                    let entry = Entry { node: no, what: Told::Draining, started: None };
+                    let entry = Entry { node: no, status: Status::Draining, started: None };
                     self.at_node(no, &mut events, |n, _, _| n.drain());
                     self.discovery.change(at, entry, Notice::Process);
                 }
@@ -143,18 +149,18 @@
             }
             Step::Break(on, i) => {
                 let usual = self.scenario.network.broken;
-                let part = if on { self.agenda.faults[i].rate.unwrap_or(0.0) } else { usual };
+                let part = if on { self.fault_schedule.faults[i].rate.unwrap_or(0.0) } else { usual };
                 self.network.break_connections(part);
             }
             Step::SlowLedger(on, i) => {
-                let times = if on { self.agenda.faults[i].times.unwrap_or(1.0) } else { 1.0 };
-                self.ledger.slow(at, times, &mut self.common.repeats, &mut events);
-                self.carry(LEDGER, events, out);
+                let times = if on { self.fault_schedule.faults[i].times.unwrap_or(1.0) } else { 1.0 };
+                self.ledger.set_slowdown(at, times, &mut self.shared.dedup, &mut events);
+                self.publish_events(LEDGER, events, out);
                 events = std::mem::take(&mut self.events);
             }
             Step::Silence(on) => self.discovery.silence(at, on),
             Step::ProxyEnds(proxy) => {
-                self.agenda.plan(at + seconds(STILL_S), Step::ProxyUnlisted(proxy));
+                self.fault_schedule.plan(at + seconds(STILL_S), Step::ProxyUnlisted(proxy));
                 out.push((at, Occurrence::Proxy { proxy, change: ProxyChange::End }));
             }
             Step::ProxyDies(proxy) => {
@@ -168,37 +174,41 @@
             }
         }
         match step {
-            Step::Hang(no, _) | Step::Slow(no, ..) => self.carry(no, events, out),
+            Step::Hang(no, _) | Step::Slow(no, ..) => self.publish_events(no, events, out),
             _ => self.events = events,
         }
-        self.retell();
-        self.front_next = self.front.next().unwrap_or(Micros::MAX);
+        self.refresh_list_update_at();
+        self.front_update_at = self.front.next().unwrap_or(Micros::MAX);
     }
 
     fn at_node(
         &mut self,
         no: NodeNo,
         events: &mut Vec<Event>,
-        act: impl FnOnce(&mut crate::node::Node, &mut crate::node::Common, &mut Vec<Event>),
+        act: impl FnOnce(&mut crate::node::Node, &mut crate::node::SharedState, &mut Vec<Event>),
     ) {
-        self.common.past.asker = no;
+        self.shared.initial_contents.asker = no;
         if let Some(node) = self.nodes.get_mut(no.0 as usize).filter(|n| n.is_up()) {
-            act(node, &mut self.common, events);
+            act(node, &mut self.shared, events);
         }
     }
 
     fn end_node(&mut self, at: Micros, no: NodeNo, out: &mut Vec<(Micros, Occurrence)>) {
         if let Some(node) = self.nodes.get_mut(no.0 as usize).filter(|n| n.is_up()) {
             node.end(at);
-            self.rules.hear(at, &Fact::Ended { node: no });
-            self.gone(at, no, Notice::Process);
+            self.rules.observe(at, &Fact::Ended { node: no });
+            self.report_gone(at, no, Notice::Process);
             out.push((at, Occurrence::Ended { node: no }));
         }
     }
 
     fn add_started(&mut self, at: Micros, no: NodeNo, out: &mut Vec<(Micros, Occurrence)>) {
         self.start_node(at, no, true);
-        self.discovery.change(at, Entry { node: no, what: Told::Ready, started: Some(at) }, Notice::Added);
+        self.discovery.change(
+            at,
+            Entry { node: no, status: Status::Ready, started: Some(at) },
+            Notice::Added,
+        );
         out.push((at, Occurrence::Started { node: no }));
     }
 
@@ -223,7 +233,7 @@
     }
 
     /// The nodes that a fault strikes, drawn from those that serve, in the order in which they are struck.
-    fn struck(&self, fault: &Fault, i: usize) -> Vec<NodeNo> {
+    fn affected_nodes(&self, fault: &Fault, i: usize) -> Vec<NodeNo> {
         if let Some(node) = fault.node {
             return vec![NodeNo(node)];
         }
@@ -250,14 +260,14 @@
     }
 
     fn begin(&mut self, at: Micros, i: usize, out: &mut Vec<(Micros, Occurrence)>) {
-        let fault = self.agenda.faults[i].clone();
+        let fault = self.fault_schedule.faults[i].clone();
         let until = at + seconds(fault.for_s);
         let every = seconds(fault.every_s.unwrap_or(EVERY_S));
         let down = |or: f64| seconds(fault.down_s.unwrap_or(or));
         let mut end = until;
         let mut struck = Vec::new();
         if fault.kind.reads().nodes && fault.kind != FaultKind::Grow {
-            struck = self.struck(&fault, i);
+            struck = self.affected_nodes(&fault, i);
         }
         let names = |struck: &[NodeNo]| {
             let mut names: Vec<&str> =
@@ -275,34 +285,36 @@
         for (k, no) in struck.iter().copied().enumerate() {
             let turn = at + every * k as i64;
             match fault.kind {
-                FaultKind::Hang => self.pair(at, until, |on| Step::Hang(no, on)),
-                FaultKind::SlowNode => self.pair(at, until, |on| Step::Slow(no, on, i)),
-                FaultKind::Errors | FaultKind::Spoil => self.pair(at, until, |on| Step::Fail(no, on, i)),
+                FaultKind::Hang => self.plan_start_and_end(at, until, |on| Step::Hang(no, on)),
+                FaultKind::SlowNode => self.plan_start_and_end(at, until, |on| Step::Slow(no, on, i)),
+                FaultKind::Errors | FaultKind::Spoil => {
+                    self.plan_start_and_end(at, until, |on| Step::Fail(no, on, i))
+                }
                 FaultKind::Crash => {
-                    self.agenda.plan(at, Step::End(no));
+                    self.fault_schedule.plan(at, Step::End(no));
                     end = at + down(BACK_S);
-                    self.agenda.plan(end, Step::Start(no));
+                    self.fault_schedule.plan(end, Step::Start(no));
                 }
                 FaultKind::Restart | FaultKind::Replace => {
                     let over = turn + down(DRAIN_S);
                     end = over + seconds(EXEC_S);
-                    self.agenda.plan(turn, Step::Drain(no));
-                    self.agenda.plan(over, Step::End(no));
+                    self.fault_schedule.plan(turn, Step::Drain(no));
+                    self.fault_schedule.plan(over, Step::End(no));
                     let next =
                         if fault.kind == FaultKind::Restart { Step::Start(no) } else { Step::Replace(no) };
-                    self.agenda.plan(end, next);
+                    self.fault_schedule.plan(end, next);
                 }
                 FaultKind::Drain | FaultKind::Shrink => {
                     end = until.max(spread(k) + down(DRAIN_S));
-                    self.agenda.plan(spread(k), Step::Drain(no));
-                    self.agenda.plan(spread(k) + down(DRAIN_S), Step::End(no));
+                    self.fault_schedule.plan(spread(k), Step::Drain(no));
+                    self.fault_schedule.plan(spread(k) + down(DRAIN_S), Step::End(no));
                 }
                 FaultKind::Vanish => {
                     let node = &mut self.nodes[no.0 as usize];
                     if node.is_up() {
                         node.vanish(at);
-                        self.rules.hear(at, &Fact::Ended { node: no });
-                        self.gone(at, no, Notice::Vanished);
+                        self.rules.observe(at, &Fact::Ended { node: no });
+                        self.report_gone(at, no, Notice::Vanished);
                         out.push((at, Occurrence::Vanished { node: no }));
                     }
                 }
@@ -317,30 +329,30 @@
                 let count = fault.nodes.unwrap_or(0);
                 for k in 0..count {
                     let turn = at + (until - at) * Micros::from(k) / Micros::from(count);
-                    self.agenda.plan(turn, Step::Grow(i, k));
+                    self.fault_schedule.plan(turn, Step::Grow(i, k));
                 }
                 what = format!("{count} new nodes");
             }
             FaultKind::HallCut => {
                 let name = fault.hall.clone().unwrap_or_default();
                 let hall = self.scenario.halls.iter().position(|h| *h == name).unwrap_or(0) as u16;
-                self.pair(at, until, |on| Step::Cut(hall, on));
+                self.plan_start_and_end(at, until, |on| Step::Cut(hall, on));
                 what = name;
             }
             FaultKind::BreakConnections => {
-                self.pair(at, until, |on| Step::Break(on, i));
+                self.plan_start_and_end(at, until, |on| Step::Break(on, i));
                 what = format!("{part:.0} % of the attempts");
             }
             FaultKind::SlowLedger => {
-                self.pair(at, until, |on| Step::SlowLedger(on, i));
+                self.plan_start_and_end(at, until, |on| Step::SlowLedger(on, i));
                 what = format!("{times} times slower");
             }
             FaultKind::StopLedger => {
                 self.ledger.stop(at, until);
-                self.rewake(LEDGER);
+                self.schedule_wake(LEDGER);
                 out.push((at, Occurrence::Ended { node: LEDGER }));
             }
-            FaultKind::SilentDiscovery => self.pair(at, until, Step::Silence),
+            FaultKind::SilentDiscovery => self.plan_start_and_end(at, until, Step::Silence),
             FaultKind::ProxyRestart | FaultKind::ProxyCrash => {
                 let all = 0..self.scenario.proxies.count;
                 let mut proxies: Vec<u32> = all.filter(|p| fault.proxy.is_none_or(|f| f == *p)).collect();
@@ -358,11 +370,11 @@
                     } else {
                         (Step::ProxyDies(proxy), BACK_S)
                     };
-                    self.agenda.plan(turn, step);
+                    self.fault_schedule.plan(turn, step);
                     // Who is told to end has the time to answer what it took.
                     let least = if planned { self.longest_patience() + seconds(KILL_S) } else { 0 };
                     end = turn + down(back).max(least);
-                    self.agenda.plan(end, Step::ProxyStarts(proxy));
+                    self.fault_schedule.plan(end, Step::ProxyStarts(proxy));
                 }
                 what = match fault.proxy {
                     Some(proxy) => format!("proxy {proxy}"),
@@ -377,7 +389,7 @@
             }
             _ => {}
         }
-        self.agenda.marks.push(FaultMark {
+        self.fault_schedule.marks.push(FaultMark {
             kind: fault.kind.name().into(),
             from_s: at as f64 / 1e6,
             until_s: end as f64 / 1e6,
@@ -390,8 +402,8 @@
         seconds(classes.map(|c| c.patience_ms / 1e3).fold(0.0, f64::max).min(PATIENCE_S))
     }
 
-    fn pair(&mut self, at: Micros, until: Micros, step: impl Fn(bool) -> Step) {
-        self.agenda.plan(at, step(true));
-        self.agenda.plan(until, step(false));
+    fn plan_start_and_end(&mut self, at: Micros, until: Micros, step: impl Fn(bool) -> Step) {
+        self.fault_schedule.plan(at, step(true));
+        self.fault_schedule.plan(until, step(false));
     }
 }
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -4,7 +4,7 @@
 //! the rules and the counts. A host owns clients' sends, the proxies and what lies between: it calls
 //! [`World::advance`] when [`World::next`] says so and whenever it has something to hand in, and carries out the
 //! [`Occurrence`]s. Numbers of jobs and connections are the host's own. Facts about nodes are told to the rules in
-//! here; those about proxies are the host's to tell ([`World::tell`]).
+//! here; those about proxies are the host's to tell ([`World::observe`]).
 //!
 //! Use [`crate::node::Node`] or [`crate::ledger::Ledger`] by themselves where a test wants one of them only.
 
@@ -14,14 +14,16 @@
 pub use builder::Builder;
 pub use faults::ProxyChange;
 
-use crate::clients::{Arrivals, Desk};
-use crate::discovery::{Discovery, Entry, News, Notice};
-use crate::facts::{Fact, NodeNo, ProxyNo, Told, LEDGER};
+use crate::clients::{Arrivals, RequestTable};
+use crate::discovery::{Discovery, Entry, ListUpdate, Notice};
+use crate::facts::{Fact, NodeNo, ProxyNo, Status, LEDGER};
 use crate::front::Front;
-use crate::initial_contents::Past;
+use crate::initial_contents::InitialContents;
 use crate::ledger::Ledger;
 use crate::network::Network;
-use crate::node::{Answer, Ask, Common, Dialled, Event, Happened, Limits, Machine, Node, Script};
+use crate::node::{
+    Answer, DialOutcome, Event, EventKind, Limits, Machine, Node, NodeRequest, Script, SharedState,
+};
 use crate::outcome::{FaultMark, Lateness, Run};
 use crate::random::{seed_of, stream, Map};
 use crate::recorder::Recorder;
@@ -29,13 +31,13 @@
 use crate::scenario::{NodeGroup, Problem, Scenario};
 use crate::store::OVERHEAD;
 use crate::{Micros, LEDGER_KIND};
-use faults::Agenda;
+use faults::FaultSchedule;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 const SECOND: Micros = 1_000_000;
 /// The part of the reads that a ledger is made for at least.
-const LEAST_MISSES: f64 = 0.02;
+const MIN_MISSES: f64 = 0.02;
 
 /// What is fixed about a node, or the ledger.
 #[derive(Clone, Debug, PartialEq)]
@@ -75,7 +77,7 @@
         node: NodeNo,
     },
     /// Discovery has told a proxy's agent something. What only counts as told does not appear.
-    Told(News),
+    ListUpdated(ListUpdate),
     /// A hall is reached again: connections that lost something on the way break now.
     CutOver {
         hall: u16,
@@ -88,9 +90,9 @@
 
 /// An attempt as it reaches a node or the ledger.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Visit {
+pub struct NodeAttempt {
     pub proxy: ProxyNo,
-    pub ask: Ask,
+    pub request: NodeRequest,
     /// At the ledger: the node whose miss sent the read on.
     pub after: Option<NodeNo>,
 }
@@ -103,7 +105,7 @@
     kinds: Vec<String>,
     nodes: Vec<Node>,
     ledger: Ledger,
-    common: Common,
+    shared: SharedState,
     /// Who keeps a copy of a key, for the time when it is written. What was dropped since stays listed.
     copies: Map<u64, Vec<NodeNo>>,
     pub network: Network,
@@ -112,17 +114,17 @@
     proxies: Vec<u16>,
     pub recorder: Recorder,
     rules: Rules,
-    agenda: Agenda,
+    fault_schedule: FaultSchedule,
     /// When each node wants to be moved along, the ledger last; entries that no longer hold are skipped.
     wakes: BinaryHeap<Reverse<(Micros, u32)>>,
     wake_at: Vec<Micros>,
     ledger_wake: Micros,
     /// Cached, since they are asked for at every step.
-    told_next: Micros,
-    front_next: Micros,
-    sample_next: Micros,
+    list_update_at: Micros,
+    front_update_at: Micros,
+    sample_at: Micros,
     events: Vec<Event>,
-    news: Vec<News>,
+    list_updates: Vec<ListUpdate>,
 }
 
 impl World {
@@ -154,12 +156,18 @@
         let capacity = s.ledger.capacity_per_s.unwrap_or_else(|| {
             let hits = arrivals.popularity().hits(values, reads, keep, writes / reads.max(1e-9));
             // A cache that holds all would leave nothing; a ledger can do something all the same.
-            let misses = reads * (1.0 - hits).max(LEAST_MISSES);
+            let misses = reads * (1.0 - hits).max(MIN_MISSES);
             s.ledger.headroom * (misses + writes * s.ledger.write_work)
         });
         let proxies: Vec<u16> = (0..s.proxies.count as usize).map(|i| (i % halls) as u16).collect();
         let front_rng = stream(seed, "front", 0);
-        let past = Past::new(arrivals.popularity().clone(), reads, values, keep, seed_of(seed, "past", 0));
+        let initial_contents = InitialContents::new(
+            arrivals.popularity().clone(),
+            reads,
+            values,
+            keep,
+            seed_of(seed, "past", 0),
+        );
         let mut world = World {
             ledger_member: Member {
                 no: LEDGER,
@@ -173,7 +181,7 @@
             members: Vec::new(),
             nodes: Vec::new(),
             ledger: Ledger::new(&s.ledger, capacity.max(0.01), stream(seed, "ledger", 0)),
-            common: Common { past, ..Common::default() },
+            shared: SharedState { initial_contents, ..SharedState::default() },
             copies: Map::default(),
             network: Network::new(&s.network, halls, stream(seed, "network", 0)),
             discovery: Discovery::new(&s, stream(seed, "discovery", 0)),
@@ -181,15 +189,15 @@
             proxies,
             recorder: Recorder::new(&s),
             rules: Rules::new(&s, slack),
-            agenda: Agenda::new(&s),
+            fault_schedule: FaultSchedule::new(&s),
             wakes: BinaryHeap::new(),
             wake_at: Vec::new(),
             ledger_wake: Micros::MAX,
-            told_next: Micros::MAX,
-            front_next: Micros::MAX,
-            sample_next: SECOND,
+            list_update_at: Micros::MAX,
+            front_update_at: Micros::MAX,
+            sample_at: SECOND,
             events: Vec::new(),
-            news: Vec::new(),
+            list_updates: Vec::new(),
             kinds,
             seed,
             scenario: scenario.clone(),
@@ -201,10 +209,10 @@
                 placed += 1;
                 let no = world.add_node(group, hall, None);
                 world.start_node(0, no, false);
-                world.discovery.list(Entry { node: no, what: Told::Ready, started: None });
+                world.discovery.list(Entry { node: no, status: Status::Ready, started: None });
             }
         }
-        world.discovery.list(Entry { node: LEDGER, what: Told::Ready, started: None });
+        world.discovery.list(Entry { node: LEDGER, status: Status::Ready, started: None });
         Ok(world)
     }
 
@@ -223,8 +231,8 @@
         Arrivals::new(&self.scenario, self.seed)
     }
 
-    pub fn desk(&self) -> Desk {
-        Desk::new(&self.scenario.clients.classes)
+    pub fn request_table(&self) -> RequestTable {
+        RequestTable::new(&self.scenario.clients.classes)
     }
 
     /// Kinds of machine, the ledger's last.
@@ -265,26 +273,26 @@
     /// A node, or the ledger, answers as it is told from now on.
     pub fn script(&mut self, node: NodeNo, script: Script) {
         match self.nodes.get_mut(node.0 as usize) {
-            Some(n) => n.follow(script),
-            None => self.ledger.follow(script),
+            Some(n) => n.set_script(script),
+            None => self.ledger.set_script(script),
         }
     }
 
     // ---- facts
 
     /// A fact about a proxy, seen by the host.
-    pub fn tell(&mut self, at: Micros, fact: Fact) {
-        self.rules.hear(at, &fact);
+    pub fn observe(&mut self, at: Micros, fact: Fact) {
+        self.rules.observe(at, &fact);
     }
 
     // ---- what reaches nodes and the ledger
 
-    pub fn connect(&mut self, now: Micros, node: NodeNo, connection: u64) -> Dialled {
+    pub fn connect(&mut self, now: Micros, node: NodeNo, connection: u64) -> DialOutcome {
         let dialled = match self.nodes.get_mut(node.0 as usize) {
             Some(n) => n.connect(now, connection),
             None => self.ledger.connect(connection),
         };
-        self.recorder.work().handshakes += u64::from(dialled == Dialled::Accepted);
+        self.recorder.work().handshakes += u64::from(dialled == DialOutcome::Accepted);
         dialled
     }
 
@@ -296,22 +304,28 @@
     }
 
     /// The last byte of an attempt has come to a node or the ledger.
-    pub fn arrive(&mut self, now: Micros, node: NodeNo, visit: &Visit, out: &mut Vec<(Micros, Occurrence)>) {
-        let Visit { proxy, ask, after } = *visit;
+    pub fn arrive(
+        &mut self,
+        now: Micros,
+        node: NodeNo,
+        visit: &NodeAttempt,
+        out: &mut Vec<(Micros, Occurrence)>,
+    ) {
+        let NodeAttempt { proxy, request, after } = *visit;
         let mut events = std::mem::take(&mut self.events);
         match self.nodes.get_mut(node.0 as usize) {
             Some(n) => {
-                let (work, warmth) = (ask.work as Micros, n.warmth(now));
-                self.rules.hear(now, &Fact::Arrived { proxy, node, work, warmth });
-                self.common.past.asker = node;
-                n.arrive(now, ask, &mut self.common, &mut events);
+                let (work, warmth) = (request.work as Micros, n.warmth(now));
+                self.rules.observe(now, &Fact::Arrived { proxy, node, work, warmth });
+                self.shared.initial_contents.asker = node;
+                n.arrive(now, request, &mut self.shared, &mut events);
             }
             None => {
-                self.rules.hear(now, &Fact::LedgerAsked { proxy, of: ask.of, after });
-                self.ledger.arrive(now, ask, &mut self.common.repeats, &mut events);
+                self.rules.observe(now, &Fact::LedgerAsked { proxy, of: request.of, after });
+                self.ledger.arrive(now, request, &mut self.shared.dedup, &mut events);
             }
         }
-        self.carry(node, events, out);
+        self.publish_events(node, events, out);
     }
 
     /// Somebody asks for a node's load.
@@ -328,16 +342,16 @@
         };
         self.recorder.work().probes += 1;
         let mut events = std::mem::take(&mut self.events);
-        self.common.past.asker = node;
-        n.probe(now, job, connection, &mut self.common, &mut events);
-        self.carry(node, events, out);
+        self.shared.initial_contents.asker = node;
+        n.probe(now, job, connection, &mut self.shared, &mut events);
+        self.publish_events(node, events, out);
     }
 
     /// The ledger has answered a read for which these nodes missed: they keep the value.
-    pub fn keep(&mut self, now: Micros, nodes: &[Option<NodeNo>], key: u64, bytes: u64) {
+    pub fn store_value(&mut self, now: Micros, nodes: &[Option<NodeNo>], key: u64, bytes: u64) {
         for no in nodes.iter().flatten() {
             if let Some(n) = self.nodes.get_mut(no.0 as usize) {
-                n.keep(now, key, bytes);
+                n.store_value(now, key, bytes);
                 let copies = self.copies.entry(key).or_default();
                 if !copies.contains(no) {
                     copies.push(*no);
@@ -347,11 +361,11 @@
     }
 
     /// A key is written: its copies are void. Writes that run at the ledger in here have done so by themselves.
-    pub fn written(&mut self, key: u64) {
+    pub fn invalidate_copies(&mut self, key: u64) {
         let kept = self.copies.remove(&key).unwrap_or_default();
-        for no in kept.into_iter().chain(self.common.past.void(key)) {
+        for no in kept.into_iter().chain(self.shared.initial_contents.invalidate(key)) {
             if let Some(n) = self.nodes.get_mut(no.0 as usize) {
-                n.void(key);
+                n.invalidate(key);
             }
         }
     }
@@ -361,8 +375,8 @@
     /// When it wants to be moved along next.
     pub fn next(&self) -> Micros {
         let wake = self.wakes.peek().map_or(Micros::MAX, |w| w.0 .0);
-        let fixed = self.told_next.min(self.front_next).min(self.sample_next);
-        wake.min(self.agenda.next()).min(fixed)
+        let fixed = self.list_update_at.min(self.front_update_at).min(self.sample_at);
+        wake.min(self.fault_schedule.next()).min(fixed)
     }
 
     /// Carries out all that is due by now, in the order of time.
@@ -375,13 +389,13 @@
             if let Some(Reverse((_, no))) = self.wakes.peek().copied().filter(|w| w.0 .0 <= at) {
                 self.wakes.pop();
                 self.wake(at, NodeNo(no), out);
-            } else if self.agenda.next() <= at {
-                self.play(at, out);
-            } else if self.told_next <= at {
-                self.tell_news(at, out);
-            } else if self.front_next <= at {
+            } else if self.fault_schedule.next() <= at {
+                self.run_step(at, out);
+            } else if self.list_update_at <= at {
+                self.deliver_list_updates(at, out);
+            } else if self.front_update_at <= at {
                 self.front.advance(at);
-                self.front_next = self.front.next().unwrap_or(Micros::MAX);
+                self.front_update_at = self.front.next().unwrap_or(Micros::MAX);
             } else {
                 self.sample(at);
             }
@@ -393,12 +407,12 @@
         match self.nodes.get_mut(no.0 as usize) {
             Some(n) if self.wake_at[no.0 as usize] == at => {
                 self.wake_at[no.0 as usize] = Micros::MAX;
-                self.common.past.asker = no;
-                n.advance(at, &mut self.common, &mut events);
+                self.shared.initial_contents.asker = no;
+                n.advance(at, &mut self.shared, &mut events);
             }
             None if self.ledger_wake == at => {
                 self.ledger_wake = Micros::MAX;
-                self.ledger.advance(at, &mut self.common.repeats, &mut events);
+                self.ledger.advance(at, &mut self.shared.dedup, &mut events);
             }
             // It was moved along at another time, and wants to be at yet another.
             _ => {
@@ -406,20 +420,20 @@
                 return;
             }
         }
-        self.carry(no, events, out);
+        self.publish_events(no, events, out);
     }
 
     /// What a model did, as occurrences and facts; then it says when it wants to go on.
-    fn carry(&mut self, no: NodeNo, mut events: Vec<Event>, out: &mut Vec<(Micros, Occurrence)>) {
-        for Event { at, what } in events.drain(..) {
-            match what {
-                Happened::Began { of, class, key, effect, made, writes, .. } => {
-                    self.rules.hear(at, &Fact::Ran { node: no, of, class, key, effect, made });
+    fn publish_events(&mut self, no: NodeNo, mut events: Vec<Event>, out: &mut Vec<(Micros, Occurrence)>) {
+        for Event { at, kind } in events.drain(..) {
+            match kind {
+                EventKind::Began { of, class, key, effect, made, writes, .. } => {
+                    self.rules.observe(at, &Fact::Ran { node: no, of, class, key, effect, made });
                     if let Some(key) = writes {
-                        self.written(key);
+                        self.invalidate_copies(key);
                     }
                 }
-                Happened::Answered { job, answer, work } => {
+                EventKind::Answered { job, answer, work } => {
                     let counts = self.recorder.work();
                     if no != LEDGER {
                         counts.hits += u64::from(answer == Answer::Value);
@@ -429,13 +443,13 @@
                     }
                     out.push((at, Occurrence::Answered { node: no, job, answer, work }));
                 }
-                Happened::Fell => {
-                    self.rules.hear(at, &Fact::Fell { node: no });
-                    self.gone(at, no, Notice::Process);
+                EventKind::OverloadCrash => {
+                    self.rules.observe(at, &Fact::OverloadCrash { node: no });
+                    self.report_gone(at, no, Notice::Process);
                     out.push((at, Occurrence::Ended { node: no }));
                 }
-                Happened::Swamped { since, stopped } => {
-                    self.rules.hear(at, &Fact::LedgerSwamped { since, stopped });
+                EventKind::Overloaded { since, stopped } => {
+                    self.rules.observe(at, &Fact::LedgerOverloaded { since, stopped });
                     if stopped {
                         out.push((at, Occurrence::Ended { node: LEDGER }));
                     }
@@ -443,10 +457,10 @@
             }
         }
         self.events = events;
-        self.rewake(no);
+        self.schedule_wake(no);
     }
 
-    fn rewake(&mut self, no: NodeNo) {
+    fn schedule_wake(&mut self, no: NodeNo) {
         let (next, wake) = match self.nodes.get(no.0 as usize) {
             Some(n) => (n.next(), &mut self.wake_at[no.0 as usize]),
             None => (self.ledger.next(), &mut self.ledger_wake),
@@ -458,26 +472,26 @@
         }
     }
 
-    fn tell_news(&mut self, at: Micros, out: &mut Vec<(Micros, Occurrence)>) {
-        let mut news = std::mem::take(&mut self.news);
-        self.discovery.advance(at, &mut news);
-        for one in news.drain(..) {
-            let Entry { node, what, started } = one.entry;
-            self.rules.hear(at, &Fact::Told { proxy: one.proxy, node, what, started });
-            out.push((at, Occurrence::Told(one)));
+    fn deliver_list_updates(&mut self, at: Micros, out: &mut Vec<(Micros, Occurrence)>) {
+        let mut list_updates = std::mem::take(&mut self.list_updates);
+        self.discovery.advance(at, &mut list_updates);
+        for one in list_updates.drain(..) {
+            let Entry { node, status, started } = one.entry;
+            self.rules.observe(at, &Fact::Listed { proxy: one.proxy, node, status, started });
+            out.push((at, Occurrence::ListUpdated(one)));
         }
-        self.news = news;
-        self.retell();
+        self.list_updates = list_updates;
+        self.refresh_list_update_at();
     }
 
-    fn retell(&mut self) {
-        self.told_next = self.discovery.next().unwrap_or(Micros::MAX);
+    fn refresh_list_update_at(&mut self) {
+        self.list_update_at = self.discovery.next().unwrap_or(Micros::MAX);
     }
 
     fn sample(&mut self, at: Micros) {
         let load = self.nodes.iter_mut().map(|n| n.load(at) as f32).collect();
         self.recorder.sampled(at, load, self.ledger.out(), self.ledger.counted());
-        self.sample_next = at + SECOND;
+        self.sample_at = at + SECOND;
     }
 
     // ---- nodes come and go
@@ -507,19 +521,19 @@
         let Some(node) = self.nodes.get_mut(no.0 as usize) else { return };
         node.start(at, cold);
         let (weight, capacity) = (self.members[no.0 as usize].weight, node.capacity() * 1e6);
-        self.rules.hear(at, &Fact::Started { node: no, weight, capacity, warm: !cold });
-        self.rewake(no);
+        self.rules.observe(at, &Fact::Started { node: no, weight, capacity, warm: !cold });
+        self.schedule_wake(no);
     }
 
     /// A process that is gone is noticed.
-    fn gone(&mut self, at: Micros, no: NodeNo, notice: Notice) {
-        self.discovery.change(at, Entry { node: no, what: Told::Gone, started: None }, notice);
-        self.retell();
+    fn report_gone(&mut self, at: Micros, no: NodeNo, notice: Notice) {
+        self.discovery.change(at, Entry { node: no, status: Status::Gone, started: None }, notice);
+        self.refresh_list_update_at();
     }
 
     /// What came of the run, `now` being its end.
     pub fn finish(mut self, now: Micros, late: Lateness) -> Run {
-        if now > self.sample_next - SECOND {
+        if now > self.sample_at - SECOND {
             self.sample(now);
         }
         let (rules_broken, breaches) = self.rules.finish(now);
@@ -530,7 +544,7 @@
             tally,
             timeline,
             nodes: self.members.iter().map(|m| m.name.clone()).collect(),
-            faults: self.agenda.marks(),
+            faults: self.fault_schedule.marks(),
             rules_broken,
             breaches,
             virtual_s: now as f64 / 1e6,
@@ -543,7 +557,7 @@
 
     /// The faults that were played so far.
     pub fn marks(&self) -> Vec<FaultMark> {
-        self.agenda.marks()
+        self.fault_schedule.marks()
     }
 }
 
--- a/crates/world/tests/ledger.rs
+++ b/crates/world/tests/ledger.rs
@@ -1,8 +1,8 @@
 //! The ledger by itself.
 
-use world::dedup::Repeats;
+use world::dedup::DedupTable;
 use world::ledger::Ledger;
-use world::node::{Answer, Ask, Dialled, Event, Happened};
+use world::node::{Answer, DialOutcome, Event, EventKind, NodeRequest};
 use world::random::stream;
 use world::scenario;
 use world::Micros;
@@ -14,7 +14,7 @@
     let mut words = scenario::Ledger { service_sigma: 0.0, crowd_loss: 0.0, ..scenario::Ledger::default() };
     change(&mut words);
     let mut ledger = Ledger::new(&words, 100.0, stream(1, "ledger", 0));
-    assert_eq!(ledger.connect(1), Dialled::Accepted);
+    assert_eq!(ledger.connect(1), DialOutcome::Accepted);
     ledger
 }
 
@@ -23,10 +23,10 @@
     let mut out = Vec::new();
     for at in (from..until).step_by(every) {
         l.connect(1);
-        l.arrive(at * MS, Ask::nothing(at as u64, 1), &mut Repeats::default(), &mut out);
+        l.arrive(at * MS, NodeRequest::nothing(at as u64, 1), &mut DedupTable::default(), &mut out);
     }
-    let swamped = |e: &Event| match e.what {
-        Happened::Swamped { stopped, .. } => Some(stopped),
+    let swamped = |e: &Event| match e.kind {
+        EventKind::Overloaded { stopped, .. } => Some(stopped),
         _ => None,
     };
     out.iter().filter_map(swamped).collect()
@@ -44,14 +44,14 @@
 
 #[test]
 fn a_slow_spell_lasts_while_it_is_told() {
-    let (mut l, r) = (ledger(|_| {}), &mut Repeats::default());
+    let (mut l, r) = (ledger(|_| {}), &mut DedupTable::default());
     let mut out = Vec::new();
-    l.slow(0, 4.0, r, &mut out);
-    l.arrive(0, Ask::nothing(1, 1), r, &mut out);
+    l.set_slowdown(0, 4.0, r, &mut out);
+    l.arrive(0, NodeRequest::nothing(1, 1), r, &mut out);
     l.advance(200 * MS, r, &mut out);
-    l.slow(200 * MS, 1.0, r, &mut out);
+    l.set_slowdown(200 * MS, 1.0, r, &mut out);
     l.advance(1_000 * MS, r, &mut out);
-    let at = out.iter().find(|e| matches!(e.what, Happened::Answered { .. })).map(|e| e.at / MS);
+    let at = out.iter().find(|e| matches!(e.kind, EventKind::Answered { .. })).map(|e| e.at / MS);
     assert_eq!(at, Some(250), "half done at a quarter of the speed in 200 ms, the rest at full speed");
 }
 
@@ -61,9 +61,9 @@
     assert!(press(&mut l, 0, 1_400, 2).is_empty(), "a short burst does not");
     let stops = press(&mut l, 1_400, 4_000, 2);
     assert_eq!(stops, [true]);
-    assert!(!l.is_up() && l.connect(2) == Dialled::Refused);
-    l.advance(8_000 * MS, &mut Repeats::default(), &mut Vec::new());
-    assert_eq!((l.is_up(), l.connect(2)), (true, Dialled::Accepted));
+    assert!(!l.is_up() && l.connect(2) == DialOutcome::Refused);
+    l.advance(8_000 * MS, &mut DedupTable::default(), &mut Vec::new());
+    assert_eq!((l.is_up(), l.connect(2)), (true, DialOutcome::Accepted));
     let more = press(&mut l, 8_000, 40_000, 2);
     assert_eq!(more.iter().filter(|s| **s).count(), 1, "twice in all: {more:?}");
     assert!(more.len() > 1, "but each spell of too much is told");
@@ -71,21 +71,26 @@
 
 #[test]
 fn a_write_runs_once_within_its_window() {
-    let (mut l, r) = (ledger(|_| {}), &mut Repeats::default());
+    let (mut l, r) = (ledger(|_| {}), &mut DedupTable::default());
     let mut out = Vec::new();
     for (at, job) in [(0, 1), (3_000, 2), (5_000, 3)] {
-        let ask = Ask { key: 7, write: true, repeat: Some((99, 4_000 * MS)), ..Ask::nothing(job, 1) };
-        l.arrive(at * MS, ask, r, &mut out);
+        let request = NodeRequest {
+            key: 7,
+            write: true,
+            repeat: Some((99, 4_000 * MS)),
+            ..NodeRequest::nothing(job, 1)
+        };
+        l.arrive(at * MS, request, r, &mut out);
     }
     l.advance(6_000 * MS, r, &mut out);
     let writes: Vec<_> = out
         .iter()
-        .filter_map(|e| match e.what {
-            Happened::Began { effect, writes, .. } => Some((effect, writes)),
+        .filter_map(|e| match e.kind {
+            EventKind::Began { effect, writes, .. } => Some((effect, writes)),
             _ => None,
         })
         .collect();
     assert_eq!(writes, [(true, Some(7)), (false, None), (true, Some(7))]);
-    let served = out.iter().filter(|e| matches!(e.what, Happened::Answered { answer: Answer::Value, .. }));
+    let served = out.iter().filter(|e| matches!(e.kind, EventKind::Answered { answer: Answer::Value, .. }));
     assert_eq!(served.count(), 3, "each has its receipt");
 }
--- a/crates/world/tests/node.rs
+++ b/crates/world/tests/node.rs
@@ -28,7 +28,7 @@
 
 struct Peer {
     node: Node,
-    common: Common,
+    shared: SharedState,
 }
 
 impl Peer {
@@ -37,32 +37,32 @@
         let limits = Limits::new(&Rules::default(), 10_000.0);
         let mut node = Node::new(Machine::draw(group, limits, &mut rng), rng);
         node.start(0, cold);
-        (1..=9).for_each(|c| assert_eq!(node.connect(0, c), Dialled::Accepted));
-        Peer { node, common: Common::default() }
+        (1..=9).for_each(|c| assert_eq!(node.connect(0, c), DialOutcome::Accepted));
+        Peer { node, shared: SharedState::default() }
     }
 
     /// A read of a key with 10 ms of work on the connection of the job's number.
     fn read(&mut self, at: Micros, job: u64, key: u64) -> Vec<Event> {
-        self.ask(at, Ask { key, work: 10_000.0, ..Ask::nothing(job, job) })
+        self.send(at, NodeRequest { key, work: 10_000.0, ..NodeRequest::nothing(job, job) })
     }
 
-    fn ask(&mut self, at: Micros, ask: Ask) -> Vec<Event> {
+    fn send(&mut self, at: Micros, request: NodeRequest) -> Vec<Event> {
         let mut out = Vec::new();
-        self.node.arrive(at * MS, ask, &mut self.common, &mut out);
+        self.node.arrive(at * MS, request, &mut self.shared, &mut out);
         out
     }
 
     fn pass(&mut self, until: Micros) -> Vec<Event> {
         let mut out = Vec::new();
-        self.node.advance(until * MS, &mut self.common, &mut out);
+        self.node.advance(until * MS, &mut self.shared, &mut out);
         out
     }
 }
 
 /// Answers by job, with their times in milliseconds.
 fn answers(events: &[Event]) -> Vec<(Micros, u64, Answer)> {
-    let answer = |e: &Event| match e.what {
-        Happened::Answered { job, answer, .. } => Some((e.at / MS, job, answer)),
+    let answer = |e: &Event| match e.kind {
+        EventKind::Answered { job, answer, .. } => Some((e.at / MS, job, answer)),
         _ => None,
     };
     events.iter().filter_map(answer).collect()
@@ -77,10 +77,10 @@
     assert_eq!(answers(&p.pass(5)), [(1, 1, MISS)], "a miss costs a tenth of the work");
     p.read(10, 1, 7);
     assert_eq!(answers(&p.pass(20)), [(11, 1, Answer::Miss { pending: true })]);
-    p.node.keep(20 * MS, 7, 100);
+    p.node.store_value(20 * MS, 7, 100);
     p.read(30, 1, 7);
     assert_eq!(answers(&p.pass(50)), [(40, 1, Answer::Value)]);
-    p.node.void(7);
+    p.node.invalidate(7);
     p.read(50, 1, 7);
     assert_eq!(answers(&p.pass(60)), [(51, 1, MISS)]);
 }
@@ -88,7 +88,7 @@
 #[test]
 fn what_finds_no_room_is_turned_away_at_once() {
     let mut p = Peer::new(&group(), false);
-    p.node.keep(0, 7, 100);
+    p.node.store_value(0, 7, 100);
     let at_once: Vec<_> = (1..=5).flat_map(|job| answers(&p.read(0, job, 7))).collect();
     assert_eq!(at_once, [(0, 5, Answer::Busy)], "two slots and two places to wait");
     let later: Vec<_> = answers(&p.pass(100)).iter().map(|a| (a.0, a.1)).collect();
@@ -98,10 +98,10 @@
 #[test]
 fn what_waits_for_nobody_is_dropped() {
     let mut p = Peer::new(&group(), false);
-    p.node.keep(0, 7, 100);
+    p.node.store_value(0, 7, 100);
     (1..=3).for_each(|job| drop(p.read(0, job, 7)));
-    let impatient = Ask { key: 7, work: 10_000.0, expires: 5 * MS, ..Ask::nothing(4, 4) };
-    p.ask(0, impatient);
+    let impatient = NodeRequest { key: 7, work: 10_000.0, expires: 5 * MS, ..NodeRequest::nothing(4, 4) };
+    p.send(0, impatient);
     p.node.disconnect(3);
     let seen = answers(&p.pass(100));
     assert_eq!(seen, [(10, 1, Answer::Value), (10, 4, Answer::Busy), (10, 2, Answer::Value)]);
@@ -110,14 +110,14 @@
 #[test]
 fn a_node_that_hangs_answers_when_it_goes_on() {
     let mut p = Peer::new(&group(), false);
-    p.node.keep(0, 7, 100);
+    p.node.store_value(0, 7, 100);
     p.read(0, 1, 7);
     let mut out = Vec::new();
-    p.node.hang(5 * MS, true, &mut p.common, &mut out);
+    p.node.set_hung(5 * MS, true, &mut p.shared, &mut out);
     p.read(10, 2, 7);
-    p.node.probe(10 * MS, 3, 3, &mut p.common, &mut out);
+    p.node.probe(10 * MS, 3, 3, &mut p.shared, &mut out);
     assert_eq!(answers(&p.pass(1_000)), [], "it takes work and answers nothing");
-    p.node.hang(1_000 * MS, false, &mut p.common, &mut out);
+    p.node.set_hung(1_000 * MS, false, &mut p.shared, &mut out);
     out.extend(p.pass(2_000));
     let jobs: Vec<_> = answers(&out).iter().map(|a| (a.0, a.1)).collect();
     assert_eq!(jobs, [(1_001, 3), (1_005, 1), (1_010, 2)]);
@@ -127,7 +127,7 @@
 fn a_cold_node_is_slow_warms_with_its_work_and_falls_over_if_pushed() {
     let cold = NodeGroup { cold_from: [0.25, 0.25], cold_s: [4.0, 4.0], warm_by: WarmBy::Time, ..group() };
     let mut p = Peer::new(&cold, true);
-    p.node.keep(0, 7, 100);
+    p.node.store_value(0, 7, 100);
     p.read(0, 1, 7);
     let first = answers(&p.pass(100))[0].0;
     assert!((38..=40).contains(&first), "10 ms at a quarter of the speed: {first}");
@@ -136,10 +136,10 @@
 
     // Two cores at a quarter do 500 ms of work in the window: three times that is 150 reads, and 5 for chance.
     let mut p = Peer::new(&cold, true);
-    let fell = |e: &Event| e.what == Happened::Fell;
+    let fell = |e: &Event| e.kind == EventKind::OverloadCrash;
     let at = (0..400).find(|i| p.read(100 + i / 4, 1 + (*i as u64 % 9), 7).iter().any(fell));
     assert!((150..200).contains(&at.expect("it falls over")), "{at:?}");
-    assert_eq!(p.node.connect(1_000 * MS, 77), Dialled::Refused, "and stays down");
+    assert_eq!(p.node.connect(1_000 * MS, 77), DialOutcome::Refused, "and stays down");
     let warm = NodeGroup { cold_s: [0.0, 0.0], ..cold };
     let mut p = Peer::new(&warm, true);
     assert!(
@@ -153,12 +153,12 @@
 fn a_few_long_requests_do_not_push_a_cold_node_over() {
     let cold = NodeGroup { cold_from: [0.25, 0.25], cold_s: [4.0, 4.0], warm_by: WarmBy::Time, ..group() };
     let mut p = Peer::new(&cold, true);
-    let fell = |e: &Event| e.what == Happened::Fell;
+    let fell = |e: &Event| e.kind == EventKind::OverloadCrash;
     // Each is 40 times the mean: five are 2 s of work where 1.55 s are borne, but only five requests.
-    let long = |job| Ask { key: 7, work: 400_000.0, ..Ask::nothing(job, job) };
-    assert!((1..=5).all(|job| !p.ask(100 + job as Micros, long(job)).iter().any(fell)));
+    let long = |job| NodeRequest { key: 7, work: 400_000.0, ..NodeRequest::nothing(job, job) };
+    assert!((1..=5).all(|job| !p.send(100 + job as Micros, long(job)).iter().any(fell)));
     // It is still many that fell it, long or not: 31 of them count for as much as 155 of the mean.
-    let at = (0..100).find(|i| p.ask(200 + i, long(1 + *i as u64 % 9)).iter().any(fell));
+    let at = (0..100).find(|i| p.send(200 + i, long(1 + *i as u64 % 9)).iter().any(fell));
     assert!(at.is_some_and(|i| (20..40).contains(&i)), "{at:?}");
 }
 
@@ -166,7 +166,7 @@
 fn reports_are_late_and_tell_how_busy_the_cores_were() {
     let g = NodeGroup { report_period_ms: [100.0, 100.0], report_delay_ms: [50.0, 50.0], ..group() };
     let mut p = Peer::new(&g, false);
-    p.node.keep(0, 7, 100);
+    p.node.store_value(0, 7, 100);
     // One of two cores is busy all the time.
     for at in 0..30 {
         p.read(at * 10, 1, 7);
@@ -174,7 +174,7 @@
     p.pass(300);
     let report = |p: &mut Peer, at: Micros| {
         let mut out = Vec::new();
-        p.node.probe(at * MS, 2, 2, &mut p.common, &mut out);
+        p.node.probe(at * MS, 2, 2, &mut p.shared, &mut out);
         out.extend(p.pass(at + 5));
         match answers(&out)[..] {
             [.., (_, 2, Answer::Report(report))] => report.util,
@@ -190,24 +190,29 @@
 fn connections_are_capped_cost_a_handshake_and_are_closed_when_idle() {
     let g = NodeGroup { handshake_work_ms: [30.0, 30.0], idle_close_s: 1.0, ..group() };
     let mut p = Peer::new(&g, false);
-    assert_eq!(p.node.connect(0, 10), Dialled::Refused);
-    p.node.keep(0, 7, 100);
+    assert_eq!(p.node.connect(0, 10), DialOutcome::Refused);
+    p.node.store_value(0, 7, 100);
     p.read(0, 1, 7);
     assert_eq!(answers(&p.pass(100)), [(40, 1, Answer::Value)]);
     p.read(100, 1, 7);
     assert_eq!(answers(&p.pass(200)), [(110, 1, Answer::Value)], "it costs the first request only");
     assert_eq!(answers(&p.read(1_200, 1, 7)), [(1_200, 1, Answer::Reset)]);
-    assert_eq!(p.node.connect(1_200 * MS, 10), Dialled::Accepted);
+    assert_eq!(p.node.connect(1_200 * MS, 10), DialOutcome::Accepted);
 }
 
 #[test]
 fn a_keyed_read_has_its_effect_once_within_the_window() {
     let mut p = Peer::new(&group(), false);
-    p.node.keep(0, 7, 100);
+    p.node.store_value(0, 7, 100);
     let mut effect = |at| {
-        let ask = Ask { key: 7, work: 1_000.0, repeat: Some((99, 4_000 * MS)), ..Ask::nothing(1, 1) };
-        let began = p.ask(at, ask).into_iter().find_map(|e| match e.what {
-            Happened::Began { effect, .. } => Some(effect),
+        let request = NodeRequest {
+            key: 7,
+            work: 1_000.0,
+            repeat: Some((99, 4_000 * MS)),
+            ..NodeRequest::nothing(1, 1)
+        };
+        let began = p.send(at, request).into_iter().find_map(|e| match e.kind {
+            EventKind::Began { effect, .. } => Some(effect),
             _ => None,
         });
         p.pass(at + 10);
@@ -219,7 +224,7 @@
 #[test]
 fn a_node_that_drains_completes_what_it_has() {
     let mut p = Peer::new(&group(), false);
-    p.node.keep(0, 7, 100);
+    p.node.store_value(0, 7, 100);
     p.read(0, 1, 7);
     p.node.drain();
     assert_eq!(answers(&p.read(1, 2, 7)), [(1, 2, Answer::Busy)]);
--- a/crates/world/tests/rules.rs
+++ b/crates/world/tests/rules.rs
@@ -20,7 +20,7 @@
 
 fn broken_in(scenario: &Scenario, facts: &[(Micros, Fact)]) -> Vec<Rule> {
     let mut rules = Rules::new(scenario, 0);
-    facts.iter().for_each(|(at, fact)| rules.hear(at * MS, fact));
+    facts.iter().for_each(|(at, fact)| rules.observe(at * MS, fact));
     let (listed, count) = rules.finish(60_000 * MS);
     assert_eq!(listed.len() as u64, count);
     listed.into_iter().map(|b| b.rule).collect()
@@ -117,13 +117,13 @@
     );
 }
 
-fn told(at: Micros, what: Told) -> (Micros, Fact) {
-    told_of_a_start(at, what, Some(0))
+fn told(at: Micros, status: Status) -> (Micros, Fact) {
+    told_of_a_start(at, status, Some(0))
 }
 
 /// The entry is of the process that started then.
-fn told_of_a_start(at: Micros, what: Told, started: Option<Micros>) -> (Micros, Fact) {
-    (at, Fact::Told { proxy: PROXY, node: NODE, what, started })
+fn told_of_a_start(at: Micros, status: Status, started: Option<Micros>) -> (Micros, Fact) {
+    (at, Fact::Listed { proxy: PROXY, node: NODE, status, started })
 }
 
 fn begun(at: Micros, proxy: u32) -> (Micros, Fact) {
@@ -132,10 +132,10 @@
 
 #[test]
 fn a_node_that_drains_is_left_alone_once_the_grace_is_over() {
-    assert_eq!(broken(&[told(0, Told::Draining), begun(2500, 0), begun(9000, 1)]), []);
-    assert_eq!(broken(&[told(0, Told::Draining), begun(2600, 0)]), [Rule::Drain]);
-    assert_eq!(broken(&[told(0, Told::Gone), told(2000, Told::Ready), begun(2600, 0)]), []);
-    let again = [told(0, Told::Draining), told(2000, Told::Gone), begun(2600, 0)];
+    assert_eq!(broken(&[told(0, Status::Draining), begun(2500, 0), begun(9000, 1)]), []);
+    assert_eq!(broken(&[told(0, Status::Draining), begun(2600, 0)]), [Rule::Drain]);
+    assert_eq!(broken(&[told(0, Status::Gone), told(2000, Status::Ready), begun(2600, 0)]), []);
+    let again = [told(0, Status::Draining), told(2000, Status::Gone), begun(2600, 0)];
     assert_eq!(broken(&again), [Rule::Drain], "the grace runs from the first word");
 }
 
@@ -147,7 +147,7 @@
 fn flood(a_ms: usize, knows: bool) -> Vec<(Micros, Fact)> {
     let arrived = Fact::Arrived { proxy: PROXY, node: NODE, work: MS, warmth: 0.5 };
     let mut facts = vec![started(0, NODE.0, false)];
-    facts.extend(knows.then_some(told(1, Told::Ready)));
+    facts.extend(knows.then_some(told(1, Status::Ready)));
     facts.extend((2..1002).flat_map(|at| std::iter::repeat_n((at, arrived), a_ms)));
     facts
 }
@@ -170,15 +170,15 @@
         facts.insert(1, entry);
         broken(&facts)
     };
-    assert_eq!(with(told_of_a_start(1, Told::Ready, None)), []);
-    assert_eq!(with(told_of_a_start(1, Told::Ready, Some(-MS))), []);
-    assert_eq!(with(told_of_a_start(1, Told::Ready, Some(0))), [Rule::SlowStart, Rule::FailBack]);
+    assert_eq!(with(told_of_a_start(1, Status::Ready, None)), []);
+    assert_eq!(with(told_of_a_start(1, Status::Ready, Some(-MS))), []);
+    assert_eq!(with(told_of_a_start(1, Status::Ready, Some(0))), [Rule::SlowStart, Rule::FailBack]);
 }
 
 #[test]
 fn a_few_long_requests_at_a_cold_node_are_chance_and_many_are_not() {
     let sent = |count: Micros| {
-        let mut facts = vec![started(0, NODE.0, false), told(1, Told::Ready)];
+        let mut facts = vec![started(0, NODE.0, false), told(1, Status::Ready)];
         // 3.6 s each, where the node bears some seconds of work within the window.
         let work = 3_600 * MS;
         facts.extend(
@@ -193,7 +193,7 @@
 
 /// At the ledger a read a millisecond, of which a part comes of misses at a cold node; clients ask for two.
 fn swamped(cold: usize, of: usize) -> Vec<(Micros, Fact)> {
-    let mut facts = vec![started(0, 1, true), started(0, NODE.0, false), told(1, Told::Ready)];
+    let mut facts = vec![started(0, 1, true), started(0, NODE.0, false), told(1, Status::Ready)];
     for at in 2..3000 {
         let after = (at as usize % of < cold).then_some(NODE);
         facts.push((at, Fact::LedgerAsked { proxy: PROXY, of: TryNo(at as u64), after }));
@@ -202,7 +202,7 @@
             facts.extend([(at, taken), answered(at, of, Final::Failed)]);
         }
     }
-    facts.push((3000, Fact::LedgerSwamped { since: 0, stopped: true }));
+    facts.push((3000, Fact::LedgerOverloaded { since: 0, stopped: true }));
     facts
 }
 
@@ -211,7 +211,7 @@
     assert_eq!(broken(&swamped(1, 4)), [], "a quarter is not what stopped it");
     assert_eq!(broken(&swamped(2, 4)), [Rule::FailBack]);
     let unknown: Vec<_> =
-        swamped(2, 4).into_iter().filter(|(_, f)| !matches!(f, Fact::Told { .. })).collect();
+        swamped(2, 4).into_iter().filter(|(_, f)| !matches!(f, Fact::Listed { .. })).collect();
     assert_eq!(broken(&unknown), [], "a start that nobody was told of");
     let late: Vec<_> =
         swamped(2, 4).into_iter().map(|(at, f)| (if at > 1 { at + 23_000 } else { at }, f)).collect();
--- a/crates/world/tests/world.rs
+++ b/crates/world/tests/world.rs
@@ -1,10 +1,10 @@
 //! A world put together: faults, lists, copies, and what comes out of the same seed.
 
 use world::clients::Request;
-use world::facts::{NodeNo, ProxyNo, Told, TryNo, LEDGER};
-use world::node::{Answer, Ask};
+use world::facts::{NodeNo, ProxyNo, Status, TryNo, LEDGER};
+use world::node::{Answer, NodeRequest};
 use world::scenario::{Fault, FaultKind, Scenario};
-use world::world::{Occurrence, ProxyChange, Visit, World};
+use world::world::{NodeAttempt, Occurrence, ProxyChange, World};
 use world::Micros;
 
 const S: Micros = 1_000_000;
@@ -21,10 +21,10 @@
     (world, out)
 }
 
-fn is_told(o: &Occurrence, proxy: u32) -> Option<(NodeNo, Told, bool)> {
+fn is_told(o: &Occurrence, proxy: u32) -> Option<(NodeNo, Status, bool)> {
     match o {
-        Occurrence::Told(n) if n.proxy == ProxyNo(proxy) => {
-            Some((n.entry.node, n.entry.what, n.entry.started.is_some()))
+        Occurrence::ListUpdated(n) if n.proxy == ProxyNo(proxy) => {
+            Some((n.entry.node, n.entry.status, n.entry.started.is_some()))
         }
         _ => None,
     }
@@ -34,11 +34,15 @@
 fn a_restart_is_drained_ended_and_started_cold_and_each_step_is_told() {
     let (world, out) = played(Fault { node: Some(4), ..fault(FaultKind::Restart) }, 20);
     let node = NodeNo(4);
-    let steps: Vec<_> = out.iter().filter(|(_, o)| !matches!(o, Occurrence::Told(_))).cloned().collect();
+    let steps: Vec<_> =
+        out.iter().filter(|(_, o)| !matches!(o, Occurrence::ListUpdated(_))).cloned().collect();
     let (ended, started) = (Occurrence::Ended { node }, Occurrence::Started { node });
     assert_eq!(steps, [(5 * S, ended), (5 * S + S / 2, started)]);
     let told: Vec<_> = out.iter().filter_map(|(_, o)| is_told(o, 0)).collect();
-    assert_eq!(told, [(node, Told::Draining, false), (node, Told::Gone, false), (node, Told::Ready, true)]);
+    assert_eq!(
+        told,
+        [(node, Status::Draining, false), (node, Status::Gone, false), (node, Status::Ready, true)]
+    );
     assert!(world.node(node).is_some_and(|n| n.is_cold(6 * S)));
 }
 
@@ -66,9 +70,9 @@
     let there = (0..world.members().len() as u32).map(NodeNo).filter(|n| world.member(*n).address == address);
     let up: Vec<NodeNo> = there.filter(|n| world.node(*n).is_some_and(|n| n.is_up())).collect();
     assert!(up.len() == 1 && up[0] != NodeNo(0), "{up:?}");
-    let told: Vec<Told> =
+    let told: Vec<Status> =
         out.iter().filter_map(|(_, o)| is_told(o, 0)).filter(|t| t.0 == NodeNo(0)).map(|t| t.1).collect();
-    assert_eq!(told, [Told::Draining, Told::Gone]);
+    assert_eq!(told, [Status::Draining, Status::Gone]);
 }
 
 /// `lab search scenarios/slow_start_burst.toml --runs 300 --seed 4412 --kinds crash`, runs 189 and 282, and `scenarios/fleet_join.toml` with seed
@@ -132,16 +136,22 @@
 fn read(world: &mut World, at: Micros, node: NodeNo, key: u64) -> Answer {
     let number = (at as u64) << 8 | u64::from(node.0 & 0xff);
     world.connect(at, node, number);
-    let ask = Ask { key, work: 1_000.0, bytes: 100, of: TryNo(number), ..Ask::nothing(number, number) };
-    ask_for(world, at, node, ask, 9_000)
+    let request = NodeRequest {
+        key,
+        work: 1_000.0,
+        bytes: 100,
+        of: TryNo(number),
+        ..NodeRequest::nothing(number, number)
+    };
+    send_request(world, at, node, request, 9_000)
 }
 
-fn ask_for(world: &mut World, at: Micros, node: NodeNo, ask: Ask, within: Micros) -> Answer {
+fn send_request(world: &mut World, at: Micros, node: NodeNo, request: NodeRequest, within: Micros) -> Answer {
     let mut out = Vec::new();
-    world.arrive(at, node, &Visit { proxy: ProxyNo(0), ask, after: None }, &mut out);
+    world.arrive(at, node, &NodeAttempt { proxy: ProxyNo(0), request, after: None }, &mut out);
     world.advance(at + within, &mut out);
     let answer = |(_, o): &(Micros, Occurrence)| match o {
-        Occurrence::Answered { job, answer, .. } if *job == ask.job => Some(*answer),
+        Occurrence::Answered { job, answer, .. } if *job == request.job => Some(*answer),
         _ => None,
     };
     out.iter().find_map(answer).expect("an answer")
@@ -154,12 +164,12 @@
     let key = world.arrivals().popularity().crowded(1);
     let (a, b) = (NodeNo(0), NodeNo(1));
     assert!(matches!(read(&mut world, 0, a, key), Answer::Miss { .. }));
-    world.keep(3 * S, &[Some(a), Some(b)], key, 100);
+    world.store_value(3 * S, &[Some(a), Some(b)], key, 100);
     assert_eq!(read(&mut world, 4 * S, a, key), Answer::Value);
     assert_eq!(read(&mut world, 7 * S, b, key), Answer::Value);
     world.connect(10 * S, LEDGER, 1);
-    let write = Ask { key, write: true, ..Ask::nothing(1, 1) };
-    assert_eq!(ask_for(&mut world, 10 * S, LEDGER, write, 2 * S), Answer::Value);
+    let write = NodeRequest { key, write: true, ..NodeRequest::nothing(1, 1) };
+    assert_eq!(send_request(&mut world, 10 * S, LEDGER, write, 2 * S), Answer::Value);
     assert!(matches!(read(&mut world, 13 * S, a, key), Answer::Miss { .. }));
     assert!(matches!(read(&mut world, 16 * S, b, key), Answer::Miss { .. }));
 }
