--- a/src/owner/controls.rs
+++ b/src/owner/controls.rs
@@ -1,7 +1,7 @@
 //! Connections to control machines, one task each. Without a `control` setting there are none. What is sent
-//! to which machine is decided by [`Following`].
+//! to which machine is decided by [`FollowerDriver`].
 
-use crate::features::follower::{Following, Wish};
+use crate::features::follower::{FollowerDriver, HostAction};
 use crate::interface::Micros;
 use crate::net::framed::{self, Outbox, Word};
 use crate::net::{News, Queue};
@@ -18,20 +18,20 @@
 }
 
 pub(super) struct Controls {
-    pub(super) following: Following,
+    pub(super) following: FollowerDriver,
     /// Open connections. Together with [`Controls::leaving`] this holds all descriptors of such connections.
     open: BTreeMap<ControlId, Connection>,
     /// Connections that are closed once their final message is written, by connection number.
     leaving: BTreeMap<u64, Connection>,
     last: u64,
-    wishes: Vec<Wish>,
+    wishes: Vec<HostAction>,
 }
 
 /// The maximum number of connections closing this way; beyond it no final message is sent.
 const MAX_LEAVING: usize = 4;
 
 impl Controls {
-    pub(super) fn new(following: Following) -> Self {
+    pub(super) fn new(following: FollowerDriver) -> Self {
         let (open, leaving) = (BTreeMap::new(), BTreeMap::new());
         Controls { following, open, leaving, last: 0, wishes: Vec::new() }
     }
@@ -46,7 +46,7 @@
         }
         match word {
             Word::Up => self.following.up(now, control),
-            Word::Said(message) => self.following.said(now, control, &message),
+            Word::Said(message) => self.following.handle_message(now, control, &message),
             Word::Down(why) => {
                 self.open.remove(&control);
                 self.following.down(now, control, &why);
@@ -59,9 +59,9 @@
         self.following.tick(now, &mut self.wishes);
         for wish in std::mem::take(&mut self.wishes) {
             match wish {
-                Wish::Dial(control) => self.dial(control, executor, queue),
-                Wish::Send(control, message) => self.send(now, control, &message),
-                Wish::Close(control, why) => self.close(control, &why),
+                HostAction::Dial(control) => self.dial(control, executor, queue),
+                HostAction::Send(control, message) => self.send(now, control, &message),
+                HostAction::Close(control, why) => self.close(control, &why),
             }
         }
     }
--- a/src/owner/planners.rs
+++ b/src/owner/planners.rs
@@ -1,7 +1,7 @@
 //! Connections to planners, one task each. Without a `planner` setting there are none. What is sent to which
-//! planner is decided by [`Forwarding`].
+//! planner is decided by [`ForwarderDriver`].
 
-use crate::features::forwarder::{Forwarding, Wish};
+use crate::features::forwarder::{ForwarderDriver, HostAction};
 use crate::interface::{Micros, Plan};
 use crate::net::framed::{self, Outbox, Word};
 use crate::net::{News, Queue};
@@ -23,15 +23,15 @@
 }
 
 pub(super) struct Planners {
-    pub(super) forwarding: Forwarding,
+    pub(super) forwarding: ForwarderDriver,
     /// Open connections by slot. All descriptors of such connections are held here.
     open: BTreeMap<usize, Connection>,
     last: u64,
-    wishes: Vec<Wish>,
+    wishes: Vec<HostAction>,
 }
 
 impl Planners {
-    pub(super) fn new(forwarding: Forwarding) -> Self {
+    pub(super) fn new(forwarding: ForwarderDriver) -> Self {
         Planners { forwarding, open: BTreeMap::new(), last: 0, wishes: Vec::new() }
     }
 
@@ -43,7 +43,7 @@
         }
         match word {
             Word::Up => self.forwarding.up(now, slot),
-            Word::Said(message) => self.forwarding.said(now, slot, &message, &mut self.wishes),
+            Word::Said(message) => self.forwarding.handle_message(now, slot, &message, &mut self.wishes),
             Word::Down(why) => {
                 self.open.remove(&slot);
                 self.forwarding.down(now, slot, &why);
@@ -62,12 +62,12 @@
         let mut plan = None;
         for wish in std::mem::take(&mut self.wishes) {
             match wish {
-                Wish::Dial(slot) => self.dial(slot, executor, queue),
-                Wish::Send(slot, message) => self.send(now, slot, &message),
-                Wish::Close(slot) => {
+                HostAction::Dial(slot) => self.dial(slot, executor, queue),
+                HostAction::Send(slot, message) => self.send(now, slot, &message),
+                HostAction::Close(slot) => {
                     self.open.remove(&slot);
                 }
-                Wish::Plan(new_plan) => plan = Some(new_plan),
+                HostAction::Plan(new_plan) => plan = Some(new_plan),
             }
         }
         plan
@@ -78,7 +78,7 @@
         let mut wishes = Vec::new();
         self.forwarding.bye(&mut wishes);
         for wish in wishes {
-            if let Wish::Send(slot, message) = wish {
+            if let HostAction::Send(slot, message) = wish {
                 self.send(now, slot, &message);
             }
         }
