--- a/crates/lab/examples/operators_planners.rs
+++ b/crates/lab/examples/operators_planners.rs
@@ -320,7 +320,7 @@
 
 fn main() -> ExitCode {
     // Its processes are this same program, started by itself.
-    if let Some(ended) = guard::asked() {
+    if let Some(ended) = guard::run_if_child() {
         return ended;
     }
     let seconds = std::env::args().nth(1).and_then(|w| w.parse().ok()).unwrap_or(AFTER);
--- a/crates/lab/src/capacity/hollow/mod.rs
+++ b/crates/lab/src/capacity/hollow/mod.rs
@@ -147,8 +147,8 @@
         };
         let variables = [("NODE_CONFIG", path.display().to_string())];
         let dir_path: &Path = dir.path();
-        let child =
-            Child::heard(name, &program, limits, dir_path, &variables, &[], hear).map_err(Fault::broken)?;
+        let child = Child::start_with_line_handler(name, &program, limits, dir_path, &variables, &[], hear)
+            .map_err(Fault::broken)?;
         Ok(Whole { child, ready, _dir: dir })
     }
 
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -112,7 +112,7 @@
     fleet.wait_ready(&plan)?;
     let machine = Machine::watch(Some(fleet.processes.roster())).map_err(failed("a thread"))?;
     fleet.links.lateness();
-    fleet.clock.forward(0);
+    fleet.clock.advance_to(0);
     progress.phase(&setting.schedule.name);
     let end = plan.over.max(seconds(setting.schedule.seconds));
     let most = plan.over.max(0) + seconds(setting.schedule.expect.converge_s) + BEYOND;
--- a/crates/lab/src/fleet/processes/keeper.rs
+++ b/crates/lab/src/fleet/processes/keeper.rs
@@ -295,8 +295,17 @@
         let hear = move |line: &str| heard_out.0.hear(&heard_out.1, heard_out.2, line);
         let Spec { program, arguments, variables, limits, .. } = &slot.spec;
         let variables: Vec<(&str, String)> = variables.iter().map(|(k, v)| (&**k, v.clone())).collect();
-        let child = Child::heard(name, program, *limits, &slot.folder, &variables, arguments, hear)?;
-        let its_end = child.its_end().map_err(|source| ProcessError::Io { what: name.to_owned(), source })?;
+        let child = Child::start_with_line_handler(
+            name,
+            program,
+            *limits,
+            &slot.folder,
+            &variables,
+            arguments,
+            hear,
+        )?;
+        let its_end =
+            child.exit_descriptor().map_err(|source| ProcessError::Io { what: name.to_owned(), source })?;
         roster.set(&label, Some(child.pid()));
         slot.running = Some(Running { child, its_end, held: None });
         Ok(life)
--- a/crates/lab/src/fleet/stage.rs
+++ b/crates/lab/src/fleet/stage.rs
@@ -323,7 +323,7 @@
                     }
                     Command::Load => resp::put_bulk(&mut out, b"util=0.1,eps=0"),
                     Command::Ping => out.extend_from_slice(b"+PONG\r\n"),
-                    Command::Courtesy => out.extend_from_slice(b"+OK\r\n"),
+                    Command::ClientSetup => out.extend_from_slice(b"+OK\r\n"),
                     _ => return,
                 }
                 if !hangs() && socket.write_all(&out).await.is_err() {
--- a/crates/lab/src/loopback/children/child.rs
+++ b/crates/lab/src/loopback/children/child.rs
@@ -47,7 +47,7 @@
 }
 
 impl Program {
-    /// The proxy that is built into this very program, which asks [`guard::asked`] before anything else.
+    /// The proxy that is built into this very program, which asks [`guard::run_if_child`] before anything else.
     ///
     /// # Errors
     ///
@@ -71,7 +71,7 @@
         Ok(Program { guard: Guard::Lab(lab.canonicalize()?), program: Some(program.canonicalize()?) })
     }
 
-    /// Another program under the guard of this test program, whose ignored test `test` is [`guard::in_a_test`]: for
+    /// Another program under the guard of this test program, whose ignored test `test` is [`guard::run_in_test`]: for
     /// tests outside the lab's package, which have none of its programs.
     pub fn of_test(program: &Path, test: &str) -> io::Result<Program> {
         let guard = Guard::Test(std::env::current_exe()?, test.to_owned());
@@ -140,12 +140,12 @@
         variables: &[(&str, String)],
         arguments: &[OsString],
     ) -> Result<Child, HostError> {
-        Child::heard(name, program, limits, dir, variables, arguments, |_| {})
+        Child::start_with_line_handler(name, program, limits, dir, variables, arguments, |_| {})
     }
 
     /// As [`Child::start`], for one whose every line goes to `hear` as well, on a thread of its own and up to
     /// [`LONGEST`] bytes of it. `hear` is dropped once nobody can say any more.
-    pub fn heard(
+    pub fn start_with_line_handler(
         name: &str,
         program: &Program,
         limits: Limits,
@@ -278,7 +278,7 @@
     /// # Errors
     ///
     /// Those of the system.
-    pub fn its_end(&self) -> io::Result<OwnedFd> {
+    pub fn exit_descriptor(&self) -> io::Result<OwnedFd> {
         Ok(pidfd_open(self.number().ok_or(io::ErrorKind::NotFound)?, PidfdFlags::empty())?)
     }
 
--- a/crates/lab/src/loopback/children/guard.rs
+++ b/crates/lab/src/loopback/children/guard.rs
@@ -87,7 +87,7 @@
 }
 
 /// Runs as a child of the lab, if the first argument of this process says so. To be asked before anything else.
-pub fn asked() -> Option<ExitCode> {
+pub fn run_if_child() -> Option<ExitCode> {
     let mut words = std::env::args_os().skip(1);
     let why = match words.next()?.to_str()? {
         PROXY => match proxy(words) {
@@ -134,7 +134,7 @@
     GuardError::System("cannot start the proxy", command.args(rest).exec())
 }
 
-/// Tells a guard in a test program its words; [`in_a_test`] reads them.
+/// Tells a guard in a test program its words; [`run_in_test`] reads them.
 pub(super) fn tell(command: &mut Command, words: &[OsString]) {
     command.env(WORDS, words.len().to_string());
     for (at, word) in words.iter().enumerate() {
@@ -145,7 +145,7 @@
 /// The guard as a test of another package, whose tests have none of the lab's programs: an ignored test that does
 /// nothing but call this. Such a package's children are started by [`super::Program::of_test`], as that test. It does
 /// nothing where nobody has started it so.
-pub fn in_a_test() {
+pub fn run_in_test() {
     let Some(words) = std::env::var(WORDS).ok().and_then(|n| n.parse::<usize>().ok()) else { return };
     let words = (0..words).map_while(|at| std::env::var_os(format!("{WORDS}_{at}")));
     let why = become_program(words);
--- a/crates/lab/src/loopback/clock.rs
+++ b/crates/lab/src/loopback/clock.rs
@@ -31,7 +31,7 @@
     }
 
     /// Shows `at` from now on, if that is later than what it shows. Once at most, and before anything is due.
-    pub fn forward(&self, at: Micros) {
+    pub fn advance_to(&self, at: Micros) {
         let elapsed = self.start.elapsed().as_micros() as Micros;
         self.first.fetch_max(at - elapsed, Ordering::AcqRel);
     }
--- a/crates/lab/src/loopback/cost/mod.rs
+++ b/crates/lab/src/loopback/cost/mod.rs
@@ -115,7 +115,7 @@
     let held = Held::take().map_err(system("a port for the proxy"))?;
     // Nothing misses, so nobody asks the ledger: any node will do for it.
     let address = |node: NodeNo| nodes.addresses()[if node == LEDGER { 0 } else { node.0 as usize }];
-    let place = settings::Place {
+    let place = settings::ProxyStart {
         proxy: ProxyNo(0),
         listen: held.address(),
         discovery: discovery.address(),
--- a/crates/lab/src/loopback/host.rs
+++ b/crates/lab/src/loopback/host.rs
@@ -40,7 +40,7 @@
     /// A process of this program for each proxy of the scenario.
     Program(Program),
     /// Somebody who listens at these addresses already, one for each: scripted proxies.
-    Elsewhere(Vec<SocketAddr>),
+    External(Vec<SocketAddr>),
 }
 
 /// A run, and what the proxies used for it.
@@ -99,8 +99,8 @@
             let addresses = held.iter().map(Held::address).collect();
             (held, addresses)
         }
-        Proxies::Elsewhere(addresses) if addresses.len() == count => (Vec::new(), addresses.clone()),
-        Proxies::Elsewhere(addresses) => {
+        Proxies::External(addresses) if addresses.len() == count => (Vec::new(), addresses.clone()),
+        Proxies::External(addresses) => {
             let what = format!("{} proxies are there, the scenario wants {count}", addresses.len());
             return Err(HostError::Unplayable(what));
         }
@@ -118,7 +118,7 @@
         Proxies::Program(program) => {
             Some(Fleet::new(program, limits, dir.path(), &addresses, theatre.notices.clone()))
         }
-        Proxies::Elsewhere(_) => None,
+        Proxies::External(_) => None,
     };
     let conduct = Conduct { clock, seconds: scenario.seconds, progress };
     let executor = LocalExecutor::new();
--- a/crates/lab/src/loopback/scripted/site.rs
+++ b/crates/lab/src/loopback/scripted/site.rs
@@ -28,7 +28,7 @@
         let (nodes, ledger, discovery) = (nodes?, Listener::ledger()?, Listener::discovery()?);
         let proxy = Held::take().map_err(|source| Surprise::Io { what: "a port".into(), source })?;
         let mut site = Site { nodes, ledger, discovery, proxy, configuration: String::new() };
-        let place = settings::Place {
+        let place = settings::ProxyStart {
             proxy: ProxyNo(0),
             listen: site.proxy.address(),
             discovery: site.discovery.address(),
--- a/crates/lab/src/loopback/settings.rs
+++ b/crates/lab/src/loopback/settings.rs
@@ -13,7 +13,7 @@
 
 /// What only the host knows of a proxy.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct ProxyStart {
     pub proxy: ProxyNo,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -27,7 +27,7 @@
 }
 
 /// The whole configuration. `known` is the list as this proxy last had it.
-pub fn configuration(world: &World, place: Place, known: &Value) -> Value {
+pub fn configuration(world: &World, place: ProxyStart, known: &Value) -> Value {
     let p = &world.scenario().proxies;
     json!({
         "name": name(place.proxy),
--- a/crates/lab/src/loopback/socket/speech.rs
+++ b/crates/lab/src/loopback/socket/speech.rs
@@ -35,7 +35,7 @@
     Load,
     Ping,
     /// `CLIENT` and `SELECT`, which libraries send by themselves.
-    Courtesy,
+    ClientSetup,
     /// Discovery's whole list, or all changes after a revision for as long as the connection lasts.
     List,
     Watch {
@@ -76,7 +76,7 @@
         }
         (b"PING", 0) => Command::Ping,
         (b"INFO", 1) if next().eq_ignore_ascii_case(b"load") => Command::Load,
-        (b"CLIENT" | b"SELECT", _) => Command::Courtesy,
+        (b"CLIENT" | b"SELECT", _) => Command::ClientSetup,
         (b"CACHE.GET" | b"CACHE.SET", _) => Command::Malformed("a wrong number of words"),
         _ => Command::Unknown,
     };
--- a/crates/lab/src/loopback/stage/mod.rs
+++ b/crates/lab/src/loopback/stage/mod.rs
@@ -178,7 +178,7 @@
                 Fact::Listed { proxy, node: e.node, status: e.status, started: e.started },
             );
         }
-        let place = settings::Place {
+        let place = settings::ProxyStart {
             proxy,
             listen: self.doors.proxy(proxy),
             discovery: self.doors.discovery(proxy),
@@ -257,7 +257,7 @@
     fn notice(&mut self, notice: Notice) -> Result<(), HostError> {
         match notice {
             Notice::Begin => {
-                self.clock.forward(0);
+                self.clock.advance_to(0);
                 self.begun = true;
             }
             Notice::Ended { proxy, planned } => self.proxy_ended(proxy, planned),
--- a/crates/lab/src/loopback/stage/visits.rs
+++ b/crates/lab/src/loopback/stage/visits.rs
@@ -155,7 +155,7 @@
         let what = match command {
             Command::Load => What::Load,
             Command::Ping => What::Ping,
-            Command::Courtesy => return self.write(id, job, b"+OK\r\n".to_vec(), Then::Keep),
+            Command::ClientSetup => return self.write(id, job, b"+OK\r\n".to_vec(), Then::Keep),
             Command::Unknown => {
                 let bytes = answer(dialect, &What::Ping, Answer::Error);
                 return self.write(id, job, bytes, Then::Keep);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -11,5 +11,5 @@
 
 fn main() -> ExitCode {
     // The proxies of a run on loopback are this same program, started by itself.
-    guard::asked().unwrap_or_else(lab::commands::main)
+    guard::run_if_child().unwrap_or_else(lab::commands::main)
 }
--- a/crates/lab/tests/loopback/clients.rs
+++ b/crates/lab/tests/loopback/clients.rs
@@ -11,7 +11,7 @@
 /// A second and a half of one class of requests against one proxy.
 fn run_against(proxy: &Answering) -> Run {
     let world = World::builder().seconds(1.5).rate(200.0).proxies(1).class(|_| {}).build(1).expect("a world");
-    play(world, &Proxies::Elsewhere(vec![proxy.address()]), &Silent).expect("a run").run
+    play(world, &Proxies::External(vec![proxy.address()]), &Silent).expect("a run").run
 }
 
 fn p99(run: &Run) -> i64 {
--- a/tests/dissemination.rs
+++ b/tests/dissemination.rs
@@ -6,7 +6,7 @@
 use lab::fleet::links::{Condition, Links};
 use lab::fleet::log::{Line, Log, Mark, Wanted};
 use lab::fleet::processes::{Processes, Spec};
-use lab::loopback::children::{guard::in_a_test, Program};
+use lab::loopback::children::{guard::run_in_test, Program};
 use lab::loopback::Clock;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -35,7 +35,7 @@
 #[test]
 #[ignore = "the guard of the other tests' processes"]
 fn guard() {
-    in_a_test();
+    run_in_test();
 }
 
 /// Runs `martenweir change`; returns its exit status and output.
--- a/tests/planners.rs
+++ b/tests/planners.rs
@@ -3,7 +3,7 @@
 
 use lab::fleet::log::{Line, Log, Mark, Wanted};
 use lab::fleet::processes::{Processes, Spec};
-use lab::loopback::children::{guard::in_a_test, Program};
+use lab::loopback::children::{guard::run_in_test, Program};
 use lab::loopback::Clock;
 use plan::frame::{self, Reader, Refused};
 use plan::message::{Hello, Message, Report};
@@ -33,7 +33,7 @@
 #[test]
 #[ignore = "the guard of the other tests' processes"]
 fn guard() {
-    in_a_test();
+    run_in_test();
 }
 
 /// Planners and forwarders.
