--- a/crates/lab/src/capacity/hollow/registry.rs
+++ b/crates/lab/src/capacity/hollow/registry.rs
@@ -3,7 +3,7 @@
 
 use super::super::roles::lists::{answered, told};
 use super::proxies::monotonic;
-use crate::loopback::socket::speech::{Command, Dialect};
+use crate::loopback::socket::wire::{Command, Dialect};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
--- a/crates/lab/src/capacity/roles/lists.rs
+++ b/crates/lab/src/capacity/roles/lists.rs
@@ -2,7 +2,7 @@
 
 use super::super::{Fault, USERS};
 use crate::loopback::settings::list;
-use crate::loopback::socket::speech::{put_chunk, put_stream};
+use crate::loopback::socket::wire::{put_chunk, put_stream};
 use martenweir::settings::{site as read, Site};
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/lab/src/fleet/stage.rs
+++ b/crates/lab/src/fleet/stage.rs
@@ -5,7 +5,7 @@
 //! time on a connection, so that each answer is of a known one. No models of machines in here: where service,
 //! stores and queues matter, play a scenario ([`crate::loopback`]).
 
-use crate::loopback::socket::speech::{self, Command, Dialect, TryId};
+use crate::loopback::socket::wire::{self, Command, Dialect, TryId};
 use crate::loopback::Clock;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -318,8 +318,8 @@
                 match command {
                     Command::Keyed { key, id, .. } => {
                         Timer::after(self.setting.service).await;
-                        let value = speech::value(&key, &id, VALUE as usize);
-                        speech::put_array(&mut out, [Some(&value), Some(b"hit"), None]);
+                        let value = wire::value(&key, &id, VALUE as usize);
+                        wire::put_array(&mut out, [Some(&value), Some(b"hit"), None]);
                     }
                     Command::Load => resp::put_bulk(&mut out, b"util=0.1,eps=0"),
                     Command::Ping => out.extend_from_slice(b"+PONG\r\n"),
@@ -347,9 +347,9 @@
             };
             let told = async move {
                 let mut out = Vec::new();
-                speech::put_stream(&mut out);
+                wire::put_stream(&mut out);
                 loop {
-                    speech::put_chunk(&mut out, b"\n");
+                    wire::put_chunk(&mut out, b"\n");
                     if socket.write_all(&out).await.is_err() {
                         return;
                     }
@@ -472,7 +472,7 @@
                 _ => None,
             };
             let Some(value) = value else { return End::Failed };
-            if speech::made_for(&value) != Some((key.as_bytes(), TryNo(id))) {
+            if wire::made_for(&value) != Some((key.as_bytes(), TryNo(id))) {
                 self.meet(Met::Stray { id, at: self.clock.now() });
             }
             *idle = Some(socket);
--- a/crates/lab/src/loopback/children/mod.rs
+++ b/crates/lab/src/loopback/children/mod.rs
@@ -5,11 +5,11 @@
 
 mod child;
 pub mod guard;
-mod pulse;
+mod health_check;
 mod usage;
 
 pub use child::{Child, Program};
-pub use pulse::Pulse;
+pub use health_check::Pulse;
 pub use usage::Usage;
 
 /// What a process may use.
--- a/crates/lab/src/loopback/clients/attempt.rs
+++ b/crates/lab/src/loopback/clients/attempt.rs
@@ -3,7 +3,7 @@
 use super::pool::Pool;
 use super::{How, Said, Send};
 use crate::loopback::clock::Clock;
-use crate::loopback::socket::speech;
+use crate::loopback::socket::wire;
 use async_channel::Sender;
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
@@ -154,7 +154,7 @@
         Reply::Simple(_) => None,
     };
     let Some(value) = value else { return How::Answered(Final::Failed, None) };
-    let made = speech::made_for(&value).filter(|(of, _)| *of == key.as_bytes());
+    let made = wire::made_for(&value).filter(|(of, _)| *of == key.as_bytes());
     How::Answered(Final::Served { made_for: made.map(|(_, of)| of) }, None)
 }
 
--- a/crates/lab/src/loopback/clients/attempt/tests.rs
+++ b/crates/lab/src/loopback/clients/attempt/tests.rs
@@ -3,8 +3,8 @@
 
 #[test]
 fn answers_are_read_as_the_protocol_has_them() {
-    let id = speech::TryId { of: TryNo(9), work: 1, bytes: 1 }.write();
-    let value = speech::value(b"7f", id.as_bytes(), 100);
+    let id = wire::TryId { of: TryNo(9), work: 1, bytes: 1 }.write();
+    let value = wire::value(b"7f", id.as_bytes(), 100);
     let served = |made_for| How::Answered(Final::Served { made_for }, None);
     let failed = How::Answered(Final::Failed, None);
     assert_eq!(read(Reply::Bulk(Some(value.clone())), "7f"), served(Some(TryNo(9))));
--- a/crates/lab/src/loopback/cost/load.rs
+++ b/crates/lab/src/loopback/cost/load.rs
@@ -2,7 +2,7 @@
 
 use super::protocol::{Protocol, Read};
 use super::{Plan, PATIENCE, TENANT};
-use crate::loopback::socket::speech::{Properties, TryId};
+use crate::loopback::socket::wire::{Properties, TryId};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
--- a/crates/lab/src/loopback/cost/mod.rs
+++ b/crates/lab/src/loopback/cost/mod.rs
@@ -4,20 +4,20 @@
 //! way there is measured. Clients go in a closed loop, one request at a time on each connection, as fast as they
 //! can. Not for how well a proxy serves: play a scenario for that.
 
-mod always;
 mod load;
 mod protocol;
+mod stub_servers;
 
 use super::children::{Child, Limits, Program, Pulse};
 use super::settings;
-use super::socket::door::Held;
+use super::socket::port::Held;
 use crate::host::HostError;
-use always::{Always, Discovery};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 pub use protocol::Protocol;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
+use stub_servers::{Always, Discovery};
 use world::facts::{NodeNo, ProxyNo, LEDGER};
 use world::outcome::Latencies;
 use world::world::World;
--- a/crates/lab/src/loopback/cost/protocol.rs
+++ b/crates/lab/src/loopback/cost/protocol.rs
@@ -1,7 +1,7 @@
 //! What is spoken in a measurement: RESP2, or the memcached binary protocol. Reads alone, and what nodes that hit
 //! always answer to them and to probes.
 
-use crate::loopback::socket::speech::{self, Command, Dialect};
+use crate::loopback::socket::wire::{self, Command, Dialect};
 use martenweir::codec::resp::{self, Reply};
 use martenweir::codec::Malformed;
 use memcached::{frame, Limits, Opcode, Request, Response, Status, Step};
@@ -84,7 +84,7 @@
             Protocol::Resp => {
                 let Some((command, taken)) = Dialect::Cache.command(bytes) else { return Ok(None) };
                 match command {
-                    Command::Keyed { .. } => speech::put_array(out, [Some(value), Some(b"hit"), None]),
+                    Command::Keyed { .. } => wire::put_array(out, [Some(value), Some(b"hit"), None]),
                     Command::Load => resp::put_bulk(out, b"eps=0,util=0.1"),
                     Command::Ping => out.extend_from_slice(b"+PONG\r\n"),
                     Command::Malformed(why) => return Err(Malformed(why)),
--- a/crates/lab/src/loopback/cost/always.rs
+++ b/crates/lab/src/loopback/cost/stub_servers.rs
@@ -1,7 +1,7 @@
 //! Nodes that hit always, and a discovery that has nothing new: no model behind them, and no more work than it takes.
 
 use super::protocol::Protocol;
-use crate::loopback::socket::speech;
+use crate::loopback::socket::wire;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -142,9 +142,9 @@
         return;
     }
     let mut out = Vec::new();
-    speech::put_stream(&mut out);
+    wire::put_stream(&mut out);
     loop {
-        speech::put_chunk(&mut out, b"\n");
+        wire::put_chunk(&mut out, b"\n");
         if socket.write_all(&out).await.is_err() {
             return;
         }
--- a/crates/lab/src/loopback/stage/listing.rs
+++ b/crates/lab/src/loopback/event_loop/discovery.rs
@@ -1,10 +1,10 @@
 //! Discovery on sockets: each proxy's agent answers at once with what it has been told, and says nothing while
 //! discovery is down.
 
-use super::agenda::Due;
+use super::timers::Due;
 use super::Stage;
 use crate::loopback::settings;
-use crate::loopback::socket::speech::{self, Command};
+use crate::loopback::socket::wire::{self, Command};
 use crate::loopback::socket::LinkId;
 use serde_json::Value;
 use world::discovery::{Entry, ListUpdate};
@@ -38,14 +38,14 @@
             Command::List => {
                 let list = self.known(proxy, None).to_string();
                 let headers = [("Content-Type", "application/json")];
-                speech::put_response(&mut out, 200, &headers, list.as_bytes());
+                wire::put_response(&mut out, 200, &headers, list.as_bytes());
             }
             Command::Watch { after } => {
-                speech::put_stream(&mut out);
+                wire::put_stream(&mut out);
                 let list = format!("{}\n", self.known(proxy, after));
-                speech::put_chunk(&mut out, list.as_bytes());
+                wire::put_chunk(&mut out, list.as_bytes());
             }
-            _ => speech::put_response(&mut out, 404, &[], b""),
+            _ => wire::put_response(&mut out, 404, &[], b""),
         }
         let watches = matches!(command, Command::Watch { .. });
         if let Some(connection) = self.links.get_mut(&id) {
@@ -56,7 +56,7 @@
 
     fn write_watchers(&self, wanted: impl Fn(ProxyNo) -> bool, text: &str) {
         let mut chunk = Vec::new();
-        speech::put_chunk(&mut chunk, text.as_bytes());
+        wire::put_chunk(&mut chunk, text.as_bytes());
         for connection in self.links.values().filter(|l| l.watches && wanted(l.proxy)) {
             connection.link().write(chunk.clone());
         }
--- a/crates/lab/src/loopback/stage/mod.rs
+++ b/crates/lab/src/loopback/event_loop/mod.rs
@@ -3,31 +3,31 @@
 //! Sockets tell it what happened through bounded queues ([`Heard`] from the stand-ins' links, [`Said`] from the
 //! clients, [`Notice`]s about processes); it hands that to [`World`] and carries out what comes back. All that takes
 //! time on the way (the network's delays, a retry's wait) is on one agenda here, in the order of time, as in the
-//! virtual world. Split by what it deals with: [`doors`] (who listens where), [`visits`] (what reaches nodes and
-//! the ledger, and their answers), [`listing`] (discovery), [`tries`] (the clients' requests).
+//! virtual world. Split by what it deals with: [`ports`] (who listens where), [`node_requests`] (what reaches nodes and
+//! the ledger, and their answers), [`discovery`] (discovery), [`tries`] (the clients' requests).
 
-mod agenda;
-mod doors;
-mod listing;
+mod discovery;
+mod node_requests;
+mod ports;
+mod timers;
 mod tries;
-mod visits;
 
 use super::clients::{Clients, Said};
 use super::clock::Clock;
 use super::settings;
 use super::socket::{Heard, LinkId, QUEUE};
 use crate::host::HostError;
-use agenda::{Agenda, Due};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use doors::Doors;
 use futures_lite::future;
+use node_requests::{Connection, Job};
+use ports::Doors;
 use std::collections::{HashMap, HashSet};
 use std::iter::Peekable;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use visits::{Connection, Job};
+use timers::{Agenda, Due};
 use world::clients::{Arrivals, RequestTable};
 use world::facts::{Fact, NodeNo, ProxyNo, TryNo};
 use world::outcome::{Latencies, Lateness, Run, SocketTryCounts};
--- a/crates/lab/src/loopback/stage/visits.rs
+++ b/crates/lab/src/loopback/event_loop/node_requests.rs
@@ -1,13 +1,13 @@
 //! What reaches nodes and the ledger, and the ways of their answers: connections, commands, delays, and what the
 //! network loses.
 
-use super::agenda::{Due, Then};
-use super::doors::Owner;
+use super::ports::Owner;
+use super::timers::{Due, Then};
 use super::Stage;
 use crate::host::HostError;
 use crate::loopback::settings;
 use crate::loopback::socket::link::Link;
-use crate::loopback::socket::speech::{self, Command, Dialect, Properties, TryId};
+use crate::loopback::socket::wire::{self, Command, Dialect, Properties, TryId};
 use crate::loopback::socket::LinkId;
 use async_io::Async;
 use martenweir::codec::resp;
@@ -402,12 +402,12 @@
     }
     match (dialect, what, said) {
         (Dialect::Cache, What::Keyed { visit, key, id }, Answer::Value) => {
-            let value = speech::value(key, id, visit.request.bytes as usize);
-            speech::put_array(&mut out, [Some(&value), Some(b"hit"), None]);
+            let value = wire::value(key, id, visit.request.bytes as usize);
+            wire::put_array(&mut out, [Some(&value), Some(b"hit"), None]);
         }
         (Dialect::Cache, _, Answer::Miss { pending }) => {
             let how: &[u8] = if pending { b"pending" } else { b"miss" };
-            speech::put_array(&mut out, [None, Some(how), None]);
+            wire::put_array(&mut out, [None, Some(how), None]);
         }
         (Dialect::Cache, What::Ping, Answer::Report(_)) => out.extend_from_slice(b"+PONG\r\n"),
         (Dialect::Cache, _, Answer::Report(report)) => resp::put_bulk(&mut out, load(report).as_bytes()),
@@ -415,13 +415,13 @@
         (Dialect::Cache, ..) => resp::put_error(&mut out, "ERR failed"),
         (_, What::Keyed { visit, key, id }, Answer::Value) => {
             let bytes = if visit.request.write { 0 } else { visit.request.bytes as usize };
-            speech::put_response(&mut out, 200, &[], &speech::value(key, id, bytes));
+            wire::put_response(&mut out, 200, &[], &wire::value(key, id, bytes));
         }
         (_, _, Answer::Report(report)) => {
-            speech::put_response(&mut out, 200, &[("Endpoint-Load-Metrics", &load(report))], b"");
+            wire::put_response(&mut out, 200, &[("Endpoint-Load-Metrics", &load(report))], b"");
         }
-        (_, _, Answer::Busy) => speech::put_response(&mut out, 503, &[("X-Never-Ran", "1")], b""),
-        _ => speech::put_response(&mut out, 500, &[], b""),
+        (_, _, Answer::Busy) => wire::put_response(&mut out, 503, &[("X-Never-Ran", "1")], b""),
+        _ => wire::put_response(&mut out, 500, &[], b""),
     }
     out
 }
--- a/crates/lab/src/loopback/stage/doors.rs
+++ b/crates/lab/src/loopback/event_loop/ports.rs
@@ -1,7 +1,7 @@
 //! Who listens where: a port for each address of a node and each proxy, so that a connection tells whose it is; and
 //! a port of discovery for each proxy.
 
-use crate::loopback::socket::door::Door;
+use crate::loopback::socket::port::Door;
 use crate::loopback::socket::Queue;
 use async_executor::LocalExecutor;
 use std::collections::BTreeMap;
--- a/crates/lab/src/loopback/stage/tries.rs
+++ b/crates/lab/src/loopback/event_loop/tries.rs
@@ -1,10 +1,10 @@
 //! The clients' requests: which try goes where and when, and what follows on its end.
 
-use super::agenda::Due;
+use super::timers::Due;
 use super::Stage;
 use crate::host::HostError;
 use crate::loopback::clients::{How, Said, Send};
-use crate::loopback::socket::speech::{Properties, TryId};
+use crate::loopback::socket::wire::{Properties, TryId};
 use martenweir::codec::resp;
 use world::clients::{RequestSlot, Try, TryEnd};
 use world::facts::{Fact, Final, TryNo};
--- a/crates/lab/src/loopback/fleet.rs
+++ b/crates/lab/src/loopback/fleet.rs
@@ -1,8 +1,8 @@
 //! The proxies of a run: one process for each, started, watched, ended and started again as the world has it.
 
 use super::children::{Child, Limits, Program, Pulse, Usage};
+use super::event_loop::{Directive, Notice};
 use super::settings::name;
-use super::stage::{Directive, Notice};
 use crate::host::HostError;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
--- a/crates/lab/src/loopback/host.rs
+++ b/crates/lab/src/loopback/host.rs
@@ -2,9 +2,9 @@
 
 use super::children::{Limits, Program, Usage};
 use super::clock::Clock;
+use super::event_loop::{Directive, Notice, Parts, Stage, Ways};
 use super::fleet::{Fleet, READY};
-use super::socket::door::Held;
-use super::stage::{Directive, Notice, Parts, Stage, Ways};
+use super::socket::port::Held;
 use crate::host::{Host, HostError, Progress};
 use async_executor::LocalExecutor;
 use async_io::Timer;
--- a/crates/lab/src/loopback/mod.rs
+++ b/crates/lab/src/loopback/mod.rs
@@ -11,12 +11,12 @@
 mod clients;
 mod clock;
 pub mod cost;
+mod event_loop;
 mod fleet;
 mod host;
 pub mod scripted;
 pub(crate) mod settings;
 pub mod socket;
-mod stage;
 
 pub use clock::Clock;
 pub use host::{play, Loopback, Played, Proxies, SLACK_MS};
--- a/crates/lab/src/loopback/scripted/answering.rs
+++ b/crates/lab/src/loopback/scripted/answering.rs
@@ -1,7 +1,7 @@
 //! A proxy that answers by a rule: for tests of what stands in front of proxies, such as the generator itself.
 
 use super::{Peer, Surprise};
-use crate::loopback::socket::speech::{self, Command};
+use crate::loopback::socket::wire::{self, Command};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::thread;
@@ -52,6 +52,6 @@
 
     /// The value that a node would have made for this request.
     pub fn made(key: &[u8], id: &[u8]) -> Vec<u8> {
-        speech::value(key, id, 0)
+        wire::value(key, id, 0)
     }
 }
--- a/crates/lab/src/loopback/scripted/peer.rs
+++ b/crates/lab/src/loopback/scripted/peer.rs
@@ -1,7 +1,7 @@
 //! One end of a connection, and the port where such ends come from.
 
 use super::{Surprise, PATIENCE};
-use crate::loopback::socket::speech::{self, Command, Dialect};
+use crate::loopback::socket::wire::{self, Command, Dialect};
 use martenweir::codec::resp::{self, Reply};
 use socket2::SockRef;
 use std::io::{self, Read, Write};
@@ -271,8 +271,8 @@
     pub fn value(&mut self, value: &[u8]) -> Result<(), Surprise> {
         let mut out = Vec::new();
         match self.dialect {
-            Dialect::Cache => speech::put_array(&mut out, [Some(value), Some(b"hit"), None]),
-            _ => speech::put_response(&mut out, 200, &[], value),
+            Dialect::Cache => wire::put_array(&mut out, [Some(value), Some(b"hit"), None]),
+            _ => wire::put_response(&mut out, 200, &[], value),
         }
         self.write(&out)
     }
@@ -280,7 +280,7 @@
     /// A cache node lacks the key.
     pub fn miss(&mut self) -> Result<(), Surprise> {
         let mut out = Vec::new();
-        speech::put_array(&mut out, [None, Some(b"miss"), None]);
+        wire::put_array(&mut out, [None, Some(b"miss"), None]);
         self.write(&out)
     }
 
@@ -289,7 +289,7 @@
         let mut out = Vec::new();
         match self.dialect {
             Dialect::Cache => resp::put_error(&mut out, "BUSY"),
-            _ => speech::put_response(&mut out, 503, &[("X-Never-Ran", "1")], b""),
+            _ => wire::put_response(&mut out, 503, &[("X-Never-Ran", "1")], b""),
         }
         self.write(&out)
     }
@@ -299,7 +299,7 @@
         let mut out = Vec::new();
         match self.dialect {
             Dialect::Cache => resp::put_error(&mut out, "ERR failed"),
-            _ => speech::put_response(&mut out, 500, &[], b""),
+            _ => wire::put_response(&mut out, 500, &[], b""),
         }
         self.write(&out)
     }
@@ -309,7 +309,7 @@
         let mut out = Vec::new();
         match self.dialect {
             Dialect::Cache => resp::put_bulk(&mut out, report.as_bytes()),
-            _ => speech::put_response(&mut out, 200, &[("Endpoint-Load-Metrics", report)], b""),
+            _ => wire::put_response(&mut out, 200, &[("Endpoint-Load-Metrics", report)], b""),
         }
         self.write(&out)
     }
@@ -317,14 +317,14 @@
     /// Begins the answer to a watch.
     pub fn begin_watch(&mut self) -> Result<(), Surprise> {
         let mut out = Vec::new();
-        speech::put_stream(&mut out);
+        wire::put_stream(&mut out);
         self.write(&out)
     }
 
     /// A line of a watch; an empty one is a sign of life.
     pub fn tell(&mut self, line: &str) -> Result<(), Surprise> {
         let mut out = Vec::new();
-        speech::put_chunk(&mut out, format!("{line}\n").as_bytes());
+        wire::put_chunk(&mut out, format!("{line}\n").as_bytes());
         self.write(&out)
     }
 
--- a/crates/lab/src/loopback/scripted/site.rs
+++ b/crates/lab/src/loopback/scripted/site.rs
@@ -2,7 +2,7 @@
 
 use super::{Listener, Peer, Surprise};
 use crate::loopback::settings;
-use crate::loopback::socket::door::Held;
+use crate::loopback::socket::port::Held;
 use std::net::SocketAddr;
 use world::facts::{NodeNo, ProxyNo};
 use world::world::Builder;
--- a/crates/lab/src/loopback/socket/link.rs
+++ b/crates/lab/src/loopback/socket/link.rs
@@ -3,7 +3,7 @@
 //! Dropping its task closes the descriptor; that is the one place where it is given back. While a link is held
 //! (the network between the two is cut) it neither reads nor writes, and notices nothing.
 
-use super::speech::{Command, Dialect};
+use super::wire::{Command, Dialect};
 use super::{Heard, LinkId, Queue};
 use crate::loopback::clock::Clock;
 use async_channel::Receiver;
--- a/crates/lab/src/loopback/socket/mod.rs
+++ b/crates/lab/src/loopback/socket/mod.rs
@@ -1,17 +1,17 @@
 //! The sockets of stand-ins: ports that can vanish and come back, connections that can fall silent, and the bytes
 //! that go over them.
 //!
-//! A [`door`] is a port of a stand-in; each connection that it accepts becomes a [`link`], a task that owns the
+//! A [`port`] is a port of a stand-in; each connection that it accepts becomes a [`link`], a task that owns the
 //! descriptor. Both tell the one owner of their thread what happened through one bounded queue of [`Heard`]. Nothing
 //! here knows a model or decides anything: not what is answered, nor when a connection breaks.
 
-pub mod door;
 pub mod link;
-pub mod speech;
+pub mod port;
+pub mod wire;
 
 use async_io::Async;
-use speech::Command;
 use std::net::TcpStream;
+use wire::Command;
 use world::Micros;
 
 /// Heard things that may wait for the owner before sockets wait in their turn.
