--- a/crates/lab/src/loopback/children/child.rs
+++ b/crates/lab/src/loopback/children/child.rs
@@ -17,16 +17,16 @@
 use std::time::{Duration, Instant};
 
 /// Lines of a log that are kept, the last ones, and bytes of a line.
-const LINES: usize = 200;
-const LINE: usize = 4096;
+const MAX_LOG_LINES: usize = 200;
+const MAX_LOG_LINE_BYTES: usize = 4096;
 /// Bytes of a line that are read as one.
-pub const LONGEST: u64 = 64 << 10;
+pub const MAX_LINE_BYTES: u64 = 64 << 10;
 /// Variables that configure a proxy.
-const CONFIGURES: [&str; 4] = ["NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"];
+const CONFIG_VARIABLES: [&str; 4] = ["NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"];
 /// Lines of the log that a message about a child's end quotes.
-const QUOTED: usize = 5;
+const QUOTED_LINES: usize = 5;
 /// How long the last words of one that has ended are waited for.
-const HEARS_OUT: Duration = Duration::from_secs(1);
+const LOG_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Who has the system end a child whose lab is gone.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,7 +35,7 @@
     Lab(PathBuf),
     /// A test program at this place, by the test of this name.
     Test(PathBuf, String),
-    Nobody,
+    Unguarded,
 }
 
 /// What is started as a proxy.
@@ -80,30 +80,31 @@
 
     /// Another program without a guard: it may outlive a lab that is killed, and nothing limits it.
     pub fn unguarded(program: &Path) -> io::Result<Program> {
-        Ok(Program { guard: Guard::Nobody, program: Some(program.canonicalize()?) })
+        Ok(Program { guard: Guard::Unguarded, program: Some(program.canonicalize()?) })
     }
 
     fn command(&self, limits: Limits, arguments: &[OsString]) -> Command {
         let program = self.program.iter().map(|p| p.into());
-        let words: Vec<OsString> = [std::process::id().to_string().into(), guard::limits(limits)]
-            .into_iter()
-            .chain(program)
-            .chain(arguments.iter().cloned())
-            .collect();
+        let arguments_to_guard: Vec<OsString> =
+            [std::process::id().to_string().into(), guard::limits_argument(limits)]
+                .into_iter()
+                .chain(program)
+                .chain(arguments.iter().cloned())
+                .collect();
         match &self.guard {
             Guard::Lab(lab) => {
                 let mut command = Command::new(lab);
-                let word = if self.program.is_some() { guard::PROGRAM } else { guard::PROXY };
-                command.arg(word).args(words);
+                let subcommand = if self.program.is_some() { guard::PROGRAM } else { guard::PROXY };
+                command.arg(subcommand).args(arguments_to_guard);
                 command
             }
             Guard::Test(this, test) => {
                 let mut command = Command::new(this);
                 command.args([test, "--exact", "--ignored", "--nocapture"]);
-                guard::tell(&mut command, &words);
+                guard::pass_arguments(&mut command, &arguments_to_guard);
                 command
             }
-            Guard::Nobody => {
+            Guard::Unguarded => {
                 let mut command = Command::new(self.program.as_deref().unwrap_or(Path::new("martenweir")));
                 command.args(arguments);
                 command
@@ -143,8 +144,8 @@
         Child::start_with_line_handler(name, program, limits, dir, variables, arguments, |_| {})
     }
 
-    /// As [`Child::start`], for one whose every line goes to `hear` as well, on a thread of its own and up to
-    /// [`LONGEST`] bytes of it. `hear` is dropped once nobody can say any more.
+    /// As [`Child::start`], for one whose every line goes to `on_line` as well, on a thread of its own and up to
+    /// [`MAX_LINE_BYTES`] bytes of it. `on_line` is dropped once nobody can say any more.
     pub fn start_with_line_handler(
         name: &str,
         program: &Program,
@@ -152,26 +153,30 @@
         dir: &Path,
         variables: &[(&str, String)],
         arguments: &[OsString],
-        hear: impl FnMut(&str) + Send + 'static,
+        on_line: impl FnMut(&str) + Send + 'static,
     ) -> Result<Child, HostError> {
         let mut command = program.command(limits, arguments);
         // What whoever runs the lab has in its environment is no configuration of its children.
-        for name in CONFIGURES {
+        for name in CONFIG_VARIABLES {
             command.env_remove(name);
         }
         command.current_dir(dir).env("TMPDIR", dir).envs(variables.iter().map(|(k, v)| (k, v)));
-        Child::spawn(name, command, hear)
+        Child::spawn(name, command, on_line)
             .map_err(|source| HostError::Io { what: format!("cannot start {name}"), source })
     }
 
-    fn spawn(name: &str, mut command: Command, hear: impl FnMut(&str) + Send + 'static) -> io::Result<Child> {
+    fn spawn(
+        name: &str,
+        mut command: Command,
+        on_line: impl FnMut(&str) + Send + 'static,
+    ) -> io::Result<Child> {
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
         // What a terminal tells the lab (Ctrl-C) is not for its children: the lab ends them.
         command.process_group(0);
         let mut process = command.spawn()?;
         let log = Arc::<Mutex<Log>>::default();
         let (from, to) = (process.stderr.take(), log.clone());
-        let reader = thread::spawn(move || keep(from, &to, hear));
+        let reader = thread::spawn(move || read_log(from, &to, on_line));
         Ok(Child { name: name.to_owned(), process, ended: None, log, reader })
     }
 
@@ -183,7 +188,7 @@
         self.process.id()
     }
 
-    fn number(&self) -> Option<Pid> {
+    fn raw_pid(&self) -> Option<Pid> {
         i32::try_from(self.pid()).ok().and_then(Pid::from_raw)
     }
 
@@ -193,8 +198,8 @@
             return self.ended;
         }
         // Looked at without taking its number from it: until then that is nobody else's, nor its group's.
-        let look = WaitIdOptions::EXITED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
-        if self.number().is_some_and(|pid| matches!(waitid(WaitId::Pid(pid), look), Ok(Some(_)))) {
+        let options = WaitIdOptions::EXITED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
+        if self.raw_pid().is_some_and(|pid| matches!(waitid(WaitId::Pid(pid), options), Ok(Some(_)))) {
             self.kill_group();
             self.ended = self.process.wait().ok();
         }
@@ -208,7 +213,7 @@
     /// Tells it to end as planned.
     pub fn terminate(&mut self) {
         if self.ended().is_none() {
-            if let Some(pid) = self.number() {
+            if let Some(pid) = self.raw_pid() {
                 let _ = kill_process(pid, Signal::TERM);
             }
         }
@@ -222,7 +227,7 @@
     }
 
     fn kill_group(&self) {
-        if let Some(pid) = self.number() {
+        if let Some(pid) = self.raw_pid() {
             let _ = kill_process_group(pid, Signal::KILL);
         }
     }
@@ -241,12 +246,12 @@
         if self.ended().is_some() {
             return;
         }
-        if let Some(pid) = self.number() {
+        if let Some(pid) = self.raw_pid() {
             // Itself first: held together with a child of its that has not become a program yet, it would wait for that
             // one in vfork(2), where it is not seen to stand still.
             let _ = kill_process(pid, Signal::STOP);
-            let still = WaitIdOptions::STOPPED | WaitIdOptions::EXITED | WaitIdOptions::NOWAIT;
-            while let Err(Errno::INTR) = waitid(WaitId::Pid(pid), still) {}
+            let options = WaitIdOptions::STOPPED | WaitIdOptions::EXITED | WaitIdOptions::NOWAIT;
+            while let Err(Errno::INTR) = waitid(WaitId::Pid(pid), options) {}
             let _ = kill_process_group(pid, Signal::STOP);
         }
     }
@@ -254,7 +259,7 @@
     /// Has it go on (SIGCONT).
     pub fn resume(&mut self) {
         if self.ended().is_none() {
-            if let Some(pid) = self.number() {
+            if let Some(pid) = self.raw_pid() {
                 let _ = kill_process_group(pid, Signal::CONT);
             }
         }
@@ -267,9 +272,9 @@
     ///
     /// Those of prlimit(2), where it has ended as well.
     pub fn limit_files(&mut self, bytes: u64) -> io::Result<()> {
-        let running = self.ended().is_none().then(|| self.number()).flatten();
+        let running = self.ended().is_none().then(|| self.raw_pid()).flatten();
         let pid = running.ok_or(io::ErrorKind::NotFound)?;
-        prlimit(Some(pid), Resource::Fsize, guard::of_files(bytes))?;
+        prlimit(Some(pid), Resource::Fsize, guard::file_limit(bytes))?;
         Ok(())
     }
 
@@ -279,7 +284,7 @@
     ///
     /// Those of the system.
     pub fn exit_descriptor(&self) -> io::Result<OwnedFd> {
-        Ok(pidfd_open(self.number().ok_or(io::ErrorKind::NotFound)?, PidfdFlags::empty())?)
+        Ok(pidfd_open(self.raw_pid().ok_or(io::ErrorKind::NotFound)?, PidfdFlags::empty())?)
     }
 
     /// Waits for its end, this long at most.
@@ -292,8 +297,8 @@
     }
 
     /// The last lines that it said; all of them, if it has ended.
-    pub fn said(&self) -> Vec<String> {
-        let until = Instant::now() + HEARS_OUT;
+    pub fn log_lines(&self) -> Vec<String> {
+        let until = Instant::now() + LOG_DRAIN_TIMEOUT;
         while self.ended.is_some() && !self.reader.is_finished() && Instant::now() < until {
             thread::sleep(Duration::from_millis(1));
         }
@@ -302,14 +307,15 @@
 
     /// What befell it, with the end of what it said.
     pub fn error(&self, what: &str) -> HostError {
-        let said = self.said();
-        let last = said.iter().rev().take(QUOTED).rev().map(|l| format!("\n  {l}")).collect::<String>();
-        let said = if last.is_empty() { "; it said nothing" } else { "; it said last:" };
-        HostError::Child { name: self.name.clone(), what: format!("{what}{said}{last}") }
+        let log_lines = self.log_lines();
+        let last =
+            log_lines.iter().rev().take(QUOTED_LINES).rev().map(|l| format!("\n  {l}")).collect::<String>();
+        let log_lines = if last.is_empty() { "; it said nothing" } else { "; it said last:" };
+        HostError::Child { name: self.name.clone(), what: format!("{what}{log_lines}{last}") }
     }
 
     /// Why it does not keep its limits, if it does not.
-    pub fn breach(&self, limits: Limits, usage: Usage) -> Option<HostError> {
+    pub fn limit_error(&self, limits: Limits, usage: Usage) -> Option<HostError> {
         if usage.memory_kb > limits.memory_kb {
             let (has, most) = (usage.memory_kb / 1024, limits.memory_kb / 1024);
             return Some(self.error(&format!("took {has} MB of memory, {most} at most are allowed")));
@@ -330,17 +336,17 @@
 }
 
 /// Reads to the end, so that the process never waits for a reader.
-fn keep(from: Option<impl Read>, log: &Mutex<Log>, mut hear: impl FnMut(&str)) {
+fn read_log(from: Option<impl Read>, log: &Mutex<Log>, mut on_line: impl FnMut(&str)) {
     let Some(mut from) = from.map(BufReader::new) else { return };
     let mut bytes = Vec::new();
-    while (&mut from).take(LONGEST).read_until(b'\n', &mut bytes).is_ok_and(|n| n > 0) {
+    while (&mut from).take(MAX_LINE_BYTES).read_until(b'\n', &mut bytes).is_ok_and(|n| n > 0) {
         let mut line = String::from_utf8_lossy(&bytes).trim_end().to_owned();
         bytes.clear();
-        hear(&line);
-        let end = (0..=LINE.min(line.len())).rev().find(|at| line.is_char_boundary(*at));
+        on_line(&line);
+        let end = (0..=MAX_LOG_LINE_BYTES.min(line.len())).rev().find(|at| line.is_char_boundary(*at));
         line.truncate(end.unwrap_or(0));
         let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-        if log.last.len() == LINES {
+        if log.last.len() == MAX_LOG_LINES {
             log.last.pop_front();
         }
         log.last.push_back(line);
--- a/crates/lab/src/loopback/children/child/tests.rs
+++ b/crates/lab/src/loopback/children/child/tests.rs
@@ -21,10 +21,10 @@
     let child = shell("exec sleep 600");
     let (few, little) = (Limits { descriptors: 1, ..LIMITS }, Limits { memory_kb: 1, ..LIMITS });
     let usage = child.usage().expect("it runs");
-    assert!(child.breach(LIMITS, usage).is_none());
-    let told = child.breach(few, usage).expect("three at least").to_string();
+    assert!(child.limit_error(LIMITS, usage).is_none());
+    let told = child.limit_error(few, usage).expect("three at least").to_string();
     assert!(told.contains("descriptors, 1 at most are allowed"), "{told}");
-    assert!(child.breach(little, usage).expect("more than 1 KB").to_string().contains("of memory"));
+    assert!(child.limit_error(little, usage).expect("more than 1 KB").to_string().contains("of memory"));
     let pid = child.pid();
     drop(child);
     assert_eq!(Usage::of(pid), None);
--- a/crates/lab/src/loopback/children/guard.rs
+++ b/crates/lab/src/loopback/children/guard.rs
@@ -9,7 +9,7 @@
 
 use super::Limits;
 use crate::fleet::plant::plant;
-use async_signal::{Signal as Heard, Signals};
+use async_signal::{Signal as AsyncSignal, Signals};
 use rustix::process::{getppid, getrlimit, set_parent_process_death_signal, setrlimit};
 use rustix::process::{Resource, Rlimit, Signal};
 use std::ffi::OsString;
@@ -24,10 +24,10 @@
 pub const PROGRAM: &str = "guarded-program";
 
 /// The variables that tell the guard in a test program its words: how many, and each behind its number.
-const WORDS: &str = "LAB_GUARD_WORDS";
+const ARGUMENTS_VARIABLE: &str = "LAB_GUARD_WORDS";
 
 /// What makes the shell become a program that does not hear SIGXFSZ.
-const DEAF: &str = "trap '' XFSZ; exec \"$0\" \"$@\"";
+const IGNORE_SIGXFSZ_SCRIPT: &str = "trap '' XFSZ; exec \"$0\" \"$@\"";
 
 /// Why a guarded process cannot begin.
 #[derive(Debug, thiserror::Error)]
@@ -41,13 +41,13 @@
 }
 
 /// The word that tells a guard these limits: descriptors, and behind a comma the bytes of a file.
-pub(super) fn limits(limits: Limits) -> OsString {
+pub(super) fn limits_argument(limits: Limits) -> OsString {
     let files = limits.file_bytes.map(|bytes| format!(",{bytes}")).unwrap_or_default();
     format!("{}{files}", limits.descriptors).into()
 }
 
 /// `u64::MAX` is no limit.
-pub(super) fn of_files(bytes: u64) -> Rlimit {
+pub(super) fn file_limit(bytes: u64) -> Rlimit {
     // The hard limit stays what the lab has, which its children inherit: so it can take this one back.
     let maximum = getrlimit(Resource::Fsize).maximum;
     let bytes = bytes.min(maximum.unwrap_or(u64::MAX));
@@ -56,10 +56,10 @@
 
 /// Binds this process to its parent and to the limits that its first two words tell; whether files are limited, and
 /// the words that are left.
-fn bind(words: impl IntoIterator<Item = OsString>) -> Result<(bool, Vec<OsString>), GuardError> {
-    let mut words = words.into_iter();
-    let mut word = || words.next()?.into_string().ok();
-    let (parent, limits) = (word().ok_or(GuardError::Usage)?, word().ok_or(GuardError::Usage)?);
+fn apply(arguments: impl IntoIterator<Item = OsString>) -> Result<(bool, Vec<OsString>), GuardError> {
+    let mut arguments = arguments.into_iter();
+    let mut argument = || arguments.next()?.into_string().ok();
+    let (parent, limits) = (argument().ok_or(GuardError::Usage)?, argument().ok_or(GuardError::Usage)?);
     let (descriptors, files) = match limits.split_once(',') {
         Some((descriptors, files)) => (descriptors, Some(files)),
         None => (&*limits, None),
@@ -74,71 +74,73 @@
     }
     let set = |what, limit| setrlimit(what, limit).map_err(|e| GuardError::System("setrlimit", e.into()));
     set(Resource::Nofile, Rlimit { current: Some(descriptors), maximum: Some(descriptors) })?;
-    files.map_or(Ok(()), |bytes| set(Resource::Fsize, of_files(bytes)))?;
-    Ok((files.is_some(), words.collect()))
+    files.map_or(Ok(()), |bytes| set(Resource::Fsize, file_limit(bytes)))?;
+    Ok((files.is_some(), arguments.collect()))
 }
 
 /// Has the signal heard by nobody in this process, for as long as it lives.
-fn ignore_file_limits() -> Result<(), GuardError> {
-    static HEARD: OnceLock<Signals> = OnceLock::new();
-    let signals = Signals::new([Heard::Xfsz]).map_err(|e| GuardError::System("SIGXFSZ", e))?;
-    let _ = HEARD.set(signals);
+fn ignore_sigxfsz() -> Result<(), GuardError> {
+    static SIGNALS: OnceLock<Signals> = OnceLock::new();
+    let signals = Signals::new([AsyncSignal::Xfsz]).map_err(|e| GuardError::System("SIGXFSZ", e))?;
+    let _ = SIGNALS.set(signals);
     Ok(())
 }
 
 /// Runs as a child of the lab, if the first argument of this process says so. To be asked before anything else.
 pub fn run_if_child() -> Option<ExitCode> {
-    let mut words = std::env::args_os().skip(1);
-    let why = match words.next()?.to_str()? {
-        PROXY => match proxy(words) {
+    let mut arguments = std::env::args_os().skip(1);
+    let error = match arguments.next()?.to_str()? {
+        PROXY => match prepare_proxy(arguments) {
             // Its configuration is named in the environment, as on the platform.
-            Ok(words) => {
+            Ok(arguments) => {
                 plant();
-                return Some(martenweir::commands::main(words));
+                return Some(martenweir::commands::main(arguments));
             }
-            Err(why) => why,
+            Err(error) => error,
         },
-        PROGRAM => become_program(words),
+        PROGRAM => exec_program(arguments),
         _ => return None,
     };
-    let _ = writeln!(io::stderr(), "lab: {why}");
+    let _ = writeln!(io::stderr(), "lab: {error}");
     Some(ExitCode::FAILURE)
 }
 
-fn proxy(words: impl IntoIterator<Item = OsString>) -> Result<Vec<OsString>, GuardError> {
-    let (files, words) = bind(words)?;
+fn prepare_proxy(arguments: impl IntoIterator<Item = OsString>) -> Result<Vec<OsString>, GuardError> {
+    let (files, arguments) = apply(arguments)?;
     if files {
-        ignore_file_limits()?;
+        ignore_sigxfsz()?;
     }
-    Ok(words)
+    Ok(arguments)
 }
 
 /// Becomes the program that the words after the first two name. Returns only if it cannot.
-fn become_program(words: impl IntoIterator<Item = OsString>) -> GuardError {
-    let (files, words) = match bind(words) {
-        Ok(bound) => bound,
-        Err(why) => return why,
+fn exec_program(arguments: impl IntoIterator<Item = OsString>) -> GuardError {
+    let (files, arguments) = match apply(arguments) {
+        Ok(applied) => applied,
+        Err(error) => return error,
     };
-    let Some((program, rest)) = words.split_first() else { return GuardError::Usage };
+    let Some((program, rest)) = arguments.split_first() else { return GuardError::Usage };
     let mut command = match files {
         true => Command::new("/bin/sh"),
         false => Command::new(program),
     };
     if files {
-        command.args(["-c", DEAF]).arg(program);
+        command.args(["-c", IGNORE_SIGXFSZ_SCRIPT]).arg(program);
     }
     // A test's guard is told by variables, which are not for the program.
-    for (name, _) in std::env::vars_os().filter(|(name, _)| name.to_string_lossy().starts_with(WORDS)) {
+    for (name, _) in
+        std::env::vars_os().filter(|(name, _)| name.to_string_lossy().starts_with(ARGUMENTS_VARIABLE))
+    {
         command.env_remove(name);
     }
     GuardError::System("cannot start the proxy", command.args(rest).exec())
 }
 
 /// Tells a guard in a test program its words; [`run_in_test`] reads them.
-pub(super) fn tell(command: &mut Command, words: &[OsString]) {
-    command.env(WORDS, words.len().to_string());
-    for (at, word) in words.iter().enumerate() {
-        command.env(format!("{WORDS}_{at}"), word);
+pub(super) fn pass_arguments(command: &mut Command, arguments: &[OsString]) {
+    command.env(ARGUMENTS_VARIABLE, arguments.len().to_string());
+    for (at, argument) in arguments.iter().enumerate() {
+        command.env(format!("{ARGUMENTS_VARIABLE}_{at}"), argument);
     }
 }
 
@@ -146,10 +148,12 @@
 /// nothing but call this. Such a package's children are started by [`super::Program::of_test`], as that test. It does
 /// nothing where nobody has started it so.
 pub fn run_in_test() {
-    let Some(words) = std::env::var(WORDS).ok().and_then(|n| n.parse::<usize>().ok()) else { return };
-    let words = (0..words).map_while(|at| std::env::var_os(format!("{WORDS}_{at}")));
-    let why = become_program(words);
+    let Some(arguments) = std::env::var(ARGUMENTS_VARIABLE).ok().and_then(|n| n.parse::<usize>().ok()) else {
+        return;
+    };
+    let arguments = (0..arguments).map_while(|at| std::env::var_os(format!("{ARGUMENTS_VARIABLE}_{at}")));
+    let error = exec_program(arguments);
     // The test program's own standard error is captured; this is the child's.
-    let _ = writeln!(io::stderr(), "lab: {why}");
+    let _ = writeln!(io::stderr(), "lab: {error}");
     std::process::exit(1);
 }
--- a/crates/lab/src/loopback/children/health_check.rs
+++ b/crates/lab/src/loopback/children/health_check.rs
@@ -9,52 +9,52 @@
 use std::time::{Duration, Instant};
 
 /// Between two looks, before the proxy is ready and after.
-const SOON: Duration = Duration::from_millis(20);
-const LATER: Duration = Duration::from_secs(1);
+const STARTUP_INTERVAL: Duration = Duration::from_millis(20);
+const INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Answered {
     /// When it last answered `+PONG`.
     last: Cell<Option<Instant>>,
 }
 
 /// Watches one process of a proxy until it is dropped.
 #[derive(Debug)]
-pub struct Pulse {
+pub struct HealthCheck {
     since: Instant,
-    seen: Rc<Seen>,
+    answered: Rc<Answered>,
     _task: Task<()>,
 }
 
-impl Pulse {
+impl HealthCheck {
     pub fn watch(address: SocketAddr, executor: &LocalExecutor<'_>) -> Self {
-        let seen = Rc::<Seen>::default();
-        let task = executor.spawn(watch(address, seen.clone()));
-        Pulse { since: Instant::now(), seen, _task: task }
+        let answered = Rc::<Answered>::default();
+        let task = executor.spawn(watch(address, answered.clone()));
+        HealthCheck { since: Instant::now(), answered, _task: task }
     }
 
     /// It has answered once.
     pub fn is_ready(&self) -> bool {
-        self.seen.last.get().is_some()
+        self.answered.last.get().is_some()
     }
 
     /// How long it has not answered.
     pub fn silent_for(&self) -> Duration {
-        self.seen.last.get().unwrap_or(self.since).elapsed()
+        self.answered.last.get().unwrap_or(self.since).elapsed()
     }
 }
 
-async fn watch(address: SocketAddr, seen: Rc<Seen>) {
+async fn watch(address: SocketAddr, answered: Rc<Answered>) {
     loop {
         // An answer that never comes ends the look, so that a connection which was lost is no verdict.
-        let late = async {
+        let timeout = async {
             Timer::after(Duration::from_secs(2)).await;
             None
         };
-        if let Some(()) = future::or(ping(address), late).await {
-            seen.last.set(Some(Instant::now()));
+        if let Some(()) = future::or(ping(address), timeout).await {
+            answered.last.set(Some(Instant::now()));
         }
-        Timer::after(if seen.last.get().is_some() { LATER } else { SOON }).await;
+        Timer::after(if answered.last.get().is_some() { INTERVAL } else { STARTUP_INTERVAL }).await;
     }
 }
 
--- a/crates/lab/src/loopback/children/mod.rs
+++ b/crates/lab/src/loopback/children/mod.rs
@@ -9,7 +9,7 @@
 mod usage;
 
 pub use child::{Child, Program};
-pub use health_check::Pulse;
+pub use health_check::HealthCheck;
 pub use usage::Usage;
 
 /// What a process may use.
--- a/crates/lab/src/loopback/clients/attempt/tests.rs
+++ b/crates/lab/src/loopback/clients/attempt/tests.rs
@@ -5,17 +5,17 @@
 fn answers_are_read_as_the_protocol_has_them() {
     let id = wire::TryId { of: TryNo(9), work: 1, bytes: 1 }.write();
     let value = wire::value(b"7f", id.as_bytes(), 100);
-    let served = |made_for| How::Answered(Final::Served { made_for }, None);
-    let failed = How::Answered(Final::Failed, None);
-    assert_eq!(read(Reply::Bulk(Some(value.clone())), "7f"), served(Some(TryNo(9))));
-    assert_eq!(read(Reply::Array(vec![Some(value.clone()), None]), "7f"), served(Some(TryNo(9))));
-    assert_eq!(read(Reply::Bulk(Some(value)), "8a"), served(None), "made for another key");
-    assert_eq!(read(Reply::Bulk(Some(b"junk".to_vec())), "7f"), served(None));
-    assert_eq!(read(Reply::Bulk(None), "7f"), failed);
-    assert_eq!(read(Reply::Error(b"ERR failed".to_vec()), "7f"), failed);
-    let refused = |away| How::Answered(Final::Refused, away);
-    assert_eq!(read(Reply::Error(b"BUSY 250".to_vec()), "7f"), refused(Some(250_000)));
-    assert_eq!(read(Reply::Error(b"BUSY".to_vec()), "7f"), refused(None));
+    let served = |made_for| TryOutcome::Answered(Final::Served { made_for }, None);
+    let failed = TryOutcome::Answered(Final::Failed, None);
+    assert_eq!(parse_reply(Reply::Bulk(Some(value.clone())), "7f"), served(Some(TryNo(9))));
+    assert_eq!(parse_reply(Reply::Array(vec![Some(value.clone()), None]), "7f"), served(Some(TryNo(9))));
+    assert_eq!(parse_reply(Reply::Bulk(Some(value)), "8a"), served(None), "made for another key");
+    assert_eq!(parse_reply(Reply::Bulk(Some(b"junk".to_vec())), "7f"), served(None));
+    assert_eq!(parse_reply(Reply::Bulk(None), "7f"), failed);
+    assert_eq!(parse_reply(Reply::Error(b"ERR failed".to_vec()), "7f"), failed);
+    let refused = |retry_after| TryOutcome::Answered(Final::Refused, retry_after);
+    assert_eq!(parse_reply(Reply::Error(b"BUSY 250".to_vec()), "7f"), refused(Some(250_000)));
+    assert_eq!(parse_reply(Reply::Error(b"BUSY".to_vec()), "7f"), refused(None));
 }
 
 /// A command that crosses the close of a kept connection is sent again, on a new one and once.
@@ -32,7 +32,7 @@
         let mut command = Vec::new();
         resp::put_command(&mut command, &[b"CACHE.GET", b"7f", b"id", b"c=lookup,d=9000"]);
         let now = clock.now();
-        let send = Send {
+        let send = ScheduledTry {
             of: TryNo(of),
             proxy: ProxyNo(0),
             due: now,
@@ -42,27 +42,30 @@
         };
         assert!(clients.send(send));
     };
-    let heard = || clients.said().recv_blocking().expect("something said");
+    let next_event = || clients.events().recv_blocking().expect("something said");
     send(1);
     let mut first = proxy.accept().expect("a connection");
     first.expect_read("7f").expect("a read");
     first.error().expect("sent");
-    assert!(matches!(heard(), Said::Sent { of: TryNo(1), .. }));
-    assert!(matches!(heard(), Said::Ended { of: TryNo(1), how: How::Answered(Final::Failed, _), .. }));
+    assert!(matches!(next_event(), ClientEvent::Sent { of: TryNo(1), .. }));
+    assert!(matches!(
+        next_event(),
+        ClientEvent::Ended { of: TryNo(1), outcome: TryOutcome::Answered(Final::Failed, _), .. }
+    ));
     // The connection is kept. The next command comes on it, and it closes without a word.
     send(2);
     first.expect_read("7f").expect("a read");
     first.reset();
-    assert!(matches!(heard(), Said::Sent { of: TryNo(2), .. }));
-    let next = heard();
-    if let Said::Ended { how, .. } = next {
+    assert!(matches!(next_event(), ClientEvent::Sent { of: TryNo(2), .. }));
+    let next = next_event();
+    if let ClientEvent::Ended { outcome, .. } = next {
         // Later than a crossing can be, on a machine that was busy meanwhile.
-        return assert_eq!(how, How::Dropped);
+        return assert_eq!(outcome, TryOutcome::Dropped);
     }
-    assert!(matches!(next, Said::Crossed { of: TryNo(2), .. }), "{next:?}");
+    assert!(matches!(next, ClientEvent::Crossed { of: TryNo(2), .. }), "{next:?}");
     let mut second = proxy.accept().expect("another connection");
     second.expect_read("7f").expect("the same read");
-    assert!(matches!(heard(), Said::Sent { of: TryNo(2), .. }));
+    assert!(matches!(next_event(), ClientEvent::Sent { of: TryNo(2), .. }));
     second.reset();
-    assert!(matches!(heard(), Said::Ended { of: TryNo(2), how: How::Dropped, .. }));
+    assert!(matches!(next_event(), ClientEvent::Ended { of: TryNo(2), outcome: TryOutcome::Dropped, .. }));
 }
--- a/crates/lab/src/loopback/clients/pool.rs
+++ b/crates/lab/src/loopback/clients/pool.rs
@@ -5,7 +5,7 @@
 use std::net::TcpStream;
 
 /// More than this are not kept.
-const MOST: usize = 4096;
+const MAX_IDLE: usize = 4096;
 
 #[derive(Debug, Default)]
 pub struct Pool {
@@ -16,16 +16,16 @@
     /// The one that was used last and is still open; the proxy may have closed some meanwhile.
     pub fn take(&mut self) -> Option<Async<TcpStream>> {
         while let Some(socket) = self.idle.pop() {
-            let quiet = socket.get_ref().peek(&mut [0]);
-            if matches!(quiet, Err(e) if e.kind() == io::ErrorKind::WouldBlock) {
+            let peeked = socket.get_ref().peek(&mut [0]);
+            if matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock) {
                 return Some(socket);
             }
         }
         None
     }
 
-    pub fn give(&mut self, socket: Async<TcpStream>) {
-        if self.idle.len() < MOST {
+    pub fn put(&mut self, socket: Async<TcpStream>) {
+        if self.idle.len() < MAX_IDLE {
             self.idle.push(socket);
         }
     }
--- a/crates/lab/src/loopback/cost/load.rs
+++ b/crates/lab/src/loopback/cost/load.rs
@@ -1,7 +1,7 @@
 //! Clients in a closed loop: on each connection the next request goes out when the answer is there.
 
 use super::protocol::{Protocol, Read};
-use super::{Plan, PATIENCE, TENANT};
+use super::{Plan, CLIENT_TIMEOUT, TENANT};
 use crate::loopback::socket::wire::{Properties, TryId};
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -19,10 +19,10 @@
 use world::random::mix;
 
 /// Keys that are asked for, evenly.
-const KEYS: u64 = 20_000;
+const KEY_COUNT: u64 = 20_000;
 
 #[derive(Clone, Debug, Default)]
-pub struct Counted {
+pub struct LoadCounts {
     pub served: u64,
     pub failed: u64,
     pub latency: Latencies,
@@ -36,20 +36,20 @@
 }
 
 #[derive(Debug)]
-pub struct Load {
+pub struct LoadGenerator {
     shared: Arc<Shared>,
-    threads: Vec<JoinHandle<Counted>>,
+    threads: Vec<JoinHandle<LoadCounts>>,
 }
 
-impl Load {
+impl LoadGenerator {
     pub fn start(address: SocketAddr, threads: usize, plan: Plan) -> io::Result<Self> {
         let shared = Arc::<Shared>::default();
-        let mut load = Load { shared: shared.clone(), threads: Vec::new() };
+        let mut load = LoadGenerator { shared: shared.clone(), threads: Vec::new() };
         for n in 0..threads {
             let connections = (plan.connections + threads - 1 - n) / threads;
             let shared = shared.clone();
             let run = move || {
-                let counted = Rc::<RefCell<Counted>>::default();
+                let counted = Rc::<RefCell<LoadCounts>>::default();
                 let executor = LocalExecutor::new();
                 let all: Vec<_> = (0..connections)
                     .map(|_| {
@@ -74,9 +74,9 @@
     }
 
     /// Ends all clients once each has its answer.
-    pub fn end(mut self) -> Counted {
+    pub fn end(mut self) -> LoadCounts {
         self.shared.ends.store(true, Ordering::Relaxed);
-        let mut all = Counted::default();
+        let mut all = LoadCounts::default();
         for counted in self.threads.drain(..).filter_map(|t| t.join().ok()) {
             all.served += counted.served;
             all.failed += counted.failed;
@@ -86,7 +86,7 @@
     }
 }
 
-impl Drop for Load {
+impl Drop for LoadGenerator {
     fn drop(&mut self) {
         self.shared.ends.store(true, Ordering::Relaxed);
     }
@@ -97,12 +97,12 @@
     address: SocketAddr,
     protocol: Protocol,
     shared: Arc<Shared>,
-    counted: Rc<RefCell<Counted>>,
+    counted: Rc<RefCell<LoadCounts>>,
 ) {
     let properties = Properties {
         class: "lookup".into(),
         tenant: TENANT.into(),
-        patience: PATIENCE.as_micros() as i64,
+        patience: CLIENT_TIMEOUT.as_micros() as i64,
         ..Properties::default()
     };
     let properties = properties.write();
@@ -137,7 +137,7 @@
     no: u64,
     properties: &str,
 ) -> Option<bool> {
-    let key = format!("{:016x}", mix(no % KEYS + 1));
+    let key = format!("{:016x}", mix(no % KEY_COUNT + 1));
     let id = TryId { of: TryNo(no + 1), work: 0, bytes: 0 }.write();
     let mut out = Vec::new();
     // Its lowest bits tell it from those before it on this connection.
--- a/crates/lab/src/loopback/cost/mod.rs
+++ b/crates/lab/src/loopback/cost/mod.rs
@@ -8,16 +8,16 @@
 mod protocol;
 mod stub_servers;
 
-use super::children::{Child, Limits, Program, Pulse};
+use super::children::{Child, HealthCheck, Limits, Program};
 use super::settings;
-use super::socket::port::Held;
+use super::socket::port::ReservedPort;
 use crate::host::HostError;
 use async_executor::LocalExecutor;
 use async_io::Timer;
 pub use protocol::Protocol;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use stub_servers::{Always, Discovery};
+use stub_servers::{StubDiscovery, StubNodes};
 use world::facts::{NodeNo, ProxyNo, LEDGER};
 use world::outcome::Latencies;
 use world::world::World;
@@ -38,15 +38,15 @@
 
 /// Threads that clients and nodes run on, each.
 const THREADS: usize = 2;
-const NODES: u32 = 4;
-const KIND: &str = "full-node";
+const NODE_COUNT: u32 = 4;
+const NODE_KIND: &str = "full-node";
 /// As whom memcached clients ask, who cannot say it; the others say the same.
 const TENANT: &str = "nordurbanki";
 /// How long a client waits.
-const PATIENCE: Duration = Duration::from_secs(2);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Not counted at the start of each way.
 const WARM_UP: Duration = Duration::from_millis(500);
-const READY: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// One way, measured.
 #[derive(Clone, Debug)]
@@ -89,13 +89,13 @@
     }
 }
 
-fn system(what: &'static str) -> impl Fn(std::io::Error) -> HostError {
+fn io_error(what: &'static str) -> impl Fn(std::io::Error) -> HostError {
     move |source| HostError::Io { what: what.into(), source }
 }
 
 /// Clients straight at a node.
 pub fn direct(plan: Plan) -> Result<Measured, HostError> {
-    let nodes = Always::start(THREADS, 1, plan.clients, plan.value_bytes).map_err(system("nodes"))?;
+    let nodes = StubNodes::start(THREADS, 1, plan.clients, plan.value_bytes).map_err(io_error("nodes"))?;
     measure(plan, nodes.addresses()[0], None)
 }
 
@@ -104,56 +104,57 @@
     let world = World::builder()
         .halls(["hofdi"])
         .proxies(1)
-        .nodes(KIND, NODES, |_| {})
+        .nodes(NODE_KIND, NODE_COUNT, |_| {})
         // No tenant is above its share, whatever it sends.
         .rate(1e6)
         .build(1)
         .map_err(|problem| HostError::Unplayable(problem.to_string()))?;
-    let nodes = Always::start(THREADS, NODES as usize, plan.nodes, plan.value_bytes);
-    let nodes = nodes.map_err(system("nodes"))?;
-    let discovery = Discovery::start().map_err(system("discovery"))?;
-    let held = Held::take().map_err(system("a port for the proxy"))?;
+    let nodes = StubNodes::start(THREADS, NODE_COUNT as usize, plan.nodes, plan.value_bytes);
+    let nodes = nodes.map_err(io_error("nodes"))?;
+    let discovery = StubDiscovery::start().map_err(io_error("discovery"))?;
+    let reserved = ReservedPort::reserve().map_err(io_error("a port for the proxy"))?;
     // Nothing misses, so nobody asks the ledger: any node will do for it.
     let address = |node: NodeNo| nodes.addresses()[if node == LEDGER { 0 } else { node.0 as usize }];
-    let place = settings::ProxyStart {
+    let start = settings::ProxyStart {
         proxy: ProxyNo(0),
-        listen: held.address(),
+        listen: reserved.address(),
         discovery: discovery.address(),
         seed: 1,
     };
-    let configuration = settings::configuration(&world, place, &settings::serving(&world, address));
-    let dir = tempfile::Builder::new().prefix("lab-").tempdir().map_err(system("a folder"))?;
+    let configuration = settings::configuration(&world, start, &settings::serving_list(&world, address));
+    let dir = tempfile::Builder::new().prefix("lab-").tempdir().map_err(io_error("a folder"))?;
     let path = dir.path().join("config.json");
-    std::fs::write(&path, configuration.to_string()).map_err(system("the configuration"))?;
-    let side = Held::take().map_err(system("a port for memcached clients"))?;
+    std::fs::write(&path, configuration.to_string()).map_err(io_error("the configuration"))?;
+    let memcached_port = ReservedPort::reserve().map_err(io_error("a port for memcached clients"))?;
     let features = dir.path().join("martenweir.conf");
-    std::fs::write(&features, own_file(plan, side.address())).map_err(system("the proxy's own file"))?;
+    std::fs::write(&features, feature_config(plan, memcached_port.address()))
+        .map_err(io_error("the proxy's own file"))?;
     let limits = Limits { memory_kb: u64::MAX, descriptors: 4096, file_bytes: None };
     let variables = [
         ("NODE_NAME", "n0".to_owned()),
-        ("NODE_LISTEN", held.address().to_string()),
+        ("NODE_LISTEN", reserved.address().to_string()),
         ("NODE_DISCOVERY", discovery.address().to_string()),
         ("NODE_CONFIG", path.display().to_string()),
     ];
     let arguments = ["--conf".into(), features.into()];
     let mut proxy = Child::start("n0", program, limits, dir.path(), &variables, &arguments)?;
-    wait_until_ready(&mut proxy, held.address())?;
+    wait_until_ready(&mut proxy, reserved.address())?;
     let address = match plan.clients {
-        Protocol::Resp => held.address(),
-        Protocol::Memcached => side.address(),
+        Protocol::Resp => reserved.address(),
+        Protocol::Memcached => memcached_port.address(),
     };
     measure(plan, address, Some(&mut proxy))
 }
 
 /// What turns on what is measured, and nothing else.
-fn own_file(plan: Plan, side: SocketAddr) -> String {
+fn feature_config(plan: Plan, memcached_port: SocketAddr) -> String {
     let mut lines = String::new();
     if plan.clients == Protocol::Memcached {
-        let (port, wait) = (side.port(), PATIENCE.as_millis());
+        let (port, wait) = (memcached_port.port(), CLIENT_TIMEOUT.as_millis());
         lines += &format!("memcacheport {port}\nmemcachetenant {TENANT}\nmemcachereadwait {wait} ms\n");
     }
     if plan.nodes == Protocol::Memcached {
-        lines += &format!("memcachenodes kind {KIND}\n");
+        lines += &format!("memcachenodes kind {NODE_KIND}\n");
     }
     lines
 }
@@ -162,12 +163,12 @@
     let executor = LocalExecutor::new();
     let since = Instant::now();
     async_io::block_on(executor.run(async {
-        let pulse = Pulse::watch(address, &executor);
-        while !pulse.is_ready() {
+        let health = HealthCheck::watch(address, &executor);
+        while !health.is_ready() {
             if let Some(status) = proxy.ended() {
                 return Err(proxy.error(&format!("died ({status})")));
             }
-            if since.elapsed() >= READY {
+            if since.elapsed() >= READY_TIMEOUT {
                 return Err(proxy.error("is not ready"));
             }
             Timer::after(Duration::from_millis(10)).await;
@@ -177,7 +178,7 @@
 }
 
 fn measure(plan: Plan, address: SocketAddr, mut proxy: Option<&mut Child>) -> Result<Measured, HostError> {
-    let load = load::Load::start(address, THREADS, plan).map_err(system("clients"))?;
+    let load = load::LoadGenerator::start(address, THREADS, plan).map_err(io_error("clients"))?;
     std::thread::sleep(WARM_UP);
     let used = |proxy: &Option<&mut Child>| {
         let own = super::children::Usage::of(std::process::id()).unwrap_or_default();
--- a/crates/lab/src/loopback/cost/stub_servers.rs
+++ b/crates/lab/src/loopback/cost/stub_servers.rs
@@ -15,13 +15,13 @@
 
 /// Listeners served by threads of their own. Dropped, all of it ends.
 #[derive(Debug)]
-struct Threads {
+struct ListenerThreads {
     addresses: Vec<SocketAddr>,
     stop: Option<Sender<()>>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Threads {
+impl ListenerThreads {
     /// Ports are spread over the threads; `serve` carries one connection to its end.
     fn start<F>(
         threads: usize,
@@ -55,7 +55,7 @@
                 }));
             }));
         }
-        Ok(Threads { addresses, stop: Some(stop), threads: started })
+        Ok(ListenerThreads { addresses, stop: Some(stop), threads: started })
     }
 }
 
@@ -75,7 +75,7 @@
     }
 }
 
-impl Drop for Threads {
+impl Drop for ListenerThreads {
     fn drop(&mut self) {
         self.stop = None;
         for thread in self.threads.drain(..) {
@@ -86,12 +86,13 @@
 
 /// Cache nodes that hit always.
 #[derive(Debug)]
-pub struct Always(Threads);
+pub struct StubNodes(ListenerThreads);
 
-impl Always {
+impl StubNodes {
     pub fn start(threads: usize, nodes: usize, protocol: Protocol, value_bytes: usize) -> io::Result<Self> {
         let value = vec![b'v'; value_bytes.clamp(1, resp::MAX_VALUE)];
-        Threads::start(threads, nodes, move |socket| hit(socket, protocol, value.clone())).map(Always)
+        ListenerThreads::start(threads, nodes, move |socket| serve_hits(socket, protocol, value.clone()))
+            .map(StubNodes)
     }
 
     pub fn addresses(&self) -> &[SocketAddr] {
@@ -99,7 +100,7 @@
     }
 }
 
-async fn hit(mut socket: Async<TcpStream>, protocol: Protocol, value: Vec<u8>) {
+async fn serve_hits(mut socket: Async<TcpStream>, protocol: Protocol, value: Vec<u8>) {
     let (mut input, mut bytes, mut out) = (Vec::new(), vec![0; 16 * 1024], Vec::new());
     loop {
         match socket.read(&mut bytes).await {
@@ -124,11 +125,11 @@
 
 /// A discovery that only shows that it lives.
 #[derive(Debug)]
-pub struct Discovery(Threads);
+pub struct StubDiscovery(ListenerThreads);
 
-impl Discovery {
+impl StubDiscovery {
     pub fn start() -> io::Result<Self> {
-        Threads::start(1, 1, watch).map(Discovery)
+        ListenerThreads::start(1, 1, watch).map(StubDiscovery)
     }
 
     pub fn address(&self) -> SocketAddr {
--- a/crates/lab/src/loopback/event_loop/discovery.rs
+++ b/crates/lab/src/loopback/event_loop/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery on sockets: each proxy's agent answers at once with what it has been told, and says nothing while
 //! discovery is down.
 
-use super::timers::Due;
-use super::Stage;
+use super::timers::TimerEvent;
+use super::EventLoop;
 use crate::loopback::settings;
 use crate::loopback::socket::wire::{self, Command};
 use crate::loopback::socket::LinkId;
@@ -12,9 +12,9 @@
 use world::Micros;
 
 /// A sign of life on a watch comes this often.
-const LIFE: Micros = 2_000_000;
+const HEARTBEAT_INTERVAL: Micros = 2_000_000;
 
-impl Stage {
+impl EventLoop {
     fn entries(&self, proxy: ProxyNo, entries: &[Entry]) -> Vec<Value> {
         let one = |e: &Entry| {
             let member = self.world.member(e.node);
@@ -30,7 +30,7 @@
         settings::list(revision, after.is_none(), self.entries(proxy, &entries))
     }
 
-    pub(super) fn asked_list(&mut self, id: LinkId, command: Command) {
+    pub(super) fn handle_discovery_command(&mut self, id: LinkId, command: Command) {
         let Some(connection) = self.links.get(&id) else { return };
         let proxy = connection.proxy;
         let mut out = Vec::new();
@@ -63,15 +63,15 @@
     }
 
     /// Something has reached a proxy's agent.
-    pub(super) fn tell_watchers(&mut self, news: &ListUpdate) {
-        let list = settings::list(news.revision, false, self.entries(news.proxy, &[news.entry]));
-        self.write_watchers(|proxy| proxy == news.proxy, &format!("{list}\n"));
+    pub(super) fn send_to_watchers(&mut self, update: &ListUpdate) {
+        let list = settings::list(update.revision, false, self.entries(update.proxy, &[update.entry]));
+        self.write_watchers(|proxy| proxy == update.proxy, &format!("{list}\n"));
     }
 
     pub(super) fn heartbeat(&mut self, at: Micros) {
         if !self.world.discovery().is_silent() {
             self.write_watchers(|_| true, "\n");
         }
-        self.agenda.add(at + LIFE, Due::Heartbeat);
+        self.timers.add(at + HEARTBEAT_INTERVAL, TimerEvent::Heartbeat);
     }
 }
--- a/crates/lab/src/loopback/event_loop/node_requests.rs
+++ b/crates/lab/src/loopback/event_loop/node_requests.rs
@@ -2,8 +2,8 @@
 //! network loses.
 
 use super::ports::Owner;
-use super::timers::{Due, Then};
-use super::Stage;
+use super::timers::{AfterWrite, TimerEvent};
+use super::EventLoop;
 use crate::host::HostError;
 use crate::loopback::settings;
 use crate::loopback::socket::link::Link;
@@ -22,10 +22,10 @@
 
 /// An answer that is owed.
 #[derive(Debug)]
-struct Owed {
+struct PendingAnswer {
     job: u64,
     /// It is there, and waits for those before it.
-    answer: Option<(Vec<u8>, Then)>,
+    answer: Option<(Vec<u8>, AfterWrite)>,
 }
 
 /// A connection of a proxy to a stand-in.
@@ -38,11 +38,11 @@
     hall: u16,
     link: Link,
     /// Commands that are not answered yet, in their order, each with its answer if that waits for one before it.
-    owed: VecDeque<Owed>,
+    pending: VecDeque<PendingAnswer>,
     /// Nothing overtakes: when the last command, and the last answer, arrives.
     out_at: Micros,
     in_at: Micros,
-    held: bool,
+    paused: bool,
     /// Something on it was lost under way: it breaks when the cut is over.
     lost: bool,
     /// It watches discovery.
@@ -54,18 +54,18 @@
 pub struct Job {
     link: LinkId,
     node: NodeNo,
-    what: What,
+    kind: JobKind,
 }
 
 #[derive(Clone, Debug)]
-enum What {
-    Keyed { visit: NodeAttempt, key: Vec<u8>, id: Vec<u8> },
+enum JobKind {
+    Keyed { attempt: NodeAttempt, key: Vec<u8>, id: Vec<u8> },
     Load,
     Ping,
 }
 
-/// A read or a write as it was said.
-struct Said<'a> {
+/// A read or a write as it was keyed_command.
+struct KeyedCommand<'a> {
     key: &'a [u8],
     id: &'a [u8],
     properties: &'a [u8],
@@ -78,9 +78,9 @@
     }
 }
 
-impl Stage {
-    pub(super) fn accepted(&mut self, door: usize, socket: Async<TcpStream>) {
-        let Some((owner, proxy)) = self.doors.owner(door) else { return };
+impl EventLoop {
+    pub(super) fn handle_accepted(&mut self, port: usize, socket: Async<TcpStream>) {
+        let Some((owner, proxy)) = self.ports.owner(port) else { return };
         self.last_link += 1;
         let id = LinkId(self.last_link);
         let (node, dialect) = match owner {
@@ -90,7 +90,7 @@
         };
         let (executor, clock) = (self.executor.clone(), self.clock.clone());
         let link = Link::new(id, socket, dialect, &executor, clock, self.queue.clone());
-        let now = self.reached;
+        let now = self.advanced_to;
         let (mut address, mut hall) = (0, 0);
         if let Some(node) = node {
             (address, hall) = (self.world.member(node).address, self.world.member(node).hall);
@@ -98,14 +98,14 @@
                 DialOutcome::Accepted => {}
                 DialOutcome::Refused => {
                     // The table is full, or the process has ended this moment.
-                    self.doors.full(&self.world, node, true);
+                    self.ports.set_full(&self.world, node, true);
                     return link.reset();
                 }
-                DialOutcome::Silent => link.hold(true),
+                DialOutcome::Silent => link.set_paused(true),
             }
         }
         // A handshake crosses the network and comes back before the first command can.
-        let there = self.delay(proxy, hall).unwrap_or(0);
+        let outbound = self.delay(proxy, hall).unwrap_or(0);
         let back = self.delay(proxy, hall).unwrap_or(0);
         let connection = Connection {
             proxy,
@@ -113,10 +113,10 @@
             address,
             hall,
             link,
-            owed: VecDeque::new(),
-            out_at: now + there + back,
+            pending: VecDeque::new(),
+            out_at: now + outbound + back,
             in_at: now,
-            held: false,
+            paused: false,
             lost: false,
             watches: false,
         };
@@ -144,67 +144,76 @@
         Some(*last)
     }
 
-    pub(super) fn asked(&mut self, id: LinkId, command: Command, begun: Micros, at: Micros) {
+    pub(super) fn handle_command(&mut self, id: LinkId, command: Command, first_byte_at: Micros, at: Micros) {
         let Some(connection) = self.links.get_mut(&id) else { return };
         let proxy = connection.proxy;
-        let Some(node) = connection.node else { return self.asked_list(id, command) };
+        let Some(node) = connection.node else { return self.handle_discovery_command(id, command) };
         self.last_job += 1;
         let job = self.last_job;
-        connection.owed.push_back(Owed { job, answer: None });
+        connection.pending.push_back(PendingAnswer { job, answer: None });
         let dialect = if node == LEDGER { Dialect::Ledger } else { Dialect::Cache };
-        let what = match command {
-            Command::Load => What::Load,
-            Command::Ping => What::Ping,
-            Command::ClientSetup => return self.write(id, job, b"+OK\r\n".to_vec(), Then::Keep),
+        let kind = match command {
+            Command::Load => JobKind::Load,
+            Command::Ping => JobKind::Ping,
+            Command::ClientSetup => return self.write(id, job, b"+OK\r\n".to_vec(), AfterWrite::KeepOpen),
             Command::Unknown => {
-                let bytes = answer(dialect, &What::Ping, Answer::Error);
-                return self.write(id, job, bytes, Then::Keep);
+                let bytes = answer(dialect, &JobKind::Ping, Answer::Error);
+                return self.write(id, job, bytes, AfterWrite::KeepOpen);
             }
             Command::Keyed { key, id: name, properties, value } => {
-                let said = Said { key: &key, id: &name, properties: &properties, write: value.is_some() };
-                match self.visit(id, job, at, &said) {
-                    Some(visit) => What::Keyed { visit, key, id: name },
+                let keyed_command =
+                    KeyedCommand { key: &key, id: &name, properties: &properties, write: value.is_some() };
+                match self.node_attempt(id, job, at, &keyed_command) {
+                    Some(attempt) => JobKind::Keyed { attempt, key, id: name },
                     None => return self.malformed(id, job, proxy, "a key, id or list that no client sent"),
                 }
             }
             Command::Malformed(why) => return self.malformed(id, job, proxy, why),
             Command::List | Command::Watch { .. } => return self.malformed(id, job, proxy, "no command"),
         };
-        if let What::Keyed { visit, .. } = &what {
-            let of = visit.request.of;
-            self.taken(begun, of);
-            self.world.observe(begun, Fact::AttemptBegun { proxy, node, of });
+        if let JobKind::Keyed { attempt, .. } = &kind {
+            let of = attempt.request.of;
+            self.taken(first_byte_at, of);
+            self.world.observe(first_byte_at, Fact::AttemptBegun { proxy, node, of });
             let here = self.world.proxies().get(proxy.0 as usize).copied();
             let crosses = here != Some(self.world.member(node).hall);
             let counts = self.world.recorder.work();
             counts.attempts += 1;
             counts.crossings += u64::from(crosses);
         }
-        let keyed = matches!(what, What::Keyed { .. });
-        self.jobs.insert(job, Job { link: id, node, what });
+        let keyed = matches!(kind, JobKind::Keyed { .. });
+        self.jobs.insert(job, Job { link: id, node, kind });
         if let Some(arrives) = self.travel(at, id, true) {
-            self.agenda.add(arrives, Due::Arrive { job });
+            self.timers.add(arrives, TimerEvent::CommandArrives { job });
             if keyed && self.world.network.breaks() {
                 if let Some(breaks) = self.travel(arrives, id, false) {
-                    self.agenda.add(breaks, Due::Break { link: id });
+                    self.timers.add(breaks, TimerEvent::BreakConnection { link: id });
                 }
             }
         }
     }
 
     /// What the models need of a command; `None` if no client ever sent it like this.
-    fn visit(&self, link: LinkId, job: u64, at: Micros, said: &Said) -> Option<NodeAttempt> {
+    fn node_attempt(
+        &self,
+        link: LinkId,
+        job: u64,
+        at: Micros,
+        keyed_command: &KeyedCommand,
+    ) -> Option<NodeAttempt> {
         let Connection { proxy, node, .. } = self.links.get(&link)?;
-        let (id, p) = (TryId::read(said.id)?, Properties::read(said.properties)?);
-        let key = u64::from_str_radix(std::str::from_utf8(said.key).ok()?, 16).ok()?;
+        let (id, p) = (TryId::read(keyed_command.id)?, Properties::read(keyed_command.properties)?);
+        let key = u64::from_str_radix(std::str::from_utf8(keyed_command.key).ok()?, 16).ok()?;
         let classes = &self.world.scenario().clients.classes;
         let class = classes.iter().position(|c| c.name == p.class)?;
-        let words = classes.get(class)?;
+        let class_config = classes.get(class)?;
         let class = ClassNo(class as u16);
-        if words.write != said.write || (words.repeat == Repeat::Keyed) != p.repeat.is_some() {
+        if class_config.write != keyed_command.write
+            || (class_config.repeat == Repeat::Keyed) != p.repeat.is_some()
+        {
             return None;
         }
-        let sent = self.desk.recall(id.of);
+        let sent = self.requests.recall(id.of);
         if let Some(r) = sent.map(|t| &t.request) {
             let repeat = p.repeat.is_none_or(|key| key == r.repeat_key());
             if (r.key, r.class) != (key, class) || !repeat {
@@ -217,10 +226,10 @@
             of: id.of,
             class,
             key,
-            write: said.write,
+            write: keyed_command.write,
             work: f64::from(id.work),
             bytes: u64::from(id.bytes),
-            repeat: p.repeat.map(|key| (key, ms(words.window_ms))),
+            repeat: p.repeat.map(|key| (key, ms(class_config.window_ms))),
             expires: at + p.patience,
         };
         let after = sent.and_then(|t| t.after).filter(|_| *node == Some(LEDGER));
@@ -229,42 +238,42 @@
 
     /// Answered as the protocol says, and the run is void.
     fn malformed(&mut self, id: LinkId, job: u64, proxy: ProxyNo, why: &str) {
-        self.write(id, job, b"-SYNTAX\r\n".to_vec(), Then::Finish);
+        self.write(id, job, b"-SYNTAX\r\n".to_vec(), AfterWrite::Close);
         let what = format!("sent a node what no client may send: {why}");
         let name = settings::name(proxy);
-        self.fault.get_or_insert(HostError::Child { name, what });
+        self.fatal_error.get_or_insert(HostError::Child { name, what });
     }
 
     /// A whole command is at its node.
     pub(super) fn arrive(&mut self, at: Micros, job: u64) {
-        let Some(Job { link, node, what, .. }) = self.jobs.get(&job) else { return };
+        let Some(Job { link, node, kind, .. }) = self.jobs.get(&job) else { return };
         let (link, node) = (*link, *node);
         let mut out = std::mem::take(&mut self.occurrences);
-        match what {
-            What::Keyed { visit, .. } => self.world.arrive(at, node, visit, &mut out),
-            What::Load | What::Ping => self.world.probe(at, node, job, link.0, &mut out),
+        match kind {
+            JobKind::Keyed { attempt, .. } => self.world.arrive(at, node, attempt, &mut out),
+            JobKind::Load | JobKind::Ping => self.world.probe(at, node, job, link.0, &mut out),
         }
-        self.carry_occurrences(&mut out);
+        self.handle_occurrences(&mut out);
         self.occurrences = out;
     }
 
-    pub(super) fn answered(&mut self, at: Micros, node: NodeNo, number: u64, said: Answer, work: f64) {
+    pub(super) fn answered(&mut self, at: Micros, node: NodeNo, number: u64, reply: Answer, work: f64) {
         let job = self.jobs.remove(&number);
         let open = job.as_ref().and_then(|j| self.links.get(&j.link)).is_some_and(|l| !l.lost);
-        let mut useful = open && said != Answer::Error;
-        if let Some(Job { what: What::Keyed { visit, .. }, .. }) = &job {
-            let waits = self.desk.get(visit.request.of);
+        let mut useful = open && reply != Answer::Error;
+        if let Some(Job { kind: JobKind::Keyed { attempt, .. }, .. }) = &job {
+            let waits = self.requests.get(attempt.request.of);
             useful &= waits.is_some();
             let missed = waits.filter(|_| open).map(|t| t.missed);
-            if node == LEDGER && said == Answer::Value {
-                if visit.request.write {
-                    self.world.invalidate_copies(visit.request.key);
+            if node == LEDGER && reply == Answer::Value {
+                if attempt.request.write {
+                    self.world.invalidate_copies(attempt.request.key);
                 } else if let Some(missed) = missed {
-                    self.world.store_value(at, &missed, visit.request.key, visit.request.bytes);
+                    self.world.store_value(at, &missed, attempt.request.key, attempt.request.bytes);
                 }
             }
-            if matches!(said, Answer::Miss { .. }) {
-                if let Some(t) = self.desk.get_mut(visit.request.of) {
+            if matches!(reply, Answer::Miss { .. }) {
+                if let Some(t) = self.requests.get_mut(attempt.request.of) {
                     t.missed_at(node);
                 }
             }
@@ -272,28 +281,28 @@
         if !useful && node != LEDGER {
             self.world.recorder.work().wasted_us += work;
         }
-        let Some(Job { link, what, .. }) = job else { return };
-        if said == Answer::Reset {
-            return self.agenda.add(at, Due::Break { link });
+        let Some(Job { link, kind, .. }) = job else { return };
+        if reply == Answer::Reset {
+            return self.timers.add(at, TimerEvent::BreakConnection { link });
         }
         let dialect = if node == LEDGER { Dialect::Ledger } else { Dialect::Cache };
-        let bytes = answer(dialect, &what, said);
-        let then = if said == Answer::Spoilt { Then::Finish } else { Then::Keep };
+        let bytes = answer(dialect, &kind, reply);
+        let then = if reply == Answer::Spoilt { AfterWrite::Close } else { AfterWrite::KeepOpen };
         if let Some(arrives) = self.travel(at, link, false) {
-            self.agenda.add(arrives, Due::Write { link, job: number, bytes, then });
+            self.timers.add(arrives, TimerEvent::WriteAnswer { link, job: number, bytes, then });
         }
     }
 
     /// An answer goes out, and those that waited for it.
-    pub(super) fn write(&mut self, id: LinkId, job: u64, bytes: Vec<u8>, then: Then) {
+    pub(super) fn write(&mut self, id: LinkId, job: u64, bytes: Vec<u8>, then: AfterWrite) {
         let Some(connection) = self.links.get_mut(&id) else { return };
-        if let Some(owed) = connection.owed.iter_mut().find(|o| o.job == job) {
-            owed.answer = Some((bytes, then));
+        if let Some(pending) = connection.pending.iter_mut().find(|o| o.job == job) {
+            pending.answer = Some((bytes, then));
         }
-        while connection.owed.front().is_some_and(|o| o.answer.is_some()) {
-            let Some((bytes, then)) = connection.owed.pop_front().and_then(|o| o.answer) else { break };
+        while connection.pending.front().is_some_and(|o| o.answer.is_some()) {
+            let Some((bytes, then)) = connection.pending.pop_front().and_then(|o| o.answer) else { break };
             connection.link.answer(bytes);
-            if then == Then::Finish {
+            if then == AfterWrite::Close {
                 connection.link.finish();
             }
         }
@@ -304,7 +313,7 @@
         if let Some(connection) = self.drop_link(id) {
             if let Some(node) = connection.node {
                 let hears = self.delay(connection.proxy, connection.hall).unwrap_or(0);
-                self.agenda.add(self.reached + hears, Due::Disconnect { node, link: id });
+                self.timers.add(self.advanced_to + hears, TimerEvent::Disconnect { node, link: id });
             }
         }
     }
@@ -312,11 +321,11 @@
     /// The one place where a connection is given back.
     fn drop_link(&mut self, id: LinkId) -> Option<Connection> {
         let connection = self.links.remove(&id)?;
-        for owed in &connection.owed {
-            self.jobs.remove(&owed.job);
+        for pending in &connection.pending {
+            self.jobs.remove(&pending.job);
         }
         if let Some(node) = connection.node {
-            self.doors.full(&self.world, node, false);
+            self.ports.set_full(&self.world, node, false);
         }
         Some(connection)
     }
@@ -341,52 +350,52 @@
     }
 
     pub(super) fn node_ended(&mut self, node: NodeNo) {
-        self.doors.up(&self.world, node, false);
+        self.ports.set_up(&self.world, node, false);
         for id in self.links_of(|l| l.node == Some(node)) {
             self.break_link(id);
         }
     }
 
     pub(super) fn node_vanished(&mut self, node: NodeNo) {
-        self.doors.vanished(&self.world, node);
+        self.ports.set_vanished(&self.world, node);
     }
 
     pub(super) fn node_started(&mut self, node: NodeNo) {
-        if let Err(source) = self.doors.add(&self.world, node) {
+        if let Err(source) = self.ports.add(&self.world, node) {
             let what = "a port for a node".into();
-            self.fault.get_or_insert(HostError::Io { what, source });
+            self.fatal_error.get_or_insert(HostError::Io { what, source });
         }
     }
 
     /// Holds the connections that are silent now, and lets go of the others.
-    pub(super) fn hold_links(&mut self) {
+    pub(super) fn update_paused_links(&mut self) {
         for connection in self.links.values_mut() {
             let Some(node) = connection.node else { continue };
             let (proxy, hall) = (connection.proxy, connection.hall);
-            let silent = self.doors.is_silent(proxy, hall, connection.address, node);
-            if silent != connection.held {
-                connection.held = silent;
+            let silent = self.ports.is_silent(proxy, hall, connection.address, node);
+            if silent != connection.paused {
+                connection.paused = silent;
                 // One that lost something goes when the cut is over; until then it stays silent.
-                connection.link.hold(silent || connection.lost);
+                connection.link.set_paused(silent || connection.lost);
             }
         }
     }
 
     /// Connections that lost something while a hall was cut off break, now that it is back.
-    pub(super) fn cut_over(&mut self) {
-        self.doors.watch(&self.world);
-        let doors = &self.doors;
+    pub(super) fn end_cut(&mut self) {
+        self.ports.refresh(&self.world);
+        let ports = &self.ports;
         let back = |l: &Connection| {
             l.node.is_some_and(|node| {
-                l.held
-                    && !doors.is_silent(l.proxy, l.hall, l.address, node)
-                    && (l.lost || l.link.is_spoken_to())
+                l.paused
+                    && !ports.is_silent(l.proxy, l.hall, l.address, node)
+                    && (l.lost || l.link.has_unread_input())
             })
         };
         for id in self.links_of(back) {
             self.break_link(id);
         }
-        self.hold_links();
+        self.update_paused_links();
     }
 }
 
@@ -395,26 +404,26 @@
 }
 
 /// An answer as bytes.
-fn answer(dialect: Dialect, what: &What, said: Answer) -> Vec<u8> {
+fn answer(dialect: Dialect, kind: &JobKind, reply: Answer) -> Vec<u8> {
     let mut out = Vec::new();
-    if said == Answer::Spoilt {
+    if reply == Answer::Spoilt {
         return b"?\x00 no answer\r\n".to_vec();
     }
-    match (dialect, what, said) {
-        (Dialect::Cache, What::Keyed { visit, key, id }, Answer::Value) => {
-            let value = wire::value(key, id, visit.request.bytes as usize);
+    match (dialect, kind, reply) {
+        (Dialect::Cache, JobKind::Keyed { attempt, key, id }, Answer::Value) => {
+            let value = wire::value(key, id, attempt.request.bytes as usize);
             wire::put_array(&mut out, [Some(&value), Some(b"hit"), None]);
         }
         (Dialect::Cache, _, Answer::Miss { pending }) => {
             let how: &[u8] = if pending { b"pending" } else { b"miss" };
             wire::put_array(&mut out, [None, Some(how), None]);
         }
-        (Dialect::Cache, What::Ping, Answer::Report(_)) => out.extend_from_slice(b"+PONG\r\n"),
+        (Dialect::Cache, JobKind::Ping, Answer::Report(_)) => out.extend_from_slice(b"+PONG\r\n"),
         (Dialect::Cache, _, Answer::Report(report)) => resp::put_bulk(&mut out, load(report).as_bytes()),
         (Dialect::Cache, _, Answer::Busy) => resp::put_error(&mut out, "BUSY"),
         (Dialect::Cache, ..) => resp::put_error(&mut out, "ERR failed"),
-        (_, What::Keyed { visit, key, id }, Answer::Value) => {
-            let bytes = if visit.request.write { 0 } else { visit.request.bytes as usize };
+        (_, JobKind::Keyed { attempt, key, id }, Answer::Value) => {
+            let bytes = if attempt.request.write { 0 } else { attempt.request.bytes as usize };
             wire::put_response(&mut out, 200, &[], &wire::value(key, id, bytes));
         }
         (_, _, Answer::Report(report)) => {
--- a/crates/lab/src/loopback/event_loop/ports.rs
+++ b/crates/lab/src/loopback/event_loop/ports.rs
@@ -1,7 +1,7 @@
 //! Who listens where: a port for each address of a node and each proxy, so that a connection tells whose it is; and
 //! a port of discovery for each proxy.
 
-use crate::loopback::socket::port::Door;
+use crate::loopback::socket::port::Port;
 use crate::loopback::socket::Queue;
 use async_executor::LocalExecutor;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum PortState {
     Open,
     /// Nobody listens.
     Closed,
@@ -27,16 +27,16 @@
 }
 
 #[derive(Debug)]
-struct Entrance {
-    door: Door,
+struct PortEntry {
+    port: Port,
     owner: Owner,
     proxy: ProxyNo,
-    state: State,
+    state: PortState,
 }
 
 /// What is at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Resident {
+struct AddressState {
     node: NodeNo,
     hall: u16,
     up: bool,
@@ -46,43 +46,43 @@
 }
 
 #[derive(Debug)]
-pub struct Doors {
+pub struct PortTable {
     proxies: Vec<SocketAddr>,
     halls: Vec<u16>,
-    entrances: Vec<Entrance>,
+    entries: Vec<PortEntry>,
     /// By address and proxy, and of discovery by proxy.
-    at: BTreeMap<(u32, ProxyNo), usize>,
+    by_address: BTreeMap<(u32, ProxyNo), usize>,
     discovery: Vec<usize>,
-    residents: BTreeMap<u32, Resident>,
+    addresses: BTreeMap<u32, AddressState>,
     /// Which halls do not reach one another, as a matrix.
     cuts: Vec<bool>,
     changed: bool,
 }
 
-impl Doors {
+impl PortTable {
     pub fn new(world: &World, proxies: Vec<SocketAddr>) -> io::Result<Self> {
         let halls = world.scenario().halls.len();
-        let mut doors = Doors {
+        let mut ports = PortTable {
             halls: world.proxies().to_vec(),
             proxies,
-            entrances: Vec::new(),
-            at: BTreeMap::new(),
+            entries: Vec::new(),
+            by_address: BTreeMap::new(),
             discovery: Vec::new(),
-            residents: BTreeMap::new(),
+            addresses: BTreeMap::new(),
             cuts: vec![false; halls * halls],
             changed: true,
         };
-        for proxy in 0..doors.halls.len() {
-            let place = doors.entrance(Owner::Discovery, ProxyNo(proxy as u32))?;
-            doors.discovery.push(place);
+        for proxy in 0..ports.halls.len() {
+            let index = ports.add_entry(Owner::Discovery, ProxyNo(proxy as u32))?;
+            ports.discovery.push(index);
         }
-        Ok(doors)
+        Ok(ports)
     }
 
-    fn entrance(&mut self, owner: Owner, proxy: ProxyNo) -> io::Result<usize> {
-        let number = self.entrances.len();
-        let door = Door::new(number)?;
-        self.entrances.push(Entrance { door, owner, proxy, state: State::Closed });
+    fn add_entry(&mut self, owner: Owner, proxy: ProxyNo) -> io::Result<usize> {
+        let number = self.entries.len();
+        let port = Port::new(number)?;
+        self.entries.push(PortEntry { port, owner, proxy, state: PortState::Closed });
         Ok(number)
     }
 
@@ -92,45 +92,45 @@
         let (address, hall) = (member.address, member.hall);
         for proxy in 0..self.halls.len() {
             let proxy = ProxyNo(proxy as u32);
-            match self.at.get(&(address, proxy)) {
-                Some(place) => self.entrances[*place].owner = Owner::Node { node, address },
+            match self.by_address.get(&(address, proxy)) {
+                Some(index) => self.entries[*index].owner = Owner::Node { node, address },
                 None => {
-                    let place = self.entrance(Owner::Node { node, address }, proxy)?;
-                    self.at.insert((address, proxy), place);
+                    let index = self.add_entry(Owner::Node { node, address }, proxy)?;
+                    self.by_address.insert((address, proxy), index);
                 }
             }
         }
-        let resident = Resident { node, hall, up: true, vanished: false, full: false };
-        self.residents.insert(address, resident);
+        let state = AddressState { node, hall, up: true, vanished: false, full: false };
+        self.addresses.insert(address, state);
         self.changed = true;
         Ok(())
     }
 
-    fn change(&mut self, world: &World, node: NodeNo, how: impl FnOnce(&mut Resident)) {
+    fn update(&mut self, world: &World, node: NodeNo, update: impl FnOnce(&mut AddressState)) {
         // Another one may have its address by now.
-        let resident = self.residents.get_mut(&world.member(node).address).filter(|r| r.node == node);
-        if let Some(resident) = resident {
-            let before = *resident;
-            how(resident);
-            self.changed |= before != *resident;
+        let state = self.addresses.get_mut(&world.member(node).address).filter(|r| r.node == node);
+        if let Some(state) = state {
+            let before = *state;
+            update(state);
+            self.changed |= before != *state;
         }
     }
 
-    pub fn up(&mut self, world: &World, node: NodeNo, up: bool) {
-        self.change(world, node, |r| (r.up, r.full) = (up, false));
+    pub fn set_up(&mut self, world: &World, node: NodeNo, up: bool) {
+        self.update(world, node, |r| (r.up, r.full) = (up, false));
     }
 
-    pub fn vanished(&mut self, world: &World, node: NodeNo) {
-        self.change(world, node, |r| r.vanished = true);
+    pub fn set_vanished(&mut self, world: &World, node: NodeNo) {
+        self.update(world, node, |r| r.vanished = true);
     }
 
-    pub fn full(&mut self, world: &World, node: NodeNo, full: bool) {
-        self.change(world, node, |r| r.full = full);
+    pub fn set_full(&mut self, world: &World, node: NodeNo, full: bool) {
+        self.update(world, node, |r| r.full = full);
     }
 
     /// Whether a connection between a proxy and a node passes nothing on.
     pub fn is_silent(&self, proxy: ProxyNo, hall: u16, address: u32, node: NodeNo) -> bool {
-        let vanished = self.residents.get(&address).is_some_and(|r| r.node == node && r.vanished);
+        let vanished = self.addresses.get(&address).is_some_and(|r| r.node == node && r.vanished);
         vanished || self.is_cut(proxy, hall)
     }
 
@@ -141,19 +141,19 @@
     }
 
     /// Looks at what the world tells nobody when it changes: cuts between halls, and whether the ledger is up.
-    pub fn watch(&mut self, world: &World) {
+    pub fn refresh(&mut self, world: &World) {
         let halls = self.cuts.len().isqrt();
-        for (i, known) in self.cuts.iter_mut().enumerate() {
+        for (i, stored) in self.cuts.iter_mut().enumerate() {
             let cut = world.network.is_cut((i / halls) as u16, (i % halls) as u16);
-            self.changed |= cut != *known;
-            *known = cut;
+            self.changed |= cut != *stored;
+            *stored = cut;
         }
-        self.up_ledger(world);
+        self.refresh_origin(world);
     }
 
-    fn up_ledger(&mut self, world: &World) {
+    fn refresh_origin(&mut self, world: &World) {
         let up = world.ledger().is_up();
-        self.change(world, world::facts::LEDGER, |r| r.up = up);
+        self.update(world, world::facts::LEDGER, |r| r.up = up);
     }
 
     /// Whether doors and links may be other than the world has it.
@@ -162,53 +162,53 @@
     }
 
     /// Opens, closes and silences doors as the world has it.
-    pub fn settle(&mut self, world: &World, executor: &LocalExecutor<'_>, queue: &Queue) -> io::Result<()> {
-        self.up_ledger(world);
+    pub fn apply(&mut self, world: &World, executor: &LocalExecutor<'_>, queue: &Queue) -> io::Result<()> {
+        self.refresh_origin(world);
         self.changed = false;
-        for i in 0..self.entrances.len() {
-            let (owner, proxy) = (self.entrances[i].owner, self.entrances[i].proxy);
+        for i in 0..self.entries.len() {
+            let (owner, proxy) = (self.entries[i].owner, self.entries[i].proxy);
             let state = match owner {
-                Owner::Discovery => State::Open,
-                Owner::Node { node, address } => match self.residents.get(&address) {
-                    Some(r) if self.is_silent(proxy, r.hall, address, node) => State::Silent,
-                    Some(r) if r.up && !r.full => State::Open,
-                    _ => State::Closed,
+                Owner::Discovery => PortState::Open,
+                Owner::Node { node, address } => match self.addresses.get(&address) {
+                    Some(r) if self.is_silent(proxy, r.hall, address, node) => PortState::Silent,
+                    Some(r) if r.up && !r.full => PortState::Open,
+                    _ => PortState::Closed,
                 },
             };
-            let entrance = &mut self.entrances[i];
-            if entrance.state != state {
+            let entry = &mut self.entries[i];
+            if entry.state != state {
                 match state {
-                    State::Open => entrance.door.open(executor, queue)?,
-                    State::Closed => entrance.door.close(),
-                    State::Silent => entrance.door.plug()?,
+                    PortState::Open => entry.port.open(executor, queue)?,
+                    PortState::Closed => entry.port.close(),
+                    PortState::Silent => entry.port.drop_syns()?,
                 }
-                entrance.state = state;
+                entry.state = state;
             }
         }
         Ok(())
     }
 
-    pub fn owner(&self, door: usize) -> Option<(Owner, ProxyNo)> {
-        self.entrances.get(door).map(|e| (e.owner, e.proxy))
+    pub fn owner(&self, port: usize) -> Option<(Owner, ProxyNo)> {
+        self.entries.get(port).map(|e| (e.owner, e.proxy))
     }
 
     pub fn proxy(&self, proxy: ProxyNo) -> SocketAddr {
-        self.proxies.get(proxy.0 as usize).copied().unwrap_or_else(nowhere)
+        self.proxies.get(proxy.0 as usize).copied().unwrap_or_else(unreachable_address)
     }
 
     pub fn discovery(&self, proxy: ProxyNo) -> SocketAddr {
-        let place = self.discovery.get(proxy.0 as usize);
-        place.and_then(|i| self.entrances.get(*i)).map_or_else(nowhere, |e| e.door.address())
+        let index = self.discovery.get(proxy.0 as usize);
+        index.and_then(|i| self.entries.get(*i)).map_or_else(unreachable_address, |e| e.port.address())
     }
 
     /// Where a proxy finds an address of the world.
     pub fn address(&self, address: u32, proxy: ProxyNo) -> SocketAddr {
-        let place = self.at.get(&(address, proxy));
-        place.and_then(|i| self.entrances.get(*i)).map_or_else(nowhere, |e| e.door.address())
+        let index = self.by_address.get(&(address, proxy));
+        index.and_then(|i| self.entries.get(*i)).map_or_else(unreachable_address, |e| e.port.address())
     }
 }
 
 /// Where nobody listens: of what was never added.
-fn nowhere() -> SocketAddr {
+fn unreachable_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
--- a/crates/lab/src/loopback/event_loop/timers.rs
+++ b/crates/lab/src/loopback/event_loop/timers.rs
@@ -9,23 +9,23 @@
 
 /// What becomes of a connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
-    Keep,
-    Finish,
+pub enum AfterWrite {
+    KeepOpen,
+    Close,
 }
 
 #[derive(Debug)]
-pub enum Due {
+pub enum TimerEvent {
     /// A command has crossed the network.
-    Arrive {
+    CommandArrives {
         job: u64,
     },
     /// So has its answer.
-    Write {
+    WriteAnswer {
         link: LinkId,
         job: u64,
         bytes: Vec<u8>,
-        then: Then,
+        then: AfterWrite,
     },
     /// So has the end of a connection.
     Disconnect {
@@ -33,25 +33,25 @@
         link: LinkId,
     },
     /// The network breaks a connection.
-    Break {
+    BreakConnection {
         link: LinkId,
     },
     Retry(RequestSlot),
     /// A client's time for a try is up.
-    GivesUp(TryNo),
+    TryTimeout(TryNo),
     Heartbeat,
 }
 
 #[derive(Debug)]
 struct Entry {
     at: Micros,
-    added: u64,
-    due: Due,
+    sequence: u64,
+    event: TimerEvent,
 }
 
 impl PartialEq for Entry {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.added) == (other.at, other.added)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -65,28 +65,28 @@
 
 impl Ord for Entry {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.added).cmp(&(other.at, other.added))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
 /// As long as what is under way: jobs, retries, and tries whose time is not up.
 #[derive(Debug, Default)]
-pub struct Agenda {
+pub struct TimerQueue {
     entries: BinaryHeap<Reverse<Entry>>,
-    added: u64,
+    sequence: u64,
 }
 
-impl Agenda {
-    pub fn add(&mut self, at: Micros, due: Due) {
-        self.added += 1;
-        self.entries.push(Reverse(Entry { at, added: self.added, due }));
+impl TimerQueue {
+    pub fn add(&mut self, at: Micros, event: TimerEvent) {
+        self.sequence += 1;
+        self.entries.push(Reverse(Entry { at, sequence: self.sequence, event }));
     }
 
     pub fn next(&self) -> Option<Micros> {
         self.entries.peek().map(|e| e.0.at)
     }
 
-    pub fn take(&mut self) -> Option<(Micros, Due)> {
-        self.entries.pop().map(|e| (e.0.at, e.0.due))
+    pub fn take(&mut self) -> Option<(Micros, TimerEvent)> {
+        self.entries.pop().map(|e| (e.0.at, e.0.event))
     }
 }
--- a/crates/lab/src/loopback/event_loop/tries.rs
+++ b/crates/lab/src/loopback/event_loop/tries.rs
@@ -1,9 +1,9 @@
 //! The clients' requests: which try goes where and when, and what follows on its end.
 
-use super::timers::Due;
-use super::Stage;
+use super::timers::TimerEvent;
+use super::EventLoop;
 use crate::host::HostError;
-use crate::loopback::clients::{How, Said, Send};
+use crate::loopback::clients::{ClientEvent, ScheduledTry, TryOutcome};
 use crate::loopback::socket::wire::{Properties, TryId};
 use martenweir::codec::resp;
 use world::clients::{RequestSlot, Try, TryEnd};
@@ -14,24 +14,24 @@
 
 /// A client closes on a try this long after its time and the proxy's grace are over: until then an answer that is
 /// too late is still heard, and told.
-const CLOSE: Micros = 100_000;
+const CLOSE_DELAY: Micros = 100_000;
 
-impl Stage {
+impl EventLoop {
     /// A client sends its next try, by way of the front.
-    pub(super) fn send(&mut self, at: Micros, place: RequestSlot) {
-        let Some(request) = self.desk.request(place) else { return };
+    pub(super) fn send(&mut self, at: Micros, slot: RequestSlot) {
+        let Some(request) = self.requests.request(slot) else { return };
         let Some(proxy) = self.world.front().pick(request.hall, request.no.0 ^ (at as u64) << 20) else {
-            let next = self.desk.unreached(at, place, &mut self.world.recorder);
+            let next = self.requests.unreached(at, slot, &mut self.world.recorder);
             return self.retry(next);
         };
-        let Some(t) = self.desk.send(at, place, proxy, &mut self.world.recorder) else { return };
+        let Some(t) = self.requests.send(at, slot, proxy, &mut self.world.recorder) else { return };
         let due = at + self.world.network.to_client();
         let grace = ms(self.world.scenario().rules.answer_grace_ms);
-        let closes = t.until + grace + CLOSE;
-        self.agenda.add(t.until, Due::GivesUp(t.no));
+        let closes = t.until + grace + CLOSE_DELAY;
+        self.timers.add(t.until, TimerEvent::TryTimeout(t.no));
         let (key, command) = self.command(&t);
-        if !self.clients.send(Send { of: t.no, proxy, due, closes, key, command }) {
-            self.late.add(super::LATE_MOST + 1);
+        if !self.clients.send(ScheduledTry { of: t.no, proxy, due, closes, key, command }) {
+            self.late.add(super::LATE_MAX + 1);
         }
     }
 
@@ -39,7 +39,7 @@
     fn command(&self, t: &Try) -> (String, Vec<u8>) {
         let r = &t.request;
         let scenario = self.world.scenario();
-        let class = self.desk.class(r);
+        let class = self.requests.class(r);
         let p = Properties {
             class: class.map(|c| c.name.clone()).unwrap_or_default(),
             tenant: scenario
@@ -68,87 +68,88 @@
     }
 
     fn retry(&mut self, next: Option<(Micros, RequestSlot)>) {
-        if let Some((at, place)) = next {
-            self.agenda.add(at, Due::Retry(place));
+        if let Some((at, slot)) = next {
+            self.timers.add(at, TimerEvent::Retry(slot));
         }
     }
 
     fn end_try(&mut self, at: Micros, of: TryNo, end: TryEnd) {
-        let next = self.desk.end(at, of, end, &mut self.world.recorder);
+        let next = self.requests.end(at, of, end, &mut self.world.recorder);
         self.retry(next);
     }
 
     /// The client's time for a try is up.
-    pub(super) fn gives_up(&mut self, at: Micros, of: TryNo) {
+    pub(super) fn time_out_try(&mut self, at: Micros, of: TryNo) {
         self.end_try(at, of, TryEnd::Left);
     }
 
     /// The clients' thread tells.
-    pub(super) fn said(&mut self, said: Said) {
-        match said {
-            Said::Sent { of, at, late } => {
+    pub(super) fn handle_client_event(&mut self, event: ClientEvent) {
+        match event {
+            ClientEvent::Sent { of, at, late } => {
                 self.late.add(late);
                 self.taken(at, of);
             }
-            Said::Crossed { of, at } => {
-                self.meetings.crossed += 1;
+            ClientEvent::Crossed { of, at } => {
+                self.socket_tries.crossed += 1;
                 // Not read, so not taken: nothing is owed for it.
-                if let Some(proxy) = self.desk.get(of).map(|t| t.proxy).filter(|_| self.taken.remove(&of)) {
+                if let Some(proxy) = self.requests.get(of).map(|t| t.proxy).filter(|_| self.taken.remove(&of))
+                {
                     self.world.observe(at, Fact::Left { proxy, of });
                 }
             }
-            Said::Short(kind) => {
+            ClientEvent::LocalFailure(kind) => {
                 let what = "a client's connection".into();
-                self.fault.get_or_insert(HostError::Io { what, source: kind.into() });
+                self.fatal_error.get_or_insert(HostError::Io { what, source: kind.into() });
             }
-            Said::Ended { of, at, how } => self.ended(of, at, how),
+            ClientEvent::Ended { of, at, outcome } => self.ended(of, at, outcome),
         }
     }
 
     /// A proxy has a try: told by whoever sees it first, the clients' thread or the node that is asked. What a node
     /// does for it must not be told before.
     pub(super) fn taken(&mut self, at: Micros, of: TryNo) {
-        let Some(t) = self.desk.get(of) else { return };
+        let Some(t) = self.requests.get(of) else { return };
         let (proxy, class, deadline) = (t.proxy, t.request.class, at + t.until - t.sent);
         if self.taken.insert(of) {
             self.world.observe(at, Fact::Taken { proxy, of, class, deadline });
         }
     }
 
-    fn ended(&mut self, of: TryNo, at: Micros, how: How) {
+    fn ended(&mut self, of: TryNo, at: Micros, outcome: TryOutcome) {
         self.taken.remove(&of);
-        let Some(t) = self.desk.get(of).copied() else { return };
+        let Some(t) = self.requests.get(of).copied() else { return };
         let proxy = t.proxy;
-        let met = &mut self.meetings;
-        *match how {
-            How::Answered(Final::Served { .. }, _) => &mut met.served,
-            How::Answered(Final::Refused, _) => &mut met.refused,
-            How::Answered(Final::Failed, _) => &mut met.failed,
-            How::Unreached => &mut met.unreached,
-            How::Dropped => &mut met.dropped,
-            How::Left => &mut met.unanswered,
+        let counts = &mut self.socket_tries;
+        *match outcome {
+            TryOutcome::Answered(Final::Served { .. }, _) => &mut counts.served,
+            TryOutcome::Answered(Final::Refused, _) => &mut counts.refused,
+            TryOutcome::Answered(Final::Failed, _) => &mut counts.failed,
+            TryOutcome::Unreached => &mut counts.unreached,
+            TryOutcome::Dropped => &mut counts.dropped,
+            TryOutcome::TimedOut => &mut counts.unanswered,
         } += 1;
-        let end = match how {
-            How::Answered(how, away) => {
+        let end = match outcome {
+            TryOutcome::Answered(how, retry_after) => {
                 self.world.observe(at, Fact::Answered { proxy, of, how });
                 match how {
                     Final::Served { .. } => TryEnd::Served,
-                    Final::Refused => TryEnd::Refused(away),
+                    Final::Refused => TryEnd::Refused(retry_after),
                     Final::Failed => TryEnd::Failed,
                 }
             }
-            How::Dropped => {
+            TryOutcome::Dropped => {
                 if self.alive.get(proxy.0 as usize).is_some_and(|alive| *alive) {
                     self.world.observe(at, Fact::Dropped { proxy, of });
                 }
                 TryEnd::Failed
             }
-            How::Unreached => TryEnd::Unreached,
-            How::Left => {
+            TryOutcome::Unreached => TryEnd::Unreached,
+            TryOutcome::TimedOut => {
                 // Given up before; told only now if the owner is behind.
                 self.end_try(t.until, of, TryEnd::Left);
                 self.world.observe(at, Fact::Left { proxy, of });
-                return self.desk.forget(at, of);
+                return self.requests.forget(at, of);
             }
         };
         // What reaches the client after it has given up finds nobody: that end is told when its time is up.
@@ -158,6 +159,6 @@
         } else {
             self.end_try(t.until, of, TryEnd::Left);
         }
-        self.desk.forget(at, of);
+        self.requests.forget(at, of);
     }
 }
--- a/crates/lab/src/loopback/fleet/tests.rs
+++ b/crates/lab/src/loopback/fleet/tests.rs
@@ -18,7 +18,7 @@
     let executor = LocalExecutor::new();
     let mut fleet = Fleet::new(&program, limits, dir.path(), &[address], notices);
     fleet.start(ProxyNo(0), "{}", &executor).expect("it starts");
-    let running = fleet.seats[0].running.as_mut().expect("it runs");
+    let running = fleet.slots[0].running.as_mut().expect("it runs");
     // The shell has opened them all, and closed its script, once it has become the other program.
     let name = format!("/proc/{}/comm", running.child.pid());
     while std::fs::read_to_string(&name).expect("it runs").trim() != "sleep" {
@@ -27,9 +27,9 @@
     // Whoever runs the tests may hand down some more.
     let open = running.child.usage().expect("it runs").descriptors;
     assert!(open >= 10, "{open}");
-    running.at_start = Some(open - LEAKED);
-    fleet.look_for_leaks().expect("no more than may be");
-    fleet.seats[0].running.as_mut().expect("it runs").at_start = Some(open - LEAKED - 1);
-    let told = fleet.look_for_leaks().expect_err("a leak").to_string();
+    running.at_start = Some(open - DESCRIPTOR_TOLERANCE);
+    fleet.check_for_leaks().expect("no more than may be");
+    fleet.slots[0].running.as_mut().expect("it runs").at_start = Some(open - DESCRIPTOR_TOLERANCE - 1);
+    let told = fleet.check_for_leaks().expect_err("a leak").to_string();
     assert!(told.starts_with(&format!("n0: leaks descriptors: {open} are open")), "{told}");
 }
--- a/crates/lab/src/loopback/host.rs
+++ b/crates/lab/src/loopback/host.rs
@@ -2,9 +2,9 @@
 
 use super::children::{Limits, Program, Usage};
 use super::clock::Clock;
-use super::event_loop::{Directive, Notice, Parts, Stage, Ways};
-use super::fleet::{Fleet, READY};
-use super::socket::port::Held;
+use super::event_loop::{Channels, EventLoop, EventLoopParts, Notice, ProcessCommand};
+use super::fleet::{Fleet, READY_TIMEOUT};
+use super::socket::port::ReservedPort;
 use crate::host::{Host, HostError, Progress};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -24,15 +24,15 @@
 /// something was later than this for want of a core, a rule that was broken voids the run instead.
 pub const SLACK_MS: f64 = 50.0;
 /// The clock's first time, well before 0: it is set to 0 when all proxies are ready and clients begin to come.
-const FIRST: Micros = -2 * READY.as_micros() as Micros;
+const CLOCK_START: Micros = -2 * READY_TIMEOUT.as_micros() as Micros;
 /// How often processes are looked after.
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// What the threads of a run tell one another about processes: a few for each of them.
-const QUEUE: usize = 1024;
+const QUEUE_LEN: usize = 1024;
 /// Beyond its time a run lasts this much longer at the most.
-const TAIL: Duration = Duration::from_secs(60);
+const END_TIMEOUT: Duration = Duration::from_secs(60);
 /// Descriptors of this process for what is neither a port nor a connection.
-const OWN: u64 = 256;
+const OWN_DESCRIPTORS: u64 = 256;
 
 /// What is played against.
 #[derive(Clone, Debug)]
@@ -91,13 +91,14 @@
 pub fn play(world: World, proxies: &Proxies, progress: &dyn Progress) -> Result<Played, HostError> {
     let count = world.proxies().len();
     let system = |what: &'static str| move |source| HostError::Io { what: what.into(), source };
-    make_room(&world)?;
-    let (held, addresses) = match proxies {
+    raise_descriptor_limit(&world)?;
+    let (reserved, addresses) = match proxies {
         Proxies::Program(_) => {
-            let held: Result<Vec<Held>, _> = (0..count).map(|_| Held::take()).collect();
-            let held = held.map_err(system("ports for the proxies"))?;
-            let addresses = held.iter().map(Held::address).collect();
-            (held, addresses)
+            let reserved: Result<Vec<ReservedPort>, _> =
+                (0..count).map(|_| ReservedPort::reserve()).collect();
+            let reserved = reserved.map_err(system("ports for the proxies"))?;
+            let addresses = reserved.iter().map(ReservedPort::address).collect();
+            (reserved, addresses)
         }
         Proxies::External(addresses) if addresses.len() == count => (Vec::new(), addresses.clone()),
         Proxies::External(addresses) => {
@@ -112,37 +113,37 @@
         descriptors: u64::from(scenario.proxies.sockets),
         file_bytes: None,
     };
-    let clock = Clock::start(FIRST);
-    let mut theatre = Theatre::open(world, &addresses, &clock)?;
+    let clock = Clock::start(CLOCK_START);
+    let mut world_thread = WorldThread::open(world, &addresses, &clock)?;
     let mut fleet = match proxies {
         Proxies::Program(program) => {
-            Some(Fleet::new(program, limits, dir.path(), &addresses, theatre.notices.clone()))
+            Some(Fleet::new(program, limits, dir.path(), &addresses, world_thread.notices.clone()))
         }
         Proxies::External(_) => None,
     };
-    let conduct = Conduct { clock, seconds: scenario.seconds, progress };
+    let driver = RunDriver { clock, seconds: scenario.seconds, progress };
     let executor = LocalExecutor::new();
-    let conducted = async_io::block_on(executor.run(conduct.play(&mut theatre, fleet.as_mut(), &executor)));
-    if conducted.is_err() {
-        let _ = theatre.notices.try_send(Notice::Stop);
+    let driven = async_io::block_on(executor.run(driver.play(&mut world_thread, fleet.as_mut(), &executor)));
+    if driven.is_err() {
+        let _ = world_thread.notices.try_send(Notice::Stop);
     }
     let usage = fleet.as_ref().map(Fleet::usage).unwrap_or_default();
-    let run = theatre.close();
-    conducted?;
+    let run = world_thread.close();
+    driven?;
     let mut run = run?;
     if let Some(fleet) = &mut fleet {
-        fleet.look_for_leaks()?;
-        let starved = fleet.starved().as_micros() as Micros;
-        run.late.max_us = run.late.max_us.max(starved);
+        fleet.check_for_leaks()?;
+        let max_cpu_wait = fleet.max_cpu_wait().as_micros() as Micros;
+        run.late.max_us = run.late.max_us.max(max_cpu_wait);
     }
-    drop(held);
+    drop(reserved);
     // A rule that was broken by less than this machine may have been late itself is no verdict on a proxy.
     run.late.void |= run.breaches > 0 && run.late.max_us > ms(SLACK_MS);
     Ok(Played { run, usage })
 }
 
 /// Two descriptors a port, and as many connections as may be open at once.
-fn make_room(world: &World) -> Result<(), HostError> {
+fn raise_descriptor_limit(world: &World) -> Result<(), HostError> {
     let s = world.scenario();
     let grown = |f: &world::scenario::Fault| match f.kind {
         FaultKind::Grow => u64::from(f.nodes.unwrap_or(0)),
@@ -150,7 +151,7 @@
     };
     let nodes = world.members().len() as u64 + 1 + s.faults.iter().map(grown).sum::<u64>();
     let proxies = world.proxies().len() as u64;
-    let wanted = OWN + 2 * proxies * (nodes + 1) + 2 * proxies * u64::from(s.proxies.sockets);
+    let wanted = OWN_DESCRIPTORS + 2 * proxies * (nodes + 1) + 2 * proxies * u64::from(s.proxies.sockets);
     let limit = getrlimit(Resource::Nofile);
     if limit.current.is_none_or(|current| current >= wanted) {
         return Ok(());
@@ -167,37 +168,38 @@
 }
 
 /// The thread of the world.
-struct Theatre {
+struct WorldThread {
     thread: Option<JoinHandle<Result<Run, HostError>>>,
-    directives: async_channel::Receiver<Directive>,
+    process_commands: async_channel::Receiver<ProcessCommand>,
     notices: async_channel::Sender<Notice>,
     configurations: Vec<String>,
 }
 
-impl Theatre {
+impl WorldThread {
     fn open(world: World, proxies: &[SocketAddr], clock: &Clock) -> Result<Self, HostError> {
-        let (tell, directives) = async_channel::bounded(QUEUE);
-        let (notices, hear) = async_channel::bounded(QUEUE);
+        let (command_sender, process_commands) = async_channel::bounded(QUEUE_LEN);
+        let (notices, notice_receiver) = async_channel::bounded(QUEUE_LEN);
         let (opened, open) = std::sync::mpsc::channel();
-        let parts = Parts {
+        let parts = EventLoopParts {
             clock: clock.clone(),
             world,
             proxies: proxies.to_vec(),
-            ways: Ways { directives: tell, notices: hear },
+            channels: Channels { process_commands: command_sender, notices: notice_receiver },
         };
         let thread = thread::Builder::new().name("world".into()).spawn(move || {
-            let (stage, configurations) = Stage::open(parts)?;
+            let (stage, configurations) = EventLoop::open(parts)?;
             let _ = opened.send(configurations);
             stage.run()
         });
         let thread = thread.map_err(|source| HostError::Io { what: "a thread".into(), source })?;
-        let mut theatre = Theatre { thread: Some(thread), directives, notices, configurations: Vec::new() };
+        let mut world_thread =
+            WorldThread { thread: Some(thread), process_commands, notices, configurations: Vec::new() };
         match open.recv() {
-            Ok(configurations) => theatre.configurations = configurations,
+            Ok(configurations) => world_thread.configurations = configurations,
             // It has ended before it was open, and says why.
-            Err(_) => drop(theatre.close()?),
+            Err(_) => drop(world_thread.close()?),
         }
-        Ok(theatre)
+        Ok(world_thread)
     }
 
     fn is_over(&self) -> bool {
@@ -215,16 +217,16 @@
 }
 
 /// Whoever waits for the run.
-struct Conduct<'a> {
+struct RunDriver<'a> {
     clock: Clock,
     seconds: f64,
     progress: &'a dyn Progress,
 }
 
-impl Conduct<'_> {
+impl RunDriver<'_> {
     async fn play(
         &self,
-        theatre: &mut Theatre,
+        world_thread: &mut WorldThread,
         mut fleet: Option<&mut Fleet<'_>>,
         executor: &LocalExecutor<'_>,
     ) -> Result<(), HostError> {
@@ -236,45 +238,45 @@
         };
         let play = async {
             if let Some(fleet) = &mut fleet {
-                self.progress.phase(&format!("starting {} proxies", theatre.configurations.len()));
-                for (i, configuration) in theatre.configurations.iter().enumerate() {
+                self.progress.phase(&format!("starting {} proxies", world_thread.configurations.len()));
+                for (i, configuration) in world_thread.configurations.iter().enumerate() {
                     fleet.start(world::facts::ProxyNo(i as u32), configuration, executor)?;
                 }
                 while !fleet.is_ready() {
-                    fleet.look()?;
-                    if theatre.is_over() {
+                    fleet.check()?;
+                    if world_thread.is_over() {
                         // It says why.
                         return Ok(());
                     }
                     Timer::after(Duration::from_millis(10)).await;
                 }
-                fleet.look()?;
+                fleet.check()?;
             }
             self.progress.phase("playing");
-            let _ = theatre.notices.send(Notice::Begin).await;
-            let until = Instant::now() + Duration::from_secs_f64(self.seconds) + TAIL;
-            while !theatre.is_over() {
+            let _ = world_thread.notices.send(Notice::Begin).await;
+            let until = Instant::now() + Duration::from_secs_f64(self.seconds) + END_TIMEOUT;
+            while !world_thread.is_over() {
                 if let Some(fleet) = &mut fleet {
-                    fleet.look()?;
+                    fleet.check()?;
                 }
                 self.progress.part((self.clock.now() as f64 / 1e6 / self.seconds).clamp(0.0, 1.0));
                 if Instant::now() >= until {
                     return Err(HostError::Unplayable("the run does not come to its end".into()));
                 }
-                let directive = async {
-                    match theatre.directives.recv().await {
-                        Ok(directive) => Some(directive),
+                let process_command = async {
+                    match world_thread.process_commands.recv().await {
+                        Ok(process_command) => Some(process_command),
                         // The thread is about to end.
                         Err(_) => future::pending().await,
                     }
                 };
-                let look = async {
-                    Timer::after(LOOK).await;
+                let check = async {
+                    Timer::after(CHECK_INTERVAL).await;
                     None
                 };
-                let Some(directive) = future::or(directive, look).await else { continue };
+                let Some(process_command) = future::or(process_command, check).await else { continue };
                 match &mut fleet {
-                    Some(fleet) => fleet.obey(&directive, executor)?,
+                    Some(fleet) => fleet.apply(&process_command, executor)?,
                     None => {
                         let what = "the proxies are not the lab's to end or start".into();
                         return Err(HostError::Unplayable(what));
--- a/crates/lab/src/loopback/scripted/site.rs
+++ b/crates/lab/src/loopback/scripted/site.rs
@@ -2,7 +2,7 @@
 
 use super::{Listener, Peer, Surprise};
 use crate::loopback::settings;
-use crate::loopback::socket::port::Held;
+use crate::loopback::socket::port::ReservedPort;
 use std::net::SocketAddr;
 use world::facts::{NodeNo, ProxyNo};
 use world::world::Builder;
@@ -14,7 +14,7 @@
     pub nodes: Vec<Listener>,
     pub ledger: Listener,
     pub discovery: Listener,
-    proxy: Held,
+    proxy: ReservedPort,
     configuration: String,
 }
 
@@ -26,9 +26,10 @@
             .map_err(|problem| Surprise::Other { wanted: "a world".into(), got: problem.to_string() })?;
         let nodes: Result<Vec<Listener>, _> = world.members().iter().map(|_| Listener::cache()).collect();
         let (nodes, ledger, discovery) = (nodes?, Listener::ledger()?, Listener::discovery()?);
-        let proxy = Held::take().map_err(|source| Surprise::Io { what: "a port".into(), source })?;
+        let proxy =
+            ReservedPort::reserve().map_err(|source| Surprise::Io { what: "a port".into(), source })?;
         let mut site = Site { nodes, ledger, discovery, proxy, configuration: String::new() };
-        let place = settings::ProxyStart {
+        let start = settings::ProxyStart {
             proxy: ProxyNo(0),
             listen: site.proxy.address(),
             discovery: site.discovery.address(),
@@ -37,8 +38,8 @@
         let address = |node: NodeNo| {
             site.nodes.get(node.0 as usize).map_or_else(|| site.ledger.address(), Listener::address)
         };
-        let list = settings::serving(&world, address);
-        site.configuration = settings::configuration(&world, place, &list).to_string();
+        let list = settings::serving_list(&world, address);
+        site.configuration = settings::configuration(&world, start, &list).to_string();
         Ok(site)
     }
 
--- a/crates/lab/src/loopback/settings.rs
+++ b/crates/lab/src/loopback/settings.rs
@@ -27,16 +27,16 @@
 }
 
 /// The whole configuration. `known` is the list as this proxy last had it.
-pub fn configuration(world: &World, place: ProxyStart, known: &Value) -> Value {
+pub fn configuration(world: &World, start: ProxyStart, known: &Value) -> Value {
     let p = &world.scenario().proxies;
     json!({
-        "name": name(place.proxy),
-        "listen": place.listen.to_string(),
-        "discovery": place.discovery.to_string(),
-        "seed": format!("{:016x}", place.seed),
+        "name": name(start.proxy),
+        "listen": start.listen.to_string(),
+        "discovery": start.discovery.to_string(),
+        "seed": format!("{:016x}", start.seed),
         "limits": {"cores": 1.0, "memory_mb": p.memory_mb, "sockets": p.sockets},
         "known": known,
-        "settings": settings(world, place.proxy),
+        "settings": settings(world, start.proxy),
     })
 }
 
@@ -128,7 +128,7 @@
 }
 
 /// The whole list of a world in which all members serve, each at an address of its own.
-pub fn serving(world: &World, address: impl Fn(NodeNo) -> SocketAddr) -> Value {
+pub fn serving_list(world: &World, address: impl Fn(NodeNo) -> SocketAddr) -> Value {
     let clock = Clock::start(0);
     let one = |node: NodeNo| {
         let entry = Entry { node, status: Status::Ready, started: None };
--- a/crates/lab/src/loopback/socket/link.rs
+++ b/crates/lab/src/loopback/socket/link.rs
@@ -4,7 +4,7 @@
 //! (the network between the two is cut) it neither reads nor writes, and notices nothing.
 
 use super::wire::{Command, Dialect};
-use super::{Heard, LinkId, Queue};
+use super::{LinkId, Queue, SocketEvent};
 use crate::loopback::clock::Clock;
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
@@ -16,10 +16,10 @@
 use std::time::Duration;
 
 /// Commands of a link that are not answered yet before no more are read.
-const OUTSTANDING: usize = 100;
+const MAX_OUTSTANDING: usize = 100;
 /// What the owner may have told a link and the link has not taken.
-const ORDERS: usize = 4 * OUTSTANDING;
-const READ: usize = 16 * 1024;
+const ORDER_QUEUE_LEN: usize = 4 * MAX_OUTSTANDING;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// What the owner tells a link.
 #[derive(Debug)]
@@ -28,7 +28,7 @@
     Write(Vec<u8>, bool),
     /// Close once all is written.
     Finish,
-    Hold(bool),
+    Pause(bool),
 }
 
 /// The owner's end of a connection. Dropped, it closes the connection without a reset, whatever is unwritten.
@@ -49,57 +49,57 @@
         queue: Queue,
     ) -> Self {
         let _ = socket.get_ref().set_nodelay(true);
-        let (orders, told) = async_channel::bounded(ORDERS);
+        let (orders, received) = async_channel::bounded(ORDER_QUEUE_LEN);
         let socket = Rc::new(socket);
-        let work = Work {
+        let task_state = ConnectionTask {
             id,
             socket: socket.clone(),
             dialect,
             clock,
             queue: queue.clone(),
             input: Vec::new(),
-            begun: None,
+            first_byte_at: None,
             output: Vec::new(),
             written: 0,
             outstanding: 0,
-            held: false,
-            deaf: false,
-            finishing: false,
+            paused: false,
+            ignores_input: false,
+            closing: false,
         };
         let task = executor.spawn(async move {
-            work.run(told).await;
-            let _ = queue.send(Heard::Ended { link: id }).await;
+            task_state.run(received).await;
+            let _ = queue.send(SocketEvent::Closed { link: id }).await;
         });
         Link { orders, socket, _task: task }
     }
 
-    fn order(&self, order: Order) {
+    fn send_order(&self, order: Order) {
         // Full, the link is that far behind that nobody reads its answers: it will end by itself.
         let _ = self.orders.try_send(order);
     }
 
     /// The answer to the first command that has none.
     pub fn answer(&self, bytes: Vec<u8>) {
-        self.order(Order::Write(bytes, true));
+        self.send_order(Order::Write(bytes, true));
     }
 
     /// Bytes that answer nothing.
     pub fn write(&self, bytes: Vec<u8>) {
-        self.order(Order::Write(bytes, false));
+        self.send_order(Order::Write(bytes, false));
     }
 
     /// Closes once all that was told before is written.
     pub fn finish(&self) {
-        self.order(Order::Finish);
+        self.send_order(Order::Finish);
     }
 
     /// Silent from now on, or no more.
-    pub fn hold(&self, held: bool) {
-        self.order(Order::Hold(held));
+    pub fn set_paused(&self, paused: bool) {
+        self.send_order(Order::Pause(paused));
     }
 
     /// Whether something has come that was not read, as happens while it is held.
-    pub fn is_spoken_to(&self) -> bool {
+    pub fn has_unread_input(&self) -> bool {
         self.socket.get_ref().peek(&mut [0]).is_ok_and(|n| n > 0)
     }
 
@@ -109,7 +109,7 @@
     }
 }
 
-struct Work {
+struct ConnectionTask {
     id: LinkId,
     socket: Rc<Async<TcpStream>>,
     dialect: Dialect,
@@ -117,50 +117,50 @@
     queue: Queue,
     input: Vec<u8>,
     /// When the first byte of what is in `input` was read.
-    begun: Option<i64>,
+    first_byte_at: Option<i64>,
     output: Vec<u8>,
     written: usize,
     outstanding: usize,
     /// Neither reads nor writes.
-    held: bool,
+    paused: bool,
     /// Reads no more: what has come makes no sense.
-    deaf: bool,
-    finishing: bool,
+    ignores_input: bool,
+    closing: bool,
 }
 
-enum Woken {
+enum Wakeup {
     Order(Option<Order>),
     Read(io::Result<usize>),
     Wrote(io::Result<usize>),
 }
 
-impl Work {
+impl ConnectionTask {
     /// Until the other side ends it, or the owner has it finish.
     async fn run(mut self, orders: Receiver<Order>) {
         loop {
-            if self.finishing && self.output.is_empty() {
+            if self.closing && self.output.is_empty() {
                 let _ = self.socket.get_ref().shutdown(std::net::Shutdown::Write);
                 return;
             }
             match self.wait(&orders).await {
-                Woken::Order(None) => return,
-                Woken::Order(Some(Order::Write(bytes, answers))) => {
+                Wakeup::Order(None) => return,
+                Wakeup::Order(Some(Order::Write(bytes, answers))) => {
                     self.output.extend_from_slice(&bytes);
                     self.outstanding = self.outstanding.saturating_sub(usize::from(answers));
                     // What waited in the input for room may be whole.
-                    if !self.ask().await {
+                    if !self.report_commands().await {
                         return;
                     }
                 }
-                Woken::Order(Some(Order::Finish)) => self.finishing = true,
-                Woken::Order(Some(Order::Hold(held))) => self.held = held,
-                Woken::Read(Ok(0) | Err(_)) | Woken::Wrote(Err(_)) => return,
-                Woken::Read(Ok(_)) => {
-                    if !self.ask().await {
+                Wakeup::Order(Some(Order::Finish)) => self.closing = true,
+                Wakeup::Order(Some(Order::Pause(paused))) => self.paused = paused,
+                Wakeup::Read(Ok(0) | Err(_)) | Wakeup::Wrote(Err(_)) => return,
+                Wakeup::Read(Ok(_)) => {
+                    if !self.report_commands().await {
                         return;
                     }
                 }
-                Woken::Wrote(Ok(n)) => {
+                Wakeup::Wrote(Ok(n)) => {
                     self.written += n;
                     if self.written == self.output.len() {
                         self.output.clear();
@@ -172,47 +172,52 @@
     }
 
     /// Orders come first, then what is to be written.
-    async fn wait(&mut self, orders: &Receiver<Order>) -> Woken {
-        let told = async { Woken::Order(orders.recv().await.ok()) };
-        if self.held {
-            return told.await;
+    async fn wait(&mut self, orders: &Receiver<Order>) -> Wakeup {
+        let received = async { Wakeup::Order(orders.recv().await.ok()) };
+        if self.paused {
+            return received.await;
         }
         let (socket, output) = (&self.socket, &self.output[self.written..]);
         let write = async {
             if output.is_empty() {
                 future::pending().await
             }
-            Woken::Wrote(socket.write_with(|mut s| s.write(output)).await)
+            Wakeup::Wrote(socket.write_with(|mut s| s.write(output)).await)
         };
-        let (input, begun, clock) = (&mut self.input, &mut self.begun, &self.clock);
-        let room = self.outstanding < OUTSTANDING && !self.finishing && !self.deaf;
+        let (input, first_byte_at, clock) = (&mut self.input, &mut self.first_byte_at, &self.clock);
+        let may_read = self.outstanding < MAX_OUTSTANDING && !self.closing && !self.ignores_input;
         let read = async {
-            if !room {
+            if !may_read {
                 future::pending().await
             }
             let read = socket.read_with(|mut s| {
-                let mut bytes = [0; READ];
+                let mut bytes = [0; READ_BUFFER_BYTES];
                 let n = s.read(&mut bytes)?;
-                begun.get_or_insert_with(|| clock.now());
+                first_byte_at.get_or_insert_with(|| clock.now());
                 input.extend_from_slice(&bytes[..n]);
                 Ok(n)
             });
-            Woken::Read(read.await)
+            Wakeup::Read(read.await)
         };
-        future::or(told, future::or(write, read)).await
+        future::or(received, future::or(write, read)).await
     }
 
     /// Tells the owner each whole command; whether anybody hears it.
-    async fn ask(&mut self) -> bool {
-        while self.outstanding < OUTSTANDING && !self.input.is_empty() {
+    async fn report_commands(&mut self) -> bool {
+        while self.outstanding < MAX_OUTSTANDING && !self.input.is_empty() {
             let Some((command, taken)) = self.dialect.command(&self.input) else { break };
             let at = self.clock.now();
-            let begun = self.begun.unwrap_or(at);
+            let first_byte_at = self.first_byte_at.unwrap_or(at);
             self.input.drain(..taken);
-            self.begun = (!self.input.is_empty()).then_some(at);
+            self.first_byte_at = (!self.input.is_empty()).then_some(at);
             self.outstanding += 1;
-            self.deaf |= matches!(command, Command::Malformed(_));
-            if self.queue.send(Heard::Asked { link: self.id, command, begun, at }).await.is_err() {
+            self.ignores_input |= matches!(command, Command::Malformed(_));
+            if self
+                .queue
+                .send(SocketEvent::CommandRead { link: self.id, command, first_byte_at, at })
+                .await
+                .is_err()
+            {
                 return false;
             }
         }
--- a/crates/lab/src/loopback/socket/port.rs
+++ b/crates/lab/src/loopback/socket/port.rs
@@ -5,7 +5,7 @@
 //! drops the SYN for a listener whose queue of accepted connections is full (tcp_conn_request in net/ipv4/tcp_input.c),
 //! so the plug is a queue made short, with connections of our own in it.
 
-use super::{Heard, Queue};
+use super::{Queue, SocketEvent};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use socket2::{Domain, SockAddr, SockRef, Socket, Type};
@@ -17,7 +17,7 @@
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
 /// Connections of our own that fill a queue of length 0, which holds one; one more for good measure.
-const FILL: usize = 2;
+const FILLERS: usize = 2;
 
 fn socket() -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
@@ -32,28 +32,28 @@
 
 /// A bound port that is closed, open or plugged.
 #[derive(Debug)]
-pub struct Door {
-    held: Held,
+pub struct Port {
+    reserved: ReservedPort,
     number: usize,
     listener: Option<Rc<Async<TcpListener>>>,
-    accepts: Option<Task<()>>,
-    plug: Vec<Socket>,
+    accept_task: Option<Task<()>>,
+    backlog_fillers: Vec<Socket>,
 }
 
 /// A port of 127.0.0.1 that is bound here and listened on by nobody: while this lives the system gives the number
 /// to nobody else, and whoever sets `SO_REUSEADDR` (as servers do) can listen on it.
 #[derive(Debug)]
-pub struct Held {
+pub struct ReservedPort {
     _socket: Socket,
     address: SocketAddr,
 }
 
-impl Held {
-    pub fn take() -> io::Result<Self> {
+impl ReservedPort {
+    pub fn reserve() -> io::Result<Self> {
         let holder = socket()?;
         holder.bind(&local(0))?;
         let address = holder.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
-        Ok(Held { _socket: holder, address })
+        Ok(ReservedPort { _socket: holder, address })
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -61,18 +61,24 @@
     }
 }
 
-impl Door {
-    /// Takes a free port, closed. `number` is how [`Heard::Accepted`] names it.
+impl Port {
+    /// Takes a free port, closed. `number` is how [`SocketEvent::Accepted`] names it.
     pub fn new(number: usize) -> io::Result<Self> {
-        Ok(Door { held: Held::take()?, number, listener: None, accepts: None, plug: Vec::new() })
+        Ok(Port {
+            reserved: ReservedPort::reserve()?,
+            number,
+            listener: None,
+            accept_task: None,
+            backlog_fillers: Vec::new(),
+        })
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.held.address
+        self.reserved.address
     }
 
     pub fn is_open(&self) -> bool {
-        self.accepts.is_some()
+        self.accept_task.is_some()
     }
 
     /// Listens, and accepts on a task of its own.
@@ -84,38 +90,38 @@
             Some(listener) => listener,
             None => {
                 let listener = socket()?;
-                listener.bind(&local(self.held.address.port()))?;
+                listener.bind(&local(self.reserved.address.port()))?;
                 listener.listen(BACKLOG)?;
                 Rc::new(Async::new(TcpListener::from(listener))?)
             }
         };
-        self.unplug(&listener, queue)?;
-        self.accepts = Some(executor.spawn(accept(listener.clone(), self.number, queue.clone())));
+        self.drain_backlog(&listener, queue)?;
+        self.accept_task = Some(executor.spawn(accept(listener.clone(), self.number, queue.clone())));
         self.listener = Some(listener);
         Ok(())
     }
 
     /// New connections are refused, and those that nobody has accepted yet are reset.
     pub fn close(&mut self) {
-        self.accepts = None;
+        self.accept_task = None;
         if let Some(listener) = self.listener.take() {
             // At once: the task that accepts is dropped with its share of the socket when the executor next runs.
             let _ = SockRef::from(&*listener).shutdown(Shutdown::Both);
         }
-        self.plug.clear();
+        self.backlog_fillers.clear();
     }
 
     /// New connections get no answer at all. One that waits for it comes up late once the door is open again.
-    pub fn plug(&mut self) -> io::Result<()> {
-        self.accepts = None;
-        if !self.plug.is_empty() {
+    pub fn drop_syns(&mut self) -> io::Result<()> {
+        self.accept_task = None;
+        if !self.backlog_fillers.is_empty() {
             return Ok(());
         }
         let listener = match &self.listener {
             Some(listener) => listener.clone(),
             None => {
                 let listener = socket()?;
-                listener.bind(&local(self.held.address.port()))?;
+                listener.bind(&local(self.reserved.address.port()))?;
                 listener.listen(0)?;
                 let listener = Rc::new(Async::new(TcpListener::from(listener))?);
                 self.listener = Some(listener.clone());
@@ -123,38 +129,40 @@
             }
         };
         SockRef::from(&*listener).listen(0)?;
-        for _ in 0..FILL {
-            let one = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-            one.set_nonblocking(true)?;
+        for _ in 0..FILLERS {
+            let filler = Socket::new(Domain::IPV4, Type::STREAM, None)?;
+            filler.set_nonblocking(true)?;
             // Under way or up: either fills the queue.
-            let _ = one.connect(&self.held.address.into());
-            self.plug.push(one);
+            let _ = filler.connect(&self.reserved.address.into());
+            self.backlog_fillers.push(filler);
         }
         Ok(())
     }
 
     /// Takes our own connections out of the queue, and passes on those of others that were in it.
-    fn unplug(&mut self, listener: &Async<TcpListener>, queue: &Queue) -> io::Result<()> {
-        if self.plug.is_empty() {
+    fn drain_backlog(&mut self, listener: &Async<TcpListener>, queue: &Queue) -> io::Result<()> {
+        if self.backlog_fillers.is_empty() {
             return Ok(());
         }
-        let ours: Vec<_> = self.plug.iter().filter_map(|s| s.local_addr().ok()?.as_socket()).collect();
+        let fillers: Vec<_> =
+            self.backlog_fillers.iter().filter_map(|s| s.local_addr().ok()?.as_socket()).collect();
         SockRef::from(listener).listen(BACKLOG)?;
         while let Ok((socket, peer)) = listener.get_ref().accept() {
-            if !ours.contains(&peer) {
-                let _ = queue.try_send(Heard::Accepted { door: self.number, socket: Async::new(socket)? });
+            if !fillers.contains(&peer) {
+                let _ =
+                    queue.try_send(SocketEvent::Accepted { port: self.number, socket: Async::new(socket)? });
             }
         }
-        self.plug.clear();
+        self.backlog_fillers.clear();
         Ok(())
     }
 }
 
-async fn accept(listener: Rc<Async<TcpListener>>, door: usize, queue: Queue) {
+async fn accept(listener: Rc<Async<TcpListener>>, port: usize, queue: Queue) {
     loop {
         match listener.accept().await {
             Ok((socket, _)) => {
-                if queue.send(Heard::Accepted { door, socket }).await.is_err() {
+                if queue.send(SocketEvent::Accepted { port, socket }).await.is_err() {
                     return;
                 }
             }
--- a/crates/lab/src/loopback/socket/wire.rs
+++ b/crates/lab/src/loopback/socket/wire.rs
@@ -9,9 +9,9 @@
 use world::Micros;
 
 /// The longest line of an HTTP request, and the most bytes of its head.
-const LINE: usize = 8 * 1024;
-const HEAD: usize = http::MAX_HEAD;
-const HEADERS: usize = 64;
+const MAX_LINE_BYTES: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = http::MAX_HEAD;
+const MAX_HEADERS: usize = 64;
 
 /// What somebody speaks who listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,9 +51,11 @@
     /// The next command; one that is malformed takes all bytes.
     pub fn command(self, bytes: &[u8]) -> Option<(Command, usize)> {
         let parsed = match self {
-            Dialect::Cache => words(bytes),
+            Dialect::Cache => resp_command(bytes),
             Dialect::Ledger | Dialect::Discovery => request(bytes).map(|r| {
-                r.map(|(r, taken)| (if self == Dialect::Ledger { ledger(r) } else { discovery(&r) }, taken))
+                r.map(|(r, taken)| {
+                    (if self == Dialect::Ledger { origin_command(r) } else { discovery_command(&r) }, taken)
+                })
             }),
         };
         match parsed {
@@ -63,13 +65,13 @@
     }
 }
 
-fn words(bytes: &[u8]) -> Parsed<Command> {
+fn resp_command(bytes: &[u8]) -> Parsed<Command> {
     let Some((words, taken)) = resp::command(bytes)? else { return Ok(None) };
-    let verb = words.first().map(|w| w.to_ascii_uppercase()).unwrap_or_default();
+    let name = words.first().map(|w| w.to_ascii_uppercase()).unwrap_or_default();
     let mut rest = words.into_iter().skip(1);
     let count = rest.len();
     let mut next = || rest.next().unwrap_or_default();
-    let command = match (verb.as_slice(), count) {
+    let command = match (name.as_slice(), count) {
         (b"CACHE.GET", 3) => Command::Keyed { key: next(), id: next(), properties: next(), value: None },
         (b"CACHE.SET", 4) => {
             Command::Keyed { key: next(), id: next(), properties: next(), value: Some(next()) }
@@ -103,13 +105,17 @@
     let mut at = 0;
     let mut line = || -> Result<Option<String>, Malformed> {
         let rest = &bytes[at..];
-        let Some(end) = rest.iter().take(LINE).position(|b| *b == b'\n') else {
-            return if rest.len() >= LINE { Err(Malformed("a line is too long")) } else { Ok(None) };
+        let Some(end) = rest.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
+            return if rest.len() >= MAX_LINE_BYTES {
+                Err(Malformed("a line is too long"))
+            } else {
+                Ok(None)
+            };
         };
         let text = rest[..end].strip_suffix(b"\r").ok_or(Malformed("a line does not end in CRLF"))?;
         let text = std::str::from_utf8(text).map_err(|_| Malformed("a head that is no text"))?;
         at += end + 1;
-        if at > HEAD {
+        if at > MAX_HEAD_BYTES {
             return Err(Malformed("the headers are too long"));
         }
         Ok(Some(text.to_owned()))
@@ -131,7 +137,7 @@
         if text.is_empty() {
             break;
         }
-        if request.headers.len() >= HEADERS {
+        if request.headers.len() >= MAX_HEADERS {
             return Err(Malformed("too many headers"));
         }
         let (name, value) = text.split_once(':').ok_or(Malformed("a header without a colon"))?;
@@ -153,7 +159,7 @@
     Ok(Some((request, at + length)))
 }
 
-fn ledger(request: Request) -> Command {
+fn origin_command(request: Request) -> Command {
     let word = |name: &str| request.header(name).unwrap_or_default().as_bytes().to_vec();
     let key = request.path.as_bytes()[1..].to_vec();
     let (id, properties) = (word("X-Trace-Id"), word("X-Props"));
@@ -169,7 +175,7 @@
     }
 }
 
-fn discovery(request: &Request) -> Command {
+fn discovery_command(request: &Request) -> Command {
     let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
     if request.method != "GET" || path != "/registry/instances" {
         return Command::Unknown;
--- a/crates/lab/src/loopback/socket/wire/tests.rs
+++ b/crates/lab/src/loopback/socket/wire/tests.rs
@@ -29,7 +29,7 @@
     assert!(malformed(Dialect::Cache, b"*2\r\n$9\r\nCACHE.GET\r\n$1\r\n7\r\n"));
     assert!(malformed(Dialect::Ledger, b"GET /7f HTTP/1.1\r\nHost: l\r\n\r\n"), "no id");
     assert!(malformed(Dialect::Ledger, b"GET /7f HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"));
-    assert!(malformed(Dialect::Ledger, &[b'a'; LINE + 1]));
+    assert!(malformed(Dialect::Ledger, &[b'a'; MAX_LINE_BYTES + 1]));
     assert!(malformed(Dialect::Ledger, b"PUT /7f HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"));
 }
 
