--- a/crates/lab/src/loopback/children/child.rs
+++ b/crates/lab/src/loopback/children/child.rs
@@ -1,4 +1,4 @@
-//! One process of a proxy, from its start to its end.
+//! A child process that runs a proxy, from start to exit.
 
 use super::{guard, Limits, Usage};
 use crate::host::HostError;
@@ -16,69 +16,71 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Lines of a log that are kept, the last ones, and bytes of a line.
+/// Log lines kept in memory (the most recent ones), and the bytes kept of each line.
 const MAX_LOG_LINES: usize = 200;
 const MAX_LOG_LINE_BYTES: usize = 4096;
-/// Bytes of a line that are read as one.
+/// Longest log line, in bytes, that is read as one line; a longer one is split.
 pub const MAX_LINE_BYTES: u64 = 64 << 10;
-/// Variables that configure a proxy.
+/// Environment variables that configure a proxy.
 const CONFIG_VARIABLES: [&str; 4] = ["NODE_CONFIG", "NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"];
-/// Lines of the log that a message about a child's end quotes.
+/// Log lines quoted in an error about a child.
 const QUOTED_LINES: usize = 5;
-/// How long the last words of one that has ended are waited for.
+/// How long to wait for the remaining output of a child that has exited.
 const LOG_DRAIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Who has the system end a child whose lab is gone.
+/// What makes the kernel kill a child whose lab process has ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Guard {
-    /// The lab's program at this place, by its hidden subcommands.
+    /// The lab binary at this path, through its hidden subcommands.
     Lab(PathBuf),
-    /// A test program at this place, by the test of this name.
+    /// The test binary at this path, through the ignored test of this name.
     Test(PathBuf, String),
     Unguarded,
 }
 
-/// What is started as a proxy.
+/// The program that is started as a proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Program {
     guard: Guard,
-    /// `None`: the lab's own program is the proxy.
+    /// `None`: the proxy built into the lab binary.
     program: Option<PathBuf>,
 }
 
 impl Program {
-    /// The proxy that is built into this very program, which asks [`guard::run_if_child`] before anything else.
+    /// The proxy built into the current executable, whose `main` must call [`guard::run_if_child`] first.
     ///
     /// # Errors
     ///
-    /// Where the system does not tell which program this is.
+    /// If the path of the current executable cannot be determined.
     pub fn own() -> io::Result<Program> {
         Ok(Program { guard: Guard::Lab(std::env::current_exe()?), program: None })
     }
 
-    /// The proxy built into the lab's program, which is found at `lab`: for tests, which are programs of their own.
+    /// The proxy built into the lab binary at `lab`, for tests, which are separate executables.
     pub fn of_lab(lab: &Path) -> io::Result<Program> {
         Ok(Program { guard: Guard::Lab(lab.canonicalize()?), program: None })
     }
 
-    /// Another program. It is told what to do as the platform tells it: by `NODE_CONFIG` and its like.
+    /// Another executable, configured as the platform does it: through `NODE_CONFIG` and the related
+    /// variables.
     pub fn at(program: &Path) -> io::Result<Program> {
         Program::guarded(&std::env::current_exe()?, program)
     }
 
-    /// Another program under the guard of the lab's program, which is found at `lab`.
+    /// Another executable, guarded by the lab binary at `lab`.
     pub fn guarded(lab: &Path, program: &Path) -> io::Result<Program> {
         Ok(Program { guard: Guard::Lab(lab.canonicalize()?), program: Some(program.canonicalize()?) })
     }
 
-    /// Another program under the guard of this test program, whose ignored test `test` is [`guard::run_in_test`]: for
-    /// tests outside the lab's package, which have none of its programs.
+    /// Another executable, guarded by the current test binary, whose ignored test `test` calls
+    /// [`guard::run_in_test`]: for tests outside the lab's package, which cannot use the lab binary.
     pub fn of_test(program: &Path, test: &str) -> io::Result<Program> {
         let guard = Guard::Test(std::env::current_exe()?, test.to_owned());
         Ok(Program { guard, program: Some(program.canonicalize()?) })
     }
 
-    /// Another program without a guard: it may outlive a lab that is killed, and nothing limits it.
+    /// Another executable without a guard: it may outlive a lab that is killed, and its resources are not
+    /// limited.
     pub fn unguarded(program: &Path) -> io::Result<Program> {
         Ok(Program { guard: Guard::Unguarded, program: Some(program.canonicalize()?) })
     }
@@ -113,26 +115,26 @@
     }
 }
 
-/// The last lines of what a process said, and how many there were.
+/// The most recent lines that a process wrote to standard error.
 #[derive(Debug, Default)]
 struct Log {
     last: VecDeque<String>,
 }
 
-/// A process that was started. Dropped, it is killed and waited for.
+/// A running child process. Dropping it kills the process and waits for it.
 #[derive(Debug)]
 pub struct Child {
     name: String,
     process: std::process::Child,
     ended: Option<ExitStatus>,
     log: Arc<Mutex<Log>>,
-    /// Ends once nobody can write to it any more.
+    /// Finishes when all write ends of the process's standard error are closed.
     reader: thread::JoinHandle<()>,
 }
 
 impl Child {
-    /// Starts a program with these variables and arguments, in `dir`, which is also its `TMPDIR`. The calling thread must live as
-    /// long as the child is to.
+    /// Starts a program with these environment variables and arguments in `dir`, which is also its `TMPDIR`.
+    /// The calling thread must live as long as the child should.
     pub fn start(
         name: &str,
         program: &Program,
@@ -144,8 +146,8 @@
         Child::start_with_line_handler(name, program, limits, dir, variables, arguments, |_| {})
     }
 
-    /// As [`Child::start`], for one whose every line goes to `on_line` as well, on a thread of its own and up to
-    /// [`MAX_LINE_BYTES`] bytes of it. `on_line` is dropped once nobody can say any more.
+    /// Like [`Child::start`], and also passes every line of standard error, up to [`MAX_LINE_BYTES`] bytes of
+    /// it, to `on_line` on a separate thread. `on_line` is dropped when standard error is closed.
     pub fn start_with_line_handler(
         name: &str,
         program: &Program,
@@ -156,7 +158,7 @@
         on_line: impl FnMut(&str) + Send + 'static,
     ) -> Result<Child, HostError> {
         let mut command = program.command(limits, arguments);
-        // What whoever runs the lab has in its environment is no configuration of its children.
+        // The lab's own environment must not configure its children.
         for name in CONFIG_VARIABLES {
             command.env_remove(name);
         }
@@ -171,7 +173,8 @@
         on_line: impl FnMut(&str) + Send + 'static,
     ) -> io::Result<Child> {
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
-        // What a terminal tells the lab (Ctrl-C) is not for its children: the lab ends them.
+        // A separate process group keeps Ctrl-C in the lab's terminal from reaching the child: the lab ends
+        // it itself.
         command.process_group(0);
         let mut process = command.spawn()?;
         let log = Arc::<Mutex<Log>>::default();
@@ -192,12 +195,14 @@
         i32::try_from(self.pid()).ok().and_then(Pid::from_raw)
     }
 
-    /// How it ended, if it has. What it had started ends with it.
+    /// The exit status, or `None` while it runs. When the process has exited, the rest of its process group
+    /// is killed.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         if self.ended.is_some() {
             return self.ended;
         }
-        // Looked at without taking its number from it: until then that is nobody else's, nor its group's.
+        // WNOWAIT leaves the zombie in place, so that its process id and group id cannot be reused before the
+        // group is killed.
         let options = WaitIdOptions::EXITED | WaitIdOptions::NOHANG | WaitIdOptions::NOWAIT;
         if self.raw_pid().is_some_and(|pid| matches!(waitid(WaitId::Pid(pid), options), Ok(Some(_)))) {
             self.kill_group();
@@ -210,7 +215,7 @@
         Usage::of(self.pid())
     }
 
-    /// Tells it to end as planned.
+    /// Requests a graceful exit (SIGTERM).
     pub fn terminate(&mut self) {
         if self.ended().is_none() {
             if let Some(pid) = self.raw_pid() {
@@ -219,7 +224,7 @@
         }
     }
 
-    /// Ends it at once, and what it has started.
+    /// Kills the process and its process group (SIGKILL).
     pub fn kill(&mut self) {
         if self.ended().is_none() {
             self.kill_group();
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Ends it at once and sees it gone.
+    /// Kills the process and waits for it.
     pub fn end(&mut self) -> Option<ExitStatus> {
         self.kill();
         if self.ended.is_none() {
@@ -241,14 +246,15 @@
         self.ended
     }
 
-    /// Holds it and what it has started (SIGSTOP); returns once it stands still, or has ended.
+    /// Suspends the process group (SIGSTOP); returns once the process is stopped or has exited.
     pub fn stop(&mut self) {
         if self.ended().is_some() {
             return;
         }
         if let Some(pid) = self.raw_pid() {
-            // Itself first: held together with a child of its that has not become a program yet, it would wait for that
-            // one in vfork(2), where it is not seen to stand still.
+            // The process is stopped before its group. If both were stopped together while a child of the
+            // process had not called execve(2) yet, the process would block in vfork(2) and never be reported
+            // as stopped.
             let _ = kill_process(pid, Signal::STOP);
             let options = WaitIdOptions::STOPPED | WaitIdOptions::EXITED | WaitIdOptions::NOWAIT;
             while let Err(Errno::INTR) = waitid(WaitId::Pid(pid), options) {}
@@ -256,7 +262,7 @@
         }
     }
 
-    /// Has it go on (SIGCONT).
+    /// Resumes the process group (SIGCONT).
     pub fn resume(&mut self) {
         if self.ended().is_none() {
             if let Some(pid) = self.raw_pid() {
@@ -265,12 +271,13 @@
         }
     }
 
-    /// Bytes that a file of its may have from now on, `u64::MAX` for any number; one that has more keeps them. For one
-    /// that was started with [`Limits::file_bytes`]: another would be ended by its next write past them.
+    /// Limits the size of the files that the process writes from now on, in bytes; `u64::MAX` removes the
+    /// limit. A file that is already larger keeps its size. Only for a process started with
+    /// [`Limits::file_bytes`]: any other is killed by SIGXFSZ at its next write past the limit.
     ///
     /// # Errors
     ///
-    /// Those of prlimit(2), where it has ended as well.
+    /// Those of prlimit(2), also if the process has exited.
     pub fn limit_files(&mut self, bytes: u64) -> io::Result<()> {
         let running = self.ended().is_none().then(|| self.raw_pid()).flatten();
         let pid = running.ok_or(io::ErrorKind::NotFound)?;
@@ -278,16 +285,16 @@
         Ok(())
     }
 
-    /// What becomes readable at its end (pidfd_open(2)).
+    /// A descriptor that becomes readable when the process exits (pidfd_open(2)).
     ///
     /// # Errors
     ///
-    /// Those of the system.
+    /// Those of pidfd_open(2).
     pub fn exit_descriptor(&self) -> io::Result<OwnedFd> {
         Ok(pidfd_open(self.raw_pid().ok_or(io::ErrorKind::NotFound)?, PidfdFlags::empty())?)
     }
 
-    /// Waits for its end, this long at most.
+    /// Waits at most this long for the process to exit.
     pub fn wait(&mut self, most: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + most;
         while self.ended().is_none() && Instant::now() < until {
@@ -296,7 +303,7 @@
         self.ended
     }
 
-    /// The last lines that it said; all of them, if it has ended.
+    /// The most recent lines of standard error; if the process has exited, up to its last one.
     pub fn log_lines(&self) -> Vec<String> {
         let until = Instant::now() + LOG_DRAIN_TIMEOUT;
         while self.ended.is_some() && !self.reader.is_finished() && Instant::now() < until {
@@ -305,7 +312,7 @@
         self.log.lock().unwrap_or_else(PoisonError::into_inner).last.iter().cloned().collect()
     }
 
-    /// What befell it, with the end of what it said.
+    /// An error about this process that quotes the end of its log.
     pub fn error(&self, what: &str) -> HostError {
         let log_lines = self.log_lines();
         let last =
@@ -314,7 +321,7 @@
         HostError::Child { name: self.name.clone(), what: format!("{what}{log_lines}{last}") }
     }
 
-    /// Why it does not keep its limits, if it does not.
+    /// The error to report if the process exceeds its limits.
     pub fn limit_error(&self, limits: Limits, usage: Usage) -> Option<HostError> {
         if usage.memory_kb > limits.memory_kb {
             let (has, most) = (usage.memory_kb / 1024, limits.memory_kb / 1024);
@@ -335,7 +342,7 @@
     }
 }
 
-/// Reads to the end, so that the process never waits for a reader.
+/// Reads standard error to its end, so that the process never blocks on a full pipe.
 fn read_log(from: Option<impl Read>, log: &Mutex<Log>, mut on_line: impl FnMut(&str)) {
     let Some(mut from) = from.map(BufReader::new) else { return };
     let mut bytes = Vec::new();
--- a/crates/lab/src/loopback/children/guard.rs
+++ b/crates/lab/src/loopback/children/guard.rs
@@ -1,11 +1,12 @@
-//! How a process makes sure that it does not outlive the lab: said by the process itself before it becomes, or runs,
-//! the proxy.
+//! Keeps a child process from outliving the lab. This code runs in the child itself, before it executes the
+//! proxy.
 //!
-//! Linux kills it when the thread that started it is gone (PR_SET_PDEATHSIG of prctl(2), kept across execve(2)).
-//! So the thread that starts children must live as long as they are to.
+//! Linux kills the child when the thread that started it ends (PR_SET_PDEATHSIG of prctl(2), preserved across
+//! execve(2)). The thread that starts children must therefore live as long as they should.
 //!
-//! A process whose files may be limited ignores SIGXFSZ, which setrlimit(2) would have end it; a program inherits that
-//! over execve(2). To ignore a signal takes a call that is not safe, so a shell makes it, on the way to the program.
+//! A process with a file size limit ignores SIGXFSZ, which would otherwise kill it (setrlimit(2)); an ignored
+//! signal stays ignored across execve(2). Ignoring a signal requires unsafe code, so a shell does it before
+//! it executes the program.
 
 use super::Limits;
 use crate::fleet::plant::plant;
@@ -18,18 +19,19 @@
 use std::process::{Command, ExitCode};
 use std::sync::OnceLock;
 
-/// The hidden subcommands of the lab that a child is started with: the proxy in the lab's own program, or another
-/// program. Each is followed by the parent's process number and the limits ([`limits`]).
+/// Hidden subcommands of the lab that start a child: the proxy built into the lab binary, or another program.
+/// Each is followed by the parent's process id and the limits ([`limits_argument`]).
 pub const PROXY: &str = "guarded-proxy";
 pub const PROGRAM: &str = "guarded-program";
 
-/// The variables that tell the guard in a test program its words: how many, and each behind its number.
+/// Environment variables that pass the guard's arguments to a test binary: this one holds their number, and
+/// one with each index as a suffix holds an argument.
 const ARGUMENTS_VARIABLE: &str = "LAB_GUARD_WORDS";
 
-/// What makes the shell become a program that does not hear SIGXFSZ.
+/// Shell script that ignores SIGXFSZ and then executes the program.
 const IGNORE_SIGXFSZ_SCRIPT: &str = "trap '' XFSZ; exec \"$0\" \"$@\"";
 
-/// Why a guarded process cannot begin.
+/// Why a guarded process cannot start.
 #[derive(Debug, thiserror::Error)]
 enum GuardError {
     #[error("wanted: PARENT DESCRIPTORS[,FILE_BYTES] [PROGRAM...]")]
@@ -40,22 +42,24 @@
     System(&'static str, io::Error),
 }
 
-/// The word that tells a guard these limits: descriptors, and behind a comma the bytes of a file.
+/// The argument that passes the limits to a guard: the number of descriptors, then after a comma the file
+/// size in bytes.
 pub(super) fn limits_argument(limits: Limits) -> OsString {
     let files = limits.file_bytes.map(|bytes| format!(",{bytes}")).unwrap_or_default();
     format!("{}{files}", limits.descriptors).into()
 }
 
-/// `u64::MAX` is no limit.
+/// The file size limit for `bytes`; `u64::MAX` means no limit.
 pub(super) fn file_limit(bytes: u64) -> Rlimit {
-    // The hard limit stays what the lab has, which its children inherit: so it can take this one back.
+    // The hard limit stays that of the lab, which its children inherit, so that the lab can raise the soft
+    // limit again.
     let maximum = getrlimit(Resource::Fsize).maximum;
     let bytes = bytes.min(maximum.unwrap_or(u64::MAX));
     Rlimit { current: Some(bytes).filter(|b| *b < u64::MAX), maximum }
 }
 
-/// Binds this process to its parent and to the limits that its first two words tell; whether files are limited, and
-/// the words that are left.
+/// Ties this process to its parent and sets the limits given by the first two arguments. Returns whether
+/// files are limited, and the remaining arguments.
 fn apply(arguments: impl IntoIterator<Item = OsString>) -> Result<(bool, Vec<OsString>), GuardError> {
     let mut arguments = arguments.into_iter();
     let mut argument = || arguments.next()?.into_string().ok();
@@ -68,7 +72,7 @@
     let (parent, descriptors) = (number(&parent)?, number(descriptors)?);
     let files = files.map(number).transpose()?;
     set_parent_process_death_signal(Some(Signal::KILL)).map_err(|e| GuardError::System("prctl", e.into()))?;
-    // It may have ended before the line above.
+    // The parent may have exited before the prctl(2) call.
     if getppid().is_none_or(|p| p.as_raw_pid() as u64 != parent) {
         return Err(GuardError::Orphan);
     }
@@ -78,7 +82,7 @@
     Ok((files.is_some(), arguments.collect()))
 }
 
-/// Has the signal heard by nobody in this process, for as long as it lives.
+/// Makes this process ignore SIGXFSZ, by registering a handler that is never read, until it exits.
 fn ignore_sigxfsz() -> Result<(), GuardError> {
     static SIGNALS: OnceLock<Signals> = OnceLock::new();
     let signals = Signals::new([AsyncSignal::Xfsz]).map_err(|e| GuardError::System("SIGXFSZ", e))?;
@@ -86,12 +90,13 @@
     Ok(())
 }
 
-/// Runs as a child of the lab, if the first argument of this process says so. To be asked before anything else.
+/// Runs this process as a child of the lab if its first argument says so. Must be called before anything
+/// else.
 pub fn run_if_child() -> Option<ExitCode> {
     let mut arguments = std::env::args_os().skip(1);
     let error = match arguments.next()?.to_str()? {
         PROXY => match prepare_proxy(arguments) {
-            // Its configuration is named in the environment, as on the platform.
+            // The environment names the configuration, as on the platform.
             Ok(arguments) => {
                 plant();
                 return Some(martenweir::commands::main(arguments));
@@ -113,7 +118,7 @@
     Ok(arguments)
 }
 
-/// Becomes the program that the words after the first two name. Returns only if it cannot.
+/// Executes the program named after the first two arguments. Returns only on failure.
 fn exec_program(arguments: impl IntoIterator<Item = OsString>) -> GuardError {
     let (files, arguments) = match apply(arguments) {
         Ok(applied) => applied,
@@ -127,7 +132,7 @@
     if files {
         command.args(["-c", IGNORE_SIGXFSZ_SCRIPT]).arg(program);
     }
-    // A test's guard is told by variables, which are not for the program.
+    // The variables that pass the guard's arguments to a test binary are not meant for the program.
     for (name, _) in
         std::env::vars_os().filter(|(name, _)| name.to_string_lossy().starts_with(ARGUMENTS_VARIABLE))
     {
@@ -136,7 +141,7 @@
     GuardError::System("cannot start the proxy", command.args(rest).exec())
 }
 
-/// Tells a guard in a test program its words; [`run_in_test`] reads them.
+/// Passes the guard's arguments to a test binary; [`run_in_test`] reads them.
 pub(super) fn pass_arguments(command: &mut Command, arguments: &[OsString]) {
     command.env(ARGUMENTS_VARIABLE, arguments.len().to_string());
     for (at, argument) in arguments.iter().enumerate() {
@@ -144,16 +149,16 @@
     }
 }
 
-/// The guard as a test of another package, whose tests have none of the lab's programs: an ignored test that does
-/// nothing but call this. Such a package's children are started by [`super::Program::of_test`], as that test. It does
-/// nothing where nobody has started it so.
+/// The guard for tests of another package, which cannot use the lab binary: an ignored test that only calls
+/// this function. [`super::Program::of_test`] starts the package's children as that test. Does nothing if the
+/// test was not started that way.
 pub fn run_in_test() {
     let Some(arguments) = std::env::var(ARGUMENTS_VARIABLE).ok().and_then(|n| n.parse::<usize>().ok()) else {
         return;
     };
     let arguments = (0..arguments).map_while(|at| std::env::var_os(format!("{ARGUMENTS_VARIABLE}_{at}")));
     let error = exec_program(arguments);
-    // The test program's own standard error is captured; this is the child's.
+    // The test harness captures `eprintln!`; this writes to the child's real standard error.
     let _ = writeln!(io::stderr(), "lab: {error}");
     std::process::exit(1);
 }
--- a/crates/lab/src/loopback/children/health_check.rs
+++ b/crates/lab/src/loopback/children/health_check.rs
@@ -1,4 +1,4 @@
-//! Whether a proxy answers: `PING` now and then on a connection of its own.
+//! Liveness check of a proxy: a periodic `PING` on a connection of its own.
 
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -8,17 +8,17 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Between two looks, before the proxy is ready and after.
+/// Time between checks, before the proxy is ready and after.
 const STARTUP_INTERVAL: Duration = Duration::from_millis(20);
 const INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Default)]
 struct Answered {
-    /// When it last answered `+PONG`.
+    /// When the proxy last answered `+PONG`.
     last: Cell<Option<Instant>>,
 }
 
-/// Watches one process of a proxy until it is dropped.
+/// Checks one proxy process until it is dropped.
 #[derive(Debug)]
 pub struct HealthCheck {
     since: Instant,
@@ -33,12 +33,12 @@
         HealthCheck { since: Instant::now(), answered, _task: task }
     }
 
-    /// It has answered once.
+    /// Whether the proxy has answered at least once.
     pub fn is_ready(&self) -> bool {
         self.answered.last.get().is_some()
     }
 
-    /// How long it has not answered.
+    /// Time since the last answer, or since the start of the check.
     pub fn silent_for(&self) -> Duration {
         self.answered.last.get().unwrap_or(self.since).elapsed()
     }
@@ -46,7 +46,7 @@
 
 async fn watch(address: SocketAddr, answered: Rc<Answered>) {
     loop {
-        // An answer that never comes ends the look, so that a connection which was lost is no verdict.
+        // A missing answer ends only this check, so that one lost connection is not taken for a hang.
         let timeout = async {
             Timer::after(Duration::from_secs(2)).await;
             None
--- a/crates/lab/src/loopback/children/mod.rs
+++ b/crates/lab/src/loopback/children/mod.rs
@@ -1,7 +1,8 @@
-//! The proxies' processes: started, watched against their limits, told to end, and never left behind.
+//! Proxy processes: started, checked against their limits, terminated, and never left behind.
 //!
-//! A [`Child`] owns its process; dropped, it kills it and waits for it. Where the lab itself is killed, nobody drops
-//! anything: so a child runs under a [`guard`], which has the system kill it when the thread that started it ends.
+//! A [`Child`] owns its process; dropping it kills the process and waits for it. If the lab itself is killed,
+//! nothing is dropped, so each child runs under a [`guard`], which has the kernel kill it when the thread
+//! that started it ends.
 
 mod child;
 pub mod guard;
@@ -12,15 +13,15 @@
 pub use health_check::HealthCheck;
 pub use usage::Usage;
 
-/// What a process may use.
+/// Resource limits of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Of memory that is in use at once.
+    /// Peak resident memory, in KiB.
     pub memory_kb: u64,
-    /// Descriptors, which the system holds it to.
+    /// Open descriptors, enforced by the kernel.
     pub descriptors: u64,
-    /// Bytes that a file of its may have, `u64::MAX` where any number will do for now ([`Child::limit_files`]): it then ignores
-    /// SIGXFSZ, so that a write past the limit fails with EFBIG. `None`: it is started as any program is, and a file
-    /// limit would end it.
+    /// Size of a file that the process may write, in bytes; `u64::MAX` for no limit until
+    /// [`Child::limit_files`] sets one. The process then ignores SIGXFSZ, so that a write past the limit
+    /// fails with EFBIG. `None`: the process keeps the default action, and a file size limit would kill it.
     pub file_bytes: Option<u64>,
 }
--- a/crates/lab/src/loopback/children/usage.rs
+++ b/crates/lab/src/loopback/children/usage.rs
@@ -1,22 +1,22 @@
-//! What a process uses, as `/proc` tells it.
+//! Resource usage of a process, read from `/proc`.
 
 use std::fs;
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// The most memory that was in use at once, in KiB (VmHWM).
+    /// Peak resident memory in KiB (VmHWM).
     pub memory_kb: u64,
-    /// Descriptors that are open.
+    /// Open descriptors.
     pub descriptors: u64,
-    /// CPU time since its start, of the program and of the system for it.
+    /// User and system CPU time since the start of the process.
     pub cpu: Duration,
-    /// Time for which its threads could run and had no core, all together.
+    /// Time that its threads were runnable without a CPU, summed over all threads.
     pub waited: Duration,
 }
 
 impl Usage {
-    /// `None` once the process is gone.
+    /// Reads the usage of a process; `None` if it has exited.
     pub fn of(pid: u32) -> Option<Usage> {
         let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let memory_kb = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
@@ -26,7 +26,8 @@
     }
 }
 
-/// proc_pid_stat(5): utime and stime are the 14th and 15th field; the 2nd is in parentheses and may hold anything.
+/// proc_pid_stat(5): utime and stime are the 14th and 15th field; the 2nd is in parentheses and may contain
+/// any character.
 fn cpu(pid: u32) -> Option<Duration> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let (_, rest) = stat.rsplit_once(')')?;
@@ -35,8 +36,8 @@
     Some(Duration::from_secs_f64(ticks as f64 / rustix::param::clock_ticks_per_second() as f64))
 }
 
-/// The second field of each thread's schedstat, in nanoseconds (Linux: Documentation/scheduler/sched-stats.rst);
-/// nothing where the kernel does not count it.
+/// Sums the second field of each thread's schedstat, in nanoseconds (Linux:
+/// Documentation/scheduler/sched-stats.rst); zero if the kernel does not collect it.
 fn waited(pid: u32) -> Duration {
     let tasks = fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     let of = |task: fs::DirEntry| -> Option<u64> {
--- a/crates/lab/src/loopback/clients/attempt.rs
+++ b/crates/lab/src/loopback/clients/attempt.rs
@@ -1,4 +1,4 @@
-//! One try: sent when it is due, answered or given up.
+//! Sends one try when it is due and waits for its answer or its timeout.
 
 use super::pool::Pool;
 use super::{ClientEvent, ScheduledTry, TryOutcome};
@@ -14,10 +14,11 @@
 use world::facts::Final;
 use world::Micros;
 
-/// A connection that was kept and ends this soon after a command, before a byte of an answer: the proxy closed it
-/// idle, and the command has crossed that. By the protocol it is sent once more on a new one.
+/// If a reused connection ends this soon after a command was written, before a byte of an answer, the proxy
+/// closed it as idle while the command was on its way. The protocol has the client send it again on a new
+/// connection.
 const CROSSED_CLOSE_WINDOW: Micros = 20_000;
-/// The longest answer: a value with all around it.
+/// Longest answer: a value with its framing.
 const MAX_ANSWER_BYTES: usize = resp::MAX_VALUE + 4096;
 
 #[derive(Debug)]
@@ -28,11 +29,11 @@
     events: Sender<ClientEvent>,
 }
 
-/// Why there is no answer on a connection.
+/// Why an exchange on a connection gave no answer.
 enum ExchangeError {
-    /// Before the last byte of the command was written.
+    /// The connection failed before the whole command was written.
     Unsent,
-    /// After that; whether a byte of an answer had come.
+    /// The connection failed after that; tells whether a byte of an answer had come.
     Unanswered { answer_started: bool },
 }
 
@@ -52,7 +53,7 @@
             Timer::at(self.clock.instant(scheduled_try.closes)).await;
             (self.clock.now(), TryOutcome::TimedOut)
         };
-        // The connection is dropped with its try.
+        // Ending the try drops its connection.
         let (at, outcome) = future::or(exchange, timeout).await;
         let _ = self.events.send(ClientEvent::Ended { of: scheduled_try.of, at, outcome }).await;
     }
@@ -80,7 +81,7 @@
             };
             let _ = socket.get_ref().set_nodelay(true);
             let sent = self.clock.now();
-            // The second time it is the proxy that has made it late.
+            // A try that is sent again is late because of the proxy, not of this machine.
             let due = if crossed { sent } else { scheduled_try.due };
             match self.exchange(&socket, scheduled_try, due).await {
                 Ok(reply) => {
@@ -93,7 +94,8 @@
                     }
                     return outcome;
                 }
-                // Found closed before it was written: it never left on this one.
+                // The pooled connection was closed before the command was written, so the proxy never
+                // received it.
                 Err(ExchangeError::Unsent) if !fresh => {}
                 Err(ExchangeError::Unsent) => return TryOutcome::Unreached,
                 Err(ExchangeError::Unanswered { answer_started: false })
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Writes the command and reads the answer; `None` for one that makes no sense.
+    /// Writes the command and reads the answer; `None` if the answer is malformed.
     async fn exchange(
         &self,
         socket: &Async<TcpStream>,
@@ -137,13 +139,14 @@
     }
 }
 
-/// Whether a connection failed for what is at its other end, and not for want of descriptors or ports here.
+/// Whether a connection attempt failed because of the peer and not for lack of local descriptors or ports.
 fn is_peer_failure(kind: io::ErrorKind) -> bool {
     use io::ErrorKind::{ConnectionAborted, ConnectionRefused, ConnectionReset, TimedOut};
     matches!(kind, ConnectionRefused | ConnectionReset | ConnectionAborted | TimedOut)
 }
 
-/// An answer as the protocol has it: a value, or an array that begins with one; `-BUSY` or `-BUSY MS`; or a failure.
+/// Reads an answer as the protocol defines it: a value, or an array that begins with one; `-BUSY` or `-BUSY
+/// MS`; or an error.
 fn parse_reply(reply: Reply, key: &str) -> TryOutcome {
     let value = match reply {
         Reply::Bulk(value) => value,
--- a/crates/lab/src/loopback/clients/attempt/tests.rs
+++ b/crates/lab/src/loopback/clients/attempt/tests.rs
@@ -18,7 +18,7 @@
     assert_eq!(parse_reply(Reply::Error(b"BUSY".to_vec()), "7f"), refused(None));
 }
 
-/// A command that crosses the close of a kept connection is sent again, on a new one and once.
+/// A command that crosses the close of an idle connection is sent again, once and on a new connection.
 #[test]
 fn a_command_that_crosses_a_close_goes_out_once_more() {
     use crate::loopback::clients::Clients;
@@ -52,14 +52,14 @@
         next_event(),
         ClientEvent::Ended { of: TryNo(1), outcome: TryOutcome::Answered(Final::Failed, _), .. }
     ));
-    // The connection is kept. The next command comes on it, and it closes without a word.
+    // The connection is pooled and reused for the next command; then the proxy closes it without an answer.
     send(2);
     first.expect_read("7f").expect("a read");
     first.reset();
     assert!(matches!(next_event(), ClientEvent::Sent { of: TryNo(2), .. }));
     let next = next_event();
     if let ClientEvent::Ended { outcome, .. } = next {
-        // Later than a crossing can be, on a machine that was busy meanwhile.
+        // On a busy machine the close can come too late to count as a crossing.
         return assert_eq!(outcome, TryOutcome::Dropped);
     }
     assert!(matches!(next, ClientEvent::Crossed { of: TryNo(2), .. }), "{next:?}");
--- a/crates/lab/src/loopback/clients/mod.rs
+++ b/crates/lab/src/loopback/clients/mod.rs
@@ -1,8 +1,9 @@
-//! The clients' side of the sockets, on a thread of its own: sends a try when it is due, takes the answer, keeps
+//! The client side of the sockets, on its own thread: sends each try when it is due, reads the answer, pools
 //! connections and opens more when all are busy.
 //!
-//! It decides nothing about load: which try goes to which proxy, and when, comes from the owner of the world, drawn
-//! ahead by the seed (open loop). It knows how late it sends, which tells whether its figures mean anything.
+//! It makes no decisions about load: the event loop decides which try goes to which proxy and when, drawn
+//! ahead from the seed (open loop). It measures how late it sends, which tells whether a run's results are
+//! valid.
 
 mod attempt;
 mod pool;
@@ -18,7 +19,7 @@
 use world::facts::{Final, ProxyNo, TryNo};
 use world::Micros;
 
-/// Tries that may wait to be sent, and what may wait to be heard, before the other side is waited for.
+/// Capacity of the queues of tries to send and of events; a full event queue blocks the clients.
 const QUEUE_LEN: usize = 65_536;
 
 /// A try to send.
@@ -26,41 +27,42 @@
 pub struct ScheduledTry {
     pub of: TryNo,
     pub proxy: ProxyNo,
-    /// When its first byte is to leave, and when the client closes, answered or not.
+    /// When the first byte should leave, and when the client closes the connection, answered or not.
     pub due: Micros,
     pub closes: Micros,
     pub key: String,
-    /// The command as it goes out.
+    /// The encoded command.
     pub command: Vec<u8>,
 }
 
-/// What came of a try, as its client sees it.
+/// Outcome of a try as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// With how long a refusal tells to stay away.
+    /// Answered; a refusal may say how long to wait before a retry.
     Answered(Final, Option<Micros>),
-    /// The connection ended without a whole answer.
+    /// The connection ended without a complete answer.
     Dropped,
-    /// No connection came up: the try never left.
+    /// No connection could be established, so the try was never sent.
     Unreached,
-    /// The client has closed, without an answer.
+    /// The client closed the connection without an answer.
     TimedOut,
 }
 
-/// What the clients tell.
+/// Events that the clients' thread reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientEvent {
-    /// The last byte of a try was written, so long after it was due.
+    /// The last byte of a try was written, `late` microseconds after it was due.
     Sent { of: TryNo, at: Micros, late: Micros },
-    /// The proxy has closed the connection without reading the try, as it may between requests: it is sent once more.
+    /// The proxy closed an idle connection without reading the try, as the protocol allows between requests;
+    /// it is sent again.
     Crossed { of: TryNo, at: Micros },
-    /// This machine gives a client no connection: nothing that follows is the proxies' doing.
+    /// This machine could not open a client connection: later results say nothing about the proxies.
     LocalFailure(io::ErrorKind),
-    /// A try has ended; said once for each.
+    /// A try has ended; reported once for each try.
     Ended { of: TryNo, at: Micros, outcome: TryOutcome },
 }
 
-/// The thread of the clients. Dropped, it ends; what is open is closed.
+/// The clients' thread. Dropping it stops the thread and closes all connections.
 #[derive(Debug)]
 pub struct Clients {
     scheduled: Option<Sender<ScheduledTry>>,
@@ -69,7 +71,7 @@
 }
 
 impl Clients {
-    /// Starts the thread for proxies at these addresses, each in the place of its number.
+    /// Starts the thread; `proxies` holds the proxies' addresses in the order of their numbers.
     pub fn start(proxies: Vec<SocketAddr>, clock: Clock) -> io::Result<Self> {
         let (scheduled, receiver) = async_channel::bounded(QUEUE_LEN);
         let (report, events) = async_channel::bounded(QUEUE_LEN);
@@ -79,7 +81,7 @@
         Ok(Clients { scheduled: Some(scheduled), events, thread: Some(thread) })
     }
 
-    /// Hands over a try; `false` if so many wait that this one cannot.
+    /// Queues a try; `false` if the queue is full.
     #[must_use]
     pub fn send(&self, scheduled_try: ScheduledTry) -> bool {
         self.scheduled.as_ref().is_some_and(|scheduled| scheduled.try_send(scheduled_try).is_ok())
@@ -100,7 +102,7 @@
     }
 }
 
-/// Until nobody sends any more.
+/// Runs until the queue of tries is closed.
 async fn run(
     proxies: Vec<SocketAddr>,
     clock: Clock,
@@ -115,6 +117,6 @@
             executor.spawn(async move { sender.run(scheduled_try).await }).detach();
         }
     };
-    // Tasks that are not over are dropped with the executor, and their connections with them.
+    // Unfinished tasks and their connections are dropped with the executor.
     executor.run(work).await;
 }
--- a/crates/lab/src/loopback/clients/pool.rs
+++ b/crates/lab/src/loopback/clients/pool.rs
@@ -1,10 +1,10 @@
-//! Connections of clients to one proxy that are idle.
+//! Idle client connections to one proxy.
 
 use async_io::Async;
 use std::io;
 use std::net::TcpStream;
 
-/// More than this are not kept.
+/// Further connections are closed instead of being kept.
 const MAX_IDLE: usize = 4096;
 
 #[derive(Debug, Default)]
@@ -13,7 +13,8 @@
 }
 
 impl Pool {
-    /// The one that was used last and is still open; the proxy may have closed some meanwhile.
+    /// The most recently used connection that is still open; connections that the proxy has closed are
+    /// discarded.
     pub fn take(&mut self) -> Option<Async<TcpStream>> {
         while let Some(socket) = self.idle.pop() {
             let peeked = socket.get_ref().peek(&mut [0]);
--- a/crates/lab/src/loopback/cost/load.rs
+++ b/crates/lab/src/loopback/cost/load.rs
@@ -1,4 +1,4 @@
-//! Clients in a closed loop: on each connection the next request goes out when the answer is there.
+//! Closed-loop clients: each connection sends its next request once the previous one is answered.
 
 use super::protocol::{Protocol, Read};
 use super::{Plan, CLIENT_TIMEOUT, TENANT};
@@ -18,7 +18,7 @@
 use world::outcome::Latencies;
 use world::random::mix;
 
-/// Keys that are asked for, evenly.
+/// Number of keys, requested in uniform distribution.
 const KEY_COUNT: u64 = 20_000;
 
 #[derive(Clone, Debug, Default)]
@@ -68,12 +68,12 @@
         Ok(load)
     }
 
-    /// Whether what is answered now counts.
+    /// Sets whether answers are counted from now on.
     pub fn count(&self, counts: bool) {
         self.shared.counts.store(counts, Ordering::Relaxed);
     }
 
-    /// Ends all clients once each has its answer.
+    /// Stops all clients once each has its answer, and returns the totals.
     pub fn end(mut self) -> LoadCounts {
         self.shared.ends.store(true, Ordering::Relaxed);
         let mut all = LoadCounts::default();
@@ -92,7 +92,7 @@
     }
 }
 
-/// Goes on until the end; a connection that breaks is a failure, and another one is made.
+/// Sends requests until the end of the measurement; a broken connection counts as a failure and is replaced.
 async fn connection(
     address: SocketAddr,
     protocol: Protocol,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Asks for a key; whether a value came. `None` where the connection is of no more use.
+/// Reads one key and tells whether a value came; `None` if the connection can no longer be used.
 async fn exchange(
     socket: &mut Async<TcpStream>,
     protocol: Protocol,
@@ -140,7 +140,7 @@
     let key = format!("{:016x}", mix(no % KEY_COUNT + 1));
     let id = TryId { of: TryNo(no + 1), work: 0, bytes: 0 }.write();
     let mut out = Vec::new();
-    // Its lowest bits tell it from those before it on this connection.
+    // The low bits are unique among recent requests on this connection.
     let read = Read { number: no as u32, key: &key, id: &id, properties };
     protocol.put_read(&mut out, &read).ok()?;
     socket.write_all(&out).await.ok()?;
--- a/crates/lab/src/loopback/cost/mod.rs
+++ b/crates/lab/src/loopback/cost/mod.rs
@@ -1,8 +1,9 @@
-//! What a request through the proxy costs, beside one straight to a node: CPU, throughput, latency.
+//! Measures the cost of a request through the proxy against one sent directly to a node: CPU, throughput,
+//! latency.
 //!
-//! Nodes here are none of the `world`: they answer every read at once with the same value, so that nothing but the
-//! way there is measured. Clients go in a closed loop, one request at a time on each connection, as fast as they
-//! can. Not for how well a proxy serves: play a scenario for that.
+//! The nodes do not use the models of `world`: they answer every read at once with the same value, so that
+//! only the path to them is measured. Clients run a closed loop, one request at a time on each connection, as
+//! fast as they can. To judge how well a proxy serves, play a scenario instead.
 
 mod load;
 mod protocol;
@@ -22,36 +23,36 @@
 use world::outcome::Latencies;
 use world::world::World;
 
-/// What is measured, and for how long.
+/// What to measure, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Plan {
-    /// Each way, without the time that it takes to get going.
+    /// Duration of each measurement, without the warm-up.
     pub seconds: f64,
     pub connections: usize,
     /// Size of a value.
     pub value_bytes: usize,
-    /// What clients speak.
+    /// Protocol of the clients.
     pub clients: Protocol,
-    /// What the nodes behind a proxy speak; one that is asked straight speaks what its clients do.
+    /// Protocol of the nodes behind a proxy; a node that is measured directly uses the clients' protocol.
     pub nodes: Protocol,
 }
 
-/// Threads that clients and nodes run on, each.
+/// Number of threads for the clients, and the same number for the nodes.
 const THREADS: usize = 2;
 const NODE_COUNT: u32 = 4;
 const NODE_KIND: &str = "full-node";
-/// As whom memcached clients ask, who cannot say it; the others say the same.
+/// Tenant of memcached clients, whose protocol cannot name one; the other clients send the same.
 const TENANT: &str = "nordurbanki";
-/// How long a client waits.
+/// Client timeout.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Not counted at the start of each way.
+/// Time at the start of each measurement that is not counted.
 const WARM_UP: Duration = Duration::from_millis(500);
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One way, measured.
+/// Result of one measurement.
 #[derive(Clone, Debug)]
 pub struct Measured {
-    /// Answered with a value, and in any other way.
+    /// Requests answered with a value, and all others.
     pub served: u64,
     pub failed: u64,
     pub seconds: f64,
@@ -67,12 +68,12 @@
         self.served as f64 / self.seconds
     }
 
-    /// Of the proxy, in microseconds a request.
+    /// CPU time of the proxy for each request, in microseconds.
     pub fn proxy_us(&self) -> Option<f64> {
         self.proxy_cpu.map(|cpu| cpu.as_secs_f64() * 1e6 / (self.served + self.failed).max(1) as f64)
     }
 
-    /// As one measurement that went on for both times. Memory is that of the larger one.
+    /// Adds another measurement as if both were one longer measurement. Memory is the larger of the two.
     pub fn merge(&mut self, other: &Measured) {
         self.served += other.served;
         self.failed += other.failed;
@@ -83,7 +84,7 @@
         self.proxy_memory_kb = self.proxy_memory_kb.max(other.proxy_memory_kb);
     }
 
-    /// Of the clients and nodes, in microseconds a request.
+    /// CPU time of the clients and nodes for each request, in microseconds.
     pub fn own_us(&self) -> f64 {
         self.own_cpu.as_secs_f64() * 1e6 / (self.served + self.failed).max(1) as f64
     }
@@ -93,19 +94,19 @@
     move |source| HostError::Io { what: what.into(), source }
 }
 
-/// Clients straight at a node.
+/// Measures clients that connect directly to a node.
 pub fn direct(plan: Plan) -> Result<Measured, HostError> {
     let nodes = StubNodes::start(THREADS, 1, plan.clients, plan.value_bytes).map_err(io_error("nodes"))?;
     measure(plan, nodes.addresses()[0], None)
 }
 
-/// Clients at one proxy, nodes behind it.
+/// Measures clients that connect to one proxy with nodes behind it.
 pub fn through(plan: Plan, program: &Program) -> Result<Measured, HostError> {
     let world = World::builder()
         .halls(["hofdi"])
         .proxies(1)
         .nodes(NODE_KIND, NODE_COUNT, |_| {})
-        // No tenant is above its share, whatever it sends.
+        // A high enough rate that no tenant exceeds its share.
         .rate(1e6)
         .build(1)
         .map_err(|problem| HostError::Unplayable(problem.to_string()))?;
@@ -113,7 +114,7 @@
     let nodes = nodes.map_err(io_error("nodes"))?;
     let discovery = StubDiscovery::start().map_err(io_error("discovery"))?;
     let reserved = ReservedPort::reserve().map_err(io_error("a port for the proxy"))?;
-    // Nothing misses, so nobody asks the ledger: any node will do for it.
+    // Every read hits, so the origin is never asked and any node's address will do for it.
     let address = |node: NodeNo| nodes.addresses()[if node == LEDGER { 0 } else { node.0 as usize }];
     let start = settings::ProxyStart {
         proxy: ProxyNo(0),
@@ -146,7 +147,7 @@
     measure(plan, address, Some(&mut proxy))
 }
 
-/// What turns on what is measured, and nothing else.
+/// The proxy's configuration file: enables the features under measurement and nothing else.
 fn feature_config(plan: Plan, memcached_port: SocketAddr) -> String {
     let mut lines = String::new();
     if plan.clients == Protocol::Memcached {
--- a/crates/lab/src/loopback/cost/protocol.rs
+++ b/crates/lab/src/loopback/cost/protocol.rs
@@ -1,5 +1,5 @@
-//! What is spoken in a measurement: RESP2, or the memcached binary protocol. Reads alone, and what nodes that hit
-//! always answer to them and to probes.
+//! Protocols of a measurement: RESP2 or the memcached binary protocol. Covers only reads, and the answers of
+//! nodes that always hit to reads and probes.
 
 use crate::loopback::socket::wire::{self, Command, Dialect};
 use martenweir::codec::resp::{self, Reply};
@@ -8,7 +8,7 @@
 
 const LIMITS: Limits = Limits { key: frame::MAX_KEY_LEN, value: resp::MAX_VALUE };
 
-/// What clients or nodes speak.
+/// Protocol of clients or nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Protocol {
     /// RESP2.
@@ -18,13 +18,13 @@
     Memcached,
 }
 
-/// A read as a client says it.
+/// A read as the client sends it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Read<'a> {
-    /// Tells it apart from others; memcached's answers bear it.
+    /// Distinguishes the read from others; memcached answers carry it.
     pub number: u32,
     pub key: &'a str,
-    /// What the memcached protocol has no words for.
+    /// The memcached protocol has no field for the id and the properties.
     pub id: &'a str,
     pub properties: &'a str,
 }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether the answer to a read brings a value; `None` while it is not whole.
+    /// Whether the answer to a read carries a value; `None` while it is incomplete.
     pub(super) fn served(self, bytes: &[u8], read: &Read) -> Result<Option<bool>, Malformed> {
         match self {
             Protocol::Resp => {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Answers what a node is asked first, every read with `value`; how many bytes that took, `None` while it is not
-    /// whole.
+    /// Answers the first request in `bytes`, every read with `value`, as a node does. Returns the number of
+    /// bytes consumed; `None` while the request is incomplete.
     pub(super) fn answer(
         self,
         bytes: &[u8],
--- a/crates/lab/src/loopback/cost/stub_servers.rs
+++ b/crates/lab/src/loopback/cost/stub_servers.rs
@@ -1,4 +1,5 @@
-//! Nodes that hit always, and a discovery that has nothing new: no model behind them, and no more work than it takes.
+//! Nodes that always hit, and a discovery server whose list never changes: no model, and as little work as
+//! possible.
 
 use super::protocol::Protocol;
 use crate::loopback::socket::wire;
@@ -13,7 +14,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Listeners served by threads of their own. Dropped, all of it ends.
+/// Listeners served by their own threads. Dropping it stops the threads.
 #[derive(Debug)]
 struct ListenerThreads {
     addresses: Vec<SocketAddr>,
@@ -22,7 +23,7 @@
 }
 
 impl ListenerThreads {
-    /// Ports are spread over the threads; `serve` carries one connection to its end.
+    /// Distributes the ports over the threads; `serve` handles one connection until it ends.
     fn start<F>(
         threads: usize,
         ports: usize,
@@ -37,7 +38,7 @@
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        // More threads than ports share one: each accepts what it gets hold of.
+        // With more threads than ports, all threads accept on every port.
         let mut started = Vec::new();
         for n in 0..threads {
             let mine = listeners.iter().enumerate().filter(|(i, _)| ports < threads || i % threads == n);
@@ -84,7 +85,7 @@
     }
 }
 
-/// Cache nodes that hit always.
+/// Cache nodes that always hit.
 #[derive(Debug)]
 pub struct StubNodes(ListenerThreads);
 
@@ -123,7 +124,7 @@
     }
 }
 
-/// A discovery that only shows that it lives.
+/// A discovery server that only sends heartbeats.
 #[derive(Debug)]
 pub struct StubDiscovery(ListenerThreads);
 
--- a/crates/lab/src/loopback/event_loop/discovery.rs
+++ b/crates/lab/src/loopback/event_loop/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery on sockets: each proxy's agent answers at once with what it has been told, and says nothing while
+//! Discovery on sockets: each proxy's agent answers at once from the list it has, and is silent while
 //! discovery is down.
 
 use super::timers::TimerEvent;
@@ -11,7 +11,7 @@
 use world::facts::ProxyNo;
 use world::Micros;
 
-/// A sign of life on a watch comes this often.
+/// Interval of heartbeats on a watch.
 const HEARTBEAT_INTERVAL: Micros = 2_000_000;
 
 impl EventLoop {
@@ -24,7 +24,7 @@
         entries.iter().map(one).collect()
     }
 
-    /// What a proxy's agent has: what changed after a revision, or the whole list.
+    /// The list as the proxy's agent knows it: the changes after a revision, or the whole list.
     pub(super) fn known(&self, proxy: ProxyNo, after: Option<u64>) -> Value {
         let (revision, entries) = self.world.discovery().known(proxy, after);
         settings::list(revision, after.is_none(), self.entries(proxy, &entries))
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Something has reached a proxy's agent.
+    /// Sends an update that has reached a proxy's agent to that proxy's watchers.
     pub(super) fn send_to_watchers(&mut self, update: &ListUpdate) {
         let list = settings::list(update.revision, false, self.entries(update.proxy, &[update.entry]));
         self.write_watchers(|proxy| proxy == update.proxy, &format!("{list}\n"));
--- a/crates/lab/src/loopback/event_loop/mod.rs
+++ b/crates/lab/src/loopback/event_loop/mod.rs
@@ -1,10 +1,11 @@
-//! The owner of the world: one thread that holds the models and moves them along in real time.
+//! The event loop: one thread that owns the models and advances them in real time.
 //!
-//! Sockets tell it what happened through bounded queues ([`SocketEvent`] from the stand-ins' links, [`ClientEvent`] from the
-//! clients, [`Notice`]s about processes); it hands that to [`World`] and carries out what comes back. All that takes
-//! time on the way (the network's delays, a retry's wait) is on one agenda here, in the order of time, as in the
-//! virtual world. Split by what it deals with: [`ports`] (who listens where), [`node_requests`] (what reaches nodes and
-//! the ledger, and their answers), [`discovery`] (discovery), [`tries`] (the clients' requests).
+//! It receives [`SocketEvent`]s from the stand-ins' connections, [`ClientEvent`]s from the clients and
+//! [`Notice`]s about processes through bounded queues, passes them to [`World`] and carries out the resulting
+//! actions. Everything that takes time (network delays, the wait before a retry) is kept in one timer queue
+//! in the order of time, as in the virtual world. Split by subject: [`ports`] (listening sockets),
+//! [`node_requests`] (requests to nodes and the origin, and their answers), [`discovery`], [`tries`] (the
+//! clients' requests).
 
 mod discovery;
 mod node_requests;
@@ -35,44 +36,45 @@
 use world::world::{Occurrence, ProxyChange, World};
 use world::Micros;
 
-/// How late what is due may be, in its 99th percentile and at most, before a run says nothing about the proxy.
+/// Bounds on the lateness of timers, for the 99th percentile and the maximum; beyond them a run says nothing
+/// about the proxy.
 pub const LATE_P99: Micros = 20_000;
 pub const LATE_MAX: Micros = 1_000_000;
-/// Heard things that are taken in a row before what is due has its turn.
+/// Queued events handled in a row before timers are checked.
 const EVENT_BATCH: usize = 256;
-/// The owner looks round at least this often.
+/// Longest sleep of the event loop.
 const MAX_SLEEP: Micros = 100_000;
-/// After the last request is over, for what still comes (an answer that is too late, a cancelled attempt).
+/// Time after the last request for what may still come (a late answer, a cancelled attempt).
 const END_GRACE: Micros = 500_000;
 
-/// What the owner has done about the proxies' processes, which belong to another thread.
+/// A change to a proxy process, carried out by the thread that owns the processes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessCommand {
     pub proxy: ProxyNo,
     pub change: ProxyChange,
-    /// Of one that is to start.
+    /// Configuration of a process to start; empty otherwise.
     pub configuration: String,
 }
 
-/// What the processes' thread tells the owner.
+/// What the thread that owns the processes tells the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// All proxies are ready: clients begin to come.
+    /// All proxies are ready: client traffic starts.
     Begin,
-    /// A process is gone: by itself once it was told to end, or killed.
+    /// A process is gone: it was killed, or exited after it was asked to.
     Ended { proxy: ProxyNo, planned: bool },
-    /// Nobody wants the run any more.
+    /// The run is cancelled.
     Stop,
 }
 
-/// How the owner is reached from outside.
+/// Channels between the event loop and the thread that owns the processes.
 #[derive(Clone, Debug)]
 pub struct Channels {
     pub process_commands: Sender<ProcessCommand>,
     pub notices: Receiver<Notice>,
 }
 
-/// The owner's state.
+/// State of the event loop.
 pub struct EventLoop {
     clock: Clock,
     world: World,
@@ -89,25 +91,26 @@
     last_link: u64,
     jobs: HashMap<u64, Job>,
     last_job: u64,
-    /// Tries that were told as taken and have not ended.
+    /// Tries that were recorded as taken by a proxy and have not ended.
     taken: HashSet<TryNo>,
-    /// Whether each proxy runs, as far as the owner knows: what breaks with one that does not is no fault of its.
+    /// Whether each proxy runs, as far as the event loop knows; a connection that breaks because its proxy is
+    /// down is not the proxy's fault.
     alive: Vec<bool>,
-    /// How often each was started.
+    /// Number of starts of each proxy.
     start_counts: Vec<u32>,
-    /// Up to when the models were moved along; nothing reaches them earlier.
+    /// Time up to which the models were advanced; no event reaches them with an earlier time.
     advanced_to: Micros,
     occurrences: Vec<(Micros, Occurrence)>,
     late: Latencies,
     clients_started: bool,
     ends_at: Option<Micros>,
-    /// Why the run is void, if a proxy has said what nobody may say.
+    /// Why the run is void, if a proxy violated the protocol.
     fatal_error: Option<HostError>,
-    /// What came of the tries on their sockets.
+    /// Outcomes of the tries on their sockets.
     socket_tries: SocketTryCounts,
 }
 
-/// What a stage is made of.
+/// What an event loop is built from.
 pub struct EventLoopParts {
     pub clock: Clock,
     pub world: World,
@@ -116,7 +119,8 @@
 }
 
 impl EventLoop {
-    /// Opens all ports; tells each proxy's configuration too. To be called on the thread that is to run it.
+    /// Opens all ports and returns each proxy's configuration as well. Must be called on the thread that runs
+    /// the loop.
     pub fn open(parts: EventLoopParts) -> Result<(EventLoop, Vec<String>), HostError> {
         let EventLoopParts { clock, world, proxies, channels } = parts;
         let system = |what: &'static str| move |source| HostError::Io { what: what.into(), source };
@@ -163,14 +167,14 @@
         Ok((stage, configurations))
     }
 
-    /// What a proxy that starts now is told.
+    /// Configuration of a proxy that starts now.
     fn configuration(&mut self, proxy: ProxyNo) -> String {
         let start_count = self.start_counts.get_mut(proxy.0 as usize).map_or(0, |start_count| {
             *start_count += 1;
             *start_count
         });
         let seed = seed_of(self.world.seed(), "proxy", u64::from(proxy.0) | u64::from(start_count) << 32);
-        // What is in its list from the start it has been told.
+        // The proxy learns the entries of its initial list from its configuration.
         let (_, entries) = self.world.discovery().known(proxy, None);
         for e in entries {
             self.world.observe(
@@ -187,7 +191,7 @@
         settings::configuration(&self.world, start, &self.known(proxy, None)).to_string()
     }
 
-    /// Plays the run to its end.
+    /// Runs the loop until the run ends.
     pub fn run(mut self) -> Result<Run, HostError> {
         let executor = self.executor.clone();
         async_io::block_on(executor.run(self.event_loop()))?;
@@ -266,7 +270,7 @@
         Ok(())
     }
 
-    /// When something is due next.
+    /// Time of the next event.
     fn next(&mut self) -> Micros {
         let arrival = self.arrivals.peek().map_or(Micros::MAX, |r| r.at);
         let timers = self.timers.next().unwrap_or(Micros::MAX);
@@ -277,7 +281,7 @@
         }
     }
 
-    /// Carries out all that is due by now, in the order of time.
+    /// Handles everything that is due by now, in the order of time.
     fn advance(&mut self, now: Micros) -> Result<(), HostError> {
         loop {
             let at = self.next();
@@ -315,7 +319,7 @@
         Ok(())
     }
 
-    /// Moves the models along to where the owner is, and carries out what happened.
+    /// Advances the models to the current time of the loop and handles what happened.
     fn advance_world(&mut self) {
         let mut occurrences = std::mem::take(&mut self.occurrences);
         self.world.advance(self.advanced_to, &mut occurrences);
@@ -367,7 +371,7 @@
         let alive = self.alive.get_mut(proxy.0 as usize);
         match change {
             ProxyChange::Die => {
-                // What breaks from here on is the crash's doing, whoever notices first.
+                // Whatever breaks from here on is caused by the crash, whoever notices it first.
                 alive.into_iter().for_each(|a| *a = false);
                 self.world.observe(at, Fact::ProxyEnded { proxy, planned: false });
             }
@@ -378,19 +382,20 @@
             ProxyChange::Start => self.configuration(proxy),
             _ => String::new(),
         };
-        // Few, and read at once; a thread that does not is about to end the run.
+        // Commands are few and read at once; if the other thread does not read them, it is about to end the
+        // run.
         let _ = self.channels.process_commands.try_send(ProcessCommand { proxy, change, configuration });
     }
 
     fn proxy_ended(&mut self, proxy: ProxyNo, planned: bool) {
         if let Some(alive) = self.alive.get_mut(proxy.0 as usize).filter(|a| **a) {
             *alive = false;
-            // What it said last is on its way: it counts before its end does.
+            // Data that the proxy sent before it ended is still queued and is handled before its end counts.
             self.world.observe(self.advanced_to, Fact::ProxyEnded { proxy, planned });
         }
     }
 
-    /// The address of the door at which a proxy finds a node, for lists.
+    /// The address at which a proxy reaches a node, for discovery lists.
     fn address(&self, proxy: ProxyNo, node: NodeNo) -> SocketAddr {
         self.ports.address(self.world.member(node).address, proxy)
     }
--- a/crates/lab/src/loopback/event_loop/node_requests.rs
+++ b/crates/lab/src/loopback/event_loop/node_requests.rs
@@ -1,4 +1,4 @@
-//! What reaches nodes and the ledger, and the ways of their answers: connections, commands, delays, and what the
+//! Requests to nodes and the origin, and their answers: connections, commands, network delays, and what the
 //! network loses.
 
 use super::ports::Owner;
@@ -20,15 +20,15 @@
 use world::world::NodeAttempt;
 use world::Micros;
 
-/// An answer that is owed.
+/// A command whose answer has not been written.
 #[derive(Debug)]
 struct PendingAnswer {
     job: u64,
-    /// It is there, and waits for those before it.
+    /// Set when the answer is ready and waits for earlier answers on the connection.
     answer: Option<(Vec<u8>, AfterWrite)>,
 }
 
-/// A connection of a proxy to a stand-in.
+/// A connection from a proxy to a stand-in.
 #[derive(Debug)]
 pub struct Connection {
     pub proxy: ProxyNo,
@@ -37,15 +37,15 @@
     address: u32,
     hall: u16,
     link: Link,
-    /// Commands that are not answered yet, in their order, each with its answer if that waits for one before it.
+    /// Unanswered commands in the order of arrival; an answer that is ready waits here for earlier ones.
     pending: VecDeque<PendingAnswer>,
-    /// Nothing overtakes: when the last command, and the last answer, arrives.
+    /// Arrival times of the last command and the last answer: nothing on a connection overtakes them.
     out_at: Micros,
     in_at: Micros,
     paused: bool,
-    /// Something on it was lost under way: it breaks when the cut is over.
+    /// Something was lost on the connection: it breaks when the network cut ends.
     lost: bool,
-    /// It watches discovery.
+    /// Whether it watches discovery.
     pub watches: bool,
 }
 
@@ -64,7 +64,7 @@
     Ping,
 }
 
-/// A read or a write as it was keyed_command.
+/// The fields of a read or a write command.
 struct KeyedCommand<'a> {
     key: &'a [u8],
     id: &'a [u8],
@@ -97,14 +97,14 @@
             match self.world.connect(now, node, id.0) {
                 DialOutcome::Accepted => {}
                 DialOutcome::Refused => {
-                    // The table is full, or the process has ended this moment.
+                    // The node's connection table is full, or its process has just ended.
                     self.ports.set_full(&self.world, node, true);
                     return link.reset();
                 }
                 DialOutcome::Silent => link.set_paused(true),
             }
         }
-        // A handshake crosses the network and comes back before the first command can.
+        // The handshake takes one round trip before the first command can leave.
         let outbound = self.delay(proxy, hall).unwrap_or(0);
         let back = self.delay(proxy, hall).unwrap_or(0);
         let connection = Connection {
@@ -123,13 +123,13 @@
         self.links.insert(id, connection);
     }
 
-    /// One way between a proxy and a hall; `None` if it is lost.
+    /// One-way delay between a proxy and a zone; `None` if the packet is lost.
     fn delay(&mut self, proxy: ProxyNo, hall: u16) -> Option<Micros> {
         let here = self.world.proxies().get(proxy.0 as usize).copied().unwrap_or(0);
         self.world.network.between(here, hall)
     }
 
-    /// When what leaves now arrives at the other end of a connection; `None` if it is lost.
+    /// When data that leaves now arrives at the other end of a connection; `None` if it is lost.
     fn travel(&mut self, at: Micros, id: LinkId, out: bool) -> Option<Micros> {
         let link = self.links.get(&id)?;
         let (proxy, hall, lost) = (link.proxy, link.hall, link.lost);
@@ -193,7 +193,7 @@
         }
     }
 
-    /// What the models need of a command; `None` if no client ever sent it like this.
+    /// The models' view of a command; `None` if no client sent such a command.
     fn node_attempt(
         &self,
         link: LinkId,
@@ -236,7 +236,7 @@
         Some(NodeAttempt { proxy: *proxy, request, after })
     }
 
-    /// Answered as the protocol says, and the run is void.
+    /// Answers with an error as the protocol requires, and makes the run void.
     fn malformed(&mut self, id: LinkId, job: u64, proxy: ProxyNo, why: &str) {
         self.write(id, job, b"-SYNTAX\r\n".to_vec(), AfterWrite::Close);
         let what = format!("sent a node what no client may send: {why}");
@@ -244,7 +244,7 @@
         self.fatal_error.get_or_insert(HostError::Child { name, what });
     }
 
-    /// A whole command is at its node.
+    /// A complete command arrives at its node.
     pub(super) fn arrive(&mut self, at: Micros, job: u64) {
         let Some(Job { link, node, kind, .. }) = self.jobs.get(&job) else { return };
         let (link, node) = (*link, *node);
@@ -293,7 +293,7 @@
         }
     }
 
-    /// An answer goes out, and those that waited for it.
+    /// Writes an answer, and later answers that waited for it.
     pub(super) fn write(&mut self, id: LinkId, job: u64, bytes: Vec<u8>, then: AfterWrite) {
         let Some(connection) = self.links.get_mut(&id) else { return };
         if let Some(pending) = connection.pending.iter_mut().find(|o| o.job == job) {
@@ -308,7 +308,7 @@
         }
     }
 
-    /// A connection is gone for the proxy: the node hears of it, and what it had asked is forgotten.
+    /// The proxy's end of a connection closed: the node is told, and pending commands are dropped.
     pub(super) fn link_ended(&mut self, id: LinkId) {
         if let Some(connection) = self.drop_link(id) {
             if let Some(node) = connection.node {
@@ -318,7 +318,7 @@
         }
     }
 
-    /// The one place where a connection is given back.
+    /// Releases a connection; no other code does.
     fn drop_link(&mut self, id: LinkId) -> Option<Connection> {
         let connection = self.links.remove(&id)?;
         for pending in &connection.pending {
@@ -330,7 +330,7 @@
         Some(connection)
     }
 
-    /// The node's end breaks.
+    /// The node's end of a connection breaks.
     pub(super) fn break_link(&mut self, id: LinkId) {
         if let Some(connection) = self.drop_link(id) {
             if let Some(node) = connection.node {
@@ -340,7 +340,7 @@
         }
     }
 
-    // ---- nodes come, go and fall silent
+    // ---- node lifecycle and reachability
 
     fn links_of(&self, wanted: impl Fn(&Connection) -> bool) -> Vec<LinkId> {
         let mut links: Vec<LinkId> =
@@ -367,7 +367,7 @@
         }
     }
 
-    /// Holds the connections that are silent now, and lets go of the others.
+    /// Pauses the connections that are silent now and resumes the others.
     pub(super) fn update_paused_links(&mut self) {
         for connection in self.links.values_mut() {
             let Some(node) = connection.node else { continue };
@@ -375,13 +375,13 @@
             let silent = self.ports.is_silent(proxy, hall, connection.address, node);
             if silent != connection.paused {
                 connection.paused = silent;
-                // One that lost something goes when the cut is over; until then it stays silent.
+                // A connection that lost data stays silent until the cut ends and it is broken.
                 connection.link.set_paused(silent || connection.lost);
             }
         }
     }
 
-    /// Connections that lost something while a hall was cut off break, now that it is back.
+    /// Breaks the connections that lost data while a zone was cut off, now that it is reachable again.
     pub(super) fn end_cut(&mut self) {
         self.ports.refresh(&self.world);
         let ports = &self.ports;
@@ -403,7 +403,7 @@
     format!("eps={:.3},util={:.4}", report.errors_per_s, report.util)
 }
 
-/// An answer as bytes.
+/// Encodes an answer.
 fn answer(dialect: Dialect, kind: &JobKind, reply: Answer) -> Vec<u8> {
     let mut out = Vec::new();
     if reply == Answer::Spoilt {
--- a/crates/lab/src/loopback/event_loop/ports.rs
+++ b/crates/lab/src/loopback/event_loop/ports.rs
@@ -1,5 +1,5 @@
-//! Who listens where: a port for each address of a node and each proxy, so that a connection tells whose it is; and
-//! a port of discovery for each proxy.
+//! The listening sockets: one port for each pair of node address and proxy, so that the port identifies both
+//! ends of a connection; and one discovery port for each proxy.
 
 use crate::loopback::socket::port::Port;
 use crate::loopback::socket::Queue;
@@ -10,7 +10,7 @@
 use world::facts::{NodeNo, ProxyNo};
 use world::world::World;
 
-/// Whose a door is.
+/// What a port belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
     Node { node: NodeNo, address: u32 },
@@ -20,9 +20,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PortState {
     Open,
-    /// Nobody listens.
+    /// Connections are refused.
     Closed,
-    /// Nothing comes back.
+    /// Connection attempts get no answer.
     Silent,
 }
 
@@ -34,14 +34,14 @@
     state: PortState,
 }
 
-/// What is at an address.
+/// What runs at an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct AddressState {
     node: NodeNo,
     hall: u16,
     up: bool,
     vanished: bool,
-    /// It takes no further connection until one ends.
+    /// It accepts no further connection until one ends.
     full: bool,
 }
 
@@ -50,11 +50,11 @@
     proxies: Vec<SocketAddr>,
     halls: Vec<u16>,
     entries: Vec<PortEntry>,
-    /// By address and proxy, and of discovery by proxy.
+    /// Index of the port by address and proxy, and of the discovery port by proxy.
     by_address: BTreeMap<(u32, ProxyNo), usize>,
     discovery: Vec<usize>,
     addresses: BTreeMap<u32, AddressState>,
-    /// Which halls do not reach one another, as a matrix.
+    /// Which pairs of zones cannot reach each other, as a matrix.
     cuts: Vec<bool>,
     changed: bool,
 }
@@ -86,7 +86,7 @@
         Ok(number)
     }
 
-    /// A node, or the ledger, runs at its address, in place of whatever was there.
+    /// A node, or the origin, starts at its address and replaces whatever was there.
     pub fn add(&mut self, world: &World, node: NodeNo) -> io::Result<()> {
         let member = world.member(node);
         let (address, hall) = (member.address, member.hall);
@@ -107,7 +107,7 @@
     }
 
     fn update(&mut self, world: &World, node: NodeNo, update: impl FnOnce(&mut AddressState)) {
-        // Another one may have its address by now.
+        // Another node may have taken over the address.
         let state = self.addresses.get_mut(&world.member(node).address).filter(|r| r.node == node);
         if let Some(state) = state {
             let before = *state;
@@ -140,7 +140,7 @@
         self.cuts.get(usize::from(here) * halls + usize::from(hall)).copied().unwrap_or(false)
     }
 
-    /// Looks at what the world tells nobody when it changes: cuts between halls, and whether the ledger is up.
+    /// Reads the state that the world reports no event for: cuts between zones, and whether the origin is up.
     pub fn refresh(&mut self, world: &World) {
         let halls = self.cuts.len().isqrt();
         for (i, stored) in self.cuts.iter_mut().enumerate() {
@@ -156,12 +156,12 @@
         self.update(world, world::facts::LEDGER, |r| r.up = up);
     }
 
-    /// Whether doors and links may be other than the world has it.
+    /// Whether ports and connections may be out of date.
     pub fn changed(&self) -> bool {
         self.changed
     }
 
-    /// Opens, closes and silences doors as the world has it.
+    /// Opens, closes and silences ports according to the state of the world.
     pub fn apply(&mut self, world: &World, executor: &LocalExecutor<'_>, queue: &Queue) -> io::Result<()> {
         self.refresh_origin(world);
         self.changed = false;
@@ -201,14 +201,14 @@
         index.and_then(|i| self.entries.get(*i)).map_or_else(unreachable_address, |e| e.port.address())
     }
 
-    /// Where a proxy finds an address of the world.
+    /// Where a proxy reaches an address of the world.
     pub fn address(&self, address: u32, proxy: ProxyNo) -> SocketAddr {
         let index = self.by_address.get(&(address, proxy));
         index.and_then(|i| self.entries.get(*i)).map_or_else(unreachable_address, |e| e.port.address())
     }
 }
 
-/// Where nobody listens: of what was never added.
+/// An address without a listener, for anything that was never added.
 fn unreachable_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
--- a/crates/lab/src/loopback/event_loop/timers.rs
+++ b/crates/lab/src/loopback/event_loop/timers.rs
@@ -1,4 +1,4 @@
-//! What is due later, in the order of time; what is due at once comes in the order in which it was added.
+//! Timers in the order of time; those due at the same time keep the order in which they were added.
 
 use crate::loopback::socket::LinkId;
 use std::cmp::{Ordering, Reverse};
@@ -7,7 +7,7 @@
 use world::facts::{NodeNo, TryNo};
 use world::Micros;
 
-/// What becomes of a connection after an answer.
+/// What to do with a connection after an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AfterWrite {
     KeepOpen,
@@ -20,14 +20,14 @@
     CommandArrives {
         job: u64,
     },
-    /// So has its answer.
+    /// An answer has crossed the network.
     WriteAnswer {
         link: LinkId,
         job: u64,
         bytes: Vec<u8>,
         then: AfterWrite,
     },
-    /// So has the end of a connection.
+    /// The end of a connection has crossed the network.
     Disconnect {
         node: NodeNo,
         link: LinkId,
@@ -37,7 +37,7 @@
         link: LinkId,
     },
     Retry(RequestSlot),
-    /// A client's time for a try is up.
+    /// A client's timeout for a try expires.
     TryTimeout(TryNo),
     Heartbeat,
 }
@@ -69,7 +69,8 @@
     }
 }
 
-/// As long as what is under way: jobs, retries, and tries whose time is not up.
+/// The timer queue. Its length is bounded by what is in progress: jobs, retries, and tries that have not
+/// timed out.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
     entries: BinaryHeap<Reverse<Entry>>,
--- a/crates/lab/src/loopback/event_loop/tries.rs
+++ b/crates/lab/src/loopback/event_loop/tries.rs
@@ -1,4 +1,4 @@
-//! The clients' requests: which try goes where and when, and what follows on its end.
+//! The clients' requests: which try goes where and when, and what follows when it ends.
 
 use super::timers::TimerEvent;
 use super::EventLoop;
@@ -12,12 +12,12 @@
 use world::scenario::Repeat;
 use world::Micros;
 
-/// A client closes on a try this long after its time and the proxy's grace are over: until then an answer that is
-/// too late is still heard, and told.
+/// A client closes a try's connection this long after the try's timeout and the proxy's grace period: an
+/// answer that comes too late is still read and recorded.
 const CLOSE_DELAY: Micros = 100_000;
 
 impl EventLoop {
-    /// A client sends its next try, by way of the front.
+    /// Sends a client's next try to a proxy chosen by the front.
     pub(super) fn send(&mut self, at: Micros, slot: RequestSlot) {
         let Some(request) = self.requests.request(slot) else { return };
         let Some(proxy) = self.world.front().pick(request.hall, request.no.0 ^ (at as u64) << 20) else {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A try as it goes out, and its key.
+    /// The key and the encoded command of a try.
     fn command(&self, t: &Try) -> (String, Vec<u8>) {
         let r = &t.request;
         let scenario = self.world.scenario();
@@ -78,12 +78,12 @@
         self.retry(next);
     }
 
-    /// The client's time for a try is up.
+    /// A client's timeout for a try has expired.
     pub(super) fn time_out_try(&mut self, at: Micros, of: TryNo) {
         self.end_try(at, of, TryEnd::Left);
     }
 
-    /// The clients' thread tells.
+    /// Handles an event of the clients' thread.
     pub(super) fn handle_client_event(&mut self, event: ClientEvent) {
         match event {
             ClientEvent::Sent { of, at, late } => {
@@ -92,7 +92,7 @@
             }
             ClientEvent::Crossed { of, at } => {
                 self.socket_tries.crossed += 1;
-                // Not read, so not taken: nothing is owed for it.
+                // The proxy did not read the try, so it counts as not taken and no answer is due.
                 if let Some(proxy) = self.requests.get(of).map(|t| t.proxy).filter(|_| self.taken.remove(&of))
                 {
                     self.world.observe(at, Fact::Left { proxy, of });
@@ -106,8 +106,8 @@
         }
     }
 
-    /// A proxy has a try: told by whoever sees it first, the clients' thread or the node that is asked. What a node
-    /// does for it must not be told before.
+    /// Records that a proxy has a try. Reported by the clients' thread or by the node that is asked,
+    /// whichever sees it first: no action of a node for the try may be recorded earlier.
     pub(super) fn taken(&mut self, at: Micros, of: TryNo) {
         let Some(t) = self.requests.get(of) else { return };
         let (proxy, class, deadline) = (t.proxy, t.request.class, at + t.until - t.sent);
@@ -146,13 +146,13 @@
             }
             TryOutcome::Unreached => TryEnd::Unreached,
             TryOutcome::TimedOut => {
-                // Given up before; told only now if the owner is behind.
+                // The try has timed out before; it ends here only if the event loop is behind.
                 self.end_try(t.until, of, TryEnd::Left);
                 self.world.observe(at, Fact::Left { proxy, of });
                 return self.requests.forget(at, of);
             }
         };
-        // What reaches the client after it has given up finds nobody: that end is told when its time is up.
+        // An answer that reaches the client after its timeout is ignored: the try ends with the timeout.
         let hears = at + self.world.network.to_client();
         if hears <= t.until {
             self.end_try(hears, of, end);
--- a/crates/lab/src/loopback/fleet.rs
+++ b/crates/lab/src/loopback/fleet.rs
@@ -1,4 +1,5 @@
-//! The proxies of a run: one process for each, started, watched, ended and started again as the world has it.
+//! The proxy processes of a run: one for each proxy, started, checked, terminated and restarted as the world
+//! demands.
 
 use super::children::{Child, HealthCheck, Limits, Program, Usage};
 use super::event_loop::{Notice, ProcessCommand};
@@ -12,23 +13,24 @@
 use world::facts::ProxyNo;
 use world::world::ProxyChange;
 
-/// A proxy that has not answered `PING` with `+PONG` by then is not going to be ready.
+/// Time within which a starting proxy must answer `PING` with `+PONG`.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// One that was ready and does not answer for this long hangs.
+/// A ready proxy that does not answer `PING` for this long is hung.
 const PING_TIMEOUT: Duration = Duration::from_secs(6);
-/// Its descriptors may be this many more at the end than at the start: some are on their way at either moment.
+/// Descriptors that a proxy may hold at the end beyond those at the start: some are being opened or closed at
+/// either moment.
 const DESCRIPTOR_TOLERANCE: u64 = 6;
-/// How long it has to give back what the end of the run has closed.
+/// Time for a proxy to close its descriptors once the run has closed all connections to it.
 const DESCRIPTOR_CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A process in its place.
+/// A running proxy process.
 #[derive(Debug)]
 struct Running {
     child: Child,
     health: Option<HealthCheck>,
-    /// Descriptors once it was ready.
+    /// Open descriptors when it became ready.
     at_start: Option<u64>,
-    /// As it was last seen, and how long it had waited for a core since the look before that.
+    /// Usage at the last check, and the time it waited for a CPU between the check before that and the last.
     usage: Usage,
     cpu_wait: Duration,
     terminating: bool,
@@ -39,7 +41,7 @@
     proxy: ProxyNo,
     address: SocketAddr,
     running: Option<Running>,
-    /// Of processes that are gone.
+    /// CPU time and peak memory of earlier processes.
     ended_cpu: Duration,
     memory_kb: u64,
 }
@@ -51,7 +53,7 @@
     dir: PathBuf,
     slots: Vec<Slot>,
     notices: Sender<Notice>,
-    /// The longest that a process has waited for a core within two looks.
+    /// Longest time that a process waited for a CPU over two consecutive checks.
     max_cpu_wait: Duration,
 }
 
@@ -74,7 +76,7 @@
         Fleet { program, limits, dir: dir.to_owned(), slots, notices, max_cpu_wait: Duration::ZERO }
     }
 
-    /// Starts a proxy; whoever is still in its place is ended first.
+    /// Starts a proxy; a process that still runs in its slot is killed first.
     pub fn start(
         &mut self,
         proxy: ProxyNo,
@@ -115,7 +117,7 @@
         self.slots.iter().all(|s| s.running.as_ref().is_some_and(ready))
     }
 
-    /// Does what the world wants done about a process.
+    /// Applies a change that the world demands to a process.
     pub fn apply(
         &mut self,
         process_command: &ProcessCommand,
@@ -138,7 +140,7 @@
             }
             ProxyChange::Start => {
                 if slot.running.is_some() {
-                    // What has not ended by now is killed, with all that it had.
+                    // A process that has not exited by now is killed, with its process group.
                     slot.end();
                     let _ = self.notices.try_send(Notice::Ended { proxy: *proxy, planned: true });
                 }
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Looks after every process: its end, its limits, its pulse.
+    /// Checks every process: its exit status, its limits, its health.
     pub fn check(&mut self) -> Result<(), HostError> {
         for slot in &mut self.slots {
             let Some(running) = &mut slot.running else { continue };
@@ -162,7 +164,7 @@
             let usage = running.child.usage().unwrap_or(running.usage);
             if running.at_start.is_some() {
                 let waited = usage.waited.saturating_sub(running.usage.waited);
-                // Two looks in a row: a wait may lie across the border.
+                // Two checks in a row, because a wait may span the time of a check.
                 self.max_cpu_wait = self.max_cpu_wait.max(waited + running.cpu_wait);
                 running.cpu_wait = waited;
             }
@@ -188,7 +190,7 @@
         Ok(())
     }
 
-    /// Once all that was connected to the proxies is gone: whether they have given their descriptors back.
+    /// Reports proxies that have not closed their descriptors once everything connected to them is gone.
     pub fn check_for_leaks(&mut self) -> Result<(), HostError> {
         let until = Instant::now() + DESCRIPTOR_CLOSE_TIMEOUT;
         for slot in &mut self.slots {
@@ -211,12 +213,13 @@
         Ok(())
     }
 
-    /// The longest that a proxy has waited for a core within two looks: what it did late then is not its fault.
+    /// Longest time that a proxy waited for a CPU over two consecutive checks; lateness of this size is not
+    /// its fault.
     pub fn max_cpu_wait(&self) -> Duration {
         self.max_cpu_wait
     }
 
-    /// What each proxy has used so far, all its processes together; descriptors are those of now.
+    /// Resource usage of each proxy, over all its processes; descriptors are the current ones.
     pub fn usage(&self) -> Vec<Usage> {
         let one = |s: &Slot| {
             let now = s.running.as_ref().map(|r| r.child.usage().unwrap_or(r.usage)).unwrap_or_default();
@@ -227,7 +230,7 @@
 }
 
 impl Slot {
-    /// The one place where a process is given back.
+    /// Releases a process; no other code does.
     fn end(&mut self) {
         if let Some(running) = self.running.take() {
             let usage = running.child.usage().unwrap_or(running.usage);
--- a/crates/lab/src/loopback/fleet/tests.rs
+++ b/crates/lab/src/loopback/fleet/tests.rs
@@ -19,12 +19,12 @@
     let mut fleet = Fleet::new(&program, limits, dir.path(), &[address], notices);
     fleet.start(ProxyNo(0), "{}", &executor).expect("it starts");
     let running = fleet.slots[0].running.as_mut().expect("it runs");
-    // The shell has opened them all, and closed its script, once it has become the other program.
+    // Once the shell has executed the other program, all descriptors are open and its script is closed.
     let name = format!("/proc/{}/comm", running.child.pid());
     while std::fs::read_to_string(&name).expect("it runs").trim() != "sleep" {
         std::thread::sleep(Duration::from_millis(5));
     }
-    // Whoever runs the tests may hand down some more.
+    // The test process may inherit further descriptors.
     let open = running.child.usage().expect("it runs").descriptors;
     assert!(open >= 10, "{open}");
     running.at_start = Some(open - DESCRIPTOR_TOLERANCE);
--- a/crates/lab/src/loopback/host.rs
+++ b/crates/lab/src/loopback/host.rs
@@ -1,4 +1,4 @@
-//! A run from its beginning to its end: the thread of the world, the proxies' processes, and who waits for both.
+//! A whole run: the thread that runs the world, the proxy processes, and the code that waits for both.
 
 use super::children::{Limits, Program, Usage};
 use super::clock::Clock;
@@ -20,38 +20,40 @@
 use world::world::World;
 use world::Micros;
 
-/// What real time may add to the limits of time in the rules: the platform's page grants as much. Where
-/// something was later than this for want of a core, a rule that was broken voids the run instead.
+/// Tolerance added to the time limits of the rules because of real time; the platform documents the same
+/// tolerance. If the machine itself was later than this for lack of a CPU, a broken rule makes the run void
+/// instead.
 pub const SLACK_MS: f64 = 50.0;
-/// The clock's first time, well before 0: it is set to 0 when all proxies are ready and clients begin to come.
+/// Initial clock time, well below 0: the clock is set to 0 when all proxies are ready and client traffic
+/// starts.
 const CLOCK_START: Micros = -2 * READY_TIMEOUT.as_micros() as Micros;
-/// How often processes are looked after.
+/// Interval between checks of the processes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// What the threads of a run tell one another about processes: a few for each of them.
+/// Capacity of the queues between the threads of a run; a run sends only a few messages for each process.
 const QUEUE_LEN: usize = 1024;
-/// Beyond its time a run lasts this much longer at the most.
+/// Longest time that a run may exceed its duration.
 const END_TIMEOUT: Duration = Duration::from_secs(60);
-/// Descriptors of this process for what is neither a port nor a connection.
+/// Descriptors of this process other than ports and connections.
 const OWN_DESCRIPTORS: u64 = 256;
 
-/// What is played against.
+/// The proxies that a run is played against.
 #[derive(Clone, Debug)]
 pub enum Proxies {
     /// A process of this program for each proxy of the scenario.
     Program(Program),
-    /// Somebody who listens at these addresses already, one for each: scripted proxies.
+    /// Scripted proxies that already listen at these addresses, one for each proxy of the scenario.
     External(Vec<SocketAddr>),
 }
 
-/// A run, and what the proxies used for it.
+/// A run, and the resource usage of its proxies.
 #[derive(Clone, Debug)]
 pub struct Played {
     pub run: Run,
-    /// By proxy; empty where they are elsewhere.
+    /// By proxy; empty for external proxies.
     pub usage: Vec<Usage>,
 }
 
-/// The host on loopback.
+/// The loopback host.
 #[derive(Clone, Debug)]
 pub struct Loopback {
     program: Program,
@@ -83,11 +85,11 @@
     }
 }
 
-/// Plays a world that was made, with its scripted peers, in real time.
+/// Plays a prepared world, including its scripted peers, in real time.
 ///
 /// # Errors
 ///
-/// As [`Host::run`]: where a process dies, hangs, leaks or takes more than its limits, or the system refuses.
+/// Those of [`Host::run`]: if a process dies, hangs, leaks or exceeds its limits, or a system call fails.
 pub fn play(world: World, proxies: &Proxies, progress: &dyn Progress) -> Result<Played, HostError> {
     let count = world.proxies().len();
     let system = |what: &'static str| move |source| HostError::Io { what: what.into(), source };
@@ -137,12 +139,12 @@
         run.late.max_us = run.late.max_us.max(max_cpu_wait);
     }
     drop(reserved);
-    // A rule that was broken by less than this machine may have been late itself is no verdict on a proxy.
+    // A rule broken by less than the lateness of this machine says nothing about a proxy.
     run.late.void |= run.breaches > 0 && run.late.max_us > ms(SLACK_MS);
     Ok(Played { run, usage })
 }
 
-/// Two descriptors a port, and as many connections as may be open at once.
+/// Raises the descriptor limit: two for each port, and as many connections as may be open at once.
 fn raise_descriptor_limit(world: &World) -> Result<(), HostError> {
     let s = world.scenario();
     let grown = |f: &world::scenario::Fault| match f.kind {
@@ -167,7 +169,7 @@
     Ok(())
 }
 
-/// The thread of the world.
+/// The thread that runs the world.
 struct WorldThread {
     thread: Option<JoinHandle<Result<Run, HostError>>>,
     process_commands: async_channel::Receiver<ProcessCommand>,
@@ -196,7 +198,7 @@
             WorldThread { thread: Some(thread), process_commands, notices, configurations: Vec::new() };
         match open.recv() {
             Ok(configurations) => world_thread.configurations = configurations,
-            // It has ended before it was open, and says why.
+            // The thread failed during setup and returns its error.
             Err(_) => drop(world_thread.close()?),
         }
         Ok(world_thread)
@@ -210,13 +212,13 @@
         let ended = self.thread.take().map(JoinHandle::join);
         match ended {
             Some(Ok(run)) => run,
-            // It has panicked, and said why.
+            // The thread panicked; the panic message was printed.
             Some(Err(_)) | None => Err(HostError::Unplayable("the stand-ins have failed".into())),
         }
     }
 }
 
-/// Whoever waits for the run.
+/// Waits for the run and supervises the processes.
 struct RunDriver<'a> {
     clock: Clock,
     seconds: f64,
@@ -245,7 +247,7 @@
                 while !fleet.is_ready() {
                     fleet.check()?;
                     if world_thread.is_over() {
-                        // It says why.
+                        // The thread returns the error.
                         return Ok(());
                     }
                     Timer::after(Duration::from_millis(10)).await;
--- a/crates/lab/src/loopback/mod.rs
+++ b/crates/lab/src/loopback/mod.rs
@@ -1,11 +1,11 @@
-//! The host on loopback: the real program as child processes, real sockets, real time.
+//! The loopback host: the real program as child processes, real sockets, real time.
 //!
-//! It owns the stand-ins for all that surrounds the proxy (cache nodes, the ledger, discovery, clients, the front),
-//! which run the models of the `world` package on threads of their own, and the proxies' processes. Use it to see
-//! what the virtual world leaves out: sockets, the kernel, the cost of the program itself. Not for many runs: it
-//! plays in real time and wants the machine to itself.
+//! It owns the proxy processes and the stand-ins for everything around the proxy (cache nodes, the origin,
+//! discovery, clients, the front), which run the models of the `world` package on their own threads. Use it
+//! to see what the virtual world leaves out: sockets, the kernel, the cost of the program itself. It is not
+//! suited to many runs: it plays in real time and needs the machine to itself.
 //!
-//! Linux only: it reads `/proc`, and ports that fall silent rest on how Linux fills a listener's queue.
+//! Linux only: it reads `/proc`, and silent ports rely on how Linux fills a listener's queue.
 
 pub mod children;
 mod clients;
--- a/crates/lab/src/loopback/scripted/answering.rs
+++ b/crates/lab/src/loopback/scripted/answering.rs
@@ -1,4 +1,4 @@
-//! A proxy that answers by a rule: for tests of what stands in front of proxies, such as the generator itself.
+//! A proxy that answers by a rule: for tests of what stands in front of proxies, such as the load generator.
 
 use super::{Peer, Surprise};
 use crate::loopback::socket::wire::{self, Command};
@@ -6,15 +6,15 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Listens, and answers each command on a thread for each connection. What it has accepted outlives it until its
-/// clients close.
+/// Accepts connections and answers their commands on one thread for each. Accepted connections outlive it
+/// until the clients close them.
 #[derive(Debug)]
 pub struct Answering {
     address: SocketAddr,
 }
 
 impl Answering {
-    /// `rule` is given a key and an id, may take its time, and answers with a value or not at all (a failure).
+    /// `rule` receives a key and an id, may block, and returns the value to answer, or `None` for an error.
     pub fn start(
         rule: impl Fn(&[u8], &[u8]) -> Option<Vec<u8>> + Send + Sync + 'static,
     ) -> Result<Self, Surprise> {
@@ -50,7 +50,7 @@
         self.address
     }
 
-    /// The value that a node would have made for this request.
+    /// The value that a node would have returned for this request.
     pub fn made(key: &[u8], id: &[u8]) -> Vec<u8> {
         wire::value(key, id, 0)
     }
--- a/crates/lab/src/loopback/scripted/mod.rs
+++ b/crates/lab/src/loopback/scripted/mod.rs
@@ -36,10 +36,10 @@
 use std::io;
 use std::time::Duration;
 
-/// How long a step is waited for: longer than anything takes that works, on a busy machine too.
+/// Timeout of each step: longer than any working step takes, even on a busy machine.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// What came in place of what was expected.
+/// A step that did not go as expected.
 #[derive(Debug, thiserror::Error)]
 pub enum Surprise {
     #[error("waited for {wanted}, and {got} came")]
--- a/crates/lab/src/loopback/scripted/peer.rs
+++ b/crates/lab/src/loopback/scripted/peer.rs
@@ -1,4 +1,4 @@
-//! One end of a connection, and the port where such ends come from.
+//! One end of a scripted connection, and a listener that accepts such connections.
 
 use super::{Surprise, PATIENCE};
 use crate::loopback::socket::wire::{self, Command, Dialect};
@@ -8,7 +8,7 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Who stands in for a cache node, the ledger or discovery.
+/// Stands in for a cache node, the origin or discovery.
 #[derive(Debug)]
 pub struct Listener {
     listener: TcpListener,
@@ -21,7 +21,7 @@
 }
 
 impl Listener {
-    /// A cache node.
+    /// Listens as a cache node.
     pub fn cache() -> Result<Self, Surprise> {
         Listener::new(Dialect::Cache)
     }
@@ -45,7 +45,7 @@
         self.address
     }
 
-    /// The next connection that somebody opens.
+    /// Accepts the next connection.
     pub fn accept(&self) -> Result<Peer, Surprise> {
         let until = Instant::now() + PATIENCE;
         loop {
@@ -61,8 +61,9 @@
         }
     }
 
-    /// A connection's first command, past probes and connections that end without a word: a proxy opens those when
-    /// it likes. Each probe is answered with this load (`util=0.1,eps=0`).
+    /// Accepts a connection and returns its first keyed command. Skips probes, and connections that end
+    /// without a command, because a proxy opens those at any time. Answers each probe with `load`
+    /// (`util=0.1,eps=0`).
     pub fn accept_asked(&self, load: &str) -> Result<(Peer, Asked), Surprise> {
         loop {
             let mut peer = self.accept()?;
@@ -81,13 +82,13 @@
     }
 }
 
-/// What somebody has asked for.
+/// A received read or write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Asked {
     pub key: String,
     pub id: String,
     pub properties: String,
-    /// Of a write.
+    /// The value of a write.
     pub value: Option<Vec<u8>>,
 }
 
@@ -103,7 +104,7 @@
     }
 }
 
-/// One end of a connection. Dropped, it closes.
+/// One end of a connection. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct Peer {
     stream: TcpStream,
@@ -112,13 +113,13 @@
 }
 
 impl Peer {
-    /// A client of whoever listens there.
+    /// Connects as a client.
     pub fn connect(address: SocketAddr) -> Result<Self, Surprise> {
         let stream = TcpStream::connect_timeout(&address, PATIENCE);
         Peer::new(stream.map_err(failed("a connection"))?, Dialect::Cache)
     }
 
-    /// Of a client, at whoever stands in for a proxy.
+    /// A connection accepted from a client by a stand-in for a proxy.
     pub(super) fn accepted(stream: TcpStream) -> Result<Self, Surprise> {
         Peer::new(stream, Dialect::Cache)
     }
@@ -134,9 +135,9 @@
         Ok(Peer { stream, dialect, input: Vec::new() })
     }
 
-    // ---- what comes
+    // ---- receiving
 
-    /// More bytes.
+    /// Reads more bytes.
     fn read(&mut self, wanted: &str) -> Result<(), Surprise> {
         let mut bytes = [0; 4096];
         match self.stream.read(&mut bytes) {
@@ -155,7 +156,7 @@
         }
     }
 
-    /// The next command, whichever it is.
+    /// Waits for the next command of any kind.
     pub fn expect_command(&mut self) -> Result<Command, Surprise> {
         loop {
             if !self.input.is_empty() {
@@ -185,7 +186,7 @@
         self.expect_asked(key, true)
     }
 
-    /// A question for the load.
+    /// Waits for a load probe.
     pub fn expect_probe(&mut self) -> Result<(), Surprise> {
         match self.expect_command()? {
             Command::Load => Ok(()),
@@ -193,7 +194,7 @@
         }
     }
 
-    /// A watch on discovery's list, after a revision if it names one.
+    /// Waits for a watch on discovery's list; returns the revision it starts after, if it names one.
     pub fn expect_watch(&mut self) -> Result<Option<u64>, Surprise> {
         match self.expect_command()? {
             Command::Watch { after } => Ok(after),
@@ -201,7 +202,7 @@
         }
     }
 
-    /// The other side closes or breaks the connection, saying nothing more.
+    /// Waits until the other side closes or resets the connection without sending anything more.
     pub fn expect_end(&mut self) -> Result<(), Surprise> {
         let wanted = "the end of the connection";
         while self.input.is_empty() {
@@ -214,7 +215,7 @@
         Err(Surprise::Other { wanted: wanted.into(), got })
     }
 
-    /// A client's answer, as RESP.
+    /// Reads an answer as a client, in RESP.
     pub fn expect_reply(&mut self) -> Result<Reply, Surprise> {
         loop {
             match resp::reply(&self.input) {
@@ -231,7 +232,7 @@
         }
     }
 
-    /// A client's answer that is a value.
+    /// Reads an answer as a client, which must be a value.
     pub fn expect_value(&mut self) -> Result<Vec<u8>, Surprise> {
         match self.expect_reply()? {
             Reply::Bulk(Some(value)) => Ok(value),
@@ -242,7 +243,7 @@
         }
     }
 
-    /// A line, without its CRLF.
+    /// Reads a line, without its CRLF.
     pub fn expect_line(&mut self) -> Result<String, Surprise> {
         loop {
             if let Some(end) = self.input.windows(2).position(|pair| pair == b"\r\n") {
@@ -253,13 +254,13 @@
         }
     }
 
-    // ---- what goes
+    // ---- sending
 
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), Surprise> {
         self.stream.write_all(bytes).map_err(failed("write"))
     }
 
-    /// A client's command.
+    /// Sends a command as a client.
     pub fn send(&mut self, words: &[&str]) -> Result<(), Surprise> {
         let words: Vec<&[u8]> = words.iter().map(|w| w.as_bytes()).collect();
         let mut out = Vec::new();
@@ -267,7 +268,7 @@
         self.write(&out)
     }
 
-    /// The value, or the receipt of a write.
+    /// Answers with the value, or acknowledges a write.
     pub fn value(&mut self, value: &[u8]) -> Result<(), Surprise> {
         let mut out = Vec::new();
         match self.dialect {
@@ -277,14 +278,14 @@
         self.write(&out)
     }
 
-    /// A cache node lacks the key.
+    /// Answers as a cache node that does not have the key.
     pub fn miss(&mut self) -> Result<(), Surprise> {
         let mut out = Vec::new();
         wire::put_array(&mut out, [None, Some(b"miss"), None]);
         self.write(&out)
     }
 
-    /// Turned away: it never ran.
+    /// Refuses the request; it did not run.
     pub fn busy(&mut self) -> Result<(), Surprise> {
         let mut out = Vec::new();
         match self.dialect {
@@ -294,7 +295,7 @@
         self.write(&out)
     }
 
-    /// It failed, and may have run.
+    /// Answers with an error; the request may have run.
     pub fn error(&mut self) -> Result<(), Surprise> {
         let mut out = Vec::new();
         match self.dialect {
@@ -304,7 +305,7 @@
         self.write(&out)
     }
 
-    /// The answer to a probe.
+    /// Answers a probe.
     pub fn load(&mut self, report: &str) -> Result<(), Surprise> {
         let mut out = Vec::new();
         match self.dialect {
@@ -321,14 +322,14 @@
         self.write(&out)
     }
 
-    /// A line of a watch; an empty one is a sign of life.
+    /// Sends a line of a watch; an empty one is a heartbeat.
     pub fn tell(&mut self, line: &str) -> Result<(), Surprise> {
         let mut out = Vec::new();
         wire::put_chunk(&mut out, format!("{line}\n").as_bytes());
         self.write(&out)
     }
 
-    /// Breaks the connection, as a process that dies does.
+    /// Resets the connection, as the kernel does when a process dies.
     pub fn reset(self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
--- a/crates/lab/src/loopback/scripted/site.rs
+++ b/crates/lab/src/loopback/scripted/site.rs
@@ -1,4 +1,5 @@
-//! A site of scripted peers: cache nodes, the ledger and discovery, and what a proxy is told of them.
+//! A site of scripted peers: cache nodes, the origin and discovery, and the proxy configuration that names
+//! them.
 
 use super::{Listener, Peer, Surprise};
 use crate::loopback::settings;
@@ -7,7 +8,8 @@
 use world::facts::{NodeNo, ProxyNo};
 use world::world::Builder;
 
-/// A port for each thing that a proxy reaches. The members are those of a world, of which nothing else is used.
+/// A port for everything that a proxy connects to. The members are those of a world; nothing else of it is
+/// used.
 #[derive(Debug)]
 pub struct Site {
     /// In the order of the world's members.
@@ -19,7 +21,7 @@
 }
 
 impl Site {
-    /// Ports for a world with one proxy or more, as the first of them sees it.
+    /// Opens the ports for a world with one or more proxies, as seen by the first proxy.
     pub fn open(world: Builder) -> Result<Self, Surprise> {
         let world = world
             .build(1)
@@ -43,17 +45,17 @@
         Ok(site)
     }
 
-    /// Where the proxy is to listen.
+    /// The address on which the proxy must listen.
     pub fn proxy(&self) -> SocketAddr {
         self.proxy.address()
     }
 
-    /// The proxy's configuration, as the platform hands it over.
+    /// The proxy's configuration, as the platform provides it.
     pub fn configuration(&self) -> &str {
         &self.configuration
     }
 
-    /// Takes the proxy's watch on discovery, and tells it that nothing has changed: it is ready then.
+    /// Accepts the proxy's watch on discovery and sends an empty line, so that the proxy becomes ready.
     pub fn welcome(&self) -> Result<Peer, Surprise> {
         let mut watch = self.discovery.accept()?;
         watch.expect_watch()?;
--- a/crates/lab/src/loopback/settings.rs
+++ b/crates/lab/src/loopback/settings.rs
@@ -1,7 +1,7 @@
-//! What a proxy is told at its start: the configuration of the platform, made of a scenario.
+//! The configuration that a proxy is started with: the platform's format, generated from a scenario.
 //!
-//! The names are those of the platform's pages (settings, discovery's list). Whatever a scenario has no word for is
-//! as those pages show it.
+//! The names are those of the platform's documentation (settings, discovery list). Values that a scenario
+//! does not define are those shown there.
 
 use super::clock::Clock;
 use serde_json::{json, Value};
@@ -11,22 +11,22 @@
 use world::scenario::{ClientClass, Repeat, Scenario, Tenant};
 use world::world::{Member, World};
 
-/// What only the host knows of a proxy.
+/// Properties of a proxy that only the host knows.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxyStart {
     pub proxy: ProxyNo,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    /// Of this start.
+    /// Seed of this start.
     pub seed: u64,
 }
 
-/// As the platform names an instance.
+/// The platform's name for a proxy instance.
 pub fn name(proxy: ProxyNo) -> String {
     format!("n{}", proxy.0)
 }
 
-/// The whole configuration. `known` is the list as this proxy last had it.
+/// The complete configuration. `known` is the discovery list as this proxy last had it.
 pub fn configuration(world: &World, start: ProxyStart, known: &Value) -> Value {
     let p = &world.scenario().proxies;
     json!({
@@ -116,18 +116,18 @@
     })
 }
 
-/// `quota` is what lies within its share, in requests a second.
+/// `quota` is the rate within the tenant's share, in requests per second.
 fn tenant(s: &Scenario, t: &Tenant, quota: f64) -> Value {
     let shares: f64 = s.clients.tenants.iter().map(|t| t.share).sum();
     json!({"name": t.name, "share": t.share / shares, "quotaPerS": quota})
 }
 
-/// A list of discovery: the whole of it, or entries that changed.
+/// A discovery list: all entries, or those that changed.
 pub fn list(revision: u64, complete: bool, members: Vec<Value>) -> Value {
     json!({"revision": revision, "complete": complete, "members": members})
 }
 
-/// The whole list of a world in which all members serve, each at an address of its own.
+/// The complete list of a world in which all members serve, each at its own address.
 pub fn serving_list(world: &World, address: impl Fn(NodeNo) -> SocketAddr) -> Value {
     let clock = Clock::start(0);
     let one = |node: NodeNo| {
@@ -137,7 +137,7 @@
     list(1, true, world.members().iter().map(|m| m.no).chain([LEDGER]).map(one).collect())
 }
 
-/// An entry of it; `address` is where this proxy reaches the member.
+/// An entry of the list; `address` is where this proxy reaches the member.
 pub fn member(s: &Scenario, member: &Member, entry: &Entry, address: SocketAddr, clock: &Clock) -> Value {
     let phase = match entry.status {
         Status::Ready => "SERVING",
--- a/crates/lab/src/loopback/settings/tests.rs
+++ b/crates/lab/src/loopback/settings/tests.rs
@@ -3,7 +3,8 @@
 use martenweir::settings;
 use world::scenario::{ClientClass, NodeGroup};
 
-/// What the program reads of a configuration is what the virtual world hands to its core, field for field.
+/// The settings that the program parses from a configuration equal, field for field, those that the virtual
+/// host passes to its core.
 #[test]
 fn both_hosts_tell_a_proxy_the_same() {
     let mut odd = Scenario::default();
--- a/crates/lab/src/loopback/socket/link.rs
+++ b/crates/lab/src/loopback/socket/link.rs
@@ -1,7 +1,8 @@
-//! A connection that a stand-in has accepted: a task that owns the descriptor, reads commands and writes answers.
+//! A connection that a stand-in has accepted: a task that owns the descriptor, reads commands and writes
+//! answers.
 //!
-//! Dropping its task closes the descriptor; that is the one place where it is given back. While a link is held
-//! (the network between the two is cut) it neither reads nor writes, and notices nothing.
+//! Dropping the task closes the descriptor; nothing else does. While a link is paused (the network between
+//! its ends is cut) it neither reads nor writes, and notices nothing.
 
 use super::wire::{Command, Dialect};
 use super::{LinkId, Queue, SocketEvent};
@@ -15,23 +16,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Commands of a link that are not answered yet before no more are read.
+/// Unanswered commands after which a link stops reading.
 const MAX_OUTSTANDING: usize = 100;
-/// What the owner may have told a link and the link has not taken.
+/// Capacity of the order queue of a link.
 const ORDER_QUEUE_LEN: usize = 4 * MAX_OUTSTANDING;
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What the owner tells a link.
+/// Orders from the owner to a link.
 #[derive(Debug)]
 enum Order {
-    /// Bytes to write; whether they answer a command.
+    /// Bytes to write; tells whether they answer a command.
     Write(Vec<u8>, bool),
-    /// Close once all is written.
+    /// Close once everything is written.
     Finish,
     Pause(bool),
 }
 
-/// The owner's end of a connection. Dropped, it closes the connection without a reset, whatever is unwritten.
+/// The owner's handle on a connection. Dropping it closes the connection without a reset; unwritten bytes are
+/// lost.
 #[derive(Debug)]
 pub struct Link {
     orders: async_channel::Sender<Order>,
@@ -74,36 +76,36 @@
     }
 
     fn send_order(&self, order: Order) {
-        // Full, the link is that far behind that nobody reads its answers: it will end by itself.
+        // If the queue is full, the peer does not read its answers, and the link will end by itself.
         let _ = self.orders.try_send(order);
     }
 
-    /// The answer to the first command that has none.
+    /// Answers the first unanswered command.
     pub fn answer(&self, bytes: Vec<u8>) {
         self.send_order(Order::Write(bytes, true));
     }
 
-    /// Bytes that answer nothing.
+    /// Writes bytes that answer no command.
     pub fn write(&self, bytes: Vec<u8>) {
         self.send_order(Order::Write(bytes, false));
     }
 
-    /// Closes once all that was told before is written.
+    /// Closes the connection once all earlier orders are written.
     pub fn finish(&self) {
         self.send_order(Order::Finish);
     }
 
-    /// Silent from now on, or no more.
+    /// Pauses or resumes reading and writing.
     pub fn set_paused(&self, paused: bool) {
         self.send_order(Order::Pause(paused));
     }
 
-    /// Whether something has come that was not read, as happens while it is held.
+    /// Whether input is waiting unread, as happens while the link is paused.
     pub fn has_unread_input(&self) -> bool {
         self.socket.get_ref().peek(&mut [0]).is_ok_and(|n| n > 0)
     }
 
-    /// Ends the connection with a reset, as a process that dies does.
+    /// Resets the connection, as the kernel does when a process dies.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&*self.socket).set_linger(Some(Duration::ZERO));
     }
@@ -116,14 +118,14 @@
     clock: Clock,
     queue: Queue,
     input: Vec<u8>,
-    /// When the first byte of what is in `input` was read.
+    /// When the first byte of `input` was read.
     first_byte_at: Option<i64>,
     output: Vec<u8>,
     written: usize,
     outstanding: usize,
     /// Neither reads nor writes.
     paused: bool,
-    /// Reads no more: what has come makes no sense.
+    /// Reads no more because the input was malformed.
     ignores_input: bool,
     closing: bool,
 }
@@ -135,7 +137,7 @@
 }
 
 impl ConnectionTask {
-    /// Until the other side ends it, or the owner has it finish.
+    /// Runs until the other side ends the connection, or the owner orders it to finish.
     async fn run(mut self, orders: Receiver<Order>) {
         loop {
             if self.closing && self.output.is_empty() {
@@ -147,7 +149,7 @@
                 Wakeup::Order(Some(Order::Write(bytes, answers))) => {
                     self.output.extend_from_slice(&bytes);
                     self.outstanding = self.outstanding.saturating_sub(usize::from(answers));
-                    // What waited in the input for room may be whole.
+                    // The input may hold a complete command that waited for an earlier answer.
                     if !self.report_commands().await {
                         return;
                     }
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Orders come first, then what is to be written.
+    /// Waits for the next event; orders come first, then writes, then reads.
     async fn wait(&mut self, orders: &Receiver<Order>) -> Wakeup {
         let received = async { Wakeup::Order(orders.recv().await.ok()) };
         if self.paused {
@@ -202,7 +204,7 @@
         future::or(received, future::or(write, read)).await
     }
 
-    /// Tells the owner each whole command; whether anybody hears it.
+    /// Reports each complete command to the owner; `false` if the owner is gone.
     async fn report_commands(&mut self) -> bool {
         while self.outstanding < MAX_OUTSTANDING && !self.input.is_empty() {
             let Some((command, taken)) = self.dialect.command(&self.input) else { break };
--- a/crates/lab/src/loopback/socket/port.rs
+++ b/crates/lab/src/loopback/socket/port.rs
@@ -1,9 +1,10 @@
-//! A port of a stand-in on 127.0.0.1, which keeps its number whether anybody listens on it or not.
+//! A port of a stand-in on 127.0.0.1, which keeps its number whether or not anything listens on it.
 //!
-//! A process that died is a closed door: new connections are refused. A machine that vanished or is cut off is a
-//! plugged one: connections neither come up nor fail. No rule of a firewall is needed for it, and no rights: Linux
-//! drops the SYN for a listener whose queue of accepted connections is full (tcp_conn_request in net/ipv4/tcp_input.c),
-//! so the plug is a queue made short, with connections of our own in it.
+//! A process that died is a closed port: new connections are refused. A machine that vanished or is cut off
+//! is a silent one: connection attempts neither succeed nor fail. That needs no firewall rule and no
+//! privileges: Linux drops the SYN for a listener whose queue of accepted connections is full
+//! (tcp_conn_request in net/ipv4/tcp_input.c), so the queue is made short and filled with connections of our
+//! own.
 
 use super::{Queue, SocketEvent};
 use async_executor::{LocalExecutor, Task};
@@ -16,12 +17,12 @@
 
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// Connections of our own that fill a queue of length 0, which holds one; one more for good measure.
+/// Connections of our own that fill a queue of length 0, which holds one; one more as a margin.
 const FILLERS: usize = 2;
 
 fn socket() -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
-    // Two sockets share the number, the one that holds it and the one that listens.
+    // Two sockets share the port number: the one that reserves it and the one that listens.
     socket.set_reuse_address(true)?;
     Ok(socket)
 }
@@ -30,7 +31,7 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, port)).into()
 }
 
-/// A bound port that is closed, open or plugged.
+/// A bound port that is closed, open or silent.
 #[derive(Debug)]
 pub struct Port {
     reserved: ReservedPort,
@@ -40,8 +41,8 @@
     backlog_fillers: Vec<Socket>,
 }
 
-/// A port of 127.0.0.1 that is bound here and listened on by nobody: while this lives the system gives the number
-/// to nobody else, and whoever sets `SO_REUSEADDR` (as servers do) can listen on it.
+/// A port of 127.0.0.1 that is bound here without a listener: while this value lives, the kernel gives the
+/// number to nobody else, and a process that sets `SO_REUSEADDR` (as servers do) can listen on it.
 #[derive(Debug)]
 pub struct ReservedPort {
     _socket: Socket,
@@ -62,7 +63,7 @@
 }
 
 impl Port {
-    /// Takes a free port, closed. `number` is how [`SocketEvent::Accepted`] names it.
+    /// Reserves a free port, closed. `number` identifies it in [`SocketEvent::Accepted`].
     pub fn new(number: usize) -> io::Result<Self> {
         Ok(Port {
             reserved: ReservedPort::reserve()?,
@@ -81,7 +82,7 @@
         self.accept_task.is_some()
     }
 
-    /// Listens, and accepts on a task of its own.
+    /// Listens, and accepts connections on a task of its own.
     pub fn open(&mut self, executor: &LocalExecutor<'_>, queue: &Queue) -> io::Result<()> {
         if self.is_open() {
             return Ok(());
@@ -101,17 +102,19 @@
         Ok(())
     }
 
-    /// New connections are refused, and those that nobody has accepted yet are reset.
+    /// Refuses new connections and resets those that were not accepted yet.
     pub fn close(&mut self) {
         self.accept_task = None;
         if let Some(listener) = self.listener.take() {
-            // At once: the task that accepts is dropped with its share of the socket when the executor next runs.
+            // Shut down at once: the accepting task and its reference to the socket are only dropped when the
+            // executor runs next.
             let _ = SockRef::from(&*listener).shutdown(Shutdown::Both);
         }
         self.backlog_fillers.clear();
     }
 
-    /// New connections get no answer at all. One that waits for it comes up late once the door is open again.
+    /// New connection attempts get no answer. One that is still waiting succeeds late, once the port is open
+    /// again.
     pub fn drop_syns(&mut self) -> io::Result<()> {
         self.accept_task = None;
         if !self.backlog_fillers.is_empty() {
@@ -132,14 +135,14 @@
         for _ in 0..FILLERS {
             let filler = Socket::new(Domain::IPV4, Type::STREAM, None)?;
             filler.set_nonblocking(true)?;
-            // Under way or up: either fills the queue.
+            // Pending or established: either fills the queue.
             let _ = filler.connect(&self.reserved.address.into());
             self.backlog_fillers.push(filler);
         }
         Ok(())
     }
 
-    /// Takes our own connections out of the queue, and passes on those of others that were in it.
+    /// Removes our own connections from the queue and passes on those of others.
     fn drain_backlog(&mut self, listener: &Async<TcpListener>, queue: &Queue) -> io::Result<()> {
         if self.backlog_fillers.is_empty() {
             return Ok(());
@@ -166,7 +169,7 @@
                     return;
                 }
             }
-            // No descriptors, or a connection that is gone already: the next one may do better.
+            // Out of descriptors, or the connection is already gone: try again.
             Err(_) => drop(Timer::after(Duration::from_millis(5)).await),
         }
     }
--- a/crates/lab/src/loopback/socket/port/tests.rs
+++ b/crates/lab/src/loopback/socket/port/tests.rs
@@ -4,7 +4,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Whether a connection comes up while the door's tasks run.
+/// Tries to connect while the port's tasks run.
 fn try_connect(port: &Port) -> io::Result<TcpStream> {
     TcpStream::connect_timeout(&port.address(), Duration::from_millis(150))
 }
--- a/crates/lab/src/loopback/socket/wire.rs
+++ b/crates/lab/src/loopback/socket/wire.rs
@@ -1,19 +1,20 @@
-//! What is said on sockets: commands as cache nodes (RESP2) and the ledger and discovery (HTTP/1.1) read them, and
-//! their answers as bytes. Pure, incremental and bounded, as the parsers of the proxy are.
+//! Wire formats: parses commands to cache nodes (RESP2) and to the origin and discovery (HTTP/1.1), and
+//! encodes their answers. Pure, incremental and bounded, like the parsers of the proxy.
 //!
-//! RESP goes through the proxy's own codec, which has recorded exchanges of its own. The side of HTTP that serves is
-//! here: the proxy has only the other one. Source of the forms: the platform's page on the protocol.
+//! RESP uses the proxy's own codec, which is tested against recorded exchanges. The server side of HTTP is
+//! here because the proxy has only the client side. Source of the formats: the platform's documentation of
+//! the protocol.
 
 use martenweir::codec::{http, resp, Malformed, Parsed};
 use world::facts::TryNo;
 use world::Micros;
 
-/// The longest line of an HTTP request, and the most bytes of its head.
+/// Longest line of an HTTP request, and the most bytes and headers of its head.
 const MAX_LINE_BYTES: usize = 8 * 1024;
 const MAX_HEAD_BYTES: usize = http::MAX_HEAD;
 const MAX_HEADERS: usize = 64;
 
-/// What somebody speaks who listens.
+/// The protocol of a stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dialect {
     Cache,
@@ -21,7 +22,7 @@
     Discovery,
 }
 
-/// A command as it was read.
+/// A parsed command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// A read, or a write with its value.
@@ -34,21 +35,21 @@
     /// Asks for the load.
     Load,
     Ping,
-    /// `CLIENT` and `SELECT`, which libraries send by themselves.
+    /// `CLIENT` and `SELECT`, which client libraries send on their own.
     ClientSetup,
-    /// Discovery's whole list, or all changes after a revision for as long as the connection lasts.
+    /// Discovery's whole list, or a watch: all changes after a revision for as long as the connection lasts.
     List,
     Watch {
         after: Option<u64>,
     },
-    /// What the protocol has no word for, but is well formed.
+    /// Well formed, but not part of the protocol.
     Unknown,
-    /// A form that nobody may send; why.
+    /// Malformed; says why.
     Malformed(&'static str),
 }
 
 impl Dialect {
-    /// The next command; one that is malformed takes all bytes.
+    /// Parses the next command; a malformed one consumes all bytes.
     pub fn command(self, bytes: &[u8]) -> Option<(Command, usize)> {
         let parsed = match self {
             Dialect::Cache => resp_command(bytes),
@@ -100,7 +101,7 @@
     }
 }
 
-/// A whole request with a body of a told length (RFC 9112, 2.1, 6.2).
+/// Parses a complete request whose body length is given by Content-Length (RFC 9112, 2.1, 6.2).
 pub fn request(bytes: &[u8]) -> Parsed<Request> {
     let mut at = 0;
     let mut line = || -> Result<Option<String>, Malformed> {
@@ -189,7 +190,7 @@
     }
 }
 
-/// A response with a body of a told length.
+/// Encodes a response with a Content-Length.
 pub fn put_response(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], body: &[u8]) {
     let reason = match status {
         200 => "OK",
@@ -205,7 +206,7 @@
     out.extend_from_slice(body);
 }
 
-/// The head of an answer that goes on for as long as its connection lasts, and a piece of it.
+/// Encodes the head of a chunked response that lasts as long as its connection; [`put_chunk`] adds to it.
 pub fn put_stream(out: &mut Vec<u8>) {
     out.extend_from_slice(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
 }
@@ -216,7 +217,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// An answer of a cache node: the value or null, how the read went, the load or null.
+/// Encodes a cache node's answer: the value or null, the result of the read, the load or null.
 pub fn put_array(out: &mut Vec<u8>, items: [Option<&[u8]>; 3]) {
     out.extend_from_slice(b"*3\r\n");
     for item in items {
@@ -227,8 +228,8 @@
     }
 }
 
-/// What a try is, as its id tells the stand-ins: no proxy reads it, and no table has to be kept in step with it.
-/// Written `TRY.WORK.BYTES` in hexadecimal.
+/// A description of a try, carried in its id for the stand-ins: no proxy reads it, and no shared table is
+/// needed. Written `TRY.WORK.BYTES` in hexadecimal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TryId {
     pub of: TryNo,
@@ -251,35 +252,36 @@
     }
 }
 
-/// The value that is made for a try: it names the key and the try, so that whoever gets it can tell whose it is.
+/// The value returned for a try: it contains the key and the id, so that the receiver can tell which try it
+/// belongs to.
 pub fn value(key: &[u8], id: &[u8], bytes: usize) -> Vec<u8> {
     let mut value = [key, b" ", id, b" "].concat();
     value.resize(bytes.clamp(value.len(), resp::MAX_VALUE.max(value.len())), b'.');
     value
 }
 
-/// The key and the try that a value was made for.
+/// The key and the try that a value was created for.
 pub fn made_for(value: &[u8]) -> Option<(&[u8], TryNo)> {
     let mut parts = value.splitn(3, |b| *b == b' ');
     let (key, id) = (parts.next()?, parts.next()?);
     Some((key, TryId::read(id)?.of))
 }
 
-/// The names and values that come with a request.
+/// The properties that are sent with a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Properties {
     pub class: String,
     pub tenant: String,
-    /// How long whoever sends it waits, in microseconds.
+    /// How long the sender waits, in microseconds.
     pub patience: Micros,
     /// An idempotency key.
     pub repeat: Option<u64>,
-    /// A client's retry.
+    /// Whether this is a client's retry.
     pub again: bool,
 }
 
 impl Properties {
-    /// `None` where what every request has is missing or makes no sense.
+    /// `None` if a required property is missing or invalid.
     pub fn read(text: &[u8]) -> Option<Properties> {
         let mut p = Properties::default();
         for pair in std::str::from_utf8(text).ok()?.split(',') {
--- a/crates/lab/tests/loopback/children.rs
+++ b/crates/lab/tests/loopback/children.rs
@@ -1,4 +1,4 @@
-//! Proxies that die, hang or leak, and a lab that is killed.
+//! Proxies that die, hang or violate the protocol, and labs that are killed or interrupted.
 
 use lab::host::{HostError, Silent};
 use lab::loopback::children::{Child, Limits, Program};
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use world::world::World;
 
-/// A program of these lines of shell.
+/// Writes an executable shell script with these lines.
 fn script(dir: &Path, lines: &str) -> PathBuf {
     let path = dir.join("proxy");
     let mut file = std::fs::File::create(&path).expect("a file");
@@ -19,7 +19,7 @@
     path
 }
 
-/// What comes of a run whose proxies are such programs.
+/// The error of a run whose proxies are such scripts.
 fn error_of(lines: &str) -> String {
     let dir = tempfile::tempdir().expect("a folder");
     let program = Program::unguarded(&script(dir.path(), lines)).expect("a program");
@@ -38,7 +38,7 @@
 
 #[test]
 fn a_proxy_that_dies_under_way_ends_the_run() {
-    // The real program, killed by nobody the lab knows of.
+    // The real proxy, killed behind the lab's back.
     let real = env!("CARGO_BIN_EXE_lab");
     let told = error_of(&format!(
         "{real} guarded-proxy $$ 1024 & child=$!; sleep 1.5; kill -9 $child; wait $child; exit 9"
@@ -49,7 +49,7 @@
 #[test]
 fn a_proxy_that_hangs_ends_the_run() {
     let real = env!("CARGO_BIN_EXE_lab");
-    // Stopped once it has said that it is ready, and has been seen to be.
+    // Stopped after it has logged that it is ready and the lab has seen it answer.
     let told = error_of(&format!(
         "{real} guarded-proxy $$ 1024 2>log & child=$!
          until grep -q ready log; do sleep 0.1; done
@@ -58,14 +58,14 @@
     assert!(told.contains("hangs: it has not answered PING"), "{told}");
 }
 
-/// Whether a process is there and not only waits to be told of.
+/// Whether a process exists and is not a zombie.
 fn runs(pid: u32) -> bool {
     std::fs::read_to_string(format!("/proc/{pid}/stat")).is_ok_and(|s| !s.contains(") Z "))
 }
 
 #[test]
 fn no_process_outlives_a_lab_that_is_killed() {
-    // A lab in a process of its own: this very test program, told to start a child and to wait.
+    // The lab is a separate process: this test binary, which starts a child and waits.
     let mut lab = Command::new(std::env::current_exe().expect("this program"))
         .args(["--exact", "children::starts_a_child_and_waits", "--ignored", "--nocapture"])
         .stdout(Stdio::piped())
@@ -84,7 +84,7 @@
     assert!(!runs(pid), "the child has outlived the lab");
 }
 
-/// Not a test of its own: the lab that the one above kills.
+/// Helper for the test above, which kills this process in place of a lab.
 #[test]
 #[ignore = "started by the test above it"]
 fn starts_a_child_and_waits() {
@@ -93,7 +93,7 @@
     let guarded = Program::guarded(Path::new(env!("CARGO_BIN_EXE_lab")), &sleeper).expect("a program");
     let limits = Limits { memory_kb: 1 << 20, descriptors: 64, file_bytes: None };
     let child = Child::start("n0", &guarded, limits, dir.path(), &[], &[]).expect("it starts");
-    // Once it is the program and no more the guard.
+    // Wait until the guard has executed the program.
     while std::fs::read_to_string(format!("/proc/{}/comm", child.pid())).is_ok_and(|c| c.trim() != "sleep") {
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -111,7 +111,7 @@
     assert!(told.starts_with("n0: sent a node what no client may send"), "{told}");
 }
 
-/// The processes that a process has started.
+/// Process ids of the direct children of a process.
 fn children_of(pid: u32) -> Vec<u32> {
     let all = std::fs::read_dir("/proc").expect("processes").flatten();
     let number = |e: std::fs::DirEntry| e.file_name().to_str()?.parse::<u32>().ok();
@@ -134,7 +134,7 @@
         .expect("it starts");
     let until = Instant::now() + Duration::from_secs(20);
     let mut children = Vec::new();
-    // All three are there, and the proxy has begun to listen to signals.
+    // All three processes exist, so that the lab has begun to listen to signals.
     while children.len() < 3 && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(20));
         children = children_of(lab.id());
--- a/crates/lab/tests/loopback/clients.rs
+++ b/crates/lab/tests/loopback/clients.rs
@@ -1,4 +1,4 @@
-//! The generator against proxies that are scripted: what a proxy does must show in its figures.
+//! The load generator against scripted proxies: what a proxy does must show in the measured results.
 
 use lab::host::Silent;
 use lab::loopback::scripted::Answering;
@@ -8,7 +8,7 @@
 use world::outcome::{Rule, Run};
 use world::world::World;
 
-/// A second and a half of one class of requests against one proxy.
+/// Plays 1.5 seconds of one class of requests against one proxy.
 fn run_against(proxy: &Answering) -> Run {
     let world = World::builder().seconds(1.5).rate(200.0).proxies(1).class(|_| {}).build(1).expect("a world");
     play(world, &Proxies::External(vec![proxy.address()]), &Silent).expect("a run").run
@@ -22,7 +22,8 @@
 fn a_proxy_that_stops_for_200_ms_shows_it_in_the_99th_percentile() {
     let quick = Answering::start(|key, id| Some(Answering::made(key, id))).expect("a proxy");
     let calm = run_against(&quick);
-    // It stops once, half a second after its first request: for all that come meanwhile, not for one of them.
+    // The proxy stops once, half a second after its first request, for every request in that time and not
+    // only one.
     let first = Mutex::new(None);
     let stops = Answering::start(move |key, id| {
         let now = Instant::now();
@@ -35,9 +36,9 @@
     });
     let stopped = run_against(&stops.expect("a proxy"));
     assert!(p99(&stopped) > 150_000, "{}", p99(&stopped));
-    // A machine that stops by itself would show it as well: then nothing else can be said.
+    // A pause of the machine itself would look the same, so a run that is void is not checked.
     for run in [&calm, &stopped].into_iter().filter(|run| !run.late.void) {
-        // It asks no node: that it makes its answers up is all that is wrong with it.
+        // The proxy asks no node, so that its made-up answers are the only rule it may break.
         assert!(
             run.rules_broken.iter().all(|b| b.what.ends_with("for which nothing was made")),
             "{:?}",
--- a/crates/lab/tests/loopback/cost.rs
+++ b/crates/lab/tests/loopback/cost.rs
@@ -1,4 +1,4 @@
-//! What a request costs, measured for a moment.
+//! A short measurement of the cost of a request.
 
 use super::program;
 use lab::loopback::cost::{direct, through, Plan, Protocol};
--- a/crates/lab/tests/loopback/demo.rs
+++ b/crates/lab/tests/loopback/demo.rs
@@ -1,4 +1,4 @@
-//! The demo, as a newcomer starts it.
+//! The demo, started from the command line as a new user does.
 
 use std::process::Command;
 
--- a/crates/lab/tests/loopback/main.rs
+++ b/crates/lab/tests/loopback/main.rs
@@ -1,4 +1,5 @@
-//! Whole runs on loopback: the real program as child processes, the stand-ins, the clients; and scripted peers.
+//! Whole runs on loopback: the real program as child processes, the stand-ins and the clients; and scripted
+//! peers.
 
 mod children;
 mod clients;
--- a/crates/lab/tests/loopback/scripted.rs
+++ b/crates/lab/tests/loopback/scripted.rs
@@ -1,4 +1,4 @@
-//! The real program among scripted peers: one exchange, step by step.
+//! One exchange, step by step, of the real program with scripted peers.
 
 use super::program;
 use lab::loopback::children::{Child, Limits};
@@ -28,7 +28,7 @@
     ledger.value(b"as the ledger has it").expect("sent");
     assert_eq!(client.expect_value().expect("a value"), b"as the ledger has it");
 
-    // Its process ends with the client's connection, and nothing is left behind.
+    // When the process ends, the client's connection closes and nothing is left behind.
     let pid = proxy.pid();
     drop(proxy);
     client.expect_end().expect("closed");
--- a/crates/lab/tests/loopback/slow_start.rs
+++ b/crates/lab/tests/loopback/slow_start.rs
@@ -1,4 +1,5 @@
-//! Servers in slow start before a fleet of real proxies: what all of them send one together stays under what overloads it.
+//! Servers in slow start behind a fleet of real proxies: the combined load of all proxies must not overload
+//! them.
 
 use super::proxies;
 use lab::host::Silent;
@@ -10,11 +11,12 @@
 
 const BURST: &str = include_str!("../../../../scenarios/slow_start_burst.toml");
 
-/// The incident's part of the scenario: from the replacement into the burst. What comes later is played in virtual time,
-/// where a known fault is listed (`unequal_servers_with_misses_of_next_to_no_work_are_not_overloaded`).
+/// The part of the scenario that reproduces the incident: from the replacement of nodes into the burst. The
+/// rest is played in virtual time, where a known fault is listed
+/// (`unequal_servers_with_misses_of_next_to_no_work_are_not_overloaded`).
 const SECONDS: f64 = 15.0;
 
-/// Plays a scenario on loopback, and gives what overloaded servers in slow start.
+/// Plays a scenario on loopback and returns the rule breaches by overloaded servers in slow start.
 fn overloads(scenario: &str, seed: u64) -> Vec<Breach> {
     let mut scenario: Scenario = toml::from_str(scenario).expect("a scenario");
     scenario.seconds = SECONDS;
@@ -26,7 +28,7 @@
     run.rules_broken.into_iter().filter(slow_start).collect()
 }
 
-/// Incident 437179. Four of twelve nodes are new when the traffic grows.
+/// Incident 437179: four of twelve nodes are new when the traffic grows.
 #[test]
 fn a_burst_does_not_overload_servers_in_slow_start() {
     assert_eq!(overloads(BURST, 3), []);
--- a/crates/lab/tests/loopback/whole.rs
+++ b/crates/lab/tests/loopback/whole.rs
@@ -1,4 +1,4 @@
-//! Worlds played to their end.
+//! Worlds played to their end on loopback.
 
 use super::proxies;
 use lab::host::Silent;
@@ -14,7 +14,7 @@
     let (run, all) = (&played.run, played.run.tally.all());
     assert_eq!(all.requests, all.in_time + all.late + all.refused + all.failed + all.left);
     assert!(all.requests > 150, "{all:?}");
-    // On a machine without a core to spare nothing can be said of the proxy.
+    // A run on a machine without a spare core says nothing about the proxy.
     if !run.late.void {
         assert_eq!(run.rules_broken, []);
         assert!(run.served_worth() > 0.8, "{}: {all:?}", run.served_worth());
