--- a/crates/lab/src/loopback/children/child.rs
+++ b/crates/lab/src/loopback/children/child.rs
@@ -317,7 +317,7 @@
         let log_lines = self.log_lines();
         let last =
             log_lines.iter().rev().take(QUOTED_LINES).rev().map(|l| format!("\n  {l}")).collect::<String>();
-        let log_lines = if last.is_empty() { "; it said nothing" } else { "; it said last:" };
+        let log_lines = if last.is_empty() { "; it logged nothing" } else { "; last log lines:" };
         HostError::Child { name: self.name.clone(), what: format!("{what}{log_lines}{last}") }
     }
 
@@ -325,11 +325,11 @@
     pub fn limit_error(&self, limits: Limits, usage: Usage) -> Option<HostError> {
         if usage.memory_kb > limits.memory_kb {
             let (has, most) = (usage.memory_kb / 1024, limits.memory_kb / 1024);
-            return Some(self.error(&format!("took {has} MB of memory, {most} at most are allowed")));
+            return Some(self.error(&format!("uses {has} MB of memory, the limit is {most} MB")));
         }
         if usage.descriptors > limits.descriptors {
             let (has, most) = (usage.descriptors, limits.descriptors);
-            return Some(self.error(&format!("holds {has} descriptors, {most} at most are allowed")));
+            return Some(self.error(&format!("holds {has} descriptors, the limit is {most}")));
         }
         None
     }
--- a/crates/lab/src/loopback/children/guard.rs
+++ b/crates/lab/src/loopback/children/guard.rs
@@ -34,9 +34,9 @@
 /// Why a guarded process cannot start.
 #[derive(Debug, thiserror::Error)]
 enum GuardError {
-    #[error("wanted: PARENT DESCRIPTORS[,FILE_BYTES] [PROGRAM...]")]
+    #[error("usage: PARENT DESCRIPTORS[,FILE_BYTES] [PROGRAM...]")]
     Usage,
-    #[error("the lab has ended")]
+    #[error("the parent lab process has ended")]
     Orphan,
     #[error("{0}: {1}")]
     System(&'static str, io::Error),
@@ -85,7 +85,8 @@
 /// Makes this process ignore SIGXFSZ, by registering a handler that is never read, until it exits.
 fn ignore_sigxfsz() -> Result<(), GuardError> {
     static SIGNALS: OnceLock<Signals> = OnceLock::new();
-    let signals = Signals::new([AsyncSignal::Xfsz]).map_err(|e| GuardError::System("SIGXFSZ", e))?;
+    let signals =
+        Signals::new([AsyncSignal::Xfsz]).map_err(|e| GuardError::System("cannot handle SIGXFSZ", e))?;
     let _ = SIGNALS.set(signals);
     Ok(())
 }
@@ -138,7 +139,7 @@
     {
         command.env_remove(name);
     }
-    GuardError::System("cannot start the proxy", command.args(rest).exec())
+    GuardError::System("cannot execute the proxy", command.args(rest).exec())
 }
 
 /// Passes the guard's arguments to a test binary; [`run_in_test`] reads them.
--- a/crates/lab/src/loopback/clients/attempt/tests.rs
+++ b/crates/lab/src/loopback/clients/attempt/tests.rs
@@ -2,7 +2,7 @@
 use world::facts::TryNo;
 
 #[test]
-fn answers_are_read_as_the_protocol_has_them() {
+fn answers_are_parsed_as_the_protocol_defines_them() {
     let id = wire::TryId { of: TryNo(9), work: 1, bytes: 1 }.write();
     let value = wire::value(b"7f", id.as_bytes(), 100);
     let served = |made_for| TryOutcome::Answered(Final::Served { made_for }, None);
@@ -20,14 +20,14 @@
 
 /// A command that crosses the close of an idle connection is sent again, once and on a new connection.
 #[test]
-fn a_command_that_crosses_a_close_goes_out_once_more() {
+fn a_command_that_crosses_a_close_is_sent_once_more() {
     use crate::loopback::clients::Clients;
     use crate::loopback::scripted::Listener;
     use world::facts::ProxyNo;
 
-    let proxy = Listener::cache().expect("a port");
+    let proxy = Listener::cache().expect("free port");
     let clock = Clock::start(0);
-    let clients = Clients::start(vec![proxy.address()], clock.clone()).expect("a thread");
+    let clients = Clients::start(vec![proxy.address()], clock.clone()).expect("thread starts");
     let send = |of| {
         let mut command = Vec::new();
         resp::put_command(&mut command, &[b"CACHE.GET", b"7f", b"id", b"c=lookup,d=9000"]);
@@ -42,11 +42,11 @@
         };
         assert!(clients.send(send));
     };
-    let next_event = || clients.events().recv_blocking().expect("something said");
+    let next_event = || clients.events().recv_blocking().expect("an event");
     send(1);
-    let mut first = proxy.accept().expect("a connection");
+    let mut first = proxy.accept().expect("connection");
     first.expect_read("7f").expect("a read");
-    first.error().expect("sent");
+    first.error().expect("send");
     assert!(matches!(next_event(), ClientEvent::Sent { of: TryNo(1), .. }));
     assert!(matches!(
         next_event(),
--- a/crates/lab/src/loopback/cost/mod.rs
+++ b/crates/lab/src/loopback/cost/mod.rs
@@ -96,7 +96,8 @@
 
 /// Measures clients that connect directly to a node.
 pub fn direct(plan: Plan) -> Result<Measured, HostError> {
-    let nodes = StubNodes::start(THREADS, 1, plan.clients, plan.value_bytes).map_err(io_error("nodes"))?;
+    let nodes = StubNodes::start(THREADS, 1, plan.clients, plan.value_bytes)
+        .map_err(io_error("cannot start the nodes"))?;
     measure(plan, nodes.addresses()[0], None)
 }
 
@@ -111,9 +112,9 @@
         .build(1)
         .map_err(|problem| HostError::Unplayable(problem.to_string()))?;
     let nodes = StubNodes::start(THREADS, NODE_COUNT as usize, plan.nodes, plan.value_bytes);
-    let nodes = nodes.map_err(io_error("nodes"))?;
-    let discovery = StubDiscovery::start().map_err(io_error("discovery"))?;
-    let reserved = ReservedPort::reserve().map_err(io_error("a port for the proxy"))?;
+    let nodes = nodes.map_err(io_error("cannot start the nodes"))?;
+    let discovery = StubDiscovery::start().map_err(io_error("cannot start discovery"))?;
+    let reserved = ReservedPort::reserve().map_err(io_error("cannot reserve a port for the proxy"))?;
     // Every read hits, so the origin is never asked and any node's address will do for it.
     let address = |node: NodeNo| nodes.addresses()[if node == LEDGER { 0 } else { node.0 as usize }];
     let start = settings::ProxyStart {
@@ -123,13 +124,17 @@
         seed: 1,
     };
     let configuration = settings::configuration(&world, start, &settings::serving_list(&world, address));
-    let dir = tempfile::Builder::new().prefix("lab-").tempdir().map_err(io_error("a folder"))?;
+    let dir = tempfile::Builder::new()
+        .prefix("lab-")
+        .tempdir()
+        .map_err(io_error("cannot create a temporary directory"))?;
     let path = dir.path().join("config.json");
-    std::fs::write(&path, configuration.to_string()).map_err(io_error("the configuration"))?;
-    let memcached_port = ReservedPort::reserve().map_err(io_error("a port for memcached clients"))?;
+    std::fs::write(&path, configuration.to_string()).map_err(io_error("cannot write the configuration"))?;
+    let memcached_port =
+        ReservedPort::reserve().map_err(io_error("cannot reserve a port for memcached clients"))?;
     let features = dir.path().join("martenweir.conf");
     std::fs::write(&features, feature_config(plan, memcached_port.address()))
-        .map_err(io_error("the proxy's own file"))?;
+        .map_err(io_error("cannot write the proxy's configuration file"))?;
     let limits = Limits { memory_kb: u64::MAX, descriptors: 4096, file_bytes: None };
     let variables = [
         ("NODE_NAME", "n0".to_owned()),
@@ -170,7 +175,7 @@
                 return Err(proxy.error(&format!("died ({status})")));
             }
             if since.elapsed() >= READY_TIMEOUT {
-                return Err(proxy.error("is not ready"));
+                return Err(proxy.error("did not become ready in time"));
             }
             Timer::after(Duration::from_millis(10)).await;
         }
@@ -179,7 +184,8 @@
 }
 
 fn measure(plan: Plan, address: SocketAddr, mut proxy: Option<&mut Child>) -> Result<Measured, HostError> {
-    let load = load::LoadGenerator::start(address, THREADS, plan).map_err(io_error("clients"))?;
+    let load =
+        load::LoadGenerator::start(address, THREADS, plan).map_err(io_error("cannot start the clients"))?;
     std::thread::sleep(WARM_UP);
     let used = |proxy: &Option<&mut Child>| {
         let own = super::children::Usage::of(std::process::id()).unwrap_or_default();
--- a/crates/lab/src/loopback/cost/protocol.rs
+++ b/crates/lab/src/loopback/cost/protocol.rs
@@ -50,7 +50,7 @@
                 resp::put_command(out, &words);
                 Ok(())
             }
-            Protocol::Memcached => read.frame().put(out).map_err(|_| Malformed("a key that does not fit")),
+            Protocol::Memcached => read.frame().put(out).map_err(|_| Malformed("the key is too long")),
         }
     }
 
@@ -67,7 +67,7 @@
                     response.answers(&read.frame()).map_err(Malformed)?;
                     Ok(Some(response.status == Status::OK))
                 }
-                Err(_) => Err(Malformed("no answer of the memcached protocol")),
+                Err(_) => Err(Malformed("not a memcached response")),
             },
         }
     }
@@ -96,7 +96,7 @@
                 let (request, taken) = match frame::request(bytes, &LIMITS) {
                     Ok(Step::Incomplete(_)) => return Ok(None),
                     Ok(Step::Complete(request, taken)) => (request, taken),
-                    Err(_) => return Err(Malformed("no request of the memcached protocol")),
+                    Err(_) => return Err(Malformed("not a memcached request")),
                 };
                 let response = Response::new(request.opcode, request.opaque);
                 let response = match request.opcode {
@@ -104,7 +104,7 @@
                     Opcode::NOOP => response,
                     _ => Response { status: Status::UNKNOWN_COMMAND, ..response },
                 };
-                response.put(out).map_err(|_| Malformed("a value that does not fit"))?;
+                response.put(out).map_err(|_| Malformed("the value is too long"))?;
                 Ok(Some(taken))
             }
         }
--- a/crates/lab/src/loopback/event_loop/mod.rs
+++ b/crates/lab/src/loopback/event_loop/mod.rs
@@ -125,15 +125,16 @@
         let EventLoopParts { clock, world, proxies, channels } = parts;
         let system = |what: &'static str| move |source| HostError::Io { what: what.into(), source };
         let (queue, socket_events) = async_channel::bounded(QUEUE_LEN);
-        let clients =
-            Clients::start(proxies.clone(), clock.clone()).map_err(system("the clients' thread"))?;
+        let clients = Clients::start(proxies.clone(), clock.clone())
+            .map_err(system("cannot start the clients' thread"))?;
         let executor = Rc::new(LocalExecutor::new());
-        let mut ports = PortTable::new(&world, proxies).map_err(system("a port for discovery"))?;
+        let mut ports =
+            PortTable::new(&world, proxies).map_err(system("cannot reserve a port for discovery"))?;
         for member in world.members() {
-            ports.add(&world, member.no).map_err(system("a port for a node"))?;
+            ports.add(&world, member.no).map_err(system("cannot reserve a port for a node"))?;
         }
-        ports.add(&world, world::facts::LEDGER).map_err(system("a port for the ledger"))?;
-        ports.apply(&world, &executor, &queue).map_err(system("a port"))?;
+        ports.add(&world, world::facts::LEDGER).map_err(system("cannot reserve a port for the origin"))?;
+        ports.apply(&world, &executor, &queue).map_err(system("cannot open a port"))?;
         let mut stage = EventLoop {
             requests: world.request_table(),
             arrivals: world.arrivals().peekable(),
@@ -251,7 +252,7 @@
                 Wakeup::Client(Some(event)) => self.handle_client_event(event),
                 Wakeup::Notice(event) => self.handle_notice(event.unwrap_or(Notice::Stop))?,
                 Wakeup::Client(None) | Wakeup::Socket(None) => {
-                    return Err(HostError::Unplayable("a thread of the stand-ins has ended".into()));
+                    return Err(HostError::Unplayable("the clients' thread ended unexpectedly".into()));
                 }
                 Wakeup::Time => {}
             }
@@ -307,7 +308,7 @@
         if self.ports.changed() {
             self.update_paused_links();
             let applied = self.ports.apply(&self.world, &self.executor, &self.queue);
-            applied.map_err(|source| HostError::Io { what: "a port".into(), source })?;
+            applied.map_err(|source| HostError::Io { what: "cannot open or close a port".into(), source })?;
         }
         if self.ends_at.is_none()
             && self.clients_started
--- a/crates/lab/src/loopback/event_loop/node_requests.rs
+++ b/crates/lab/src/loopback/event_loop/node_requests.rs
@@ -165,11 +165,20 @@
                     KeyedCommand { key: &key, id: &name, properties: &properties, write: value.is_some() };
                 match self.node_attempt(id, job, at, &keyed_command) {
                     Some(attempt) => JobKind::Keyed { attempt, key, id: name },
-                    None => return self.malformed(id, job, proxy, "a key, id or list that no client sent"),
+                    None => {
+                        return self.malformed(
+                            id,
+                            job,
+                            proxy,
+                            "a key, id or property list that no client sent",
+                        )
+                    }
                 }
             }
             Command::Malformed(why) => return self.malformed(id, job, proxy, why),
-            Command::List | Command::Watch { .. } => return self.malformed(id, job, proxy, "no command"),
+            Command::List | Command::Watch { .. } => {
+                return self.malformed(id, job, proxy, "a discovery request")
+            }
         };
         if let JobKind::Keyed { attempt, .. } = &kind {
             let of = attempt.request.of;
@@ -239,7 +248,7 @@
     /// Answers with an error as the protocol requires, and makes the run void.
     fn malformed(&mut self, id: LinkId, job: u64, proxy: ProxyNo, why: &str) {
         self.write(id, job, b"-SYNTAX\r\n".to_vec(), AfterWrite::Close);
-        let what = format!("sent a node what no client may send: {why}");
+        let what = format!("sent a malformed command to a node: {why}");
         let name = settings::name(proxy);
         self.fatal_error.get_or_insert(HostError::Child { name, what });
     }
@@ -362,7 +371,7 @@
 
     pub(super) fn node_started(&mut self, node: NodeNo) {
         if let Err(source) = self.ports.add(&self.world, node) {
-            let what = "a port for a node".into();
+            let what = "cannot reserve a port for a node".into();
             self.fatal_error.get_or_insert(HostError::Io { what, source });
         }
     }
--- a/crates/lab/src/loopback/event_loop/tries.rs
+++ b/crates/lab/src/loopback/event_loop/tries.rs
@@ -99,7 +99,7 @@
                 }
             }
             ClientEvent::LocalFailure(kind) => {
-                let what = "a client's connection".into();
+                let what = "cannot open a client connection".into();
                 self.fatal_error.get_or_insert(HostError::Io { what, source: kind.into() });
             }
             ClientEvent::Ended { of, at, outcome } => self.ended(of, at, outcome),
--- a/crates/lab/src/loopback/fleet.rs
+++ b/crates/lab/src/loopback/fleet.rs
@@ -85,7 +85,8 @@
     ) -> Result<(), HostError> {
         let Some(slot) = self.slots.get_mut(proxy.0 as usize) else { return Ok(()) };
         let name = name(proxy);
-        let system = |source| HostError::Io { what: format!("the configuration of {name}"), source };
+        let system =
+            |source| HostError::Io { what: format!("cannot write the configuration of {name}"), source };
         let dir = self.dir.join(&name);
         std::fs::create_dir_all(&dir).map_err(system)?;
         let path = dir.join("config.json");
@@ -203,7 +204,7 @@
                 }
                 if Instant::now() >= until {
                     let what = format!(
-                        "leaks descriptors: {now} are open though nobody is connected, {at_start} were at its start"
+                        "leaks descriptors: {now} are open without connections, {at_start} were open at its start"
                     );
                     return Err(running.child.error(&what));
                 }
--- a/crates/lab/src/loopback/host.rs
+++ b/crates/lab/src/loopback/host.rs
@@ -68,11 +68,13 @@
 impl Host for Loopback {
     fn run(&self, scenario: &Scenario, seed: u64, progress: &dyn Progress) -> Result<Run, HostError> {
         if scenario.sizes_every_s.is_some() {
-            return Err(HostError::Unplayable("sizes of tables are taken in virtual time only".into()));
+            return Err(HostError::Unplayable(
+                "table sizes are measured in virtual time only (sizes_every_s)".into(),
+            ));
         }
         if scenario.crowd.is_some() {
             return Err(HostError::Unplayable(
-                "a crowd of connections is played in virtual time only".into(),
+                "a crowd of connections is played in virtual time only (crowd)".into(),
             ));
         }
         let world = World::new(scenario, seed, ms(SLACK_MS));
@@ -98,17 +100,21 @@
         Proxies::Program(_) => {
             let reserved: Result<Vec<ReservedPort>, _> =
                 (0..count).map(|_| ReservedPort::reserve()).collect();
-            let reserved = reserved.map_err(system("ports for the proxies"))?;
+            let reserved = reserved.map_err(system("cannot reserve ports for the proxies"))?;
             let addresses = reserved.iter().map(ReservedPort::address).collect();
             (reserved, addresses)
         }
         Proxies::External(addresses) if addresses.len() == count => (Vec::new(), addresses.clone()),
         Proxies::External(addresses) => {
-            let what = format!("{} proxies are there, the scenario wants {count}", addresses.len());
+            let what =
+                format!("{} proxy addresses were given, the scenario has {count} proxies", addresses.len());
             return Err(HostError::Unplayable(what));
         }
     };
-    let dir = tempfile::Builder::new().prefix("lab-").tempdir().map_err(system("a folder for the run"))?;
+    let dir = tempfile::Builder::new()
+        .prefix("lab-")
+        .tempdir()
+        .map_err(system("cannot create a temporary directory for the run"))?;
     let scenario = world.scenario().clone();
     let limits = Limits {
         memory_kb: u64::from(scenario.proxies.memory_mb) * 1024,
@@ -163,7 +169,7 @@
     if !enough || setrlimit(Resource::Nofile, raised).is_err() {
         let most = limit.maximum.unwrap_or(0);
         return Err(HostError::Unplayable(format!(
-            "{nodes} nodes and {proxies} proxies want {wanted} descriptors, {most} are allowed"
+            "{nodes} nodes and {proxies} proxies need {wanted} descriptors, the hard limit is {most}"
         )));
     }
     Ok(())
@@ -193,7 +199,8 @@
             let _ = opened.send(configurations);
             stage.run()
         });
-        let thread = thread.map_err(|source| HostError::Io { what: "a thread".into(), source })?;
+        let thread = thread
+            .map_err(|source| HostError::Io { what: "cannot start the world thread".into(), source })?;
         let mut world_thread =
             WorldThread { thread: Some(thread), process_commands, notices, configurations: Vec::new() };
         match open.recv() {
@@ -213,7 +220,7 @@
         match ended {
             Some(Ok(run)) => run,
             // The thread panicked; the panic message was printed.
-            Some(Err(_)) | None => Err(HostError::Unplayable("the stand-ins have failed".into())),
+            Some(Err(_)) | None => Err(HostError::Unplayable("the world thread panicked".into())),
         }
     }
 }
@@ -233,7 +240,8 @@
         executor: &LocalExecutor<'_>,
     ) -> Result<(), HostError> {
         let signals = Signals::new([Signal::Int, Signal::Term]);
-        let mut signals = signals.map_err(|source| HostError::Io { what: "signals".into(), source })?;
+        let mut signals = signals
+            .map_err(|source| HostError::Io { what: "cannot register signal handlers".into(), source })?;
         let interrupted = async {
             signals.next().await;
             Err(HostError::Interrupted)
@@ -263,7 +271,9 @@
                 }
                 self.progress.part((self.clock.now() as f64 / 1e6 / self.seconds).clamp(0.0, 1.0));
                 if Instant::now() >= until {
-                    return Err(HostError::Unplayable("the run does not come to its end".into()));
+                    return Err(HostError::Unplayable(
+                        "the run did not end in time after its last second".into(),
+                    ));
                 }
                 let process_command = async {
                     match world_thread.process_commands.recv().await {
@@ -280,7 +290,7 @@
                 match &mut fleet {
                     Some(fleet) => fleet.apply(&process_command, executor)?,
                     None => {
-                        let what = "the proxies are not the lab's to end or start".into();
+                        let what = "external proxies cannot be ended or started by the lab".into();
                         return Err(HostError::Unplayable(what));
                     }
                 }
--- a/crates/lab/src/loopback/scripted/answering.rs
+++ b/crates/lab/src/loopback/scripted/answering.rs
@@ -18,7 +18,7 @@
     pub fn start(
         rule: impl Fn(&[u8], &[u8]) -> Option<Vec<u8>> + Send + Sync + 'static,
     ) -> Result<Self, Surprise> {
-        let failed = |source| Surprise::Io { what: "a port".into(), source };
+        let failed = |source| Surprise::Io { what: "cannot open a port".into(), source };
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
         let rule = Arc::new(rule);
--- a/crates/lab/src/loopback/scripted/mod.rs
+++ b/crates/lab/src/loopback/scripted/mod.rs
@@ -1,12 +1,13 @@
-//! Peers on loopback that a test tells step by step what to expect and what to answer.
+//! Scripted peers on loopback: a test tells them step by step what to expect and what to answer.
 //!
-//! A [`Listener`] stands in for a cache node, the ledger or discovery; a [`Peer`] is one end of a connection, of a
-//! client or of whoever was accepted. They block, and every wait has an end ([`PATIENCE`]): a step that does not
-//! come is a [`Surprise`] that says what was waited for. [`Site`] puts them together for a proxy, and [`Answering`]
-//! is a whole proxy that answers by a rule.
+//! A [`Listener`] stands in for a cache node, the origin or discovery; a [`Peer`] is one end of a connection,
+//! either a client's or an accepted one. They block, and every step has a timeout ([`PATIENCE`]): a step that
+//! does not go as expected returns a [`Surprise`] that names what was expected. [`Site`] combines them for a
+//! proxy, and [`Answering`] is a whole proxy that answers by a rule.
 //!
-//! Use them for one certain exchange. For a node that behaves like one, with the real program in between, play a
-//! [`world::world::World`] ([`super::play`]); its nodes take a [`world::node::Script`] too.
+//! Use them to test one particular exchange. For nodes that behave like real ones, with the real program in
+//! between, play a [`world::world::World`] ([`super::play`]); its nodes also accept a
+//! [`world::node::Script`].
 //!
 //! ```
 //! use lab::loopback::scripted::{Listener, Peer};
@@ -42,11 +43,11 @@
 /// A step that did not go as expected.
 #[derive(Debug, thiserror::Error)]
 pub enum Surprise {
-    #[error("waited for {wanted}, and {got} came")]
+    #[error("expected {wanted}, got {got}")]
     Other { wanted: String, got: String },
-    #[error("waited for {wanted}, and nothing came")]
+    #[error("timed out waiting for {wanted}")]
     Nothing { wanted: String },
-    #[error("waited for {wanted}, and the other side closed")]
+    #[error("the connection closed while waiting for {wanted}")]
     Closed { wanted: String },
     #[error("{what}: {source}")]
     Io { what: String, source: io::Error },
--- a/crates/lab/src/loopback/scripted/peer.rs
+++ b/crates/lab/src/loopback/scripted/peer.rs
@@ -35,9 +35,9 @@
     }
 
     fn new(dialect: Dialect) -> Result<Self, Surprise> {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(failed("a port"))?;
-        listener.set_nonblocking(true).map_err(failed("a port"))?;
-        let address = listener.local_addr().map_err(failed("a port"))?;
+        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(failed("cannot open a port"))?;
+        listener.set_nonblocking(true).map_err(failed("cannot open a port"))?;
+        let address = listener.local_addr().map_err(failed("cannot open a port"))?;
         Ok(Listener { listener, address, dialect })
     }
 
@@ -52,7 +52,7 @@
             match self.listener.accept() {
                 Ok((stream, _)) => return Peer::new(stream, self.dialect),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-                Err(e) => return Err(failed("accept")(e)),
+                Err(e) => return Err(failed("cannot accept a connection")(e)),
             }
             if Instant::now() >= until {
                 return Err(Surprise::Nothing { wanted: format!("a connection to {}", self.address) });
@@ -116,7 +116,7 @@
     /// Connects as a client.
     pub fn connect(address: SocketAddr) -> Result<Self, Surprise> {
         let stream = TcpStream::connect_timeout(&address, PATIENCE);
-        Peer::new(stream.map_err(failed("a connection"))?, Dialect::Cache)
+        Peer::new(stream.map_err(failed("cannot open a connection"))?, Dialect::Cache)
     }
 
     /// A connection accepted from a client by a stand-in for a proxy.
@@ -131,7 +131,7 @@
             stream.set_read_timeout(Some(PATIENCE))?;
             stream.set_write_timeout(Some(PATIENCE))
         };
-        set(&stream).map_err(failed("a connection"))?;
+        set(&stream).map_err(failed("cannot open a connection"))?;
         Ok(Peer { stream, dialect, input: Vec::new() })
     }
 
@@ -257,7 +257,7 @@
     // ---- sending
 
     pub fn write(&mut self, bytes: &[u8]) -> Result<(), Surprise> {
-        self.stream.write_all(bytes).map_err(failed("write"))
+        self.stream.write_all(bytes).map_err(failed("cannot write"))
     }
 
     /// Sends a command as a client.
--- a/crates/lab/src/loopback/scripted/site.rs
+++ b/crates/lab/src/loopback/scripted/site.rs
@@ -28,8 +28,8 @@
             .map_err(|problem| Surprise::Other { wanted: "a world".into(), got: problem.to_string() })?;
         let nodes: Result<Vec<Listener>, _> = world.members().iter().map(|_| Listener::cache()).collect();
         let (nodes, ledger, discovery) = (nodes?, Listener::ledger()?, Listener::discovery()?);
-        let proxy =
-            ReservedPort::reserve().map_err(|source| Surprise::Io { what: "a port".into(), source })?;
+        let proxy = ReservedPort::reserve()
+            .map_err(|source| Surprise::Io { what: "cannot reserve a port".into(), source })?;
         let mut site = Site { nodes, ledger, discovery, proxy, configuration: String::new() };
         let start = settings::ProxyStart {
             proxy: ProxyNo(0),
--- a/crates/lab/src/loopback/socket/wire.rs
+++ b/crates/lab/src/loopback/socket/wire.rs
@@ -80,7 +80,7 @@
         (b"PING", 0) => Command::Ping,
         (b"INFO", 1) if next().eq_ignore_ascii_case(b"load") => Command::Load,
         (b"CLIENT" | b"SELECT", _) => Command::ClientSetup,
-        (b"CACHE.GET" | b"CACHE.SET", _) => Command::Malformed("a wrong number of words"),
+        (b"CACHE.GET" | b"CACHE.SET", _) => Command::Malformed("wrong number of arguments"),
         _ => Command::Unknown,
     };
     Ok(Some((command, taken)))
@@ -114,7 +114,7 @@
             };
         };
         let text = rest[..end].strip_suffix(b"\r").ok_or(Malformed("a line does not end in CRLF"))?;
-        let text = std::str::from_utf8(text).map_err(|_| Malformed("a head that is no text"))?;
+        let text = std::str::from_utf8(text).map_err(|_| Malformed("the head is not valid UTF-8"))?;
         at += end + 1;
         if at > MAX_HEAD_BYTES {
             return Err(Malformed("the headers are too long"));
@@ -129,7 +129,7 @@
         || parts.next() != Some("HTTP/1.1")
         || parts.next().is_some()
     {
-        return Err(Malformed("not a request of HTTP/1.1"));
+        return Err(Malformed("not an HTTP/1.1 request line"));
     }
     let mut request =
         Request { method: method.to_owned(), path: path.to_owned(), headers: Vec::new(), body: Vec::new() };
@@ -145,7 +145,7 @@
         request.headers.push((name.to_owned(), value.trim().to_owned()));
     }
     if request.header("transfer-encoding").is_some() {
-        return Err(Malformed("a request in chunks"));
+        return Err(Malformed("chunked requests are not supported"));
     }
     let length = match request.header("content-length") {
         None => 0,
@@ -153,7 +153,7 @@
         Some(_) => usize::MAX,
     };
     if length > resp::MAX_VALUE {
-        return Err(Malformed("an invalid or oversized content-length"));
+        return Err(Malformed("invalid or oversized content-length"));
     }
     let Some(body) = bytes.get(at..at + length) else { return Ok(None) };
     request.body = body.to_vec();
--- a/crates/lab/src/loopback/socket/wire/tests.rs
+++ b/crates/lab/src/loopback/socket/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn commands_come_whole_or_not_at_all() {
+fn incomplete_commands_are_not_parsed() {
     let mut bytes = Vec::new();
     resp::put_command(&mut bytes, &[b"CACHE.SET", b"7f", b"id", b"c=put,d=5", b"v"]);
     let whole = Command::Keyed {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn what_nobody_may_send_is_told_as_such() {
+fn malformed_commands_are_reported() {
     let malformed = |dialect: Dialect, bytes: &[u8]| matches!(dialect.command(bytes), Some((Command::Malformed(_), n)) if n == bytes.len());
     assert!(malformed(Dialect::Cache, b"GET / HTTP/1.1\r\n"));
     assert!(malformed(Dialect::Cache, b"*2\r\n$9\r\nCACHE.GET\r\n$1\r\n7\r\n"));
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_value_tells_whose_it_is() {
+fn a_value_identifies_its_key_and_try() {
     let id = TryId { of: TryNo(77), work: 90_000, bytes: 300 };
     assert_eq!(TryId::read(id.write().as_bytes()), Some(id));
     let made = value(b"7f3a", id.write().as_bytes(), 300);
--- a/crates/lab/tests/loopback/cost.rs
+++ b/crates/lab/tests/loopback/cost.rs
@@ -5,12 +5,15 @@
 use rstest::rstest;
 
 #[rstest]
-fn both_ways_are_served_and_the_proxy_is_charged_for_one_of_them(
+fn direct_and_proxied_requests_are_served_and_the_proxy_cpu_is_measured(
     #[values(Protocol::Resp, Protocol::Memcached)] clients: Protocol,
     #[values(Protocol::Resp, Protocol::Memcached)] nodes: Protocol,
 ) {
     let plan = Plan { seconds: 0.5, connections: 4, value_bytes: 100, clients, nodes };
-    let (straight, proxied) = (direct(plan).expect("measured"), through(plan, &program()).expect("measured"));
+    let (straight, proxied) = (
+        direct(plan).expect("measurement succeeds"),
+        through(plan, &program()).expect("measurement succeeds"),
+    );
     for way in [&straight, &proxied] {
         assert!(way.served > 0 && way.failed == 0, "{way:?}");
         assert_eq!(way.latency.count(), way.served);
--- a/crates/lab/tests/loopback/demo.rs
+++ b/crates/lab/tests/loopback/demo.rs
@@ -3,14 +3,14 @@
 use std::process::Command;
 
 #[test]
-fn the_demo_ends_well_with_a_table_and_its_report() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn the_demo_succeeds_with_a_table_and_a_report() {
+    let dir = tempfile::tempdir().expect("temporary directory");
     let mut lab = Command::new(env!("CARGO_BIN_EXE_lab"));
-    let ended = lab.args(["demo", "--out"]).arg(dir.path()).output().expect("it runs");
-    let (said, told) = (String::from_utf8_lossy(&ended.stdout), String::from_utf8_lossy(&ended.stderr));
-    assert!(ended.status.success(), "{said}{told}");
+    let ended = lab.args(["demo", "--out"]).arg(dir.path()).output().expect("process is running");
+    let (stdout, stderr) = (String::from_utf8_lossy(&ended.stdout), String::from_utf8_lossy(&ended.stderr));
+    assert!(ended.status.success(), "{stdout}{stderr}");
     for part in ["served worth", "lookup", "slow_ledger", "memory MB", "CPU a request"] {
-        assert!(said.contains(part), "{part}: {said}");
+        assert!(stdout.contains(part), "{part}: {stdout}");
     }
     let result = std::fs::read_to_string(dir.path().join("result.json")).expect("a result");
     let result: serde_json::Value = serde_json::from_str(&result).expect("JSON");
--- a/crates/lab/tests/loopback/slow_start.rs
+++ b/crates/lab/tests/loopback/slow_start.rs
@@ -20,8 +20,8 @@
 fn overloads(scenario: &str, seed: u64) -> Vec<Breach> {
     let mut scenario: Scenario = toml::from_str(scenario).expect("a scenario");
     scenario.seconds = SECONDS;
-    let world = World::new(&scenario, seed, ms(SLACK_MS)).expect("a world");
-    let run = play(world, &proxies(), &Silent).expect("a run").run;
+    let world = World::new(&scenario, seed, ms(SLACK_MS)).expect("valid world");
+    let run = play(world, &proxies(), &Silent).expect("run succeeds").run;
     let requests = run.tally.all().requests;
     assert!(requests > 10_000, "only {requests} requests were made");
     let slow_start = |breach: &Breach| matches!(breach.rule, Rule::FailBack | Rule::SlowStart);
--- a/crates/lab/tests/loopback/whole.rs
+++ b/crates/lab/tests/loopback/whole.rs
@@ -9,8 +9,8 @@
 
 #[test]
 fn the_real_program_serves_a_calm_run_and_breaks_no_rule() {
-    let world = World::builder().seconds(3.0).rate(80.0).build(3).expect("a world");
-    let played = play(world, &proxies(), &Silent).expect("a run");
+    let world = World::builder().seconds(3.0).rate(80.0).build(3).expect("valid world");
+    let played = play(world, &proxies(), &Silent).expect("run succeeds");
     let (run, all) = (&played.run, played.run.tally.all());
     assert_eq!(all.requests, all.in_time + all.late + all.refused + all.failed + all.left);
     assert!(all.requests > 150, "{all:?}");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn faults_strike_sockets_and_processes_and_the_run_comes_to_its_end() {
+fn faults_hit_sockets_and_processes_and_the_run_ends() {
     let at = |kind, at_s, for_s| Fault::new(kind, at_s, for_s);
     let world = World::builder()
         .seconds(6.0)
@@ -45,12 +45,12 @@
         .fault(Fault { proxy: Some(0), down_s: Some(0.6), ..at(FaultKind::ProxyCrash, 2.5, 0.0) })
         .fault(Fault { proxy: Some(1), down_s: Some(1.5), ..at(FaultKind::ProxyRestart, 3.5, 0.0) })
         .build(5)
-        .expect("a world");
-    let played = play(world, &proxies(), &Silent).expect("a run");
+        .expect("valid world");
+    let played = play(world, &proxies(), &Silent).expect("run succeeds");
     let (run, all) = (&played.run, played.run.tally.all());
     assert_eq!(run.faults.len(), 12);
     assert_eq!(all.requests, all.in_time + all.late + all.refused + all.failed + all.left);
-    assert_eq!(run.nodes.len(), 9 + 2 + 1, "two grew and one took the place of another");
+    assert_eq!(run.nodes.len(), 9 + 2 + 1, "two nodes were added and one was replaced");
     assert!(all.in_time > 0 && all.failed + all.refused + all.left > 0, "{all:?}");
     assert_eq!(run.tally.ledger_stops, 1);
     let broken = run.rules_broken.iter().filter(|b| b.rule != Rule::OneAnswer).collect::<Vec<_>>();
