--- a/crates/world/src/clients/arrivals.rs
+++ b/crates/world/src/clients/arrivals.rs
@@ -1,4 +1,4 @@
-//! Requests drawn ahead: when each comes, for what, from whom, and how patient that client is.
+//! Generates the requests of a run in advance: arrival time, key, sender, and the patience of that client.
 
 use super::{Popularity, Traffic};
 use crate::facts::{ClassNo, RequestNo};
@@ -7,52 +7,52 @@
 use crate::Micros;
 use rand::RngExt;
 
-/// Keys that a crowd runs to.
+/// Number of keys that a crowd asks for.
 const CROWD_KEYS: u32 = 5;
 
-/// A client's request, over all of its tries.
+/// A client's request, across all of its tries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Request {
     pub no: RequestNo,
-    /// When the client wants to send its first try; latencies count from here.
+    /// When the client wants to send its first try; latencies are measured from here.
     pub at: Micros,
     pub class: ClassNo,
-    /// By its place in the scenario; 0 where there are none.
+    /// Index in the scenario's tenants; 0 if there are none.
     pub tenant: u32,
-    /// The hall by its place, whose proxies it comes to.
+    /// Index of the zone whose proxies it is sent to.
     pub hall: u16,
     pub key: u64,
     /// Size of the value.
     pub bytes: u64,
     /// Work of a hit, in microseconds of a standard core.
     pub work: f64,
-    /// Worth of an answer in time: less where the tenant is beyond its share.
+    /// Worth of an answer in time; lower if the tenant exceeds its share.
     pub worth: f64,
-    /// Further tries that it makes at most.
+    /// Maximum number of retries.
     pub retries: u32,
-    /// A try is given up after this time.
+    /// Timeout of a try.
     pub try_for: Micros,
-    /// Its first wait before a retry.
+    /// Backoff before the first retry.
     pub backoff: Micros,
-    /// It stays away for as long as a refusal says.
+    /// Whether the client waits for as long as a refusal says.
     pub honours: bool,
 }
 
 impl Request {
-    /// Its idempotency key, the same for each of its tries.
+    /// The idempotency key, the same for all of its tries.
     pub fn repeat_key(&self) -> u64 {
         mix(self.no.0.wrapping_add(0x51ed_270b_91f3_04a7))
     }
 }
 
-/// What of a class is needed for each request.
+/// The values of a class that are needed for each request.
 #[derive(Clone, Copy, Debug)]
 struct Class {
     part: f64,
     patience: Micros,
 }
 
-/// The requests of a run, in the order of time.
+/// The requests of a run, in chronological order.
 #[derive(Clone, Debug)]
 pub struct Arrivals {
     rng: Random,
@@ -60,7 +60,8 @@
     traffic: Traffic,
     classes: Vec<(Class, ClientClass)>,
     halls: Vec<f64>,
-    /// Each tenant's share, in requests a microsecond, and what is left of it.
+    /// For each tenant: its share in requests per microsecond, the tokens left, and when they were last
+    /// refilled.
     quotas: Vec<(f64, f64, Micros)>,
     over_share_worth: f64,
     retries: [f64; 2],
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Requests a second within each tenant's share, over all proxies.
+    /// Each tenant's share over all proxies, in requests per second.
     pub fn quotas_per_s(&self) -> Vec<f64> {
         self.quotas.iter().map(|(rate, ..)| rate * 1e6).collect()
     }
@@ -110,7 +111,7 @@
         &self.popularity
     }
 
-    /// Whether a request of this tenant is within its share: a token bucket of a second's worth.
+    /// Whether a request of this tenant is within its share: a token bucket that holds one second's worth.
     fn within_share(&mut self, tenant: usize, now: Micros) -> bool {
         let Some((rate, left, at)) = self.quotas.get_mut(tenant) else { return true };
         *left = (*left + *rate * (now - *at) as f64).min((*rate * 1e6).max(1.0));
@@ -136,7 +137,8 @@
 impl Iterator for Arrivals {
     type Item = Request;
 
-    /// Draws by thinning (Lewis and Shedler: Simulation of nonhomogeneous Poisson processes by thinning, 1979).
+    /// Draws by thinning (Lewis and Shedler: Simulation of nonhomogeneous Poisson processes by thinning,
+    /// 1979).
     fn next(&mut self) -> Option<Request> {
         let most = self.traffic.most();
         loop {
--- a/crates/world/src/clients/mod.rs
+++ b/crates/world/src/clients/mod.rs
@@ -1,7 +1,7 @@
-//! Who asks: when requests come, for what, and what a client does with the answer to a try.
+//! Clients: when requests arrive, what they ask for, and how a client reacts to the result of a try.
 //!
-//! Arrivals are drawn ahead by the seed and wait for nobody (open loop); retries follow from what came of a try.
-//! Nothing here sends: hosts do.
+//! Arrivals are drawn in advance from the seed and do not wait for answers (open loop); retries depend on the
+//! result of a try. Nothing here sends anything: the hosts do.
 
 mod arrivals;
 mod patience;
--- a/crates/world/src/clients/patience.rs
+++ b/crates/world/src/clients/patience.rs
@@ -1,27 +1,27 @@
-//! What a client does with what came of a try: another one, when, or none.
+//! How a client reacts to the result of a try: whether and when it retries.
 
 use super::Request;
 use crate::random::{mix, ms, unit};
 use crate::scenario::{ClientClass, Repeat};
 use crate::Micros;
 
-/// Less time than this is not worth another try.
+/// A try is not started if less time than this is left for it.
 const MIN_TRY_TIME: Micros = 10_000;
 
-/// How a try ended, as its client sees it.
+/// How a try ended, from the client's point of view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryEnd {
     Served,
-    /// Turned away; come again after this time.
+    /// Refused; retry after this time.
     Refused(Option<Micros>),
     Failed,
-    /// No proxy could be reached: it never ran.
+    /// No proxy was reached, so it was never executed.
     Unreached,
-    /// The client gave it up.
+    /// The client gave up.
     Left,
 }
 
-/// A client's request under way: the tries that it has made.
+/// The number of tries of a request so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryState {
     pub tries: u32,
@@ -34,13 +34,13 @@
 }
 
 impl RetryState {
-    /// Another try begins; when it is given up comes back.
+    /// Counts another try; returns when the client gives it up.
     pub fn begin(&mut self, now: Micros, r: &Request, class: &ClientClass) -> Micros {
         self.tries += 1;
         (now + r.try_for).min(r.at + ms(class.patience_ms))
     }
 
-    /// What follows on the end of a try.
+    /// Decides what follows the end of a try.
     pub fn after(&self, now: Micros, r: &Request, class: &ClientClass, end: TryEnd) -> Next {
         let harmless = matches!(end, TryEnd::Refused(_) | TryEnd::Unreached);
         let may = match class.repeat {
@@ -51,7 +51,8 @@
         if end == TryEnd::Served || self.tries > r.retries || !may {
             return Next::Over;
         }
-        // Doubled with each try, and spread by half, so that those who failed together do not return together.
+        // Doubles with each try, and is spread by half so that clients which failed together do not return
+        // together.
         let spread = 0.5 + unit(mix(r.no.0 ^ u64::from(self.tries) << 48));
         let backoff = (r.backoff << (self.tries - 1).min(10)) as f64 * spread;
         let told = match end {
@@ -60,7 +61,7 @@
         };
         let at = now + (backoff as Micros).max(told);
         let until = r.at + ms(class.patience_ms);
-        // A keyed request comes again only while repeats of it are dropped.
+        // A keyed request is retried only while repeats of it are dropped.
         let window = if class.repeat == Repeat::Keyed { r.at + ms(class.window_ms) } else { Micros::MAX };
         if at + MIN_TRY_TIME > until.min(window) {
             return Next::Over;
--- a/crates/world/src/clients/popularity.rs
+++ b/crates/world/src/clients/popularity.rs
@@ -1,11 +1,11 @@
-//! Which keys are asked for, how often, and how large their values are; and what a cache would hold of them.
+//! Which keys are requested, how often, the size of their values, and the hit ratio of a cache over them.
 
 use crate::random::{mix, seed_of, unit, unmix, Random};
 use crate::scenario;
 use crate::Micros;
 use rand::RngExt;
 
-/// Zipf and Mandelbrot's law over ranks, with keys that pass on by and by.
+/// Zipf-Mandelbrot distribution over ranks, with keys that change ranks over time.
 ///
 /// Ranks are drawn by rejection-inversion, in constant time and without tables (Hörmann and Derflinger:
 /// Rejection-inversion to generate variates from monotone discrete distributions, 1996).
@@ -18,7 +18,7 @@
     bytes: f64,
     sigma: f64,
     salt: u64,
-    /// Of the rejection: the ends of the inverted area, and the shortcut.
+    /// Constants of the rejection-inversion: the ends of the inverted area, and the shortcut for acceptance.
     first: f64,
     last: f64,
     close: f64,
@@ -27,9 +27,9 @@
 }
 
 const EPOCH: u64 = 1 << 32;
-/// The longest value of the protocol.
+/// The longest value that the protocol allows.
 const MAX_BYTES: f64 = 65_536.0;
-/// Ranks that are summed one by one; beyond them the sum is taken as an integral.
+/// Ranks that are summed one by one; the sum beyond them is approximated like an integral.
 const EXACT: u32 = 200;
 
 impl Popularity {
@@ -58,7 +58,7 @@
         (rank + self.offset).powf(-self.exponent)
     }
 
-    /// The area under the weights, as an integral of the rank.
+    /// The integral of the weights up to a rank.
     fn area(&self, rank: f64) -> f64 {
         let x = rank + self.offset;
         if (self.exponent - 1.0).abs() < 1e-9 {
@@ -77,11 +77,11 @@
         x - self.offset
     }
 
-    /// The sum over all ranks of something that depends on a rank's weight.
+    /// Sums a function of the weight over all ranks.
     fn over_ranks(&self, of: impl Fn(f64) -> f64) -> f64 {
         let exact = self.keys.min(EXACT);
         let mut sum: f64 = (1..=exact).map(|k| of(self.weight(f64::from(k)))).sum();
-        // Beyond, ranks are so alike that steps of a hundredth of the rank do.
+        // Beyond that, ranks are so similar that steps of one hundredth of the rank suffice.
         let (mut from, most) = (f64::from(exact), f64::from(self.keys));
         while from < most {
             let to = (from * 1.01).ceil().min(most);
@@ -91,7 +91,7 @@
         sum
     }
 
-    /// A rank, the most popular being 1.
+    /// Draws a rank; 1 is the most popular.
     pub fn rank(&self, rng: &mut Random) -> u32 {
         loop {
             let u = self.last + rng.random::<f64>() * (self.first - self.last);
@@ -103,14 +103,14 @@
         }
     }
 
-    /// The key that has this rank at a time; never 0.
+    /// The key that has this rank at a given time; never 0.
     pub fn key(&self, rank: u32, now: Micros) -> u64 {
         let phase = unit(mix(self.salt ^ u64::from(rank)));
         let epoch = (self.drift * now.max(0) as f64 / 1e6 + phase).floor() as u64;
         self.named(u64::from(rank) + EPOCH * epoch)
     }
 
-    /// One of a handful of keys that were not popular before.
+    /// One of the few keys of a crowd, which were not popular before.
     pub fn crowded(&self, which: u32) -> u64 {
         self.named(u64::from(self.keys) + 1 + u64::from(which))
     }
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The rank that a key had when the world began, if it had one.
+    /// The rank that a key had at the start of the run, if any.
     pub fn rank_of(&self, key: u64) -> Option<u32> {
         let number = unmix(key) ^ self.salt;
         u32::try_from(number).ok().filter(|rank| (1..=self.keys).contains(rank))
@@ -133,7 +133,7 @@
         if self.sigma <= 0.0 {
             return self.bytes as u64;
         }
-        // The sum of four even draws out of one hash is near enough to a normal.
+        // The sum of four uniform numbers from one hash is close enough to a normal distribution.
         let hash = mix(key ^ self.salt.rotate_left(17));
         let even: f64 = (0..4).map(|i| f64::from((hash >> (16 * i)) as u16) / 65_536.0).sum();
         let normal = (even - 2.0) * 3f64.sqrt();
@@ -141,13 +141,14 @@
         bytes.clamp(1.0, MAX_BYTES) as u64
     }
 
-    /// The part of all requests that a rank draws.
+    /// The part of all requests that go to a rank.
     pub fn part(&self, rank: u32) -> f64 {
         self.weight(f64::from(rank)) / self.total
     }
 
-    /// How long a cache with room for so many values keeps one that is not asked for again, in seconds, at this
-    /// rate (Che, Tung and Wang: Hierarchical web caching systems, 2002). Infinite if it has room for all.
+    /// How long, in seconds, a cache with room for this many values keeps a value that is not requested
+    /// again, at this request rate (Che, Tung and Wang: Hierarchical web caching systems, 2002). Infinite if
+    /// all values fit.
     pub fn stay(&self, values: f64, rate_per_s: f64) -> f64 {
         if values >= f64::from(self.keys) || rate_per_s <= 0.0 {
             return f64::INFINITY;
@@ -168,13 +169,13 @@
         (low + high) / 2.0
     }
 
-    /// The part of the reads that such a cache answers. A value is good for `keep_s` and is voided by writes,
-    /// which are `writes` for each read of its key.
+    /// The hit ratio of such a cache. A value is valid for `keep_s` and is invalidated by writes; `writes` is
+    /// their number per read of the key.
     pub fn hits(&self, values: f64, reads_per_s: f64, keep_s: f64, writes: f64) -> f64 {
         let stay = self.stay(values, reads_per_s);
         let hits = self.over_ranks(|w| {
             let rate = reads_per_s * w / self.total;
-            // Hits between two fetches: until it is not asked for in time, too old, or written.
+            // Hits between two fetches: until the value is evicted, expires or is written.
             let dropped = (rate * stay).min(500.0).exp() - 1.0;
             let good = 1.0 / (1.0 / keep_s + rate * writes);
             let run = dropped.min(rate * good);
--- a/crates/world/src/clients/request_table.rs
+++ b/crates/world/src/clients/request_table.rs
@@ -1,6 +1,7 @@
-//! The requests that are under way and their tries: who asked, which try is out, what follows on its end.
+//! The requests in progress and their tries: who sent them, which try is in flight, and what follows when it
+//! ends.
 //!
-//! The same book-keeping for every host. A try ends once: whoever tells of its end later finds it gone.
+//! The same bookkeeping for every host. A try ends once: a later report of its end finds it closed.
 
 use super::{Next, Request, RetryState, TryEnd};
 use crate::facts::{NodeNo, ProxyNo, TryNo};
@@ -10,32 +11,32 @@
 use slab::Slab;
 use std::collections::VecDeque;
 
-/// How long a try that is over can be recalled: longer than the windows of keyed requests.
+/// How long a finished try can still be looked up: longer than the windows of keyed requests.
 const RECALL: Micros = 6_000_000;
 
-/// A request by its place at the desk, until it is over.
+/// The slot of a request in the table, valid until the request is finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestSlot(pub usize);
 
-/// A try that is out, or of which attempts still are.
+/// A try that is in flight, or that still has attempts in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Try {
     pub no: TryNo,
     pub request: Request,
     place: RequestSlot,
     pub proxy: ProxyNo,
-    /// Not the first of its request.
+    /// Not the first try of its request.
     pub retry: bool,
     pub sent: Micros,
     /// When its client gives it up.
     pub until: Micros,
-    /// Its client has no end of it yet.
+    /// Its end has not been reported to the client yet.
     pub open: bool,
-    /// When it was over: nothing is owed to it any more, by nobody.
+    /// When it finished: from then on nobody waits for it.
     done: Option<Micros>,
-    /// The first two nodes that missed for it: there the ledger's answer is kept.
+    /// The first two nodes that missed for it; the origin's answer is stored there.
     pub missed: [Option<NodeNo>; 2],
-    /// The node whose miss came last.
+    /// The node with the most recent miss.
     pub after: Option<NodeNo>,
 }
 
@@ -58,10 +59,10 @@
 pub struct RequestTable {
     classes: Vec<ClientClass>,
     live: Slab<Live>,
-    /// In the order of their numbers, from the first that is remembered.
+    /// Ordered by number; `first` is the number of the first one.
     tries: VecDeque<Try>,
     first: u64,
-    /// Those that are not over.
+    /// Tries that are not finished.
     out: usize,
 }
 
@@ -76,13 +77,13 @@
         }
     }
 
-    /// A client comes with a request; its first try is to be sent.
+    /// A client starts a request; its first try must be sent next.
     pub fn open(&mut self, request: Request, recorder: &mut Recorder) -> RequestSlot {
         recorder.asked(&request);
         RequestSlot(self.live.insert(Live { request, retry_state: RetryState::default() }))
     }
 
-    /// A try is sent now, to this proxy.
+    /// Sends a try to this proxy now.
     pub fn send(
         &mut self,
         now: Micros,
@@ -105,7 +106,7 @@
         Some(made)
     }
 
-    /// No proxy takes the try that was to be sent now.
+    /// No proxy was available for the try that was to be sent now.
     pub fn unreached(
         &mut self,
         now: Micros,
@@ -131,7 +132,7 @@
         self.tries.get_mut(of.0.checked_sub(self.first)? as usize).filter(|t| t.done.is_none())
     }
 
-    /// Notes that a node missed for a try that is under way or was of late.
+    /// Records that a node missed for a try that is in flight or finished recently.
     pub fn missed(&mut self, of: TryNo, node: NodeNo) {
         let at = of.0.checked_sub(self.first).map(|at| at as usize);
         if let Some(t) = at.and_then(|at| self.tries.get_mut(at)) {
@@ -139,7 +140,8 @@
         }
     }
 
-    /// A try that is under way or was of late: a proxy that is wrong may send one that is over.
+    /// A try that is in flight or finished recently; a faulty proxy may still send attempts for a finished
+    /// one.
     pub fn recall(&self, of: TryNo) -> Option<&Try> {
         self.tries.get(of.0.checked_sub(self.first)? as usize)
     }
@@ -148,7 +150,8 @@
         self.classes.get(usize::from(request.class.0))
     }
 
-    /// A try has ended for its client, once: when and for whom the next one is to be sent.
+    /// A try has ended for its client; only the first call counts. Returns when and for which request the
+    /// next try must be sent.
     pub fn end(
         &mut self,
         now: Micros,
@@ -182,7 +185,7 @@
         }
     }
 
-    /// Nothing of a try is owed any more: it is over now, and forgotten some time later.
+    /// Nobody waits for the try any more: it is finished now, and removed some time later.
     pub fn forget(&mut self, now: Micros, of: TryNo) {
         if let Some(t) = self.get_mut(of) {
             t.done = Some(now);
@@ -194,17 +197,17 @@
         }
     }
 
-    /// The tries that a proxy has, in the order of their numbers.
+    /// The tries in flight at a proxy, ordered by number.
     pub fn at(&self, proxy: ProxyNo) -> Vec<TryNo> {
         self.tries.iter().filter(|t| t.proxy == proxy && t.done.is_none()).map(|t| t.no).collect()
     }
 
-    /// Requests that are not over.
+    /// Requests that are not finished.
     pub fn live(&self) -> usize {
         self.live.len()
     }
 
-    /// Tries that are not over.
+    /// Tries that are not finished.
     pub fn tries(&self) -> usize {
         self.out
     }
--- a/crates/world/src/clients/traffic.rs
+++ b/crates/world/src/clients/traffic.rs
@@ -1,15 +1,15 @@
-//! How much is asked at a time: waves, paydays, surges of one tenant, crowds, and a fleet that shrinks.
+//! The request rate over time: periodic swings, paydays, surges of one tenant, crowds, and a shrinking fleet.
 
 use crate::random::seconds;
 use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::Micros;
 
-/// What changes the traffic from a moment to another, or for good.
+/// A change of the traffic for some time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Change {
     from: Micros,
     until: Micros,
-    /// Of all requests, or of one tenant's.
+    /// Multiplies all requests, or those of one tenant.
     times: f64,
     tenant: Option<usize>,
 }
@@ -20,11 +20,11 @@
     swing: f64,
     swing_s: f64,
     changes: Vec<Change>,
-    /// Falls to this part of the traffic, evenly over the time, and stays there.
+    /// Start, end and final part: the traffic falls linearly to this part and stays there.
     falls: Vec<(Micros, Micros, f64)>,
-    /// From, until, and the part of the reads that crowd.
+    /// Start, end, and the part of the reads that goes to the crowd's keys.
     crowds: Vec<(Micros, Micros, f64)>,
-    /// What each tenant sends usually; sums to 1.
+    /// The usual part of each tenant; sums to 1.
     tenants: Vec<f64>,
 }
 
@@ -55,13 +55,13 @@
         }
     }
 
-    /// What a tenant sends now, as a multiple of what it sends usually.
+    /// A tenant's current traffic as a multiple of its usual traffic.
     fn surge(&self, tenant: usize, now: Micros) -> f64 {
         let now_on = |c: &&Change| c.tenant == Some(tenant) && (c.from..c.until).contains(&now);
         self.changes.iter().filter(now_on).map(|c| c.times).product()
     }
 
-    /// Requests a microsecond.
+    /// Requests per microsecond.
     pub fn rate(&self, now: Micros) -> f64 {
         let wave = 1.0 + self.swing * (std::f64::consts::TAU * now as f64 / 1e6 / self.swing_s).sin();
         let on = |c: &&Change| c.tenant.is_none() && (c.from..c.until).contains(&now);
@@ -79,7 +79,8 @@
         self.rate * wave * times * surges * fallen.product::<f64>()
     }
 
-    /// No rate of the run exceeds this one. What rises it together is on at the beginning of one of the changes.
+    /// Upper bound of the rate over the run. The largest product of simultaneous increases is reached at the
+    /// start of one of the changes.
     pub fn most(&self) -> f64 {
         let rises = |at: Micros| -> f64 {
             let on = self.changes.iter().filter(|c| (c.from..c.until).contains(&at));
@@ -89,7 +90,7 @@
         self.rate * (1.0 + self.swing) * most
     }
 
-    /// The tenant that a number in [0, 1) draws; 0 where there are none.
+    /// The tenant selected by a number in [0, 1); 0 if there are none.
     pub fn tenant(&self, now: Micros, draw: f64) -> usize {
         let surges = self.changes.iter().any(|c| c.tenant.is_some());
         let part = |i: usize| self.tenants[i] * if surges { self.surge(i, now) } else { 1.0 };
@@ -104,7 +105,7 @@
         self.tenants.len().saturating_sub(1)
     }
 
-    /// The part of the reads that goes to a handful of keys.
+    /// The part of the reads that goes to the crowd's keys.
     pub fn crowd(&self, now: Micros) -> f64 {
         let on = self.crowds.iter().filter(|(from, until, _)| (*from..*until).contains(&now));
         on.map(|(_, _, part)| *part).fold(0.0, f64::max)
--- a/crates/world/src/dedup.rs
+++ b/crates/world/src/dedup.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys seen of late: who carries out keyed requests drops repeats of them for a window.
+//! Recently seen idempotency keys. Nodes and the origin, which execute keyed requests, use them to drop
+//! repeats within a window.
 //!
 //! Bounded by time, and by a number of keys beyond which the oldest are forgotten early.
 
@@ -15,7 +16,7 @@
 }
 
 impl DedupTable {
-    /// Whether the key was seen within its window. If not, its window begins.
+    /// Whether the key was seen within its window. If not, its window begins now.
     pub fn seen(&mut self, now: Micros, key: u64, window: Micros) -> bool {
         while self.order.front().is_some_and(|(until, _)| *until <= now) || self.order.len() >= MAX_ENTRIES {
             let Some((until, old)) = self.order.pop_front() else { break };
@@ -27,8 +28,8 @@
             return true;
         }
         self.until.insert(key, now + window);
-        // Windows of several lengths leave the order a little uneven: a key is then kept a little longer, and
-        // its own time is what counts.
+        // Windows of different lengths leave the queue slightly out of order. A key is then kept a little
+        // longer, but only its own expiry time counts.
         self.order.push_back((now + window, key));
         false
     }
--- a/crates/world/src/discovery.rs
+++ b/crates/world/src/discovery.rs
@@ -1,8 +1,10 @@
-//! Discovery: the list of nodes as each proxy's agent has it, late, in order, and at times silent.
+//! Service discovery: the list of nodes as the agent of each proxy has it, delayed, in order, and sometimes
+//! silent.
 //!
-//! It knows only whether a process runs, drains or is gone, and when it started. A change reaches the agents at
-//! times of their own; an agent answers at once with what it has, and that counts as told. While discovery is silent the
-//! agents learn nothing, and nothing counts as told; what was due by then reaches them as the silence ends.
+//! Discovery only knows whether a process runs, drains or is gone, and when it started. A change reaches each
+//! agent at its own time. An agent answers at once with what it has, and that counts as reported to the
+//! proxy. While discovery is silent the agents learn nothing, and nothing counts as reported; what was due by
+//! then reaches them when the silence ends.
 
 use crate::facts::{NodeNo, ProxyNo, Status};
 use crate::random::{ms, seconds, within, Random};
@@ -10,21 +12,21 @@
 use crate::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What is said of a node.
+/// A node's entry in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub node: NodeNo,
     pub status: Status,
-    /// When its process last started; `None` is long ago.
+    /// Start time of the node's process; `None` means long ago.
     pub started: Option<Micros>,
 }
 
-/// Why a change is noticed, which says how late.
+/// The kind of a change, which determines how late it is noticed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// A process that ends, drains or starts again.
     Process,
-    /// A machine that said nothing when it went.
+    /// A machine that disappeared without notice.
     Vanished,
     Added,
 }
@@ -78,14 +80,14 @@
         }
     }
 
-    /// Known to every agent from the start.
+    /// Adds an entry that every agent knows from the start.
     pub fn list(&mut self, entry: Entry) {
         for agent in &mut self.agents {
             agent.known.insert(entry.node, (self.revision, entry));
         }
     }
 
-    /// Something has changed; every agent hears of it in its time.
+    /// An entry has changed; every agent learns of it after its own delay.
     pub fn change(&mut self, now: Micros, entry: Entry, notice: Notice) {
         let range = match notice {
             Notice::Process => self.notice,
@@ -101,7 +103,8 @@
         }
     }
 
-    /// Nothing is told until it is over; what was due by then is told then, not at its own time in the initial_contents.
+    /// While silent, nothing is delivered. What became due in the meantime is delivered when the silence
+    /// ends, at that time and not at its original time in the past.
     pub fn silence(&mut self, now: Micros, silent: bool) {
         if self.silent && !silent {
             let due = self.agents.iter_mut().flat_map(|a| &mut a.due);
@@ -114,13 +117,13 @@
         self.silent
     }
 
-    /// When the next change is told.
+    /// When the next change is delivered.
     pub fn next(&self) -> Option<Micros> {
         let first = |a: &Agent| a.due.front().map(|due| due.at);
         self.agents.iter().filter_map(first).min().filter(|_| !self.silent)
     }
 
-    /// All that is told by now, in the order of proxies and changes.
+    /// Delivers all changes due by now, ordered by proxy, then by change.
     pub fn advance(&mut self, now: Micros, out: &mut Vec<ListUpdate>) {
         if self.silent {
             return;
@@ -136,8 +139,8 @@
         }
     }
 
-    /// What a proxy's agent has: its revision, and the entries that changed after a revision, or the whole list
-    /// (without what is gone).
+    /// What a proxy's agent has: its revision, and the entries that changed after a given revision, or the
+    /// whole list without removed nodes.
     pub fn known(&self, proxy: ProxyNo, after: Option<u64>) -> (u64, Vec<Entry>) {
         let Some(agent) = self.agents.get(proxy.0 as usize) else { return (0, Vec::new()) };
         let wanted = |(revision, entry): &(u64, Entry)| match after {
--- a/crates/world/src/discovery/tests.rs
+++ b/crates/world/src/discovery/tests.rs
@@ -28,10 +28,12 @@
     assert_eq!(d.known(ProxyNo(0), Some(2)), (3, vec![entry(Status::Gone)]));
 }
 
-/// `lab search scenarios/rolling_restart.toml --runs 300 --seed 4411`, runs 0, 27 and nine more, were said to break `drain`. Trace of run 27, shrunk: a node
-/// restarts at 0 s, discovery is silent from 0.1 to 11.2 s, and at 10.1 s a proxy that nobody has told sends to it. The rule took the
-/// change for told 6 s after it was due. The page of the standing test has silent agents learn nothing, what they get at the
-/// return count at once, and puts that before older sentences on when a change is told.
+/// Guards against a false breach of the `drain` rule, found by `lab search scenarios/rolling_restart.toml
+/// --runs 300 --seed 4411` (runs 0, 27 and nine more). In run 27 a node restarts at 0 s, discovery is silent
+/// from 0.1 to 11.2 s, and at 10.1 s a proxy that has not been told sends to the node. The rule used to treat
+/// the change as reported 6 s after it was due. By the test specification silent agents learn nothing, and
+/// what they get at the end of the silence counts at once; this takes precedence over its older statements on
+/// when a change is reported.
 #[test]
 fn what_silence_keeps_back_is_told_as_it_ends_and_not_before() {
     let s = Scenario::default();
--- a/crates/world/src/facts.rs
+++ b/crates/world/src/facts.rs
@@ -1,7 +1,8 @@
-//! What happened, as whoever stands outside the proxy sees it: the only thing that the checkers of the rules read.
+//! Events as observed from outside the proxy. They are the only input of the rule checkers.
 //!
-//! A host tells each fact when it happens, in the order of time. Facts hold nothing that a proxy says of itself;
-//! so a proxy that is wrong cannot talk a checker round. Not a log for people: see [`crate::outcome`] for that.
+//! A host reports each fact when it happens, in chronological order. Facts contain nothing that a proxy
+//! reports about itself, so a faulty proxy cannot mislead a checker. Facts are not a log for people; see
+//! [`crate::outcome`] for that.
 
 use crate::Micros;
 
@@ -14,21 +15,20 @@
         pub struct $name(pub $of);
     };
 }
-number!(/** A proxy by its place among them; it keeps its number when it starts anew. */ ProxyNo, u32);
-number!(/** A node by its place in the world, nodes that come later included. A replacement has a place of its own;
- a restart keeps it. */ NodeNo, u32);
-number!(/** A try: what a client sent once. A client's next try has another number. */ TryNo, u64);
-number!(/** A client's request over all of its tries. */ RequestNo, u64);
-number!(/** A class by its place in the scenario. */ ClassNo, u16);
+number!(/** A proxy's index; it keeps its number when it restarts. */ ProxyNo, u32);
+number!(/** A node's index, including nodes added later. A replacement gets a new number; a restart keeps it. */ NodeNo, u32);
+number!(/** A try: one send by a client. A retry has another number. */ TryNo, u64);
+number!(/** A client's request, across all of its tries. */ RequestNo, u64);
+number!(/** A class's index in the scenario. */ ClassNo, u16);
 
-/// The ledger, where a node is named.
+/// The number that stands for the origin where a node is expected.
 pub const LEDGER: NodeNo = NodeNo(u32::MAX);
 
 /// How a proxy answered a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Final {
-    /// With a value, and the try that a node or the ledger made this value for, as the value itself tells;
-    /// `None` for a value that nobody made.
+    /// With a value. `made_for` is the try for which a node or the origin produced this value, as encoded in
+    /// the value itself; `None` if the value was produced by neither.
     Served {
         made_for: Option<TryNo>,
     },
@@ -36,7 +36,7 @@
     Failed,
 }
 
-/// What discovery told a proxy of a node.
+/// The status of a node as discovery reported it to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     Ready,
@@ -44,41 +44,44 @@
     Gone,
 }
 
-/// Something that happened. Whoever tells it says when.
+/// An observed event. Its time is passed along with it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fact {
-    /// The last byte of a try has reached a proxy that lives.
+    /// The last byte of a try has reached a running proxy.
     Taken { proxy: ProxyNo, of: TryNo, class: ClassNo, deadline: Micros },
-    /// The last byte of a proxy's answer has left it.
+    /// The last byte of a proxy's answer has been sent.
     Answered { proxy: ProxyNo, of: TryNo, how: Final },
     /// The proxy closed the client's connection without an answer.
     Dropped { proxy: ProxyNo, of: TryNo },
-    /// The client gave the try up and closed, whatever the proxy does; nothing is owed to it any more.
+    /// The client gave up the try and closed the connection, regardless of the proxy; from then on the proxy
+    /// owes it no answer.
     Left { proxy: ProxyNo, of: TryNo },
-    /// The proxy's process is gone. What it had taken is lost only if it was told to end and did so itself.
+    /// The proxy's process has ended. The tries it had accepted count as lost only if it was told to shut
+    /// down and exited by itself.
     ProxyEnded { proxy: ProxyNo, planned: bool },
     /// The first byte of an attempt left the proxy for a node.
     AttemptBegun { proxy: ProxyNo, node: NodeNo, of: TryNo },
-    /// A node or the ledger has begun to carry out a try. `key` is its idempotency key, where it has one;
-    /// `effect` is false where a repeat was recognised and dropped, or where a read missed; `made` is false where it
-    /// missed, for nothing that could be served comes of that.
+    /// A node or the origin has started to execute a try. `key` is its idempotency key, if any. `effect` is
+    /// false for a detected and dropped repeat and for a read that missed. `made` is false for a miss, since
+    /// a miss produces nothing that can be served.
     Ran { node: NodeNo, of: TryNo, class: ClassNo, key: Option<u64>, effect: bool, made: bool },
-    /// Discovery has told a proxy about a node, or counts as having told. `started` is when the process of the node that
-    /// this speaks of started; `None` is long ago.
+    /// Discovery has reported a node's status to a proxy, or counts as having done so. `started` is the start
+    /// time of the node process that the entry describes; `None` means long ago.
     Listed { proxy: ProxyNo, node: NodeNo, status: Status, started: Option<Micros> },
-    /// A node has started; told at the start of a run of those that are there, as `warm`. Others are empty and cold.
-    /// `weight` is what discovery lists it with. `capacity` is its work a second when warm, in micros of a standard
-    /// core.
+    /// A node has started. Nodes present at the start of a run are reported then, as `warm`; all others start
+    /// empty and cold. `weight` is the weight in the discovery list. `capacity` is the work per second of the
+    /// warm node, in microseconds of a standard core.
     Started { node: NodeNo, weight: f64, capacity: f64, warm: bool },
-    /// Work has reached a node, accepted or not, a read counted as if it hit: micros of a standard core. `warmth` is the part of its capacity
-    /// that the node has at this moment.
+    /// Work has arrived at a node, accepted or not, in microseconds of a standard core; a read counts as if
+    /// it hit. `warmth` is the part of its capacity that the node has at this moment.
     Arrived { proxy: ProxyNo, node: NodeNo, work: Micros, warmth: f64 },
-    /// A node has fallen over for too much work.
+    /// A node has crashed because it received too much work.
     OverloadCrash { node: NodeNo },
     /// The process or machine of a node is gone.
     Ended { node: NodeNo },
-    /// A read or write has reached the ledger. `after` names the node whose miss sent the read on.
+    /// A read or write has reached the origin. `after` is the node whose miss caused the read.
     LedgerAsked { proxy: ProxyNo, of: TryNo, after: Option<NodeNo> },
-    /// The ledger was sent more than a set multiple of its capacity from `since` until now, and stops if it can.
+    /// The origin received more than a set multiple of its capacity from `since` until now. `stopped` tells
+    /// whether it stopped because of that.
     LedgerOverloaded { since: Micros, stopped: bool },
 }
--- a/crates/world/src/front.rs
+++ b/crates/world/src/front.rs
@@ -1,4 +1,5 @@
-//! What spreads clients over the proxies of their hall, and notices late that one is dead or back.
+//! The load balancer in front of the proxies. It spreads clients over the proxies of their zone and notices
+//! with a delay that a proxy has died or is back.
 
 use crate::facts::ProxyNo;
 use crate::random::{mix, seconds, within, Random};
@@ -9,16 +10,16 @@
 pub struct Front {
     rng: Random,
     notice: Range,
-    /// The hall of each proxy, and whether it is taken to be alive.
+    /// The zone of each proxy, and whether the front considers it alive.
     halls: Vec<u16>,
     alive: Vec<bool>,
-    /// By hall: whom to pick from.
+    /// The proxies to choose from, by zone.
     picks: Vec<Vec<ProxyNo>>,
     notices: Vec<(Micros, ProxyNo, bool)>,
 }
 
 impl Front {
-    /// `proxies` are their halls.
+    /// `proxies` holds the zone of each proxy.
     pub fn new(notice: Range, halls: usize, proxies: Vec<u16>, rng: Random) -> Self {
         let alive = vec![true; proxies.len()];
         let picks = vec![Vec::new(); halls];
@@ -34,19 +35,20 @@
             let here = |p: &&ProxyNo| usize::from(self.halls[p.0 as usize]) == hall;
             *picks = alive.iter().filter(here).copied().collect();
             if picks.is_empty() {
-                // A hall without a proxy sends its clients to the others.
+                // Clients of a zone without a live proxy go to the other zones.
                 picks.clone_from(&alive);
             }
         }
     }
 
-    /// The proxy for a try that comes from this hall; the number spreads them.
+    /// The proxy for a try from this zone; `number` selects among several.
     pub fn pick(&self, hall: u16, number: u64) -> Option<ProxyNo> {
         let picks = self.picks.get(usize::from(hall))?;
         picks.get((mix(number) % picks.len().max(1) as u64) as usize).copied()
     }
 
-    /// A proxy is told to end: the front is told as well, and spreads no more to it.
+    /// A proxy is told to shut down or is listed again. The front is informed at once and stops or resumes
+    /// sending to it.
     pub fn told(&mut self, proxy: ProxyNo, alive: bool) {
         self.notices.retain(|n| n.1 != proxy);
         if let Some(a) = self.alive.get_mut(proxy.0 as usize) {
@@ -55,7 +57,7 @@
         self.sort();
     }
 
-    /// A proxy has died or is back, which is noticed in time.
+    /// A proxy has died or is back; the front notices after a delay.
     pub fn changed(&mut self, now: Micros, proxy: ProxyNo, alive: bool) {
         let at = now + seconds(within(self.notice, &mut self.rng));
         self.notices.retain(|n| n.1 != proxy);
--- a/crates/world/src/geography.rs
+++ b/crates/world/src/geography.rs
@@ -1,30 +1,32 @@
-//! Where proxies and control machines stand, and how far they are from each other: regions, zones in them, sites in
-//! those, drawn from a seed at any size of the users' fleet.
+//! Locations of proxies and control machines and the distances between them: sites in zones in regions, drawn
+//! from a seed for any size of the fleet.
 //!
-//! Distances are one-way delays. A site and a zone are as wide as a building and a town; regions are points on a
-//! plane, and the farthest two are as far as the earth allows on cables.
+//! Distances are one-way delays. A site is as large as a building and a zone as large as a town; regions are
+//! points on a plane, and the largest distance between two of them corresponds to the longest cable paths on
+//! earth.
 
 use crate::random::{stream, Random};
 use crate::Micros;
 use rand::RngExt;
 
-/// The users' fleet; smaller ones are drawn after it.
+/// The size of the users' fleet; smaller fleets are scaled down from it.
 pub const FULL_SIZE: Size = Size { regions: 33, zones: 82, sites: 670, proxies: 11_000, controls: 24 };
 
-/// One way between two machines of a site, of a zone, and of a region.
+/// One-way delay between two machines of a site, of a zone, and of a region.
 const IN_SITE_US: Micros = 100;
 /// See [`IN_SITE_US`].
 const IN_ZONE_US: Micros = 500;
 /// See [`IN_SITE_US`].
 const IN_REGION_US: Micros = 2_000;
-/// One way between regions: the least, and between opposite corners of the plane.
+/// One-way delay between regions: the minimum, and that between opposite corners of the plane.
 const BETWEEN_US: [Micros; 2] = [10_000, 120_000];
-/// Fewest of each that a scaled fleet has: five stores and one more; two zones a region, for two disjoint ways.
+/// Minimum numbers of a scaled fleet: five stores and one more control machine; two zones per region, for two
+/// disjoint paths.
 const MIN_CONTROLS: u32 = 6;
 /// See [`MIN_CONTROLS`].
 const MIN_REGIONS: u32 = 3;
 
-/// How many of each.
+/// Number of places and machines of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Size {
     pub regions: u32,
@@ -36,8 +38,8 @@
 }
 
 impl Size {
-    /// The users' fleet with this many proxies: the other numbers go with the root of the proxies, so that places
-    /// shrink as well as their number.
+    /// The users' fleet scaled to this many proxies: the other numbers scale with the square root of the
+    /// number of proxies, so that places become both fewer and smaller.
     pub fn of(proxies: u32) -> Size {
         let root = (f64::from(proxies) / f64::from(FULL_SIZE.proxies)).sqrt().min(1.0);
         let scaled = |of: u32, least: u32| ((f64::from(of) * root).round() as u32).max(least);
@@ -48,7 +50,7 @@
     }
 }
 
-/// A place: the site is in the zone, the zone in the region. Numbers are of the whole fleet.
+/// A location: the site is in the zone, the zone in the region. Numbers are unique across the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Spot {
     pub region: u16,
@@ -56,21 +58,21 @@
     pub site: u16,
 }
 
-/// Where everything stands.
+/// The locations of all machines.
 #[derive(Clone, Debug)]
 pub struct Geography {
-    /// Regions on a unit square.
+    /// Positions of the regions on a unit square.
     regions: Vec<(f64, f64)>,
     /// By the proxy's number.
     pub proxies: Vec<Spot>,
-    /// By the place in the control list.
+    /// By the index in the control list.
     pub controls: Vec<Spot>,
 }
 
 impl Geography {
-    /// Draws a fleet. Every region has a zone, every zone a site, every site a proxy; what is left goes to some more
-    /// than to others. Control machines stand in pairs in two zones of the regions with the most proxies; the first
-    /// of each pair come first in the list, so that stores stand in different regions.
+    /// Draws a fleet. Every region has a zone, every zone a site, every site a proxy; the rest is distributed
+    /// unevenly. Control machines are placed in pairs in two zones of the regions with the most proxies; the
+    /// first of each pair come first in the list, so that stores are in different regions.
     pub fn draw(size: Size, seed: u64) -> Geography {
         let mut rng = stream(seed, "geography", 0);
         let regions = (0..size.regions).map(|_| (rng.random(), rng.random())).collect();
@@ -87,7 +89,7 @@
         Geography { regions, proxies, controls }
     }
 
-    /// One way between two places.
+    /// One-way delay between two locations.
     pub fn one_way_delay(&self, a: Spot, b: Spot) -> Micros {
         if a.site == b.site {
             IN_SITE_US
@@ -104,8 +106,8 @@
     }
 }
 
-/// Puts `of` things into `places`: `least` into each as far as they go, the rest by weights that are drawn once for
-/// each place.
+/// Distributes `of` items over `places`: `least` into each as far as possible, the rest by a random weight
+/// per place.
 fn share(of: u32, places: u32, least: u32, rng: &mut Random) -> Vec<u32> {
     let weights: Vec<f64> = (0..places).map(|_| crate::random::exponential(rng) + 0.1).collect();
     let whole: f64 = weights.iter().sum();
@@ -130,7 +132,7 @@
         }
     }
     count.sort_unstable_by_key(|(n, region)| (std::cmp::Reverse(*n), *region));
-    // The first site of each zone; a region has two zones at least.
+    // The first site of each zone; every region has at least two zones.
     let mut sites: Vec<Spot> = Vec::new();
     for (site, _) in zone_of.iter().enumerate() {
         let here = spot(site as u32);
--- a/crates/world/src/initial_contents.rs
+++ b/crates/world/src/initial_contents.rs
@@ -1,9 +1,9 @@
-//! What warm nodes hold when the world begins, decided key by key when it is first asked for.
+//! Contents of the warm nodes' stores at the start of a run, decided per key when the key is first requested.
 //!
-//! Nodes that run since before the start hold what they were asked for lately. Which node was asked for a key is
-//! the proxies' doing, and unknown here: so the first warm node that is asked for a key is the one that holds it, if
-//! a cache as large as all stores together would. Nobody else holds it. A run of its own before the start would
-//! do the same and take its time.
+//! Nodes that ran before the start hold what they were asked for recently. Which node was asked for which key
+//! depended on the proxies and is unknown here. So the first warm node that is asked for a key holds it, if a
+//! single cache as large as all stores together would hold it; no other node does. A warm-up run before the
+//! start would give the same result but take its time.
 
 use crate::clients::Popularity;
 use crate::facts::{NodeNo, LEDGER};
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug)]
 pub struct InitialContents {
     known: Option<Known>,
-    /// Who asks now, and who was the first to ask for each key so far.
+    /// The node that is asking now, and for each key the first node that asked for it.
     pub asker: NodeNo,
     asked: Map<u64, NodeNo>,
 }
@@ -22,34 +22,34 @@
 struct Known {
     popularity: Popularity,
     rate: f64,
-    /// How long a value stays, in seconds: by room and by age.
+    /// How long a value stays, in seconds: limited by capacity, and by age.
     stay: f64,
     keep: f64,
     salt: u64,
 }
 
 impl InitialContents {
-    /// Nodes begin empty.
+    /// Nodes start empty.
     pub fn none() -> Self {
         InitialContents { known: None, asker: LEDGER, asked: Map::default() }
     }
 
-    /// Keys were asked for at this rate; a cache of all nodes together has room for so many values and keeps each
-    /// for `keep` seconds.
+    /// Keys were requested at this rate. A cache of all nodes together has room for this many values and
+    /// keeps each for `keep` seconds.
     pub fn new(popularity: Popularity, rate: f64, values: f64, keep: f64, seed: u64) -> Self {
         let stay = popularity.stay(values, rate);
         let known = Some(Known { popularity, rate, stay, keep, salt: seed });
         InitialContents { known, ..InitialContents::none() }
     }
 
-    /// A warm node lacks this key: when the copy that it holds from before was made, if it holds one. Each key is
-    /// given out once.
+    /// A warm node does not have this key in its store. Returns when its copy from before the start was made,
+    /// if it has one. Each key is handed out once.
     pub fn claim(&mut self, now: Micros, key: u64) -> Option<Micros> {
         let Known { popularity, rate, stay, keep, salt } = self.known.as_ref()?;
         let span = stay.min(*keep);
         let left = span - now as f64 / 1e6;
         if left <= 0.0 {
-            // The past is over, and so is the need to remember it.
+            // By now every value from before the start has been evicted or has expired: free the memory.
             self.known = None;
             self.asked = Map::default();
             return None;
@@ -58,18 +58,19 @@
             return None;
         }
         self.asked.insert(key, self.asker);
-        // Held if it was last asked for, or made, late enough that it would still be there.
+        // Held if the last request, or the value, is recent enough for the value to still be there.
         let rate = rate * popularity.part(popularity.rank_of(key)?);
         let age = -(1.0 - unit(mix(key ^ salt))).ln() / rate;
         if age >= left {
             return None;
         }
-        // A value's age is even over its time, where it is asked for often; never older than that.
+        // The age of a frequently requested value is uniform over its lifetime, and never larger than that.
         let made = unit(mix(key ^ salt ^ 1)) * left.min(if rate * span > 1.0 { left } else { age });
         Some(-seconds(made.max(0.0)))
     }
 
-    /// A key has changed: who holds a copy from before, if anybody does; nobody will any more.
+    /// A key has been written. Returns the holder of a copy from before the start, if any; from now on there
+    /// is none.
     pub fn invalidate(&mut self, key: u64) -> Option<NodeNo> {
         self.known.as_ref()?;
         self.asked.insert(key, LEDGER).filter(|holder| *holder != LEDGER)
--- a/crates/world/src/ledger.rs
+++ b/crates/world/src/ledger.rs
@@ -1,9 +1,10 @@
-//! The origin that all share: slots and a queue, slow spells, and a stop when it is sent too much for too long.
+//! The origin that all proxies share: slots and a queue, slow periods, and an outage when it receives too
+//! much for too long.
 //!
-//! It owns what is between the last byte of a request and its answer, as [`crate::node`] does for a cache node, and
-//! speaks in the same [`NodeRequest`]s and [`Event`]s. Keyed requests that it has run are in the table that it shares with
-//! the nodes. It keeps no values: that a copy of a written key goes void, and that
-//! a read is stored where it missed, is for the host (the world does it).
+//! It covers the time between the last byte of a request and its answer, as [`crate::node`] does for a cache
+//! node, and uses the same [`NodeRequest`]s and [`Event`]s. The table of keyed requests that were executed is
+//! shared with the nodes. The origin stores no values: invalidating the copies of a written key, and storing
+//! a read where it missed, is up to the host ([`crate::world`] does it).
 
 use crate::dedup::DedupTable;
 use crate::node::{begin, Answer, DialOutcome, Event, EventKind, NodeRequest, Script, Step};
@@ -18,12 +19,12 @@
 #[derive(Clone, Copy, Debug)]
 struct Job {
     request: NodeRequest,
-    /// Reads that it counts for.
+    /// Cost in reads.
     reads: f64,
     work: f64,
 }
 
-/// Counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counted {
     pub reads: u64,
@@ -36,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct Ledger {
     rng: Random,
-    /// Reads a second.
+    /// Reads per second.
     capacity: f64,
     service: f64,
     sigma: f64,
@@ -55,7 +56,7 @@
     connections: Map<u64, ()>,
     window_sum: WindowSum,
     slower: f64,
-    /// Down until then.
+    /// Down until this time.
     back: Option<Micros>,
     script: Option<Script>,
     planned: Vec<(Micros, u64, Answer)>,
@@ -63,10 +64,11 @@
 }
 
 impl Ledger {
-    /// `capacity` in reads a second.
+    /// `capacity` is in reads per second.
     pub fn new(l: &scenario::Ledger, capacity: f64, rng: Random) -> Self {
         let service = l.service_ms * 1e3;
-        // As many slots as are busy at full capacity; the rest of it is the speed of each.
+        // The number of slots that are busy at full capacity; the rounding is compensated by the speed of
+        // each slot.
         let wanted = capacity * service / 1e6;
         let slots = (wanted.round() as usize).max(1);
         Ledger {
@@ -104,7 +106,7 @@
         self.counted
     }
 
-    /// In work and waiting.
+    /// Requests being executed or waiting.
     pub fn out(&self) -> usize {
         self.station.running() + self.waiting.len()
     }
@@ -117,14 +119,14 @@
         self.script = Some(script);
     }
 
-    /// It runs this many times slower.
+    /// Runs this many times slower than normal.
     pub fn set_slowdown(&mut self, now: Micros, times: f64, dedup: &mut DedupTable, out: &mut Vec<Event>) {
         self.advance(now, dedup, out);
         self.slower = times.max(0.001);
         self.update_speed(now);
     }
 
-    /// It is down until then; what it had is lost. The host breaks the connections.
+    /// It is down until then and loses all requests. The host breaks the connections.
     pub fn stop(&mut self, now: Micros, until: Micros) {
         self.station.clear(now);
         self.jobs.clear();
@@ -145,7 +147,7 @@
         DialOutcome::Accepted
     }
 
-    /// The other side has closed: what waits for nobody is dropped, if it does that.
+    /// The peer has closed the connection: its waiting requests are dropped, if so configured.
     pub fn disconnect(&mut self, connection: u64) {
         if self.connections.remove(&connection).is_none() || !self.drops {
             return;
@@ -203,13 +205,13 @@
         self.update_speed(now);
     }
 
-    /// When it wants to be moved along next.
+    /// When it needs to be advanced next.
     pub fn next(&self) -> Option<Micros> {
         let planned = self.planned.iter().map(|p| p.0).min();
         [self.station.next(), self.back, planned].into_iter().flatten().min()
     }
 
-    /// Carries out all that is due by now.
+    /// Processes everything due by now.
     pub fn advance(&mut self, now: Micros, dedup: &mut DedupTable, out: &mut Vec<Event>) {
         while let Some(at) = self.next().filter(|at| *at <= now) {
             if let Some((at, job)) = self.station.end(at) {
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -1,10 +1,12 @@
-//! What the proxy serves and what it serves from, as models: cache nodes, their stores, the ledger, discovery,
-//! the network, a front and clients. Besides them the words of an experiment: a [`scenario`] says what is played,
-//! [`facts`] are what happened, [`outcome`] is what came of it.
+//! Simulation models of the proxy's environment: cache nodes and their stores, the origin (`ledger` in
+//! scenario files and results), service discovery, the network between zones (`hall` in scenario files), the
+//! front load balancer and the clients. It also defines experiments: a [`scenario`] is the input of a run,
+//! [`facts`] are the observed events, [`outcome`] is the result.
 //!
-//! No I/O and no clock in here: time comes in as [`Micros`], and randomness from seeds alone. Hosts (the `lab`
-//! package has a virtual one and one on loopback sockets) move the models along. Not for the proxy itself, which
-//! must know nothing of how the world is made.
+//! This crate does no I/O and reads no clock: time is passed in as [`Micros`], and all randomness derives
+//! from seeds. A host drives the models; the `lab` package has one in virtual time and one on loopback
+//! sockets. The proxy itself must not depend on this crate, since it must not know how its environment is
+//! simulated.
 
 #![forbid(unsafe_code)]
 
@@ -29,8 +31,8 @@
 pub mod window_sum;
 pub mod world;
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = i64;
 
-/// The kind under which discovery lists the ledger.
+/// The kind under which discovery lists the origin.
 pub const LEDGER_KIND: &str = "origin";
--- a/crates/world/src/network.rs
+++ b/crates/world/src/network.rs
@@ -1,7 +1,8 @@
-//! Delays between halls and to clients; halls that are cut off; connections that break under way.
+//! Network delays within and between zones and to clients, zones that are cut off, and connections that break
+//! while in use.
 //!
-//! A message across a cut is lost without a word: the host keeps the connection open and silent, and breaks it when
-//! the cut is over.
+//! A message across a cut is silently lost: the host keeps the connection open and silent, and breaks it when
+//! the cut ends.
 
 use crate::random::{chance, exponential, Random};
 use crate::scenario;
@@ -15,7 +16,7 @@
     client: f64,
     jitter: f64,
     broken: f64,
-    /// Cuts that each hall is under.
+    /// Number of active cuts of each zone.
     cuts: Vec<u32>,
 }
 
@@ -33,7 +34,8 @@
     }
 
     fn drawn(&mut self, mean: f64) -> Micros {
-        // A floor and an exponential tail, as queues on the way have it; the mean stays.
+        // A constant part and an exponential tail, as queues along the path produce it; the mean is
+        // unchanged.
         let jitter = self.jitter.min(1.0);
         (mean * (1.0 - jitter + self.jitter * exponential(&mut self.rng))).max(1.0) as Micros
     }
@@ -43,7 +45,7 @@
         a != b && (cut(a) || cut(b))
     }
 
-    /// One way from a hall to another; `None` if it is lost.
+    /// One-way delay from one zone to another; `None` if the message is lost.
     pub fn between(&mut self, a: u16, b: u16) -> Option<Micros> {
         if self.is_cut(a, b) {
             return None;
@@ -51,12 +53,12 @@
         Some(self.drawn(if a == b { self.same } else { self.cross }))
     }
 
-    /// One way between a client and a proxy.
+    /// One-way delay between a client and a proxy.
     pub fn to_client(&mut self) -> Micros {
         self.drawn(self.client)
     }
 
-    /// Whether this attempt's connection breaks under way.
+    /// Whether this attempt's connection breaks while in use.
     pub fn breaks(&mut self) -> bool {
         chance(self.broken, &mut self.rng)
     }
--- a/crates/world/src/node/machine.rs
+++ b/crates/world/src/node/machine.rs
@@ -1,24 +1,24 @@
-//! What a node's machine is like: the values that one node drew from its group's ranges.
+//! Parameters of one node's machine, drawn from the ranges of its group.
 
 use crate::random::{factor, ms, seconds, within, Random};
 use crate::scenario::{NodeGroup, Rules, WarmBy};
 use crate::Micros;
 
-/// From where a cold node falls over: sent more than a multiple of what it can do, for a time, and a little slack
-/// of work for chance.
+/// When a cold node crashes: if it receives more than a multiple of what it can do over a time window, with
+/// some slack for random variation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     pub fall_multiple: f64,
     pub fall_for: Micros,
     pub fall_slack: f64,
-    /// That of a request, in microseconds of a standard core.
+    /// Mean work of a request, in microseconds of a standard core.
     pub mean_work: f64,
-    /// Warm by this time after its start, whatever else.
+    /// The node is warm at the latest this long after its start.
     pub warm_after: Micros,
 }
 
 impl Limits {
-    /// `mean_work` is that of a request, in microseconds of a standard core.
+    /// `mean_work` is the mean work of a request, in microseconds of a standard core.
     pub fn new(rules: &Rules, mean_work: f64) -> Self {
         Limits {
             fall_multiple: rules.fall_multiple,
@@ -29,29 +29,30 @@
         }
     }
 
-    /// Work from which a node falls over that can do `able` within the window: the multiple of it, and what chance adds to
-    /// so many requests of mean work.
+    /// The work above which a node crashes that can do `able` within the window: a multiple of `able` plus
+    /// the random variation of that many requests of mean work.
     pub fn overload(&self, able: f64) -> f64 {
         let allowed = self.fall_multiple * able;
         allowed + chance_margin(allowed / self.mean_work) * self.mean_work
     }
 
-    /// What a request of this work counts for: no single one for more than the slack. A request runs on one
-    /// core and nobody knows beforehand that it is long, so that no care of a proxy's keeps the tail of the draws
-    /// (up to 40 times the mean) from a cold node.
+    /// What a request of this work counts for: at most the slack. A request runs on one core and its length
+    /// is not known beforehand, so no proxy could keep the tail of the distribution (up to 40 times the mean)
+    /// away from a cold node.
     pub fn counted(&self, work: f64) -> f64 {
         work.min(self.fall_slack)
     }
 }
 
-/// Requests of mean work that one request counts for at most.
+/// The most that one request counts for, in requests of mean work.
 pub const MAX_COUNTED_REQUESTS: f64 = 5.0;
 
-/// Requests up to which a node is taken to be sent few.
+/// Below this number of requests the larger margin of [`chance_margin`] applies.
 const FEW: f64 = 30.0;
 
-/// What chance may add to so many requests of mean work, as the platform's page on slow start has it: twice the deviation of
-/// a Poisson count and two more, three times and three where they are few.
+/// The margin for random variation of this many requests of mean work, as the platform's slow-start
+/// specification defines it: twice the standard deviation of a Poisson count plus two, or three times plus
+/// three for small counts.
 pub fn chance_margin(requests: f64) -> f64 {
     let times = if requests < FEW { 3.0 } else { 2.0 };
     times * requests.max(0.0).sqrt() + times
@@ -61,7 +62,8 @@
 pub struct Machine {
     pub kind: String,
     pub cores: u32,
-    /// Of a core, drawn; `weight` is what discovery lists: the size that the group has on paper.
+    /// Speed of a core, drawn for the machine. `weight` is what discovery lists, from the nominal size of the
+    /// group.
     pub speed: f64,
     pub weight: f64,
     pub slots: usize,
@@ -70,7 +72,7 @@
     pub crowd_loss: f64,
     pub miss_work: f64,
     pub pause_every: Micros,
-    /// Microseconds; 0 is never.
+    /// Length of a pause in microseconds; 0 for no pauses.
     pub pause: f64,
     pub cold_from: f64,
     pub cold_for: Micros,
@@ -79,7 +81,7 @@
     pub store_bytes: u64,
     pub keep_for: Option<Micros>,
     pub connections: usize,
-    /// Work of a handshake, of a probe and of turning a request away, in microseconds of a standard core.
+    /// Work of a handshake, of a probe and of rejecting a request, in microseconds of a standard core.
     pub handshake: f64,
     pub probe: f64,
     pub turn_away: f64,
@@ -94,7 +96,7 @@
     pub limits: Limits,
 }
 
-/// Work of reading a request and turning it away.
+/// Work of reading a request and rejecting it.
 const TURN_AWAY: f64 = 200.0;
 
 impl Machine {
--- a/crates/world/src/node/mod.rs
+++ b/crates/world/src/node/mod.rs
@@ -1,11 +1,11 @@
-//! A cache node: cores and slots, a waiting room, a store, connections, pauses, a cold start, load reports, and
-//! what can go wrong with it.
+//! A cache node: cores and slots, a queue, a store, connections, pauses, cold start, load reports, and
+//! injected faults.
 //!
-//! It owns what is between the last byte of a command and its answer. Delays, bytes and sockets are the host's:
-//! it hands in [`NodeRequest`]s with the time, calls [`Node::advance`] when [`Node::next`] says so, and carries the
-//! [`Event`]s that come out to wherever they belong. Jobs and connections have numbers that the host gives; a
-//! number is free again once its job was answered or its connection closed. A node that ended has forgotten all of
-//! them: the host breaks the connections itself.
+//! The model covers the time between the last byte of a request and its answer. Delays, bytes and sockets
+//! belong to the host: it passes in [`NodeRequest`]s with the time, calls [`Node::advance`] when
+//! [`Node::next`] says so, and delivers the resulting [`Event`]s. The host assigns the numbers of jobs and
+//! connections; a number can be reused once its job is answered or its connection closed. A node that ended
+//! has forgotten all of them: the host itself breaks the connections.
 
 mod machine;
 mod reports;
@@ -29,13 +29,13 @@
 use std::collections::VecDeque;
 use warmth::Warmth;
 
-/// A command that has reached a node whole.
+/// A request that has been fully received by a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeRequest {
-    /// The host's number for it.
+    /// The number that the host assigned to it.
     pub job: u64,
     pub connection: u64,
-    /// Whose try it is.
+    /// The try it belongs to.
     pub of: TryNo,
     pub class: ClassNo,
     pub key: u64,
@@ -44,14 +44,14 @@
     pub work: f64,
     /// Size of the value.
     pub bytes: u64,
-    /// An idempotency key, and how long a repeat of it is dropped.
+    /// The idempotency key, and for how long repeats of it are dropped.
     pub repeat: Option<(u64, Micros)>,
-    /// When whoever sent it gives up, as it said.
+    /// The time at which the sender gives up, as it stated.
     pub expires: Micros,
 }
 
 impl NodeRequest {
-    /// One that asks for nothing, to start from.
+    /// An empty request, as a base for struct update syntax.
     pub fn nothing(job: u64, connection: u64) -> Self {
         NodeRequest {
             job,
@@ -68,45 +68,45 @@
     }
 }
 
-/// What nodes, and the ledger, have in shared.
+/// State shared by the nodes and the origin.
 #[derive(Clone, Debug)]
 pub struct SharedState {
     pub initial_contents: InitialContents,
-    /// Keyed requests that one of them has run of late: all of them drop repeats.
+    /// Keyed requests that any of them executed recently: all of them drop repeats.
     pub dedup: DedupTable,
 }
 
 impl Default for SharedState {
-    /// Nodes that begin empty.
+    /// For nodes that start empty.
     fn default() -> Self {
         SharedState { initial_contents: InitialContents::none(), dedup: DedupTable::default() }
     }
 }
 
-/// What a node or the ledger answers.
+/// An answer of a node or the origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     /// The value of a read or the receipt of a write.
     Value,
-    /// The node lacks the key; `pending` if it has told another request of late to fetch it.
+    /// The node does not have the key. `pending` is set if another request was recently told to fetch it.
     Miss { pending: bool },
-    /// It failed, and may have run.
+    /// It failed and may have been executed.
     Error,
-    /// Turned away unseen.
+    /// Rejected without being executed.
     Busy,
-    /// Something that cannot be read, after which the connection ends.
+    /// An unreadable answer, after which the connection ends.
     Spoilt,
-    /// The connection is closed in place of an answer.
+    /// The connection is closed instead of an answer.
     Reset,
-    /// A probe's.
+    /// The answer to a probe.
     Report(Report),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EventKind {
-    /// Work on a job began. `key` is its idempotency key. `effect` tells whether it really ran: not for a miss, nor
-    /// for a repeat that was dropped; `made` whether something comes of it that can be served: not of a miss.
-    /// `writes` names what it changes.
+    /// Execution of a job began. `key` is its idempotency key. `effect` tells whether it was really executed,
+    /// which is false for a miss and for a dropped repeat; `made` whether it produces something that can be
+    /// served, which is false for a miss. `writes` is the key that it changes.
     Began {
         job: u64,
         of: TryNo,
@@ -116,11 +116,11 @@
         made: bool,
         writes: Option<u64>,
     },
-    /// `work` was done for it, in microseconds of a standard core.
+    /// A job was answered; `work` was done for it, in microseconds of a standard core.
     Answered { job: u64, answer: Answer, work: f64 },
-    /// It fell over, cold as it was, and stays down.
+    /// The cold node crashed from too much work, and stays down.
     OverloadCrash,
-    /// The ledger has been sent too much since then; whether it has stopped for it.
+    /// The origin has received too much since then; `stopped` tells whether it has stopped because of that.
     Overloaded { since: Micros, stopped: bool },
 }
 
@@ -130,24 +130,24 @@
     pub kind: EventKind,
 }
 
-/// How a connection that somebody opens fares.
+/// The result of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialOutcome {
     Accepted,
-    /// Nobody listens, or the table is full.
+    /// No process listens, or the connection table is full.
     Refused,
-    /// Nothing comes back.
+    /// No reply arrives.
     Silent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Its machine may be there, no process is.
+    /// No process runs; the machine may still be there.
     Down,
-    /// Nothing comes from there at all.
+    /// The machine is gone and sends nothing.
     Vanished,
     Up,
-    /// Turns away what is new.
+    /// Rejects new requests.
     Draining,
 }
 
@@ -164,12 +164,12 @@
     work: f64,
 }
 
-/// While a node is cold its speed is counted anew this often.
+/// Interval at which the speed of a cold node is updated.
 const WARMING: Micros = 50_000;
-/// How long a miss makes later ones of its key `pending`, and keys that are remembered for it.
+/// How long a miss makes later misses of its key `pending`, and the number of keys remembered for that.
 const LEASE: Micros = 400_000;
 const MAX_LEASES: usize = 4096;
-/// Jobs that a node which hangs takes in, each on a connection of its own.
+/// Requests that a hung node accepts, each on a connection of its own.
 const MAX_HELD: usize = 4096;
 
 #[derive(Clone, Debug)]
@@ -186,23 +186,24 @@
     window_sum: WindowSum,
     reports: Reports,
     leases: Map<u64, Micros>,
-    /// Taken in while it hangs.
+    /// Requests accepted while hung; the flag marks probes.
     hung: bool,
     held: Vec<(NodeRequest, bool)>,
-    /// Answers that come at their time whatever the station does: of probes and scripts, by time and order.
+    /// Answers scheduled for a fixed time, independent of the station: those of probes and scripts, with time
+    /// and job.
     planned: Vec<(Micros, u64, Answer)>,
     probes: usize,
     script: Option<Script>,
-    /// Work that probes and handshakes have taken from what runs next.
+    /// Work of probes and handshakes, added to the next job that starts.
     debt: f64,
-    /// The end of the pause it is in, and when the next one begins.
+    /// End of the current pause, and start of the next one.
     paused: Option<Micros>,
     pause_at: Micros,
     speed_update_at: Micros,
     slower: f64,
     errors: f64,
     spoils: f64,
-    /// Work done when its load was last asked for, and when that was.
+    /// When the load was last measured, and the work done until then.
     measured: (Micros, f64),
 }
 
@@ -245,7 +246,7 @@
         &self.machine
     }
 
-    /// Work a microsecond when warm, in microseconds of a standard core.
+    /// Work per microsecond when warm, in microseconds of a standard core.
     pub fn capacity(&self) -> f64 {
         f64::from(self.machine.cores) * self.machine.speed
     }
@@ -254,7 +255,7 @@
         matches!(self.state, State::Up | State::Draining)
     }
 
-    /// Listed as ready and running: what takes part in faults drawn by part.
+    /// Running and listed as ready. Faults that affect a part of the nodes choose among these.
     pub fn serves(&self) -> bool {
         self.state == State::Up
     }
@@ -272,7 +273,7 @@
         self.connections.len()
     }
 
-    /// Requests held: in work and waiting.
+    /// Requests being executed, waiting, or held while hung.
     pub fn held(&self) -> usize {
         self.station.running() + self.waiting.len() + self.held.len()
     }
@@ -281,9 +282,9 @@
         &self.store
     }
 
-    // ---- its life
+    // ---- lifecycle
 
-    /// Its process starts: warm as one that has run for long, or cold and empty.
+    /// Starts the process: warm as if it had run for a long time, or cold and empty.
     pub fn start(&mut self, now: Micros, cold: bool) {
         self.end(now);
         self.state = State::Up;
@@ -296,7 +297,7 @@
         self.update_speed(now);
     }
 
-    /// Its process is gone, and with it all that it had.
+    /// The process ends and loses all of its state.
     pub fn end(&mut self, now: Micros) {
         self.state = State::Down;
         self.station.clear(now);
@@ -311,20 +312,20 @@
         self.speed_update_at = Micros::MAX;
     }
 
-    /// Its machine is gone without a word.
+    /// The machine disappears without notice.
     pub fn vanish(&mut self, now: Micros) {
         self.end(now);
         self.state = State::Vanished;
     }
 
-    /// It completes what it has and turns away what is new.
+    /// It completes what it has accepted and rejects new requests.
     pub fn drain(&mut self) {
         if self.state == State::Up {
             self.state = State::Draining;
         }
     }
 
-    /// It takes work and answers nothing until told to go on; then it answers what it took.
+    /// While hung it accepts requests and answers nothing; when released it processes what it accepted.
     pub fn set_hung(&mut self, now: Micros, hangs: bool, shared: &mut SharedState, out: &mut Vec<Event>) {
         self.advance(now, shared, out);
         self.hung = hangs;
@@ -339,30 +340,31 @@
         }
     }
 
-    /// It runs this many times slower.
+    /// Runs this many times slower than normal.
     pub fn set_slowdown(&mut self, now: Micros, times: f64, shared: &mut SharedState, out: &mut Vec<Event>) {
         self.advance(now, shared, out);
         self.slower = times.max(0.001);
         self.update_speed(now);
     }
 
-    /// The part of its answers that are errors, beside its usual ones; and the part that cannot be read.
+    /// Sets the part of the answers that are errors, in addition to the machine's error rate, and the part
+    /// that is unreadable.
     pub fn set_failure_rates(&mut self, errors: f64, spoils: f64) {
         (self.errors, self.spoils) = (errors, spoils);
     }
 
-    /// It loses all that it keeps.
+    /// Drops everything in its store.
     pub fn forget(&mut self) {
         self.store.clear();
         self.leases.clear();
     }
 
-    /// From now on it answers as it is told, and does no work.
+    /// From now on it answers by the script and executes nothing.
     pub fn set_script(&mut self, script: Script) {
         self.script = Some(script);
     }
 
-    // ---- what reaches it
+    // ---- requests
 
     pub fn connect(&mut self, now: Micros, connection: u64) -> DialOutcome {
         match self.state {
@@ -376,7 +378,8 @@
         }
     }
 
-    /// The other side has closed. What waits for nobody is dropped, where the machine does that.
+    /// The peer has closed the connection. Its waiting requests are dropped if the machine is configured to
+    /// do so.
     pub fn disconnect(&mut self, connection: u64) {
         if self.connections.remove(&connection).is_none() || !self.machine.drops_cancelled {
             return;
@@ -392,7 +395,7 @@
         });
     }
 
-    /// A whole command has come.
+    /// A complete request has arrived.
     pub fn arrive(
         &mut self,
         now: Micros,
@@ -438,7 +441,7 @@
         self.update_speed(now);
     }
 
-    /// Somebody asks for its load.
+    /// A request for the current load.
     pub fn probe(
         &mut self,
         now: Micros,
@@ -465,7 +468,7 @@
         if self.probes >= self.machine.most_probes {
             return tell(out, now, job, Answer::Busy);
         }
-        // Answered beside the queue: its work is taken from what runs next.
+        // Probes bypass the queue: their work is added to the next job.
         self.debt += self.machine.probe;
         self.probes += 1;
         self.reports.sample(now, self.station.spent().0, &mut self.rng);
@@ -474,7 +477,7 @@
         self.plan(self.paused.unwrap_or(now).max(now) + after.max(1), job, report);
     }
 
-    /// What the ledger answered is kept where it was missed, if it still wants to be.
+    /// Stores a value that the origin returned after a miss here.
     pub fn store_value(&mut self, now: Micros, key: u64, bytes: u64) {
         if self.is_up() && self.script.is_none() {
             self.leases.remove(&key);
@@ -482,14 +485,14 @@
         }
     }
 
-    /// A key has changed at the ledger.
+    /// A key was written at the origin: drops the copy.
     pub fn invalidate(&mut self, key: u64) {
         self.store.remove(key);
     }
 
     // ---- time
 
-    /// When it wants to be moved along next.
+    /// When it needs to be advanced next.
     pub fn next(&self) -> Option<Micros> {
         if !self.is_up() {
             return None;
@@ -501,7 +504,7 @@
         (next < Micros::MAX).then_some(next)
     }
 
-    /// Carries out all that is due by now.
+    /// Processes everything due by now.
     pub fn advance(&mut self, now: Micros, shared: &mut SharedState, out: &mut Vec<Event>) {
         while let Some(at) = self.next().filter(|at| *at <= now) {
             if let Some((at, job)) = self.station.end(at) {
@@ -543,7 +546,7 @@
         self.update_speed(at);
     }
 
-    /// Its speed, from all that bears on it.
+    /// Updates the speed from warmth, load, connections, pauses and injected slowness.
     fn update_speed(&mut self, now: Micros) {
         self.station.catch_up(now);
         let m = &self.machine;
@@ -558,7 +561,7 @@
         self.station.set_speed(now, speed);
     }
 
-    /// Starts what waits while slots are free.
+    /// Starts waiting requests while slots are free.
     fn fill(&mut self, now: Micros, shared: &mut SharedState, out: &mut Vec<Event>) {
         while self.station.is_free() {
             let Some(i) = self.waiting.pop_front() else { return };
@@ -571,7 +574,8 @@
             let answer = self.decide(now, &request, shared);
             let part = if matches!(answer, Answer::Miss { .. }) { self.machine.miss_work } else { 1.0 };
             let work = request.work * part + std::mem::take(&mut self.debt);
-            // A repeat of what this or another node has run of late is known, and has no effect.
+            // A repeat of something that this or another node executed recently is detected and has no
+            // effect.
             let runs = !matches!(answer, Answer::Miss { .. });
             let known = request.repeat.filter(|_| runs);
             let dropped = known.is_some_and(|(key, window)| shared.dedup.seen(now, key, window));
@@ -585,7 +589,7 @@
         if chance(self.machine.error_rate + self.errors, &mut self.rng) {
             return Answer::Error;
         }
-        // Writes belong to the ledger.
+        // Writes are executed by the origin.
         if request.write {
             return Answer::Miss { pending: false };
         }
@@ -625,7 +629,7 @@
         self.plan(now + step.after.max(0), request.job, answer);
     }
 
-    /// Counts what has come while cold; whether it was too much.
+    /// Adds work that arrived while cold; returns whether it was too much.
     fn overrun(&mut self, now: Micros, work: f64) -> bool {
         let warmth = self.warmth(now);
         if warmth >= 1.0 {
@@ -637,7 +641,7 @@
         sent > limits.overload(able)
     }
 
-    /// The part of its warm capacity that it used since this was last asked.
+    /// The part of its warm capacity that it used since the last call.
     pub fn load(&mut self, now: Micros) -> f64 {
         self.station.catch_up(now.min(self.station.next().unwrap_or(now)));
         let (since, before) = std::mem::replace(&mut self.measured, (now, self.station.spent().1));
--- a/crates/world/src/node/reports.rs
+++ b/crates/world/src/node/reports.rs
@@ -1,19 +1,19 @@
-//! Load reports: made now and then, seen late, a little noisy.
+//! Load reports of a node: made periodically, visible after a delay, with some noise.
 
 use super::Machine;
 use crate::random::{factor, Random};
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Of the last period that was over some time ago.
+/// Covers a report period that ended some time ago.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     pub errors_per_s: f32,
-    /// How busy the cores were, 0 to 1 but for the noise.
+    /// Utilization of the cores from 0 to 1, apart from noise.
     pub util: f32,
 }
 
-/// Reports that are not seen yet, at most: as many as fit into the longest delay.
+/// Maximum number of reports that are not visible yet: as many as fit into the longest delay.
 const MAX_ENTRIES: usize = 64;
 
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
         self.errors += 1;
     }
 
-    /// Makes a report if the last one is a period old; `busy` is the core time used since ever.
+    /// Makes a report if the last one is a period old; `busy` is the total core time used.
     pub fn sample(&mut self, now: Micros, busy: f64, rng: &mut Random) {
         let span = now - self.since;
         if span < self.period {
@@ -63,7 +63,7 @@
         self.made.push_back((now, report));
     }
 
-    /// The newest that is old enough to be seen.
+    /// The newest report that is old enough to be visible.
     pub fn latest(&mut self, now: Micros) -> Report {
         while self.made.len() > 1 && self.made[1].0 + self.delay <= now {
             self.made.pop_front();
--- a/crates/world/src/node/script.rs
+++ b/crates/world/src/node/script.rs
@@ -1,10 +1,10 @@
-//! A node or the ledger that answers as it is told: the peer of a test that wants one certain exchange.
+//! Scripted answers of a node or the origin, for tests that need one particular exchange.
 
 use super::Answer;
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// What comes of one request: an answer after a time, or nothing.
+/// The response to one request: an answer after a delay, or none.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Step {
     pub answer: Option<Answer>,
@@ -25,7 +25,7 @@
     }
 }
 
-/// The steps of the first requests, in order, and of all that follow.
+/// The steps for the first requests, in order, and the step for all later ones.
 ///
 /// ```
 /// use world::node::{Answer, Script, Step};
@@ -45,7 +45,8 @@
 }
 
 impl Script {
-    /// After these steps it answers values at once, unless [`Script::then`] says otherwise.
+    /// After these steps every request is answered with a value at once, unless [`Script::then`] changes
+    /// that.
     pub fn new(steps: impl IntoIterator<Item = Step>) -> Self {
         Script { steps: steps.into_iter().collect(), rest: Step::answer(Answer::Value) }
     }
@@ -54,7 +55,7 @@
         Script { rest, ..self }
     }
 
-    /// What comes of the next request.
+    /// The response to the next request.
     pub fn take(&mut self) -> Step {
         self.steps.pop_front().unwrap_or(self.rest)
     }
--- a/crates/world/src/node/warmth.rs
+++ b/crates/world/src/node/warmth.rs
@@ -1,19 +1,20 @@
-//! How much of its capacity a node has since its start: it rises evenly with time, or with the work done.
+//! The part of its capacity that a node has since its start. It grows linearly with time, or with the work
+//! done.
 
 use super::Machine;
 use crate::scenario::WarmBy;
 use crate::Micros;
 
-/// A node that warms with work is warm once it has done this part of what it could have done, warm, within its
-/// cold time.
+/// A node that warms up with work is warm once it has done this part of the work that it could have done,
+/// warm, within its cold time.
 const WORK_PART: f64 = 0.5;
 
 #[derive(Clone, Debug)]
 pub struct Warmth {
     from: f64,
-    /// `None` since ever.
+    /// `None` if it was warm from the beginning.
     started: Option<Micros>,
-    /// Warm after this time; or after this work, and by the latest time.
+    /// Warm after this time, or after this work, and at the latest after `latest`.
     over: f64,
     work: f64,
     before: f64,
@@ -37,7 +38,7 @@
         Warmth { from: m.cold_from, started: Some(now), over, work, before, latest }
     }
 
-    /// The part of the capacity that is there, by the work that the machine has done since ever.
+    /// The part of the capacity available now; `worked` is the work that the machine has done in total.
     pub fn at(&self, now: Micros, worked: f64) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = (now - started).max(0) as f64;
@@ -45,7 +46,7 @@
         (self.from + (1.0 - self.from) * along).min(1.0)
     }
 
-    /// Whether it runs since before the world began.
+    /// Whether it has been running since before the run began.
     pub fn was_always_warm(&self) -> bool {
         self.started.is_none()
     }
--- a/crates/world/src/outcome.rs
+++ b/crates/world/src/outcome.rs
@@ -1,24 +1,24 @@
-//! What a run returns: counts by class, a line for each second, the faults that were played, the rules broken.
+//! The result of a run: counts by class, one entry per second, the executed faults and the broken rules.
 //!
-//! Plain data that can be serialised; two runs of one scenario and seed in the virtual world are equal to the byte.
-//! Worth is counted once for a client's request, over all of its tries; a latency runs from the moment when the
-//! client wanted to send its first try, sent in time or not (open loop).
+//! Plain serializable data. Two runs of the same scenario and seed in virtual time are identical to the byte.
+//! Worth is counted once per client request, over all of its tries. Latency is measured from the moment when
+//! the client wanted to send its first try, whether or not it was sent on time (open loop).
 
 use crate::Micros;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// Latencies in microseconds, to three digits.
+/// Latencies in microseconds, with a precision of three digits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Latencies(Histogram<u64>);
 
-/// The longest latency told apart from longer ones: ten minutes.
+/// Ten minutes; longer latencies are recorded as this value.
 const LONGEST: u64 = 600_000_000;
 
 impl Default for Latencies {
     fn default() -> Self {
-        // Bounds that are constants and valid: a histogram made of them cannot fail, and neither can this.
+        // The bounds are valid constants, so creating the histogram cannot fail.
         let made = Histogram::new_with_bounds(1, LONGEST, 3);
         Latencies(made.unwrap_or_else(|_| unreachable!("constant bounds")))
     }
@@ -37,7 +37,7 @@
     }
 
     pub fn merge(&mut self, other: &Latencies) {
-        // Equal bounds: nothing can be out of range.
+        // The bounds are equal, so no value is out of range.
         let _ = self.0.add(&other.0);
     }
 
@@ -45,7 +45,7 @@
         self.0.len()
     }
 
-    /// The latency that a part `q` (0 to 1) of all do not exceed, in microseconds; `None` without any.
+    /// The latency that a part `q` (0 to 1) of all values do not exceed, in microseconds; `None` if empty.
     pub fn quantile(&self, q: f64) -> Option<Micros> {
         (!self.0.is_empty()).then(|| self.0.value_at_quantile(q) as Micros)
     }
@@ -58,13 +58,13 @@
         (!self.0.is_empty()).then(|| self.0.max() as Micros)
     }
 
-    /// The values that were seen, each with its count, in order: for plots of the distribution.
+    /// The recorded values in ascending order, each with its count: for plots of the distribution.
     pub fn recorded(&self) -> impl Iterator<Item = (Micros, u64)> + '_ {
         self.0.iter_recorded().map(|v| (v.value_iterated_to() as Micros, v.count_at_value()))
     }
 }
 
-/// As a list of values and counts.
+/// Serialized as a list of values and counts.
 impl Serialize for Latencies {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         to.collect_seq(self.recorded())
@@ -83,21 +83,21 @@
     }
 }
 
-/// What came of the requests of a class, or of all of them.
+/// Results of the requests of a class, or of all classes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests: a client's first tries, at whatever proxy.
+    /// Client requests, counted at their first try, at any proxy.
     pub requests: u64,
-    /// What the client had in the end: served within the aim, or after it; refused or failed with no try left;
-    /// or it left without any answer. These five add up to `requests` once a run is over.
+    /// The final result for the client: served within the aim, or after it; refused or failed with no try
+    /// left; or given up without any answer. These five add up to `requests` once a run is finished.
     pub in_time: u64,
     pub late: u64,
     pub refused: u64,
     pub failed: u64,
     pub left: u64,
-    /// Further tries of clients.
+    /// Tries after the first.
     pub retries: u64,
-    /// Worth that was asked for, and what of it was served in time.
+    /// Worth of all requests, and of those served in time.
     pub worth_asked: f64,
     pub worth_served: f64,
 }
@@ -116,7 +116,7 @@
     }
 }
 
-/// What came of a class.
+/// Results of a class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassTally {
     pub name: String,
@@ -125,31 +125,31 @@
     pub latency_us: Latencies,
 }
 
-/// What the proxies did at the nodes, counted at the nodes.
+/// What the proxies caused at the nodes, counted at the nodes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Work {
-    /// Attempts whose first byte went out, and of these the ones that crossed halls.
+    /// Attempts whose first byte was sent, and those of them that crossed zones.
     pub attempts: u64,
     pub crossings: u64,
     /// Reads at cache nodes that hit, and that missed.
     pub hits: u64,
     pub misses: u64,
-    /// Turned away unseen, by nodes that were full.
+    /// Requests that full nodes rejected without executing them.
     pub turned_away: u64,
     pub handshakes: u64,
     pub probes: u64,
-    /// Work that the nodes did, and what of it served no answer, in microseconds of a standard core.
+    /// Work that the nodes did, and the part of it that led to no answer, in microseconds of a standard core.
     pub work_us: f64,
     pub wasted_us: f64,
 }
 
-/// All that was counted over a run.
+/// All totals of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Tally {
     /// In the scenario's order.
     pub classes: Vec<ClassTally>,
     pub work: Work,
-    /// Reads that reached the ledger; writes that did; both turned away; and how often it stopped.
+    /// Reads and writes that reached the origin; requests that it rejected; and how often it stopped.
     pub ledger_reads: u64,
     pub ledger_writes: u64,
     pub ledger_refused: u64,
@@ -163,7 +163,7 @@
         all
     }
 
-    /// Worth served in time over worth asked for, 0 to 1; 1 where nothing was asked for.
+    /// Worth served in time divided by the worth of all requests, 0 to 1; 1 if there were no requests.
     pub fn served_worth(&self) -> f64 {
         let all = self.all();
         if all.worth_asked > 0.0 {
@@ -174,40 +174,42 @@
     }
 }
 
-/// One second of a run. Requests are counted in the second in which they were to be sent, answers by tries in the
-/// second in which they came.
+/// One second of a run. Requests are counted in the second in which they were due, answers to tries in the
+/// second in which they arrived.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Worth of the requests of this second, and what of it was served in time, then or later.
+    /// Worth of the requests due in this second, and the part of it that was served in time, then or later.
     pub worth_asked: f64,
     pub worth_served: f64,
-    /// Tries sent, of which were retries, and answers to tries: served, refused, failed, and tries given up.
+    /// Tries sent, the retries among them, and results of tries: served, refused, failed, and given up.
     pub tries: u64,
     pub retries: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
     pub left: u64,
-    /// Median and 99th percentile of the latencies of answers served in this second, by class; `None` without any.
+    /// Median and 99th percentile of the latencies of answers served in this second, by class; `None` if
+    /// there were none.
     pub p50_us: Vec<Option<Micros>>,
     pub p99_us: Vec<Option<Micros>>,
-    /// The part of its warm capacity that each node used, by its place among the nodes of the run. A second lists
-    /// as many as there are by then.
+    /// The part of its warm capacity that each node used, by the node's index in the run. A second lists the
+    /// nodes that exist by then.
     pub node_load: Vec<f32>,
-    /// At the ledger: what was out there at the second's end, served, and turned away or timed out within it.
+    /// At the origin: requests in flight at the end of the second, and those served and rejected or timed out
+    /// within it.
     pub ledger_out: u32,
     pub ledger_served: u64,
     pub ledger_refused: u64,
 }
 
-/// A fault as it was played.
+/// A fault as it was executed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FaultMark {
-    /// As the scenario names the kind.
+    /// The name of the kind in scenario files.
     pub kind: String,
     pub from_s: f64,
     pub until_s: f64,
-    /// What it struck, in words.
+    /// What it affected, as text.
     pub what: String,
 }
 
@@ -215,15 +217,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// One final outcome, in time, for each request taken; and a value only from who made it for this request.
+    /// One final answer, in time, for each accepted request; and a value only if it was made for this
+    /// request.
     OneAnswer,
-    /// Nothing runs twice that must not.
+    /// Nothing is executed twice that must not be.
     RunOnce,
-    /// Nothing new goes to a node that drains or is gone, once the grace is over.
+    /// No new attempts go to a node that drains or is gone, once the grace is over.
     Drain,
-    /// No cold node is pushed over, and no ledger stopped by misses at cold nodes.
+    /// No cold node crashes from overload, and the origin is not stopped by misses at cold nodes.
     FailBack,
-    /// No node in slow start gets more calls than the settings allow it by then, and what chance adds to so many.
+    /// No node in slow start gets more calls than the settings allow by then, plus a margin for random
+    /// variation.
     SlowStart,
 }
 
@@ -241,40 +245,40 @@
     }
 }
 
-/// A rule that was broken.
+/// A broken rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Breach {
     pub rule: Rule,
-    /// When, from the start of the run.
+    /// Time since the start of the run.
     pub at_us: Micros,
     /// What happened, in one line.
     pub what: String,
 }
 
-/// The breaches of a rule that a run lists by itself; the rest are only counted.
+/// Maximum number of breaches listed per rule in a run; the rest is only counted.
 pub const MAX_BREACHES: usize = 20;
 
-/// What the generator and the host could not keep up with. Always zero in the virtual world.
+/// Delays of the load generator and the host. Always zero in virtual time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lateness {
-    /// How late tries were sent: the 99th percentile and the longest.
+    /// How late tries were sent: the 99th percentile and the maximum.
     pub p99_us: Micros,
     pub max_us: Micros,
-    /// The run is void: the generator was too late for its figures to mean anything.
+    /// The run is void: the generator was too late for its results to be meaningful.
     pub void: bool,
 }
 
-/// What came of the connections to proxies, where a scenario has a crowd.
+/// Connections to proxies, if the scenario has a crowd.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConnectionCounts {
-    /// Connections accepted: of usual clients, and of the crowd.
+    /// Accepted connections: of usual clients, and of the crowd.
     pub usual: u64,
     pub crowd: u64,
     /// Usual clients' connections that were closed to make room.
     pub usual_closed: u64,
-    /// Connections that found the backlog full, of both.
+    /// Connections of either kind that found the backlog full.
     pub turned_away: u64,
-    /// Most bytes held for the crowd, at any one proxy.
+    /// Maximum number of bytes held for the crowd at any one proxy.
     pub most_bytes: u64,
 }
 
@@ -288,8 +292,8 @@
     }
 }
 
-/// Sizes of the proxies' tables over a run, where a scenario asks for them: of each table what the proxy had that had
-/// most in it, at each moment.
+/// Sizes of the proxies' tables over a run, if the scenario samples them: for each table and sample the
+/// largest size at any proxy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sizes {
     pub every_us: Micros,
@@ -297,7 +301,7 @@
     taken: usize,
 }
 
-/// A table over a run: means over the first, the middle and the last tenth of the moments, and the most at one.
+/// A table over a run: means over the first, the middle and the last tenth of the samples, and the maximum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Span {
     pub start: f64,
@@ -306,7 +310,7 @@
     pub most: u64,
 }
 
-/// A table that has grown by no more than this many is not looked at: a few things more or less are chance.
+/// A table that has grown by no more than this number of entries is ignored: such differences are random.
 const FEW: f64 = 16.0;
 
 impl Sizes {
@@ -314,7 +318,7 @@
         Sizes { every_us, ..Sizes::default() }
     }
 
-    /// Another moment: the tables of each proxy that runs.
+    /// Adds a sample: the tables of each running proxy.
     pub fn take<'a>(&mut self, tables: impl Iterator<Item = (&'a str, usize)>) {
         for (table, held) in tables {
             if !self.tables.contains_key(table) {
@@ -338,20 +342,21 @@
         Span { start: mean(0), middle: mean((n - width) / 2), end: mean(n - width), most }
     }
 
-    /// The tables whose end is over so many times their middle, with both. What grows at a steady pace from nothing
-    /// ends with 1.9 times its middle, so a bound has to be under that; what is bounded and full by then has 1.
+    /// The tables whose size at the end is more than `times` that in the middle, with both. Linear growth
+    /// from zero gives a ratio of 1.9, so the bound must be below that; a bounded table that is full by then
+    /// has 1.
     pub fn grown(&self, times: f64) -> Vec<(&str, Span)> {
         let spans = self.tables.iter().map(|(table, series)| (table.as_str(), Sizes::span(series)));
         spans.filter(|(_, s)| s.end > times * s.middle && s.end - s.middle > FEW).collect()
     }
 }
 
-/// How the tries of clients met the proxies' sockets, where there are any.
+/// Results of the clients' tries at the proxies' sockets, if there are any.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SocketTryCounts {
-    /// No connection came up, or it broke before the last byte was written.
+    /// The connection failed, or it broke before the last byte was written.
     pub unreached: u64,
-    /// Closed idle by the proxy while the command was on its way; sent once more.
+    /// The proxy closed the idle connection while the command was on its way; sent once more.
     pub crossed: u64,
     /// Closed after that without an answer.
     pub dropped: u64,
@@ -362,27 +367,27 @@
     pub served: u64,
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Run {
     pub scenario: String,
     pub seed: u64,
     pub tally: Tally,
     pub timeline: Vec<Second>,
-    /// The names of the nodes that `Second::node_load` lists, in its order.
+    /// The names of the nodes in the order of `Second::node_load`.
     pub nodes: Vec<String>,
     pub faults: Vec<FaultMark>,
-    /// The first of each rule, at most [`MAX_BREACHES`] a rule, in the order of time.
+    /// The first breaches of each rule, at most [`MAX_BREACHES`] per rule, in chronological order.
     pub rules_broken: Vec<Breach>,
-    /// All breaches, those not listed included.
+    /// All breaches, including those not listed.
     pub breaches: u64,
-    /// The time that was played, until all was answered.
+    /// The simulated time until everything was answered.
     pub virtual_s: f64,
     pub late: Lateness,
     /// `None` without a crowd.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub doorway: Option<ConnectionCounts>,
-    /// `None` where the scenario does not ask for them.
+    /// `None` if the scenario does not sample them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub sizes: Option<Sizes>,
     /// `None` in virtual time.
--- a/crates/world/src/outcome/tests.rs
+++ b/crates/world/src/outcome/tests.rs
@@ -6,7 +6,7 @@
     for at in 0..200_usize {
         let filling = (4 * at).min(300);
         let tables = [("leaks", at), ("fills", filling), ("few", at / 50)];
-        // Of two proxies the fuller one counts.
+        // Of two proxies the one with the larger table counts.
         sizes.take(tables.into_iter().chain([("leaks", at / 2)]));
     }
     let grown: Vec<&str> = sizes.grown(1.5).iter().map(|(table, _)| *table).collect();
--- a/crates/world/src/recorder.rs
+++ b/crates/world/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Counts what comes of requests into a [`Tally`] and a timeline: the same book-keeping for every host.
+//! Counts the results of requests into a [`Tally`] and a timeline; the same bookkeeping for every host.
 
 use crate::clients::{Request, TryEnd};
 use crate::ledger;
@@ -8,7 +8,7 @@
 use crate::Micros;
 
 const SECOND: Micros = 1_000_000;
-/// A timeline is no longer than a day and a little, whatever a clock says.
+/// Bounds the timeline to a little more than a day, whatever times are passed in.
 const MAX_SECONDS: usize = 100_000;
 
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
     aims: Vec<Micros>,
     tally: Tally,
     timeline: Vec<Second>,
-    /// The second that is under way, and its latencies by class.
+    /// The current second, and its latencies by class.
     second: usize,
     latencies: Vec<Vec<u32>>,
     ledger: ledger::Counted,
@@ -44,7 +44,7 @@
         &mut self.timeline[i]
     }
 
-    /// A request that is to be sent now.
+    /// A request whose first try is to be sent.
     pub fn asked(&mut self, r: &Request) {
         self.at(r.at).worth_asked += r.worth;
         if let Some(class) = self.tally.classes.get_mut(usize::from(r.class.0)) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A request is over, by the end of its last try.
+    /// A request is finished, by the end of its last try.
     pub fn over(&mut self, at: Micros, r: &Request, end: TryEnd) {
         let i = usize::from(r.class.0);
         let latency = at - r.at;
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Closes the seconds before this moment.
+    /// Completes the seconds before this moment.
     fn pass(&mut self, at: Micros) {
         let now = ((at.max(0) / SECOND) as usize).min(MAX_SECONDS);
         if now <= self.second {
@@ -124,7 +124,7 @@
         self.second = now;
     }
 
-    /// At the end of each second: the load of each node, and what the ledger has counted by now.
+    /// Called at the end of each second with the load of each node and the origin's counters.
     pub fn sampled(&mut self, at: Micros, node_load: Vec<f32>, out: usize, counted: ledger::Counted) {
         let before = std::mem::replace(&mut self.ledger, counted);
         let second = self.at(at - 1);
--- a/crates/world/src/rules/drain.rs
+++ b/crates/world/src/rules/drain.rs
@@ -1,4 +1,4 @@
-//! Nothing new goes to a node that drains or is gone, once its proxy has been told and the grace is over.
+//! No new attempts go to a node that drains or is gone, once its proxy has been told and the grace is over.
 
 use super::Findings;
 use crate::facts::{Fact, NodeNo, ProxyNo, Status};
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub struct Drain {
     grace: Micros,
-    /// Who was told that a node drains or is gone, and when first. Bounded by proxies times nodes.
+    /// When a proxy was first told that a node drains or is gone. Bounded by proxies times nodes.
     told: Map<(ProxyNo, NodeNo), Micros>,
 }
 
--- a/crates/world/src/rules/fail_back.rs
+++ b/crates/world/src/rules/fail_back.rs
@@ -1,15 +1,16 @@
-//! No cold node is pushed over, and no ledger stopped by misses at cold nodes.
+//! No cold node crashes from overload, and the origin is not stopped by misses at cold nodes.
 //!
-//! A budget over any window: what reaches a cold node stays under a multiple of what it can do now, times the
-//! window, and what chance adds to so many requests of mean work. A single request counts for five of them at most:
-//! a proxy chooses how many it sends, not how long each takes. It is the proxies' doing where two thirds of it came
-//! from such as had been told of the start. At the ledger, a spell of too much is theirs where misses at cold nodes (from when the
-//! proxy was told) made more than a part of it, and clearly more than the reads due to those nodes by their weight,
-//! cut by the warm-up that proxies are told of.
+//! The rule is a budget over a sliding window: the work that reaches a cold node must stay below a multiple
+//! of what the node can do now, times the window, plus a margin for random variation of that many requests of
+//! mean work. A single request counts for five of them at most: a proxy controls how many requests it sends,
+//! not how long each takes. The proxies are responsible if two thirds of the work came from proxies that had
+//! been told of the start. Overload of the origin is attributed to the proxies if misses at cold nodes (since
+//! the proxy was told) made up more than a part of it, and clearly more than the reads due to those nodes by
+//! their weight, reduced by the warm-up that proxies are told of.
 //!
-//! Beside the work, calls are counted: within any window no more than those that the settings allow a node by then, by
-//! the ramp that proxies are told of, and what chance adds to so many ([`chance_margin`]). Here no call counts for more than
-//! another, whatever it draws.
+//! In addition to the work, calls are counted: within any window no more than the settings allow a node by
+//! then, according to the ramp that proxies are told of, plus a margin for random variation of that many
+//! ([`chance_margin`]). Here every call counts the same, whatever its work.
 
 use super::Findings;
 use crate::facts::{Fact, NodeNo, ProxyNo, Status, LEDGER};
@@ -21,24 +22,24 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// The part of the pressure that comes from proxies which knew.
+/// The part of the load that must come from proxies that had been told of the start.
 const KNEW: f64 = 2.0 / 3.0;
-/// How often the reads due to cold nodes are worked out anew.
+/// Interval at which the reads due to cold nodes are recomputed.
 const SHARES: Micros = 100_000;
 
 #[derive(Clone, Debug)]
 struct Node {
     weight: f64,
     capacity: f64,
-    /// `None` since ever.
+    /// `None` if it was warm from the beginning.
     started: Option<Micros>,
     sent: WindowSum,
     knowing: WindowSum,
-    /// Said once a start.
+    /// Reported once per start.
     broken: bool,
     calls: WindowSum,
     knowing_calls: WindowSum,
-    /// Said once a start.
+    /// Reported once per start.
     overloaded: bool,
 }
 
@@ -70,16 +71,16 @@
     miss_part: f64,
     miss_multiple: f64,
     nodes: BTreeMap<NodeNo, Node>,
-    /// The start of each node as its proxies were told of it; `None` is long ago.
+    /// The start of each node's process as its proxies were told; `None` means long ago.
     told: Map<(ProxyNo, NodeNo), Option<Micros>>,
-    /// At the ledger, over its own window: all that was asked, what came of misses at cold nodes, and reads due to
-    /// such nodes.
+    /// At the origin, over its own window: all reads and writes, misses at cold nodes, and reads due to such
+    /// nodes.
     asked: WindowSum,
     misses: WindowSum,
     due: WindowSum,
-    /// Classes that read.
+    /// Whether each class reads.
     reads: Vec<bool>,
-    /// The part of the reads that is due to cold nodes, and when it was worked out.
+    /// The part of the reads due to cold nodes, and when it was computed.
     share: f64,
     shared: Micros,
 }
@@ -108,21 +109,21 @@
         }
     }
 
-    /// Whether a proxy was told of this start of a node. An entry of an earlier start that a new proxy finds in its first
-    /// list is later than this start and yet says nothing of it.
+    /// Whether a proxy was told of this start of a node. A new proxy may find an entry of an earlier start in
+    /// its first list; it is received after this start but says nothing about it.
     fn knows(&self, proxy: ProxyNo, node: NodeNo) -> bool {
         let Some(started) = self.nodes.get(&node).and_then(|n| n.started) else { return false };
         let told = self.told.get(&(proxy, node)).copied().flatten();
         told.is_some_and(|told| told >= started)
     }
 
-    /// Cold by what proxies are told: for so long after its start.
+    /// Cold according to what proxies are told: for a fixed time after its start.
     fn is_cold(&self, at: Micros, node: NodeNo) -> bool {
         let started = self.nodes.get(&node).and_then(|n| n.started);
         started.is_some_and(|started| at < started + self.cold_for)
     }
 
-    /// The part of the reads due to cold nodes, by weights cut by the stated warm-up.
+    /// The part of the reads due to cold nodes, by weights reduced by the stated warm-up.
     fn cold_share(&mut self, at: Micros) -> f64 {
         if at < self.shared.saturating_add(SHARES) {
             return self.share;
@@ -222,7 +223,7 @@
         }
     }
 
-    /// The ramp that proxies are told of: the part of its capacity that a node has at this age at the least.
+    /// The ramp that proxies are told of: the minimum part of its capacity that a node has at this age.
     fn ramp(&self, age: Micros) -> f64 {
         let along = age.max(0) as f64 / self.cold_for.max(1) as f64;
         (self.cold_from + (1.0 - self.cold_from) * along).min(1.0)
--- a/crates/world/src/rules/mod.rs
+++ b/crates/world/src/rules/mod.rs
@@ -1,8 +1,8 @@
-//! The four rules, a checker each, told of nothing but [`Fact`]s.
+//! The checkers of the rules. Their only input is [`Fact`]s.
 //!
-//! None of them knows the code under test, nor the models: what a host sees from outside is all there is. A checker
-//! holds what is open and what was of late, and no more. One that no planted fault can make fail is worthless: the
-//! tests of each plant some.
+//! They know neither the code under test nor the models: they see what a host observes from outside. A
+//! checker stores what is open and what happened recently, and nothing else. The tests of each checker inject
+//! violations to show that it can fail.
 
 mod drain;
 mod fail_back;
@@ -18,7 +18,7 @@
 use one_answer::OneAnswer;
 use run_once::RunOnce;
 
-/// What the checkers have findings, bounded.
+/// The violations found so far, bounded.
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
     listed: Vec<Breach>,
@@ -45,7 +45,8 @@
 }
 
 impl Rules {
-    /// `slack` is what networks and clocks may add to a limit of time: 0 in virtual time, 50 ms on sockets.
+    /// `slack` is added to time limits for delays of networks and clocks: 0 in virtual time, 50 ms on
+    /// sockets.
     pub fn new(s: &Scenario, slack: Micros) -> Self {
         Rules {
             one_answer: OneAnswer::new(s, slack),
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Facts come in the order of time.
+    /// Facts must be passed in chronological order.
     pub fn observe(&mut self, at: Micros, fact: &Fact) {
         self.one_answer.observe(at, fact, &mut self.findings);
         self.run_once.observe(at, fact, &mut self.findings);
@@ -64,7 +65,8 @@
         self.fail_back.observe(at, fact, &mut self.findings);
     }
 
-    /// The first breaches of each rule in the order of time, and the number of all; `at` is the end of the run.
+    /// Returns the first violations of each rule in chronological order, and the total number; `at` is the
+    /// end of the run.
     pub fn finish(mut self, at: Micros) -> (Vec<Breach>, u64) {
         self.one_answer.finish(at, &mut self.findings);
         self.findings.listed.sort_by(|a, b| (a.at_us, a.rule, &a.what).cmp(&(b.at_us, b.rule, &b.what)));
--- a/crates/world/src/rules/one_answer.rs
+++ b/crates/world/src/rules/one_answer.rs
@@ -1,4 +1,4 @@
-//! One final outcome in time for each request taken, and a value only from who made it for this request.
+//! Each request gets exactly one final answer, in time, and a value only if it was made for this request.
 
 use super::Findings;
 use crate::facts::{Fact, Final, ProxyNo, TryNo};
@@ -7,7 +7,7 @@
 use crate::scenario::Scenario;
 use crate::Micros;
 
-/// What is overdue is looked for this often, and answered tries are remembered for at least as long.
+/// Interval of the search for overdue tries, and the minimum time for which answered tries are remembered.
 const SWEEP: Micros = 5_000_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
 pub struct OneAnswer {
     grace: Micros,
     open: Map<TryNo, Open>,
-    /// Answered of late, and before that.
+    /// Answered since the last sweep, and in the interval before it.
     answered: Map<TryNo, ()>,
     before: Map<TryNo, ()>,
     sweep: Micros,
@@ -88,7 +88,8 @@
             Fact::Dropped { proxy, of } if self.open.remove(&of).is_some() => {
                 breach(format!("proxy {} closed on try {} without an answer", proxy.0, of.0));
             }
-            // Who leaves while the proxy may still answer is owed nothing; who has waited for all of that time was.
+            // A client that leaves while the proxy may still answer is owed nothing; one that has waited for
+            // all of that time was owed an answer.
             Fact::Left { of, .. } if self.open.get(&of).is_some_and(|o| at < o.due) => {
                 self.open.remove(&of);
             }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// What is open at the end, and could have been answered by then, was lost.
+    /// A try that is still open at the end and is overdue was lost.
     pub fn finish(&mut self, at: Micros, findings: &mut Findings) {
         self.overdue(at, findings);
     }
--- a/crates/world/src/rules/run_once.rs
+++ b/crates/world/src/rules/run_once.rs
@@ -1,6 +1,6 @@
-//! Nothing runs twice that must not: a keyed request once under its key, an unsafe one once.
+//! Nothing is executed twice that must not be: a keyed request once per key, an unsafe one once.
 //!
-//! Counted where things run, by whether they had an effect; a repeat that was recognised has none.
+//! Executions are counted where they happen, if they had an effect; a detected repeat has none.
 
 use super::Findings;
 use crate::facts::{Fact, Final, NodeNo};
@@ -9,7 +9,7 @@
 use crate::scenario::{Repeat, Scenario};
 use crate::Micros;
 
-/// How long what ran is remembered, at least: far longer than any window or patience.
+/// Minimum time for which executions are remembered: far longer than any window or patience.
 const HORIZON: Micros = 120_000_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct RunOnce {
     repeats: Vec<Repeat>,
-    /// By idempotency key, or by the try where there is none.
+    /// By idempotency key, or by try if there is none.
     ran: Map<(bool, u64), Ran>,
     before: Map<(bool, u64), Ran>,
     turn: Micros,
@@ -63,7 +63,7 @@
                 }
                 self.ran.insert(id, Ran { at, node });
             }
-            // A refusal promises that trying again is harmless.
+            // A refusal promises that a retry is harmless.
             Fact::Answered { proxy, of, how: Final::Refused } => {
                 let id = (false, of.0);
                 if self.ran.contains_key(&id) || self.before.contains_key(&id) {
--- a/crates/world/src/scenario/crowd.rs
+++ b/crates/world/src/scenario/crowd.rs
@@ -1,27 +1,27 @@
-//! A crowd at the proxies' door: connections that want nothing, beside those of usual clients.
+//! A crowd: connections to the proxies that do no useful work, in addition to those of usual clients.
 
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Crowd {
-    /// New connections a second, over all proxies.
+    /// New connections per second, over all proxies.
     pub connections_per_s: f64,
     pub manner: CrowdBehavior,
-    /// Addresses from which they come, each in a network of its own; 0: from the usual clients' address.
+    /// Number of source addresses, each in a network of its own; 0: they share the usual clients' address.
     pub sources: u32,
-    /// How long one stays unless it is closed.
+    /// How long a connection stays unless it is closed.
     pub hold_s: f64,
-    /// What a slow reader leaves unread.
+    /// Bytes that a slow reader leaves unread.
     pub bytes: u32,
-    /// Who makes room.
+    /// How connections to close are chosen.
     pub judge: EvictionPolicy,
-    /// Connections that clients and crowd may have open to one proxy together, as a front with a bounded pool has
-    /// them; what comes beyond waits its turn. 0: no bound but the proxy's.
+    /// Connections that clients and crowd together may have open to one proxy, as with a front that has a
+    /// bounded pool; further ones wait for their turn. 0: only the proxy's own limit applies.
     pub connections: u32,
     /// The proxy's time to accept one connection.
     pub accept_us: f64,
-    /// Connections that wait to be accepted, at the most.
+    /// Maximum number of connections waiting to be accepted.
     pub backlog: u32,
 }
 
@@ -41,32 +41,33 @@
     }
 }
 
-/// What they do.
+/// What the crowd's connections do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CrowdBehavior {
-    /// They say nothing.
+    /// They send nothing.
     Silent,
     /// They send PING once.
     Ping,
-    /// Either, by halves.
+    /// One half is silent, the other sends PING.
     #[default]
     Mixed,
-    /// They ask, and read no answer.
+    /// They send requests and do not read the answers.
     SlowReader,
-    /// Half a command, bytes that cannot be read, or a reset at once; by thirds.
+    /// One third each sends half a command, sends unparsable bytes, and resets at once.
     Rude,
 }
 
-/// Who decides which connections make room.
+/// How connections are chosen for closing when there are too many.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EvictionPolicy {
-    /// Nobody: who came first stays for as long as its times allow.
+    /// Not at all: existing connections stay as long as their timeouts allow.
     Off,
-    /// Whoever has been quiet for longest, and for 250 ms at least: as the proxy did before it had a door.
+    /// The one that has been quiet for longest, and for at least 250 ms: the proxy's behavior before it had
+    /// admission control for connections.
     Quiet,
-    /// The proxy's own door.
+    /// By the proxy's own admission control.
     #[default]
     Door,
 }
--- a/crates/world/src/scenario/faults.rs
+++ b/crates/world/src/scenario/faults.rs
@@ -1,49 +1,51 @@
-//! What goes wrong, and when. Every fault has the same few fields, so that tools can move, shorten or drop one
-//! without knowing its kind; [`FaultKind::reads`] says which of the others a kind uses.
+//! Faults and when they happen. All faults have the same few fields, so that tools can move, shorten or
+//! remove one without knowing its kind; [`FaultKind::reads`] says which fields a kind uses.
 //!
-//! Two faults of one kind that strike the same thing at once do not add up: the one that begins last says how bad it
-//! is, and the first end of one ends it. Cuts of halls, paydays, surges and crowds may overlap as they like.
+//! Two faults of the same kind that affect the same target at once do not add up: the one that begins last
+//! sets the severity, and the first end of either ends it. Cuts of zones, paydays, surges and crowds may
+//! overlap freely.
 
 use serde::{Deserialize, Serialize};
 
-/// A fault of a scenario. Fields that its kind does not read must be absent.
+/// A fault of a scenario. Fields that its kind does not use must be absent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     pub kind: FaultKind,
-    /// From the start of the run.
+    /// Seconds since the start of the run.
     pub at_s: f64,
-    /// How long it lasts. For what happens once and stays (a drain, new nodes) the time over which it happens.
+    /// Its duration. For faults without an end (a drain, new nodes) the time over which it happens.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub for_s: f64,
-    /// How many nodes it strikes, drawn by the seed; or the part of them (of those that serve then). Of proxies too
-    /// the part, of all of them: these go at once, unless `every_s` says otherwise.
+    /// The number of affected nodes, chosen at random by the seed; or the part of the nodes that serve at
+    /// that moment. For proxies only `part` applies, to all proxies: these are affected at once, unless
+    /// `every_s` is given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub nodes: Option<u32>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub part: Option<f64>,
-    /// Or this one, counted from 0 in the order of the groups.
+    /// Or this one node, counted from 0 in the order of the groups.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub node: Option<u32>,
-    /// The hall it strikes.
+    /// The affected zone.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub hall: Option<String>,
-    /// The proxy it strikes, counted from 0; without it and `part`, all one after the other.
+    /// The affected proxy, counted from 0. Without it and without `part`, all proxies one after the other.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub proxy: Option<u32>,
-    /// The tenant it comes from, by name.
+    /// The name of the tenant that sends more.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
-    /// How many times slower, or how many times the usual rate.
+    /// The factor by which it is slower, or by which the rate grows.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub times: Option<f64>,
-    /// The part of requests, answers or connections that it strikes.
+    /// The affected part of the requests, answers or connections.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<f64>,
-    /// From one node or proxy to the next, where they are struck one after the other.
+    /// Interval between one node or proxy and the next, if they are affected one after the other.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub every_s: Option<f64>,
-    /// How long a node that is to go completes what it has; how long a process stays down.
+    /// How long a node that is to end may complete what it has, or how long a process stays down.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub down_s: Option<f64>,
 }
@@ -76,56 +78,58 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Nodes take work and answer nothing.
+    /// Nodes accept requests and answer none.
     Hang,
     /// Nodes run `times` slower.
     SlowNode,
     /// Nodes answer a part `rate` with errors.
     Errors,
-    /// Nodes break a part `rate` of their answers: what comes cannot be read.
+    /// Nodes corrupt a part `rate` of their answers: they cannot be parsed.
     Spoil,
-    /// The processes of nodes die; connections break. They stay down for `down_s`, then start cold (same id).
+    /// The processes of nodes die and connections break. They stay down for `down_s`, then start cold (same
+    /// id).
     Crash,
-    /// Nodes are drained for `down_s`, end and start cold under the same id, one every `every_s`.
+    /// Nodes are drained for `down_s`, end and start cold with the same id, one every `every_s`.
     Restart,
-    /// As a restart, but what comes back at the address is another machine with another id.
+    /// Like a restart, but the address is taken over by another machine with another id.
     Replace,
-    /// Machines vanish without a word and stay away.
+    /// Machines disappear without notice and do not come back.
     Vanish,
-    /// Nodes are drained, complete what they have within `down_s`, and go for good.
+    /// Nodes are drained, complete what they have within `down_s`, and are removed for good.
     Drain,
-    /// A `part` of the fleet is drained over `for_s`, and traffic falls as much.
+    /// A `part` of the fleet is drained over `for_s`, and traffic falls by the same part.
     Shrink,
-    /// New nodes of the first group's kind, `nodes` of them over `for_s`.
+    /// `nodes` new nodes of the first group's kind start over `for_s`.
     Grow,
-    /// Nodes lose all that they keep.
+    /// Nodes lose everything in their stores.
     Forget,
-    /// One hall is cut off from the others; connections across stay open and silent.
+    /// One zone is cut off from the others; connections across stay open and silent.
     HallCut,
-    /// A part `rate` of the attempts has its connection broken under way.
+    /// A part `rate` of the attempts has its connection broken while in use.
     BreakConnections,
-    /// The ledger runs `times` slower.
+    /// The origin runs `times` slower.
     SlowLedger,
-    /// The ledger stops: it refuses connections, and what was out there is lost.
+    /// The origin stops: it refuses connections, and requests in flight are lost.
     StopLedger,
-    /// Discovery tells nothing.
+    /// Discovery delivers no updates.
     SilentDiscovery,
-    /// Proxies are told to end, complete what they have and start anew after `down_s`, one every `every_s`.
+    /// Proxies are told to shut down, complete what they have and start again after `down_s`, one every
+    /// `every_s`.
     ProxyRestart,
-    /// Proxies die and start anew after `down_s`.
+    /// Proxies die and start again after `down_s`.
     ProxyCrash,
     /// Traffic is `times` the usual.
     Payday,
-    /// A part `rate` of the reads go to a handful of keys.
+    /// A part `rate` of the reads goes to a handful of keys.
     Crowd,
-    /// One tenant sends `times` the usual.
+    /// One tenant sends `times` its usual traffic.
     Surge,
 }
 
-/// What a kind reads of a fault's fields, and needs of them.
+/// The fields of a fault that a kind uses or requires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reads {
-    /// One of `node`, `nodes` and `part`.
+    /// Exactly one of `node`, `nodes` and `part`.
     pub nodes: bool,
     pub hall: bool,
     /// One of `proxy` and `part`, or neither.
@@ -135,7 +139,7 @@
     pub rate: bool,
     pub every_s: bool,
     pub down_s: bool,
-    /// It lasts: `for_s` must be more than 0.
+    /// It has a duration: `for_s` must be more than 0.
     pub lasts: bool,
 }
 
@@ -188,7 +192,7 @@
         }
     }
 
-    /// As a scenario writes it.
+    /// The name used in scenario files.
     pub fn name(self) -> &'static str {
         match self {
             FaultKind::Hang => "hang",
--- a/crates/world/src/scenario/mod.rs
+++ b/crates/world/src/scenario/mod.rs
@@ -1,11 +1,13 @@
-//! What is played, as a file of words and numbers: the size of the world, its machines, clients and faults.
+//! The scenario of a run: the size of the simulated environment, its machines, clients and faults.
 //!
-//! The types are those of a TOML file; every field but a fault's `kind` and `at_s` has a default, which together
-//! resemble the operators' deployment (nine cache nodes in two halls, 290 requests a second). A unit is in each
-//! name. A pair `[least, most]` is a range from which each thing draws its own value by the seed. Unknown fields
-//! are errors. [`Scenario::validate`] finds what types cannot, and names the path of the wrong value.
+//! The types mirror a TOML file. Every field except a fault's `kind` and `at_s` has a default; together the
+//! defaults resemble the operators' deployment (nine cache nodes in two zones, 290 requests per second).
+//! Names contain the unit. A pair `[min, max]` is a range from which each item draws its own value by the
+//! seed. Unknown fields are errors. [`Scenario::validate`] checks what types cannot express and reports the
+//! path of the invalid value.
 //!
-//! Both hosts play the same scenario. Nothing in here depends on how.
+//! In files, `hall` is a zone and `ledger` the origin. Both hosts run the same scenarios; nothing here
+//! depends on the host.
 
 mod crowd;
 mod faults;
@@ -17,30 +19,30 @@
 
 use serde::{Deserialize, Serialize};
 
-/// From which a value is drawn evenly: the least and the most.
+/// A range `[min, max]` from which a value is drawn uniformly.
 pub type Range = [f64; 2];
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
-    /// What it is for, for people.
+    /// A description for people.
     pub about: String,
-    /// How long clients arrive. A run goes on until all that they asked for is over.
+    /// How long clients send new requests. A run continues until all of them are finished.
     pub seconds: f64,
     pub seed: u64,
     pub halls: Vec<String>,
     pub proxies: Proxies,
-    /// The cache nodes at the start, by groups that are alike.
+    /// The cache nodes at the start, in groups of equal nodes.
     pub nodes: Vec<NodeGroup>,
     pub ledger: Ledger,
     pub discovery: Discovery,
     pub network: Network,
     pub clients: Clients,
-    /// Connections that want nothing; none if absent. Virtual time only.
+    /// Connections that do no useful work; none if absent. Virtual time only.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub crowd: Option<Crowd>,
-    /// How often the sizes of the proxies' tables are taken; never if absent. Virtual time only.
+    /// How often the sizes of the proxies' tables are sampled; never if absent. Virtual time only.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub sizes_every_s: Option<f64>,
     pub faults: Vec<Fault>,
@@ -78,12 +80,13 @@
     }
 }
 
-/// The proxies, spread over the halls in turn, and what their settings say of the site.
+/// The proxies, distributed over the zones in turn, and their site settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Proxies {
     pub count: u32,
-    /// Limits that are watched on loopback; the descriptors also bound the connections to nodes, as in service.
+    /// Limits that are enforced on loopback; the number of descriptors also bounds the connections to nodes,
+    /// as in production.
     pub memory_mb: u32,
     pub sockets: u32,
     /// The tick of the proxy's timers.
@@ -93,10 +96,10 @@
     pub second_copies: bool,
     pub cancelling: bool,
     pub probes: bool,
-    /// What one probe a request costs, as a part of the service: the proxy weighs its probes by it.
+    /// The cost of one probe per request as a part of the service; the proxy uses it to limit its probes.
     pub probe_price: f64,
     pub dial_timeout_ms: f64,
-    /// The longest advice to stay away that clients are given; 0 gives none.
+    /// The longest retry delay that clients are told; 0 tells none.
     pub max_retry_after_ms: f64,
 }
 
@@ -119,55 +122,56 @@
     }
 }
 
-/// Cache nodes that are alike. A pair is drawn for each node.
+/// A group of equal cache nodes. Each node draws its own value from a range.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NodeGroup {
-    /// The kind of machine, as discovery names it.
+    /// The kind of machine in discovery.
     pub kind: String,
     pub count: u32,
-    /// Where they stand; over all halls in turn if absent.
+    /// Their zone; distributed over all zones in turn if absent.
     pub hall: Option<String>,
     pub cores: u32,
-    /// Of a core: 1 does a millisecond of work in a millisecond. Nodes differ by the spread (a coefficient of
-    /// variation).
+    /// Speed of a core: at 1 it does a millisecond of work in a millisecond. Nodes differ by `speed_spread`,
+    /// a coefficient of variation.
     pub speed: f64,
     pub speed_spread: f64,
-    /// Requests in work and requests that wait, for each core. What comes beyond that is turned away.
+    /// Requests executed at once and requests waiting, per core. Requests beyond that are rejected.
     pub slots_per_core: f64,
     pub waiting_per_core: Range,
-    /// From this many requests held for each core on, every further one costs this part of the speed.
+    /// From this many requests per core on, each further one costs this part of the speed.
     pub crowd_from_per_core: Range,
     pub crowd_loss: Range,
-    /// Work that a miss costs, as a part of the work of the request.
+    /// Work of a miss, as a part of the work of the request.
     pub miss_work: f64,
-    /// All cores stand still now and then (a collection, a snapshot).
+    /// All cores pause now and then (garbage collection, snapshots).
     pub pause_every_s: Range,
     pub pause_ms: Range,
-    /// A node that starts has this part of its capacity, and all of it after this time, or by then at the latest
-    /// where it warms with the work it has done.
+    /// A started node has this part of its capacity, and all of it after this time; or by then at the latest
+    /// if it warms up with the work done.
     pub cold_from: Range,
     pub cold_s: Range,
     pub warm_by: WarmBy,
-    /// Reads answered with an error, as a part.
+    /// The part of the reads answered with an error.
     pub error_rate: Range,
-    /// The store's memory, and how long it keeps a value (0: for good).
+    /// The store's memory, and the time to live of a value (0: unlimited).
     pub store_kb: f64,
     pub ttl_s: f64,
-    /// Connections that are accepted, what one costs in work, the part of the capacity that a full table takes,
-    /// and when an idle one is closed.
+    /// Maximum number of connections, the work that opening one costs, the part of the capacity that a full
+    /// table takes, and when an idle connection is closed.
     pub connections: u32,
     pub handshake_work_ms: Range,
     pub full_table_loss: Range,
     pub idle_close_s: f64,
-    /// Work of a probe, and probes in hand for each core beyond which one is turned away.
+    /// Work of a probe, and the number of concurrent probes per core beyond which one is rejected.
     pub probe_work_ms: Range,
     pub probes_per_core: f64,
-    /// Load reports: how often they are made anew, how late they are, and their noise (a part of the value).
+    /// Load reports: how often they are made, how late they become visible, and their noise (a part of the
+    /// value).
     pub report_period_ms: Range,
     pub report_delay_ms: Range,
     pub report_noise: Range,
-    /// Whether work that waits is dropped once nobody waits for it, and once its time is up.
+    /// Whether waiting requests are dropped once the sender has cancelled them, and once they have expired.
     pub drops_cancelled: bool,
     pub drops_expired: bool,
 }
@@ -209,11 +213,11 @@
     }
 }
 
-/// How a cold node warms.
+/// How a cold node warms up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WarmBy {
-    /// Evenly over its cold time.
+    /// Linearly over its cold time.
     Time,
     /// With the work that it does, and never slower than with time.
     #[default]
@@ -225,23 +229,23 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Ledger {
     pub hall: Option<String>,
-    /// Reads a second that it can serve. Absent, it is `headroom` times what one warm cache as large as all
-    /// stores together would leave to it, writes included.
+    /// Reads per second that it can serve. If absent, `headroom` times the load that a single warm cache as
+    /// large as all stores together would leave to it, including writes.
     pub capacity_per_s: Option<f64>,
     pub headroom: f64,
-    /// Time of a read without a wait, and its spread (sigma of a lognormal).
+    /// Service time of a read without waiting, and its spread (sigma of a lognormal).
     pub service_ms: f64,
     pub service_sigma: f64,
     /// Work of a write, in reads.
     pub write_work: f64,
-    /// What may wait, as time of its full capacity. Beyond that it turns away.
+    /// Length of the queue, as time at full capacity. Requests beyond that are rejected.
     pub queue_s: f64,
-    /// Every request that waits, for each one in work, costs this part of the speed.
+    /// Each waiting request per executed one costs this part of the speed.
     pub crowd_loss: f64,
-    /// Waiting work that nobody waits for any more is dropped.
+    /// Waiting requests are dropped once nobody waits for the answer.
     pub drops_cancelled: bool,
-    /// Sent more than this multiple of its capacity for this long it stops for some seconds, at most so many
-    /// times a run. A multiple of 0 never stops it.
+    /// If it receives more than this multiple of its capacity for this long, it stops for some seconds, at
+    /// most this many times per run. A multiple of 0 never stops it.
     pub fall_multiple: f64,
     pub fall_for_ms: f64,
     pub down_s: Range,
@@ -270,15 +274,16 @@
     }
 }
 
-/// How late the list of nodes is. All times are drawn for each change; each proxy hears a little apart.
+/// Delays of the node list. All are drawn for each change; each proxy learns of it at a slightly different
+/// time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// Until a drain, a stop or a restart is told; until a machine that vanished is; until a new node is.
+    /// Delay until a drain, a stop or a restart is noticed; until a vanished machine is; until a new node is.
     pub notice_s: Range,
     pub vanished_s: Range,
     pub added_s: Range,
-    /// From one proxy to the next.
+    /// Additional delay per proxy.
     pub spread_ms: Range,
 }
 
@@ -293,7 +298,7 @@
     }
 }
 
-/// One-way delays, and what gets lost.
+/// One-way delays, and failing connections.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Network {
@@ -302,7 +307,7 @@
     pub client_ms: f64,
     /// Spread of each delay, as a part of it.
     pub jitter: f64,
-    /// Attempts whose connection breaks under way, as a part.
+    /// The part of the attempts whose connection breaks while in use.
     pub broken: f64,
 }
 
@@ -312,27 +317,28 @@
     }
 }
 
-/// Who asks, for what, and how patiently. Arrivals are drawn ahead and wait for nobody.
+/// Who sends requests, for what, and how patiently. Arrivals are drawn in advance and do not wait for
+/// answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
-    /// Requests a second over all proxies, without waves, surges and retries.
+    /// Requests per second over all proxies, without swings, surges and retries.
     pub rate_per_s: f64,
     pub classes: Vec<ClientClass>,
     pub tenants: Vec<Tenant>,
     pub popularity: Popularity,
-    /// Further tries of a request at most; a part of the clients makes fewer.
+    /// Maximum number of retries of a request, drawn per request.
     pub retries: Range,
-    /// A try is given up after this part of what is left of the class's patience when the request began.
+    /// A try is given up after this part of the class's patience.
     pub try_part: Range,
-    /// The first wait before a retry; it doubles with each.
+    /// The backoff before the first retry; it doubles with each.
     pub backoff_ms: Range,
-    /// Clients that stay away for as long as a refusal says, as a part.
+    /// The part of the clients that wait for as long as a refusal says.
     pub honour: f64,
-    /// The rate swings by this part of it, once in this time; 0 is steady.
+    /// The rate swings by this part, with this period; 0 is steady.
     pub swing: f64,
     pub swing_s: f64,
-    /// How unevenly requests come to the halls: the part by which the first gets more.
+    /// How unevenly requests are distributed over the zones: the part by which the first gets more.
     pub hall_skew: f64,
     pub front: Front,
 }
@@ -381,7 +387,7 @@
 }
 
 impl Clients {
-    /// Work of a request that hits, on the mean, in microseconds of a standard core.
+    /// Mean work of a request that hits, in microseconds of a standard core.
     pub fn mean_work(&self) -> f64 {
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
         self.classes.iter().map(|c| c.share / shares * c.work_ms * 1e3).sum()
@@ -392,18 +398,19 @@
 #[serde(default, deny_unknown_fields)]
 pub struct ClientClass {
     pub name: String,
-    /// Of all requests; shares are taken relative to their sum.
+    /// Share of all requests, relative to the sum of all shares.
     pub share: f64,
-    /// An answer within this time earns the worth; a client waits this long in all, over its tries.
+    /// An answer within `aim_ms` earns the worth; a client waits for `patience_ms` in total, over all its
+    /// tries.
     pub aim_ms: f64,
     pub patience_ms: f64,
     pub worth: f64,
     pub repeat: Repeat,
-    /// How long nodes drop a repeat of a keyed request.
+    /// How long nodes drop repeats of a keyed request.
     pub window_ms: f64,
-    /// It changes its key at the ledger and voids the copies of it.
+    /// It changes its key at the origin and invalidates the copies.
     pub write: bool,
-    /// Work on a core of speed 1: its mean, form and coefficient of variation.
+    /// Work on a core of speed 1: its mean, distribution and coefficient of variation.
     pub work_ms: f64,
     pub work: Spread,
     pub work_cv: f64,
@@ -427,19 +434,19 @@
     }
 }
 
-/// Whether a request may run again.
+/// Whether a request may be executed again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
     #[default]
     Safe,
-    /// It carries an idempotency key; every node drops a repeat of it for the class's window.
+    /// It carries an idempotency key; every node drops repeats of it for the class's window.
     Keyed,
-    /// Never.
+    /// It must not be executed twice.
     Unsafe,
 }
 
-/// The form of a distribution.
+/// The family of a distribution.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Spread {
@@ -454,9 +461,9 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Tenant {
     pub name: String,
-    /// Its share of the service; shares are taken relative to their sum.
+    /// Its share of the service, relative to the sum of all shares.
     pub share: f64,
-    /// What it sends, as a multiple of its share: above 1 others send less.
+    /// Its traffic as a multiple of its share; above 1 others send less.
     pub usage: f64,
 }
 
@@ -466,16 +473,16 @@
     }
 }
 
-/// Which keys are asked for: the k-th most popular in proportion to `(k + offset)^-exponent`.
+/// Key popularity: the probability of the k-th most popular key is proportional to `(k + offset)^-exponent`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Popularity {
     pub keys: u32,
     pub exponent: f64,
     pub offset: f64,
-    /// Ranks that pass to a new key in a second, as a part of all.
+    /// The part of the ranks that are assigned to a new key per second.
     pub drift_per_s: f64,
-    /// Bytes of a value: the mean, and the sigma of a lognormal. At most 64 KiB.
+    /// Size of a value in bytes: the mean, and the sigma of a lognormal. At most 64 KiB.
     pub value_bytes: f64,
     pub value_sigma: f64,
 }
@@ -493,11 +500,11 @@
     }
 }
 
-/// What spreads clients over the proxies of their hall.
+/// The load balancer that spreads clients over the proxies of their zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Front {
-    /// Until it notices that a proxy is dead, or back.
+    /// Delay until it notices that a proxy has died, or is back.
     pub notice_s: Range,
 }
 
@@ -507,28 +514,29 @@
     }
 }
 
-/// The figures of the four rules, and of worth beyond a tenant's share.
+/// Parameters of the four rules, and of the worth beyond a tenant's share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// After the client's deadline, for a final answer to be in time.
+    /// Grace after the client's deadline within which a final answer is still in time.
     pub answer_grace_ms: f64,
-    /// After a proxy was told of a drain, for what it still sends.
+    /// Grace after a proxy was told of a drain, for what it still sends.
     pub drain_grace_ms: f64,
-    /// Binds nothing, and stays for files that name it: what a proxy's agent has counts as told, nothing else does.
+    /// Has no effect; kept for files that set it. Only what a proxy's agent has counts as reported.
     pub told_latest_s: f64,
-    /// What proxies are told of cold nodes: they start at this part of their capacity at least, and are warm after
-    /// this time at the latest.
+    /// What proxies are told about cold nodes: they start with at least this part of their capacity, and are
+    /// warm after this time at the latest.
     pub cold_from: f64,
     pub cold_s: f64,
-    /// A cold node sent more than this multiple of what it can do, for this long, falls over.
+    /// A cold node that receives more than this multiple of what it can do, for this long, crashes.
     pub fall_multiple: f64,
     pub fall_for_ms: f64,
-    /// Misses at cold nodes break the rule where they are over this part of what swamped the ledger, and over this
-    /// multiple of the reads that are due to those nodes.
+    /// Misses at cold nodes break the rule if they are more than this part of the reads that overloaded the
+    /// origin, and more than this multiple of the reads due to those nodes.
     pub cold_miss_part: f64,
     pub cold_miss_multiple: f64,
-    /// Requests a second within the tenants' shares, as a multiple of `clients.rate_per_s`; worth beyond that.
+    /// Requests per second within the tenants' shares, as a multiple of `clients.rate_per_s`; and the worth
+    /// of requests beyond that.
     pub quota_multiple: f64,
     pub over_share_worth: f64,
 }
@@ -551,7 +559,7 @@
     }
 }
 
-/// Bounds that a run is held to; absent ones bind nothing. Broken rules always fail a run.
+/// Expected bounds of a run's results; absent ones are not checked. Broken rules always fail a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expect {
@@ -563,7 +571,8 @@
     /// At most, over the run.
     pub ledger_reads: Option<u64>,
     pub ledger_stops: Option<u64>,
-    /// At most, as the end of a table's sizes over their middle ([`crate::outcome::Sizes::grown`]).
+    /// At most, the ratio of a table's size at the end to that in the middle
+    /// ([`crate::outcome::Sizes::grown`]).
     #[serde(skip_serializing_if = "Option::is_none")]
     pub growth: Option<f64>,
 }
--- a/crates/world/src/scenario/validate.rs
+++ b/crates/world/src/scenario/validate.rs
@@ -1,9 +1,10 @@
-//! What types cannot say of a scenario: bounds, names that must exist, fields that belong together.
+//! Validation of what types cannot express in a scenario: bounds, references to names, fields that depend on
+//! each other.
 
 use super::*;
 use thiserror::Error;
 
-/// A wrong value: where it is and what is wanted there.
+/// An invalid value: its path and what is expected there.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{path}: {wanted}")]
 pub struct Problem {
@@ -12,7 +13,7 @@
     pub wanted: String,
 }
 
-/// Bounds that keep a run of any scenario finite.
+/// Bounds that keep the run of any scenario finite.
 const MAX_SECONDS: f64 = 24.0 * 3600.0;
 const MAX_NODES: u64 = 20_000;
 const MAX_PROXIES: u32 = 1_000;
@@ -21,7 +22,7 @@
 const MAX_KEYS: u32 = 50_000_000;
 const MAX_VALUE: f64 = 65_536.0;
 const MAX_MS: f64 = 3.6e6;
-/// Times that sizes are taken in a run.
+/// Maximum number of size samples in a run.
 const MAX_SIZES: f64 = 1_000.0;
 
 pub(crate) type Check = Result<(), Problem>;
@@ -64,7 +65,7 @@
 }
 
 impl Scenario {
-    /// The first value that is wrong.
+    /// Returns the first invalid value.
     pub fn validate(&self) -> Check {
         within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
         if !(1..=64).contains(&self.halls.len()) {
--- a/crates/world/src/station.rs
+++ b/crates/world/src/station.rs
@@ -1,14 +1,16 @@
-//! Cores at work on jobs: a few slots that share them evenly, at a speed that may change under way.
+//! CPU cores executing jobs: a number of slots that share the cores evenly, at a speed that may change while
+//! jobs run.
 //!
-//! What runs is kept by the work done in a slot (a clock that runs at the present speed), so that a change of
-//! speed touches no job: the virtual time of processor sharing (Parekh and Gallager, 1993). A station neither
-//! queues nor answers; its owner (a node, the ledger) decides what starts when a slot is free.
+//! Progress is tracked as the work done per slot, a clock that runs at the current speed, so that a change of
+//! speed does not touch the jobs. This is the virtual time of processor sharing (Parekh and Gallager, 1993).
+//! A station neither queues nor answers; its owner, a node or the origin, decides what starts when a slot
+//! becomes free.
 
 use crate::Micros;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// A job in a slot, ordered by the slot's work at which it ends, then by its start.
+/// A job in a slot, ordered by the per-slot work at which it ends, then by its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Running {
     ends: f64,
@@ -34,14 +36,14 @@
 pub struct Station {
     cores: f64,
     slots: usize,
-    /// Work that a core does in a microsecond: 1 is a standard core, 0 stands still.
+    /// Work that a core does per microsecond: 1 is a standard core, 0 is stopped.
     speed: f64,
-    /// Up to when this is counted, and the work that a slot has done by then.
+    /// The time up to which progress is accounted, and the work done per slot by then.
     at: Micros,
     done: f64,
     started: u64,
     running: BinaryHeap<Reverse<Running>>,
-    /// Since the start: time of cores in use, and work done, in microseconds.
+    /// Totals since the start, in microseconds: core time in use, and work done.
     busy: f64,
     worked: f64,
 }
@@ -73,7 +75,7 @@
         self.running.len() < self.slots
     }
 
-    /// Core time used, and work done, since the start.
+    /// Core time used and work done since the start.
     pub fn spent(&self) -> (f64, f64) {
         (self.busy, self.worked)
     }
@@ -82,7 +84,7 @@
         self.cores.min(self.running.len() as f64)
     }
 
-    /// Work that one slot does in a microsecond.
+    /// Work that one slot does per microsecond.
     fn rate(&self) -> f64 {
         match self.running.len() {
             0 => 0.0,
@@ -90,13 +92,13 @@
         }
     }
 
-    /// Counts up to now. What ends by now must have been taken out.
+    /// Accounts progress up to now. Jobs that end by now must have been removed before.
     pub fn catch_up(&mut self, now: Micros) {
         let span = (now - self.at).max(0) as f64;
         if span > 0.0 && !self.running.is_empty() {
             self.done += self.rate() * span;
             let used = self.in_use() * span;
-            // A core that stands still is in use all the same.
+            // A stopped core that has a job counts as in use.
             self.busy += used;
             self.worked += used * self.speed;
         }
@@ -118,14 +120,14 @@
         self.running.push(Reverse(Running { ends, started: self.started, job }));
     }
 
-    /// When the next job ends, as things are.
+    /// When the next job ends at the current speed.
     pub fn next(&self) -> Option<Micros> {
         let first = &self.running.peek()?.0;
         let rate = self.rate();
         (rate > 0.0).then(|| self.at + ((first.ends - self.done).max(0.0) / rate).ceil() as Micros)
     }
 
-    /// The first job that has ended by now, taken out, and when it did.
+    /// Removes the first job that has ended by now; returns it and the time of its end.
     pub fn end(&mut self, now: Micros) -> Option<(Micros, u64)> {
         let at = self.next().filter(|at| *at <= now)?;
         self.catch_up(at);
@@ -134,7 +136,7 @@
         Some((at, ended.job))
     }
 
-    /// The process is gone, and all jobs with it; they come back.
+    /// The process is gone. Removes all jobs and returns them.
     pub fn clear(&mut self, now: Micros) -> Vec<u64> {
         self.catch_up(now);
         std::mem::take(&mut self.running).into_sorted_vec().into_iter().map(|r| r.0.job).collect()
--- a/crates/world/src/station/tests.rs
+++ b/crates/world/src/station/tests.rs
@@ -9,7 +9,7 @@
     let mut s = Station::new(1.0, 2, 2.0);
     s.start(0, 1, 1000.0);
     s.start(0, 2, 2000.0);
-    // Both at 1 a microsecond until 1 ends; then 2 has the core to itself and 1000 left.
+    // Both run at 1 per microsecond until job 1 ends; then job 2 has the core to itself and 1000 left.
     assert_eq!(ends(&mut s, 10_000), [(1000, 1), (1500, 2)]);
     assert_eq!(s.spent(), (1500.0, 3000.0));
 }
--- a/crates/world/src/store.rs
+++ b/crates/world/src/store.rs
@@ -1,11 +1,12 @@
-//! What a node keeps: values by key, bounded in bytes, the one used longest ago goes first; each for a time.
+//! The store of a cache node: values by key, bounded in bytes, with LRU eviction and an optional time to
+//! live.
 //!
-//! Only sizes are kept, no bytes: hosts make values up. Not a store to copy for a real cache.
+//! Only sizes are stored, not bytes: hosts generate the values. Not meant as a template for a real cache.
 
 use crate::random::Map;
 use crate::Micros;
 
-/// What an entry takes beside its value.
+/// Bytes that an entry takes in addition to its value.
 pub const OVERHEAD: u64 = 64;
 const NONE: u32 = u32::MAX;
 
@@ -14,7 +15,7 @@
     key: u64,
     bytes: u64,
     expires: Micros,
-    /// Neighbours: one used earlier, one used later.
+    /// Neighbours in the LRU list: the next less and the next more recently used entry.
     older: u32,
     newer: u32,
 }
@@ -22,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     most: u64,
-    /// How long a value is good; `None` for good.
+    /// Time to live of a value; `None` for unlimited.
     keep_for: Option<Micros>,
     used: u64,
     at: Map<u64, u32>,
@@ -58,7 +59,7 @@
         self.used
     }
 
-    /// Whether it has the key, which counts as a use.
+    /// Whether the store has the key. Counts as a use.
     pub fn get(&mut self, now: Micros, key: u64) -> bool {
         let Some(&i) = self.at.get(&key) else { return false };
         if self.entries[i as usize].expires <= now {
@@ -70,8 +71,8 @@
         true
     }
 
-    /// Keeps a value made at `made`, in place of what was kept under the key; drops old ones to make room. One
-    /// larger than the store is not kept.
+    /// Stores a value made at `made`, replacing any value of the key, and evicts old entries to make room. A
+    /// value larger than the store is not stored.
     pub fn put(&mut self, now: Micros, made: Micros, key: u64, bytes: u64) {
         self.remove(key);
         let bytes = bytes + OVERHEAD;
@@ -108,7 +109,7 @@
         *self = Store::new(self.most, self.keep_for);
     }
 
-    /// The one place where an entry is given back.
+    /// The only place where an entry is freed.
     fn take(&mut self, i: u32) {
         self.unlink(i);
         let entry = self.entries[i as usize];
--- a/crates/world/src/window_sum.rs
+++ b/crates/world/src/window_sum.rs
@@ -1,11 +1,13 @@
-//! How much has come within a window: what tells that something cold, or the ledger, is sent too much.
+//! Sum of what arrived within a sliding window. Used to detect that a cold node or the origin receives too
+//! much.
 //!
-//! The window holds sums of short spans rather than every arrival, so its size is fixed whatever comes.
+//! The window holds the sums of short spans rather than every arrival, so its size does not depend on the
+//! load.
 
 use crate::Micros;
 use std::collections::VecDeque;
 
-/// Spans that a window is cut into; it is exact to one of them.
+/// Number of spans in a window; the sum is exact to one span.
 const SPANS: i64 = 50;
 
 #[derive(Clone, Debug)]
@@ -20,7 +22,7 @@
         WindowSum { span: (window / SPANS).max(1), spans: VecDeque::new(), sum: 0.0 }
     }
 
-    /// Adds what comes now; the sum over the window up to now comes back. Time does not go back.
+    /// Adds what arrives now and returns the sum over the window up to now. Time must not go back.
     pub fn add(&mut self, now: Micros, amount: f64) -> f64 {
         let span = now / self.span;
         match self.spans.back_mut() {
@@ -38,7 +40,7 @@
             self.spans.pop_front();
         }
         if self.spans.is_empty() {
-            // No rounding is carried from one spell to the next.
+            // Start from zero, so that rounding errors don't carry over.
             self.sum = 0.0;
         }
         self.sum
--- a/crates/world/src/world/builder.rs
+++ b/crates/world/src/world/builder.rs
@@ -1,4 +1,4 @@
-//! A world in a few lines, for tests: what is not said is as the scenario's defaults have it.
+//! A builder for worlds in tests: everything not set has the scenario's default.
 
 use super::World;
 use crate::facts::NodeNo;
@@ -6,7 +6,7 @@
 use crate::scenario::{ClientClass, Fault, NodeGroup, Problem, Scenario};
 use crate::Micros;
 
-/// Says what a world is like, step by step.
+/// Builds a [`World`] step by step.
 ///
 /// ```
 /// use world::node::{Answer, Script, Step};
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Builder {
     scenario: Scenario,
-    /// The default groups stand until the first is named.
+    /// The default groups are used until the first group is added.
     named: bool,
     scripts: Vec<(u32, Script)>,
     slack: Micros,
@@ -62,7 +62,7 @@
         self
     }
 
-    /// A group of nodes, with what is to differ from the defaults. The first takes the place of the default groups.
+    /// Adds a group of nodes; `configure` changes the defaults. The first call replaces the default groups.
     pub fn nodes(mut self, kind: &str, count: u32, differ: impl FnOnce(&mut NodeGroup)) -> Self {
         let mut group = NodeGroup { kind: kind.into(), count, ..NodeGroup::default() };
         differ(&mut group);
@@ -73,13 +73,13 @@
         self
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn rate(mut self, per_s: f64) -> Self {
         self.scenario.clients.rate_per_s = per_s;
         self
     }
 
-    /// Only this class of requests, with what is to differ from the defaults (`lookup`).
+    /// Replaces all request classes by one; `configure` changes its defaults (`lookup`).
     pub fn class(mut self, differ: impl FnOnce(&mut ClientClass)) -> Self {
         let mut class = ClientClass::default();
         differ(&mut class);
@@ -92,19 +92,20 @@
         self
     }
 
-    /// Anything else.
+    /// Changes any other part of the scenario.
     pub fn with(mut self, differ: impl FnOnce(&mut Scenario)) -> Self {
         differ(&mut self.scenario);
         self
     }
 
-    /// The node of this number (the ledger for [`crate::facts::LEDGER`]'s) answers as it is told.
+    /// The node with this number (or the origin, for the number of [`crate::facts::LEDGER`]) answers by the
+    /// script.
     pub fn script(mut self, node: u32, script: Script) -> Self {
         self.scripts.push((node, script));
         self
     }
 
-    /// What the host may add to the rules' limits of time.
+    /// Tolerance of the host that is added to the rules' time limits.
     pub fn slack(mut self, slack: Micros) -> Self {
         self.slack = slack;
         self
--- a/crates/world/src/world/faults.rs
+++ b/crates/world/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a scenario, played: each begins, may have further steps, and ends.
+//! Executes the faults of a scenario: each begins, may have further steps, and ends.
 
 use super::{Occurrence, World};
 use crate::discovery::{Entry, Notice};
@@ -12,30 +12,30 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What becomes of a proxy's process.
+/// A change of a proxy's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyChange {
-    /// It is told to end: it completes what it has.
+    /// It is told to shut down and completes what it has accepted.
     End,
     /// It dies at once.
     Die,
     Start,
 }
 
-/// Until a drained node ends, where the fault does not say.
+/// Default time until a drained node ends.
 const DRAIN_S: f64 = 4.0;
-/// Until what died or was replaced is back.
+/// Default time until a crashed or replaced process is back.
 const BACK_S: f64 = 2.0;
-/// From one node or proxy to the next.
+/// Default interval between one affected node or proxy and the next.
 const EVERY_S: f64 = 5.0;
-/// A restart ends a process and starts it this much later.
+/// Time between the end of a process and its restart.
 const EXEC_S: f64 = 0.5;
-/// A planned end of a proxy: connections still come for this long.
+/// After a planned shutdown of a proxy begins, new connections still arrive for this long.
 const STILL_S: f64 = 0.3;
-/// A planned end is cut short this long after the longest patience (counted as 3 s at most) at the earliest.
+/// A planned shutdown ends no earlier than this long after the longest patience (counted as 3 s at most).
 const KILL_S: f64 = 0.7;
 const PATIENCE_S: f64 = 3.0;
-/// Names that a mark lists; the rest are only counted.
+/// Number of names that a fault mark lists; the rest is only counted.
 const NAMED: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -94,13 +94,13 @@
     }
 }
 
-/// So many are this part of all: at least one, unless it is nothing.
+/// The number of items in this part of all: at least one, unless the part is zero.
 fn part_of(part: f64, all: usize) -> usize {
     ((part * all as f64).round() as usize).max(usize::from(part > 0.0))
 }
 
 impl World {
-    /// Carries out the next step, due now.
+    /// Executes the next step, which is due now.
     pub(super) fn run_step(&mut self, at: Micros, out: &mut Vec<(Micros, Occurrence)>) {
         let Some(Reverse((_, _, step))) = self.fault_schedule.steps.pop() else { return };
         let mut events = std::mem::take(&mut self.events);
@@ -121,7 +121,7 @@
                 self.at_node(no, &mut events, |n, _, _| n.set_failure_rates(errors, spoils));
             }
             Step::Drain(no) => {
-                // Of a process that is gone already, discovery has nothing to tell.
+                // Discovery has nothing to report about a process that is already gone.
                 if self.nodes.get(no.0 as usize).is_some_and(|n| n.is_up()) {
                     let entry = Entry { node: no, status: Status::Draining, started: None };
                     self.at_node(no, &mut events, |n, _, _| n.drain());
@@ -216,8 +216,9 @@
         self.nodes.get(no.0 as usize).is_some_and(|n| n.is_up())
     }
 
-    /// The address of this node is another's: that of the node that replaced it, whether or not that one runs just now, or of
-    /// one that runs there. A second cannot listen there, and what is sent to the one would count as sent to the other.
+    /// Whether the address of this node is used by another one: by its replacement, whether or not that is
+    /// running at the moment, or by any node running there. A second process cannot listen there, and
+    /// requests sent to one would count as sent to the other.
     fn is_taken(&self, no: NodeNo) -> bool {
         let address = self.member(no).address;
         let mut others = self.members.iter().filter(|m| m.no != no && m.address == address);
@@ -232,7 +233,8 @@
         self.add_started(at, no, out);
     }
 
-    /// The nodes that a fault strikes, drawn from those that serve, in the order in which they are struck.
+    /// The nodes affected by a fault, chosen at random from those that serve, in the order in which they are
+    /// affected.
     fn affected_nodes(&self, fault: &Fault, i: usize) -> Vec<NodeNo> {
         if let Some(node) = fault.node {
             return vec![NodeNo(node)];
@@ -248,7 +250,8 @@
         serving
     }
 
-    /// Leaves so many of all, drawn by the seed and the fault's place, in the order in which they were drawn.
+    /// Keeps `wanted` random items, chosen by the seed and the fault's index, in the order in which they were
+    /// drawn.
     fn draw<T>(&self, i: usize, wanted: usize, all: &mut Vec<T>) {
         let mut rng = stream(self.seed, "struck", i as u64);
         let wanted = wanted.min(all.len());
@@ -280,7 +283,7 @@
         };
         let mut what = names(&struck);
         let count = struck.len() as i64;
-        // Over its time, where it strikes one after the other.
+        // Spread over the fault's duration if it affects one after the other.
         let spread = |k: usize| at + (until - at) * k as i64 / count.max(1);
         for (k, no) in struck.iter().copied().enumerate() {
             let turn = at + every * k as i64;
@@ -360,7 +363,7 @@
                 if let Some(part) = fault.part {
                     self.draw(i, part_of(part, count), &mut proxies);
                 }
-                // A part goes at once.
+                // A part of the proxies is affected at once.
                 let every = if fault.part.is_some() && fault.every_s.is_none() { 0 } else { every };
                 for (k, proxy) in proxies.iter().enumerate() {
                     let (turn, proxy) = (at + every * k as i64, ProxyNo(*proxy));
@@ -371,7 +374,7 @@
                         (Step::ProxyDies(proxy), BACK_S)
                     };
                     self.fault_schedule.plan(turn, step);
-                    // Who is told to end has the time to answer what it took.
+                    // A proxy that is told to shut down gets the time to answer what it has accepted.
                     let least = if planned { self.longest_patience() + seconds(KILL_S) } else { 0 };
                     end = turn + down(back).max(least);
                     self.fault_schedule.plan(end, Step::ProxyStarts(proxy));
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -1,12 +1,13 @@
-//! The models of one scenario, put together and moved along as one thing.
+//! All models of one scenario, assembled and advanced together.
 //!
-//! It owns the nodes, the ledger, discovery, the network, the front, the faults that are played, the checkers of
-//! the rules and the counts. A host owns clients' sends, the proxies and what lies between: it calls
-//! [`World::advance`] when [`World::next`] says so and whenever it has something to hand in, and carries out the
-//! [`Occurrence`]s. Numbers of jobs and connections are the host's own. Facts about nodes are told to the rules in
-//! here; those about proxies are the host's to tell ([`World::observe`]).
+//! A [`World`] owns the nodes, the origin, discovery, the network, the front, the injected faults, the rule
+//! checkers and the counters. A host owns the clients' sends, the proxies and everything between them: it
+//! calls [`World::advance`] when [`World::next`] says so and whenever it has something to pass in, and
+//! carries out the [`Occurrence`]s. The host assigns the numbers of jobs and connections. Facts about nodes
+//! are passed to the rules here; those about proxies are reported by the host ([`World::observe`]).
 //!
-//! Use [`crate::node::Node`] or [`crate::ledger::Ledger`] by themselves where a test wants one of them only.
+//! Tests that need only a node or the origin can use [`crate::node::Node`] or [`crate::ledger::Ledger`]
+//! directly.
 
 mod builder;
 mod faults;
@@ -36,49 +37,50 @@
 use std::collections::BinaryHeap;
 
 const SECOND: Micros = 1_000_000;
-/// The part of the reads that a ledger is made for at least.
+/// The minimum part of the reads that the origin is dimensioned for.
 const MIN_MISSES: f64 = 0.02;
 
-/// What is fixed about a node, or the ledger.
+/// The fixed properties of a node or the origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     pub no: NodeNo,
-    /// As discovery names it.
+    /// Its name in discovery.
     pub name: String,
     pub kind: String,
-    /// By its place in [`World::kinds`].
+    /// Index in [`World::kinds`].
     pub kind_no: u16,
     pub hall: u16,
     pub weight: f64,
-    /// Which address it listens at: a replacement has that of what it replaces.
+    /// The address that it listens on: a replacement has that of the node it replaces.
     pub address: u32,
 }
 
-/// What a host has to carry out.
+/// Something that a host has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Occurrence {
-    /// A node or the ledger has answered a job, with this work done for it.
+    /// A node or the origin has answered a job, with this much work done for it.
     Answered {
         node: NodeNo,
         job: u64,
         answer: Answer,
         work: f64,
     },
-    /// Its process is gone: its connections break, and what was out there is lost.
+    /// Its process is gone: its connections break and requests in flight are lost.
     Ended {
         node: NodeNo,
     },
-    /// Its machine is gone without a word: its connections stay open and silent.
+    /// Its machine disappeared without notice: its connections stay open and silent.
     Vanished {
         node: NodeNo,
     },
-    /// It runs (again): one that was there, or a new one.
+    /// An existing node runs again, or a new node has started.
     Started {
         node: NodeNo,
     },
-    /// Discovery has told a proxy's agent something. What only counts as told does not appear.
+    /// Discovery has delivered a change to a proxy's agent. Changes that only count as reported do not appear
+    /// here.
     ListUpdated(ListUpdate),
-    /// A hall is reached again: connections that lost something on the way break now.
+    /// A zone is reachable again: connections that lost messages break now.
     CutOver {
         hall: u16,
     },
@@ -88,12 +90,12 @@
     },
 }
 
-/// An attempt as it reaches a node or the ledger.
+/// An attempt that reaches a node or the origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeAttempt {
     pub proxy: ProxyNo,
     pub request: NodeRequest,
-    /// At the ledger: the node whose miss sent the read on.
+    /// At the origin: the node whose miss caused the read.
     pub after: Option<NodeNo>,
 }
 
@@ -106,7 +108,8 @@
     nodes: Vec<Node>,
     ledger: Ledger,
     shared: SharedState,
-    /// Who keeps a copy of a key, for the time when it is written. What was dropped since stays listed.
+    /// The nodes that store a copy of a key, needed when it is written. Copies evicted since then stay
+    /// listed.
     copies: Map<u64, Vec<NodeNo>>,
     pub network: Network,
     discovery: Discovery,
@@ -115,11 +118,11 @@
     pub recorder: Recorder,
     rules: Rules,
     fault_schedule: FaultSchedule,
-    /// When each node wants to be moved along, the ledger last; entries that no longer hold are skipped.
+    /// When each node needs to be advanced, the origin with the last number; outdated entries are skipped.
     wakes: BinaryHeap<Reverse<(Micros, u32)>>,
     wake_at: Vec<Micros>,
     ledger_wake: Micros,
-    /// Cached, since they are asked for at every step.
+    /// Cached, because they are needed at every step.
     list_update_at: Micros,
     front_update_at: Micros,
     sample_at: Micros,
@@ -132,8 +135,8 @@
         Builder::default()
     }
 
-    /// The scenario with this seed in place of its own. `slack` is what the host may add to the rules' limits of
-    /// time: 0 in virtual time, 50 ms on sockets.
+    /// Builds the scenario with this seed in place of its own. `slack` is the tolerance of the host that is
+    /// added to the rules' time limits: 0 in virtual time, 50 ms on sockets.
     pub fn new(scenario: &Scenario, seed: u64, slack: Micros) -> Result<World, Problem> {
         scenario.validate()?;
         let s = scenario.clone();
@@ -155,7 +158,8 @@
         let (reads, writes) = reads_and_writes(&s);
         let capacity = s.ledger.capacity_per_s.unwrap_or_else(|| {
             let hits = arrivals.popularity().hits(values, reads, keep, writes / reads.max(1e-9));
-            // A cache that holds all would leave nothing; a ledger can do something all the same.
+            // A cache that holds everything would send nothing to the origin; its capacity has a minimum
+            // nevertheless.
             let misses = reads * (1.0 - hits).max(MIN_MISSES);
             s.ledger.headroom * (misses + writes * s.ledger.write_work)
         });
@@ -216,7 +220,7 @@
         Ok(world)
     }
 
-    // ---- what is fixed
+    // ---- fixed properties
 
     pub fn scenario(&self) -> &Scenario {
         &self.scenario
@@ -226,7 +230,7 @@
         self.seed
     }
 
-    /// The requests of the run; each call draws the same.
+    /// The requests of the run; each call generates the same ones.
     pub fn arrivals(&self) -> Arrivals {
         Arrivals::new(&self.scenario, self.seed)
     }
@@ -235,7 +239,7 @@
         RequestTable::new(&self.scenario.clients.classes)
     }
 
-    /// Kinds of machine, the ledger's last.
+    /// The kinds of machines; the origin's is the last.
     pub fn kinds(&self) -> &[String] {
         &self.kinds
     }
@@ -244,7 +248,7 @@
         self.members.get(node.0 as usize).unwrap_or(&self.ledger_member)
     }
 
-    /// The nodes so far, in the order in which they came; the ledger is none of them.
+    /// The nodes so far, in the order in which they were added, without the origin.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
@@ -257,7 +261,7 @@
         &self.ledger
     }
 
-    /// The hall of each proxy.
+    /// The zone of each proxy.
     pub fn proxies(&self) -> &[u16] {
         &self.proxies
     }
@@ -270,7 +274,7 @@
         &self.discovery
     }
 
-    /// A node, or the ledger, answers as it is told from now on.
+    /// From now on the node or the origin answers by the script.
     pub fn script(&mut self, node: NodeNo, script: Script) {
         match self.nodes.get_mut(node.0 as usize) {
             Some(n) => n.set_script(script),
@@ -280,12 +284,12 @@
 
     // ---- facts
 
-    /// A fact about a proxy, seen by the host.
+    /// A fact about a proxy, as observed by the host.
     pub fn observe(&mut self, at: Micros, fact: Fact) {
         self.rules.observe(at, &fact);
     }
 
-    // ---- what reaches nodes and the ledger
+    // ---- requests to nodes and the origin
 
     pub fn connect(&mut self, now: Micros, node: NodeNo, connection: u64) -> DialOutcome {
         let dialled = match self.nodes.get_mut(node.0 as usize) {
@@ -303,7 +307,7 @@
         }
     }
 
-    /// The last byte of an attempt has come to a node or the ledger.
+    /// The last byte of an attempt has reached a node or the origin.
     pub fn arrive(
         &mut self,
         now: Micros,
@@ -328,7 +332,7 @@
         self.publish_events(node, events, out);
     }
 
-    /// Somebody asks for a node's load.
+    /// A request for a node's current load.
     pub fn probe(
         &mut self,
         now: Micros,
@@ -347,7 +351,7 @@
         self.publish_events(node, events, out);
     }
 
-    /// The ledger has answered a read for which these nodes missed: they keep the value.
+    /// The origin has answered a read for which these nodes missed: they store the value.
     pub fn store_value(&mut self, now: Micros, nodes: &[Option<NodeNo>], key: u64, bytes: u64) {
         for no in nodes.iter().flatten() {
             if let Some(n) = self.nodes.get_mut(no.0 as usize) {
@@ -360,7 +364,7 @@
         }
     }
 
-    /// A key is written: its copies are void. Writes that run at the ledger in here have done so by themselves.
+    /// A key is written: its copies become invalid. Writes executed by the origin model call this themselves.
     pub fn invalidate_copies(&mut self, key: u64) {
         let kept = self.copies.remove(&key).unwrap_or_default();
         for no in kept.into_iter().chain(self.shared.initial_contents.invalidate(key)) {
@@ -372,14 +376,14 @@
 
     // ---- time
 
-    /// When it wants to be moved along next.
+    /// When it needs to be advanced next.
     pub fn next(&self) -> Micros {
         let wake = self.wakes.peek().map_or(Micros::MAX, |w| w.0 .0);
         let fixed = self.list_update_at.min(self.front_update_at).min(self.sample_at);
         wake.min(self.fault_schedule.next()).min(fixed)
     }
 
-    /// Carries out all that is due by now, in the order of time.
+    /// Processes everything due by now, in chronological order.
     pub fn advance(&mut self, now: Micros, out: &mut Vec<(Micros, Occurrence)>) {
         loop {
             let at = self.next();
@@ -414,7 +418,7 @@
                 self.ledger_wake = Micros::MAX;
                 self.ledger.advance(at, &mut self.shared.dedup, &mut events);
             }
-            // It was moved along at another time, and wants to be at yet another.
+            // It was advanced in the meantime and needs to be advanced at another time.
             _ => {
                 self.events = events;
                 return;
@@ -423,7 +427,7 @@
         self.publish_events(no, events, out);
     }
 
-    /// What a model did, as occurrences and facts; then it says when it wants to go on.
+    /// Reports the events of a model as occurrences and facts, and schedules its next wake-up.
     fn publish_events(&mut self, no: NodeNo, mut events: Vec<Event>, out: &mut Vec<(Micros, Occurrence)>) {
         for Event { at, kind } in events.drain(..) {
             match kind {
@@ -465,7 +469,7 @@
             Some(n) => (n.next(), &mut self.wake_at[no.0 as usize]),
             None => (self.ledger.next(), &mut self.ledger_wake),
         };
-        // An earlier wake stands: it finds nothing to do and asks again.
+        // An earlier wake-up stays in the queue: it finds nothing to do and schedules the next one.
         if let Some(next) = next.filter(|next| *next < *wake) {
             *wake = next;
             self.wakes.push(Reverse((next, no.0)));
@@ -494,7 +498,7 @@
         self.sample_at = at + SECOND;
     }
 
-    // ---- nodes come and go
+    // ---- starting and ending nodes
 
     fn add_node(&mut self, group: &NodeGroup, hall: u16, address: Option<u32>) -> NodeNo {
         let no = NodeNo(self.nodes.len() as u32);
@@ -509,7 +513,7 @@
             kind_no,
             hall,
             weight: machine.weight,
-            // 0 is the ledger's.
+            // 0 is the origin's.
             address: address.unwrap_or(no.0 + 1),
         });
         self.nodes.push(Node::new(machine, rng));
@@ -525,13 +529,13 @@
         self.schedule_wake(no);
     }
 
-    /// A process that is gone is noticed.
+    /// Discovery notices a process that is gone.
     fn report_gone(&mut self, at: Micros, no: NodeNo, notice: Notice) {
         self.discovery.change(at, Entry { node: no, status: Status::Gone, started: None }, notice);
         self.refresh_list_update_at();
     }
 
-    /// What came of the run, `now` being its end.
+    /// The result of the run; `now` is its end.
     pub fn finish(mut self, now: Micros, late: Lateness) -> Run {
         if now > self.sample_at - SECOND {
             self.sample(now);
@@ -555,13 +559,13 @@
         }
     }
 
-    /// The faults that were played so far.
+    /// The faults that were executed so far.
     pub fn marks(&self) -> Vec<FaultMark> {
         self.fault_schedule.marks()
     }
 }
 
-/// Reads and writes a second, as the scenario means them.
+/// Reads and writes per second, from the scenario's average rate.
 fn reads_and_writes(s: &Scenario) -> (f64, f64) {
     let all: f64 = s.clients.classes.iter().map(|c| c.share).sum();
     let writes: f64 = s.clients.classes.iter().filter(|c| c.write).map(|c| c.share).sum();
--- a/crates/world/tests/ledger.rs
+++ b/crates/world/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger by itself.
+//! Tests of the origin model on its own.
 
 use world::dedup::DedupTable;
 use world::ledger::Ledger;
@@ -9,7 +9,7 @@
 
 const MS: Micros = 1_000;
 
-/// 100 reads a second in ten slots of 100 ms each.
+/// 100 reads per second, in ten slots of 100 ms each.
 fn ledger(change: impl FnOnce(&mut scenario::Ledger)) -> Ledger {
     let mut words = scenario::Ledger { service_sigma: 0.0, crowd_loss: 0.0, ..scenario::Ledger::default() };
     change(&mut words);
@@ -18,7 +18,8 @@
     ledger
 }
 
-/// Reads, so many a millisecond, from one moment to another; whether it was swamped, and stopped by that.
+/// Sends a read every `every` ms from one moment to another. For each overload event, returns whether the
+/// origin stopped.
 fn press(l: &mut Ledger, from: Micros, until: Micros, every: usize) -> Vec<bool> {
     let mut out = Vec::new();
     for at in (from..until).step_by(every) {
@@ -37,7 +38,7 @@
     let mut l = ledger(|l| l.fall_multiple = 0.0);
     press(&mut l, 0, 10_000, 5);
     let counted = l.counted();
-    // A second's worth waits; of 200 a second 100 are served.
+    // One second's worth is queued; of 200 per second 100 are served.
     assert!((980..=1_010).contains(&counted.served), "{counted:?}");
     assert!((850..=920).contains(&counted.refused), "{counted:?}");
 }
--- a/crates/world/tests/node.rs
+++ b/crates/world/tests/node.rs
@@ -1,4 +1,4 @@
-//! A cache node by itself: what it answers, when, and what goes wrong with it.
+//! Tests of a cache node on its own: its answers, their times, and its failures.
 
 use world::node::*;
 use world::random::stream;
@@ -7,7 +7,8 @@
 
 const MS: Micros = 1_000;
 
-/// Two standard cores without pauses, errors, noise and crowding; connections 1 to 9 are open and warmed up.
+/// Two standard cores without pauses, errors, noise and slowdown under load; connections 1 to 9 are open and
+/// warmed up.
 fn group() -> NodeGroup {
     NodeGroup {
         cores: 2,
@@ -41,7 +42,7 @@
         Peer { node, shared: SharedState::default() }
     }
 
-    /// A read of a key with 10 ms of work on the connection of the job's number.
+    /// A read of a key with 10 ms of work, on the connection with the job's number.
     fn read(&mut self, at: Micros, job: u64, key: u64) -> Vec<Event> {
         self.send(at, NodeRequest { key, work: 10_000.0, ..NodeRequest::nothing(job, job) })
     }
@@ -134,7 +135,8 @@
     p.read(4_000, 1, 7);
     assert_eq!(answers(&p.pass(5_000))[0].0, 4_010, "warm by now");
 
-    // Two cores at a quarter do 500 ms of work in the window: three times that is 150 reads, and 5 for chance.
+    // Two cores at a quarter of the speed do 500 ms of work in the window: three times that is 150 reads, and
+    // 5 are the margin for random variation.
     let mut p = Peer::new(&cold, true);
     let fell = |e: &Event| e.kind == EventKind::OverloadCrash;
     let at = (0..400).find(|i| p.read(100 + i / 4, 1 + (*i as u64 % 9), 7).iter().any(fell));
@@ -148,16 +150,16 @@
     );
 }
 
-/// Found by `lab search scenarios/grow.toml`: two reads of 3.6 s among nine in a second felled a node.
+/// Found by `lab search scenarios/grow.toml`: two reads of 3.6 s among nine in one second crashed a node.
 #[test]
 fn a_few_long_requests_do_not_push_a_cold_node_over() {
     let cold = NodeGroup { cold_from: [0.25, 0.25], cold_s: [4.0, 4.0], warm_by: WarmBy::Time, ..group() };
     let mut p = Peer::new(&cold, true);
     let fell = |e: &Event| e.kind == EventKind::OverloadCrash;
-    // Each is 40 times the mean: five are 2 s of work where 1.55 s are borne, but only five requests.
+    // Each is 40 times the mean: five are 2 s of work where 1.55 s are tolerated, but only five requests.
     let long = |job| NodeRequest { key: 7, work: 400_000.0, ..NodeRequest::nothing(job, job) };
     assert!((1..=5).all(|job| !p.send(100 + job as Micros, long(job)).iter().any(fell)));
-    // It is still many that fell it, long or not: 31 of them count for as much as 155 of the mean.
+    // Many requests still crash it, long or not: 31 of them count for as much as 155 of mean work.
     let at = (0..100).find(|i| p.send(200 + i, long(1 + *i as u64 % 9)).iter().any(fell));
     assert!(at.is_some_and(|i| (20..40).contains(&i)), "{at:?}");
 }
--- a/crates/world/tests/rules.rs
+++ b/crates/world/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each checker of the rules is shown to fail, and not to fail where nothing is wrong.
+//! Each rule checker fails on an injected violation, and passes where nothing is wrong.
 
 use rstest::rstest;
 use world::facts::*;
@@ -74,9 +74,11 @@
     assert_eq!(broken(facts), [Rule::OneAnswer]);
 }
 
-/// `lab search scenarios/crowd.toml --runs 300 --seed 4411`, run 2 and seven more, were said never to answer a try. Trace of try 1129: sent at 3.1215 s
-/// with 1.006 s to live, it waits 119 ms in a full backlog and is read at 3.2407 s; its client closes at 4.2475 s, 120 ms after its own
-/// time; the proxy, which counts from what it has read, had until 4.2668 s. The rule owed an answer to all who leave within the grace.
+/// Guards against a false breach of `one_answer`, found by `lab search scenarios/crowd.toml --runs 300 --seed
+/// 4411` (run 2 and seven more). Try 1129 is sent at 3.1215 s with a timeout of 1.006 s, waits 119 ms in a
+/// full backlog and is read at 3.2407 s. Its client closes at 4.2475 s, 120 ms after its own timeout; the
+/// proxy, which counts from when it read the try, had until 4.2668 s. The rule used to demand an answer to
+/// every client that leaves within the grace.
 #[test]
 fn a_client_that_leaves_while_its_answer_may_still_come_is_owed_none() {
     let left = |at| [taken(0, 1), (at, Fact::Left { proxy: PROXY, of: TryNo(1) })];
@@ -121,7 +123,7 @@
     told_of_a_start(at, status, Some(0))
 }
 
-/// The entry is of the process that started then.
+/// The entry describes the process that started at `started`.
 fn told_of_a_start(at: Micros, status: Status, started: Option<Micros>) -> (Micros, Fact) {
     (at, Fact::Listed { proxy: PROXY, node: NODE, status, started })
 }
@@ -143,7 +145,8 @@
     (at, Fact::Started { node: NodeNo(node), weight: 1.0, capacity: 1e6, warm })
 }
 
-/// Work of 1 ms each, so many a millisecond, at a node that does 1 ms in 1 ms when warm, at half its warmth.
+/// `a_ms` requests per millisecond with 1 ms of work each, at a node that does 1 ms per ms when warm, with a
+/// warmth of one half.
 fn flood(a_ms: usize, knows: bool) -> Vec<(Micros, Fact)> {
     let arrived = Fact::Arrived { proxy: PROXY, node: NODE, work: MS, warmth: 0.5 };
     let mut facts = vec![started(0, NODE.0, false)];
@@ -159,10 +162,11 @@
     assert_eq!(broken(&flood(3, false)), [], "who was not told of the start cannot know better");
 }
 
-/// `scenarios/fleet_herd.toml`, seed 4411, run 157, was said to break `slow_start`: a node restarts 4.9 s after the begin, while
-/// discovery is silent until 6 s; all proxies die and start anew with the list that their agents have; at 5.77 s the node
-/// has more than it is allowed. The rule took that list, told after the restart, for word of it, though its entry is of the
-/// process before.
+/// Guards against a false breach of `slow_start`, found with `scenarios/fleet_herd.toml`, seed 4411, run 157.
+/// A node restarts 4.9 s after the begin while discovery is silent until 6 s. All proxies die and start again
+/// with the list that their agents have; at 5.77 s the node has received more than it is allowed. The rule
+/// used to treat that list, received after the restart, as news of the restart, although its entry describes
+/// the process before.
 #[test]
 fn the_entry_of_an_earlier_start_is_no_word_of_this_one() {
     let with = |entry| {
@@ -179,7 +183,7 @@
 fn a_few_long_requests_at_a_cold_node_are_chance_and_many_are_not() {
     let sent = |count: Micros| {
         let mut facts = vec![started(0, NODE.0, false), told(1, Status::Ready)];
-        // 3.6 s each, where the node bears some seconds of work within the window.
+        // 3.6 s each, where the node tolerates some seconds of work within the window.
         let work = 3_600 * MS;
         facts.extend(
             (0..count)
@@ -191,7 +195,8 @@
     assert_eq!(sent(60), [Rule::FailBack, Rule::SlowStart], "but how many it sends");
 }
 
-/// At the ledger a read a millisecond, of which a part comes of misses at a cold node; clients ask for two.
+/// The origin receives one read per millisecond, of which a part are misses at a cold node; clients send two
+/// per millisecond.
 fn swamped(cold: usize, of: usize) -> Vec<(Micros, Fact)> {
     let mut facts = vec![started(0, 1, true), started(0, NODE.0, false), told(1, Status::Ready)];
     for at in 2..3000 {
--- a/crates/world/tests/scenario.rs
+++ b/crates/world/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! What a scenario file may say, and what is told of one that is wrong.
+//! Tests of scenario files: what they may contain, and the error messages for invalid ones.
 
 use world::scenario::{Fault, FaultKind, Scenario};
 
--- a/crates/world/tests/world.rs
+++ b/crates/world/tests/world.rs
@@ -1,4 +1,4 @@
-//! A world put together: faults, lists, copies, and what comes out of the same seed.
+//! Tests of the complete world: faults, discovery lists, copies, and equal results for equal seeds.
 
 use world::clients::Request;
 use world::facts::{NodeNo, ProxyNo, Status, TryNo, LEDGER};
@@ -13,7 +13,7 @@
     Fault::new(kind, 1.0, 0.0)
 }
 
-/// All that happens within so many seconds with this fault.
+/// Everything that happens within this many seconds with this fault.
 fn played(fault: Fault, seconds: Micros) -> (World, Vec<(Micros, Occurrence)>) {
     let mut world = World::builder().fault(fault).build(5).expect("a valid world");
     let mut out = Vec::new();
@@ -75,10 +75,11 @@
     assert_eq!(told, [Status::Draining, Status::Gone]);
 }
 
-/// `lab search scenarios/slow_start_burst.toml --runs 300 --seed 4412 --kinds crash`, runs 189 and 282, and `scenarios/fleet_join.toml` with seed
-/// 4411, run 242, were said to break `drain`. Trace: node 4 is replaced by node 14 at its address; node 14 ends at 11.0 s, and a
-/// crash that strikes node 4, gone for ten seconds, ends at 11.2 s with node 4 started there. Proxies that do not know yet of node 14's
-/// end send to it, and what reaches its address counted as sent to node 4.
+/// Guards against a false breach of the `drain` rule, found by `lab search scenarios/slow_start_burst.toml
+/// --runs 300 --seed 4412 --kinds crash` (runs 189 and 282) and with `scenarios/fleet_join.toml`, seed 4411,
+/// run 242. Node 4 is replaced by node 14 at its address; node 14 ends at 11.0 s, and a crash of node 4, gone
+/// for ten seconds, ends at 11.2 s and used to start node 4 there. Proxies that have not learned of the end
+/// of node 14 send to it, and what reaches its address counted as sent to node 4.
 #[test]
 fn what_has_been_replaced_is_not_started_while_its_replacement_is_down() {
     let replaced = Fault { node: Some(0), ..fault(FaultKind::Replace) };
@@ -122,7 +123,7 @@
     assert_eq!(mark.what.split(", ").count(), 3);
 }
 
-/// A world whose nodes answer at once.
+/// A world whose nodes answer without delays.
 fn quick() -> World {
     let quick = |s: &mut Scenario| {
         for group in &mut s.nodes {
@@ -132,7 +133,7 @@
     World::builder().with(quick).build(5).expect("a valid world")
 }
 
-/// What a node answers to a read of a key, asked at a time on a connection of its own.
+/// A node's answer to a read of a key, sent at a given time on a connection of its own.
 fn read(world: &mut World, at: Micros, node: NodeNo, key: u64) -> Answer {
     let number = (at as u64) << 8 | u64::from(node.0 & 0xff);
     world.connect(at, node, number);
@@ -160,7 +161,7 @@
 #[test]
 fn a_write_at_the_ledger_voids_all_copies() {
     let mut world = quick();
-    // A key that nobody asked for before the world began.
+    // A key that nobody requested before the start of the run.
     let key = world.arrivals().popularity().crowded(1);
     let (a, b) = (NodeNo(0), NodeNo(1));
     assert!(matches!(read(&mut world, 0, a, key), Answer::Miss { .. }));
