--- a/crates/lab/src/loopback/stage/visits.rs
+++ b/crates/lab/src/loopback/stage/visits.rs
@@ -204,7 +204,7 @@
         if words.write != said.write || (words.repeat == Repeat::Keyed) != p.repeat.is_some() {
             return None;
         }
-        let sent = self.desk.recall(id.of);
+        let sent = self.desk.find_recent(id.of);
         if let Some(r) = sent.map(|t| &t.request) {
             let repeat = p.repeat.is_none_or(|key| key == r.repeat_key());
             if (r.key, r.class) != (key, class) || !repeat {
@@ -278,7 +278,7 @@
         }
         let dialect = if node == LEDGER { Dialect::Ledger } else { Dialect::Cache };
         let bytes = answer(dialect, &what, said);
-        let then = if said == Answer::Spoilt { Then::Finish } else { Then::Keep };
+        let then = if said == Answer::Corrupted { Then::Finish } else { Then::Keep };
         if let Some(arrives) = self.travel(at, link, false) {
             self.agenda.add(arrives, Due::Write { link, job: number, bytes, then });
         }
@@ -397,7 +397,7 @@
 /// An answer as bytes.
 fn answer(dialect: Dialect, what: &What, said: Answer) -> Vec<u8> {
     let mut out = Vec::new();
-    if said == Answer::Spoilt {
+    if said == Answer::Corrupted {
         return b"?\x00 no answer\r\n".to_vec();
     }
     match (dialect, what, said) {
--- a/crates/lab/src/virtual_host/engine.rs
+++ b/crates/lab/src/virtual_host/engine.rs
@@ -565,7 +565,7 @@
         let (mut of, mut after) = (None, None);
         if let Job::Stream { message, patience } = job {
             let id = message.id.as_slice().try_into().map_or(0, u64::from_be_bytes);
-            let Some(t) = self.desk.recall(TryNo(id)).copied() else { return };
+            let Some(t) = self.desk.find_recent(TryNo(id)).copied() else { return };
             let (r, class) = (t.request, self.desk.class(&t.request));
             let keyed = class.filter(|c| c.repeat == world::scenario::Repeat::Keyed);
             ask.of = t.no;
@@ -640,7 +640,7 @@
             Answer::Error => reply.verdict = Verdict::Error,
             Answer::Busy => reply.verdict = Verdict::Full,
             Answer::Report(report) => reply.report = vec![report.errors_per_s, report.util],
-            Answer::Spoilt | Answer::Reset => return,
+            Answer::Corrupted | Answer::Reset => return,
         }
         self.input(at, proxy, Input::Replied(connection, reply));
     }
@@ -745,7 +745,7 @@
         if !open || !waited || answer == Answer::Error {
             wasted(self);
         }
-        if matches!(answer, Answer::Spoilt | Answer::Reset) {
+        if matches!(answer, Answer::Corrupted | Answer::Reset) {
             if let Some(l) = self.links.get_mut(a.link) {
                 l.broken = true;
             }
--- a/crates/world/src/clients/arrivals.rs
+++ b/crates/world/src/clients/arrivals.rs
@@ -140,13 +140,13 @@
     /// Draws by thinning (Lewis and Shedler: Simulation of nonhomogeneous Poisson processes by thinning,
     /// 1979).
     fn next(&mut self) -> Option<Request> {
-        let most = self.traffic.most();
+        let max_rate = self.traffic.max_rate();
         loop {
-            self.now += exponential(&mut self.rng) / most;
+            self.now += exponential(&mut self.rng) / max_rate;
             if self.now >= self.end as f64 {
                 return None;
             }
-            if self.rng.random::<f64>() * most < self.traffic.rate(self.now as Micros) {
+            if self.rng.random::<f64>() * max_rate < self.traffic.rate(self.now as Micros) {
                 break;
             }
         }
@@ -155,19 +155,19 @@
         let class = Self::pick(self.classes.iter().map(|c| c.0.part), rng.random());
         let tenant = self.traffic.tenant(at, rng.random());
         let hall = Self::pick(self.halls.iter().copied(), rng.random());
-        let (of, words) = &self.classes[class];
+        let (derived, settings) = &self.classes[class];
         let crowd = self.traffic.crowd(at);
-        let key = if !words.write && chance(crowd, rng) {
-            self.popularity.crowded(rng.random_range(0..CROWD_KEYS))
+        let key = if !settings.write && chance(crowd, rng) {
+            self.popularity.crowd_key(rng.random_range(0..CROWD_KEYS))
         } else {
             self.popularity.key(self.popularity.rank(rng), at)
         };
-        let work = words.work_ms * 1e3 * words.work.draw(words.work_cv, rng);
+        let work = settings.work_ms * 1e3 * settings.work.draw(settings.work_cv, rng);
         let retries = within(self.retries, rng) as u32;
-        let try_for = (of.patience as f64 * within(self.try_part, rng)) as Micros;
+        let try_for = (derived.patience as f64 * within(self.try_part, rng)) as Micros;
         let backoff = ms(within(self.backoff, rng));
         let honours = chance(self.honour, rng);
-        let worth = words.worth;
+        let worth = settings.worth;
         self.drawn += 1;
         let worth = if self.within_share(tenant, at) { worth } else { worth * self.over_share_worth };
         Some(Request {
--- a/crates/world/src/clients/patience.rs
+++ b/crates/world/src/clients/patience.rs
@@ -42,24 +42,24 @@
 
     /// Decides what follows the end of a try.
     pub fn after(&self, now: Micros, r: &Request, class: &ClientClass, end: TryEnd) -> Next {
-        let harmless = matches!(end, TryEnd::Refused(_) | TryEnd::Unreached);
-        let may = match class.repeat {
+        let not_executed = matches!(end, TryEnd::Refused(_) | TryEnd::Unreached);
+        let may_retry = match class.repeat {
             Repeat::Safe => true,
             Repeat::Keyed => true,
-            Repeat::Unsafe => harmless,
+            Repeat::Unsafe => not_executed,
         };
-        if end == TryEnd::Served || self.tries > r.retries || !may {
+        if end == TryEnd::Served || self.tries > r.retries || !may_retry {
             return Next::Over;
         }
         // Doubles with each try, and is spread by half so that clients which failed together do not return
         // together.
         let spread = 0.5 + unit(mix(r.no.0 ^ u64::from(self.tries) << 48));
         let backoff = (r.backoff << (self.tries - 1).min(10)) as f64 * spread;
-        let told = match end {
+        let retry_after = match end {
             TryEnd::Refused(Some(away)) if r.honours => away,
             _ => 0,
         };
-        let at = now + (backoff as Micros).max(told);
+        let at = now + (backoff as Micros).max(retry_after);
         let until = r.at + ms(class.patience_ms);
         // A keyed request is retried only while repeats of it are dropped.
         let window = if class.repeat == Repeat::Keyed { r.at + ms(class.window_ms) } else { Micros::MAX };
--- a/crates/world/src/clients/popularity.rs
+++ b/crates/world/src/clients/popularity.rs
@@ -21,16 +21,16 @@
     /// Constants of the rejection-inversion: the ends of the inverted area, and the shortcut for acceptance.
     first: f64,
     last: f64,
-    close: f64,
+    acceptance: f64,
     /// The sum of all weights.
     total: f64,
 }
 
-const EPOCH: u64 = 1 << 32;
+const RANKS_PER_EPOCH: u64 = 1 << 32;
 /// The longest value that the protocol allows.
 const MAX_BYTES: f64 = 65_536.0;
 /// Ranks that are summed one by one; the sum beyond them is approximated like an integral.
-const EXACT: u32 = 200;
+const MAX_EXACT_RANKS: u32 = 200;
 
 impl Popularity {
     pub fn new(p: &scenario::Popularity, seed: u64) -> Self {
@@ -44,13 +44,13 @@
             salt: seed_of(seed, "keys", 0),
             first: 0.0,
             last: 0.0,
-            close: 0.0,
+            acceptance: 0.0,
             total: 0.0,
         };
         made.first = made.area(1.5) - made.weight(1.0);
         made.last = made.area(f64::from(p.keys) + 0.5);
-        made.close = 1.0 - made.inverse(made.area(1.5) - made.weight(1.0));
-        made.total = made.over_ranks(|weight| weight);
+        made.acceptance = 1.0 - made.inverse(made.area(1.5) - made.weight(1.0));
+        made.total = made.sum_over_ranks(|weight| weight);
         made
     }
 
@@ -78,8 +78,8 @@
     }
 
     /// Sums a function of the weight over all ranks.
-    fn over_ranks(&self, of: impl Fn(f64) -> f64) -> f64 {
-        let exact = self.keys.min(EXACT);
+    fn sum_over_ranks(&self, of: impl Fn(f64) -> f64) -> f64 {
+        let exact = self.keys.min(MAX_EXACT_RANKS);
         let mut sum: f64 = (1..=exact).map(|k| of(self.weight(f64::from(k)))).sum();
         // Beyond that, ranks are so similar that steps of one hundredth of the rank suffice.
         let (mut from, most) = (f64::from(exact), f64::from(self.keys));
@@ -97,7 +97,7 @@
             let u = self.last + rng.random::<f64>() * (self.first - self.last);
             let x = self.inverse(u);
             let rank = x.round().clamp(1.0, f64::from(self.keys));
-            if rank - x <= self.close || u >= self.area(rank + 0.5) - self.weight(rank) {
+            if rank - x <= self.acceptance || u >= self.area(rank + 0.5) - self.weight(rank) {
                 return rank as u32;
             }
         }
@@ -107,15 +107,15 @@
     pub fn key(&self, rank: u32, now: Micros) -> u64 {
         let phase = unit(mix(self.salt ^ u64::from(rank)));
         let epoch = (self.drift * now.max(0) as f64 / 1e6 + phase).floor() as u64;
-        self.named(u64::from(rank) + EPOCH * epoch)
+        self.key_of(u64::from(rank) + RANKS_PER_EPOCH * epoch)
     }
 
     /// One of the few keys of a crowd, which were not popular before.
-    pub fn crowded(&self, which: u32) -> u64 {
-        self.named(u64::from(self.keys) + 1 + u64::from(which))
+    pub fn crowd_key(&self, which: u32) -> u64 {
+        self.key_of(u64::from(self.keys) + 1 + u64::from(which))
     }
 
-    fn named(&self, number: u64) -> u64 {
+    fn key_of(&self, number: u64) -> u64 {
         match mix(number ^ self.salt) {
             0 => 1,
             key => key,
@@ -142,25 +142,26 @@
     }
 
     /// The part of all requests that go to a rank.
-    pub fn part(&self, rank: u32) -> f64 {
+    pub fn probability(&self, rank: u32) -> f64 {
         self.weight(f64::from(rank)) / self.total
     }
 
     /// How long, in seconds, a cache with room for this many values keeps a value that is not requested
     /// again, at this request rate (Che, Tung and Wang: Hierarchical web caching systems, 2002). Infinite if
     /// all values fit.
-    pub fn stay(&self, values: f64, rate_per_s: f64) -> f64 {
+    pub fn residence_time(&self, values: f64, rate_per_s: f64) -> f64 {
         if values >= f64::from(self.keys) || rate_per_s <= 0.0 {
             return f64::INFINITY;
         }
-        let kept = |stay: f64| self.over_ranks(|w| 1.0 - (-rate_per_s * w / self.total * stay).exp());
+        let values_held =
+            |time: f64| self.sum_over_ranks(|w| 1.0 - (-rate_per_s * w / self.total * time).exp());
         let (mut low, mut high) = (0.0, 1.0);
-        while kept(high) < values && high < 1e12 {
+        while values_held(high) < values && high < 1e12 {
             high *= 2.0;
         }
         for _ in 0..60 {
             let middle = (low + high) / 2.0;
-            if kept(middle) < values {
+            if values_held(middle) < values {
                 low = middle;
             } else {
                 high = middle;
@@ -171,17 +172,17 @@
 
     /// The hit ratio of such a cache. A value is valid for `keep_s` and is invalidated by writes; `writes` is
     /// their number per read of the key.
-    pub fn hits(&self, values: f64, reads_per_s: f64, keep_s: f64, writes: f64) -> f64 {
-        let stay = self.stay(values, reads_per_s);
-        let hits = self.over_ranks(|w| {
+    pub fn hit_ratio(&self, values: f64, reads_per_s: f64, keep_s: f64, writes: f64) -> f64 {
+        let residence_time = self.residence_time(values, reads_per_s);
+        let hit_ratio = self.sum_over_ranks(|w| {
             let rate = reads_per_s * w / self.total;
             // Hits between two fetches: until the value is evicted, expires or is written.
-            let dropped = (rate * stay).min(500.0).exp() - 1.0;
+            let dropped = (rate * residence_time).min(500.0).exp() - 1.0;
             let good = 1.0 / (1.0 / keep_s + rate * writes);
             let run = dropped.min(rate * good);
             w * run / (1.0 + run)
         });
-        hits / self.total
+        hit_ratio / self.total
     }
 }
 
--- a/crates/world/src/clients/popularity/tests.rs
+++ b/crates/world/src/clients/popularity/tests.rs
@@ -13,10 +13,10 @@
         let mut seen = vec![0u32; 501];
         let n = 400_000;
         (0..n).for_each(|_| seen[p.rank(&mut rng) as usize] += 1);
-        let parts: f64 = (1..=500).map(|rank| p.part(rank)).sum();
-        assert!((parts - 1.0).abs() < 1e-4, "{parts}");
+        let sum: f64 = (1..=500).map(|rank| p.probability(rank)).sum();
+        assert!((sum - 1.0).abs() < 1e-4, "{sum}");
         for rank in [1, 2, 3, 10, 100, 500] {
-            let (seen, due) = (f64::from(seen[rank as usize]), p.part(rank) * f64::from(n));
+            let (seen, due) = (f64::from(seen[rank as usize]), p.probability(rank) * f64::from(n));
             assert!(
                 (seen - due).abs() < 6.0 * due.sqrt().max(1.0),
                 "{exponent}: rank {rank}: {seen}, not {due}"
@@ -33,7 +33,7 @@
     assert!((50..150).contains(&moved), "a tenth of the ranks passes on in a second, not {moved}");
     let still = |rank: &u32| p.key(*rank, 0) == p.key(*rank, 1_000_000);
     assert!((1..=1000).filter(still).all(|rank| p.rank_of(p.key(rank, 0)) == Some(rank)));
-    assert_eq!(p.rank_of(p.crowded(0)), None);
+    assert_eq!(p.rank_of(p.crowd_key(0)), None);
 }
 
 #[test]
@@ -54,6 +54,6 @@
             (asked, hit) = (asked + 1, hit + i64::from(has));
         }
     }
-    let (played, told) = (hit as f64 / f64::from(asked), p.hits(1_000.0, rate, keep, 0.0));
-    assert!((played - told).abs() < 0.03, "played {played}, told {told}");
+    let (simulated, computed) = (hit as f64 / f64::from(asked), p.hit_ratio(1_000.0, rate, keep, 0.0));
+    assert!((simulated - computed).abs() < 0.03, "simulated {simulated}, computed {computed}");
 }
--- a/crates/world/src/clients/request_table.rs
+++ b/crates/world/src/clients/request_table.rs
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 
 /// How long a finished try can still be looked up: longer than the windows of keyed requests.
-const RECALL: Micros = 6_000_000;
+const RETENTION: Micros = 6_000_000;
 
 /// The slot of a request in the table, valid until the request is finished.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,7 +33,7 @@
     /// Its end has not been reported to the client yet.
     pub open: bool,
     /// When it finished: from then on nobody waits for it.
-    done: Option<Micros>,
+    finished_at: Option<Micros>,
     /// The first two nodes that missed for it; the origin's answer is stored there.
     pub missed: [Option<NodeNo>; 2],
     /// The node with the most recent miss.
@@ -63,7 +63,7 @@
     tries: VecDeque<Try>,
     first: u64,
     /// Tries that are not finished.
-    out: usize,
+    unfinished: usize,
 }
 
 impl RequestTable {
@@ -73,7 +73,7 @@
             live: Slab::new(),
             tries: VecDeque::new(),
             first: 1,
-            out: 0,
+            unfinished: 0,
         }
     }
 
@@ -99,11 +99,22 @@
         let no = TryNo(self.first + self.tries.len() as u64);
         let request = live.request;
         let (missed, after, sent) = ([None; 2], None, now);
-        let made =
-            Try { no, request, place, proxy, retry, sent, until, open: true, done: None, missed, after };
-        self.tries.push_back(made);
-        self.out += 1;
-        Some(made)
+        let new_try = Try {
+            no,
+            request,
+            place,
+            proxy,
+            retry,
+            sent,
+            until,
+            open: true,
+            finished_at: None,
+            missed,
+            after,
+        };
+        self.tries.push_back(new_try);
+        self.unfinished += 1;
+        Some(new_try)
     }
 
     /// No proxy was available for the try that was to be sent now.
@@ -125,11 +136,11 @@
     }
 
     pub fn get(&self, of: TryNo) -> Option<&Try> {
-        self.recall(of).filter(|t| t.done.is_none())
+        self.find_recent(of).filter(|t| t.finished_at.is_none())
     }
 
     pub fn get_mut(&mut self, of: TryNo) -> Option<&mut Try> {
-        self.tries.get_mut(of.0.checked_sub(self.first)? as usize).filter(|t| t.done.is_none())
+        self.tries.get_mut(of.0.checked_sub(self.first)? as usize).filter(|t| t.finished_at.is_none())
     }
 
     /// Records that a node missed for a try that is in flight or finished recently.
@@ -142,7 +153,7 @@
 
     /// A try that is in flight or finished recently; a faulty proxy may still send attempts for a finished
     /// one.
-    pub fn recall(&self, of: TryNo) -> Option<&Try> {
+    pub fn find_recent(&self, of: TryNo) -> Option<&Try> {
         self.tries.get(of.0.checked_sub(self.first)? as usize)
     }
 
@@ -188,10 +199,10 @@
     /// Nobody waits for the try any more: it is finished now, and removed some time later.
     pub fn forget(&mut self, now: Micros, of: TryNo) {
         if let Some(t) = self.get_mut(of) {
-            t.done = Some(now);
-            self.out -= 1;
+            t.finished_at = Some(now);
+            self.unfinished -= 1;
         }
-        while self.tries.front().is_some_and(|t| t.done.is_some_and(|at| at + RECALL <= now)) {
+        while self.tries.front().is_some_and(|t| t.finished_at.is_some_and(|at| at + RETENTION <= now)) {
             self.tries.pop_front();
             self.first += 1;
         }
@@ -199,7 +210,7 @@
 
     /// The tries in flight at a proxy, ordered by number.
     pub fn at(&self, proxy: ProxyNo) -> Vec<TryNo> {
-        self.tries.iter().filter(|t| t.proxy == proxy && t.done.is_none()).map(|t| t.no).collect()
+        self.tries.iter().filter(|t| t.proxy == proxy && t.finished_at.is_none()).map(|t| t.no).collect()
     }
 
     /// Requests that are not finished.
@@ -209,6 +220,6 @@
 
     /// Tries that are not finished.
     pub fn tries(&self) -> usize {
-        self.out
+        self.unfinished
     }
 }
--- a/crates/world/src/clients/traffic.rs
+++ b/crates/world/src/clients/traffic.rs
@@ -21,7 +21,7 @@
     swing_s: f64,
     changes: Vec<Change>,
     /// Start, end and final part: the traffic falls linearly to this part and stays there.
-    falls: Vec<(Micros, Micros, f64)>,
+    declines: Vec<(Micros, Micros, f64)>,
     /// Start, end, and the part of the reads that goes to the crowd's keys.
     crowds: Vec<(Micros, Micros, f64)>,
     /// The usual part of each tenant; sums to 1.
@@ -45,7 +45,7 @@
             swing: s.clients.swing,
             swing_s: s.clients.swing_s,
             changes: of(FaultKind::Payday).map(|f| change(f, None)).chain(surges).collect(),
-            falls: of(FaultKind::Shrink)
+            declines: of(FaultKind::Shrink)
                 .map(|f| (seconds(f.at_s), seconds(f.at_s + f.for_s), 1.0 - f.part.unwrap_or(0.0)))
                 .collect(),
             crowds: of(FaultKind::Crowd)
@@ -66,7 +66,7 @@
         let wave = 1.0 + self.swing * (std::f64::consts::TAU * now as f64 / 1e6 / self.swing_s).sin();
         let on = |c: &&Change| c.tenant.is_none() && (c.from..c.until).contains(&now);
         let times: f64 = self.changes.iter().filter(on).map(|c| c.times).product();
-        let fallen = self.falls.iter().map(|(from, until, to)| match now {
+        let fallen = self.declines.iter().map(|(from, until, to)| match now {
             _ if now <= *from => 1.0,
             _ if now >= *until => *to,
             _ => 1.0 - (1.0 - to) * (now - from) as f64 / (until - from) as f64,
@@ -81,13 +81,13 @@
 
     /// Upper bound of the rate over the run. The largest product of simultaneous increases is reached at the
     /// start of one of the changes.
-    pub fn most(&self) -> f64 {
-        let rises = |at: Micros| -> f64 {
+    pub fn max_rate(&self) -> f64 {
+        let increase = |at: Micros| -> f64 {
             let on = self.changes.iter().filter(|c| (c.from..c.until).contains(&at));
             on.map(|c| c.times.max(1.0)).product()
         };
-        let most = self.changes.iter().map(|c| rises(c.from)).fold(1.0, f64::max);
-        self.rate * (1.0 + self.swing) * most
+        let max_rate = self.changes.iter().map(|c| increase(c.from)).fold(1.0, f64::max);
+        self.rate * (1.0 + self.swing) * max_rate
     }
 
     /// The tenant selected by a number in [0, 1); 0 if there are none.
--- a/crates/world/src/facts.rs
+++ b/crates/world/src/facts.rs
@@ -16,7 +16,8 @@
     };
 }
 number!(/** A proxy's index; it keeps its number when it restarts. */ ProxyNo, u32);
-number!(/** A node's index, including nodes added later. A replacement gets a new number; a restart keeps it. */ NodeNo, u32);
+number!(/** A node's index, including nodes added later. A replacement gets a new number; a restart keeps
+ the number. */ NodeNo, u32);
 number!(/** A try: one send by a client. A retry has another number. */ TryNo, u64);
 number!(/** A client's request, across all of its tries. */ RequestNo, u64);
 number!(/** A class's index in the scenario. */ ClassNo, u16);
--- a/crates/world/src/geography.rs
+++ b/crates/world/src/geography.rs
@@ -19,7 +19,7 @@
 /// See [`IN_SITE_US`].
 const IN_REGION_US: Micros = 2_000;
 /// One-way delay between regions: the minimum, and that between opposite corners of the plane.
-const BETWEEN_US: [Micros; 2] = [10_000, 120_000];
+const BETWEEN_REGIONS_US: [Micros; 2] = [10_000, 120_000];
 /// Minimum numbers of a scaled fleet: five stores and one more control machine; two zones per region, for two
 /// disjoint paths.
 const MIN_CONTROLS: u32 = 6;
@@ -76,9 +76,9 @@
     pub fn draw(size: Size, seed: u64) -> Geography {
         let mut rng = stream(seed, "geography", 0);
         let regions = (0..size.regions).map(|_| (rng.random(), rng.random())).collect();
-        let region_of = share(size.zones, size.regions, 2, &mut rng);
-        let zone_of = share(size.sites, size.zones, 1, &mut rng);
-        let site_of = share(size.proxies, size.sites, 1, &mut rng);
+        let region_of = distribute(size.zones, size.regions, 2, &mut rng);
+        let zone_of = distribute(size.sites, size.zones, 1, &mut rng);
+        let site_of = distribute(size.proxies, size.sites, 1, &mut rng);
         let spot = |site: u32| {
             let zone = zone_of.get(site as usize).copied().unwrap_or(0);
             let region = region_of.get(zone as usize).copied().unwrap_or(0);
@@ -101,14 +101,14 @@
             let at = |r: u16| self.regions.get(usize::from(r)).copied().unwrap_or((0.0, 0.0));
             let ((ax, ay), (bx, by)) = (at(a.region), at(b.region));
             let part = ((ax - bx).hypot(ay - by) / 2f64.sqrt()).min(1.0);
-            BETWEEN_US[0] + (part * (BETWEEN_US[1] - BETWEEN_US[0]) as f64) as Micros
+            BETWEEN_REGIONS_US[0] + (part * (BETWEEN_REGIONS_US[1] - BETWEEN_REGIONS_US[0]) as f64) as Micros
         }
     }
 }
 
 /// Distributes `of` items over `places`: `least` into each as far as possible, the rest by a random weight
 /// per place.
-fn share(of: u32, places: u32, least: u32, rng: &mut Random) -> Vec<u32> {
+fn distribute(of: u32, places: u32, least: u32, rng: &mut Random) -> Vec<u32> {
     let weights: Vec<f64> = (0..places).map(|_| crate::random::exponential(rng) + 0.1).collect();
     let whole: f64 = weights.iter().sum();
     let mut into: Vec<u32> = (0..least).flat_map(|_| 0..places).take(of as usize).collect();
--- a/crates/world/src/initial_contents.rs
+++ b/crates/world/src/initial_contents.rs
@@ -12,18 +12,18 @@
 
 #[derive(Clone, Debug)]
 pub struct InitialContents {
-    known: Option<Known>,
+    model: Option<Model>,
     /// The node that is asking now, and for each key the first node that asked for it.
-    pub asker: NodeNo,
-    asked: Map<u64, NodeNo>,
+    pub requester: NodeNo,
+    holders: Map<u64, NodeNo>,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Model {
     popularity: Popularity,
     rate: f64,
     /// How long a value stays, in seconds: limited by capacity, and by age.
-    stay: f64,
+    residence_time: f64,
     keep: f64,
     salt: u64,
 }
@@ -31,35 +31,35 @@
 impl InitialContents {
     /// Nodes start empty.
     pub fn none() -> Self {
-        InitialContents { known: None, asker: LEDGER, asked: Map::default() }
+        InitialContents { model: None, requester: LEDGER, holders: Map::default() }
     }
 
     /// Keys were requested at this rate. A cache of all nodes together has room for this many values and
     /// keeps each for `keep` seconds.
     pub fn new(popularity: Popularity, rate: f64, values: f64, keep: f64, seed: u64) -> Self {
-        let stay = popularity.stay(values, rate);
-        let known = Some(Known { popularity, rate, stay, keep, salt: seed });
-        InitialContents { known, ..InitialContents::none() }
+        let residence_time = popularity.residence_time(values, rate);
+        let model = Some(Model { popularity, rate, residence_time, keep, salt: seed });
+        InitialContents { model, ..InitialContents::none() }
     }
 
     /// A warm node does not have this key in its store. Returns when its copy from before the start was made,
     /// if it has one. Each key is handed out once.
     pub fn claim(&mut self, now: Micros, key: u64) -> Option<Micros> {
-        let Known { popularity, rate, stay, keep, salt } = self.known.as_ref()?;
-        let span = stay.min(*keep);
+        let Model { popularity, rate, residence_time, keep, salt } = self.model.as_ref()?;
+        let span = residence_time.min(*keep);
         let left = span - now as f64 / 1e6;
         if left <= 0.0 {
             // By now every value from before the start has been evicted or has expired: free the memory.
-            self.known = None;
-            self.asked = Map::default();
+            self.model = None;
+            self.holders = Map::default();
             return None;
         }
-        if self.asked.contains_key(&key) {
+        if self.holders.contains_key(&key) {
             return None;
         }
-        self.asked.insert(key, self.asker);
+        self.holders.insert(key, self.requester);
         // Held if the last request, or the value, is recent enough for the value to still be there.
-        let rate = rate * popularity.part(popularity.rank_of(key)?);
+        let rate = rate * popularity.probability(popularity.rank_of(key)?);
         let age = -(1.0 - unit(mix(key ^ salt))).ln() / rate;
         if age >= left {
             return None;
@@ -72,7 +72,7 @@
     /// A key has been written. Returns the holder of a copy from before the start, if any; from now on there
     /// is none.
     pub fn invalidate(&mut self, key: u64) -> Option<NodeNo> {
-        self.known.as_ref()?;
-        self.asked.insert(key, LEDGER).filter(|holder| *holder != LEDGER)
+        self.model.as_ref()?;
+        self.holders.insert(key, LEDGER).filter(|holder| *holder != LEDGER)
     }
 }
--- a/crates/world/src/ledger.rs
+++ b/crates/world/src/ledger.rs
@@ -7,7 +7,7 @@
 //! a read where it missed, is up to the host ([`crate::world`] does it).
 
 use crate::dedup::DedupTable;
-use crate::node::{begin, Answer, DialOutcome, Event, EventKind, NodeRequest, Script, Step};
+use crate::node::{push_began, Answer, DialOutcome, Event, EventKind, NodeRequest, Script, Step};
 use crate::random::{lognormal, ms, seconds, within, Map, Random};
 use crate::scenario::{self, Range};
 use crate::station::Station;
@@ -26,7 +26,7 @@
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counted {
+pub struct Counters {
     pub reads: u64,
     pub writes: u64,
     pub served: u64,
@@ -42,25 +42,25 @@
     service: f64,
     sigma: f64,
     write_work: f64,
-    most_waiting: usize,
+    max_waiting: usize,
     crowd_loss: f64,
-    drops: bool,
+    drops_cancelled: bool,
     fall_multiple: f64,
     fall_for: Micros,
     down: Range,
     most_stops: u32,
-    most_connections: usize,
+    max_connections: usize,
     station: Station,
     jobs: Slab<Job>,
     waiting: VecDeque<usize>,
     connections: Map<u64, ()>,
     window_sum: WindowSum,
-    slower: f64,
+    slowdown: f64,
     /// Down until this time.
-    back: Option<Micros>,
+    down_until: Option<Micros>,
     script: Option<Script>,
-    planned: Vec<(Micros, u64, Answer)>,
-    counted: Counted,
+    scheduled: Vec<(Micros, u64, Answer)>,
+    counted: Counters,
 }
 
 impl Ledger {
@@ -77,24 +77,24 @@
             service,
             sigma: l.service_sigma,
             write_work: l.write_work,
-            most_waiting: (l.queue_s * capacity).ceil() as usize,
+            max_waiting: (l.queue_s * capacity).ceil() as usize,
             crowd_loss: l.crowd_loss,
-            drops: l.drops_cancelled,
+            drops_cancelled: l.drops_cancelled,
             fall_multiple: l.fall_multiple,
             fall_for: ms(l.fall_for_ms),
             down: l.down_s,
             most_stops: l.most_stops,
-            most_connections: l.connections as usize,
+            max_connections: l.connections as usize,
             station: Station::new(slots as f64, slots, wanted / slots as f64),
             jobs: Slab::new(),
             waiting: VecDeque::new(),
             connections: Map::default(),
             window_sum: WindowSum::new(ms(l.fall_for_ms)),
-            slower: 1.0,
-            back: None,
+            slowdown: 1.0,
+            down_until: None,
             script: None,
-            planned: Vec::new(),
-            counted: Counted::default(),
+            scheduled: Vec::new(),
+            counted: Counters::default(),
         }
     }
 
@@ -102,7 +102,7 @@
         self.capacity
     }
 
-    pub fn counted(&self) -> Counted {
+    pub fn counted(&self) -> Counters {
         self.counted
     }
 
@@ -112,7 +112,7 @@
     }
 
     pub fn is_up(&self) -> bool {
-        self.back.is_none()
+        self.down_until.is_none()
     }
 
     pub fn set_script(&mut self, script: Script) {
@@ -122,7 +122,7 @@
     /// Runs this many times slower than normal.
     pub fn set_slowdown(&mut self, now: Micros, times: f64, dedup: &mut DedupTable, out: &mut Vec<Event>) {
         self.advance(now, dedup, out);
-        self.slower = times.max(0.001);
+        self.slowdown = times.max(0.001);
         self.update_speed(now);
     }
 
@@ -132,15 +132,15 @@
         self.jobs.clear();
         self.waiting.clear();
         self.connections.clear();
-        self.planned.clear();
+        self.scheduled.clear();
         self.window_sum.clear();
         self.counted.stops += 1;
         let until = until.max(now + 1);
-        self.back = Some(self.back.map_or(until, |back| back.max(until)));
+        self.down_until = Some(self.down_until.map_or(until, |down_until| down_until.max(until)));
     }
 
     pub fn connect(&mut self, connection: u64) -> DialOutcome {
-        if self.back.is_some() || self.connections.len() >= self.most_connections {
+        if self.down_until.is_some() || self.connections.len() >= self.max_connections {
             return DialOutcome::Refused;
         }
         self.connections.insert(connection, ());
@@ -149,7 +149,7 @@
 
     /// The peer has closed the connection: its waiting requests are dropped, if so configured.
     pub fn disconnect(&mut self, connection: u64) {
-        if self.connections.remove(&connection).is_none() || !self.drops {
+        if self.connections.remove(&connection).is_none() || !self.drops_cancelled {
             return;
         }
         let jobs = &mut self.jobs;
@@ -171,7 +171,7 @@
     ) {
         self.advance(now, dedup, out);
         if !self.connections.contains_key(&request.connection) {
-            return tell(out, now, request.job, Answer::Reset, 0.0);
+            return push_answer(out, now, request.job, Answer::Reset, 0.0);
         }
         let reads = if request.write { self.write_work } else { 1.0 };
         let counter = if request.write { &mut self.counted.writes } else { &mut self.counted.reads };
@@ -179,13 +179,13 @@
         if let Some(Step { answer, after }) = self.script.as_mut().map(Script::take) {
             let Some(answer) = answer else { return };
             if matches!(answer, Answer::Value | Answer::Error) {
-                begin(out, now, &request, true, true);
+                push_began(out, now, &request, true, true);
             }
-            return self.planned.push((now + after.max(0), request.job, answer));
+            return self.scheduled.push((now + after.max(0), request.job, answer));
         }
         let sent = self.window_sum.add(now, reads);
-        let able = self.capacity * self.fall_for as f64 / 1e6;
-        if self.fall_multiple > 0.0 && sent > self.fall_multiple * able {
+        let capacity_in_window = self.capacity * self.fall_for as f64 / 1e6;
+        if self.fall_multiple > 0.0 && sent > self.fall_multiple * capacity_in_window {
             let stopped = self.counted.stops < u64::from(self.most_stops);
             let since = now - self.fall_for;
             out.push(Event { at: now, kind: EventKind::Overloaded { since, stopped } });
@@ -195,20 +195,20 @@
                 return self.stop(now, now + down);
             }
         }
-        if self.waiting.len() >= self.most_waiting && !self.station.is_free() {
+        if self.waiting.len() >= self.max_waiting && !self.station.is_free() {
             self.counted.refused += 1;
-            return tell(out, now, request.job, Answer::Busy, 0.0);
+            return push_answer(out, now, request.job, Answer::Busy, 0.0);
         }
         let job = self.jobs.insert(Job { request, reads, work: 0.0 });
         self.waiting.push_back(job);
-        self.fill(now, dedup, out);
+        self.start_waiting(now, dedup, out);
         self.update_speed(now);
     }
 
     /// When it needs to be advanced next.
     pub fn next(&self) -> Option<Micros> {
-        let planned = self.planned.iter().map(|p| p.0).min();
-        [self.station.next(), self.back, planned].into_iter().flatten().min()
+        let scheduled = self.scheduled.iter().map(|p| p.0).min();
+        [self.station.next(), self.down_until, scheduled].into_iter().flatten().min()
     }
 
     /// Processes everything due by now.
@@ -217,16 +217,16 @@
             if let Some((at, job)) = self.station.end(at) {
                 if let Some(Job { request, work, .. }) = self.jobs.try_remove(job as usize) {
                     self.counted.served += 1;
-                    tell(out, at, request.job, Answer::Value, work);
+                    push_answer(out, at, request.job, Answer::Value, work);
                 }
-                self.fill(at, dedup, out);
+                self.start_waiting(at, dedup, out);
                 self.update_speed(at);
-            } else if let Some(i) = self.planned.iter().position(|p| p.0 <= at) {
-                let (at, job, answer) = self.planned.remove(i);
+            } else if let Some(i) = self.scheduled.iter().position(|p| p.0 <= at) {
+                let (at, job, answer) = self.scheduled.remove(i);
                 self.counted.served += u64::from(answer == Answer::Value);
-                tell(out, at, job, answer, 0.0);
+                push_answer(out, at, job, answer, 0.0);
             } else {
-                self.back = None;
+                self.down_until = None;
                 self.update_speed(at);
             }
         }
@@ -235,21 +235,21 @@
     fn update_speed(&mut self, now: Micros) {
         let crowd = 1.0 + self.crowd_loss * self.waiting.len() as f64 / self.station.slots() as f64;
         let full = self.capacity * self.service / 1e6 / self.station.slots() as f64;
-        self.station.set_speed(now, full / crowd / self.slower);
+        self.station.set_speed(now, full / crowd / self.slowdown);
     }
 
-    fn fill(&mut self, now: Micros, dedup: &mut DedupTable, out: &mut Vec<Event>) {
+    fn start_waiting(&mut self, now: Micros, dedup: &mut DedupTable, out: &mut Vec<Event>) {
         while self.station.is_free() {
             let Some(i) = self.waiting.pop_front() else { return };
             let Some(Job { request, reads, .. }) = self.jobs.get(i).copied() else { continue };
-            if self.drops && request.expires <= now {
+            if self.drops_cancelled && request.expires <= now {
                 self.jobs.remove(i);
                 self.counted.refused += 1;
-                tell(out, now, request.job, Answer::Busy, 0.0);
+                push_answer(out, now, request.job, Answer::Busy, 0.0);
                 continue;
             }
             let dropped = request.repeat.is_some_and(|(key, window)| dedup.seen(now, key, window));
-            begin(out, now, &request, !dropped, true);
+            push_began(out, now, &request, !dropped, true);
             let work = self.service * reads * lognormal(self.sigma, &mut self.rng);
             self.jobs[i].work = work;
             self.station.start(now, i as u64, work);
@@ -257,6 +257,6 @@
     }
 }
 
-fn tell(out: &mut Vec<Event>, at: Micros, job: u64, answer: Answer, work: f64) {
+fn push_answer(out: &mut Vec<Event>, at: Micros, job: u64, answer: Answer, work: f64) {
     out.push(Event { at, kind: EventKind::Answered { job, answer, work } });
 }
--- a/crates/world/src/node/machine.rs
+++ b/crates/world/src/node/machine.rs
@@ -48,13 +48,13 @@
 pub const MAX_COUNTED_REQUESTS: f64 = 5.0;
 
 /// Below this number of requests the larger margin of [`chance_margin`] applies.
-const FEW: f64 = 30.0;
+const SMALL_COUNT: f64 = 30.0;
 
 /// The margin for random variation of this many requests of mean work, as the platform's slow-start
 /// specification defines it: twice the standard deviation of a Poisson count plus two, or three times plus
 /// three for small counts.
 pub fn chance_margin(requests: f64) -> f64 {
-    let times = if requests < FEW { 3.0 } else { 2.0 };
+    let times = if requests < SMALL_COUNT { 3.0 } else { 2.0 };
     times * requests.max(0.0).sqrt() + times
 }
 
@@ -84,10 +84,10 @@
     /// Work of a handshake, of a probe and of rejecting a request, in microseconds of a standard core.
     pub handshake: f64,
     pub probe: f64,
-    pub turn_away: f64,
+    pub reject_work: f64,
     pub full_table_loss: f64,
     pub idle_close: Micros,
-    pub most_probes: usize,
+    pub max_probes: usize,
     pub report_period: Micros,
     pub report_delay: Micros,
     pub report_noise: f64,
@@ -97,7 +97,7 @@
 }
 
 /// Work of reading a request and rejecting it.
-const TURN_AWAY: f64 = 200.0;
+const REJECT_WORK: f64 = 200.0;
 
 impl Machine {
     pub fn draw(group: &NodeGroup, limits: Limits, rng: &mut Random) -> Self {
@@ -124,10 +124,10 @@
             connections: g.connections as usize,
             handshake: within(g.handshake_work_ms, rng) * 1e3,
             probe: within(g.probe_work_ms, rng) * 1e3,
-            turn_away: TURN_AWAY,
+            reject_work: REJECT_WORK,
             full_table_loss: within(g.full_table_loss, rng),
             idle_close: seconds(g.idle_close_s),
-            most_probes: (g.probes_per_core * cores).round() as usize,
+            max_probes: (g.probes_per_core * cores).round() as usize,
             report_period: ms(within(g.report_period_ms, rng)),
             report_delay: ms(within(g.report_delay_ms, rng)),
             report_noise: within(g.report_noise, rng),
--- a/crates/world/src/node/mod.rs
+++ b/crates/world/src/node/mod.rs
@@ -95,7 +95,7 @@
     /// Rejected without being executed.
     Busy,
     /// An unreadable answer, after which the connection ends.
-    Spoilt,
+    Corrupted,
     /// The connection is closed instead of an answer.
     Reset,
     /// The answer to a probe.
@@ -165,9 +165,9 @@
 }
 
 /// Interval at which the speed of a cold node is updated.
-const WARMING: Micros = 50_000;
+const WARM_UP_STEP: Micros = 50_000;
 /// How long a miss makes later misses of its key `pending`, and the number of keys remembered for that.
-const LEASE: Micros = 400_000;
+const LEASE_TIME: Micros = 400_000;
 const MAX_LEASES: usize = 4096;
 /// Requests that a hung node accepts, each on a connection of its own.
 const MAX_HELD: usize = 4096;
@@ -191,18 +191,18 @@
     held: Vec<(NodeRequest, bool)>,
     /// Answers scheduled for a fixed time, independent of the station: those of probes and scripts, with time
     /// and job.
-    planned: Vec<(Micros, u64, Answer)>,
+    scheduled: Vec<(Micros, u64, Answer)>,
     probes: usize,
     script: Option<Script>,
     /// Work of probes and handshakes, added to the next job that starts.
-    debt: f64,
+    pending_overhead: f64,
     /// End of the current pause, and start of the next one.
     paused: Option<Micros>,
     pause_at: Micros,
     speed_update_at: Micros,
-    slower: f64,
-    errors: f64,
-    spoils: f64,
+    slowdown: f64,
+    extra_error_rate: f64,
+    corruption_rate: f64,
     /// When the load was last measured, and the work done until then.
     measured: (Micros, f64),
 }
@@ -226,16 +226,16 @@
             leases: Map::default(),
             hung: false,
             held: Vec::new(),
-            planned: Vec::new(),
+            scheduled: Vec::new(),
             probes: 0,
             script: None,
-            debt: 0.0,
+            pending_overhead: 0.0,
             paused: None,
             pause_at: if m.pause > 0.0 { first_pause } else { Micros::MAX },
             speed_update_at: Micros::MAX,
-            slower: 1.0,
-            errors: 0.0,
-            spoils: 0.0,
+            slowdown: 1.0,
+            extra_error_rate: 0.0,
+            corruption_rate: 0.0,
             measured: (0, 0.0),
             rng,
             machine,
@@ -307,8 +307,8 @@
         self.connections.clear();
         self.leases.clear();
         self.held.clear();
-        self.planned.clear();
-        (self.probes, self.debt, self.paused) = (0, 0.0, None);
+        self.scheduled.clear();
+        (self.probes, self.pending_overhead, self.paused) = (0, 0.0, None);
         self.speed_update_at = Micros::MAX;
     }
 
@@ -343,14 +343,14 @@
     /// Runs this many times slower than normal.
     pub fn set_slowdown(&mut self, now: Micros, times: f64, shared: &mut SharedState, out: &mut Vec<Event>) {
         self.advance(now, shared, out);
-        self.slower = times.max(0.001);
+        self.slowdown = times.max(0.001);
         self.update_speed(now);
     }
 
     /// Sets the part of the answers that are errors, in addition to the machine's error rate, and the part
     /// that is unreadable.
-    pub fn set_failure_rates(&mut self, errors: f64, spoils: f64) {
-        (self.errors, self.spoils) = (errors, spoils);
+    pub fn set_failure_rates(&mut self, extra_error_rate: f64, corruption_rate: f64) {
+        (self.extra_error_rate, self.corruption_rate) = (extra_error_rate, corruption_rate);
     }
 
     /// Drops everything in its store.
@@ -407,20 +407,20 @@
         let Some(connection) =
             self.connections.get_mut(&request.connection).filter(|_| self.state != State::Down)
         else {
-            return tell(out, now, request.job, Answer::Reset);
+            return push_answer(out, now, request.job, Answer::Reset);
         };
         if now - connection.used >= self.machine.idle_close {
             self.connections.remove(&request.connection);
-            return tell(out, now, request.job, Answer::Reset);
+            return push_answer(out, now, request.job, Answer::Reset);
         }
         connection.used = now;
         if std::mem::take(&mut connection.fresh) {
-            self.debt += self.machine.handshake;
+            self.pending_overhead += self.machine.handshake;
         }
         if let Some(step) = self.script.as_mut().map(Script::take) {
-            return self.scripted(now, request, step, out);
+            return self.answer_by_script(now, request, step, out);
         }
-        if self.overrun(now, request.work) {
+        if self.exceeds_overload_limit(now, request.work) {
             self.end(now);
             return out.push(Event { at: now, kind: EventKind::OverloadCrash });
         }
@@ -432,12 +432,12 @@
         }
         let room = self.waiting.len() < self.machine.waiting || self.station.is_free();
         if self.state == State::Draining || !room {
-            self.debt += self.machine.turn_away;
-            return tell(out, now, request.job, Answer::Busy);
+            self.pending_overhead += self.machine.reject_work;
+            return push_answer(out, now, request.job, Answer::Busy);
         }
         let job = self.jobs.insert(Job { request, answer: Answer::Value, work: 0.0 });
         self.waiting.push_back(job);
-        self.fill(now, shared, out);
+        self.start_waiting(now, shared, out);
         self.update_speed(now);
     }
 
@@ -452,11 +452,11 @@
     ) {
         self.advance(now, shared, out);
         let Some(c) = self.connections.get_mut(&connection) else {
-            return tell(out, now, job, Answer::Reset);
+            return push_answer(out, now, job, Answer::Reset);
         };
         c.used = now;
         if std::mem::take(&mut c.fresh) {
-            self.debt += self.machine.handshake;
+            self.pending_overhead += self.machine.handshake;
         }
         if self.hung {
             if self.held.len() < MAX_HELD {
@@ -465,16 +465,16 @@
             }
             return;
         }
-        if self.probes >= self.machine.most_probes {
-            return tell(out, now, job, Answer::Busy);
+        if self.probes >= self.machine.max_probes {
+            return push_answer(out, now, job, Answer::Busy);
         }
         // Probes bypass the queue: their work is added to the next job.
-        self.debt += self.machine.probe;
+        self.pending_overhead += self.machine.probe;
         self.probes += 1;
         self.reports.sample(now, self.station.spent().0, &mut self.rng);
         let report = Answer::Report(self.reports.latest(now));
         let after = (self.machine.probe / self.machine.speed) as Micros;
-        self.plan(self.paused.unwrap_or(now).max(now) + after.max(1), job, report);
+        self.schedule_answer(self.paused.unwrap_or(now).max(now) + after.max(1), job, report);
     }
 
     /// Stores a value that the origin returned after a miss here.
@@ -497,10 +497,10 @@
         if !self.is_up() {
             return None;
         }
-        let planned = self.planned.iter().map(|p| p.0).min();
+        let scheduled = self.scheduled.iter().map(|p| p.0).min();
         let pause = self.paused.unwrap_or(self.pause_at);
         let own = self.speed_update_at.min(pause);
-        let next = own.min(self.station.next().unwrap_or(Micros::MAX)).min(planned.unwrap_or(Micros::MAX));
+        let next = own.min(self.station.next().unwrap_or(Micros::MAX)).min(scheduled.unwrap_or(Micros::MAX));
         (next < Micros::MAX).then_some(next)
     }
 
@@ -509,12 +509,12 @@
         while let Some(at) = self.next().filter(|at| *at <= now) {
             if let Some((at, job)) = self.station.end(at) {
                 self.finish(at, job as usize, out);
-                self.fill(at, shared, out);
+                self.start_waiting(at, shared, out);
                 self.update_speed(at);
-            } else if let Some(i) = self.first_planned().filter(|i| self.planned[*i].0 <= at) {
-                let (at, job, answer) = self.planned.remove(i);
+            } else if let Some(i) = self.first_scheduled().filter(|i| self.scheduled[*i].0 <= at) {
+                let (at, job, answer) = self.scheduled.remove(i);
                 self.probes -= usize::from(matches!(answer, Answer::Report(_)));
-                tell(out, at, job, answer);
+                push_answer(out, at, job, answer);
             } else if self.speed_update_at <= at {
                 self.update_speed(at);
             } else {
@@ -524,12 +524,12 @@
         self.reports.sample(now, self.station.spent().0, &mut self.rng);
     }
 
-    fn first_planned(&self) -> Option<usize> {
-        (0..self.planned.len()).min_by_key(|i| self.planned[*i].0)
+    fn first_scheduled(&self) -> Option<usize> {
+        (0..self.scheduled.len()).min_by_key(|i| self.scheduled[*i].0)
     }
 
-    fn plan(&mut self, at: Micros, job: u64, answer: Answer) {
-        self.planned.push((at, job, answer));
+    fn schedule_answer(&mut self, at: Micros, job: u64, answer: Answer) {
+        self.scheduled.push((at, job, answer));
     }
 
     fn pause(&mut self, at: Micros) {
@@ -552,41 +552,42 @@
         let m = &self.machine;
         let spent = self.station.spent().1;
         let warmth = self.warmth.at(now, spent);
-        self.speed_update_at = if warmth < 1.0 { now + WARMING } else { Micros::MAX };
+        self.speed_update_at = if warmth < 1.0 { now + WARM_UP_STEP } else { Micros::MAX };
         let held = (self.station.running() + self.waiting.len()) as f64;
-        let crowd = 1.0 + m.crowd_loss * (held / f64::from(m.cores) - m.crowd_from).max(0.0);
-        let table = 1.0 - m.full_table_loss * self.connections.len() as f64 / m.connections as f64;
+        let crowding = 1.0 + m.crowd_loss * (held / f64::from(m.cores) - m.crowd_from).max(0.0);
+        let table_factor = 1.0 - m.full_table_loss * self.connections.len() as f64 / m.connections as f64;
         let still = self.hung || self.paused.is_some();
-        let speed = if still { 0.0 } else { m.speed * warmth * table.max(0.05) / crowd / self.slower };
+        let speed =
+            if still { 0.0 } else { m.speed * warmth * table_factor.max(0.05) / crowding / self.slowdown };
         self.station.set_speed(now, speed);
     }
 
     /// Starts waiting requests while slots are free.
-    fn fill(&mut self, now: Micros, shared: &mut SharedState, out: &mut Vec<Event>) {
+    fn start_waiting(&mut self, now: Micros, shared: &mut SharedState, out: &mut Vec<Event>) {
         while self.station.is_free() {
             let Some(i) = self.waiting.pop_front() else { return };
             let Some(request) = self.jobs.get(i).map(|j| j.request) else { continue };
             if self.machine.drops_expired && request.expires <= now {
                 self.jobs.remove(i);
-                tell(out, now, request.job, Answer::Busy);
+                push_answer(out, now, request.job, Answer::Busy);
                 continue;
             }
             let answer = self.decide(now, &request, shared);
             let part = if matches!(answer, Answer::Miss { .. }) { self.machine.miss_work } else { 1.0 };
-            let work = request.work * part + std::mem::take(&mut self.debt);
+            let work = request.work * part + std::mem::take(&mut self.pending_overhead);
             // A repeat of something that this or another node executed recently is detected and has no
             // effect.
             let runs = !matches!(answer, Answer::Miss { .. });
             let known = request.repeat.filter(|_| runs);
             let dropped = known.is_some_and(|(key, window)| shared.dedup.seen(now, key, window));
-            begin(out, now, &request, runs && !dropped, runs);
+            push_began(out, now, &request, runs && !dropped, runs);
             self.jobs[i] = Job { request, answer, work };
             self.station.start(now, i as u64, work);
         }
     }
 
     fn decide(&mut self, now: Micros, request: &NodeRequest, shared: &mut SharedState) -> Answer {
-        if chance(self.machine.error_rate + self.errors, &mut self.rng) {
+        if chance(self.machine.error_rate + self.extra_error_rate, &mut self.rng) {
             return Answer::Error;
         }
         // Writes are executed by the origin.
@@ -606,57 +607,57 @@
         }
         let pending = self.leases.get(&request.key).is_some_and(|until| *until > now);
         if !pending && self.leases.len() < MAX_LEASES {
-            self.leases.insert(request.key, now + LEASE);
+            self.leases.insert(request.key, now + LEASE_TIME);
         }
         Answer::Miss { pending }
     }
 
     fn finish(&mut self, at: Micros, job: usize, out: &mut Vec<Event>) {
         let Some(Job { request, answer, work }) = self.jobs.try_remove(job) else { return };
-        let answer = if chance(self.spoils, &mut self.rng) { Answer::Spoilt } else { answer };
+        let answer = if chance(self.corruption_rate, &mut self.rng) { Answer::Corrupted } else { answer };
         if answer == Answer::Error {
             self.reports.error();
         }
         out.push(Event { at, kind: EventKind::Answered { job: request.job, answer, work } });
     }
 
-    fn scripted(&mut self, now: Micros, request: NodeRequest, step: Step, out: &mut Vec<Event>) {
+    fn answer_by_script(&mut self, now: Micros, request: NodeRequest, step: Step, out: &mut Vec<Event>) {
         let Some(answer) = step.answer else { return };
         let effect = matches!(answer, Answer::Value | Answer::Error);
         if effect || matches!(answer, Answer::Miss { .. }) {
-            begin(out, now, &request, effect, effect);
+            push_began(out, now, &request, effect, effect);
         }
-        self.plan(now + step.after.max(0), request.job, answer);
+        self.schedule_answer(now + step.after.max(0), request.job, answer);
     }
 
     /// Adds work that arrived while cold; returns whether it was too much.
-    fn overrun(&mut self, now: Micros, work: f64) -> bool {
+    fn exceeds_overload_limit(&mut self, now: Micros, work: f64) -> bool {
         let warmth = self.warmth(now);
         if warmth >= 1.0 {
             return false;
         }
         let limits = &self.machine.limits;
         let sent = self.window_sum.add(now, limits.counted(work));
-        let able = self.capacity() * warmth * limits.fall_for as f64;
-        sent > limits.overload(able)
+        let capacity_in_window = self.capacity() * warmth * limits.fall_for as f64;
+        sent > limits.overload(capacity_in_window)
     }
 
     /// The part of its warm capacity that it used since the last call.
     pub fn load(&mut self, now: Micros) -> f64 {
         self.station.catch_up(now.min(self.station.next().unwrap_or(now)));
         let (since, before) = std::mem::replace(&mut self.measured, (now, self.station.spent().1));
-        let able = self.capacity() * (now - since).max(1) as f64;
-        (self.station.spent().1 - before) / able
+        let capacity_in_window = self.capacity() * (now - since).max(1) as f64;
+        (self.station.spent().1 - before) / capacity_in_window
     }
 }
 
-pub(crate) fn begin(out: &mut Vec<Event>, at: Micros, request: &NodeRequest, effect: bool, made: bool) {
+pub(crate) fn push_began(out: &mut Vec<Event>, at: Micros, request: &NodeRequest, effect: bool, made: bool) {
     let NodeRequest { job, of, class, .. } = *request;
     let key = request.repeat.map(|(key, _)| key);
     let writes = Some(request.key).filter(|_| request.write && effect);
     out.push(Event { at, kind: EventKind::Began { job, of, class, key, effect, made, writes } });
 }
 
-fn tell(out: &mut Vec<Event>, at: Micros, job: u64, answer: Answer) {
+fn push_answer(out: &mut Vec<Event>, at: Micros, job: u64, answer: Answer) {
     out.push(Event { at, kind: EventKind::Answered { job, answer, work: 0.0 } });
 }
--- a/crates/world/src/outcome.rs
+++ b/crates/world/src/outcome.rs
@@ -14,12 +14,12 @@
 pub struct Latencies(Histogram<u64>);
 
 /// Ten minutes; longer latencies are recorded as this value.
-const LONGEST: u64 = 600_000_000;
+const MAX_LATENCY: u64 = 600_000_000;
 
 impl Default for Latencies {
     fn default() -> Self {
         // The bounds are valid constants, so creating the histogram cannot fail.
-        let made = Histogram::new_with_bounds(1, LONGEST, 3);
+        let made = Histogram::new_with_bounds(1, MAX_LATENCY, 3);
         Latencies(made.unwrap_or_else(|_| unreachable!("constant bounds")))
     }
 }
@@ -30,9 +30,9 @@
     }
 
     fn add_many(&mut self, latency: Micros, count: u64) {
-        self.0.saturating_record(latency.clamp(1, LONGEST as Micros) as u64);
+        self.0.saturating_record(latency.clamp(1, MAX_LATENCY as Micros) as u64);
         if count > 1 {
-            let _ = self.0.record_n(latency.clamp(1, LONGEST as Micros) as u64, count - 1);
+            let _ = self.0.record_n(latency.clamp(1, MAX_LATENCY as Micros) as u64, count - 1);
         }
     }
 
@@ -311,7 +311,7 @@
 }
 
 /// A table that has grown by no more than this number of entries is ignored: such differences are random.
-const FEW: f64 = 16.0;
+const MIN_GROWTH: f64 = 16.0;
 
 impl Sizes {
     pub fn new(every_us: Micros) -> Self {
@@ -347,7 +347,7 @@
     /// has 1.
     pub fn grown(&self, times: f64) -> Vec<(&str, Span)> {
         let spans = self.tables.iter().map(|(table, series)| (table.as_str(), Sizes::span(series)));
-        spans.filter(|(_, s)| s.end > times * s.middle && s.end - s.middle > FEW).collect()
+        spans.filter(|(_, s)| s.end > times * s.middle && s.end - s.middle > MIN_GROWTH).collect()
     }
 }
 
--- a/crates/world/src/random.rs
+++ b/crates/world/src/random.rs
@@ -14,7 +14,7 @@
 pub type Random = Xoshiro256PlusPlus;
 
 /// No draw exceeds this multiple of the mean, since a Pareto tail is unbounded.
-const LONGEST: f64 = 40.0;
+const MAX_MULTIPLE: f64 = 40.0;
 
 /// The finalizer of SplitMix64 (Steele, Lea, Flood: Fast Splittable Pseudorandom Number Generators, 2014): a
 /// bijection on 64-bit integers.
@@ -67,7 +67,7 @@
         return 1.0;
     }
     let normal: f64 = StandardNormal.sample(rng);
-    (sigma * normal - sigma * sigma / 2.0).exp().min(LONGEST)
+    (sigma * normal - sigma * sigma / 2.0).exp().min(MAX_MULTIPLE)
 }
 
 /// A positive factor with mean 1 and this coefficient of variation.
@@ -80,7 +80,7 @@
     pub fn draw(self, cv: f64, rng: &mut Random) -> f64 {
         match self {
             Spread::Constant => 1.0,
-            Spread::Exponential => exponential(rng).min(LONGEST),
+            Spread::Exponential => exponential(rng).min(MAX_MULTIPLE),
             Spread::Lognormal => factor(cv, rng),
             Spread::Pareto if cv <= 0.0 => 1.0,
             // The mean of a Pareto distribution is a/(a-1) times its minimum and cv^2 = 1/(a(a-2)), so a = 1
@@ -88,7 +88,7 @@
             Spread::Pareto => {
                 let a = 1.0 + (1.0 + 1.0 / (cv * cv)).sqrt();
                 let least = (a - 1.0) / a;
-                (least * (1.0 - rng.random::<f64>()).powf(-1.0 / a)).min(LONGEST)
+                (least * (1.0 - rng.random::<f64>()).powf(-1.0 / a)).min(MAX_MULTIPLE)
             }
         }
     }
--- a/crates/world/src/recorder.rs
+++ b/crates/world/src/recorder.rs
@@ -19,7 +19,7 @@
     /// The current second, and its latencies by class.
     second: usize,
     latencies: Vec<Vec<u32>>,
-    ledger: ledger::Counted,
+    ledger: ledger::Counters,
 }
 
 impl Recorder {
@@ -32,7 +32,7 @@
             timeline: Vec::new(),
             second: 0,
             latencies: vec![Vec::new(); s.clients.classes.len()],
-            ledger: ledger::Counted::default(),
+            ledger: ledger::Counters::default(),
         }
     }
 
@@ -96,13 +96,13 @@
         }
         if end == TryEnd::Served {
             class.latency_us.add(latency);
-            self.pass(at);
+            self.close_seconds(at);
             self.latencies[i].push(latency.clamp(0, Micros::from(u32::MAX)) as u32);
         }
     }
 
     /// Completes the seconds before this moment.
-    fn pass(&mut self, at: Micros) {
+    fn close_seconds(&mut self, at: Micros) {
         let now = ((at.max(0) / SECOND) as usize).min(MAX_SECONDS);
         if now <= self.second {
             return;
@@ -125,7 +125,7 @@
     }
 
     /// Called at the end of each second with the load of each node and the origin's counters.
-    pub fn sampled(&mut self, at: Micros, node_load: Vec<f32>, out: usize, counted: ledger::Counted) {
+    pub fn sampled(&mut self, at: Micros, node_load: Vec<f32>, out: usize, counted: ledger::Counters) {
         let before = std::mem::replace(&mut self.ledger, counted);
         let second = self.at(at - 1);
         second.node_load = node_load;
@@ -139,7 +139,7 @@
     }
 
     pub fn finish(mut self, at: Micros) -> (Tally, Vec<Second>) {
-        self.pass(at + SECOND);
+        self.close_seconds(at + SECOND);
         let classes = self.tally.classes.len();
         for second in &mut self.timeline {
             second.p50_us.resize(classes, None);
--- a/crates/world/src/rules/fail_back.rs
+++ b/crates/world/src/rules/fail_back.rs
@@ -23,9 +23,9 @@
 use std::collections::BTreeMap;
 
 /// The part of the load that must come from proxies that had been told of the start.
-const KNEW: f64 = 2.0 / 3.0;
+const INFORMED_PART: f64 = 2.0 / 3.0;
 /// Interval at which the reads due to cold nodes are recomputed.
-const SHARES: Micros = 100_000;
+const SHARE_INTERVAL: Micros = 100_000;
 
 #[derive(Clone, Debug)]
 struct Node {
@@ -34,13 +34,13 @@
     /// `None` if it was warm from the beginning.
     started: Option<Micros>,
     sent: WindowSum,
-    knowing: WindowSum,
+    sent_informed: WindowSum,
     /// Reported once per start.
-    broken: bool,
+    work_reported: bool,
     calls: WindowSum,
-    knowing_calls: WindowSum,
+    calls_informed: WindowSum,
     /// Reported once per start.
-    overloaded: bool,
+    calls_reported: bool,
 }
 
 impl Node {
@@ -51,11 +51,11 @@
             capacity,
             started,
             sent: none.clone(),
-            knowing: none.clone(),
-            broken: false,
+            sent_informed: none.clone(),
+            work_reported: false,
             calls: none.clone(),
-            knowing_calls: none,
-            overloaded: false,
+            calls_informed: none,
+            calls_reported: false,
         }
     }
 }
@@ -82,7 +82,7 @@
     reads: Vec<bool>,
     /// The part of the reads due to cold nodes, and when it was computed.
     share: f64,
-    shared: Micros,
+    share_at: Micros,
 }
 
 impl FailBack {
@@ -105,13 +105,13 @@
             due: ledger,
             reads: s.clients.classes.iter().map(|c| !c.write).collect(),
             share: 0.0,
-            shared: Micros::MIN,
+            share_at: Micros::MIN,
         }
     }
 
     /// Whether a proxy was told of this start of a node. A new proxy may find an entry of an earlier start in
     /// its first list; it is received after this start but says nothing about it.
-    fn knows(&self, proxy: ProxyNo, node: NodeNo) -> bool {
+    fn is_informed(&self, proxy: ProxyNo, node: NodeNo) -> bool {
         let Some(started) = self.nodes.get(&node).and_then(|n| n.started) else { return false };
         let told = self.told.get(&(proxy, node)).copied().flatten();
         told.is_some_and(|told| told >= started)
@@ -125,7 +125,7 @@
 
     /// The part of the reads due to cold nodes, by weights reduced by the stated warm-up.
     fn cold_share(&mut self, at: Micros) -> f64 {
-        if at < self.shared.saturating_add(SHARES) {
+        if at < self.share_at.saturating_add(SHARE_INTERVAL) {
             return self.share;
         }
         let (mut all, mut cold) = (0.0, 0.0);
@@ -136,7 +136,7 @@
             all += weight;
             cold += if age < self.cold_for { weight } else { 0.0 };
         }
-        (self.share, self.shared) = (if all > 0.0 { cold / all } else { 0.0 }, at);
+        (self.share, self.share_at) = (if all > 0.0 { cold / all } else { 0.0 }, at);
         self.share
     }
 
@@ -145,11 +145,11 @@
             Fact::Started { node, weight, capacity, warm } => {
                 let started = (!warm).then_some(at);
                 self.nodes.insert(node, Node::new(weight, capacity, started, self.window));
-                self.shared = Micros::MIN;
+                self.share_at = Micros::MIN;
             }
             Fact::Ended { node } | Fact::OverloadCrash { node } => {
                 self.nodes.remove(&node);
-                self.shared = Micros::MIN;
+                self.share_at = Micros::MIN;
             }
             Fact::Listed { proxy, node, status: Status::Ready, started } => {
                 self.told.insert((proxy, node), started);
@@ -157,7 +157,7 @@
             Fact::Listed { proxy, node, .. } => drop(self.told.remove(&(proxy, node))),
             Fact::ProxyEnded { proxy, .. } => self.told.retain(|(p, _), _| *p != proxy),
             Fact::Arrived { proxy, node, work, warmth } => {
-                self.arrived(at, proxy, node, work as f64, warmth, findings)
+                self.check_work(at, proxy, node, work as f64, warmth, findings)
             }
             Fact::Taken { class, .. } if self.reads.get(usize::from(class.0)).is_some_and(|r| *r) => {
                 let share = self.cold_share(at);
@@ -167,7 +167,7 @@
             }
             Fact::LedgerAsked { proxy, after, .. } => {
                 self.asked.add(at, 1.0);
-                let cold = after.is_some_and(|n| self.is_cold(at, n) && self.knows(proxy, n));
+                let cold = after.is_some_and(|n| self.is_cold(at, n) && self.is_informed(proxy, n));
                 if cold {
                     self.misses.add(at, 1.0);
                 }
@@ -188,7 +188,7 @@
         }
     }
 
-    fn arrived(
+    fn check_work(
         &mut self,
         at: Micros,
         proxy: ProxyNo,
@@ -200,19 +200,19 @@
         if node == LEDGER {
             return;
         }
-        self.called(at, proxy, node, findings);
+        self.check_calls(at, proxy, node, findings);
         if warmth >= 1.0 {
             return;
         }
-        let knows = self.knows(proxy, node);
+        let is_informed = self.is_informed(proxy, node);
         let Some(n) = self.nodes.get_mut(&node).filter(|n| n.started.is_some()) else { return };
         let work = work.min(self.slack);
         let sent = n.sent.add(at, work);
-        let knowing = n.knowing.add(at, if knows { work } else { 0.0 });
+        let sent_informed = n.sent_informed.add(at, if is_informed { work } else { 0.0 });
         let allowed = self.multiple * n.capacity / 1e6 * warmth * self.window as f64;
         let able = allowed + chance_margin(allowed / self.mean_work) * self.mean_work;
-        if sent > able && knowing >= KNEW * sent && !n.broken {
-            n.broken = true;
+        if sent > able && sent_informed >= INFORMED_PART * sent && !n.work_reported {
+            n.work_reported = true;
             findings.add(Rule::FailBack, at, || {
                 let (sent, able) = (sent / 1e3, able / 1e3);
                 format!(
@@ -229,11 +229,11 @@
         (self.cold_from + (1.0 - self.cold_from) * along).min(1.0)
     }
 
-    fn called(&mut self, at: Micros, proxy: ProxyNo, node: NodeNo, findings: &mut Findings) {
+    fn check_calls(&mut self, at: Micros, proxy: ProxyNo, node: NodeNo, findings: &mut Findings) {
         if !self.is_cold(at, node) {
             return;
         }
-        let knows = self.knows(proxy, node);
+        let is_informed = self.is_informed(proxy, node);
         let Some(started) = self.nodes.get(&node).and_then(|n| n.started) else { return };
         let ramp = self.ramp(at - started);
         let window = self.window as f64 / 1e6;
@@ -241,9 +241,9 @@
         let allowed = self.multiple * n.capacity * ramp * window / self.mean_work;
         let most = allowed + chance_margin(allowed);
         let calls = n.calls.add(at, 1.0);
-        let knowing = n.knowing_calls.add(at, if knows { 1.0 } else { 0.0 });
-        if calls > most && knowing >= KNEW * calls && !n.overloaded {
-            n.overloaded = true;
+        let sent_informed = n.calls_informed.add(at, if is_informed { 1.0 } else { 0.0 });
+        if calls > most && sent_informed >= INFORMED_PART * calls && !n.calls_reported {
+            n.calls_reported = true;
             findings.add(Rule::SlowStart, at, || {
                 let age = (at - started) as f64 / 1e6;
                 format!(
--- a/crates/world/src/rules/one_answer.rs
+++ b/crates/world/src/rules/one_answer.rs
@@ -8,7 +8,7 @@
 use crate::Micros;
 
 /// Interval of the search for overdue tries, and the minimum time for which answered tries are remembered.
-const SWEEP: Micros = 5_000_000;
+const SWEEP_INTERVAL: Micros = 5_000_000;
 
 #[derive(Clone, Copy, Debug)]
 struct Open {
@@ -24,8 +24,8 @@
     open: Map<TryNo, Open>,
     /// Answered since the last sweep, and in the interval before it.
     answered: Map<TryNo, ()>,
-    before: Map<TryNo, ()>,
-    sweep: Micros,
+    previously_answered: Map<TryNo, ()>,
+    next_sweep: Micros,
 }
 
 impl OneAnswer {
@@ -34,16 +34,16 @@
             grace: ms(s.rules.answer_grace_ms) + slack,
             open: Map::default(),
             answered: Map::default(),
-            before: Map::default(),
-            sweep: 0,
+            previously_answered: Map::default(),
+            next_sweep: 0,
         }
     }
 
     pub fn observe(&mut self, at: Micros, fact: &Fact, findings: &mut Findings) {
-        if at >= self.sweep {
+        if at >= self.next_sweep {
             self.overdue(at, findings);
-            self.before = std::mem::take(&mut self.answered);
-            self.sweep = at + SWEEP;
+            self.previously_answered = std::mem::take(&mut self.answered);
+            self.next_sweep = at + SWEEP_INTERVAL;
         }
         let mut breach = |what: String| findings.add(Rule::OneAnswer, at, || what);
         match *fact {
@@ -65,7 +65,7 @@
                         of.0,
                         (at - open.due) / 1000
                     )),
-                    None if self.answered.contains_key(&of) || self.before.contains_key(&of) => {
+                    None if self.answered.contains_key(&of) || self.previously_answered.contains_key(&of) => {
                         breach(format!("proxy {} answered try {} twice", proxy.0, of.0));
                     }
                     _ => {}
--- a/crates/world/src/rules/run_once.rs
+++ b/crates/world/src/rules/run_once.rs
@@ -10,7 +10,7 @@
 use crate::Micros;
 
 /// Minimum time for which executions are remembered: far longer than any window or patience.
-const HORIZON: Micros = 120_000_000;
+const RETENTION: Micros = 120_000_000;
 
 #[derive(Clone, Copy, Debug)]
 struct Ran {
@@ -23,8 +23,8 @@
     repeats: Vec<Repeat>,
     /// By idempotency key, or by try if there is none.
     ran: Map<(bool, u64), Ran>,
-    before: Map<(bool, u64), Ran>,
-    turn: Micros,
+    previously_ran: Map<(bool, u64), Ran>,
+    next_rotation: Micros,
 }
 
 impl RunOnce {
@@ -32,15 +32,15 @@
         RunOnce {
             repeats: s.clients.classes.iter().map(|c| c.repeat).collect(),
             ran: Map::default(),
-            before: Map::default(),
-            turn: 0,
+            previously_ran: Map::default(),
+            next_rotation: 0,
         }
     }
 
     pub fn observe(&mut self, at: Micros, fact: &Fact, findings: &mut Findings) {
-        if at >= self.turn {
-            self.before = std::mem::take(&mut self.ran);
-            self.turn = at + HORIZON;
+        if at >= self.next_rotation {
+            self.previously_ran = std::mem::take(&mut self.ran);
+            self.next_rotation = at + RETENTION;
         }
         match *fact {
             Fact::Ran { node, of, class, key, effect: true, .. } => {
@@ -49,7 +49,7 @@
                     return;
                 }
                 let id = key.filter(|_| repeat == Repeat::Keyed).map_or((false, of.0), |key| (true, key));
-                let earlier = self.ran.get(&id).or_else(|| self.before.get(&id)).copied();
+                let earlier = self.ran.get(&id).or_else(|| self.previously_ran.get(&id)).copied();
                 if let Some(earlier) = earlier {
                     findings.add(Rule::RunOnce, at, || {
                         let apart = (at - earlier.at) / 1000;
@@ -66,7 +66,7 @@
             // A refusal promises that a retry is harmless.
             Fact::Answered { proxy, of, how: Final::Refused } => {
                 let id = (false, of.0);
-                if self.ran.contains_key(&id) || self.before.contains_key(&id) {
+                if self.ran.contains_key(&id) || self.previously_ran.contains_key(&id) {
                     findings.add(Rule::RunOnce, at, || {
                         format!(
                             "proxy {} refused try {}, which had run and must not run twice",
--- a/crates/world/src/store.rs
+++ b/crates/world/src/store.rs
@@ -22,7 +22,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Store {
-    most: u64,
+    max_bytes: u64,
     /// Time to live of a value; `None` for unlimited.
     keep_for: Option<Micros>,
     used: u64,
@@ -34,9 +34,9 @@
 }
 
 impl Store {
-    pub fn new(most_bytes: u64, keep_for: Option<Micros>) -> Self {
+    pub fn new(capacity_bytes: u64, keep_for: Option<Micros>) -> Self {
         Store {
-            most: most_bytes,
+            max_bytes: capacity_bytes,
             keep_for,
             used: 0,
             at: Map::default(),
@@ -63,7 +63,7 @@
     pub fn get(&mut self, now: Micros, key: u64) -> bool {
         let Some(&i) = self.at.get(&key) else { return false };
         if self.entries[i as usize].expires <= now {
-            self.take(i);
+            self.remove_entry(i);
             return false;
         }
         self.unlink(i);
@@ -77,11 +77,11 @@
         self.remove(key);
         let bytes = bytes + OVERHEAD;
         let expires = self.keep_for.map_or(Micros::MAX, |t| made + t);
-        if bytes > self.most || expires <= now {
+        if bytes > self.max_bytes || expires <= now {
             return;
         }
-        while self.used + bytes > self.most && self.oldest != NONE {
-            self.take(self.oldest);
+        while self.used + bytes > self.max_bytes && self.oldest != NONE {
+            self.remove_entry(self.oldest);
         }
         let entry = Entry { key, bytes, expires, older: NONE, newer: NONE };
         let i = match self.free.pop() {
@@ -101,16 +101,16 @@
 
     pub fn remove(&mut self, key: u64) {
         if let Some(&i) = self.at.get(&key) {
-            self.take(i);
+            self.remove_entry(i);
         }
     }
 
     pub fn clear(&mut self) {
-        *self = Store::new(self.most, self.keep_for);
+        *self = Store::new(self.max_bytes, self.keep_for);
     }
 
     /// The only place where an entry is freed.
-    fn take(&mut self, i: u32) {
+    fn remove_entry(&mut self, i: u32) {
         self.unlink(i);
         let entry = self.entries[i as usize];
         self.used -= entry.bytes;
--- a/crates/world/src/world/faults.rs
+++ b/crates/world/src/world/faults.rs
@@ -23,20 +23,20 @@
 }
 
 /// Default time until a drained node ends.
-const DRAIN_S: f64 = 4.0;
+const DEFAULT_DRAIN_S: f64 = 4.0;
 /// Default time until a crashed or replaced process is back.
-const BACK_S: f64 = 2.0;
+const DEFAULT_DOWN_S: f64 = 2.0;
 /// Default interval between one affected node or proxy and the next.
-const EVERY_S: f64 = 5.0;
+const DEFAULT_INTERVAL_S: f64 = 5.0;
 /// Time between the end of a process and its restart.
-const EXEC_S: f64 = 0.5;
+const RESTART_DELAY_S: f64 = 0.5;
 /// After a planned shutdown of a proxy begins, new connections still arrive for this long.
-const STILL_S: f64 = 0.3;
+const UNLIST_DELAY_S: f64 = 0.3;
 /// A planned shutdown ends no earlier than this long after the longest patience (counted as 3 s at most).
-const KILL_S: f64 = 0.7;
-const PATIENCE_S: f64 = 3.0;
+const SHUTDOWN_MARGIN_S: f64 = 0.7;
+const MAX_PATIENCE_S: f64 = 3.0;
 /// Number of names that a fault mark lists; the rest is only counted.
-const NAMED: usize = 4;
+const MAX_NAMES: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
@@ -95,7 +95,7 @@
 }
 
 /// The number of items in this part of all: at least one, unless the part is zero.
-fn part_of(part: f64, all: usize) -> usize {
+fn count_of_part(part: f64, all: usize) -> usize {
     ((part * all as f64).round() as usize).max(usize::from(part > 0.0))
 }
 
@@ -129,8 +129,8 @@
                 }
             }
             Step::End(no) => self.end_node(at, no, out),
-            Step::Start(no) if self.is_taken(no) => {}
-            Step::Replace(old) if self.is_taken(old) || self.is_up(old) => {}
+            Step::Start(no) if self.is_address_taken(no) => {}
+            Step::Replace(old) if self.is_address_taken(old) || self.is_up(old) => {}
             Step::Start(no) => self.add_started(at, no, out),
             Step::Replace(old) => {
                 let member = self.member(old).clone();
@@ -160,7 +160,7 @@
             }
             Step::Silence(on) => self.discovery.silence(at, on),
             Step::ProxyEnds(proxy) => {
-                self.fault_schedule.plan(at + seconds(STILL_S), Step::ProxyUnlisted(proxy));
+                self.fault_schedule.plan(at + seconds(UNLIST_DELAY_S), Step::ProxyUnlisted(proxy));
                 out.push((at, Occurrence::Proxy { proxy, change: ProxyChange::End }));
             }
             Step::ProxyDies(proxy) => {
@@ -187,7 +187,7 @@
         events: &mut Vec<Event>,
         act: impl FnOnce(&mut crate::node::Node, &mut crate::node::SharedState, &mut Vec<Event>),
     ) {
-        self.shared.initial_contents.asker = no;
+        self.shared.initial_contents.requester = no;
         if let Some(node) = self.nodes.get_mut(no.0 as usize).filter(|n| n.is_up()) {
             act(node, &mut self.shared, events);
         }
@@ -219,7 +219,7 @@
     /// Whether the address of this node is used by another one: by its replacement, whether or not that is
     /// running at the moment, or by any node running there. A second process cannot listen there, and
     /// requests sent to one would count as sent to the other.
-    fn is_taken(&self, no: NodeNo) -> bool {
+    fn is_address_taken(&self, no: NodeNo) -> bool {
         let address = self.member(no).address;
         let mut others = self.members.iter().filter(|m| m.no != no && m.address == address);
         others.any(|m| m.no > no || self.is_up(m.no))
@@ -243,16 +243,16 @@
             self.members.iter().map(|m| m.no).filter(|no| self.nodes[no.0 as usize].serves()).collect();
         let wanted = match (fault.nodes, fault.part) {
             (Some(nodes), _) => nodes as usize,
-            (None, Some(part)) => part_of(part, serving.len()),
+            (None, Some(part)) => count_of_part(part, serving.len()),
             (None, None) => 0,
         };
-        self.draw(i, wanted, &mut serving);
+        self.choose(i, wanted, &mut serving);
         serving
     }
 
     /// Keeps `wanted` random items, chosen by the seed and the fault's index, in the order in which they were
     /// drawn.
-    fn draw<T>(&self, i: usize, wanted: usize, all: &mut Vec<T>) {
+    fn choose<T>(&self, i: usize, wanted: usize, all: &mut Vec<T>) {
         let mut rng = stream(self.seed, "struck", i as u64);
         let wanted = wanted.min(all.len());
         for at in 0..wanted {
@@ -265,27 +265,27 @@
     fn begin(&mut self, at: Micros, i: usize, out: &mut Vec<(Micros, Occurrence)>) {
         let fault = self.fault_schedule.faults[i].clone();
         let until = at + seconds(fault.for_s);
-        let every = seconds(fault.every_s.unwrap_or(EVERY_S));
+        let every = seconds(fault.every_s.unwrap_or(DEFAULT_INTERVAL_S));
         let down = |or: f64| seconds(fault.down_s.unwrap_or(or));
         let mut end = until;
-        let mut struck = Vec::new();
+        let mut affected = Vec::new();
         if fault.kind.reads().nodes && fault.kind != FaultKind::Grow {
-            struck = self.affected_nodes(&fault, i);
+            affected = self.affected_nodes(&fault, i);
         }
-        let names = |struck: &[NodeNo]| {
+        let names = |affected: &[NodeNo]| {
             let mut names: Vec<&str> =
-                struck.iter().take(NAMED).map(|no| self.member(*no).name.as_str()).collect();
-            let more = format!("{} more", struck.len().saturating_sub(NAMED));
-            if struck.len() > NAMED {
+                affected.iter().take(MAX_NAMES).map(|no| self.member(*no).name.as_str()).collect();
+            let more = format!("{} more", affected.len().saturating_sub(MAX_NAMES));
+            if affected.len() > MAX_NAMES {
                 names.push(&more);
             }
             names.join(", ")
         };
-        let mut what = names(&struck);
-        let count = struck.len() as i64;
+        let mut what = names(&affected);
+        let count = affected.len() as i64;
         // Spread over the fault's duration if it affects one after the other.
         let spread = |k: usize| at + (until - at) * k as i64 / count.max(1);
-        for (k, no) in struck.iter().copied().enumerate() {
+        for (k, no) in affected.iter().copied().enumerate() {
             let turn = at + every * k as i64;
             match fault.kind {
                 FaultKind::Hang => self.plan_start_and_end(at, until, |on| Step::Hang(no, on)),
@@ -295,12 +295,12 @@
                 }
                 FaultKind::Crash => {
                     self.fault_schedule.plan(at, Step::End(no));
-                    end = at + down(BACK_S);
+                    end = at + down(DEFAULT_DOWN_S);
                     self.fault_schedule.plan(end, Step::Start(no));
                 }
                 FaultKind::Restart | FaultKind::Replace => {
-                    let over = turn + down(DRAIN_S);
-                    end = over + seconds(EXEC_S);
+                    let over = turn + down(DEFAULT_DRAIN_S);
+                    end = over + seconds(RESTART_DELAY_S);
                     self.fault_schedule.plan(turn, Step::Drain(no));
                     self.fault_schedule.plan(over, Step::End(no));
                     let next =
@@ -308,9 +308,9 @@
                     self.fault_schedule.plan(end, next);
                 }
                 FaultKind::Drain | FaultKind::Shrink => {
-                    end = until.max(spread(k) + down(DRAIN_S));
+                    end = until.max(spread(k) + down(DEFAULT_DRAIN_S));
                     self.fault_schedule.plan(spread(k), Step::Drain(no));
-                    self.fault_schedule.plan(spread(k) + down(DRAIN_S), Step::End(no));
+                    self.fault_schedule.plan(spread(k) + down(DEFAULT_DRAIN_S), Step::End(no));
                 }
                 FaultKind::Vanish => {
                     let node = &mut self.nodes[no.0 as usize];
@@ -361,7 +361,7 @@
                 let mut proxies: Vec<u32> = all.filter(|p| fault.proxy.is_none_or(|f| f == *p)).collect();
                 let count = proxies.len();
                 if let Some(part) = fault.part {
-                    self.draw(i, part_of(part, count), &mut proxies);
+                    self.choose(i, count_of_part(part, count), &mut proxies);
                 }
                 // A part of the proxies is affected at once.
                 let every = if fault.part.is_some() && fault.every_s.is_none() { 0 } else { every };
@@ -369,13 +369,14 @@
                     let (turn, proxy) = (at + every * k as i64, ProxyNo(*proxy));
                     let planned = fault.kind == FaultKind::ProxyRestart;
                     let (step, back) = if planned {
-                        (Step::ProxyEnds(proxy), DRAIN_S)
+                        (Step::ProxyEnds(proxy), DEFAULT_DRAIN_S)
                     } else {
-                        (Step::ProxyDies(proxy), BACK_S)
+                        (Step::ProxyDies(proxy), DEFAULT_DOWN_S)
                     };
                     self.fault_schedule.plan(turn, step);
                     // A proxy that is told to shut down gets the time to answer what it has accepted.
-                    let least = if planned { self.longest_patience() + seconds(KILL_S) } else { 0 };
+                    let least =
+                        if planned { self.longest_patience() + seconds(SHUTDOWN_MARGIN_S) } else { 0 };
                     end = turn + down(back).max(least);
                     self.fault_schedule.plan(end, Step::ProxyStarts(proxy));
                 }
@@ -402,7 +403,7 @@
 
     fn longest_patience(&self) -> Micros {
         let classes = self.scenario.clients.classes.iter();
-        seconds(classes.map(|c| c.patience_ms / 1e3).fold(0.0, f64::max).min(PATIENCE_S))
+        seconds(classes.map(|c| c.patience_ms / 1e3).fold(0.0, f64::max).min(MAX_PATIENCE_S))
     }
 
     fn plan_start_and_end(&mut self, at: Micros, until: Micros, step: impl Fn(bool) -> Step) {
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -38,7 +38,7 @@
 
 const SECOND: Micros = 1_000_000;
 /// The minimum part of the reads that the origin is dimensioned for.
-const MIN_MISSES: f64 = 0.02;
+const MIN_MISS_PART: f64 = 0.02;
 
 /// The fixed properties of a node or the origin.
 #[derive(Clone, Debug, PartialEq)]
@@ -157,10 +157,10 @@
         let keep = s.nodes.iter().map(|g| if g.ttl_s > 0.0 { g.ttl_s } else { 1e9 }).fold(0.0, f64::max);
         let (reads, writes) = reads_and_writes(&s);
         let capacity = s.ledger.capacity_per_s.unwrap_or_else(|| {
-            let hits = arrivals.popularity().hits(values, reads, keep, writes / reads.max(1e-9));
+            let hit_ratio = arrivals.popularity().hit_ratio(values, reads, keep, writes / reads.max(1e-9));
             // A cache that holds everything would send nothing to the origin; its capacity has a minimum
             // nevertheless.
-            let misses = reads * (1.0 - hits).max(MIN_MISSES);
+            let misses = reads * (1.0 - hit_ratio).max(MIN_MISS_PART);
             s.ledger.headroom * (misses + writes * s.ledger.write_work)
         });
         let proxies: Vec<u16> = (0..s.proxies.count as usize).map(|i| (i % halls) as u16).collect();
@@ -321,7 +321,7 @@
             Some(n) => {
                 let (work, warmth) = (request.work as Micros, n.warmth(now));
                 self.rules.observe(now, &Fact::Arrived { proxy, node, work, warmth });
-                self.shared.initial_contents.asker = node;
+                self.shared.initial_contents.requester = node;
                 n.arrive(now, request, &mut self.shared, &mut events);
             }
             None => {
@@ -346,7 +346,7 @@
         };
         self.recorder.work().probes += 1;
         let mut events = std::mem::take(&mut self.events);
-        self.shared.initial_contents.asker = node;
+        self.shared.initial_contents.requester = node;
         n.probe(now, job, connection, &mut self.shared, &mut events);
         self.publish_events(node, events, out);
     }
@@ -411,7 +411,7 @@
         match self.nodes.get_mut(no.0 as usize) {
             Some(n) if self.wake_at[no.0 as usize] == at => {
                 self.wake_at[no.0 as usize] = Micros::MAX;
-                self.shared.initial_contents.asker = no;
+                self.shared.initial_contents.requester = no;
                 n.advance(at, &mut self.shared, &mut events);
             }
             None if self.ledger_wake == at => {
--- a/crates/world/tests/world.rs
+++ b/crates/world/tests/world.rs
@@ -162,7 +162,7 @@
 fn a_write_at_the_ledger_voids_all_copies() {
     let mut world = quick();
     // A key that nobody requested before the start of the run.
-    let key = world.arrivals().popularity().crowded(1);
+    let key = world.arrivals().popularity().crowd_key(1);
     let (a, b) = (NodeNo(0), NodeNo(1));
     assert!(matches!(read(&mut world, 0, a, key), Answer::Miss { .. }));
     world.store_value(3 * S, &[Some(a), Some(b)], key, 100);
