--- a/crates/lab/src/loopback/cost/mod.rs
+++ b/crates/lab/src/loopback/cost/mod.rs
@@ -18,7 +18,7 @@
 pub use protocol::Protocol;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use world::facts::{NodeNo, ProxyNo, LEDGER};
+use world::facts::{NodeNo, ProxyNo, ORIGIN};
 use world::outcome::Latencies;
 use world::world::World;
 
@@ -114,7 +114,7 @@
     let discovery = Discovery::start().map_err(system("discovery"))?;
     let held = Held::take().map_err(system("a port for the proxy"))?;
     // Nothing misses, so nobody asks the ledger: any node will do for it.
-    let address = |node: NodeNo| nodes.addresses()[if node == LEDGER { 0 } else { node.0 as usize }];
+    let address = |node: NodeNo| nodes.addresses()[if node == ORIGIN { 0 } else { node.0 as usize }];
     let place = settings::Place {
         proxy: ProxyNo(0),
         listen: held.address(),
--- a/crates/lab/src/loopback/settings.rs
+++ b/crates/lab/src/loopback/settings.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use world::discovery::Entry;
-use world::facts::{NodeNo, ProxyNo, Status, LEDGER};
+use world::facts::{NodeNo, ProxyNo, Status, ORIGIN};
 use world::scenario::{ClientClass, Repeat, Scenario, Tenant};
 use world::world::{Member, World};
 
@@ -134,7 +134,7 @@
         let entry = Entry { node, status: Status::Ready, started: None };
         member(world.scenario(), world.member(node), &entry, address(node), &clock)
     };
-    list(1, true, world.members().iter().map(|m| m.no).chain([LEDGER]).map(one).collect())
+    list(1, true, world.members().iter().map(|m| m.no).chain([ORIGIN]).map(one).collect())
 }
 
 /// An entry of it; `address` is where this proxy reaches the member.
@@ -147,7 +147,7 @@
     json!({
         "id": member.name,
         "host_port": address.to_string(),
-        "locality": s.halls.get(usize::from(member.hall)),
+        "locality": s.halls.get(usize::from(member.zone)),
         "flavor": member.kind,
         "cell": 0,
         "phase": phase,
--- a/crates/lab/src/loopback/stage/doors.rs
+++ b/crates/lab/src/loopback/stage/doors.rs
@@ -89,7 +89,7 @@
     /// A node, or the ledger, runs at its address, in place of whatever was there.
     pub fn add(&mut self, world: &World, node: NodeNo) -> io::Result<()> {
         let member = world.member(node);
-        let (address, hall) = (member.address, member.hall);
+        let (address, hall) = (member.address, member.zone);
         for proxy in 0..self.halls.len() {
             let proxy = ProxyNo(proxy as u32);
             match self.at.get(&(address, proxy)) {
@@ -152,8 +152,8 @@
     }
 
     fn up_ledger(&mut self, world: &World) {
-        let up = world.ledger().is_up();
-        self.change(world, world::facts::LEDGER, |r| r.up = up);
+        let up = world.origin().is_up();
+        self.change(world, world::facts::ORIGIN, |r| r.up = up);
     }
 
     /// Whether doors and links may be other than the world has it.
--- a/crates/lab/src/loopback/stage/mod.rs
+++ b/crates/lab/src/loopback/stage/mod.rs
@@ -128,7 +128,7 @@
         for member in world.members() {
             doors.add(&world, member.no).map_err(system("a port for a node"))?;
         }
-        doors.add(&world, world::facts::LEDGER).map_err(system("a port for the ledger"))?;
+        doors.add(&world, world::facts::ORIGIN).map_err(system("a port for the ledger"))?;
         doors.settle(&world, &executor, &queue).map_err(system("a port"))?;
         let mut stage = Stage {
             desk: world.request_table(),
--- a/crates/lab/src/loopback/stage/tries.rs
+++ b/crates/lab/src/loopback/stage/tries.rs
@@ -20,7 +20,7 @@
     /// A client sends its next try, by way of the front.
     pub(super) fn send(&mut self, at: Micros, place: RequestSlot) {
         let Some(request) = self.desk.request(place) else { return };
-        let Some(proxy) = self.world.front().pick(request.hall, request.no.0 ^ (at as u64) << 20) else {
+        let Some(proxy) = self.world.front().pick(request.zone, request.no.0 ^ (at as u64) << 20) else {
             let next = self.desk.unreached(at, place, &mut self.world.recorder);
             return self.retry(next);
         };
--- a/crates/lab/src/loopback/stage/visits.rs
+++ b/crates/lab/src/loopback/stage/visits.rs
@@ -13,7 +13,7 @@
 use martenweir::codec::resp;
 use std::collections::VecDeque;
 use std::net::TcpStream;
-use world::facts::{ClassNo, Fact, NodeNo, ProxyNo, LEDGER};
+use world::facts::{ClassNo, Fact, NodeNo, ProxyNo, ORIGIN};
 use world::node::{Answer, DialOutcome, NodeRequest, Report};
 use world::random::ms;
 use world::scenario::Repeat;
@@ -85,7 +85,7 @@
         let id = LinkId(self.last_link);
         let (node, dialect) = match owner {
             Owner::Discovery => (None, Dialect::Discovery),
-            Owner::Node { node: LEDGER, .. } => (Some(LEDGER), Dialect::Ledger),
+            Owner::Node { node: ORIGIN, .. } => (Some(ORIGIN), Dialect::Ledger),
             Owner::Node { node, .. } => (Some(node), Dialect::Cache),
         };
         let (executor, clock) = (self.executor.clone(), self.clock.clone());
@@ -93,7 +93,7 @@
         let now = self.reached;
         let (mut address, mut hall) = (0, 0);
         if let Some(node) = node {
-            (address, hall) = (self.world.member(node).address, self.world.member(node).hall);
+            (address, hall) = (self.world.member(node).address, self.world.member(node).zone);
             match self.world.connect(now, node, id.0) {
                 DialOutcome::Accepted => {}
                 DialOutcome::Refused => {
@@ -151,7 +151,7 @@
         self.last_job += 1;
         let job = self.last_job;
         connection.owed.push_back(Owed { job, answer: None });
-        let dialect = if node == LEDGER { Dialect::Ledger } else { Dialect::Cache };
+        let dialect = if node == ORIGIN { Dialect::Ledger } else { Dialect::Cache };
         let what = match command {
             Command::Load => What::Load,
             Command::Ping => What::Ping,
@@ -175,7 +175,7 @@
             self.taken(begun, of);
             self.world.observe(begun, Fact::AttemptBegun { proxy, node, of });
             let here = self.world.proxies().get(proxy.0 as usize).copied();
-            let crosses = here != Some(self.world.member(node).hall);
+            let crosses = here != Some(self.world.member(node).zone);
             let counts = self.world.recorder.work();
             counts.attempts += 1;
             counts.crossings += u64::from(crosses);
@@ -223,7 +223,7 @@
             repeat: p.repeat.map(|key| (key, ms(words.window_ms))),
             expires: at + p.patience,
         };
-        let after = sent.and_then(|t| t.after).filter(|_| *node == Some(LEDGER));
+        let after = sent.and_then(|t| t.after).filter(|_| *node == Some(ORIGIN));
         Some(NodeAttempt { proxy: *proxy, request, after })
     }
 
@@ -256,7 +256,7 @@
             let waits = self.desk.get(visit.request.of);
             useful &= waits.is_some();
             let missed = waits.filter(|_| open).map(|t| t.missed);
-            if node == LEDGER && said == Answer::Value {
+            if node == ORIGIN && said == Answer::Value {
                 if visit.request.write {
                     self.world.invalidate_copies(visit.request.key);
                 } else if let Some(missed) = missed {
@@ -269,14 +269,14 @@
                 }
             }
         }
-        if !useful && node != LEDGER {
+        if !useful && node != ORIGIN {
             self.world.recorder.work().wasted_us += work;
         }
         let Some(Job { link, what, .. }) = job else { return };
         if said == Answer::Reset {
             return self.agenda.add(at, Due::Break { link });
         }
-        let dialect = if node == LEDGER { Dialect::Ledger } else { Dialect::Cache };
+        let dialect = if node == ORIGIN { Dialect::Ledger } else { Dialect::Cache };
         let bytes = answer(dialect, &what, said);
         let then = if said == Answer::Corrupted { Then::Finish } else { Then::Keep };
         if let Some(arrives) = self.travel(at, link, false) {
--- a/crates/lab/src/virtual_host/engine.rs
+++ b/crates/lab/src/virtual_host/engine.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use world::clients::{Arrivals, RequestSlot, RequestTable, TryEnd};
 use world::discovery::ListUpdate;
-use world::facts::{Fact, Final, NodeNo, ProxyNo, TryNo, LEDGER};
+use world::facts::{Fact, Final, NodeNo, ProxyNo, TryNo, ORIGIN};
 use world::node::{Answer, DialOutcome, NodeRequest};
 use world::outcome::{ConnectionCounts, Lateness, Run, Sizes};
 use world::random::{ms, seconds, seed_of, stream, Map};
@@ -119,7 +119,7 @@
             looks: Micros::MAX,
         });
         let proxies = proxies.collect();
-        let mut listens = vec![LEDGER];
+        let mut listens = vec![ORIGIN];
         listens.extend(world.members().iter().map(|m| m.no));
         Engine {
             desk: world.request_table(),
@@ -238,7 +238,7 @@
     /// A client sends a try, by way of the front.
     fn send_try(&mut self, at: Micros, place: RequestSlot) {
         let Some(request) = self.desk.request(place) else { return };
-        let Some(proxy) = self.world.front().pick(request.hall, request.no.0 ^ (at as u64) << 20) else {
+        let Some(proxy) = self.world.front().pick(request.zone, request.no.0 ^ (at as u64) << 20) else {
             let next = self.desk.unreached(at, place, &mut self.world.recorder);
             return self.retry(next);
         };
@@ -507,7 +507,7 @@
     /// When a message on a connection arrives at the other end; `None` if it is lost, and the connection silent.
     fn travel(&mut self, at: Micros, link: Ref, out: bool) -> Option<Micros> {
         let l = self.links.get_mut(link)?;
-        let (here, there) = (self.proxies[l.proxy.0 as usize].hall, self.world.member(l.node).hall);
+        let (here, there) = (self.proxies[l.proxy.0 as usize].hall, self.world.member(l.node).zone);
         let silent = l.lost || self.silent.get(l.node.0 as usize).is_some_and(|s| *s);
         let Some(delay) = self.world.network.between(here, there).filter(|_| !silent) else {
             l.lost = true;
@@ -519,7 +519,7 @@
     }
 
     fn dial(&mut self, at: Micros, proxy: ProxyNo, connection: ConnectionId, address: u32) {
-        let node = self.listens.get(address as usize).copied().unwrap_or(LEDGER);
+        let node = self.listens.get(address as usize).copied().unwrap_or(ORIGIN);
         let link = self.links.insert(Link {
             proxy,
             connection,
@@ -576,9 +576,9 @@
             ask.bytes = r.bytes;
             ask.repeat = keyed.map(|c| (r.repeat_key(), ms(c.window_ms)));
             ask.expires = at + patience;
-            (of, after) = (Some(t.no), t.after.filter(|_| l.node == LEDGER));
+            (of, after) = (Some(t.no), t.after.filter(|_| l.node == ORIGIN));
             self.world.observe(at, Fact::AttemptBegun { proxy, node: l.node, of: t.no });
-            let crosses = self.proxies[proxy.0 as usize].hall != self.world.member(l.node).hall;
+            let crosses = self.proxies[proxy.0 as usize].hall != self.world.member(l.node).zone;
             let counts = self.world.recorder.work();
             counts.attempts += 1;
             counts.crossings += u64::from(crosses);
@@ -629,7 +629,7 @@
         match answer {
             Answer::Value => {
                 reply.value = a.ask.of.0.to_be_bytes().to_vec();
-                reply.note = u32::from(node != LEDGER);
+                reply.note = u32::from(node != ORIGIN);
             }
             Answer::Miss { pending } => {
                 (reply.verdict, reply.note) = (Verdict::Miss, 2 + u32::from(pending));
@@ -730,14 +730,14 @@
 
     fn node_answered(&mut self, at: Micros, node: NodeNo, attempt: Ref, answer: Answer, work: f64) {
         let wasted = |engine: &mut Self| {
-            if node != LEDGER {
+            if node != ORIGIN {
                 engine.world.recorder.work().wasted_us += work;
             }
         };
         let Some(a) = self.attempts.get(attempt).copied() else { return wasted(self) };
         let open = self.links.get(a.link).is_some_and(|l| l.open && !l.lost);
         let waited = a.of.is_some_and(|of| self.desk.get(of).is_some());
-        if node == LEDGER && answer == Answer::Value && !a.ask.write && open {
+        if node == ORIGIN && answer == Answer::Value && !a.ask.write && open {
             if let Some(missed) = a.of.and_then(|of| self.desk.get(of)).map(|t| t.missed) {
                 self.world.store_value(at, &missed, a.ask.key, a.ask.bytes);
             }
@@ -773,7 +773,7 @@
     fn node_started(&mut self, node: NodeNo) {
         let address = self.world.member(node).address as usize;
         if self.listens.len() <= address {
-            self.listens.resize(address + 1, LEDGER);
+            self.listens.resize(address + 1, ORIGIN);
         }
         self.listens[address] = node;
         let no = node.0 as usize;
@@ -788,7 +788,7 @@
         let world = &self.world;
         let proxies = &self.proxies;
         let back = |l: &Link| {
-            let (here, there) = (proxies[l.proxy.0 as usize].hall, world.member(l.node).hall);
+            let (here, there) = (proxies[l.proxy.0 as usize].hall, world.member(l.node).zone);
             l.lost && !world.network.is_cut(here, there)
         };
         for link in self.links.which(back) {
--- a/crates/lab/src/virtual_host/site.rs
+++ b/crates/lab/src/virtual_host/site.rs
@@ -92,7 +92,7 @@
         let m = world.member(e.node);
         let member = Member {
             server: ServerId(hash_id(m.name.as_bytes())),
-            zone: ZoneId(m.hall),
+            zone: ZoneId(m.zone),
             kind: KindId(m.kind_no),
             cell: CellId(0),
             phase: match e.status {
--- a/crates/world/src/clients/arrivals.rs
+++ b/crates/world/src/clients/arrivals.rs
@@ -20,7 +20,7 @@
     /// Index in the scenario's tenants; 0 if there are none.
     pub tenant: u32,
     /// Index of the zone whose proxies it is sent to.
-    pub hall: u16,
+    pub zone: u16,
     pub key: u64,
     /// Size of the value.
     pub bytes: u64,
@@ -59,7 +59,7 @@
     popularity: Popularity,
     traffic: Traffic,
     classes: Vec<(Class, ClientClass)>,
-    halls: Vec<f64>,
+    zones: Vec<f64>,
     /// For each tenant: its share in requests per microsecond, the tokens left, and when they were last
     /// refilled.
     quotas: Vec<(f64, f64, Micros)>,
@@ -80,8 +80,8 @@
         let class =
             |c: &ClientClass| (Class { part: c.share / shares, patience: ms(c.patience_ms) }, c.clone());
         let skewed = |i: usize| if i == 0 && s.halls.len() > 1 { 1.0 + c.hall_skew } else { 1.0 };
-        let halls: Vec<f64> = (0..s.halls.len()).map(skewed).collect();
-        let all: f64 = halls.iter().sum();
+        let zones: Vec<f64> = (0..s.halls.len()).map(skewed).collect();
+        let all: f64 = zones.iter().sum();
         let tenants: f64 = c.tenants.iter().map(|t| t.share).sum();
         let quota = |share: f64| s.rules.quota_multiple * c.rate_per_s * share / tenants / 1e6;
         Arrivals {
@@ -89,7 +89,7 @@
             popularity: Popularity::new(&c.popularity, seed_of(seed, "popularity", 0)),
             traffic: Traffic::new(s),
             classes: c.classes.iter().map(class).collect(),
-            halls: halls.iter().map(|h| h / all).collect(),
+            zones: zones.iter().map(|h| h / all).collect(),
             quotas: c.tenants.iter().map(|t| (quota(t.share), quota(t.share) * 1e6, 0)).collect(),
             over_share_worth: s.rules.over_share_worth,
             retries: c.retries,
@@ -154,7 +154,7 @@
         let rng = &mut self.rng;
         let class = Self::pick(self.classes.iter().map(|c| c.0.part), rng.random());
         let tenant = self.traffic.tenant(at, rng.random());
-        let hall = Self::pick(self.halls.iter().copied(), rng.random());
+        let zone = Self::pick(self.zones.iter().copied(), rng.random());
         let (derived, settings) = &self.classes[class];
         let crowd = self.traffic.crowd(at);
         let key = if !settings.write && chance(crowd, rng) {
@@ -175,7 +175,7 @@
             at,
             class: ClassNo(class as u16),
             tenant: tenant as u32,
-            hall: hall as u16,
+            zone: zone as u16,
             key,
             bytes: self.popularity.bytes(key),
             work,
--- a/crates/world/src/facts.rs
+++ b/crates/world/src/facts.rs
@@ -23,7 +23,7 @@
 number!(/** A class's index in the scenario. */ ClassNo, u16);
 
 /// The number that stands for the origin where a node is expected.
-pub const LEDGER: NodeNo = NodeNo(u32::MAX);
+pub const ORIGIN: NodeNo = NodeNo(u32::MAX);
 
 /// How a proxy answered a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,8 +81,8 @@
     /// The process or machine of a node is gone.
     Ended { node: NodeNo },
     /// A read or write has reached the origin. `after` is the node whose miss caused the read.
-    LedgerAsked { proxy: ProxyNo, of: TryNo, after: Option<NodeNo> },
+    OriginAsked { proxy: ProxyNo, of: TryNo, after: Option<NodeNo> },
     /// The origin received more than a set multiple of its capacity from `since` until now. `stopped` tells
     /// whether it stopped because of that.
-    LedgerOverloaded { since: Micros, stopped: bool },
+    OriginOverloaded { since: Micros, stopped: bool },
 }
--- a/crates/world/src/front.rs
+++ b/crates/world/src/front.rs
@@ -11,7 +11,7 @@
     rng: Random,
     notice: Range,
     /// The zone of each proxy, and whether the front considers it alive.
-    halls: Vec<u16>,
+    zones: Vec<u16>,
     alive: Vec<bool>,
     /// The proxies to choose from, by zone.
     picks: Vec<Vec<ProxyNo>>,
@@ -20,19 +20,19 @@
 
 impl Front {
     /// `proxies` holds the zone of each proxy.
-    pub fn new(notice: Range, halls: usize, proxies: Vec<u16>, rng: Random) -> Self {
+    pub fn new(notice: Range, zones: usize, proxies: Vec<u16>, rng: Random) -> Self {
         let alive = vec![true; proxies.len()];
-        let picks = vec![Vec::new(); halls];
-        let mut front = Front { rng, notice, halls: proxies, alive, picks, notices: Vec::new() };
+        let picks = vec![Vec::new(); zones];
+        let mut front = Front { rng, notice, zones: proxies, alive, picks, notices: Vec::new() };
         front.sort();
         front
     }
 
     fn sort(&mut self) {
         let alive: Vec<ProxyNo> =
-            (0..self.halls.len()).filter(|i| self.alive[*i]).map(|i| ProxyNo(i as u32)).collect();
-        for (hall, picks) in self.picks.iter_mut().enumerate() {
-            let here = |p: &&ProxyNo| usize::from(self.halls[p.0 as usize]) == hall;
+            (0..self.zones.len()).filter(|i| self.alive[*i]).map(|i| ProxyNo(i as u32)).collect();
+        for (zone, picks) in self.picks.iter_mut().enumerate() {
+            let here = |p: &&ProxyNo| usize::from(self.zones[p.0 as usize]) == zone;
             *picks = alive.iter().filter(here).copied().collect();
             if picks.is_empty() {
                 // Clients of a zone without a live proxy go to the other zones.
@@ -42,8 +42,8 @@
     }
 
     /// The proxy for a try from this zone; `number` selects among several.
-    pub fn pick(&self, hall: u16, number: u64) -> Option<ProxyNo> {
-        let picks = self.picks.get(usize::from(hall))?;
+    pub fn pick(&self, zone: u16, number: u64) -> Option<ProxyNo> {
+        let picks = self.picks.get(usize::from(zone))?;
         picks.get((mix(number) % picks.len().max(1) as u64) as usize).copied()
     }
 
--- a/crates/world/src/initial_contents.rs
+++ b/crates/world/src/initial_contents.rs
@@ -6,7 +6,7 @@
 //! start would give the same result but take its time.
 
 use crate::clients::Popularity;
-use crate::facts::{NodeNo, LEDGER};
+use crate::facts::{NodeNo, ORIGIN};
 use crate::random::{mix, seconds, unit, Map};
 use crate::Micros;
 
@@ -31,7 +31,7 @@
 impl InitialContents {
     /// Nodes start empty.
     pub fn none() -> Self {
-        InitialContents { model: None, requester: LEDGER, holders: Map::default() }
+        InitialContents { model: None, requester: ORIGIN, holders: Map::default() }
     }
 
     /// Keys were requested at this rate. A cache of all nodes together has room for this many values and
@@ -73,6 +73,6 @@
     /// is none.
     pub fn invalidate(&mut self, key: u64) -> Option<NodeNo> {
         self.model.as_ref()?;
-        self.holders.insert(key, LEDGER).filter(|holder| *holder != LEDGER)
+        self.holders.insert(key, ORIGIN).filter(|holder| *holder != ORIGIN)
     }
 }
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -18,9 +18,9 @@
 pub mod front;
 pub mod geography;
 pub mod initial_contents;
-pub mod ledger;
 pub mod network;
 pub mod node;
+pub mod origin;
 pub mod outcome;
 pub mod random;
 pub mod recorder;
@@ -35,4 +35,4 @@
 pub type Micros = i64;
 
 /// The kind under which discovery lists the origin.
-pub const LEDGER_KIND: &str = "origin";
+pub const ORIGIN_KIND: &str = "origin";
--- a/crates/world/src/network.rs
+++ b/crates/world/src/network.rs
@@ -21,7 +21,7 @@
 }
 
 impl Network {
-    pub fn new(n: &scenario::Network, halls: usize, rng: Random) -> Self {
+    pub fn new(n: &scenario::Network, zones: usize, rng: Random) -> Self {
         Network {
             rng,
             same: n.same_hall_ms * 1e3,
@@ -29,7 +29,7 @@
             client: n.client_ms * 1e3,
             jitter: n.jitter,
             broken: n.broken,
-            cuts: vec![0; halls],
+            cuts: vec![0; zones],
         }
     }
 
@@ -41,7 +41,7 @@
     }
 
     pub fn is_cut(&self, a: u16, b: u16) -> bool {
-        let cut = |hall: u16| self.cuts.get(usize::from(hall)).is_some_and(|c| *c > 0);
+        let cut = |zone: u16| self.cuts.get(usize::from(zone)).is_some_and(|c| *c > 0);
         a != b && (cut(a) || cut(b))
     }
 
@@ -63,8 +63,8 @@
         chance(self.broken, &mut self.rng)
     }
 
-    pub fn cut(&mut self, hall: u16, on: bool) {
-        if let Some(cuts) = self.cuts.get_mut(usize::from(hall)) {
+    pub fn cut(&mut self, zone: u16, on: bool) {
+        if let Some(cuts) = self.cuts.get_mut(usize::from(zone)) {
             *cuts = if on { *cuts + 1 } else { cuts.saturating_sub(1) };
         }
     }
--- a/crates/world/src/ledger.rs
+++ b/crates/world/src/origin.rs
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct Origin {
     rng: Random,
     /// Reads per second.
     capacity: f64,
@@ -63,15 +63,15 @@
     counted: Counters,
 }
 
-impl Ledger {
+impl Origin {
     /// `capacity` is in reads per second.
-    pub fn new(l: &scenario::Ledger, capacity: f64, rng: Random) -> Self {
+    pub fn new(l: &scenario::Origin, capacity: f64, rng: Random) -> Self {
         let service = l.service_ms * 1e3;
         // The number of slots that are busy at full capacity; the rounding is compensated by the speed of
         // each slot.
         let wanted = capacity * service / 1e6;
         let slots = (wanted.round() as usize).max(1);
-        Ledger {
+        Origin {
             rng,
             capacity,
             service,
--- a/crates/world/src/recorder.rs
+++ b/crates/world/src/recorder.rs
@@ -1,7 +1,7 @@
 //! Counts the results of requests into a [`Tally`] and a timeline; the same bookkeeping for every host.
 
 use crate::clients::{Request, TryEnd};
-use crate::ledger;
+use crate::origin;
 use crate::outcome::{ClassTally, Second, Tally, Work};
 use crate::random::ms;
 use crate::scenario::Scenario;
@@ -19,7 +19,7 @@
     /// The current second, and its latencies by class.
     second: usize,
     latencies: Vec<Vec<u32>>,
-    ledger: ledger::Counters,
+    origin: origin::Counters,
 }
 
 impl Recorder {
@@ -32,7 +32,7 @@
             timeline: Vec::new(),
             second: 0,
             latencies: vec![Vec::new(); s.clients.classes.len()],
-            ledger: ledger::Counters::default(),
+            origin: origin::Counters::default(),
         }
     }
 
@@ -125,8 +125,8 @@
     }
 
     /// Called at the end of each second with the load of each node and the origin's counters.
-    pub fn sampled(&mut self, at: Micros, node_load: Vec<f32>, out: usize, counted: ledger::Counters) {
-        let before = std::mem::replace(&mut self.ledger, counted);
+    pub fn sampled(&mut self, at: Micros, node_load: Vec<f32>, out: usize, counted: origin::Counters) {
+        let before = std::mem::replace(&mut self.origin, counted);
         let second = self.at(at - 1);
         second.node_load = node_load;
         second.ledger_out = out as u32;
@@ -145,10 +145,10 @@
             second.p50_us.resize(classes, None);
             second.p99_us.resize(classes, None);
         }
-        self.tally.ledger_reads = self.ledger.reads;
-        self.tally.ledger_writes = self.ledger.writes;
-        self.tally.ledger_refused = self.ledger.refused;
-        self.tally.ledger_stops = self.ledger.stops;
+        self.tally.ledger_reads = self.origin.reads;
+        self.tally.ledger_writes = self.origin.writes;
+        self.tally.ledger_refused = self.origin.refused;
+        self.tally.ledger_stops = self.origin.stops;
         (self.tally, self.timeline)
     }
 }
--- a/crates/world/src/rules/fail_back.rs
+++ b/crates/world/src/rules/fail_back.rs
@@ -13,7 +13,7 @@
 //! ([`chance_margin`]). Here every call counts the same, whatever its work.
 
 use super::Findings;
-use crate::facts::{Fact, NodeNo, ProxyNo, Status, LEDGER};
+use crate::facts::{Fact, NodeNo, ProxyNo, Status, ORIGIN};
 use crate::node::{chance_margin, MAX_COUNTED_REQUESTS};
 use crate::outcome::Rule;
 use crate::random::{ms, seconds, Map};
@@ -88,7 +88,7 @@
 impl FailBack {
     pub fn new(s: &Scenario) -> Self {
         let r = &s.rules;
-        let ledger = WindowSum::new(ms(s.ledger.fall_for_ms));
+        let origin = WindowSum::new(ms(s.ledger.fall_for_ms));
         FailBack {
             multiple: r.fall_multiple,
             window: ms(r.fall_for_ms),
@@ -100,9 +100,9 @@
             miss_multiple: r.cold_miss_multiple,
             nodes: BTreeMap::new(),
             told: Map::default(),
-            asked: ledger.clone(),
-            misses: ledger.clone(),
-            due: ledger,
+            asked: origin.clone(),
+            misses: origin.clone(),
+            due: origin,
             reads: s.clients.classes.iter().map(|c| !c.write).collect(),
             share: 0.0,
             share_at: Micros::MIN,
@@ -165,14 +165,14 @@
                     self.due.add(at, share);
                 }
             }
-            Fact::LedgerAsked { proxy, after, .. } => {
+            Fact::OriginAsked { proxy, after, .. } => {
                 self.asked.add(at, 1.0);
                 let cold = after.is_some_and(|n| self.is_cold(at, n) && self.is_informed(proxy, n));
                 if cold {
                     self.misses.add(at, 1.0);
                 }
             }
-            Fact::LedgerOverloaded { stopped, .. } => {
+            Fact::OriginOverloaded { stopped, .. } => {
                 let (asked, misses, due) = (self.asked.sum(at), self.misses.sum(at), self.due.sum(at));
                 if misses > self.miss_part * asked && misses > self.miss_multiple * due {
                     findings.add(Rule::FailBack, at, || {
@@ -197,7 +197,7 @@
         warmth: f64,
         findings: &mut Findings,
     ) {
-        if node == LEDGER {
+        if node == ORIGIN {
             return;
         }
         self.check_calls(at, proxy, node, findings);
--- a/crates/world/src/rules/run_once.rs
+++ b/crates/world/src/rules/run_once.rs
@@ -81,7 +81,7 @@
 }
 
 fn name(node: NodeNo) -> String {
-    if node == crate::facts::LEDGER {
+    if node == crate::facts::ORIGIN {
         "the ledger".into()
     } else {
         format!("node {}", node.0)
--- a/crates/world/src/scenario/mod.rs
+++ b/crates/world/src/scenario/mod.rs
@@ -35,7 +35,7 @@
     pub proxies: Proxies,
     /// The cache nodes at the start, in groups of equal nodes.
     pub nodes: Vec<NodeGroup>,
-    pub ledger: Ledger,
+    pub ledger: Origin,
     pub discovery: Discovery,
     pub network: Network,
     pub clients: Clients,
@@ -67,7 +67,7 @@
             halls: vec!["hofdi".into(), "grafarholt".into()],
             proxies: Proxies::default(),
             nodes: vec![NodeGroup::default(), half],
-            ledger: Ledger::default(),
+            ledger: Origin::default(),
             discovery: Discovery::default(),
             network: Network::default(),
             clients: Clients::default(),
@@ -227,7 +227,7 @@
 /// The origin behind the nodes, which all proxies share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Ledger {
+pub struct Origin {
     pub hall: Option<String>,
     /// Reads per second that it can serve. If absent, `headroom` times the load that a single warm cache as
     /// large as all stores together would leave to it, including writes.
@@ -253,9 +253,9 @@
     pub connections: u32,
 }
 
-impl Default for Ledger {
+impl Default for Origin {
     fn default() -> Self {
-        Ledger {
+        Origin {
             hall: None,
             capacity_per_s: None,
             headroom: 2.6,
--- a/crates/world/src/scenario/validate.rs
+++ b/crates/world/src/scenario/validate.rs
@@ -127,7 +127,7 @@
         for (i, group) in self.nodes.iter().enumerate() {
             let path = |field: &str| format!("nodes[{i}].{field}");
             named(&path("kind"), &group.kind)?;
-            if group.kind == crate::LEDGER_KIND {
+            if group.kind == crate::ORIGIN_KIND {
                 return wrong(path("kind"), "this is the ledger's kind, nodes want another");
             }
             self.known_hall(&path("hall"), group.hall.as_deref())?;
@@ -264,7 +264,7 @@
     }
 }
 
-impl Ledger {
+impl Origin {
     fn validate(&self, world: &Scenario) -> Check {
         world.known_hall("ledger.hall", self.hall.as_deref())?;
         if let Some(capacity) = self.capacity_per_s {
--- a/crates/world/src/world/builder.rs
+++ b/crates/world/src/world/builder.rs
@@ -98,7 +98,7 @@
         self
     }
 
-    /// The node with this number (or the origin, for the number of [`crate::facts::LEDGER`]) answers by the
+    /// The node with this number (or the origin, for the number of [`crate::facts::ORIGIN`]) answers by the
     /// script.
     pub fn script(mut self, node: u32, script: Script) -> Self {
         self.scripts.push((node, script));
--- a/crates/world/src/world/faults.rs
+++ b/crates/world/src/world/faults.rs
@@ -2,7 +2,7 @@
 
 use super::{Occurrence, World};
 use crate::discovery::{Entry, Notice};
-use crate::facts::{Fact, NodeNo, ProxyNo, Status, LEDGER};
+use crate::facts::{Fact, NodeNo, ProxyNo, Status, ORIGIN};
 use crate::node::Event;
 use crate::outcome::FaultMark;
 use crate::random::{seconds, stream};
@@ -136,15 +136,15 @@
                 let member = self.member(old).clone();
                 let group = self.scenario.nodes.iter().find(|g| g.kind == member.kind).cloned();
                 if let Some(group) = group {
-                    let no = self.add_node(&group, member.hall, Some(member.address));
+                    let no = self.add_node(&group, member.zone, Some(member.address));
                     self.add_started(at, no, out);
                 }
             }
             Step::Grow(i, count) => self.grow(at, i, count, out),
-            Step::Cut(hall, on) => {
-                self.network.cut(hall, on);
+            Step::Cut(zone, on) => {
+                self.network.cut(zone, on);
                 if !on {
-                    out.push((at, Occurrence::CutOver { hall }));
+                    out.push((at, Occurrence::CutOver { zone }));
                 }
             }
             Step::Break(on, i) => {
@@ -154,8 +154,8 @@
             }
             Step::SlowLedger(on, i) => {
                 let times = if on { self.fault_schedule.faults[i].times.unwrap_or(1.0) } else { 1.0 };
-                self.ledger.set_slowdown(at, times, &mut self.shared.dedup, &mut events);
-                self.publish_events(LEDGER, events, out);
+                self.origin.set_slowdown(at, times, &mut self.shared.dedup, &mut events);
+                self.publish_events(ORIGIN, events, out);
                 events = std::mem::take(&mut self.events);
             }
             Step::Silence(on) => self.discovery.silence(at, on),
@@ -228,8 +228,8 @@
     fn grow(&mut self, at: Micros, fault: usize, which: u32, out: &mut Vec<(Micros, Occurrence)>) {
         let Some(group) = self.scenario.nodes.first().cloned() else { return };
         let named = group.hall.as_ref().and_then(|h| self.scenario.halls.iter().position(|x| x == h));
-        let hall = named.unwrap_or((fault + which as usize) % self.scenario.halls.len());
-        let no = self.add_node(&group, hall as u16, None);
+        let zone = named.unwrap_or((fault + which as usize) % self.scenario.halls.len());
+        let no = self.add_node(&group, zone as u16, None);
         self.add_started(at, no, out);
     }
 
@@ -338,8 +338,8 @@
             }
             FaultKind::HallCut => {
                 let name = fault.hall.clone().unwrap_or_default();
-                let hall = self.scenario.halls.iter().position(|h| *h == name).unwrap_or(0) as u16;
-                self.plan_start_and_end(at, until, |on| Step::Cut(hall, on));
+                let zone = self.scenario.halls.iter().position(|h| *h == name).unwrap_or(0) as u16;
+                self.plan_start_and_end(at, until, |on| Step::Cut(zone, on));
                 what = name;
             }
             FaultKind::BreakConnections => {
@@ -351,9 +351,9 @@
                 what = format!("{times} times slower");
             }
             FaultKind::StopLedger => {
-                self.ledger.stop(at, until);
-                self.schedule_wake(LEDGER);
-                out.push((at, Occurrence::Ended { node: LEDGER }));
+                self.origin.stop(at, until);
+                self.schedule_wake(ORIGIN);
+                out.push((at, Occurrence::Ended { node: ORIGIN }));
             }
             FaultKind::SilentDiscovery => self.plan_start_and_end(at, until, Step::Silence),
             FaultKind::ProxyRestart | FaultKind::ProxyCrash => {
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -6,7 +6,7 @@
 //! carries out the [`Occurrence`]s. The host assigns the numbers of jobs and connections. Facts about nodes
 //! are passed to the rules here; those about proxies are reported by the host ([`World::observe`]).
 //!
-//! Tests that need only a node or the origin can use [`crate::node::Node`] or [`crate::ledger::Ledger`]
+//! Tests that need only a node or the origin can use [`crate::node::Node`] or [`crate::origin::Origin`]
 //! directly.
 
 mod builder;
@@ -17,21 +17,21 @@
 
 use crate::clients::{Arrivals, RequestTable};
 use crate::discovery::{Discovery, Entry, ListUpdate, Notice};
-use crate::facts::{Fact, NodeNo, ProxyNo, Status, LEDGER};
+use crate::facts::{Fact, NodeNo, ProxyNo, Status, ORIGIN};
 use crate::front::Front;
 use crate::initial_contents::InitialContents;
-use crate::ledger::Ledger;
 use crate::network::Network;
 use crate::node::{
     Answer, DialOutcome, Event, EventKind, Limits, Machine, Node, NodeRequest, Script, SharedState,
 };
+use crate::origin::Origin;
 use crate::outcome::{FaultMark, Lateness, Run};
 use crate::random::{seed_of, stream, Map};
 use crate::recorder::Recorder;
 use crate::rules::Rules;
 use crate::scenario::{NodeGroup, Problem, Scenario};
 use crate::store::OVERHEAD;
-use crate::{Micros, LEDGER_KIND};
+use crate::{Micros, ORIGIN_KIND};
 use faults::FaultSchedule;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -49,7 +49,7 @@
     pub kind: String,
     /// Index in [`World::kinds`].
     pub kind_no: u16,
-    pub hall: u16,
+    pub zone: u16,
     pub weight: f64,
     /// The address that it listens on: a replacement has that of the node it replaces.
     pub address: u32,
@@ -82,7 +82,7 @@
     ListUpdated(ListUpdate),
     /// A zone is reachable again: connections that lost messages break now.
     CutOver {
-        hall: u16,
+        zone: u16,
     },
     Proxy {
         proxy: ProxyNo,
@@ -103,10 +103,10 @@
     scenario: Scenario,
     seed: u64,
     members: Vec<Member>,
-    ledger_member: Member,
+    origin_member: Member,
     kinds: Vec<String>,
     nodes: Vec<Node>,
-    ledger: Ledger,
+    origin: Origin,
     shared: SharedState,
     /// The nodes that store a copy of a key, needed when it is written. Copies evicted since then stay
     /// listed.
@@ -121,7 +121,7 @@
     /// When each node needs to be advanced, the origin with the last number; outdated entries are skipped.
     wakes: BinaryHeap<Reverse<(Micros, u32)>>,
     wake_at: Vec<Micros>,
-    ledger_wake: Micros,
+    origin_wake: Micros,
     /// Cached, because they are needed at every step.
     list_update_at: Micros,
     front_update_at: Micros,
@@ -140,8 +140,8 @@
     pub fn new(scenario: &Scenario, seed: u64, slack: Micros) -> Result<World, Problem> {
         scenario.validate()?;
         let s = scenario.clone();
-        let halls = s.halls.len();
-        let hall_no = |name: &Option<String>| {
+        let zones = s.halls.len();
+        let zone_no = |name: &Option<String>| {
             name.as_ref().and_then(|n| s.halls.iter().position(|h| h == n)).map(|i| i as u16)
         };
         let mut kinds: Vec<String> = Vec::new();
@@ -150,7 +150,7 @@
                 kinds.push(group.kind.clone());
             }
         }
-        kinds.push(LEDGER_KIND.to_owned());
+        kinds.push(ORIGIN_KIND.to_owned());
         let arrivals = Arrivals::new(&s, seed);
         let stores: f64 = s.nodes.iter().map(|g| f64::from(g.count) * g.store_kb * 1024.0).sum();
         let values = stores / (s.clients.popularity.value_bytes + OVERHEAD as f64);
@@ -163,7 +163,7 @@
             let misses = reads * (1.0 - hit_ratio).max(MIN_MISS_PART);
             s.ledger.headroom * (misses + writes * s.ledger.write_work)
         });
-        let proxies: Vec<u16> = (0..s.proxies.count as usize).map(|i| (i % halls) as u16).collect();
+        let proxies: Vec<u16> = (0..s.proxies.count as usize).map(|i| (i % zones) as u16).collect();
         let front_rng = stream(seed, "front", 0);
         let initial_contents = InitialContents::new(
             arrivals.popularity().clone(),
@@ -173,30 +173,30 @@
             seed_of(seed, "past", 0),
         );
         let mut world = World {
-            ledger_member: Member {
-                no: LEDGER,
+            origin_member: Member {
+                no: ORIGIN,
                 name: "ledger".into(),
-                kind: LEDGER_KIND.into(),
+                kind: ORIGIN_KIND.into(),
                 kind_no: (kinds.len() - 1) as u16,
-                hall: hall_no(&s.ledger.hall).unwrap_or(0),
+                zone: zone_no(&s.ledger.hall).unwrap_or(0),
                 weight: 1.0,
                 address: 0,
             },
             members: Vec::new(),
             nodes: Vec::new(),
-            ledger: Ledger::new(&s.ledger, capacity.max(0.01), stream(seed, "ledger", 0)),
+            origin: Origin::new(&s.ledger, capacity.max(0.01), stream(seed, "ledger", 0)),
             shared: SharedState { initial_contents, ..SharedState::default() },
             copies: Map::default(),
-            network: Network::new(&s.network, halls, stream(seed, "network", 0)),
+            network: Network::new(&s.network, zones, stream(seed, "network", 0)),
             discovery: Discovery::new(&s, stream(seed, "discovery", 0)),
-            front: Front::new(s.clients.front.notice_s, halls, proxies.clone(), front_rng),
+            front: Front::new(s.clients.front.notice_s, zones, proxies.clone(), front_rng),
             proxies,
             recorder: Recorder::new(&s),
             rules: Rules::new(&s, slack),
             fault_schedule: FaultSchedule::new(&s),
             wakes: BinaryHeap::new(),
             wake_at: Vec::new(),
-            ledger_wake: Micros::MAX,
+            origin_wake: Micros::MAX,
             list_update_at: Micros::MAX,
             front_update_at: Micros::MAX,
             sample_at: SECOND,
@@ -209,14 +209,14 @@
         let mut placed = 0;
         for group in scenario.nodes.iter() {
             for _ in 0..group.count {
-                let hall = hall_no(&group.hall).unwrap_or((placed % halls) as u16);
+                let zone = zone_no(&group.hall).unwrap_or((placed % zones) as u16);
                 placed += 1;
-                let no = world.add_node(group, hall, None);
+                let no = world.add_node(group, zone, None);
                 world.start_node(0, no, false);
                 world.discovery.list(Entry { node: no, status: Status::Ready, started: None });
             }
         }
-        world.discovery.list(Entry { node: LEDGER, status: Status::Ready, started: None });
+        world.discovery.list(Entry { node: ORIGIN, status: Status::Ready, started: None });
         Ok(world)
     }
 
@@ -245,7 +245,7 @@
     }
 
     pub fn member(&self, node: NodeNo) -> &Member {
-        self.members.get(node.0 as usize).unwrap_or(&self.ledger_member)
+        self.members.get(node.0 as usize).unwrap_or(&self.origin_member)
     }
 
     /// The nodes so far, in the order in which they were added, without the origin.
@@ -257,8 +257,8 @@
         self.nodes.get(node.0 as usize)
     }
 
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn origin(&self) -> &Origin {
+        &self.origin
     }
 
     /// The zone of each proxy.
@@ -278,7 +278,7 @@
     pub fn script(&mut self, node: NodeNo, script: Script) {
         match self.nodes.get_mut(node.0 as usize) {
             Some(n) => n.set_script(script),
-            None => self.ledger.set_script(script),
+            None => self.origin.set_script(script),
         }
     }
 
@@ -294,7 +294,7 @@
     pub fn connect(&mut self, now: Micros, node: NodeNo, connection: u64) -> DialOutcome {
         let dialled = match self.nodes.get_mut(node.0 as usize) {
             Some(n) => n.connect(now, connection),
-            None => self.ledger.connect(connection),
+            None => self.origin.connect(connection),
         };
         self.recorder.work().handshakes += u64::from(dialled == DialOutcome::Accepted);
         dialled
@@ -303,7 +303,7 @@
     pub fn disconnect(&mut self, node: NodeNo, connection: u64) {
         match self.nodes.get_mut(node.0 as usize) {
             Some(n) => n.disconnect(connection),
-            None => self.ledger.disconnect(connection),
+            None => self.origin.disconnect(connection),
         }
     }
 
@@ -325,8 +325,8 @@
                 n.arrive(now, request, &mut self.shared, &mut events);
             }
             None => {
-                self.rules.observe(now, &Fact::LedgerAsked { proxy, of: request.of, after });
-                self.ledger.arrive(now, request, &mut self.shared.dedup, &mut events);
+                self.rules.observe(now, &Fact::OriginAsked { proxy, of: request.of, after });
+                self.origin.arrive(now, request, &mut self.shared.dedup, &mut events);
             }
         }
         self.publish_events(node, events, out);
@@ -414,9 +414,9 @@
                 self.shared.initial_contents.requester = no;
                 n.advance(at, &mut self.shared, &mut events);
             }
-            None if self.ledger_wake == at => {
-                self.ledger_wake = Micros::MAX;
-                self.ledger.advance(at, &mut self.shared.dedup, &mut events);
+            None if self.origin_wake == at => {
+                self.origin_wake = Micros::MAX;
+                self.origin.advance(at, &mut self.shared.dedup, &mut events);
             }
             // It was advanced in the meantime and needs to be advanced at another time.
             _ => {
@@ -439,7 +439,7 @@
                 }
                 EventKind::Answered { job, answer, work } => {
                     let counts = self.recorder.work();
-                    if no != LEDGER {
+                    if no != ORIGIN {
                         counts.hits += u64::from(answer == Answer::Value);
                         counts.misses += u64::from(matches!(answer, Answer::Miss { .. }));
                         counts.turned_away += u64::from(answer == Answer::Busy);
@@ -453,9 +453,9 @@
                     out.push((at, Occurrence::Ended { node: no }));
                 }
                 EventKind::Overloaded { since, stopped } => {
-                    self.rules.observe(at, &Fact::LedgerOverloaded { since, stopped });
+                    self.rules.observe(at, &Fact::OriginOverloaded { since, stopped });
                     if stopped {
-                        out.push((at, Occurrence::Ended { node: LEDGER }));
+                        out.push((at, Occurrence::Ended { node: ORIGIN }));
                     }
                 }
             }
@@ -467,7 +467,7 @@
     fn schedule_wake(&mut self, no: NodeNo) {
         let (next, wake) = match self.nodes.get(no.0 as usize) {
             Some(n) => (n.next(), &mut self.wake_at[no.0 as usize]),
-            None => (self.ledger.next(), &mut self.ledger_wake),
+            None => (self.origin.next(), &mut self.origin_wake),
         };
         // An earlier wake-up stays in the queue: it finds nothing to do and schedules the next one.
         if let Some(next) = next.filter(|next| *next < *wake) {
@@ -494,13 +494,13 @@
 
     fn sample(&mut self, at: Micros) {
         let load = self.nodes.iter_mut().map(|n| n.load(at) as f32).collect();
-        self.recorder.sampled(at, load, self.ledger.out(), self.ledger.counted());
+        self.recorder.sampled(at, load, self.origin.out(), self.origin.counted());
         self.sample_at = at + SECOND;
     }
 
     // ---- starting and ending nodes
 
-    fn add_node(&mut self, group: &NodeGroup, hall: u16, address: Option<u32>) -> NodeNo {
+    fn add_node(&mut self, group: &NodeGroup, zone: u16, address: Option<u32>) -> NodeNo {
         let no = NodeNo(self.nodes.len() as u32);
         let limits = Limits::new(&self.scenario.rules, self.scenario.clients.mean_work());
         let mut rng = stream(self.seed, "node", u64::from(no.0));
@@ -511,7 +511,7 @@
             name: format!("s-{:08x}", seed_of(self.seed, "name", u64::from(no.0)) >> 32),
             kind: group.kind.clone(),
             kind_no,
-            hall,
+            zone,
             weight: machine.weight,
             // 0 is the origin's.
             address: address.unwrap_or(no.0 + 1),
--- a/crates/world/tests/ledger.rs
+++ b/crates/world/tests/origin.rs
@@ -1,8 +1,8 @@
 //! Tests of the origin model on its own.
 
 use world::dedup::DedupTable;
-use world::ledger::Ledger;
 use world::node::{Answer, DialOutcome, Event, EventKind, NodeRequest};
+use world::origin::Origin;
 use world::random::stream;
 use world::scenario;
 use world::Micros;
@@ -10,17 +10,17 @@
 const MS: Micros = 1_000;
 
 /// 100 reads per second, in ten slots of 100 ms each.
-fn ledger(change: impl FnOnce(&mut scenario::Ledger)) -> Ledger {
-    let mut words = scenario::Ledger { service_sigma: 0.0, crowd_loss: 0.0, ..scenario::Ledger::default() };
+fn origin(change: impl FnOnce(&mut scenario::Origin)) -> Origin {
+    let mut words = scenario::Origin { service_sigma: 0.0, crowd_loss: 0.0, ..scenario::Origin::default() };
     change(&mut words);
-    let mut ledger = Ledger::new(&words, 100.0, stream(1, "ledger", 0));
-    assert_eq!(ledger.connect(1), DialOutcome::Accepted);
-    ledger
+    let mut origin = Origin::new(&words, 100.0, stream(1, "ledger", 0));
+    assert_eq!(origin.connect(1), DialOutcome::Accepted);
+    origin
 }
 
 /// Sends a read every `every` ms from one moment to another. For each overload event, returns whether the
 /// origin stopped.
-fn press(l: &mut Ledger, from: Micros, until: Micros, every: usize) -> Vec<bool> {
+fn press(l: &mut Origin, from: Micros, until: Micros, every: usize) -> Vec<bool> {
     let mut out = Vec::new();
     for at in (from..until).step_by(every) {
         l.connect(1);
@@ -35,7 +35,7 @@
 
 #[test]
 fn it_serves_its_capacity_and_turns_away_what_finds_no_room() {
-    let mut l = ledger(|l| l.fall_multiple = 0.0);
+    let mut l = origin(|l| l.fall_multiple = 0.0);
     press(&mut l, 0, 10_000, 5);
     let counted = l.counted();
     // One second's worth is queued; of 200 per second 100 are served.
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_slow_spell_lasts_while_it_is_told() {
-    let (mut l, r) = (ledger(|_| {}), &mut DedupTable::default());
+    let (mut l, r) = (origin(|_| {}), &mut DedupTable::default());
     let mut out = Vec::new();
     l.set_slowdown(0, 4.0, r, &mut out);
     l.arrive(0, NodeRequest::nothing(1, 1), r, &mut out);
@@ -58,7 +58,7 @@
 
 #[test]
 fn too_much_for_too_long_stops_it_for_some_seconds_and_not_for_ever() {
-    let mut l = ledger(|l| l.down_s = [3.0, 3.0]);
+    let mut l = origin(|l| l.down_s = [3.0, 3.0]);
     assert!(press(&mut l, 0, 1_400, 2).is_empty(), "a short burst does not");
     let stops = press(&mut l, 1_400, 4_000, 2);
     assert_eq!(stops, [true]);
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_write_runs_once_within_its_window() {
-    let (mut l, r) = (ledger(|_| {}), &mut DedupTable::default());
+    let (mut l, r) = (origin(|_| {}), &mut DedupTable::default());
     let mut out = Vec::new();
     for (at, job) in [(0, 1), (3_000, 2), (5_000, 3)] {
         let request = NodeRequest {
--- a/crates/world/tests/rules.rs
+++ b/crates/world/tests/rules.rs
@@ -88,7 +88,7 @@
 }
 
 fn ran(at: Micros, of: u64, class: ClassNo, key: Option<u64>, effect: bool) -> (Micros, Fact) {
-    (at, Fact::Ran { node: LEDGER, of: TryNo(of), class, key, effect, made: true })
+    (at, Fact::Ran { node: ORIGIN, of: TryNo(of), class, key, effect, made: true })
 }
 
 #[test]
@@ -201,13 +201,13 @@
     let mut facts = vec![started(0, 1, true), started(0, NODE.0, false), told(1, Status::Ready)];
     for at in 2..3000 {
         let after = (at as usize % of < cold).then_some(NODE);
-        facts.push((at, Fact::LedgerAsked { proxy: PROXY, of: TryNo(at as u64), after }));
+        facts.push((at, Fact::OriginAsked { proxy: PROXY, of: TryNo(at as u64), after }));
         for of in [10_000 + 2 * at as u64, 10_001 + 2 * at as u64] {
             let taken = Fact::Taken { proxy: PROXY, of: TryNo(of), class: LOOKUP, deadline: 100_000 * MS };
             facts.extend([(at, taken), answered(at, of, Final::Failed)]);
         }
     }
-    facts.push((3000, Fact::LedgerOverloaded { since: 0, stopped: true }));
+    facts.push((3000, Fact::OriginOverloaded { since: 0, stopped: true }));
     facts
 }
 
--- a/crates/world/tests/world.rs
+++ b/crates/world/tests/world.rs
@@ -1,7 +1,7 @@
 //! Tests of the complete world: faults, discovery lists, copies, and equal results for equal seeds.
 
 use world::clients::Request;
-use world::facts::{NodeNo, ProxyNo, Status, TryNo, LEDGER};
+use world::facts::{NodeNo, ProxyNo, Status, TryNo, ORIGIN};
 use world::node::{Answer, NodeRequest};
 use world::scenario::{Fault, FaultKind, Scenario};
 use world::world::{NodeAttempt, Occurrence, ProxyChange, World};
@@ -54,7 +54,7 @@
         _ => None,
     });
     let (old, new) = (world.member(NodeNo(0)), new.expect("it started"));
-    assert_eq!((new.address, new.hall, &new.kind), (old.address, old.hall, &old.kind));
+    assert_eq!((new.address, new.zone, &new.kind), (old.address, old.zone, &old.kind));
     assert!(new.name != old.name && new.no != old.no);
     assert!(!world.node(old.no).is_some_and(|n| n.is_up()));
 }
@@ -168,9 +168,9 @@
     world.store_value(3 * S, &[Some(a), Some(b)], key, 100);
     assert_eq!(read(&mut world, 4 * S, a, key), Answer::Value);
     assert_eq!(read(&mut world, 7 * S, b, key), Answer::Value);
-    world.connect(10 * S, LEDGER, 1);
+    world.connect(10 * S, ORIGIN, 1);
     let write = NodeRequest { key, write: true, ..NodeRequest::nothing(1, 1) };
-    assert_eq!(send_request(&mut world, 10 * S, LEDGER, write, 2 * S), Answer::Value);
+    assert_eq!(send_request(&mut world, 10 * S, ORIGIN, write, 2 * S), Answer::Value);
     assert!(matches!(read(&mut world, 13 * S, a, key), Answer::Miss { .. }));
     assert!(matches!(read(&mut world, 16 * S, b, key), Answer::Miss { .. }));
 }
