--- a/crates/lab/src/input/file/tests.rs
+++ b/crates/lab/src/input/file/tests.rs
@@ -12,7 +12,7 @@
 )]
 #[case("\nseconds = = 5\n", 2, "")]
 #[case("seconds = 5\n\n[[nodes]]\ncount = 3\ncores = 0\n", 5, "nodes[0].cores: ")]
-#[case("[[faults]]\nat_s = 1\nfor_s = 2\nkind = \"hang\"\n", 1, "faults[0]: hang wants one of")]
+#[case("[[faults]]\nat_s = 1\nfor_s = 2\nkind = \"hang\"\n", 1, "faults[0]: hang requires exactly one of")]
 fn an_error_names_its_line_and_what_is_wanted(#[case] text: &str, #[case] line: usize, #[case] wanted: &str) {
     let (at, message) = parse::<Scenario>(text, "x").unwrap_err();
     assert_eq!(at, line, "{message}");
--- a/crates/lab/tests/commands.rs
+++ b/crates/lab/tests/commands.rs
@@ -77,7 +77,7 @@
 #[case(
     "seconds = 5\n[[faults]]\nkind = \"slow_ledger\"\nat_s = 1\nfor_s = 1\n",
     2,
-    "faults[0]: slow_ledger wants times"
+    "faults[0]: slow_ledger requires times"
 )]
 #[case("seconds = 1\nname = \n", 2, "")]
 fn check_says_in_one_line_where_and_what_is_wrong(
--- a/crates/world/src/clients/patience/tests.rs
+++ b/crates/world/src/clients/patience/tests.rs
@@ -28,12 +28,12 @@
     assert_eq!(
         retry_state.after(310_000, &r, &class, TryEnd::Failed),
         Next::Over,
-        "it makes three tries at most"
+        "the client makes at most three tries"
     );
 }
 
 #[test]
-fn a_refusal_says_how_long_to_stay_away() {
+fn a_refusal_sets_the_retry_delay() {
     let (r, class) = request();
     let mut retry_state = RetryState::default();
     retry_state.begin(1_000, &r, &class);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn what_must_not_run_twice_comes_again_only_if_it_never_ran() {
+fn unsafe_requests_are_retried_only_if_they_never_ran() {
     let (r, class) = request();
     let class = ClientClass { repeat: Repeat::Unsafe, ..class };
     let mut retry_state = RetryState::default();
--- a/crates/world/src/clients/popularity/tests.rs
+++ b/crates/world/src/clients/popularity/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn ranks_are_drawn_as_often_as_the_law_says() {
+fn ranks_follow_the_distribution() {
     for (exponent, offset) in [(1.0, 5.0), (0.9, 2.0), (1.1, 10.0), (0.0, 0.0), (2.0, 0.0)] {
         let (p, mut rng) = (popularity(500, exponent, offset), stream(1, "ranks", 0));
         let mut seen = vec![0u32; 501];
@@ -19,25 +19,28 @@
             let (seen, due) = (f64::from(seen[rank as usize]), p.probability(rank) * f64::from(n));
             assert!(
                 (seen - due).abs() < 6.0 * due.sqrt().max(1.0),
-                "{exponent}: rank {rank}: {seen}, not {due}"
+                "{exponent}: rank {rank}: seen {seen}, expected {due}"
             );
         }
     }
 }
 
 #[test]
-fn a_key_tells_its_rank_and_passes_it_on_with_time() {
+fn a_key_encodes_its_rank_and_ranks_change_keys_over_time() {
     let p = scenario::Popularity { drift_per_s: 0.1, ..scenario::Popularity::default() };
     let p = Popularity::new(&p, 9);
     let moved = (1..=1000).filter(|rank| p.key(*rank, 0) != p.key(*rank, 1_000_000)).count();
-    assert!((50..150).contains(&moved), "a tenth of the ranks passes on in a second, not {moved}");
+    assert!(
+        (50..150).contains(&moved),
+        "about a tenth of the ranks should change keys per second, not {moved}"
+    );
     let still = |rank: &u32| p.key(*rank, 0) == p.key(*rank, 1_000_000);
     assert!((1..=1000).filter(still).all(|rank| p.rank_of(p.key(rank, 0)) == Some(rank)));
     assert_eq!(p.rank_of(p.crowd_key(0)), None);
 }
 
 #[test]
-fn the_hits_of_a_cache_are_those_of_a_cache_that_is_played() {
+fn the_computed_hit_ratio_matches_a_simulated_cache() {
     let (p, mut rng) = (popularity(5_000, 1.0, 5.0), stream(2, "played", 0));
     let (rate, keep) = (200.0, 20.0);
     let room = 1_000 * (100 + crate::store::OVERHEAD);
--- a/crates/world/src/discovery/tests.rs
+++ b/crates/world/src/discovery/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn each_proxy_hears_late_and_in_order() {
+fn each_proxy_receives_changes_late_and_in_order() {
     let s = Scenario::default();
     let mut d = Discovery::new(&s, stream(1, "discovery", 0));
     d.list(entry(Status::Ready));
@@ -35,13 +35,13 @@
 /// what they get at the end of the silence counts at once; this takes precedence over its older statements on
 /// when a change is reported.
 #[test]
-fn what_silence_keeps_back_is_told_as_it_ends_and_not_before() {
+fn updates_held_back_by_silence_are_delivered_when_it_ends() {
     let s = Scenario::default();
     let mut d = Discovery::new(&s, stream(1, "discovery", 0));
     d.silence(0, true);
     d.change(0, entry(Status::Draining), Notice::Process);
     assert_eq!(d.next(), None);
-    assert!(told(&mut d, 20_000_000).is_empty(), "nobody was told");
+    assert!(told(&mut d, 20_000_000).is_empty(), "no proxy was told");
     d.silence(20_000_001, false);
     assert_eq!(d.next(), Some(20_000_001), "at once, and not in the past");
     assert_eq!(told(&mut d, 20_000_001).len(), s.proxies.count as usize);
--- a/crates/world/src/geography/tests.rs
+++ b/crates/world/src/geography/tests.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn the_users_fleet_has_its_numbers() {
+fn the_full_fleet_has_the_expected_numbers() {
     let g = Geography::draw(Size::of(11_000), 7);
     let count = |of: fn(&Spot) -> u16| g.proxies.iter().map(of).collect::<BTreeSet<_>>().len();
     assert_eq!((count(|s| s.region), count(|s| s.zone), count(|s| s.site)), (33, 82, 670));
--- a/crates/world/src/outcome/tests.rs
+++ b/crates/world/src/outcome/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_steady_growth_is_told_from_a_table_that_fills_and_from_chance() {
+fn steady_growth_is_distinguished_from_a_filling_table_and_from_noise() {
     let mut sizes = Sizes::new(1);
     for at in 0..200_usize {
         let filling = (4 * at).min(300);
--- a/crates/world/src/scenario/validate.rs
+++ b/crates/world/src/scenario/validate.rs
@@ -35,7 +35,7 @@
     if x.is_finite() && (least..=most).contains(&x) {
         return Ok(());
     }
-    wrong(path, format!("a number from {least} to {most} is wanted, this is {x}"))
+    wrong(path, format!("expected a number from {least} to {most}, got {x}"))
 }
 
 fn range(path: &str, r: Range, least: f64, most: f64) -> Check {
@@ -43,7 +43,7 @@
     if r[0] <= r[1] {
         return Ok(());
     }
-    wrong(path, format!("the least comes first, then the most: [{}, {}] is the other way round", r[0], r[1]))
+    wrong(path, format!("expected [min, max], but in [{}, {}] the minimum exceeds the maximum", r[0], r[1]))
 }
 
 pub(crate) fn named(path: &str, name: &str) -> Check {
@@ -51,14 +51,14 @@
     if (1..=64).contains(&name.len()) && name.chars().all(plain) {
         return Ok(());
     }
-    wrong(path, "a name of 1 to 64 letters, digits, '-', '_' or '.' is wanted")
+    wrong(path, "expected a name of 1 to 64 letters, digits, '-', '_' or '.'")
 }
 
 fn distinct<'a>(path: &str, names: impl Iterator<Item = &'a str>) -> Check {
     let mut seen = std::collections::BTreeSet::new();
     for (i, name) in names.enumerate() {
         if !seen.insert(name) {
-            return wrong(format!("{path}[{i}]"), format!("{name} is there already"));
+            return wrong(format!("{path}[{i}]"), format!("duplicate name {name}"));
         }
     }
     Ok(())
@@ -69,7 +69,7 @@
     pub fn validate(&self) -> Check {
         within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
         if !(1..=64).contains(&self.halls.len()) {
-            return wrong("halls", "1 to 64 halls are wanted");
+            return wrong("halls", "expected 1 to 64 halls");
         }
         for (i, hall) in self.halls.iter().enumerate() {
             named(&format!("halls[{i}]"), hall)?;
@@ -91,7 +91,7 @@
         if self.clients.rate_per_s * self.seconds > MAX_REQUESTS {
             return wrong(
                 "clients.rate_per_s",
-                format!("times seconds, at most {MAX_REQUESTS} requests are wanted"),
+                format!("multiplied by seconds it must be at most {MAX_REQUESTS} requests"),
             );
         }
         if let Some(crowd) = &self.crowd {
@@ -102,7 +102,7 @@
         if let Some(every) = self.sizes_every_s {
             within("sizes_every_s", every, (self.seconds / MAX_SIZES).max(0.1), MAX_SECONDS)?;
         } else if self.expect.growth.is_some() {
-            return wrong("expect.growth", "sizes_every_s is wanted beside it");
+            return wrong("expect.growth", "requires sizes_every_s to be set");
         }
         for (i, fault) in self.faults.iter().enumerate() {
             self.validate_fault(&format!("faults[{i}]"), fault)?;
@@ -113,7 +113,7 @@
     fn known_hall(&self, path: &str, hall: Option<&str>) -> Check {
         match hall {
             Some(hall) if !self.halls.iter().any(|h| h == hall) => {
-                wrong(path, format!("one of the halls {} is wanted", self.halls.join(", ")))
+                wrong(path, format!("expected one of the halls {}", self.halls.join(", ")))
             }
             _ => Ok(()),
         }
@@ -122,13 +122,16 @@
     fn validate_nodes(&self) -> Check {
         let all: u64 = self.nodes.iter().map(|g| u64::from(g.count)).sum();
         if !(1..=MAX_NODES).contains(&all) {
-            return wrong("nodes", format!("1 to {MAX_NODES} nodes in all are wanted, these are {all}"));
+            return wrong("nodes", format!("expected 1 to {MAX_NODES} nodes in total, got {all}"));
         }
         for (i, group) in self.nodes.iter().enumerate() {
             let path = |field: &str| format!("nodes[{i}].{field}");
             named(&path("kind"), &group.kind)?;
             if group.kind == crate::ORIGIN_KIND {
-                return wrong(path("kind"), "this is the ledger's kind, nodes want another");
+                return wrong(
+                    path("kind"),
+                    "this kind is reserved for the ledger; choose another one for nodes",
+                );
             }
             self.known_hall(&path("hall"), group.hall.as_deref())?;
             within(path("cores"), group.cores.into(), 1.0, 1024.0)?;
@@ -167,7 +170,7 @@
         let given = [f.node.is_some(), f.nodes.is_some(), f.part.is_some()];
         let here = given.iter().filter(|g| **g).count();
         if reads.nodes && here != 1 {
-            return wrong(path, format!("{kind} wants one of node, nodes and part"));
+            return wrong(path, format!("{kind} requires exactly one of node, nodes and part"));
         }
         let known = [
             ("node", f.node.is_some(), reads.nodes),
@@ -186,19 +189,19 @@
         }
         let wants = [("times", reads.times, f.times), ("rate", reads.rate, f.rate)];
         if let Some((field, ..)) = wants.iter().find(|(_, read, given)| *read && given.is_none()) {
-            return wrong(path, format!("{kind} wants {field}"));
+            return wrong(path, format!("{kind} requires {field}"));
         }
         if reads.proxy && f.proxy.is_some() && f.part.is_some() {
-            return wrong(path, format!("{kind} wants proxy or part, not both"));
+            return wrong(path, format!("{kind} accepts proxy or part, not both"));
         }
         if matches!(f.kind, FaultKind::Grow) && f.nodes.is_none() {
-            return wrong(path, "grow wants nodes, the number of new ones");
+            return wrong(path, "grow requires nodes, the number of new nodes");
         }
         if matches!(f.kind, FaultKind::HallCut) && f.hall.is_none() {
-            return wrong(path, "hall_cut wants hall");
+            return wrong(path, "hall_cut requires hall");
         }
         if matches!(f.kind, FaultKind::Surge) && f.tenant.is_none() {
-            return wrong(path, "surge wants tenant");
+            return wrong(path, "surge requires tenant");
         }
         self.known_hall(&at("hall"), f.hall.as_deref())?;
         let fleet: u32 = self.nodes.iter().map(|g| g.count).sum();
@@ -219,7 +222,7 @@
         }
         if let Some(tenant) = &f.tenant {
             if !self.clients.tenants.iter().any(|t| t.name == *tenant) {
-                return wrong(at("tenant"), format!("{tenant} is none of clients.tenants"));
+                return wrong(at("tenant"), format!("{tenant} is not one of clients.tenants"));
             }
         }
         if let Some(times) = f.times {
@@ -287,7 +290,7 @@
     fn validate(&self) -> Check {
         within("clients.rate_per_s", self.rate_per_s, 0.001, MAX_RATE)?;
         if !(1..=64).contains(&self.classes.len()) {
-            return wrong("clients.classes", "1 to 64 classes are wanted");
+            return wrong("clients.classes", "expected 1 to 64 classes");
         }
         for (i, class) in self.classes.iter().enumerate() {
             let path = |field: &str| format!("clients.classes[{i}].{field}");
@@ -298,17 +301,17 @@
             within(path("worth"), class.worth, 0.0, 1e6)?;
             within(path("window_ms"), class.window_ms, 0.0, MAX_MS)?;
             if class.repeat == Repeat::Keyed && class.window_ms <= 0.0 {
-                return wrong(path("window_ms"), "a keyed class wants a window of more than 0");
+                return wrong(path("window_ms"), "a keyed class requires a window of more than 0");
             }
             within(path("work_ms"), class.work_ms, 0.001, MAX_MS)?;
             within(path("work_cv"), class.work_cv, 0.0, 10.0)?;
         }
         distinct("clients.classes", self.classes.iter().map(|c| c.name.as_str()))?;
         if self.classes.iter().map(|c| c.share).sum::<f64>() <= 0.0 {
-            return wrong("clients.classes", "at least one class wants a share of more than 0");
+            return wrong("clients.classes", "at least one class must have a share of more than 0");
         }
         if self.tenants.len() > 10_000 {
-            return wrong("clients.tenants", "at most 10000 tenants are wanted");
+            return wrong("clients.tenants", "expected at most 10000 tenants");
         }
         for (i, tenant) in self.tenants.iter().enumerate() {
             let path = |field: &str| format!("clients.tenants[{i}].{field}");
@@ -318,7 +321,7 @@
         }
         distinct("clients.tenants", self.tenants.iter().map(|t| t.name.as_str()))?;
         if !self.tenants.is_empty() && self.tenants.iter().map(|t| t.usage).sum::<f64>() <= 0.0 {
-            return wrong("clients.tenants", "at least one tenant wants a usage of more than 0");
+            return wrong("clients.tenants", "at least one tenant must have a usage of more than 0");
         }
         within("clients.popularity.keys", self.popularity.keys.into(), 1.0, MAX_KEYS.into())?;
         within("clients.popularity.exponent", self.popularity.exponent, 0.0, 4.0)?;
--- a/crates/world/src/store/tests.rs
+++ b/crates/world/src/store/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_one_used_longest_ago_makes_room() {
+fn the_least_recently_used_value_is_evicted() {
     let mut s = Store::new(3 * (100 + OVERHEAD), None);
     (1..=3).for_each(|key| s.put(0, 0, key, 100));
     assert!(s.get(1, 1));
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_value_is_good_for_its_time_whatever_its_use() {
+fn values_expire_regardless_of_their_use() {
     let mut s = Store::new(10_000, Some(1000));
     s.put(0, 0, 1, 10);
     assert!(s.get(999, 1));
@@ -28,5 +28,5 @@
         s.put(0, 0, key % 700, (key * 37) % 6_000);
         assert!(s.used() <= 5_000);
     }
-    assert!(s.entries.len() <= 5_000 / OVERHEAD as usize + 1, "entries are used again");
+    assert!(s.entries.len() <= 5_000 / OVERHEAD as usize + 1, "freed entries are reused");
 }
--- a/crates/world/tests/node.rs
+++ b/crates/world/tests/node.rs
@@ -72,7 +72,7 @@
 const MISS: Answer = Answer::Miss { pending: false };
 
 #[test]
-fn a_key_misses_until_it_is_kept_and_hits_until_it_is_written() {
+fn a_key_misses_until_it_is_stored_and_hits_until_it_is_invalidated() {
     let mut p = Peer::new(&group(), false);
     p.read(0, 1, 7);
     assert_eq!(answers(&p.pass(5)), [(1, 1, MISS)], "a miss costs a tenth of the work");
@@ -87,17 +87,17 @@
 }
 
 #[test]
-fn what_finds_no_room_is_turned_away_at_once() {
+fn requests_beyond_the_queue_are_rejected_at_once() {
     let mut p = Peer::new(&group(), false);
     p.node.store_value(0, 7, 100);
     let at_once: Vec<_> = (1..=5).flat_map(|job| answers(&p.read(0, job, 7))).collect();
-    assert_eq!(at_once, [(0, 5, Answer::Busy)], "two slots and two places to wait");
+    assert_eq!(at_once, [(0, 5, Answer::Busy)], "two slots and a queue of two");
     let later: Vec<_> = answers(&p.pass(100)).iter().map(|a| (a.0, a.1)).collect();
-    assert_eq!(later, [(10, 1), (10, 2), (20, 4), (20, 3)], "turning away took its time from the next");
+    assert_eq!(later, [(10, 1), (10, 2), (20, 4), (20, 3)], "the work of the rejection delays the next job");
 }
 
 #[test]
-fn what_waits_for_nobody_is_dropped() {
+fn waiting_requests_without_a_waiting_client_are_dropped() {
     let mut p = Peer::new(&group(), false);
     p.node.store_value(0, 7, 100);
     (1..=3).for_each(|job| drop(p.read(0, job, 7)));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_node_that_hangs_answers_when_it_goes_on() {
+fn a_hung_node_answers_after_its_release() {
     let mut p = Peer::new(&group(), false);
     p.node.store_value(0, 7, 100);
     p.read(0, 1, 7);
@@ -117,7 +117,7 @@
     p.node.set_hung(5 * MS, true, &mut p.shared, &mut out);
     p.read(10, 2, 7);
     p.node.probe(10 * MS, 3, 3, &mut p.shared, &mut out);
-    assert_eq!(answers(&p.pass(1_000)), [], "it takes work and answers nothing");
+    assert_eq!(answers(&p.pass(1_000)), [], "it accepts requests and answers none");
     p.node.set_hung(1_000 * MS, false, &mut p.shared, &mut out);
     out.extend(p.pass(2_000));
     let jobs: Vec<_> = answers(&out).iter().map(|a| (a.0, a.1)).collect();
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_cold_node_is_slow_warms_with_its_work_and_falls_over_if_pushed() {
+fn a_cold_node_is_slow_warms_up_and_crashes_when_overloaded() {
     let cold = NodeGroup { cold_from: [0.25, 0.25], cold_s: [4.0, 4.0], warm_by: WarmBy::Time, ..group() };
     let mut p = Peer::new(&cold, true);
     p.node.store_value(0, 7, 100);
@@ -140,19 +140,19 @@
     let mut p = Peer::new(&cold, true);
     let fell = |e: &Event| e.kind == EventKind::OverloadCrash;
     let at = (0..400).find(|i| p.read(100 + i / 4, 1 + (*i as u64 % 9), 7).iter().any(fell));
-    assert!((150..200).contains(&at.expect("it falls over")), "{at:?}");
+    assert!((150..200).contains(&at.expect("it crashes")), "{at:?}");
     assert_eq!(p.node.connect(1_000 * MS, 77), DialOutcome::Refused, "and stays down");
     let warm = NodeGroup { cold_s: [0.0, 0.0], ..cold };
     let mut p = Peer::new(&warm, true);
     assert!(
         (0..400).all(|i| !p.read(100 + i / 4, 1 + (i as u64 % 9), 7).iter().any(fell)),
-        "none that is warm"
+        "a warm node does not crash"
     );
 }
 
 /// Found by `lab search scenarios/grow.toml`: two reads of 3.6 s among nine in one second crashed a node.
 #[test]
-fn a_few_long_requests_do_not_push_a_cold_node_over() {
+fn a_few_long_requests_do_not_crash_a_cold_node() {
     let cold = NodeGroup { cold_from: [0.25, 0.25], cold_s: [4.0, 4.0], warm_by: WarmBy::Time, ..group() };
     let mut p = Peer::new(&cold, true);
     let fell = |e: &Event| e.kind == EventKind::OverloadCrash;
@@ -184,7 +184,7 @@
         }
     };
     assert!((report(&mut p, 310) - 0.5).abs() < 0.02);
-    assert!((report(&mut p, 420) - 0.5).abs() < 0.02, "what has happened since is not seen yet");
+    assert!((report(&mut p, 420) - 0.5).abs() < 0.02, "what happened since is not visible yet");
     assert!(report(&mut p, 800) < 0.1);
 }
 
@@ -197,7 +197,11 @@
     p.read(0, 1, 7);
     assert_eq!(answers(&p.pass(100)), [(40, 1, Answer::Value)]);
     p.read(100, 1, 7);
-    assert_eq!(answers(&p.pass(200)), [(110, 1, Answer::Value)], "it costs the first request only");
+    assert_eq!(
+        answers(&p.pass(200)),
+        [(110, 1, Answer::Value)],
+        "the handshake costs the first request only"
+    );
     assert_eq!(answers(&p.read(1_200, 1, 7)), [(1_200, 1, Answer::Reset)]);
     assert_eq!(p.node.connect(1_200 * MS, 10), DialOutcome::Accepted);
 }
@@ -224,7 +228,7 @@
 }
 
 #[test]
-fn a_node_that_drains_completes_what_it_has() {
+fn a_draining_node_completes_accepted_requests() {
     let mut p = Peer::new(&group(), false);
     p.node.store_value(0, 7, 100);
     p.read(0, 1, 7);
--- a/crates/world/tests/origin.rs
+++ b/crates/world/tests/origin.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn it_serves_its_capacity_and_turns_away_what_finds_no_room() {
+fn it_serves_its_capacity_and_rejects_the_excess() {
     let mut l = origin(|l| l.fall_multiple = 0.0);
     press(&mut l, 0, 10_000, 5);
     let counted = l.counted();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_slow_spell_lasts_while_it_is_told() {
+fn a_slowdown_lasts_until_it_is_reset() {
     let (mut l, r) = (origin(|_| {}), &mut DedupTable::default());
     let mut out = Vec::new();
     l.set_slowdown(0, 4.0, r, &mut out);
@@ -57,9 +57,9 @@
 }
 
 #[test]
-fn too_much_for_too_long_stops_it_for_some_seconds_and_not_for_ever() {
+fn sustained_overload_stops_it_for_some_seconds_and_a_limited_number_of_times() {
     let mut l = origin(|l| l.down_s = [3.0, 3.0]);
-    assert!(press(&mut l, 0, 1_400, 2).is_empty(), "a short burst does not");
+    assert!(press(&mut l, 0, 1_400, 2).is_empty(), "a short burst does not stop it");
     let stops = press(&mut l, 1_400, 4_000, 2);
     assert_eq!(stops, [true]);
     assert!(!l.is_up() && l.connect(2) == DialOutcome::Refused);
@@ -67,7 +67,7 @@
     assert_eq!((l.is_up(), l.connect(2)), (true, DialOutcome::Accepted));
     let more = press(&mut l, 8_000, 40_000, 2);
     assert_eq!(more.iter().filter(|s| **s).count(), 1, "twice in all: {more:?}");
-    assert!(more.len() > 1, "but each spell of too much is told");
+    assert!(more.len() > 1, "but each period of overload is reported");
 }
 
 #[test]
--- a/crates/world/tests/rules.rs
+++ b/crates/world/tests/rules.rs
@@ -67,9 +67,9 @@
 #[case::twice(&[taken(0, 1), made(1, 1), served(10, 1), served(20, 1)])]
 #[case::dropped(&[taken(0, 1), (10, Fact::Dropped { proxy: PROXY, of: TryNo(1) })])]
 #[case::lost_by_a_planned_end(&[taken(0, 1), (10, Fact::ProxyEnded { proxy: PROXY, planned: true })])]
-#[case::another_ones_value(&[taken(0, 1), made(1, 1), answered(10, 1, Final::Served { made_for: Some(TryNo(9)) })])]
-#[case::nobodys_value(&[taken(0, 1), made(1, 1), answered(10, 1, Final::Served { made_for: None })])]
-#[case::a_value_that_no_node_made_for_it(&[taken(0, 1), served(10, 1)])]
+#[case::value_made_for_another_try(&[taken(0, 1), made(1, 1), answered(10, 1, Final::Served { made_for: Some(TryNo(9)) })])]
+#[case::value_made_by_nobody(&[taken(0, 1), made(1, 1), answered(10, 1, Final::Served { made_for: None })])]
+#[case::value_without_an_execution(&[taken(0, 1), served(10, 1)])]
 fn a_try_without_one_answer_in_time_is_found(#[case] facts: &[(Micros, Fact)]) {
     assert_eq!(broken(facts), [Rule::OneAnswer]);
 }
@@ -84,7 +84,7 @@
     let left = |at| [taken(0, 1), (at, Fact::Left { proxy: PROXY, of: TryNo(1) })];
     assert_eq!(broken(&left(1001)), []);
     assert_eq!(broken(&left(1019)), []);
-    assert_eq!(broken(&left(1021)), [Rule::OneAnswer], "its answer was overdue");
+    assert_eq!(broken(&left(1021)), [Rule::OneAnswer], "the answer was overdue");
 }
 
 fn ran(at: Micros, of: u64, class: ClassNo, key: Option<u64>, effect: bool) -> (Micros, Fact) {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_may_run_again_and_repeats_that_are_dropped_break_nothing() {
+fn safe_repeats_and_dropped_repeats_break_nothing() {
     let facts = [
         ran(0, 1, LOOKUP, None, true),
         ran(1, 1, LOOKUP, None, true),
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_second_run_of_what_must_run_once_is_found() {
+fn a_second_run_of_a_keyed_or_unsafe_request_is_found() {
     let keyed = [ran(0, 1, INSTRUCT, Some(77), true), ran(4100, 2, INSTRUCT, Some(77), true)];
     assert_eq!(broken(&keyed), [Rule::RunOnce]);
     let mut scenario = Scenario::default();
@@ -133,12 +133,12 @@
 }
 
 #[test]
-fn a_node_that_drains_is_left_alone_once_the_grace_is_over() {
+fn attempts_at_a_draining_node_after_the_grace_are_found() {
     assert_eq!(broken(&[told(0, Status::Draining), begun(2500, 0), begun(9000, 1)]), []);
     assert_eq!(broken(&[told(0, Status::Draining), begun(2600, 0)]), [Rule::Drain]);
     assert_eq!(broken(&[told(0, Status::Gone), told(2000, Status::Ready), begun(2600, 0)]), []);
     let again = [told(0, Status::Draining), told(2000, Status::Gone), begun(2600, 0)];
-    assert_eq!(broken(&again), [Rule::Drain], "the grace runs from the first word");
+    assert_eq!(broken(&again), [Rule::Drain], "the grace starts with the first report");
 }
 
 fn started(at: Micros, node: u32, warm: bool) -> (Micros, Fact) {
@@ -156,10 +156,10 @@
 }
 
 #[test]
-fn a_cold_node_that_is_sent_too_much_by_those_who_know_is_found() {
+fn overload_of_a_cold_node_by_informed_proxies_is_found() {
     assert_eq!(broken(&flood(1, true)), [Rule::SlowStart], "little work in too many calls");
-    assert_eq!(broken(&flood(3, true)), [Rule::SlowStart, Rule::FailBack], "once for each start");
-    assert_eq!(broken(&flood(3, false)), [], "who was not told of the start cannot know better");
+    assert_eq!(broken(&flood(3, true)), [Rule::SlowStart, Rule::FailBack], "reported once per start");
+    assert_eq!(broken(&flood(3, false)), [], "a proxy that was not told of the start is not responsible");
 }
 
 /// Guards against a false breach of `slow_start`, found with `scenarios/fleet_herd.toml`, seed 4411, run 157.
@@ -168,7 +168,7 @@
 /// used to treat that list, received after the restart, as news of the restart, although its entry describes
 /// the process before.
 #[test]
-fn the_entry_of_an_earlier_start_is_no_word_of_this_one() {
+fn an_entry_of_an_earlier_start_does_not_inform_of_this_one() {
     let with = |entry| {
         let mut facts = flood(3, false);
         facts.insert(1, entry);
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_few_long_requests_at_a_cold_node_are_chance_and_many_are_not() {
+fn a_few_long_requests_at_a_cold_node_are_tolerated_and_many_are_not() {
     let sent = |count: Micros| {
         let mut facts = vec![started(0, NODE.0, false), told(1, Status::Ready)];
         // 3.6 s each, where the node tolerates some seconds of work within the window.
@@ -192,7 +192,7 @@
         broken(&facts)
     };
     assert_eq!(sent(2), [], "a proxy does not know how long a request takes");
-    assert_eq!(sent(60), [Rule::FailBack, Rule::SlowStart], "but how many it sends");
+    assert_eq!(sent(60), [Rule::FailBack, Rule::SlowStart], "but it knows how many it sends");
 }
 
 /// The origin receives one read per millisecond, of which a part are misses at a cold node; clients send two
@@ -212,12 +212,12 @@
 }
 
 #[test]
-fn a_ledger_stopped_by_misses_at_cold_nodes_is_found() {
-    assert_eq!(broken(&swamped(1, 4)), [], "a quarter is not what stopped it");
+fn an_origin_stopped_by_misses_at_cold_nodes_is_found() {
+    assert_eq!(broken(&swamped(1, 4)), [], "a quarter of the reads did not stop it");
     assert_eq!(broken(&swamped(2, 4)), [Rule::FailBack]);
     let unknown: Vec<_> =
         swamped(2, 4).into_iter().filter(|(_, f)| !matches!(f, Fact::Listed { .. })).collect();
-    assert_eq!(broken(&unknown), [], "a start that nobody was told of");
+    assert_eq!(broken(&unknown), [], "no proxy was told of the start");
     let late: Vec<_> =
         swamped(2, 4).into_iter().map(|(at, f)| (if at > 1 { at + 23_000 } else { at }, f)).collect();
     assert_eq!(broken(&late), [], "it is warm by then");
--- a/crates/world/tests/world.rs
+++ b/crates/world/tests/world.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_restart_is_drained_ended_and_started_cold_and_each_step_is_told() {
+fn a_restarted_node_is_drained_ended_and_started_cold_and_each_step_is_reported() {
     let (world, out) = played(Fault { node: Some(4), ..fault(FaultKind::Restart) }, 20);
     let node = NodeNo(4);
     let steps: Vec<_> =
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_has_been_replaced_is_neither_drained_nor_started_at_an_address_that_is_taken() {
+fn a_replaced_node_is_neither_drained_nor_started_at_an_address_in_use() {
     let replaced = Fault { node: Some(0), ..fault(FaultKind::Replace) };
     let restarted = Fault { node: Some(0), ..Fault::new(FaultKind::Restart, 12.0, 0.0) };
     let mut world = World::builder().fault(replaced).fault(restarted).build(5).expect("a valid world");
@@ -81,14 +81,14 @@
 /// for ten seconds, ends at 11.2 s and used to start node 4 there. Proxies that have not learned of the end
 /// of node 14 send to it, and what reaches its address counted as sent to node 4.
 #[test]
-fn what_has_been_replaced_is_not_started_while_its_replacement_is_down() {
+fn a_replaced_node_is_not_started_while_its_replacement_is_down() {
     let replaced = Fault { node: Some(0), ..fault(FaultKind::Replace) };
     let gone = Fault { node: Some(0), down_s: Some(3.0), ..Fault::new(FaultKind::Crash, 18.0, 0.0) };
     let all = Fault { nodes: Some(9), down_s: Some(4.0), ..Fault::new(FaultKind::Crash, 20.0, 0.0) };
     let mut world = World::builder().fault(replaced).fault(gone).fault(all).build(5).expect("a valid world");
     let mut out = Vec::new();
     world.advance(22 * S, &mut out);
-    assert!(!world.node(NodeNo(0)).is_some_and(|n| n.is_up()), "its address is another's");
+    assert!(!world.node(NodeNo(0)).is_some_and(|n| n.is_up()), "its address is in use");
     world.advance(30 * S, &mut out);
     let address = world.member(NodeNo(0)).address;
     let replacement =
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_part_of_the_fleet_is_struck_and_the_marks_say_what_was() {
+fn a_fault_affects_a_part_of_the_fleet_and_its_mark_names_the_nodes() {
     let (world, _) = played(Fault { part: Some(0.34), ..fault(FaultKind::Crash) }, 2);
     let down = world.members().iter().filter(|m| !world.node(m.no).is_some_and(|n| n.is_up())).count();
     assert_eq!(down, 3);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_write_at_the_ledger_voids_all_copies() {
+fn a_write_at_the_origin_invalidates_all_copies() {
     let mut world = quick();
     // A key that nobody requested before the start of the run.
     let key = world.arrivals().popularity().crowd_key(1);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn what_was_popular_is_held_by_the_first_warm_node_that_is_asked() {
+fn the_first_warm_node_that_is_asked_holds_a_popular_key() {
     let mut world = quick();
     let popularity = world.arrivals().popularity().clone();
     let held = (1..=50).filter(|rank| {
@@ -184,7 +184,7 @@
         let at = Micros::from(*rank) * 20_000;
         let first = read(&mut world, at, NodeNo(rank % 9), key);
         let second = read(&mut world, at + 10_000, NodeNo((rank + 1) % 9), key);
-        assert!(matches!(second, Answer::Miss { .. }), "one node holds it");
+        assert!(matches!(second, Answer::Miss { .. }), "only one node holds it");
         first == Answer::Value
     });
     let held = held.count();
@@ -221,5 +221,8 @@
     assert!((0.45..0.55).contains(&(crowded as f64 / reads.count() as f64)), "{crowded}");
     let over = within(0).filter(|r| r.class.0 == 0 && r.worth < 1.0);
     let (of_it, all) = (over.clone().filter(|r| r.tenant == 6).count(), over.count());
-    assert!(of_it * 10 > all * 9 && of_it > 3_000, "who is beyond its share is worth less: {of_it} of {all}");
+    assert!(
+        of_it * 10 > all * 9 && of_it > 3_000,
+        "requests beyond a tenant's share are worth less: {of_it} of {all}"
+    );
 }
