--- a/src/features/snmp/mod.rs
+++ b/src/features/snmp/mod.rs
@@ -7,9 +7,9 @@
 
 pub(crate) mod boots;
 mod settings;
-pub mod sight;
+pub mod snapshot_builder;
 
-pub use settings::{Lines, Settings};
+pub use settings::{SettingLines, Settings};
 
 use crate::core::{Record, Refusal, StreamOutcome};
 use crate::interface::Micros;
@@ -18,10 +18,10 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
-use sight::{Owned, Sight};
-use snmp::reader::DATAGRAM;
+use snapshot_builder::{OwnerStatus, SnapshotBuilder};
+use snmp::reader::MAX_DATAGRAM;
 use snmp::tally::{self, Reason, Stream, Tally};
-use snmp::tree::Own;
+use snmp::tree::AgentInfo;
 use snmp::usm::Engine;
 use snmp::watch::Watch;
 use snmp::{Agent, Notifier, Snapshot, Tree};
@@ -58,7 +58,7 @@
     notifier: RefCell<Notifier>,
     watch: RefCell<Watch>,
     tally: RefCell<Tally>,
-    sight: RefCell<Sight>,
+    snapshot_builder: RefCell<SnapshotBuilder>,
     /// Swapped, never changed.
     published: RefCell<Rc<Snapshot>>,
     /// What the last requests were answered from, and when it was built.
@@ -86,7 +86,7 @@
 impl Snmp {
     /// `now` is Unix time at the start, as the owner's clock has it.
     pub fn new(now: Micros, settings: Settings, identity: Identity) -> Self {
-        let (start, why) = boots::count(settings.state.as_deref(), now / 1_000_000, settings.mark);
+        let (start, why) = boots::count(settings.state.as_deref(), now / 1_000_000, settings.fingerprint);
         if let Some((why, file)) = why.zip(settings.state.as_ref()) {
             let file = file.display().to_string();
             warn!(event = "snmp_state", file, why, "snmp: {file}: {why}; boots go by the clock");
@@ -99,13 +99,13 @@
         notifier.started(now, start.warm);
         let (wake, woken) = async_channel::bounded(1);
         let tally = Tally::new(now, &identity.site.classes, &identity.site.tenants);
-        let sight = Sight::new(now, identity.name, identity.site, settings.fleet_least);
+        let snapshot_builder = SnapshotBuilder::new(now, identity.name, identity.site, settings.fleet_least);
         let snmp = Snmp {
             agent: RefCell::new(agent),
             notifier: RefCell::new(notifier),
             watch: RefCell::new(Watch::new(now)),
             tally: RefCell::new(tally),
-            sight: RefCell::new(sight),
+            snapshot_builder: RefCell::new(snapshot_builder),
             published: RefCell::default(),
             tree: RefCell::default(),
             wake,
@@ -124,26 +124,26 @@
             Some(Refusal::Origin) => Reason::Ledger,
             Some(Refusal::Attempts) | None => Reason::Attempts,
         };
-        let ended = match record.ended {
-            StreamOutcome::Served => tally::Ended::Served,
-            StreamOutcome::Refused => tally::Ended::Refused(reason),
-            StreamOutcome::Failed => tally::Ended::Failed,
-            StreamOutcome::Left => tally::Ended::Left,
+        let outcome = match record.ended {
+            StreamOutcome::Served => tally::Outcome::Served,
+            StreamOutcome::Refused => tally::Outcome::Refused(reason),
+            StreamOutcome::Failed => tally::Outcome::Failed,
+            StreamOutcome::Left => tally::Outcome::Left,
         };
         let stream = Stream {
             class: usize::from(record.class.0),
             tenant: record.tenant.0 as usize,
-            ended,
+            outcome,
             time: record.time,
             retried: record.details.retried,
             joined: record.details.joined,
         };
-        self.tally.borrow_mut().ended(record.at, stream);
+        self.tally.borrow_mut().record(record.at, stream);
     }
 
     /// The configuration was read again.
     pub fn reloaded(&self) {
-        self.sight.borrow_mut().reloads += 1;
+        self.snapshot_builder.borrow_mut().reloads += 1;
     }
 
     /// Whether the last snapshot is old enough for another.
@@ -152,12 +152,12 @@
     }
 
     /// Publishes what there is to see, and hands on what changed since.
-    pub fn publish(&self, now: Micros, survey: crate::core::status::ClusterStatus, owned: Owned) {
+    pub fn publish(&self, now: Micros, survey: crate::core::status::ClusterStatus, owned: OwnerStatus) {
         let mut tally = self.tally.borrow_mut();
-        let snapshot = Rc::new(self.sight.borrow_mut().take(now, survey, &mut tally, owned));
+        let snapshot = Rc::new(self.snapshot_builder.borrow_mut().take(now, survey, &mut tally, owned));
         if owned.ready {
             // Before that the list is as old as the configuration, and nothing was asked yet.
-            let changes = self.watch.borrow_mut().look(now, &snapshot);
+            let changes = self.watch.borrow_mut().update(now, &snapshot);
             let mut notifier = self.notifier.borrow_mut();
             changes.iter().for_each(|change| notifier.change(now, change));
             if !changes.is_empty() {
@@ -175,10 +175,10 @@
         }
         let agent = self.agent.borrow();
         let (boots, time) = agent.engine().clock(now);
-        let own = Own {
+        let own = AgentInfo {
             enterprise: self.settings.enterprise,
             engine: (agent.engine().id.clone(), boots, time),
-            most: DATAGRAM as u32,
+            max_message_size: MAX_DATAGRAM as u32,
             contact: self.settings.contact.clone(),
             location: self.settings.location.clone(),
             stats: agent.stats(),
@@ -193,7 +193,7 @@
     pub async fn answer(self: Rc<Self>, bound: Bound, clock: impl Fn() -> Micros) {
         let socket = bound.0;
         // A byte more than is read: what fills it was longer.
-        let mut buffer = vec![0; DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM + 1];
         let mut budget = Budget::new(Instant::now());
         loop {
             let Ok((n, from)) = receive(&socket, &mut buffer).await else {
@@ -249,7 +249,7 @@
             };
             let heard = future::or(heard(&four), heard(&six));
             match future::or(future::or(woken, due), async { Some(heard.await) }).await {
-                Some(Ok((from, datagram))) => self.notifier.borrow_mut().heard(clock(), from, &datagram),
+                Some(Ok((from, datagram))) => self.notifier.borrow_mut().receive(clock(), from, &datagram),
                 Some(Err(_)) => drop(Timer::after(PAUSE).await),
                 None => {}
             }
@@ -265,7 +265,7 @@
 /// The next datagram that comes back, if there is a socket for any.
 async fn heard(socket: &Option<Async<UdpSocket>>) -> io::Result<(SocketAddr, Vec<u8>)> {
     let Some(socket) = socket else { return future::pending().await };
-    let mut buffer = vec![0; DATAGRAM + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM + 1];
     let (n, from) = receive(socket, &mut buffer).await?;
     buffer.truncate(n);
     Ok((from, buffer))
--- a/src/features/snmp/settings.rs
+++ b/src/features/snmp/settings.rs
@@ -3,8 +3,8 @@
 
 use super::super::addresses::network;
 use snmp::access::{self, Access, Community, Reader, View};
-use snmp::manager::As;
-use snmp::notify::{Target, RECEIVERS};
+use snmp::manager::Credentials;
+use snmp::notify::{Target, MAX_RECEIVERS};
 use snmp::tree::ENTERPRISE;
 use snmp::usm::{Auth, Level, User};
 use snmp::Oid;
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 
 /// The longest contact, location or path.
-const TEXT: usize = 255;
+const MAX_TEXT: usize = 255;
 
 /// What the agent is to be.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,7 +29,7 @@
     /// Fewer usable nodes than this are told; 0 is half of those that are listed as serving.
     pub fleet_least: u32,
     /// A hash of all lines but their secrets: whether the agent starts with the settings that it had before.
-    pub mark: u64,
+    pub fingerprint: u64,
 }
 
 /// A line whose words mean something only with the other lines.
@@ -41,7 +41,7 @@
 
 /// The lines, as they are read.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct SettingLines {
     port: Option<u16>,
     enterprise: Option<u32>,
     open: bool,
@@ -53,7 +53,7 @@
     communities: Vec<Line>,
     users: Vec<Line>,
     targets: Vec<Line>,
-    mark: u64,
+    fingerprint: u64,
 }
 
 fn number<T: std::str::FromStr + Copy>(
@@ -72,14 +72,14 @@
 
 fn text(value: &str) -> Result<String, String> {
     match value.len() {
-        1..=TEXT => Ok(value.to_owned()),
-        _ => Err(format!("a text of up to {TEXT} bytes is wanted")),
+        1..=MAX_TEXT => Ok(value.to_owned()),
+        _ => Err(format!("a text of up to {MAX_TEXT} bytes is wanted")),
     }
 }
 
-/// The words of a line that are no secret: the mark of the settings is kept in a file, and must not help anybody
+/// The words of a line that are no secret: the fingerprint of the settings is kept in a file, and must not help anybody
 /// to guess a passphrase or a community.
-fn open<'a>(name: &'a str, words: &'a [String]) -> impl Iterator<Item = &'a str> {
+fn public_words<'a>(name: &'a str, words: &'a [String]) -> impl Iterator<Item = &'a str> {
     let secret = move |at: usize| match name {
         "snmpcommunity" => at == 0,
         "snmptrapto" => at == 3 && words[2] == "community",
@@ -89,18 +89,19 @@
     words.iter().enumerate().filter(move |(at, _)| !secret(*at)).map(|(_, word)| word.as_str())
 }
 
-impl Lines {
+impl SettingLines {
     /// Whether a line with this name may stand more than once.
-    pub fn many(name: &str) -> bool {
+    pub fn is_repeatable(name: &str) -> bool {
         matches!(name, "snmpview" | "snmpcommunity" | "snmpuser" | "snmptrapto")
     }
 
     /// Takes the line with this number. An error never repeats a passphrase.
     pub fn set(&mut self, number_of_line: usize, name: &str, value: &str) -> Result<(), String> {
         let words: Vec<String> = value.split_whitespace().map(str::to_owned).collect();
-        for word in std::iter::once(name).chain(open(name, &words)) {
+        for word in std::iter::once(name).chain(public_words(name, &words)) {
             for byte in word.bytes().chain([b'\n']) {
-                self.mark = (self.mark ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3).rotate_left(1);
+                self.fingerprint =
+                    (self.fingerprint ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3).rotate_left(1);
             }
         }
         let line = Line { number: number_of_line, words };
@@ -128,15 +129,15 @@
             }
             "snmpview" => self.view(&line.words)?,
             "snmpcommunity" => {
-                room(&self.communities, access::MOST)?;
+                room(&self.communities, access::MAX_ENTRIES)?;
                 self.communities.push(line);
             }
             "snmpuser" => {
-                room(&self.users, access::MOST)?;
+                room(&self.users, access::MAX_ENTRIES)?;
                 self.users.push(line);
             }
             "snmptrapto" => {
-                room(&self.targets, RECEIVERS)?;
+                room(&self.targets, MAX_RECEIVERS)?;
                 self.targets.push(line);
             }
             _ => return Err("unknown setting".to_owned()),
@@ -154,12 +155,12 @@
             _ => return Err(wanted()),
         };
         let root = Oid::parse(root).ok_or_else(wanted)?;
-        if !self.views.contains_key(name) && self.views.len() >= access::MOST {
-            return Err(format!("more than {} views", access::MOST));
+        if !self.views.contains_key(name) && self.views.len() >= access::MAX_ENTRIES {
+            return Err(format!("more than {} views", access::MAX_ENTRIES));
         }
         let view = self.views.entry(name.clone()).or_default();
-        if view.subtrees.len() >= access::MOST {
-            return Err(format!("more than {} subtrees in a view", access::MOST));
+        if view.subtrees.len() >= access::MAX_ENTRIES {
+            return Err(format!("more than {} subtrees in a view", access::MAX_ENTRIES));
         }
         view.subtrees.push((root, is));
         Ok(())
@@ -183,8 +184,8 @@
         let [name, from, rest @ ..] = words.as_slice() else {
             return Err("NAME RANGE [view NAME] is wanted".into());
         };
-        if name.len() > access::NAME {
-            return Err(format!("a name of up to {} bytes is wanted", access::NAME));
+        if name.len() > access::MAX_COMMUNITY_NAME {
+            return Err(format!("a name of up to {} bytes is wanted", access::MAX_COMMUNITY_NAME));
         }
         let from = network(from).ok_or("a range like 10.20.0.0/16 is wanted behind the name")?;
         Ok(Community { name: name.as_bytes().to_vec(), from, view: self.named(rest)? })
@@ -224,15 +225,15 @@
             _ => return Err(wanted.into()),
         };
         let address: SocketAddr = address.parse().map_err(|_| "an address like 10.0.0.9:162 is wanted")?;
-        let as_whom = match *sort {
-            "community" => As::Community(name.as_bytes().to_vec()),
+        let credentials = match *sort {
+            "community" => Credentials::Community(name.as_bytes().to_vec()),
             "user" => {
                 let reader = access.reader(name.as_bytes()).map(|(_, r)| r.user.clone());
-                As::User(reader.ok_or_else(|| format!("no snmpuser is called \"{}\"", shown(name)))?)
+                Credentials::User(reader.ok_or_else(|| format!("no snmpuser is called \"{}\"", shown(name)))?)
             }
             _ => return Err(wanted.into()),
         };
-        Ok(Target { address, informs, as_whom })
+        Ok(Target { address, informs, credentials })
     }
 
     /// What the lines mean together: nothing without a port. An error comes with the number of its line.
@@ -253,7 +254,7 @@
         let targets = self
             .targets
             .iter()
-            .map(|line| Lines::target(line, &access).map_err(|what| of(line, "snmptrapto", what)));
+            .map(|line| SettingLines::target(line, &access).map_err(|what| of(line, "snmptrapto", what)));
         let targets = targets.collect::<Result<_, _>>()?;
         Ok(self.port.map(|port| Settings {
             port,
@@ -264,7 +265,7 @@
             contact: self.contact,
             location: self.location,
             fleet_least: self.fleet_least,
-            mark: self.mark,
+            fingerprint: self.fingerprint,
         }))
     }
 }
--- a/src/features/snmp/sight.rs
+++ b/src/features/snmp/snapshot_builder.rs
@@ -16,7 +16,7 @@
 
 /// What the owner knows beside the core.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Owned {
+pub struct OwnerStatus {
     pub ready: bool,
     pub downstreams: usize,
     pub downstreams_limit: usize,
@@ -31,7 +31,7 @@
 
 /// What stays from one snapshot to the next.
 #[derive(Debug)]
-pub struct Sight {
+pub struct SnapshotBuilder {
     pub started: Micros,
     pub name: Rc<str>,
     pub version: Rc<str>,
@@ -53,7 +53,7 @@
 }
 
 fn state(seen: &NodeStatus) -> State {
-    match seen.sight.map(|s| s.health) {
+    match seen.server_status.map(|s| s.health) {
         None => State::Gone,
         Some(Health::Serving) => State::Serving,
         Some(Health::Cold) => State::Cold,
@@ -72,22 +72,22 @@
     } else {
         LedgerState::Open
     };
-    let (out, window, waiting) = (origin.out, origin.window, origin.waiting);
+    let (outstanding, window, waiting) = (origin.out, origin.window, origin.waiting);
     Ledger {
         state,
-        out,
+        outstanding,
         window,
         waiting,
-        pace: origin.mean_latency,
-        strain: origin.latency_ratio,
-        slow: origin.failure_ratio,
+        mean_latency: origin.mean_latency,
+        latency_ratio: origin.latency_ratio,
+        failure_ratio: origin.failure_ratio,
     }
 }
 
-impl Sight {
+impl SnapshotBuilder {
     pub fn new(started: Micros, name: &str, site: Rc<Site>, fleet_least: u32) -> Self {
         let names = |names: &[String]| names.iter().map(|n| n.as_str().into()).collect();
-        Sight {
+        SnapshotBuilder {
             started,
             name: name.into(),
             version: env!("CARGO_PKG_VERSION").into(),
@@ -115,13 +115,13 @@
             ledger: seen.origin,
             phase,
             state,
-            out: seen.sight.map_or(0, |s| s.out),
+            outstanding: seen.server_status.map_or(0, |s| s.out),
             connections: seen.connections,
-            utilisation: seen.sight.and_then(|s| s.rho),
-            served: seen.ends.served,
-            missed: seen.ends.missed,
-            refused: seen.ends.refused,
-            failed: seen.ends.failed,
+            utilisation: seen.server_status.and_then(|s| s.rho),
+            served: seen.outcomes.served,
+            missed: seen.outcomes.missed,
+            refused: seen.outcomes.refused,
+            failed: seen.outcomes.failed,
             changed,
             since: seen.since,
             name: seen.name,
@@ -129,7 +129,13 @@
     }
 
     /// The snapshot of this moment.
-    pub fn take(&mut self, now: Micros, survey: ClusterStatus, tally: &mut Tally, o: Owned) -> Snapshot {
+    pub fn take(
+        &mut self,
+        now: Micros,
+        survey: ClusterStatus,
+        tally: &mut Tally,
+        o: OwnerStatus,
+    ) -> Snapshot {
         let ledger = ledger(&survey);
         let ClusterStatus { nodes, revision, heard, told, .. } = survey;
         let nodes: Vec<Node> = nodes.into_iter().map(|seen| self.node(now, seen)).collect();
