--- a/crates/world/src/discovery/tests.rs
+++ b/crates/world/src/discovery/tests.rs
@@ -7,7 +7,7 @@
     Entry { node: NODE, status, started: None }
 }
 
-fn told(d: &mut Discovery, now: Micros) -> Vec<(u32, Status)> {
+fn delivered(d: &mut Discovery, now: Micros) -> Vec<(u32, Status)> {
     let mut out = Vec::new();
     d.advance(now, &mut out);
     out.iter().map(|n| (n.proxy.0, n.entry.status)).collect()
@@ -20,8 +20,8 @@
     d.list(entry(Status::Ready));
     d.change(0, entry(Status::Draining), Notice::Vanished);
     d.change(0, entry(Status::Gone), Notice::Added);
-    assert!(told(&mut d, 5_000_000).is_empty(), "the later change waits for the first");
-    let all = told(&mut d, 20_000_000);
+    assert!(delivered(&mut d, 5_000_000).is_empty(), "the later change waits for the first");
+    let all = delivered(&mut d, 20_000_000);
     assert_eq!(all.len(), 2 * s.proxies.count as usize);
     assert!(all.chunks(2).all(|c| (c[0].1, c[1].1) == (Status::Draining, Status::Gone)));
     assert_eq!(d.known(ProxyNo(0), None).1, []);
@@ -41,9 +41,9 @@
     d.silence(0, true);
     d.change(0, entry(Status::Draining), Notice::Process);
     assert_eq!(d.next(), None);
-    assert!(told(&mut d, 20_000_000).is_empty(), "no proxy was told");
+    assert!(delivered(&mut d, 20_000_000).is_empty(), "nothing was delivered");
     d.silence(20_000_001, false);
     assert_eq!(d.next(), Some(20_000_001), "at once, and not in the past");
-    assert_eq!(told(&mut d, 20_000_001).len(), s.proxies.count as usize);
+    assert_eq!(delivered(&mut d, 20_000_001).len(), s.proxies.count as usize);
     assert_eq!(d.next(), None);
 }
--- a/crates/world/src/rules/fail_back.rs
+++ b/crates/world/src/rules/fail_back.rs
@@ -72,7 +72,7 @@
     miss_multiple: f64,
     nodes: BTreeMap<NodeNo, Node>,
     /// The start of each node's process as its proxies were told; `None` means long ago.
-    told: Map<(ProxyNo, NodeNo), Option<Micros>>,
+    starts_reported: Map<(ProxyNo, NodeNo), Option<Micros>>,
     /// At the origin, over its own window: all reads and writes, misses at cold nodes, and reads due to such
     /// nodes.
     asked: WindowSum,
@@ -99,7 +99,7 @@
             miss_part: r.cold_miss_part,
             miss_multiple: r.cold_miss_multiple,
             nodes: BTreeMap::new(),
-            told: Map::default(),
+            starts_reported: Map::default(),
             asked: origin.clone(),
             misses: origin.clone(),
             due: origin,
@@ -113,8 +113,8 @@
     /// its first list; it is received after this start but says nothing about it.
     fn is_informed(&self, proxy: ProxyNo, node: NodeNo) -> bool {
         let Some(started) = self.nodes.get(&node).and_then(|n| n.started) else { return false };
-        let told = self.told.get(&(proxy, node)).copied().flatten();
-        told.is_some_and(|told| told >= started)
+        let reported = self.starts_reported.get(&(proxy, node)).copied().flatten();
+        reported.is_some_and(|reported| reported >= started)
     }
 
     /// Cold according to what proxies are told: for a fixed time after its start.
@@ -152,10 +152,10 @@
                 self.share_at = Micros::MIN;
             }
             Fact::Listed { proxy, node, status: Status::Ready, started } => {
-                self.told.insert((proxy, node), started);
+                self.starts_reported.insert((proxy, node), started);
             }
-            Fact::Listed { proxy, node, .. } => drop(self.told.remove(&(proxy, node))),
-            Fact::ProxyEnded { proxy, .. } => self.told.retain(|(p, _), _| *p != proxy),
+            Fact::Listed { proxy, node, .. } => drop(self.starts_reported.remove(&(proxy, node))),
+            Fact::ProxyEnded { proxy, .. } => self.starts_reported.retain(|(p, _), _| *p != proxy),
             Fact::Arrived { proxy, node, work, warmth } => {
                 self.check_work(at, proxy, node, work as f64, warmth, findings)
             }
--- a/crates/world/tests/node.rs
+++ b/crates/world/tests/node.rs
@@ -27,19 +27,19 @@
     }
 }
 
-struct Peer {
+struct TestNode {
     node: Node,
     shared: SharedState,
 }
 
-impl Peer {
-    fn new(group: &NodeGroup, cold: bool) -> Peer {
+impl TestNode {
+    fn new(group: &NodeGroup, cold: bool) -> TestNode {
         let mut rng = stream(1, "test", 0);
         let limits = Limits::new(&Rules::default(), 10_000.0);
         let mut node = Node::new(Machine::draw(group, limits, &mut rng), rng);
         node.start(0, cold);
         (1..=9).for_each(|c| assert_eq!(node.connect(0, c), DialOutcome::Accepted));
-        Peer { node, shared: SharedState::default() }
+        TestNode { node, shared: SharedState::default() }
     }
 
     /// A read of a key with 10 ms of work, on the connection with the job's number.
@@ -53,7 +53,7 @@
         out
     }
 
-    fn pass(&mut self, until: Micros) -> Vec<Event> {
+    fn advance_to(&mut self, until: Micros) -> Vec<Event> {
         let mut out = Vec::new();
         self.node.advance(until * MS, &mut self.shared, &mut out);
         out
@@ -73,53 +73,53 @@
 
 #[test]
 fn a_key_misses_until_it_is_stored_and_hits_until_it_is_invalidated() {
-    let mut p = Peer::new(&group(), false);
+    let mut p = TestNode::new(&group(), false);
     p.read(0, 1, 7);
-    assert_eq!(answers(&p.pass(5)), [(1, 1, MISS)], "a miss costs a tenth of the work");
+    assert_eq!(answers(&p.advance_to(5)), [(1, 1, MISS)], "a miss costs a tenth of the work");
     p.read(10, 1, 7);
-    assert_eq!(answers(&p.pass(20)), [(11, 1, Answer::Miss { pending: true })]);
+    assert_eq!(answers(&p.advance_to(20)), [(11, 1, Answer::Miss { pending: true })]);
     p.node.store_value(20 * MS, 7, 100);
     p.read(30, 1, 7);
-    assert_eq!(answers(&p.pass(50)), [(40, 1, Answer::Value)]);
+    assert_eq!(answers(&p.advance_to(50)), [(40, 1, Answer::Value)]);
     p.node.invalidate(7);
     p.read(50, 1, 7);
-    assert_eq!(answers(&p.pass(60)), [(51, 1, MISS)]);
+    assert_eq!(answers(&p.advance_to(60)), [(51, 1, MISS)]);
 }
 
 #[test]
 fn requests_beyond_the_queue_are_rejected_at_once() {
-    let mut p = Peer::new(&group(), false);
+    let mut p = TestNode::new(&group(), false);
     p.node.store_value(0, 7, 100);
     let at_once: Vec<_> = (1..=5).flat_map(|job| answers(&p.read(0, job, 7))).collect();
     assert_eq!(at_once, [(0, 5, Answer::Busy)], "two slots and a queue of two");
-    let later: Vec<_> = answers(&p.pass(100)).iter().map(|a| (a.0, a.1)).collect();
+    let later: Vec<_> = answers(&p.advance_to(100)).iter().map(|a| (a.0, a.1)).collect();
     assert_eq!(later, [(10, 1), (10, 2), (20, 4), (20, 3)], "the work of the rejection delays the next job");
 }
 
 #[test]
 fn waiting_requests_without_a_waiting_client_are_dropped() {
-    let mut p = Peer::new(&group(), false);
+    let mut p = TestNode::new(&group(), false);
     p.node.store_value(0, 7, 100);
     (1..=3).for_each(|job| drop(p.read(0, job, 7)));
     let impatient = NodeRequest { key: 7, work: 10_000.0, expires: 5 * MS, ..NodeRequest::nothing(4, 4) };
     p.send(0, impatient);
     p.node.disconnect(3);
-    let seen = answers(&p.pass(100));
+    let seen = answers(&p.advance_to(100));
     assert_eq!(seen, [(10, 1, Answer::Value), (10, 4, Answer::Busy), (10, 2, Answer::Value)]);
 }
 
 #[test]
 fn a_hung_node_answers_after_its_release() {
-    let mut p = Peer::new(&group(), false);
+    let mut p = TestNode::new(&group(), false);
     p.node.store_value(0, 7, 100);
     p.read(0, 1, 7);
     let mut out = Vec::new();
     p.node.set_hung(5 * MS, true, &mut p.shared, &mut out);
     p.read(10, 2, 7);
     p.node.probe(10 * MS, 3, 3, &mut p.shared, &mut out);
-    assert_eq!(answers(&p.pass(1_000)), [], "it accepts requests and answers none");
+    assert_eq!(answers(&p.advance_to(1_000)), [], "it accepts requests and answers none");
     p.node.set_hung(1_000 * MS, false, &mut p.shared, &mut out);
-    out.extend(p.pass(2_000));
+    out.extend(p.advance_to(2_000));
     let jobs: Vec<_> = answers(&out).iter().map(|a| (a.0, a.1)).collect();
     assert_eq!(jobs, [(1_001, 3), (1_005, 1), (1_010, 2)]);
 }
@@ -127,25 +127,25 @@
 #[test]
 fn a_cold_node_is_slow_warms_up_and_crashes_when_overloaded() {
     let cold = NodeGroup { cold_from: [0.25, 0.25], cold_s: [4.0, 4.0], warm_by: WarmBy::Time, ..group() };
-    let mut p = Peer::new(&cold, true);
+    let mut p = TestNode::new(&cold, true);
     p.node.store_value(0, 7, 100);
     p.read(0, 1, 7);
-    let first = answers(&p.pass(100))[0].0;
+    let first = answers(&p.advance_to(100))[0].0;
     assert!((38..=40).contains(&first), "10 ms at a quarter of the speed: {first}");
     p.read(4_000, 1, 7);
-    assert_eq!(answers(&p.pass(5_000))[0].0, 4_010, "warm by now");
+    assert_eq!(answers(&p.advance_to(5_000))[0].0, 4_010, "warm by now");
 
     // Two cores at a quarter of the speed do 500 ms of work in the window: three times that is 150 reads, and
     // 5 are the margin for random variation.
-    let mut p = Peer::new(&cold, true);
-    let fell = |e: &Event| e.kind == EventKind::OverloadCrash;
-    let at = (0..400).find(|i| p.read(100 + i / 4, 1 + (*i as u64 % 9), 7).iter().any(fell));
+    let mut p = TestNode::new(&cold, true);
+    let crashed = |e: &Event| e.kind == EventKind::OverloadCrash;
+    let at = (0..400).find(|i| p.read(100 + i / 4, 1 + (*i as u64 % 9), 7).iter().any(crashed));
     assert!((150..200).contains(&at.expect("it crashes")), "{at:?}");
     assert_eq!(p.node.connect(1_000 * MS, 77), DialOutcome::Refused, "and stays down");
     let warm = NodeGroup { cold_s: [0.0, 0.0], ..cold };
-    let mut p = Peer::new(&warm, true);
+    let mut p = TestNode::new(&warm, true);
     assert!(
-        (0..400).all(|i| !p.read(100 + i / 4, 1 + (i as u64 % 9), 7).iter().any(fell)),
+        (0..400).all(|i| !p.read(100 + i / 4, 1 + (i as u64 % 9), 7).iter().any(crashed)),
         "a warm node does not crash"
     );
 }
@@ -154,30 +154,30 @@
 #[test]
 fn a_few_long_requests_do_not_crash_a_cold_node() {
     let cold = NodeGroup { cold_from: [0.25, 0.25], cold_s: [4.0, 4.0], warm_by: WarmBy::Time, ..group() };
-    let mut p = Peer::new(&cold, true);
-    let fell = |e: &Event| e.kind == EventKind::OverloadCrash;
+    let mut p = TestNode::new(&cold, true);
+    let crashed = |e: &Event| e.kind == EventKind::OverloadCrash;
     // Each is 40 times the mean: five are 2 s of work where 1.55 s are tolerated, but only five requests.
     let long = |job| NodeRequest { key: 7, work: 400_000.0, ..NodeRequest::nothing(job, job) };
-    assert!((1..=5).all(|job| !p.send(100 + job as Micros, long(job)).iter().any(fell)));
+    assert!((1..=5).all(|job| !p.send(100 + job as Micros, long(job)).iter().any(crashed)));
     // Many requests still crash it, long or not: 31 of them count for as much as 155 of mean work.
-    let at = (0..100).find(|i| p.send(200 + i, long(1 + *i as u64 % 9)).iter().any(fell));
+    let at = (0..100).find(|i| p.send(200 + i, long(1 + *i as u64 % 9)).iter().any(crashed));
     assert!(at.is_some_and(|i| (20..40).contains(&i)), "{at:?}");
 }
 
 #[test]
 fn reports_are_late_and_tell_how_busy_the_cores_were() {
     let g = NodeGroup { report_period_ms: [100.0, 100.0], report_delay_ms: [50.0, 50.0], ..group() };
-    let mut p = Peer::new(&g, false);
+    let mut p = TestNode::new(&g, false);
     p.node.store_value(0, 7, 100);
     // One of two cores is busy all the time.
     for at in 0..30 {
         p.read(at * 10, 1, 7);
     }
-    p.pass(300);
-    let report = |p: &mut Peer, at: Micros| {
+    p.advance_to(300);
+    let report = |p: &mut TestNode, at: Micros| {
         let mut out = Vec::new();
         p.node.probe(at * MS, 2, 2, &mut p.shared, &mut out);
-        out.extend(p.pass(at + 5));
+        out.extend(p.advance_to(at + 5));
         match answers(&out)[..] {
             [.., (_, 2, Answer::Report(report))] => report.util,
             _ => panic!("no report: {out:?}"),
@@ -191,14 +191,14 @@
 #[test]
 fn connections_are_capped_cost_a_handshake_and_are_closed_when_idle() {
     let g = NodeGroup { handshake_work_ms: [30.0, 30.0], idle_close_s: 1.0, ..group() };
-    let mut p = Peer::new(&g, false);
+    let mut p = TestNode::new(&g, false);
     assert_eq!(p.node.connect(0, 10), DialOutcome::Refused);
     p.node.store_value(0, 7, 100);
     p.read(0, 1, 7);
-    assert_eq!(answers(&p.pass(100)), [(40, 1, Answer::Value)]);
+    assert_eq!(answers(&p.advance_to(100)), [(40, 1, Answer::Value)]);
     p.read(100, 1, 7);
     assert_eq!(
-        answers(&p.pass(200)),
+        answers(&p.advance_to(200)),
         [(110, 1, Answer::Value)],
         "the handshake costs the first request only"
     );
@@ -208,7 +208,7 @@
 
 #[test]
 fn a_keyed_read_has_its_effect_once_within_the_window() {
-    let mut p = Peer::new(&group(), false);
+    let mut p = TestNode::new(&group(), false);
     p.node.store_value(0, 7, 100);
     let mut effect = |at| {
         let request = NodeRequest {
@@ -221,7 +221,7 @@
             EventKind::Began { effect, .. } => Some(effect),
             _ => None,
         });
-        p.pass(at + 10);
+        p.advance_to(at + 10);
         began.expect("it began")
     };
     assert_eq!([effect(0), effect(3_900), effect(4_100)], [true, false, true]);
@@ -229,10 +229,10 @@
 
 #[test]
 fn a_draining_node_completes_accepted_requests() {
-    let mut p = Peer::new(&group(), false);
+    let mut p = TestNode::new(&group(), false);
     p.node.store_value(0, 7, 100);
     p.read(0, 1, 7);
     p.node.drain();
     assert_eq!(answers(&p.read(1, 2, 7)), [(1, 2, Answer::Busy)]);
-    assert_eq!(answers(&p.pass(20)), [(10, 1, Answer::Value)]);
+    assert_eq!(answers(&p.advance_to(20)), [(10, 1, Answer::Value)]);
 }
--- a/crates/world/tests/origin.rs
+++ b/crates/world/tests/origin.rs
@@ -11,32 +11,33 @@
 
 /// 100 reads per second, in ten slots of 100 ms each.
 fn origin(change: impl FnOnce(&mut scenario::Origin)) -> Origin {
-    let mut words = scenario::Origin { service_sigma: 0.0, crowd_loss: 0.0, ..scenario::Origin::default() };
-    change(&mut words);
-    let mut origin = Origin::new(&words, 100.0, stream(1, "ledger", 0));
+    let mut settings =
+        scenario::Origin { service_sigma: 0.0, crowd_loss: 0.0, ..scenario::Origin::default() };
+    change(&mut settings);
+    let mut origin = Origin::new(&settings, 100.0, stream(1, "ledger", 0));
     assert_eq!(origin.connect(1), DialOutcome::Accepted);
     origin
 }
 
 /// Sends a read every `every` ms from one moment to another. For each overload event, returns whether the
 /// origin stopped.
-fn press(l: &mut Origin, from: Micros, until: Micros, every: usize) -> Vec<bool> {
+fn send_reads(l: &mut Origin, from: Micros, until: Micros, every: usize) -> Vec<bool> {
     let mut out = Vec::new();
     for at in (from..until).step_by(every) {
         l.connect(1);
         l.arrive(at * MS, NodeRequest::nothing(at as u64, 1), &mut DedupTable::default(), &mut out);
     }
-    let swamped = |e: &Event| match e.kind {
+    let overload_stops = |e: &Event| match e.kind {
         EventKind::Overloaded { stopped, .. } => Some(stopped),
         _ => None,
     };
-    out.iter().filter_map(swamped).collect()
+    out.iter().filter_map(overload_stops).collect()
 }
 
 #[test]
 fn it_serves_its_capacity_and_rejects_the_excess() {
     let mut l = origin(|l| l.fall_multiple = 0.0);
-    press(&mut l, 0, 10_000, 5);
+    send_reads(&mut l, 0, 10_000, 5);
     let counted = l.counted();
     // One second's worth is queued; of 200 per second 100 are served.
     assert!((980..=1_010).contains(&counted.served), "{counted:?}");
@@ -59,13 +60,13 @@
 #[test]
 fn sustained_overload_stops_it_for_some_seconds_and_a_limited_number_of_times() {
     let mut l = origin(|l| l.down_s = [3.0, 3.0]);
-    assert!(press(&mut l, 0, 1_400, 2).is_empty(), "a short burst does not stop it");
-    let stops = press(&mut l, 1_400, 4_000, 2);
+    assert!(send_reads(&mut l, 0, 1_400, 2).is_empty(), "a short burst does not stop it");
+    let stops = send_reads(&mut l, 1_400, 4_000, 2);
     assert_eq!(stops, [true]);
     assert!(!l.is_up() && l.connect(2) == DialOutcome::Refused);
     l.advance(8_000 * MS, &mut DedupTable::default(), &mut Vec::new());
     assert_eq!((l.is_up(), l.connect(2)), (true, DialOutcome::Accepted));
-    let more = press(&mut l, 8_000, 40_000, 2);
+    let more = send_reads(&mut l, 8_000, 40_000, 2);
     assert_eq!(more.iter().filter(|s| **s).count(), 1, "twice in all: {more:?}");
     assert!(more.len() > 1, "but each period of overload is reported");
 }
--- a/crates/world/tests/world.rs
+++ b/crates/world/tests/world.rs
@@ -14,14 +14,14 @@
 }
 
 /// Everything that happens within this many seconds with this fault.
-fn played(fault: Fault, seconds: Micros) -> (World, Vec<(Micros, Occurrence)>) {
+fn run(fault: Fault, seconds: Micros) -> (World, Vec<(Micros, Occurrence)>) {
     let mut world = World::builder().fault(fault).build(5).expect("a valid world");
     let mut out = Vec::new();
     world.advance(seconds * S, &mut out);
     (world, out)
 }
 
-fn is_told(o: &Occurrence, proxy: u32) -> Option<(NodeNo, Status, bool)> {
+fn reported_status(o: &Occurrence, proxy: u32) -> Option<(NodeNo, Status, bool)> {
     match o {
         Occurrence::ListUpdated(n) if n.proxy == ProxyNo(proxy) => {
             Some((n.entry.node, n.entry.status, n.entry.started.is_some()))
@@ -32,15 +32,15 @@
 
 #[test]
 fn a_restarted_node_is_drained_ended_and_started_cold_and_each_step_is_reported() {
-    let (world, out) = played(Fault { node: Some(4), ..fault(FaultKind::Restart) }, 20);
+    let (world, out) = run(Fault { node: Some(4), ..fault(FaultKind::Restart) }, 20);
     let node = NodeNo(4);
     let steps: Vec<_> =
         out.iter().filter(|(_, o)| !matches!(o, Occurrence::ListUpdated(_))).cloned().collect();
     let (ended, started) = (Occurrence::Ended { node }, Occurrence::Started { node });
     assert_eq!(steps, [(5 * S, ended), (5 * S + S / 2, started)]);
-    let told: Vec<_> = out.iter().filter_map(|(_, o)| is_told(o, 0)).collect();
+    let reported: Vec<_> = out.iter().filter_map(|(_, o)| reported_status(o, 0)).collect();
     assert_eq!(
-        told,
+        reported,
         [(node, Status::Draining, false), (node, Status::Gone, false), (node, Status::Ready, true)]
     );
     assert!(world.node(node).is_some_and(|n| n.is_cold(6 * S)));
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_replacement_has_the_address_and_another_name() {
-    let (world, out) = played(Fault { node: Some(0), ..fault(FaultKind::Replace) }, 20);
+    let (world, out) = run(Fault { node: Some(0), ..fault(FaultKind::Replace) }, 20);
     let new = out.iter().find_map(|(_, o)| match o {
         Occurrence::Started { node } => Some(world.member(*node)),
         _ => None,
@@ -70,9 +70,13 @@
     let there = (0..world.members().len() as u32).map(NodeNo).filter(|n| world.member(*n).address == address);
     let up: Vec<NodeNo> = there.filter(|n| world.node(*n).is_some_and(|n| n.is_up())).collect();
     assert!(up.len() == 1 && up[0] != NodeNo(0), "{up:?}");
-    let told: Vec<Status> =
-        out.iter().filter_map(|(_, o)| is_told(o, 0)).filter(|t| t.0 == NodeNo(0)).map(|t| t.1).collect();
-    assert_eq!(told, [Status::Draining, Status::Gone]);
+    let reported: Vec<Status> = out
+        .iter()
+        .filter_map(|(_, o)| reported_status(o, 0))
+        .filter(|t| t.0 == NodeNo(0))
+        .map(|t| t.1)
+        .collect();
+    assert_eq!(reported, [Status::Draining, Status::Gone]);
 }
 
 /// Guards against a false breach of the `drain` rule, found by `lab search scenarios/slow_start_burst.toml
@@ -99,7 +103,7 @@
 #[test]
 fn proxies_are_restarted_one_after_the_other() {
     let (_, out) =
-        played(Fault { every_s: Some(10.0), down_s: Some(3.0), ..fault(FaultKind::ProxyRestart) }, 40);
+        run(Fault { every_s: Some(10.0), down_s: Some(3.0), ..fault(FaultKind::ProxyRestart) }, 40);
     let steps: Vec<_> = out
         .iter()
         .filter_map(|(at, o)| match o {
@@ -115,7 +119,7 @@
 
 #[test]
 fn a_fault_affects_a_part_of_the_fleet_and_its_mark_names_the_nodes() {
-    let (world, _) = played(Fault { part: Some(0.34), ..fault(FaultKind::Crash) }, 2);
+    let (world, _) = run(Fault { part: Some(0.34), ..fault(FaultKind::Crash) }, 2);
     let down = world.members().iter().filter(|m| !world.node(m.no).is_some_and(|n| n.is_up())).count();
     assert_eq!(down, 3);
     let mark = &world.marks()[0];
@@ -124,13 +128,13 @@
 }
 
 /// A world whose nodes answer without delays.
-fn quick() -> World {
-    let quick = |s: &mut Scenario| {
+fn fast_world() -> World {
+    let fast_world = |s: &mut Scenario| {
         for group in &mut s.nodes {
             (group.handshake_work_ms, group.pause_ms) = ([0.0, 0.0], [0.0, 0.0]);
         }
     };
-    World::builder().with(quick).build(5).expect("a valid world")
+    World::builder().with(fast_world).build(5).expect("a valid world")
 }
 
 /// A node's answer to a read of a key, sent at a given time on a connection of its own.
@@ -160,7 +164,7 @@
 
 #[test]
 fn a_write_at_the_origin_invalidates_all_copies() {
-    let mut world = quick();
+    let mut world = fast_world();
     // A key that nobody requested before the start of the run.
     let key = world.arrivals().popularity().crowd_key(1);
     let (a, b) = (NodeNo(0), NodeNo(1));
@@ -177,7 +181,7 @@
 
 #[test]
 fn the_first_warm_node_that_is_asked_holds_a_popular_key() {
-    let mut world = quick();
+    let mut world = fast_world();
     let popularity = world.arrivals().popularity().clone();
     let held = (1..=50).filter(|rank| {
         let key = popularity.key(*rank, 0);
