--- a/crates/world/src/clients/request_table.rs
+++ b/crates/world/src/clients/request_table.rs
@@ -23,7 +23,7 @@
 pub struct Try {
     pub no: TryNo,
     pub request: Request,
-    place: RequestSlot,
+    slot: RequestSlot,
     pub proxy: ProxyNo,
     /// Not the first try of its request.
     pub retry: bool,
@@ -87,11 +87,11 @@
     pub fn send(
         &mut self,
         now: Micros,
-        place: RequestSlot,
+        slot: RequestSlot,
         proxy: ProxyNo,
         recorder: &mut Recorder,
     ) -> Option<Try> {
-        let live = self.live.get_mut(place.0)?;
+        let live = self.live.get_mut(slot.0)?;
         let class = self.classes.get(usize::from(live.request.class.0))?;
         let retry = live.retry_state.tries > 0;
         recorder.tried(now, &live.request, retry);
@@ -102,7 +102,7 @@
         let new_try = Try {
             no,
             request,
-            place,
+            slot,
             proxy,
             retry,
             sent,
@@ -121,18 +121,18 @@
     pub fn unreached(
         &mut self,
         now: Micros,
-        place: RequestSlot,
+        slot: RequestSlot,
         recorder: &mut Recorder,
     ) -> Option<(Micros, RequestSlot)> {
-        let live = self.live.get_mut(place.0)?;
+        let live = self.live.get_mut(slot.0)?;
         let class = self.classes.get(usize::from(live.request.class.0))?;
         recorder.tried(now, &live.request, live.retry_state.tries > 0);
         live.retry_state.begin(now, &live.request, class);
-        self.schedule_next(now, place, TryEnd::Unreached, recorder)
+        self.schedule_next(now, slot, TryEnd::Unreached, recorder)
     }
 
-    pub fn request(&self, place: RequestSlot) -> Option<Request> {
-        self.live.get(place.0).map(|l| l.request)
+    pub fn request(&self, slot: RequestSlot) -> Option<Request> {
+        self.live.get(slot.0).map(|l| l.request)
     }
 
     pub fn get(&self, of: TryNo) -> Option<&Try> {
@@ -172,25 +172,25 @@
     ) -> Option<(Micros, RequestSlot)> {
         let live_try = self.get_mut(of).filter(|t| t.open)?;
         live_try.open = false;
-        let place = live_try.place;
-        self.schedule_next(now, place, end, recorder)
+        let slot = live_try.slot;
+        self.schedule_next(now, slot, end, recorder)
     }
 
     fn schedule_next(
         &mut self,
         now: Micros,
-        place: RequestSlot,
+        slot: RequestSlot,
         end: TryEnd,
         recorder: &mut Recorder,
     ) -> Option<(Micros, RequestSlot)> {
-        let live = *self.live.get(place.0)?;
+        let live = *self.live.get(slot.0)?;
         recorder.ended(now, end);
         let class = self.classes.get(usize::from(live.request.class.0))?;
         match live.retry_state.after(now, &live.request, class, end) {
-            Next::Try { at } => Some((at, place)),
+            Next::Try { at } => Some((at, slot)),
             Next::Over => {
                 recorder.over(now, &live.request, end);
-                self.live.remove(place.0);
+                self.live.remove(slot.0);
                 None
             }
         }
--- a/crates/world/src/world/mod.rs
+++ b/crates/world/src/world/mod.rs
@@ -479,10 +479,10 @@
     fn deliver_list_updates(&mut self, at: Micros, out: &mut Vec<(Micros, Occurrence)>) {
         let mut list_updates = std::mem::take(&mut self.list_updates);
         self.discovery.advance(at, &mut list_updates);
-        for one in list_updates.drain(..) {
-            let Entry { node, status, started } = one.entry;
-            self.rules.observe(at, &Fact::Listed { proxy: one.proxy, node, status, started });
-            out.push((at, Occurrence::ListUpdated(one)));
+        for update in list_updates.drain(..) {
+            let Entry { node, status, started } = update.entry;
+            self.rules.observe(at, &Fact::Listed { proxy: update.proxy, node, status, started });
+            out.push((at, Occurrence::ListUpdated(update)));
         }
         self.list_updates = list_updates;
         self.refresh_list_update_at();
