--- a/crates/lab/src/virtual_host/lobby.rs
+++ b/crates/lab/src/virtual_host/lobby.rs
@@ -1,12 +1,12 @@
 //! The connections to one proxy: those of usual clients, who keep and reuse them, and those of a crowd.
 //!
-//! It owns the backlog and what is accepted, and asks a judge who makes room: `martenweir::door` itself, or what
-//! it is compared with. Only for scenarios with a crowd; without one a try needs no connection here. A command is
+//! It owns the backlog and what is accepted, and asks a judge who makes room: `martenweir::admission` itself, or
+//! what it is compared with. Only for scenarios with a crowd; without one a try needs no connection here. A command is
 //! read in the moment in which its connection is accepted, and closing one never crosses a command: that takes
 //! sockets.
 
+use martenweir::admission::{Budget, Door, Feed, Limits, Settings, Shown, Side, Waits};
 use martenweir::core::DownstreamId;
-use martenweir::door::{Budget, Door, Feed, Limits, Settings, Shown, Side, Waits};
 use martenweir::interface::Micros;
 use std::collections::{BTreeSet, VecDeque};
 use std::net::{IpAddr, Ipv4Addr};
@@ -427,7 +427,7 @@
         }
         while let Some(feed) = door.feed() {
             if let Feed::Close(id) = feed {
-                door.gone(id, martenweir::door::Why::Bytes);
+                door.gone(id, martenweir::admission::Why::Bytes);
                 self.close(id);
             }
         }
--- a/src/door/mod.rs
+++ b/src/admission/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! ```
 //! use martenweir::core::DownstreamId;
-//! use martenweir::door::{Door, Limits, Settings, Shown, Side, Waits};
+//! use martenweir::admission::{Door, Limits, Settings, Shown, Side, Waits};
 //!
 //! let limits = Limits { descriptors: 256, memory: 192 << 20, side_ports: 0 };
 //! let mut door = Door::new(&Settings::default(), limits);
--- a/src/features/file.rs
+++ b/src/features/file.rs
@@ -2,7 +2,7 @@
 
 use super::control::{self, Controls, Listed};
 use super::{addresses, figures, follower, forwarder, multiget, planner, snmp, tap};
-use crate::door;
+use crate::admission;
 use crate::interface::Micros;
 use crate::net::memcached::{self, Desk, Nodes, Speakers};
 use crate::settings::Site;
@@ -25,7 +25,7 @@
     pub memcachednodes: Nodes,
     pub snmp: Option<snmp::Settings>,
     /// Always at work, with or without a line of its own.
-    pub door: door::Settings,
+    pub door: admission::Settings,
     pub forwarder: Option<forwarder::Settings>,
     pub planner: Option<planner::Settings>,
     pub control: Option<control::Settings>,
@@ -86,7 +86,7 @@
     let mut figures = figures::Settings::default();
     let (mut memcached, mut nodes) = (memcached::Settings::default(), Nodes::default());
     let mut agent = snmp::Lines::default();
-    let mut door = door::Settings::default();
+    let mut door = admission::Settings::default();
     let (mut multigetport, mut tapport, mut memcacheport) = (None, None, None);
     let (mut planners, mut plannerport, mut forwarders) = (Vec::new(), None, None);
     let (mut controls, mut control) = (Controls::default(), control::Settings::default());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,13 +16,13 @@
 #[doc = include_str!("../README.md")]
 struct Readme;
 
+pub mod admission;
 pub mod choice;
 mod clock;
 pub mod codec;
 pub mod commands;
 pub mod config;
 pub mod core;
-pub mod door;
 pub mod features;
 mod id_map;
 pub mod interface;
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -4,7 +4,7 @@
 //! of the sockets.
 
 use super::{tell, uninterrupted, unmapped, News, Note, Port, Queue};
-use crate::door::Side;
+use crate::admission::Side;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
--- a/src/net/downstream.rs
+++ b/src/net/downstream.rs
@@ -4,9 +4,9 @@
 use super::accept::Socket;
 use super::protocol::{Parsed, Protocol};
 use super::{consume, peek, read, read_on, tell, write, Caller, News, Queue, READ};
+use crate::admission::Shown;
+pub use crate::admission::Waits;
 use crate::core::{Answer, DownstreamId, Input};
-use crate::door::Shown;
-pub use crate::door::Waits;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
 use futures_lite::future;
--- a/src/owner/downstreams.rs
+++ b/src/owner/downstreams.rs
@@ -3,8 +3,8 @@
 //! alone.
 
 use super::ports::Service;
+use crate::admission::Shown;
 use crate::core::{DownstreamId, Input};
-use crate::door::Shown;
 use crate::net::accept::Socket;
 use crate::net::downstream::{Link, Moved, Order, Progress, Waits};
 use crate::net::{Caller, News, Queue};
--- a/src/owner/downstreams/tests.rs
+++ b/src/owner/downstreams/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::door::Side;
+use crate::admission::Side;
 use crate::net::accept::Gate;
 use async_io::Async;
 use std::net::{TcpListener, TcpStream};
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -8,7 +8,7 @@
 //! A decision about a request has no place here: it is the module's. Who may connect, who makes room and how
 //! a planned end goes is the [`door`]'s.
 //!
-//! [`door`]: crate::door
+//! [`door`]: crate::admission
 
 mod controls;
 mod discovery;
@@ -19,12 +19,12 @@
 mod side;
 mod upstreams;
 
+use crate::admission::ending::Ending;
+use crate::admission::{Counts, Door, Feed, Limits, Why};
 use crate::clock::Clock;
 use crate::codec::discovery::hash_id;
 use crate::config::Config;
 use crate::core::{Core, DownstreamId, Effect, Input};
-use crate::door::ending::Ending;
-use crate::door::{Counts, Door, Feed, Limits, Why};
 use crate::features::figures::Gauges;
 use crate::features::file::Features;
 use crate::features::follower::{applier::Carried, Following};
--- a/src/owner/ports.rs
+++ b/src/owner/ports.rs
@@ -1,6 +1,6 @@
 //! The ports that the proxy listens on: a task each that accepts, and a gate before each sort of them.
 
-use crate::door::{Door, Side};
+use crate::admission::{Door, Side};
 use crate::features::file::Features;
 use crate::net::accept::{accept, Gate};
 use crate::net::{Port, Queue};
--- a/src/owner/report.rs
+++ b/src/owner/report.rs
@@ -1,7 +1,7 @@
 //! Lines of the log that the owner has to ration: those about peers, and the figures between them.
 
+use crate::admission::{Counts, Door};
 use crate::core::Core;
-use crate::door::{Counts, Door};
 use crate::interface::Micros;
 use crate::net::Note;
 use tracing::field::display;
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -1,4 +1,4 @@
-//! Crowds and rude peers at the program's sockets. What decides is tested in `src/door`, in virtual time;
+//! Crowds and rude peers at the program's sockets. What decides is tested in `src/admission`, in virtual time;
 //! here it is that sockets carry it out.
 
 use rstest::rstest;
--- a/tests/memcached.rs
+++ b/tests/memcached.rs
@@ -1,8 +1,8 @@
 //! The memcached port without sockets: bytes in, streams and answers out; and one connection of it by hand.
 
 use async_executor::LocalExecutor;
+use martenweir::admission::Side;
 use martenweir::core::{Answer, DownstreamId, Input, NewStream};
-use martenweir::door::Side;
 use martenweir::net::accept::Socket;
 use martenweir::net::downstream::{serve, Link, Moved, Order, Progress, Waits};
 use martenweir::net::memcached::front::Front;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,10 +1,10 @@
 //! Settings of other deployments: how the module, the core and the parsers handle values and names
 //! far from those of any one deployment.
 
+use martenweir::admission::{self, Door, Limits, Shown, Side, Waits};
 use martenweir::choice::Balancer;
 use martenweir::codec::discovery::{self, Cluster, Listed};
 use martenweir::core::{Answer, Core, DownstreamId, Effect, Input, Message, NewStream, Stage};
-use martenweir::door::{self, Door, Limits, Shown, Side, Waits};
 use martenweir::interface::*;
 use martenweir::settings::{self, Site};
 use rstest::rstest;
@@ -524,7 +524,7 @@
 #[test]
 fn a_client_that_waits_for_its_answer_is_not_idle() {
     let limits = Limits { descriptors: 256, memory: 192 << 20, side_ports: 0 };
-    let mut door = Door::new(&door::Settings::default(), limits);
+    let mut door = Door::new(&admission::Settings::default(), limits);
     let id = DownstreamId(7);
     door.accepted(0, id, Side::Main, [192, 0, 2, 7].into(), Waits::Command);
     let asked = Shown { steps: 1, asks: 1, waits: Waits::Answer, ..Shown::default() };
