--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -31,7 +31,7 @@
 
 mod budget;
 mod bytes;
-pub mod ending;
+pub mod drain;
 mod idle;
 mod pace;
 mod rank;
@@ -506,7 +506,7 @@
         let after = match one.shown.waits {
             Waits::Command | Waits::Header => SPEECHLESS,
             Waits::Peer => UNREAD,
-            Waits::Close => ending::GOODBYE,
+            Waits::Close => drain::GOODBYE,
             Waits::Nothing => IDLE,
             Waits::Answer => return,
         };
--- a/src/features/multiget.rs
+++ b/src/features/multiget.rs
@@ -4,8 +4,8 @@
 use crate::codec::resp;
 use crate::core::{Answer, DownstreamId, NewStream};
 use crate::interface::Repeat;
+use crate::net::command::Vocabulary;
 use crate::net::protocol::{self, error, Parsed, Protocol};
-use crate::net::vocabulary::Vocabulary;
 use std::cell::Cell;
 use std::rc::Rc;
 
--- a/src/net/memcached/front.rs
+++ b/src/net/memcached/gateway.rs
@@ -7,12 +7,12 @@
 use super::answers::{error, put, Asked};
 use super::arrivals::Arrivals;
 use super::logins::{COST, TRIES};
-use super::words::Tenant;
+use super::mapping::Tenant;
 use super::Desk;
 use crate::codec::resp;
 use crate::core::{Answer, DownstreamId};
+use crate::net::command::Vocabulary;
 use crate::net::protocol::{Parsed, Protocol};
-use crate::net::vocabulary::Vocabulary;
 use memcached::{frame, header, sasl, Fault, Header, Limits, Opcode, Request, Response, Status, Step};
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/src/net/memcached/logins.rs
+++ b/src/net/memcached/logins.rs
@@ -4,7 +4,7 @@
 //! The file holds secrets, so nobody but its owner may read or write it. Passwords are compared in a time
 //! that depends on nothing that a caller does not know, are never shown and never logged.
 
-use super::words::Tenant;
+use super::mapping::Tenant;
 use crate::settings::Site;
 use memcached::sasl;
 use std::cell::{Cell, RefCell};
--- a/src/net/memcached/words.rs
+++ b/src/net/memcached/mapping.rs
@@ -14,7 +14,7 @@
 use crate::codec::discovery::hash_id;
 use crate::core::{DownstreamId, Message, NewStream};
 use crate::interface::*;
-use crate::net::vocabulary;
+use crate::net::command;
 use crate::settings::Site;
 use crate::state::mix;
 use memcached::{Opcode, Request, Status};
@@ -157,7 +157,7 @@
             place,
             class: of.class,
             tenant: tenant.id,
-            key: vocabulary::key(request.key),
+            key: command::key(request.key),
             repeat: false,
             patience,
             hint: None,
--- a/src/net/memcached/mod.rs
+++ b/src/net/memcached/mod.rs
@@ -1,7 +1,7 @@
-//! The memcached binary protocol, on both sides of the proxy: [`front`] is a port for gateways that speak
+//! The memcached binary protocol, on both sides of the proxy: [`gateway`] is a port for gateways that speak
 //! nothing else, [`node`] the dialect of cache nodes that do. The bytes are the package `memcached`'s.
 //!
-//! What it owns: what the protocol's commands mean here ([`words`]), how outcomes are told in it
+//! What it owns: what the protocol's commands mean here ([`mapping`]), how outcomes are told in it
 //! ([`answers`]), who may ask ([`logins`]) and what may be looked up ([`stats`]). A read or a write becomes
 //! a [`NewStream`] like any other; what becomes of it is the module's, here as on every port.
 //!
@@ -13,19 +13,19 @@
 
 pub mod answers;
 mod arrivals;
-pub mod front;
+pub mod gateway;
 pub mod logins;
+pub mod mapping;
 pub mod node;
 pub mod stats;
-pub mod words;
 
 use crate::interface::{KindId, Micros, ServerId};
 use crate::settings::Site;
 use logins::Logins;
+use mapping::Words;
 use stats::Stats;
 use std::cell::Cell;
 use std::path::PathBuf;
-use words::Words;
 
 /// What operators say of the port.
 #[derive(Clone, Debug, Default, PartialEq)]
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -6,17 +6,17 @@
 
 pub mod accept;
 pub mod cluster;
+pub mod command;
 pub mod downstream;
+mod events;
 pub mod framed;
 pub mod memcached;
-mod news;
 pub mod origin;
 pub mod protocol;
 pub mod upstream;
-pub mod vocabulary;
 
-pub(crate) use news::tell;
-pub use news::{unmapped, Caller, Heard, News, Note, Port, Queue};
+pub(crate) use events::tell;
+pub use events::{unmapped, Caller, Heard, News, Note, Port, Queue};
 
 use async_io::Async;
 use futures_lite::future;
