--- a/crates/lab/src/virtual_host/lobby.rs
+++ b/crates/lab/src/virtual_host/lobby.rs
@@ -5,7 +5,9 @@
 //! read in the moment in which its connection is accepted, and closing one never crosses a command: that takes
 //! sockets.
 
-use martenweir::admission::{Budget, Door, Feed, Limits, Settings, Shown, Side, Waits};
+use martenweir::admission::{
+    Activity, Admission, Budget, Limits, MemoryAction, PortKind, Settings, WaitingFor,
+};
 use martenweir::core::DownstreamId;
 use martenweir::interface::Micros;
 use std::collections::{BTreeSet, VecDeque};
@@ -50,7 +52,7 @@
 struct One {
     /// `None`: a guest.
     usual: Option<Usual>,
-    shown: Shown,
+    shown: Activity,
     /// Quiet since then, and when it goes by itself.
     quiet: Option<Micros>,
     ends: Option<Micros>,
@@ -96,7 +98,7 @@
     budget: Budget,
     nodes: usize,
     ample: usize,
-    door: Option<Door>,
+    door: Option<Admission>,
     bytes: usize,
     pub counts: Doorway,
 }
@@ -113,7 +115,7 @@
     ) -> Self {
         let (descriptors, memory) = (sockets as usize, (memory_mb as usize) << 20);
         let limits = Limits { descriptors, memory, side_ports: 0 };
-        let door = (crowd.judge == Judge::Door).then(|| Door::new(&Settings::default(), limits));
+        let door = (crowd.judge == Judge::Door).then(|| Admission::new(&Settings::default(), limits));
         let gap = f64::from(proxies) * 1e6 / crowd.connections_per_s;
         let next_guest = after(now, gap, &mut rng);
         Lobby {
@@ -159,7 +161,7 @@
         let id = self.carries.remove(&of)?;
         self.change(now, id, |one| {
             one.usual = Some(Usual { of: None });
-            one.shown.waits = Waits::Nothing;
+            one.shown.waiting_for = WaitingFor::Nothing;
             one.shown.steps += 1;
             one.quiet = Some(now);
             one.ends = Some(now + IDLE);
@@ -196,7 +198,7 @@
             false => self.busy,
         };
         let judge = match &self.door {
-            Some(door) => door.next(now).unwrap_or(Micros::MAX),
+            Some(door) => door.next_deadline(now).unwrap_or(Micros::MAX),
             None => self.sweeps,
         };
         self.next_guest.min(ends).min(accepts).min(judge).max(now + 1)
@@ -229,7 +231,7 @@
     // ---- connections
 
     fn most(&self) -> usize {
-        self.door.as_ref().map_or(self.budget.downstreams(self.nodes), |door| door.most(Side::Main))
+        self.door.as_ref().map_or(self.budget.downstream_limit(self.nodes), |door| door.limit(PortKind::Main))
     }
 
     /// For the proxy, and for the front before it.
@@ -279,9 +281,9 @@
             Waiting::Guest { from, .. } => from,
         };
         if let Some(door) = &mut self.door {
-            door.accepted(now, id, Side::Main, from, Waits::Command);
+            door.accepted(now, id, PortKind::Main, from, WaitingFor::Command);
         }
-        let one = One { usual: None, shown: Shown::default(), quiet: None, ends: None };
+        let one = One { usual: None, shown: Activity::default(), quiet: None, ends: None };
         self.open.insert(id, one);
         match waiting {
             Waiting::Usual(of) => {
@@ -305,19 +307,26 @@
 
     fn acts(&mut self, now: Micros, id: DownstreamId, does: Does, until: Micros) {
         let bytes = self.crowd.bytes as usize;
-        let first = Shown::default();
+        let first = Activity::default();
         let (shown, limit) = match does {
             Does::Nothing | Does::Resets => (first, SPEECHLESS),
-            Does::Ping => (Shown { waits: Waits::Nothing, steps: 2, local: 1, ..first }, IDLE),
-            Does::Asks => (Shown { waits: Waits::Peer, steps: 1, asks: 1, bytes, ..first }, UNREAD),
-            Does::HalfACommand => (Shown { part: 20, bytes: 20, ..first }, SPEECHLESS),
-            Does::Nonsense => (Shown { waits: Waits::Close, steps: 1, malformed: true, ..first }, SPEECHLESS),
+            Does::Ping => {
+                (Activity { waiting_for: WaitingFor::Nothing, steps: 2, local_replies: 1, ..first }, IDLE)
+            }
+            Does::Asks => (
+                Activity { waiting_for: WaitingFor::Peer, steps: 1, streams: 1, held_bytes: bytes, ..first },
+                UNREAD,
+            ),
+            Does::HalfACommand => (Activity { partial_bytes: 20, held_bytes: 20, ..first }, SPEECHLESS),
+            Does::Nonsense => {
+                (Activity { waiting_for: WaitingFor::Close, steps: 1, malformed: true, ..first }, SPEECHLESS)
+            }
         };
         // The door has times of its own.
         let until = if self.door.is_some() { until } else { until.min(now + limit) };
         self.change(now, id, |one| {
             one.shown = shown;
-            one.quiet = Some(now).filter(|_| shown.waits != Waits::Peer);
+            one.quiet = Some(now).filter(|_| shown.waiting_for != WaitingFor::Peer);
             one.ends = Some(until);
         });
     }
@@ -326,9 +335,9 @@
         self.carries.insert(of, id);
         self.change(now, id, |one| {
             one.usual = Some(Usual { of: Some(of) });
-            one.shown.waits = Waits::Answer;
+            one.shown.waiting_for = WaitingFor::Answer;
             one.shown.steps += 1;
-            one.shown.asks += 1;
+            one.shown.streams += 1;
             (one.quiet, one.ends) = (None, None);
         });
     }
@@ -342,10 +351,10 @@
         self.forget(id, &before);
         self.quiet.extend(one.quiet.map(|at| (at, id)));
         self.ends.extend(one.ends.map(|at| (at, id)));
-        self.bytes += one.shown.bytes;
+        self.bytes += one.shown.held_bytes;
         self.counts.most_bytes = self.counts.most_bytes.max(self.bytes as u64);
         if let Some(door) = &mut self.door {
-            door.shows(now, id, one.shown);
+            door.update(now, id, one.shown);
         }
     }
 
@@ -356,7 +365,7 @@
         if let Some(at) = one.ends {
             self.ends.remove(&(at, id));
         }
-        self.bytes -= one.shown.bytes;
+        self.bytes -= one.shown.held_bytes;
     }
 
     /// The one place where a connection is given back.
@@ -416,18 +425,18 @@
     /// As the proxy's owner does it.
     fn keep_door(&mut self, now: Micros) {
         let Some(mut door) = self.door.take() else { return };
-        door.nodes(self.nodes);
-        while let Some((id, why)) = door.due(now) {
-            door.gone(id, why);
+        door.set_node_connections(self.nodes);
+        while let Some((id, why)) = door.next_timeout(now) {
+            door.closed(id, why);
             self.close(id);
         }
-        while let Some((id, why)) = door.worst(now, false) {
-            door.gone(id, why);
+        while let Some((id, why)) = door.next_eviction(now, false) {
+            door.closed(id, why);
             self.close(id);
         }
-        while let Some(feed) = door.feed() {
-            if let Feed::Close(id) = feed {
-                door.gone(id, martenweir::admission::Why::Bytes);
+        while let Some(feed) = door.next_memory_action() {
+            if let MemoryAction::Close(id) = feed {
+                door.closed(id, martenweir::admission::CloseReason::Bytes);
                 self.close(id);
             }
         }
--- a/src/admission/budget.rs
+++ b/src/admission/budget.rs
@@ -9,11 +9,11 @@
 
 /// The two sorts of ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum PortKind {
     /// Where clients connect.
     Main,
     /// A feature's.
-    Port,
+    Side,
 }
 
 /// The split, O(1) throughout.
@@ -36,12 +36,12 @@
     }
 
     /// Connections to nodes, with so many downstreams of each side open.
-    pub fn nodes(&self, [main, side]: [usize; 2]) -> usize {
+    pub fn node_limit(&self, [main, side]: [usize; 2]) -> usize {
         self.rest(main + side.max(self.side_sure))
     }
 
     /// Downstreams of all ports, with so many connections to nodes open.
-    pub fn downstreams(&self, nodes: usize) -> usize {
+    pub fn downstream_limit(&self, nodes: usize) -> usize {
         self.rest(nodes)
     }
 
@@ -51,12 +51,14 @@
     }
 
     /// Downstreams of one sort of port, with so many of the other open.
-    pub fn of(&self, side: Side, nodes: usize, others: usize) -> usize {
-        let all = self.downstreams(nodes);
+    pub fn limit_of(&self, side: PortKind, nodes: usize, others: usize) -> usize {
+        let all = self.downstream_limit(nodes);
         match side {
-            Side::Main => all - others.clamp(self.side_sure, all),
-            Side::Port if others == 0 => all,
-            Side::Port => (all / SIDE_MOST).max(self.side_sure).min(all - others.min(all - self.side_sure)),
+            PortKind::Main => all - others.clamp(self.side_sure, all),
+            PortKind::Side if others == 0 => all,
+            PortKind::Side => {
+                (all / SIDE_MOST).max(self.side_sure).min(all - others.min(all - self.side_sure))
+            }
         }
     }
 }
--- a/src/admission/budget/tests.rs
+++ b/src/admission/budget/tests.rs
@@ -12,10 +12,10 @@
         let [mut nodes, mut main, mut side] = [0usize; 3];
         for (who, more) in steps {
             let (open, most) = match who {
-                0 => (&mut nodes, budget.nodes([main, side])),
-                1 => (&mut main, budget.of(Side::Main, nodes, side)),
+                0 => (&mut nodes, budget.node_limit([main, side])),
+                1 => (&mut main, budget.limit_of(PortKind::Main, nodes, side)),
                 _ if side_ports == 0 => continue,
-                _ => (&mut side, budget.of(Side::Port, nodes, main)),
+                _ => (&mut side, budget.limit_of(PortKind::Side, nodes, main)),
             };
             match more {
                 true if *open < most => *open += 1,
@@ -24,9 +24,9 @@
             }
             prop_assert!(nodes + main + side + RESERVE <= descriptors);
             // What each has for sure is never taken by the others.
-            prop_assert!(budget.nodes([main, side]) >= budget.sure);
-            prop_assert!(budget.downstreams(nodes) >= budget.sure);
-            prop_assert!(side_ports == 0 || budget.of(Side::Port, nodes, main) >= 2);
+            prop_assert!(budget.node_limit([main, side]) >= budget.sure);
+            prop_assert!(budget.downstream_limit(nodes) >= budget.sure);
+            prop_assert!(side_ports == 0 || budget.limit_of(PortKind::Side, nodes, main) >= 2);
         }
     }
 }
@@ -34,8 +34,8 @@
 #[test]
 fn alone_each_may_have_all_that_is_not_the_others_for_sure() {
     let budget = Budget::new(1024, 1);
-    assert_eq!((budget.nodes([0, 0]), budget.downstreams(0)), (596, 596));
-    assert_eq!((budget.nodes([590, 6]), budget.downstreams(596)), (396, 396));
-    assert_eq!((budget.of(Side::Port, 0, 0), budget.of(Side::Port, 0, 100)), (596, 149));
-    assert_eq!((budget.of(Side::Main, 0, 0), budget.of(Side::Main, 0, 100)), (572, 496));
+    assert_eq!((budget.node_limit([0, 0]), budget.downstream_limit(0)), (596, 596));
+    assert_eq!((budget.node_limit([590, 6]), budget.downstream_limit(596)), (396, 396));
+    assert_eq!((budget.limit_of(PortKind::Side, 0, 0), budget.limit_of(PortKind::Side, 0, 100)), (596, 149));
+    assert_eq!((budget.limit_of(PortKind::Main, 0, 0), budget.limit_of(PortKind::Main, 0, 100)), (572, 496));
 }
--- a/src/admission/drain.rs
+++ b/src/admission/drain.rs
@@ -23,11 +23,11 @@
 const OVER: Micros = 250_000;
 const OVER_PART: Micros = 8;
 /// How long downstreams that were told to finish have to close in their turn.
-pub const GOODBYE: Micros = 500_000;
+pub const CLOSE_TIMEOUT: Micros = 500_000;
 
 /// What downstreams are told by now.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct DrainStep {
     /// To close once nothing is owed to them and nothing of theirs waits to be read.
     pub finish: Vec<DownstreamId>,
     /// All that are left, at the first moment, and nothing that still comes has any time.
@@ -36,7 +36,7 @@
 
 /// A planned end under way.
 #[derive(Debug)]
-pub struct Ending {
+pub struct Drain {
     since: Micros,
     last_accepted: Micros,
     kill: Micros,
@@ -48,13 +48,13 @@
     told: usize,
 }
 
-impl Ending {
+impl Drain {
     /// `patience` is the longest that a downstream waits for an answer.
     pub fn new(now: Micros, patience: Option<Micros>) -> Self {
         let kill = patience.unwrap_or(PATIENCE_MOST).clamp(0, PATIENCE_MOST) + KILL_MORE;
         let until = TELL_UNTIL.min(kill * 5 / 8);
         let from = TELL_FROM.min((until * 5 / 8).max(ACCEPT.min(until * 7 / 8)));
-        Ending { since: now, last_accepted: now, kill, from, until, queue: None, tells: 0, told: 0 }
+        Drain { since: now, last_accepted: now, kill, from, until, queue: None, tells: 0, told: 0 }
     }
 
     /// A connection has come.
@@ -80,30 +80,30 @@
 
     /// When every stream has its answer, whenever it was taken and however long its downstream would wait: what is
     /// open at the kill is lost.
-    pub fn answered(&self) -> Micros {
+    pub fn answer_deadline(&self) -> Micros {
         self.since + self.last_answer()
     }
 
     /// Who is told to finish by now. `order` is asked once for all downstreams, those that miss least first.
-    pub fn tell(&mut self, now: Micros, order: impl FnOnce() -> Vec<DownstreamId>) -> Told {
+    pub fn step(&mut self, now: Micros, order: impl FnOnce() -> Vec<DownstreamId>) -> DrainStep {
         let age = now - self.since;
         if age < self.from {
-            return Told::default();
+            return DrainStep::default();
         }
         let queue = self.queue.get_or_insert_with(|| order().into());
         self.tells = self.tells.max(queue.len());
         if age >= self.until {
-            return Told { finish: queue.drain(..).collect(), all: age >= self.last_answer() };
+            return DrainStep { finish: queue.drain(..).collect(), all: age >= self.last_answer() };
         }
         // Evenly over the span.
         let due = self.tells as f64 * (age - self.from) as f64 / (self.until - self.from).max(1) as f64;
         let more = (due as usize).saturating_sub(self.told).min(queue.len());
         self.told += more;
-        Told { finish: queue.drain(..more).collect(), all: false }
+        DrainStep { finish: queue.drain(..more).collect(), all: false }
     }
 
     /// Whether the program may go: `none_open`, and none comes, or time is up.
-    pub fn over(&self, now: Micros, none_open: bool) -> bool {
+    pub fn is_over(&self, now: Micros, none_open: bool) -> bool {
         none_open || now - self.since >= self.kill - OVER.min(self.kill / OVER_PART)
     }
 }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -8,23 +8,23 @@
 //!
 //! ```
 //! use martenweir::core::DownstreamId;
-//! use martenweir::admission::{Door, Limits, Settings, Shown, Side, Waits};
+//! use martenweir::admission::{Admission, Limits, Settings, Activity, PortKind, WaitingFor};
 //!
 //! let limits = Limits { descriptors: 256, memory: 192 << 20, side_ports: 0 };
-//! let mut door = Door::new(&Settings::default(), limits);
+//! let mut admission = Admission::new(&Settings::default(), limits);
 //! let address = [192, 0, 2, 7].into();
 //! for n in 0..100 {
-//!     assert!(door.most(Side::Main) > n as usize);
-//!     door.accepted(n, DownstreamId(n as u64), Side::Main, address, Waits::Command);
+//!     assert!(admission.limit(PortKind::Main) > n as usize);
+//!     admission.accepted(n, DownstreamId(n as u64), PortKind::Main, address, WaitingFor::Command);
 //! }
 //! // The first one asks, and has its answer.
-//! let asked = Shown { steps: 1, asks: 1, ..Shown::default() };
-//! door.shows(100, DownstreamId(0), Shown { waits: Waits::Answer, ..asked });
-//! door.shows(900, DownstreamId(0), Shown { waits: Waits::Nothing, steps: 2, ..asked });
+//! let asked = Activity { steps: 1, streams: 1, ..Activity::default() };
+//! admission.update(100, DownstreamId(0), Activity { waiting_for: WaitingFor::Answer, ..asked });
+//! admission.update(900, DownstreamId(0), Activity { waiting_for: WaitingFor::Nothing, steps: 2, ..asked });
 //! // Room is scarce: of those that have been silent for long enough the first goes.
-//! let (id, why) = door.worst(1_000_000, false).expect("one makes room");
+//! let (id, why) = admission.next_eviction(1_000_000, false).expect("one makes room");
 //! assert_eq!((id, why.name()), (DownstreamId(1), "silent"));
-//! door.gone(id, why);
+//! admission.closed(id, why);
 //! ```
 //!
 //! The reasons are in `docs/design/door.md`. Each call is O(log n) in the number of downstreams.
@@ -37,8 +37,8 @@
 mod rank;
 mod sources;
 
-pub use budget::{Budget, Side, RESERVE};
-pub use rank::{Rank, Shown, Waits, Why};
+pub use budget::{Budget, PortKind, RESERVE};
+pub use rank::{Activity, CloseReason, Rank, WaitingFor};
 
 use crate::core::DownstreamId;
 use crate::interface::Micros;
@@ -96,7 +96,7 @@
 
 /// What to do about bytes that run short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Feed {
+pub enum MemoryAction {
     /// Read no more of it.
     Pause(DownstreamId),
     Resume(DownstreamId),
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     pub accepted: u64,
-    closed: [u64; Why::ALL.len()],
+    closed: [u64; CloseReason::ALL.len()],
     /// Left by themselves and had never asked.
     pub unasked: u64,
     /// Were to make room, but a command of theirs was on its way.
@@ -120,36 +120,39 @@
 }
 
 impl Counts {
-    pub fn closed(&self, why: Why) -> u64 {
+    pub fn closed(&self, why: CloseReason) -> u64 {
         self.closed[why.index()]
     }
 
     /// By their names, how many were closed since some counts before; those with none are left out.
     pub fn since(self, before: &Counts) -> impl Iterator<Item = (&'static str, u64)> {
         let before = *before;
-        let more = move |why: Why| (why.name(), self.closed(why) - before.closed(why));
-        Why::ALL.into_iter().map(more).filter(|(_, n)| *n > 0)
+        let more = move |why: CloseReason| (why.name(), self.closed(why) - before.closed(why));
+        CloseReason::ALL.into_iter().map(more).filter(|(_, n)| *n > 0)
     }
 
     /// Closed to make room.
     pub fn made_room(&self) -> u64 {
-        Why::ALL.iter().filter(|why| why.makes_room()).map(|why| self.closed(*why)).sum()
+        CloseReason::ALL.iter().filter(|why| why.makes_room()).map(|why| self.closed(*why)).sum()
     }
 
     /// Closed because a time had passed in which they were to do something.
-    pub fn silent(&self) -> u64 {
-        [Why::Speechless, Why::Unread, Why::Idle, Why::Lingering].iter().map(|why| self.closed(*why)).sum()
+    pub fn timed_out(&self) -> u64 {
+        [CloseReason::Speechless, CloseReason::Unread, CloseReason::Idle, CloseReason::Lingering]
+            .iter()
+            .map(|why| self.closed(*why))
+            .sum()
     }
 }
 
 /// What is known of one downstream.
 #[derive(Debug)]
 struct One {
-    side: Side,
+    side: PortKind,
     /// Its address, its prefix and the tenant that it asks for; none on side ports, which are few.
     sources: [Option<Source>; 3],
     accepted: Micros,
-    shown: Shown,
+    shown: Activity,
     /// When its `waits` or `steps` changed last.
     moved: Micros,
     /// When it last had nothing more under way.
@@ -162,11 +165,11 @@
 
 impl One {
     fn holds(&self) -> (usize, bool) {
-        (self.shown.bytes, self.shown.waits == Waits::Peer)
+        (self.shown.held_bytes, self.shown.waiting_for == WaitingFor::Peer)
     }
 }
 
-pub struct Door {
+pub struct Admission {
     budget: Budget,
     ample: usize,
     /// More than this makes a source too large.
@@ -186,12 +189,12 @@
     counts: Counts,
 }
 
-impl Door {
+impl Admission {
     pub fn new(settings: &Settings, limits: Limits) -> Self {
         let budget = Budget::new(limits.descriptors, limits.side_ports);
         let ample = (limits.descriptors as f64 * settings.ample) as usize;
-        let ample = ample.clamp(1, budget.downstreams(usize::MAX));
-        Door {
+        let ample = ample.clamp(1, budget.downstream_limit(usize::MAX));
+        Admission {
             budget,
             ample,
             part: (ample as f64 * settings.source) as usize,
@@ -211,12 +214,12 @@
 
     // ---- what happens
 
-    /// A connection was accepted; `ip` is the peer's until [`Door::fronted`] tells better.
-    pub fn accepted(&mut self, now: Micros, id: DownstreamId, side: Side, ip: IpAddr, waits: Waits) {
-        let main = side == Side::Main;
+    /// A connection was accepted; `ip` is the peer's until [`Admission::set_client_ip`] tells better.
+    pub fn accepted(&mut self, now: Micros, id: DownstreamId, side: PortKind, ip: IpAddr, waits: WaitingFor) {
+        let main = side == PortKind::Main;
         let sources = [Source::Address(ip), Source::prefix(ip)].map(|source| Some(source).filter(|_| main));
         let sources = [sources[0], sources[1], None];
-        let shown = Shown { waits, ..Shown::default() };
+        let shown = Activity { waiting_for: waits, ..Activity::default() };
         let one =
             One { side, sources, accepted: now, shown, moved: now, rested: now, place: None, due: None };
         sources.into_iter().flatten().for_each(|source| self.sources.enter(source));
@@ -230,35 +233,35 @@
     }
 
     /// A front has said for whom a connection is.
-    pub fn fronted(&mut self, id: DownstreamId, ip: IpAddr) {
+    pub fn set_client_ip(&mut self, id: DownstreamId, ip: IpAddr) {
         self.source(id, 0, Source::Address(ip));
         self.source(id, 1, Source::prefix(ip));
     }
 
     /// A downstream has changed.
-    pub fn shows(&mut self, now: Micros, id: DownstreamId, shown: Shown) {
+    pub fn update(&mut self, now: Micros, id: DownstreamId, shown: Activity) {
         let Some(one) = self.all.get_mut(&id) else { return };
         let (was, held) = (one.shown, one.holds());
         let (stood, rank) = (one.place.map(|place| place.0), Rank::of(&shown));
         one.shown = shown;
         self.bytes.change(id, held, one.holds());
-        self.counts.closed[Why::Malformed.index()] += u64::from(shown.malformed && !was.malformed);
-        if shown.asks > was.asks {
-            match was.asks {
+        self.counts.closed[CloseReason::Malformed.index()] += u64::from(shown.malformed && !was.malformed);
+        if shown.streams > was.streams {
+            match was.streams {
                 0 => self.pace.asks(Rank::Silent, now - one.accepted),
                 1 if stood.is_some() => self.pace.asks(Rank::Held, now - one.rested),
                 _ if stood.is_some() => self.pace.asks(Rank::Usual, now - one.rested),
                 _ => {}
             }
         }
-        let moved = (was.waits, was.steps) != (shown.waits, shown.steps);
+        let moved = (was.waiting_for, was.steps) != (shown.waiting_for, shown.steps);
         if moved {
             one.moved = now;
         }
         if rank.is_some() && stood.is_none() {
             one.rested = now;
         }
-        let anew = moved || stood != rank || was.part != shown.part;
+        let anew = moved || stood != rank || was.partial_bytes != shown.partial_bytes;
         // Who has asked for nothing is as old as its connection, however often it pings.
         let since = match rank {
             Some(Rank::Silent | Rank::Pinging) => one.accepted,
@@ -276,7 +279,7 @@
     }
 
     /// One that was to make room has a command on its way: it stays until it shows something else.
-    pub fn spoke(&mut self, id: DownstreamId) {
+    pub fn spare(&mut self, id: DownstreamId) {
         self.counts.spared += 1;
         self.place(id, None, 0);
     }
@@ -284,19 +287,19 @@
     /// A downstream has left by itself; one that is not known is nothing to the door.
     pub fn left(&mut self, id: DownstreamId) {
         if let Some(one) = self.remove(id) {
-            self.counts.unasked += u64::from(one.shown.asks == 0);
+            self.counts.unasked += u64::from(one.shown.streams == 0);
         }
     }
 
     /// A downstream was closed, as the door said.
-    pub fn gone(&mut self, id: DownstreamId, why: Why) {
+    pub fn closed(&mut self, id: DownstreamId, why: CloseReason) {
         if self.remove(id).is_some() {
             self.counts.closed[why.index()] += 1;
         }
     }
 
     /// So many connections to nodes are open.
-    pub fn nodes(&mut self, open: usize) {
+    pub fn set_node_connections(&mut self, open: usize) {
         self.nodes = open;
         self.press();
     }
@@ -304,28 +307,28 @@
     // ---- what to do
 
     /// How many downstreams of a side may be open now; beyond that they wait in the backlog.
-    pub fn most(&self, side: Side) -> usize {
-        self.budget.of(side, self.nodes, self.open[1 - side as usize])
+    pub fn limit(&self, side: PortKind) -> usize {
+        self.budget.limit_of(side, self.nodes, self.open[1 - side as usize])
     }
 
     /// How many of both sides may be open together.
-    pub fn most_of_all(&self) -> usize {
-        self.budget.downstreams(self.nodes)
+    pub fn total_limit(&self) -> usize {
+        self.budget.downstream_limit(self.nodes)
     }
 
     /// How many connections to nodes may be open, with so many downstreams of each side accepted.
-    pub fn most_nodes(&self, accepted: [usize; 2]) -> usize {
-        self.budget.nodes(accepted)
+    pub fn node_connection_limit(&self, accepted: [usize; 2]) -> usize {
+        self.budget.node_limit(accepted)
     }
 
     /// Who makes room next, if anybody has to. `forced`: a descriptor is missing whatever the budgets say.
-    /// The caller looks at its socket and tells [`Door::spoke`] or [`Door::gone`], then asks again.
-    pub fn worst(&self, now: Micros, forced: bool) -> Option<(DownstreamId, Why)> {
-        if !forced && !self.is_pressed() {
+    /// The caller looks at its socket and tells [`Admission::spare`] or [`Admission::closed`], then asks again.
+    pub fn next_eviction(&self, now: Micros, forced: bool) -> Option<(DownstreamId, CloseReason)> {
+        if !forced && !self.is_under_pressure() {
             return None;
         }
         let keeps = self.keeps(now);
-        [Side::Main, Side::Port].into_iter().find_map(|side| {
+        [PortKind::Main, PortKind::Side].into_iter().find_map(|side| {
             let full = forced || self.is_full(side);
             let past = if full || self.scarce { self.past(now, side, &keeps) } else { None };
             past.or_else(|| if full { self.any(now, side) } else { None })
@@ -333,23 +336,23 @@
     }
 
     /// The next one whose time is up, by the time it had for what it was to do. It comes up once: the caller
-    /// closes it or gives it more time ([`Door::extend`]).
-    pub fn due(&mut self, now: Micros) -> Option<(DownstreamId, Why)> {
+    /// closes it or gives it more time ([`Admission::extend_timeout`]).
+    pub fn next_timeout(&mut self, now: Micros) -> Option<(DownstreamId, CloseReason)> {
         let (_, id) = self.due.first().copied().filter(|(at, _)| *at <= now)?;
         self.due.pop_first();
         let one = self.all.get_mut(&id)?;
         one.due = None;
-        let why = match one.shown.waits {
-            Waits::Command | Waits::Header => Why::Speechless,
-            Waits::Peer => Why::Unread,
-            Waits::Close => Why::Lingering,
-            Waits::Nothing | Waits::Answer => Why::Idle,
+        let why = match one.shown.waiting_for {
+            WaitingFor::Command | WaitingFor::Header => CloseReason::Speechless,
+            WaitingFor::Peer => CloseReason::Unread,
+            WaitingFor::Close => CloseReason::Lingering,
+            WaitingFor::Nothing | WaitingFor::Answer => CloseReason::Idle,
         };
         Some((id, why))
     }
 
     /// Gives one as much time as it had at first.
-    pub fn extend(&mut self, now: Micros, id: DownstreamId) {
+    pub fn extend_timeout(&mut self, now: Micros, id: DownstreamId) {
         if let Some(one) = self.all.get_mut(&id) {
             one.moved = now;
             self.expire(id, now);
@@ -357,7 +360,7 @@
     }
 
     /// One whose time is up has a command on its way, which is read by then: it comes up again at once.
-    pub fn again(&mut self, now: Micros, id: DownstreamId) {
+    pub fn retry_timeout(&mut self, now: Micros, id: DownstreamId) {
         if let Some(one) = self.all.get_mut(&id) {
             one.due = Some(now + YOUNG);
             self.due.insert((now + YOUNG, id));
@@ -365,28 +368,28 @@
     }
 
     /// What to do next about bytes; `None`: nothing now.
-    pub fn feed(&mut self) -> Option<Feed> {
+    pub fn next_memory_action(&mut self) -> Option<MemoryAction> {
         if let Some(id) = self.bytes.over() {
-            return Some(Feed::Close(id));
+            return Some(MemoryAction::Close(id));
         }
         if let Some(id) = self.bytes.pause() {
             self.counts.paused += 1;
-            return Some(Feed::Pause(id));
+            return Some(MemoryAction::Pause(id));
         }
         let id = self.bytes.resume()?;
         let holds = self.all.get(&id).map_or((0, false), One::holds);
         self.bytes.resumed(id, holds);
-        Some(Feed::Resume(id))
+        Some(MemoryAction::Resume(id))
     }
 
-    /// When [`Door::due`] or [`Door::worst`] may have something new to say, if nothing happens till then.
-    pub fn next(&self, now: Micros) -> Option<Micros> {
+    /// When [`Admission::next_timeout`] or [`Admission::next_eviction`] may have something new to say, if nothing happens till then.
+    pub fn next_deadline(&self, now: Micros) -> Option<Micros> {
         let due = self.due.first().map(|(at, _)| *at);
-        if !self.is_pressed() {
+        if !self.is_under_pressure() {
             return due.map(|at| at.max(now + YOUNG));
         }
         let keeps = self.keeps(now);
-        let room = [Side::Main, Side::Port].into_iter().flat_map(|side| {
+        let room = [PortKind::Main, PortKind::Side].into_iter().flat_map(|side| {
             let full = self.is_full(side);
             let keep = move |rank| if full && rank != Rank::Stalled { YOUNG } else { keeps.of(rank) };
             let first = move |rank: &Rank| self.idle[side as usize].first(*rank);
@@ -403,7 +406,7 @@
 
     /// All downstreams, those in front that miss least if they are told to leave. The one call that looks at
     /// all of them: for a planned end.
-    pub fn order(&self) -> Vec<DownstreamId> {
+    pub fn close_order(&self) -> Vec<DownstreamId> {
         let idle = self.idle.iter().flat_map(Idle::all);
         let busy = self.all.iter().filter(|(_, one)| one.place.is_none()).map(|(id, _)| *id);
         let busy: BTreeSet<_> = busy.collect();
@@ -411,7 +414,7 @@
     }
 
     /// Somebody has to make room, or would if more came: what changes matters at once.
-    pub fn is_pressed(&self) -> bool {
+    pub fn is_under_pressure(&self) -> bool {
         self.scarce || self.full
     }
 
@@ -436,15 +439,15 @@
     // ---- inside
 
     /// The last slots of a side are being taken.
-    fn is_full(&self, side: Side) -> bool {
-        let most = self.most(side);
+    fn is_full(&self, side: PortKind) -> bool {
+        let most = self.limit(side);
         self.open[side as usize] + (most / LAST).max(1) > most
     }
 
     fn press(&mut self) {
         let open = self.len();
         self.scarce = open > self.ample || self.scarce && open > self.ample - self.ample / HYSTERESIS;
-        let full = self.is_full(Side::Main) || self.is_full(Side::Port);
+        let full = self.is_full(PortKind::Main) || self.is_full(PortKind::Side);
         self.counts.full += u64::from(full && !self.full);
         self.full = full;
     }
@@ -487,7 +490,7 @@
 
     /// One belongs to another source than was thought.
     fn source(&mut self, id: DownstreamId, sort: usize, source: Source) {
-        let Some(one) = self.all.get_mut(&id).filter(|one| one.side == Side::Main) else { return };
+        let Some(one) = self.all.get_mut(&id).filter(|one| one.side == PortKind::Main) else { return };
         let was = one.sources[sort].replace(source);
         if let Some(was) = was {
             one.place.into_iter().for_each(|place| self.sources.remove(was, place));
@@ -503,19 +506,19 @@
         if let Some(at) = one.due.take() {
             self.due.remove(&(at, id));
         }
-        let after = match one.shown.waits {
-            Waits::Command | Waits::Header => SPEECHLESS,
-            Waits::Peer => UNREAD,
-            Waits::Close => drain::GOODBYE,
-            Waits::Nothing => IDLE,
-            Waits::Answer => return,
+        let after = match one.shown.waiting_for {
+            WaitingFor::Command | WaitingFor::Header => SPEECHLESS,
+            WaitingFor::Peer => UNREAD,
+            WaitingFor::Close => drain::CLOSE_TIMEOUT,
+            WaitingFor::Nothing => IDLE,
+            WaitingFor::Answer => return,
         };
         one.due = Some(now + after);
         self.due.insert((now + after, id));
     }
 
     /// The first in the order of ranks that has been there for longer than its rank may while room is scarce.
-    fn past(&self, now: Micros, side: Side, keeps: &Keeps) -> Option<(DownstreamId, Why)> {
+    fn past(&self, now: Micros, side: PortKind, keeps: &Keeps) -> Option<(DownstreamId, CloseReason)> {
         let over = |idle: &Idle, rank| idle.first(rank).filter(|(_, since, _)| now - since >= keeps.of(rank));
         let all = &self.idle[side as usize];
         // Where a crowd has a source, who comes from elsewhere is not taken for a part of it.
@@ -531,15 +534,15 @@
             both.into_iter().flatten().min_by_key(|(_, since, id)| (*since, *id))
         };
         let place = UNASKED.iter().find_map(|rank| first(*rank)).or_else(|| {
-            let sources = self.sources.over(self.part).filter(|_| side == Side::Main);
+            let sources = self.sources.over(self.part).filter(|_| side == PortKind::Main);
             sources.filter_map(held).min_by_key(|(_, since, id)| (*since, *id)).or_else(|| held(all))
         });
-        place.map(|(rank, _, id)| (id, Why::Room(rank)))
+        place.map(|(rank, _, id)| (id, CloseReason::Room(rank)))
     }
 
     /// Where the last slots are taken: whoever has been there for longest of those that are no usual
     /// client's, and once there is none such, a usual client's.
-    fn any(&self, now: Micros, side: Side) -> Option<(DownstreamId, Why)> {
+    fn any(&self, now: Micros, side: PortKind) -> Option<(DownstreamId, CloseReason)> {
         let all = &self.idle[side as usize];
         let ranks = [Rank::Leaving, Rank::Silent, Rank::Pinging, Rank::Held];
         let eldest = |idle: &Idle, ranks: &[Rank]| {
@@ -548,25 +551,25 @@
         };
         let crowds = self.crowds(side).filter_map(|idle| eldest(idle, &ranks[..3]));
         if let Some((_, _, id)) = crowds.min_by_key(|(_, since, id)| (*since, *id)) {
-            return Some((id, Why::Young));
+            return Some((id, CloseReason::Young));
         }
         if let Some((_, _, id)) = eldest(all, &ranks) {
-            return Some((id, Why::Young));
+            return Some((id, CloseReason::Young));
         }
         // While there are others, usual ones stay and newcomers wait.
         if all.len() > all.of(Rank::Usual) + all.of(Rank::Stalled) {
             return None;
         }
-        let sources = self.sources.over(self.part).filter(|_| side == Side::Main);
+        let sources = self.sources.over(self.part).filter(|_| side == PortKind::Main);
         let mut usual = sources.filter_map(|idle| eldest(idle, &[Rank::Usual]));
         if let Some((_, _, id)) = usual.next() {
-            return Some((id, Why::Source));
+            return Some((id, CloseReason::Source));
         }
-        eldest(all, &[Rank::Usual]).map(|(rank, _, id)| (id, Why::Room(rank)))
+        eldest(all, &[Rank::Usual]).map(|(rank, _, id)| (id, CloseReason::Room(rank)))
     }
 
-    fn crowds(&self, side: Side) -> impl Iterator<Item = &Idle> {
-        self.sources.crowds(self.part).filter(move |_| side == Side::Main)
+    fn crowds(&self, side: PortKind) -> impl Iterator<Item = &Idle> {
+        self.sources.crowds(self.part).filter(move |_| side == PortKind::Main)
     }
 }
 
--- a/src/admission/rank.rs
+++ b/src/admission/rank.rs
@@ -4,7 +4,7 @@
 
 /// What a downstream is up to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Waits {
+pub enum WaitingFor {
     /// For the PROXY header of a front.
     Header,
     /// For its first whole command, or for the rest of one.
@@ -22,30 +22,30 @@
 
 /// What a downstream has shown, as its task tells it. Counts are since it was accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Shown {
-    pub waits: Waits,
+pub struct Activity {
+    pub waiting_for: WaitingFor,
     /// Whole commands taken and writes done: a drip of bytes is no step.
     pub steps: u64,
     /// Commands that became streams.
-    pub asks: u64,
+    pub streams: u64,
     /// Local replies to whole commands: PING, errors.
-    pub local: u64,
+    pub local_replies: u64,
     /// Bytes received that are no whole command yet.
-    pub part: usize,
+    pub partial_bytes: usize,
     /// Bytes held for it: input, answers and output that it has not read.
-    pub bytes: usize,
+    pub held_bytes: usize,
     /// It has sent what cannot be read; nothing more of it is.
     pub malformed: bool,
     /// The tenant that it asked for last.
     pub tenant: Option<u32>,
 }
 
-impl Shown {
+impl Activity {
     /// A command became a stream, or several.
-    pub fn asked(&mut self, ask: &NewStream) {
-        self.asks += 1;
+    pub fn add_stream(&mut self, ask: &NewStream) {
+        self.streams += 1;
         self.tenant = Some(ask.tenant.0);
-        self.waits = Waits::Answer;
+        self.waiting_for = WaitingFor::Answer;
     }
 }
 
@@ -71,12 +71,12 @@
         [Rank::Leaving, Rank::Silent, Rank::Stalled, Rank::Pinging, Rank::Held, Rank::Usual];
 
     /// `None`: something is under way, so it cannot make room.
-    pub fn of(shown: &Shown) -> Option<Rank> {
-        match shown.waits {
-            Waits::Answer | Waits::Peer => None,
-            Waits::Close => Some(Rank::Leaving),
-            _ if shown.part > 0 => Some(Rank::Stalled),
-            _ => Some(match (shown.asks, shown.local) {
+    pub fn of(shown: &Activity) -> Option<Rank> {
+        match shown.waiting_for {
+            WaitingFor::Answer | WaitingFor::Peer => None,
+            WaitingFor::Close => Some(Rank::Leaving),
+            _ if shown.partial_bytes > 0 => Some(Rank::Stalled),
+            _ => Some(match (shown.streams, shown.local_replies) {
                 (0, 0) => Rank::Silent,
                 (0, _) => Rank::Pinging,
                 (1, _) => Rank::Held,
@@ -88,7 +88,7 @@
 
 /// Why a downstream was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
+pub enum CloseReason {
     /// To make room, by its rank.
     Room(Rank),
     /// To make room, though it had not been there for long.
@@ -109,61 +109,61 @@
     Malformed,
 }
 
-impl Why {
-    /// All there are, in the order of [`Why::index`].
-    pub const ALL: [Why; 14] = [
-        Why::Room(Rank::Leaving),
-        Why::Room(Rank::Silent),
-        Why::Room(Rank::Stalled),
-        Why::Room(Rank::Pinging),
-        Why::Room(Rank::Held),
-        Why::Room(Rank::Usual),
-        Why::Young,
-        Why::Source,
-        Why::Speechless,
-        Why::Unread,
-        Why::Idle,
-        Why::Lingering,
-        Why::Bytes,
-        Why::Malformed,
+impl CloseReason {
+    /// All there are, in the order of [`CloseReason::index`].
+    pub const ALL: [CloseReason; 14] = [
+        CloseReason::Room(Rank::Leaving),
+        CloseReason::Room(Rank::Silent),
+        CloseReason::Room(Rank::Stalled),
+        CloseReason::Room(Rank::Pinging),
+        CloseReason::Room(Rank::Held),
+        CloseReason::Room(Rank::Usual),
+        CloseReason::Young,
+        CloseReason::Source,
+        CloseReason::Speechless,
+        CloseReason::Unread,
+        CloseReason::Idle,
+        CloseReason::Lingering,
+        CloseReason::Bytes,
+        CloseReason::Malformed,
     ];
 
     pub(super) fn index(self) -> usize {
         match self {
-            Why::Room(rank) => rank as usize,
-            Why::Young => 6,
-            Why::Source => 7,
-            Why::Speechless => 8,
-            Why::Unread => 9,
-            Why::Idle => 10,
-            Why::Lingering => 11,
-            Why::Bytes => 12,
-            Why::Malformed => 13,
+            CloseReason::Room(rank) => rank as usize,
+            CloseReason::Young => 6,
+            CloseReason::Source => 7,
+            CloseReason::Speechless => 8,
+            CloseReason::Unread => 9,
+            CloseReason::Idle => 10,
+            CloseReason::Lingering => 11,
+            CloseReason::Bytes => 12,
+            CloseReason::Malformed => 13,
         }
     }
 
     /// As figures and the log name it.
     pub fn name(self) -> &'static str {
         match self {
-            Why::Room(Rank::Leaving) => "leaving",
-            Why::Room(Rank::Silent) => "silent",
-            Why::Room(Rank::Stalled) => "stalled",
-            Why::Room(Rank::Pinging) => "pinging",
-            Why::Room(Rank::Held) => "held",
-            Why::Room(Rank::Usual) => "usual",
-            Why::Young => "young",
-            Why::Source => "source",
-            Why::Speechless => "speechless",
-            Why::Unread => "unread",
-            Why::Idle => "idle",
-            Why::Lingering => "lingering",
-            Why::Bytes => "bytes",
-            Why::Malformed => "malformed",
+            CloseReason::Room(Rank::Leaving) => "leaving",
+            CloseReason::Room(Rank::Silent) => "silent",
+            CloseReason::Room(Rank::Stalled) => "stalled",
+            CloseReason::Room(Rank::Pinging) => "pinging",
+            CloseReason::Room(Rank::Held) => "held",
+            CloseReason::Room(Rank::Usual) => "usual",
+            CloseReason::Young => "young",
+            CloseReason::Source => "source",
+            CloseReason::Speechless => "speechless",
+            CloseReason::Unread => "unread",
+            CloseReason::Idle => "idle",
+            CloseReason::Lingering => "lingering",
+            CloseReason::Bytes => "bytes",
+            CloseReason::Malformed => "malformed",
         }
     }
 
     /// It went so that another could come.
     pub fn makes_room(self) -> bool {
-        matches!(self, Why::Room(_) | Why::Young | Why::Source)
+        matches!(self, CloseReason::Room(_) | CloseReason::Young | CloseReason::Source)
     }
 }
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -9,69 +9,75 @@
 
 /// What holds the connections: as many as the door lets in, closed as it says, in virtual time.
 struct Host {
-    door: Door,
+    door: Admission,
     now: Micros,
     descriptors: usize,
     nodes: usize,
     last: u64,
-    open: BTreeMap<DownstreamId, Shown>,
+    open: BTreeMap<DownstreamId, Activity>,
     /// Whose socket has bytes that its task has not read.
     speaking: BTreeSet<DownstreamId>,
     paused: BTreeSet<DownstreamId>,
-    closed: Vec<(DownstreamId, Why)>,
+    closed: Vec<(DownstreamId, CloseReason)>,
 }
 
 impl Host {
     fn new(descriptors: usize, memory: usize) -> Host {
-        let door = Door::new(&Settings::default(), Limits { descriptors, memory, side_ports: 1 });
+        let door = Admission::new(&Settings::default(), Limits { descriptors, memory, side_ports: 1 });
         let (open, speaking, paused, closed) = Default::default();
         Host { door, now: 0, descriptors, nodes: 0, last: 0, open, speaking, paused, closed }
     }
 
-    fn accept(&mut self, side: Side, ip: IpAddr) -> Option<DownstreamId> {
-        if self.door.open[side as usize] >= self.door.most(side) {
+    fn accept(&mut self, side: PortKind, ip: IpAddr) -> Option<DownstreamId> {
+        if self.door.open[side as usize] >= self.door.limit(side) {
             return None;
         }
         self.last += 1;
         let id = DownstreamId(self.last);
-        self.open.insert(id, Shown::default());
-        self.door.accepted(self.now, id, side, ip, Waits::Command);
+        self.open.insert(id, Activity::default());
+        self.door.accepted(self.now, id, side, ip, WaitingFor::Command);
         Some(id)
     }
 
-    fn show(&mut self, id: DownstreamId, change: impl FnOnce(&mut Shown)) {
+    fn show(&mut self, id: DownstreamId, change: impl FnOnce(&mut Activity)) {
         if let Some(shown) = self.open.get_mut(&id) {
             change(shown);
-            self.door.shows(self.now, id, *shown);
+            self.door.update(self.now, id, *shown);
         }
     }
 
     fn ask(&mut self, id: DownstreamId) {
         self.speaking.remove(&id);
-        self.show(id, |s| (s.waits, s.asks, s.steps, s.part) = (Waits::Answer, s.asks + 1, s.steps + 1, 0));
+        self.show(id, |s| {
+            (s.waiting_for, s.streams, s.steps, s.partial_bytes) =
+                (WaitingFor::Answer, s.streams + 1, s.steps + 1, 0)
+        });
     }
 
     fn answer(&mut self, id: DownstreamId) {
-        self.show(id, |s| (s.waits, s.steps, s.bytes) = (Waits::Nothing, s.steps + 1, 0));
+        self.show(id, |s| (s.waiting_for, s.steps, s.held_bytes) = (WaitingFor::Nothing, s.steps + 1, 0));
     }
 
-    fn close(&mut self, id: DownstreamId, why: Why) {
+    fn close(&mut self, id: DownstreamId, why: CloseReason) {
         self.open.remove(&id);
         self.paused.remove(&id);
-        self.door.gone(id, why);
+        self.door.closed(id, why);
         self.closed.push((id, why));
     }
 
     /// One turn of the owner. Fails if the door closes what it must not.
     fn turn(&mut self) {
-        while let Some((id, why)) = self.door.due(self.now) {
+        while let Some((id, why)) = self.door.next_timeout(self.now) {
             self.close(id, why);
         }
-        while let Some((id, why)) = self.door.worst(self.now, false) {
+        while let Some((id, why)) = self.door.next_eviction(self.now, false) {
             let one = &self.door.all[&id];
-            assert!(!matches!(one.shown.waits, Waits::Answer | Waits::Peer), "{id:?} is busy");
+            assert!(
+                !matches!(one.shown.waiting_for, WaitingFor::Answer | WaitingFor::Peer),
+                "{id:?} is busy"
+            );
             if self.speaking.remove(&id) {
-                self.door.spoke(id);
+                self.door.spare(id);
                 continue;
             }
             if Rank::of(&one.shown) == Some(Rank::Usual) {
@@ -80,13 +86,13 @@
             }
             self.close(id, why);
         }
-        while let Some(feed) = self.door.feed() {
+        while let Some(feed) = self.door.next_memory_action() {
             match feed {
-                Feed::Pause(id) => assert!(self.paused.insert(id), "{id:?} is paused twice"),
-                Feed::Resume(id) => assert!(self.paused.remove(&id), "{id:?} was not paused"),
-                Feed::Close(id) => {
-                    assert_eq!(self.open[&id].waits, Waits::Peer);
-                    self.close(id, Why::Bytes);
+                MemoryAction::Pause(id) => assert!(self.paused.insert(id), "{id:?} is paused twice"),
+                MemoryAction::Resume(id) => assert!(self.paused.remove(&id), "{id:?} was not paused"),
+                MemoryAction::Close(id) => {
+                    assert_eq!(self.open[&id].waiting_for, WaitingFor::Peer);
+                    self.close(id, CloseReason::Bytes);
                 }
             }
         }
@@ -101,7 +107,7 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Accept(Side, u8),
+    Accept(PortKind, u8),
     Ask(usize),
     Answer(usize),
     Ping(usize),
@@ -117,7 +123,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     let who = 0usize..200;
-    let side = prop_oneof![8 => Just(Side::Main), 1 => Just(Side::Port)];
+    let side = prop_oneof![8 => Just(PortKind::Main), 1 => Just(PortKind::Side)];
     prop_oneof![
         12 => (side, 0u8..6).prop_map(|(side, ip)| Step::Accept(side, ip)),
         4 => who.clone().prop_map(Step::Ask),
@@ -149,35 +155,35 @@
                 Step::Ask(n) => host.ask(who(n)),
                 Step::Answer(n) => host.answer(who(n)),
                 Step::Ping(n) => host.show(who(n), |s| {
-                    (s.steps, s.local) = (s.steps + 2, s.local + 1);
-                    s.waits = if s.waits == Waits::Command { Waits::Nothing } else { s.waits };
+                    (s.steps, s.local_replies) = (s.steps + 2, s.local_replies + 1);
+                    s.waiting_for = if s.waiting_for == WaitingFor::Command { WaitingFor::Nothing } else { s.waiting_for };
                 }),
-                Step::Part(n, bytes) => host.show(who(n), |s| (s.part, s.bytes) = (bytes, bytes)),
-                Step::Deaf(n, bytes) => host.show(who(n), |s| (s.waits, s.bytes) = (Waits::Peer, bytes)),
+                Step::Part(n, bytes) => host.show(who(n), |s| (s.partial_bytes, s.held_bytes) = (bytes, bytes)),
+                Step::Deaf(n, bytes) => host.show(who(n), |s| (s.waiting_for, s.held_bytes) = (WaitingFor::Peer, bytes)),
                 Step::Speaks(n) => drop(host.speaking.insert(who(n))),
-                Step::Farewell(n) => host.show(who(n), |s| s.waits = Waits::Close),
+                Step::Farewell(n) => host.show(who(n), |s| s.waiting_for = WaitingFor::Close),
                 Step::Leave(n) => {
                     let id = who(n);
                     host.open.remove(&id);
                     host.paused.remove(&id);
                     host.door.left(id);
                 }
-                Step::Fronted(n, ip) => host.door.fronted(who(n), [192, 0, 2, ip].into()),
+                Step::Fronted(n, ip) => host.door.set_client_ip(who(n), [192, 0, 2, ip].into()),
                 Step::Nodes(n) => {
-                    host.nodes = n.min(host.door.most_nodes(host.door.open));
-                    host.door.nodes(host.nodes);
+                    host.nodes = n.min(host.door.node_connection_limit(host.door.open));
+                    host.door.set_node_connections(host.nodes);
                 }
                 Step::Pass(time) => host.now += time,
             }
             host.turn();
             // Past its budget of bytes there is nobody left who does not read; short of half nobody waits.
             let (held, paused) = host.door.bytes();
-            prop_assert_eq!(held, host.open.values().map(|s| s.bytes).sum::<usize>());
-            prop_assert!(held <= 2 << 20 || host.open.values().all(|s| s.waits != Waits::Peer));
+            prop_assert_eq!(held, host.open.values().map(|s| s.held_bytes).sum::<usize>());
+            prop_assert!(held <= 2 << 20 || host.open.values().all(|s| s.waiting_for != WaitingFor::Peer));
             prop_assert_eq!(paused, host.paused.len());
             prop_assert!(held >= 1 << 20 || paused == 0, "{held} bytes, {paused} paused");
-            prop_assert!(host.door.next(host.now).is_none_or(|at| at > host.now));
-            prop_assert_eq!(host.door.order().len(), host.open.len());
+            prop_assert!(host.door.next_deadline(host.now).is_none_or(|at| at > host.now));
+            prop_assert_eq!(host.door.close_order().len(), host.open.len());
         }
         // Everything is given back.
         for id in host.open.keys() {
@@ -196,7 +202,7 @@
 fn in_vain(crowd: usize, ahead: Micros, ips: impl Fn(u64) -> IpAddr) -> usize {
     let mut host = Host::new(384, 192 << 20);
     let front: IpAddr = [10, 0, 0, 1].into();
-    let usual: Vec<_> = (0..20).filter_map(|_| host.accept(Side::Main, front)).collect();
+    let usual: Vec<_> = (0..20).filter_map(|_| host.accept(PortKind::Main, front)).collect();
     for id in usual.iter().chain(&usual) {
         host.ask(*id);
         host.answer(*id);
@@ -210,11 +216,11 @@
         host.ask(uses);
         host.answer(uses);
         for n in 0..crowd {
-            host.accept(Side::Main, ips((ms * crowd + n) as u64));
+            host.accept(PortKind::Main, ips((ms * crowd + n) as u64));
             host.turn();
         }
         if ms % 10 == 0 {
-            newcomers.push((host.now + ahead, host.accept(Side::Main, front)));
+            newcomers.push((host.now + ahead, host.accept(PortKind::Main, front)));
         }
         for (_, id) in newcomers.extract_if(.., |(at, _)| *at <= host.now).collect::<Vec<_>>() {
             match id.filter(|id| host.open.contains_key(id)) {
@@ -266,7 +272,7 @@
 fn all_that_reconnect_at_once_are_kept_until_they_ask_and_have_their_answers() {
     let mut host = Host::new(384, 192 << 20);
     for _ in 0..190 {
-        host.accept(Side::Main, [10, 0, 0, 1].into()).expect("there is room");
+        host.accept(PortKind::Main, [10, 0, 0, 1].into()).expect("there is room");
     }
     host.pass(15 * MS);
     let ids: Vec<_> = host.open.keys().copied().collect();
@@ -277,41 +283,44 @@
     ids.iter().for_each(|id| host.answer(*id));
     host.pass(100 * MS);
     assert!((60..=76).contains(&host.door.len()), "{}", host.door.len());
-    assert!(host.closed.iter().all(|(_, why)| *why == Why::Room(Rank::Held)));
+    assert!(host.closed.iter().all(|(_, why)| *why == CloseReason::Room(Rank::Held)));
 }
 
 #[test]
 fn where_all_are_busy_newcomers_wait_in_the_backlog() {
     let mut host = Host::new(64, 192 << 20);
-    while let Some(id) = host.accept(Side::Main, [10, 0, 0, 1].into()) {
+    while let Some(id) = host.accept(PortKind::Main, [10, 0, 0, 1].into()) {
         host.ask(id);
     }
     host.pass(30_000 * MS);
-    assert_eq!((host.closed.len(), host.accept(Side::Main, [10, 0, 0, 2].into())), (0, None));
+    assert_eq!((host.closed.len(), host.accept(PortKind::Main, [10, 0, 0, 2].into())), (0, None));
     host.answer(DownstreamId(1));
     host.pass(5 * MS);
-    assert_eq!(host.closed, [(DownstreamId(1), Why::Young)]);
-    assert!(host.accept(Side::Main, [10, 0, 0, 2].into()).is_some());
+    assert_eq!(host.closed, [(DownstreamId(1), CloseReason::Young)]);
+    assert!(host.accept(PortKind::Main, [10, 0, 0, 2].into()).is_some());
 }
 
 #[test]
 fn ranks_go_in_their_order() {
     let mut host = Host::new(384, 192 << 20);
-    let ids: Vec<_> = (0..77).filter_map(|_| host.accept(Side::Main, [10, 0, 0, 1].into())).collect();
+    let ids: Vec<_> = (0..77).filter_map(|_| host.accept(PortKind::Main, [10, 0, 0, 1].into())).collect();
     // All but five are busy.
     ids.iter().for_each(|id| host.ask(*id));
     for (id, shown) in [
-        (ids[0], Shown { waits: Waits::Nothing, asks: 2, steps: 4, ..Shown::default() }),
-        (ids[1], Shown { waits: Waits::Nothing, asks: 1, steps: 3, ..Shown::default() }),
-        (ids[2], Shown { waits: Waits::Nothing, local: 1, steps: 2, ..Shown::default() }),
-        (ids[3], Shown { part: 10, ..Shown::default() }),
-        (ids[4], Shown::default()),
+        (ids[0], Activity { waiting_for: WaitingFor::Nothing, streams: 2, steps: 4, ..Activity::default() }),
+        (ids[1], Activity { waiting_for: WaitingFor::Nothing, streams: 1, steps: 3, ..Activity::default() }),
+        (
+            ids[2],
+            Activity { waiting_for: WaitingFor::Nothing, local_replies: 1, steps: 2, ..Activity::default() },
+        ),
+        (ids[3], Activity { partial_bytes: 10, ..Activity::default() }),
+        (ids[4], Activity::default()),
     ] {
         host.show(id, |s| *s = shown);
     }
     let mut went = Vec::new();
     for ms in [260, 2_000] {
-        while let Some((id, why)) = host.door.worst(ms * MS, false) {
+        while let Some((id, why)) = host.door.next_eviction(ms * MS, false) {
             host.close(id, why);
             went.push((ms, why.name()));
         }
@@ -327,37 +336,39 @@
     let mut host = Host::new(384, 192 << 20);
     // The others are older.
     for n in 0..others {
-        host.accept(Side::Main, [172, 16, n as u8, 1].into());
+        host.accept(PortKind::Main, [172, 16, n as u8, 1].into());
     }
     host.now = MS;
     for _ in others..77 {
-        host.accept(Side::Main, [192, 0, 2, 1].into());
+        host.accept(PortKind::Main, [192, 0, 2, 1].into());
     }
     host.now = 400 * MS;
-    let (id, told) = host.door.worst(host.now, false).expect("room is scarce");
+    let (id, told) = host.door.next_eviction(host.now, false).expect("room is scarce");
     assert_eq!((id, told.name()), (DownstreamId(others as u64 + 1), why));
 }
 
 #[test]
 fn a_front_whose_clients_connect_ahead_is_not_taken_for_the_crowd_from_everywhere() {
     let mut host = Host::new(384, 192 << 20);
-    let crowd: Vec<_> = (0..99).filter_map(|n| host.accept(Side::Main, [172, 16, n, 1].into())).collect();
+    let crowd: Vec<_> = (0..99).filter_map(|n| host.accept(PortKind::Main, [172, 16, n, 1].into())).collect();
     host.now = 5 * MS;
-    let front: Vec<_> = (0..100).filter_map(|_| host.accept(Side::Main, [10, 0, 0, 1].into())).collect();
+    let front: Vec<_> = (0..100).filter_map(|_| host.accept(PortKind::Main, [10, 0, 0, 1].into())).collect();
     front[..55].iter().for_each(|id| host.ask(*id));
     host.now = 12 * MS;
-    assert_eq!(host.door.worst(host.now, false), Some((crowd[0], Why::Young)));
+    assert_eq!(host.door.next_eviction(host.now, false), Some((crowd[0], CloseReason::Young)));
 }
 
 #[test]
 fn sixty_megabytes_announced_by_forty_peers_are_never_held() {
     let mut host = Host::new(384, 48 << 20);
-    let ids: Vec<_> = (0..40).filter_map(|_| host.accept(Side::Main, [192, 0, 2, 1].into())).collect();
+    let ids: Vec<_> = (0..40).filter_map(|_| host.accept(PortKind::Main, [192, 0, 2, 1].into())).collect();
     // Each read brings 16 KB, as long as it is read.
     for _ in 0..4_000 {
         for id in &ids {
             if !host.paused.contains(id) {
-                host.show(*id, |s| (s.part, s.bytes) = (s.part + 16_384, s.bytes + 16_384));
+                host.show(*id, |s| {
+                    (s.partial_bytes, s.held_bytes) = (s.partial_bytes + 16_384, s.held_bytes + 16_384)
+                });
                 host.turn();
             }
         }
@@ -365,19 +376,19 @@
     let (held, paused) = host.door.bytes();
     assert!(held <= 12 << 20 && paused > 0, "{held} bytes, {paused} paused");
     host.pass(2_100 * MS);
-    assert!(host.door.is_empty() && host.closed.iter().all(|(_, why)| *why == Why::Speechless));
+    assert!(host.door.is_empty() && host.closed.iter().all(|(_, why)| *why == CloseReason::Speechless));
 }
 
 #[test]
 fn where_bytes_run_out_who_does_not_read_its_answers_goes() {
     let mut host = Host::new(384, 8 << 20);
-    let ids: Vec<_> = (0..9).filter_map(|_| host.accept(Side::Main, [192, 0, 2, 1].into())).collect();
+    let ids: Vec<_> = (0..9).filter_map(|_| host.accept(PortKind::Main, [192, 0, 2, 1].into())).collect();
     for (n, id) in ids.iter().enumerate() {
-        host.show(*id, |s| (s.waits, s.bytes) = (Waits::Peer, 200_000 + n));
+        host.show(*id, |s| (s.waiting_for, s.held_bytes) = (WaitingFor::Peer, 200_000 + n));
     }
     host.turn();
     assert!(host.closed.is_empty() && host.paused.contains(&ids[8]));
-    host.show(ids[0], |s| s.bytes = 600_000);
+    host.show(ids[0], |s| s.held_bytes = 600_000);
     host.turn();
-    assert_eq!(host.closed, [(ids[0], Why::Bytes)]);
+    assert_eq!(host.closed, [(ids[0], CloseReason::Bytes)]);
 }
--- a/src/features/addresses.rs
+++ b/src/features/addresses.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::proxy::{self, Source};
 use crate::interface::Micros;
-use crate::net::downstream::{farewell, Link, Order, Waits};
+use crate::net::downstream::{farewell, Link, Order, WaitingFor};
 use crate::net::{read, tell, unmapped, Caller, News, Note};
 use futures_lite::future;
 use ipnet::{IpNet, Ipv4Net};
@@ -120,7 +120,7 @@
                     }
                     tell(&link.queue, News::Fronted(link.id, link.caller.clone())).await;
                     input.drain(..taken);
-                    link.progress.set(Waits::Command);
+                    link.progress.set(WaitingFor::Command);
                     break;
                 }
                 (Err(malformed), _) => {
@@ -136,11 +136,11 @@
             }
             // Told to finish: a header on its way comes first, and a command may be behind it.
             if link.finishing && trusted && link.socket.is_quiet() {
-                link.progress.set(Waits::Close);
+                link.progress.set(WaitingFor::Close);
                 farewell(&link.socket).await;
                 return false;
             }
-            link.progress.show(|shown| shown.part = input.len());
+            link.progress.show(|shown| shown.partial_bytes = input.len());
             let order = async {
                 while let Ok(Order::Look) = link.orders.recv().await {
                     link.progress.looked();
--- a/src/features/tap.rs
+++ b/src/features/tap.rs
@@ -4,7 +4,7 @@
 use crate::codec::discovery;
 use crate::core::Record;
 use crate::interface::{ClassId, TenantId};
-use crate::net::downstream::{farewell, Link, Order, Waits};
+use crate::net::downstream::{farewell, Link, Order, WaitingFor};
 use crate::net::{read, tell, uninterrupted, write_all, Note};
 use crate::settings::Site;
 use async_channel::{Receiver, Sender};
@@ -224,7 +224,7 @@
         Ok((seat, woken)) => {
             let note = Note::new("tap_watches", format!("tap: {} watches", link.caller)).caller(&link.caller);
             tell(&link.queue, note).await;
-            link.progress.set(Waits::Answer);
+            link.progress.set(WaitingFor::Answer);
             match stream(link, &seat, &woken).await {
                 Some(waits) => link.progress.set(waits),
                 None => return,
@@ -237,13 +237,13 @@
             seat.1.lines.take()
         }
         Err(why) => {
-            link.progress.set(Waits::Close);
+            link.progress.set(WaitingFor::Close);
             Lines { bytes: format!("{REFUSED}{why}\n").into_bytes(), ..Lines::default() }
         }
     };
     // Sweeps see to it that this ends even if the watcher never reads: no write counts as a step.
     if write_all(&link.socket, &left.bytes[left.written..]).await.is_ok() {
-        link.progress.set(Waits::Close);
+        link.progress.set(WaitingFor::Close);
         farewell(&link.socket).await;
     }
 }
@@ -262,7 +262,7 @@
         if let Some(end) = line {
             return Filter::parse(&input[..end], site);
         }
-        link.progress.show(|shown| shown.part = input.len());
+        link.progress.show(|shown| shown.partial_bytes = input.len());
         let order = async {
             while let Ok(Order::Look) = link.orders.recv().await {
                 link.progress.looked();
@@ -277,13 +277,13 @@
 }
 
 /// Passes lines on. Comes back with what is waited for while the rest is written; `None` if nobody reads it.
-async fn stream(link: &Link, seat: &Seat<'_>, woken: &Receiver<()>) -> Option<Waits> {
+async fn stream(link: &Link, seat: &Seat<'_>, woken: &Receiver<()>) -> Option<WaitingFor> {
     let lines = &seat.1.lines;
     let mut input = Vec::new();
     loop {
         let (left, cut) = (lines.borrow().left(), lines.borrow().cut);
         if cut {
-            return Some(Waits::Peer);
+            return Some(WaitingFor::Peer);
         }
         let finish = async {
             match link.orders.recv().await {
@@ -307,7 +307,7 @@
         };
         let read = async { Woken::Moved(read(&link.socket, &mut input).await) };
         match future::or(finish, future::or(more, future::or(read, write))).await {
-            Woken::Finish => return Some(Waits::Close),
+            Woken::Finish => return Some(WaitingFor::Close),
             Woken::More => {}
             // Nothing that a watcher says behind its filter means anything.
             Woken::Moved(Ok(1..)) => input.clear(),
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -4,7 +4,7 @@
 //! of the sockets.
 
 use super::{tell, uninterrupted, unmapped, News, Note, Port, Queue};
-use crate::admission::Side;
+use crate::admission::PortKind;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -37,7 +37,7 @@
 
 impl Gate {
     /// The way in of one more port.
-    pub fn entry(self: &Rc<Self>, side: Side) -> Entry {
+    pub fn entry(self: &Rc<Self>, side: PortKind) -> Entry {
         let (wake, room) = async_channel::bounded(1);
         self.room.borrow_mut().push(wake);
         Entry { gate: self.clone(), side, room }
@@ -69,12 +69,12 @@
         }
     }
 
-    fn is_full(&self, side: Side) -> bool {
+    fn is_full(&self, side: PortKind) -> bool {
         let (open, side) = (self.open.get(), side as usize);
         open[side] >= self.most.get()[side] || open.iter().sum::<usize>() >= self.all.get()
     }
 
-    fn count(&self, side: Side, change: isize) {
+    fn count(&self, side: PortKind, change: isize) {
         let mut open = self.open.get();
         open[side as usize] = open[side as usize].saturating_add_signed(change);
         self.open.set(open);
@@ -85,7 +85,7 @@
 #[derive(Debug)]
 pub struct Entry {
     gate: Rc<Gate>,
-    side: Side,
+    side: PortKind,
     room: Receiver<()>,
 }
 
@@ -94,12 +94,12 @@
 pub struct Socket {
     stream: Async<TcpStream>,
     gate: Rc<Gate>,
-    side: Side,
+    side: PortKind,
 }
 
 impl Socket {
     /// Takes a place behind the gate, whether or not there is one left.
-    pub fn new(stream: Async<TcpStream>, gate: &Rc<Gate>, side: Side) -> Self {
+    pub fn new(stream: Async<TcpStream>, gate: &Rc<Gate>, side: PortKind) -> Self {
         gate.count(side, 1);
         Socket { stream, gate: gate.clone(), side }
     }
--- a/src/net/downstream.rs
+++ b/src/net/downstream.rs
@@ -4,8 +4,8 @@
 use super::accept::Socket;
 use super::protocol::{Parsed, Protocol};
 use super::{consume, peek, read, read_on, tell, write, Caller, News, Queue, READ};
-use crate::admission::Shown;
-pub use crate::admission::Waits;
+use crate::admission::Activity;
+pub use crate::admission::WaitingFor;
 use crate::core::{Answer, DownstreamId, Input};
 use async_channel::Receiver;
 use async_io::{Async, Timer};
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 pub struct Progress {
     id: DownstreamId,
-    shown: Cell<Shown>,
+    shown: Cell<Activity>,
     /// It is among those that have moved.
     told: Cell<bool>,
     moved: Rc<Moved>,
@@ -90,33 +90,33 @@
 
 impl Progress {
     /// `waits` is what it has to say first.
-    pub fn new(id: DownstreamId, waits: Waits, moved: Rc<Moved>) -> Self {
-        let shown = Cell::new(Shown { waits, ..Shown::default() });
+    pub fn new(id: DownstreamId, waits: WaitingFor, moved: Rc<Moved>) -> Self {
+        let shown = Cell::new(Activity { waiting_for: waits, ..Activity::default() });
         Progress { id, shown, moved, told: Cell::default(), paused: Cell::default(), looks: Cell::default() }
     }
 
     /// What it shows, for the owner.
-    pub fn look(&self) -> Shown {
+    pub fn look(&self) -> Activity {
         self.told.set(false);
         self.shown.get()
     }
 
-    pub fn waits(&self) -> Waits {
-        self.shown.get().waits
+    pub fn waits(&self) -> WaitingFor {
+        self.shown.get().waiting_for
     }
 
-    pub(crate) fn set(&self, waits: Waits) {
-        self.show(|shown| shown.waits = waits);
+    pub(crate) fn set(&self, waits: WaitingFor) {
+        self.show(|shown| shown.waiting_for = waits);
     }
 
-    pub(crate) fn show(&self, change: impl FnOnce(&mut Shown)) {
+    pub(crate) fn show(&self, change: impl FnOnce(&mut Activity)) {
         let mut shown = self.shown.get();
         change(&mut shown);
         if self.shown.replace(shown) != shown {
             if !self.told.replace(true) {
                 self.moved.ids.borrow_mut().push(self.id);
             }
-            self.moved.wake(shown.bytes);
+            self.moved.wake(shown.held_bytes);
         }
     }
 
@@ -248,21 +248,21 @@
             let quiet = self.finishing && self.link.socket.is_quiet();
             self.ending |= idle && quiet && (self.leaving || self.input.is_empty());
             if self.ending && idle {
-                progress.set(Waits::Close);
+                progress.set(WaitingFor::Close);
                 return farewell(&self.link.socket).await;
             }
             let held = self.output.len() - self.written + self.input.len();
             let held = held + self.answers.iter().map(Place::bytes).sum::<usize>();
             let (part, more) = (self.input.len(), self.protocol.unfinished());
             progress.show(|shown| {
-                shown.part = part.max(more.into());
+                shown.partial_bytes = part.max(more.into());
                 // Coarse: not every read is worth telling.
-                shown.bytes = held / 1024 * 1024;
-                shown.waits = match unread {
-                    true => Waits::Peer,
-                    _ if !idle => Waits::Answer,
-                    _ if shown.steps == 0 || part > 0 || more => Waits::Command,
-                    _ => Waits::Nothing,
+                shown.held_bytes = held / 1024 * 1024;
+                shown.waiting_for = match unread {
+                    true => WaitingFor::Peer,
+                    _ if !idle => WaitingFor::Answer,
+                    _ if shown.steps == 0 || part > 0 || more => WaitingFor::Command,
+                    _ => WaitingFor::Nothing,
                 };
             });
             // Shown first: what was read and is no whole command yet is one on its way.
@@ -336,10 +336,12 @@
             self.link.progress.show(|shown| {
                 shown.steps += u64::from(!matches!(parsed, Parsed::More | Parsed::Malformed(_)));
                 match &parsed {
-                    Parsed::Ask(ask) => shown.asked(ask),
-                    Parsed::Asks(asks) => asks.first().into_iter().for_each(|a| shown.asked(a)),
-                    Parsed::Local(_) | Parsed::Slow(..) | Parsed::Close(_) => shown.local += 1,
-                    Parsed::Malformed(_) => (shown.local, shown.malformed) = (shown.local + 1, true),
+                    Parsed::Ask(ask) => shown.add_stream(ask),
+                    Parsed::Asks(asks) => asks.first().into_iter().for_each(|a| shown.add_stream(a)),
+                    Parsed::Local(_) | Parsed::Slow(..) | Parsed::Close(_) => shown.local_replies += 1,
+                    Parsed::Malformed(_) => {
+                        (shown.local_replies, shown.malformed) = (shown.local_replies + 1, true)
+                    }
                     Parsed::More => {}
                 }
             });
--- a/src/owner/downstreams.rs
+++ b/src/owner/downstreams.rs
@@ -3,10 +3,10 @@
 //! alone.
 
 use super::ports::Service;
-use crate::admission::Shown;
+use crate::admission::Activity;
 use crate::core::{DownstreamId, Input};
 use crate::net::accept::Socket;
-use crate::net::downstream::{Link, Moved, Order, Progress, Waits};
+use crate::net::downstream::{Link, Moved, Order, Progress, WaitingFor};
 use crate::net::{Caller, News, Queue};
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
@@ -41,7 +41,7 @@
     /// Streams that it may have open.
     pub(super) streams: usize,
     /// What it has to say first.
-    pub(super) waits: Waits,
+    pub(super) waits: WaitingFor,
 }
 
 pub(super) struct Downstreams {
@@ -92,7 +92,7 @@
     }
 
     /// The one place where a downstream's descriptor is given back. What it showed last comes back.
-    pub(super) fn remove(&mut self, id: DownstreamId) -> Option<Shown> {
+    pub(super) fn remove(&mut self, id: DownstreamId) -> Option<Activity> {
         self.open.remove(&id).map(|one| one.progress.look())
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Those that show something new, and what. While `eager` the owner is woken for the next change.
-    pub(super) fn moved(&self, eager: bool) -> Vec<(DownstreamId, Shown)> {
+    pub(super) fn moved(&self, eager: bool) -> Vec<(DownstreamId, Activity)> {
         let shown = |id| Some((id, self.open.get(&id)?.progress.look()));
         self.moved.take(eager).into_iter().filter_map(shown).collect()
     }
@@ -155,7 +155,7 @@
     /// A watcher that has sent no filter is told so rather than closed.
     pub(super) fn told(&mut self, id: DownstreamId) -> bool {
         let watcher = self.open.get_mut(&id).filter(|one| {
-            one.service == Service::Tap && one.progress.waits() == Waits::Command && !one.finishing
+            one.service == Service::Tap && one.progress.waits() == WaitingFor::Command && !one.finishing
         });
         watcher.map(Downstream::finish).is_some()
     }
--- a/src/owner/downstreams/tests.rs
+++ b/src/owner/downstreams/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::admission::Side;
+use crate::admission::PortKind;
 use crate::net::accept::Gate;
 use async_io::Async;
 use std::net::{TcpListener, TcpStream};
@@ -15,9 +15,9 @@
     let add = |downstreams: &mut Downstreams| {
         let peer = TcpStream::connect(listener.local_addr().expect("an address")).expect("it listens");
         let (socket, client) = listener.accept().expect("a connection");
-        let socket = Socket::new(Async::new(socket).expect("a socket"), &gate, Side::Main);
+        let socket = Socket::new(Async::new(socket).expect("a socket"), &gate, PortKind::Main);
         let caller = Caller { client, via: None };
-        let new = New { socket, caller, service: Service::Main, streams: 16, waits: Waits::Command };
+        let new = New { socket, caller, service: Service::Main, streams: 16, waits: WaitingFor::Command };
         let link = Rc::new(Cell::new(None));
         let taken = link.clone();
         let id = downstreams.add(new, &executor, &queue, |link| async move { taken.set(Some(link)) });
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -19,8 +19,8 @@
 mod side;
 mod upstreams;
 
-use crate::admission::drain::Ending;
-use crate::admission::{Counts, Door, Feed, Limits, Why};
+use crate::admission::drain::Drain;
+use crate::admission::{Admission, CloseReason, Counts, Limits, MemoryAction};
 use crate::clock::Clock;
 use crate::codec::discovery::hash_id;
 use crate::config::Config;
@@ -76,7 +76,7 @@
     site: Rc<Site>,
     words: Rc<Vocabulary>,
     ports: Ports,
-    door: Door,
+    door: Admission,
     downstreams: Downstreams,
     upstreams: Upstreams,
     discovery: Discovery,
@@ -88,7 +88,7 @@
     flushed: Counts,
     started: Micros,
     swept: Micros,
-    ending: Option<Ending>,
+    ending: Option<Drain>,
 }
 
 /// Serves until a planned end, SIGTERM or SIGINT. `path` is where the configuration came from, which SIGHUP
@@ -141,10 +141,16 @@
         let answers = executor.spawn(snmp.clone().answer(bound, move || clock.now()));
         (answers, executor.spawn(snmp.notify(move || clock.now())))
     });
-    let door = Door::new(&door, limits);
+    let door = Admission::new(&door, limits);
     let mut owner = Owner {
         clock,
-        core: Core::new(now, site.settings.clone(), config.seed, door.most_nodes([0; 2]), config.known),
+        core: Core::new(
+            now,
+            site.settings.clone(),
+            config.seed,
+            door.node_connection_limit([0; 2]),
+            config.known,
+        ),
         effects: Vec::new(),
         executor: executor.clone(),
         queue: queue.clone(),
@@ -192,7 +198,7 @@
             let now = self.clock.now();
             self.core.wants_records = self.side.listens() || self.planners.is_some();
             self.core.wants_node_events = self.planners.is_some();
-            self.core.limit_connections(self.door.most_nodes(self.ports.open()));
+            self.core.limit_connections(self.door.node_connection_limit(self.ports.open()));
             for _ in 0..AT_ONCE {
                 let Ok(one) = news.try_recv() else { break };
                 self.hear(now, one);
@@ -219,7 +225,7 @@
                 continue;
             }
             let soon = now + if self.ending.is_some() { ENDING } else { SWEEP };
-            let soon = self.door.next(now).map_or(soon, |at| soon.min(at));
+            let soon = self.door.next_deadline(now).map_or(soon, |at| soon.min(at));
             let soon = self.planners.as_ref().map_or(soon, |p| soon.min(p.forwarding.next(now)));
             let soon = self.controls.as_ref().map_or(soon, |c| soon.min(c.following.next()));
             timer.set_at(self.clock.instant(self.core.next().min(soon)));
@@ -249,7 +255,7 @@
             News::Core(input) => {
                 if let Input::DownstreamClosed(id) = input {
                     if let Some(shown) = self.downstreams.remove(id) {
-                        self.door.shows(now, id, shown);
+                        self.door.update(now, id, shown);
                         self.door.left(id);
                     }
                 }
@@ -265,7 +271,7 @@
             // What they show is looked at in each turn.
             News::Moved => {}
             News::Fronted(id, caller) => {
-                self.door.fronted(id, caller.client.ip());
+                self.door.set_client_ip(id, caller.client.ip());
                 let (client, via) = (display(caller.client), caller.via.map(display));
                 info!(event = "fronted", client, via, "{caller} taken from a front");
             }
@@ -302,8 +308,8 @@
                 let streams = self.core.open_streams();
                 info!(event = "told_to_end", streams, "told to end: {streams} streams open");
                 let longest = self.site.settings.classes.iter().map(|class| class.limit).max();
-                let ending = Ending::new(now, longest);
-                self.core.input(now, Input::ShutdownBy(ending.answered()));
+                let ending = Drain::new(now, longest);
+                self.core.input(now, Input::ShutdownBy(ending.answer_deadline()));
                 self.ending = Some(ending);
             }
         }
@@ -334,31 +340,32 @@
 
     /// Tells the door what has changed.
     fn tell_door(&mut self, now: Micros) {
-        for (id, shown) in self.downstreams.moved(self.door.is_pressed()) {
-            self.door.shows(now, id, shown);
+        for (id, shown) in self.downstreams.moved(self.door.is_under_pressure()) {
+            self.door.update(now, id, shown);
         }
-        self.door.nodes(self.core.open_connections());
+        self.door.set_node_connections(self.core.open_connections());
     }
 
     /// Does what the door says.
     fn keep_door(&mut self, now: Micros) {
         self.tell_door(now);
-        while let Some((id, why)) = self.door.due(now) {
+        while let Some((id, why)) = self.door.next_timeout(now) {
             if self.downstreams.told(id) {
-                self.door.extend(now, id);
-            } else if matches!(why, Why::Speechless | Why::Idle) && self.downstreams.reads(id) {
+                self.door.extend_timeout(now, id);
+            } else if matches!(why, CloseReason::Speechless | CloseReason::Idle) && self.downstreams.reads(id)
+            {
                 // Its command has come and is read next.
-                self.door.again(now, id);
+                self.door.retry_timeout(now, id);
             } else {
                 self.close(id, why);
             }
         }
         self.make_room(now, false);
         for _ in 0..AT_ONCE {
-            match self.door.feed() {
-                Some(Feed::Pause(id)) => self.downstreams.pause(id, true),
-                Some(Feed::Resume(id)) => self.downstreams.pause(id, false),
-                Some(Feed::Close(id)) => self.close(id, Why::Bytes),
+            match self.door.next_memory_action() {
+                Some(MemoryAction::Pause(id)) => self.downstreams.pause(id, true),
+                Some(MemoryAction::Resume(id)) => self.downstreams.pause(id, false),
+                Some(MemoryAction::Close(id)) => self.close(id, CloseReason::Bytes),
                 None => break,
             }
         }
@@ -367,9 +374,9 @@
     /// Closes who has to go, as the door says; one, if a descriptor is missing. Bytes in a socket are a
     /// command on its way: whoever has sent them stays.
     fn make_room(&mut self, now: Micros, mut missing: bool) {
-        while let Some((id, why)) = self.door.worst(now, missing) {
+        while let Some((id, why)) = self.door.next_eviction(now, missing) {
             if self.downstreams.speaks(id) {
-                self.door.spoke(id);
+                self.door.spare(id);
                 continue;
             }
             self.close(id, why);
@@ -377,8 +384,8 @@
         }
     }
 
-    fn close(&mut self, id: DownstreamId, why: Why) {
-        self.door.gone(id, why);
+    fn close(&mut self, id: DownstreamId, why: CloseReason) {
+        self.door.closed(id, why);
         self.core.counters.unanswered += self.core.open_streams_of(id) as u64;
         self.drop_downstream(id);
     }
@@ -461,12 +468,12 @@
         let owned = Owned {
             ready: self.words.ready.get(),
             downstreams: self.door.len(),
-            downstreams_limit: self.door.most_of_all(),
+            downstreams_limit: self.door.total_limit(),
             downstreams_refused: self.side.refused(),
-            downstreams_silent: counts.silent(),
+            downstreams_silent: counts.timed_out(),
             downstreams_made_room: counts.made_room(),
             upstreams: self.core.open_connections(),
-            upstreams_limit: self.door.most_nodes(self.ports.open()),
+            upstreams_limit: self.door.node_connection_limit(self.ports.open()),
             streams: self.core.open_streams(),
             counters: self.core.counters,
         };
@@ -490,12 +497,12 @@
         if !ending.accepts(now, none_open) {
             self.ports.close();
         }
-        let told = ending.tell(now, || self.door.order());
+        let told = ending.step(now, || self.door.close_order());
         told.finish.into_iter().for_each(|id| self.downstreams.finish(id));
         if told.all {
             self.downstreams.leave();
         }
-        let over = ending.over(now, none_open && self.ports.are_closed());
+        let over = ending.is_over(now, none_open && self.ports.are_closed());
         if over {
             let streams = self.core.open_streams();
             self.core.counters.unanswered += streams as u64;
--- a/src/owner/ports.rs
+++ b/src/owner/ports.rs
@@ -1,6 +1,6 @@
 //! The ports that the proxy listens on: a task each that accepts, and a gate before each sort of them.
 
-use crate::admission::{Door, Side};
+use crate::admission::{Admission, PortKind};
 use crate::features::file::Features;
 use crate::net::accept::{accept, Gate};
 use crate::net::{Port, Queue};
@@ -21,11 +21,11 @@
 }
 
 impl Service {
-    pub(super) fn side(self) -> Side {
+    pub(super) fn side(self) -> PortKind {
         if self == Service::Main {
-            Side::Main
+            PortKind::Main
         } else {
-            Side::Port
+            PortKind::Side
         }
     }
 }
@@ -104,8 +104,8 @@
     }
 
     /// How many the door lets in by now.
-    pub(super) fn allow(&self, door: &Door) {
-        self.gate.allow([Side::Main, Side::Port].map(|side| door.most(side)), door.most_of_all());
+    pub(super) fn allow(&self, door: &Admission) {
+        self.gate.allow([PortKind::Main, PortKind::Side].map(|side| door.limit(side)), door.total_limit());
     }
 
     /// How many of each side have been accepted and are open, whether or not the owner has heard of them.
--- a/src/owner/report.rs
+++ b/src/owner/report.rs
@@ -1,6 +1,6 @@
 //! Lines of the log that the owner has to ration: those about peers, and the figures between them.
 
-use crate::admission::{Counts, Door};
+use crate::admission::{Admission, Counts};
 use crate::core::Core;
 use crate::interface::Micros;
 use crate::net::Note;
@@ -36,7 +36,7 @@
     }
 
     /// Tells the figures if it is time to, and how many lines about peers were left out since.
-    pub(super) fn tick(&mut self, now: Micros, core: &Core, door: &Door) {
+    pub(super) fn tick(&mut self, now: Micros, core: &Core, door: &Admission) {
         if now - self.told < FIGURES {
             return;
         }
@@ -50,9 +50,9 @@
 }
 
 /// Figures since the start, and what is open now.
-pub(super) fn figures(core: &Core, door: &Door) {
+pub(super) fn figures(core: &Core, door: &Admission) {
     let (c, counts) = (core.counters, door.counts());
-    let (downstreams, silent) = (door.len(), counts.silent());
+    let (downstreams, silent) = (door.len(), counts.timed_out());
     let (streams, connections) = (core.open_streams(), core.open_connections());
     info!(
         event = "figures",
@@ -139,7 +139,7 @@
 }
 
 /// Why downstreams were closed since the start, if any was.
-fn closed(door: &Door) {
+fn closed(door: &Admission) {
     let (counts, (bytes, paused)) = (door.counts(), door.bytes());
     let closed = counts.since(&Counts::default()).map(|(name, n)| format!("{name} {n}"));
     let closed: Vec<String> = closed.collect();
--- a/src/owner/side.rs
+++ b/src/owner/side.rs
@@ -11,7 +11,7 @@
 use crate::features::tap::{self, Tap};
 use crate::interface::{KindId, Micros, ServerId};
 use crate::net::command::{Plain, Vocabulary};
-use crate::net::downstream::{self, Link, Waits};
+use crate::net::downstream::{self, Link, WaitingFor};
 use crate::net::memcached::gateway::Front;
 use crate::net::memcached::stats::Published;
 use crate::net::memcached::{Desk, Speakers};
@@ -113,10 +113,10 @@
     }
 
     /// What a connection has to say first.
-    pub(super) fn first(&self, peer: SocketAddr) -> Waits {
+    pub(super) fn first(&self, peer: SocketAddr) -> WaitingFor {
         match self.addresses.as_ref().is_some_and(|lists| lists.trusts(peer)) {
-            true => Waits::Header,
-            false => Waits::default(),
+            true => WaitingFor::Header,
+            false => WaitingFor::default(),
         }
     }
 
--- a/tests/downstream.rs
+++ b/tests/downstream.rs
@@ -4,7 +4,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::future::yield_now;
-use martenweir::admission::{Side, Waits};
+use martenweir::admission::{PortKind, WaitingFor};
 use martenweir::core::{DownstreamId, Input};
 use martenweir::net::accept::{accept, Gate, Socket};
 use martenweir::net::downstream::{serve, Link, Moved, Order, Progress};
@@ -37,10 +37,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let peer = TcpStream::connect(listener.local_addr().expect("an address")).expect("it listens");
     let (socket, client) = listener.accept().expect("a connection");
-    let socket = Rc::new(Socket::new(Async::new(socket).expect("a socket"), gate, Side::Main));
+    let socket = Rc::new(Socket::new(Async::new(socket).expect("a socket"), gate, PortKind::Main));
     let (queue, _) = async_channel::bounded(8);
     let moved = Rc::new(Moved::new(queue.clone()));
-    let progress = Rc::new(Progress::new(DownstreamId(1), Waits::Command, moved));
+    let progress = Rc::new(Progress::new(DownstreamId(1), WaitingFor::Command, moved));
     let (give, orders) = async_channel::bounded(4);
     let caller = Caller { client, via: None };
     let (input, finishing) = (Cell::default(), false);
@@ -111,7 +111,7 @@
             yield_now().await;
         }
     }));
-    assert_eq!(progress.look().local, 0, "of {commands} commands");
+    assert_eq!(progress.look().local_replies, 0, "of {commands} commands");
 }
 
 /// Guards the term on clients that have gone: one that sends many commands at once and goes, before any of them was
@@ -132,7 +132,7 @@
                 yield_now().await;
             }
         }));
-        assert_eq!(progress.look().local, 0, "of {commands} commands");
+        assert_eq!(progress.look().local_replies, 0, "of {commands} commands");
     }
 }
 
@@ -157,7 +157,7 @@
             yield_now().await;
         }
     }));
-    assert_eq!(progress.look().local, 0, "of {commands} commands");
+    assert_eq!(progress.look().local_replies, 0, "of {commands} commands");
 }
 
 /// Who sends on and stays is answered, however much comes at once: what has come is taken once as much is here as may be,
@@ -180,7 +180,7 @@
     async_io::block_on(executor.run(async {
         let late = Instant::now() + Duration::from_secs(20);
         while !reads.is_finished() {
-            assert!(Instant::now() < late, "{} of {commands} are answered", progress.look().local);
+            assert!(Instant::now() < late, "{} of {commands} are answered", progress.look().local_replies);
             yield_now().await;
         }
     }));
@@ -211,7 +211,7 @@
         assert!(!socket.is_quiet() && progress.look().steps == 0, "it was read");
         progress.pause(false);
         orders.send(Order::Look).await.expect("it listens");
-        while progress.look().waits != Waits::Close {
+        while progress.look().waiting_for != WaitingFor::Close {
             yield_now().await;
         }
     }));
@@ -258,8 +258,8 @@
         }
     }));
     assert!(over && answered > 8, "it was never closed");
-    assert_eq!(progress.look().waits, Waits::Close);
-    assert_eq!((sent, progress.look().local as usize), (answered, answered));
+    assert_eq!(progress.look().waiting_for, WaitingFor::Close);
+    assert_eq!((sent, progress.look().local_replies as usize), (answered, answered));
     drop((executor, socket));
 }
 
@@ -277,7 +277,7 @@
         peer.write_all(b"*1\r\n$4\r\nPING\r\n").expect("sent");
     }
     gate.shut();
-    let port = executor.spawn(accept(listener, Port(0), queue, gate.entry(Side::Main), |_| true));
+    let port = executor.spawn(accept(listener, Port(0), queue, gate.entry(PortKind::Main), |_| true));
     let come = async_io::block_on(executor.run(async {
         let mut come = 0;
         // Each goes as soon as it has come, which makes room.
--- a/tests/memcached.rs
+++ b/tests/memcached.rs
@@ -1,11 +1,11 @@
 //! The memcached port without sockets: bytes in, streams and answers out; and one connection of it by hand.
 
 use async_executor::LocalExecutor;
-use martenweir::admission::Side;
+use martenweir::admission::PortKind;
 use martenweir::core::{Answer, DownstreamId, Input, NewStream};
 use martenweir::net::accept::Socket;
 use martenweir::net::command::Vocabulary;
-use martenweir::net::downstream::{serve, Link, Moved, Order, Progress, Waits};
+use martenweir::net::downstream::{serve, Link, Moved, Order, Progress, WaitingFor};
 use martenweir::net::memcached::gateway::Front;
 use martenweir::net::memcached::{Desk, Settings};
 use martenweir::net::protocol::{Parsed, Protocol};
@@ -199,11 +199,11 @@
         socket: Rc::new(Socket::new(
             async_io::Async::new(socket).expect("a socket"),
             &Rc::default(),
-            Side::Main,
+            PortKind::Main,
         )),
         orders,
         queue: tell.clone(),
-        progress: Rc::new(Progress::new(DownstreamId(1), Waits::Command, Rc::new(Moved::new(tell)))),
+        progress: Rc::new(Progress::new(DownstreamId(1), WaitingFor::Command, Rc::new(Moved::new(tell)))),
         caller: Caller { client, via: None },
         input: Cell::default(),
         finishing: false,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of other deployments: how the module, the core and the parsers handle values and names
 //! far from those of any one deployment.
 
-use martenweir::admission::{self, Door, Limits, Shown, Side, Waits};
+use martenweir::admission::{self, Activity, Admission, Limits, PortKind, WaitingFor};
 use martenweir::choice::Balancer;
 use martenweir::codec::discovery::{self, Cluster, Listed};
 use martenweir::core::{Answer, Core, DownstreamId, Effect, Input, Message, NewStream, Stage};
@@ -524,21 +524,21 @@
 #[test]
 fn a_client_that_waits_for_its_answer_is_not_idle() {
     let limits = Limits { descriptors: 256, memory: 192 << 20, side_ports: 0 };
-    let mut door = Door::new(&admission::Settings::default(), limits);
+    let mut door = Admission::new(&admission::Settings::default(), limits);
     let id = DownstreamId(7);
-    door.accepted(0, id, Side::Main, [192, 0, 2, 7].into(), Waits::Command);
-    let asked = Shown { steps: 1, asks: 1, waits: Waits::Answer, ..Shown::default() };
-    let served = Shown { steps: 2, waits: Waits::Nothing, ..asked };
-    door.shows(MS, id, asked);
+    door.accepted(0, id, PortKind::Main, [192, 0, 2, 7].into(), WaitingFor::Command);
+    let asked = Activity { steps: 1, streams: 1, waiting_for: WaitingFor::Answer, ..Activity::default() };
+    let served = Activity { steps: 2, waiting_for: WaitingFor::Nothing, ..asked };
+    door.update(MS, id, asked);
     for s in 0..3_600 {
-        assert_eq!((door.due(s * 1_000 * MS), door.next(s * 1_000 * MS)), (None, None));
+        assert_eq!((door.next_timeout(s * 1_000 * MS), door.next_deadline(s * 1_000 * MS)), (None, None));
     }
     // Once answered, the idle time-out starts; another request ends it.
     let now = 3_600_000 * MS;
-    door.shows(now, id, served);
-    assert_eq!(door.due(now + 50_000 * MS), None);
-    door.shows(now + 59_999 * MS, id, Shown { steps: 3, asks: 2, ..asked });
-    assert_eq!(door.due(now + 3_600_000 * MS), None);
+    door.update(now, id, served);
+    assert_eq!(door.next_timeout(now + 50_000 * MS), None);
+    door.update(now + 59_999 * MS, id, Activity { steps: 3, streams: 2, ..asked });
+    assert_eq!(door.next_timeout(now + 3_600_000 * MS), None);
 }
 
 fn asked(patience: Micros) -> Input {
