--- a/crates/cost/src/request.rs
+++ b/crates/cost/src/request.rs
@@ -168,7 +168,7 @@
 fn stage_encode(job: &Job) -> Vec<u8> {
     let mut out = Vec::new();
     if let Job::Stream { message: m, patience } = job {
-        let properties = martenweir::net::upstream::properties(&m.properties, patience / 1000);
+        let properties = martenweir::net::upstream::with_time_left(&m.properties, patience / 1000);
         resp::put_command(&mut out, &[&m.verb, &m.key, &m.id, &properties]);
     }
     out
--- a/crates/lab/src/capacity/hollow/proxies.rs
+++ b/crates/lab/src/capacity/hollow/proxies.rs
@@ -13,7 +13,7 @@
 use martenweir::codec::discovery::Cluster;
 use martenweir::core::{Core, Effect, Input};
 use martenweir::interface::Micros;
-use martenweir::net::{cluster, Heard, News};
+use martenweir::net::{cluster, NetEvent, WatchEvent};
 use martenweir::settings::Site;
 use rustix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
@@ -223,12 +223,12 @@
                 None
             };
             let one = future::or(async { news.recv().await.ok() }, tick).await;
-            let Some(News::Discovery(number, heard)) = one else { continue };
+            let Some(NetEvent::Discovery(number, heard)) = one else { continue };
             let input = match heard {
                 _ if number != made => continue,
-                Heard::Answered => Input::Cluster(None),
-                Heard::Told(list) => Input::Cluster(list),
-                Heard::Ended => Input::WatchEnded,
+                WatchEvent::Answered => Input::Cluster(None),
+                WatchEvent::Update(list) => Input::Cluster(list),
+                WatchEvent::Ended => Input::WatchEnded,
             };
             let revision = match &input {
                 Input::Cluster(Some(list)) => Some(list.revision),
--- a/src/features/addresses.rs
+++ b/src/features/addresses.rs
@@ -2,8 +2,8 @@
 
 use crate::codec::proxy::{self, Source};
 use crate::interface::Micros;
-use crate::net::downstream::{farewell, Link, Order, WaitingFor};
-use crate::net::{read, tell, unmapped, Caller, News, Note};
+use crate::net::downstream::{farewell, Link, TaskMessage, WaitingFor};
+use crate::net::{canonical_address, read, send_event, Caller, LogEntry, NetEvent};
 use futures_lite::future;
 use ipnet::{IpNet, Ipv4Net};
 use std::cell::{Cell, RefCell};
@@ -113,37 +113,38 @@
             match (header, proxy::begins(&input)) {
                 (Ok(Some((source, taken))), _) => {
                     if let Source::Client(client) = source {
-                        link.caller = Caller { client: unmapped(client), via: Some(peer) };
+                        link.caller = Caller { client: canonical_address(client), via: Some(peer) };
                     }
                     if !self.admits(&link.caller) {
                         return false;
                     }
-                    tell(&link.queue, News::Fronted(link.id, link.caller.clone())).await;
+                    send_event(&link.queue, NetEvent::ProxyHeader(link.id, link.caller.clone())).await;
                     input.drain(..taken);
-                    link.progress.set(WaitingFor::Command);
+                    link.progress.set_waiting_for(WaitingFor::Command);
                     break;
                 }
                 (Err(malformed), _) => {
-                    tell(&link.queue, closed(&link.caller, malformed.0)).await;
+                    send_event(&link.queue, closed(&link.caller, malformed.0)).await;
                     return false;
                 }
                 (_, Some(true)) if !trusted => {
-                    tell(&link.queue, closed(&link.caller, "a PROXY header, but no front of ours")).await;
+                    send_event(&link.queue, closed(&link.caller, "a PROXY header, but no front of ours"))
+                        .await;
                     return false;
                 }
                 (_, Some(false)) if !trusted => break,
                 _ => {}
             }
             // Told to finish: a header on its way comes first, and a command may be behind it.
-            if link.finishing && trusted && link.socket.is_quiet() {
-                link.progress.set(WaitingFor::Close);
+            if link.finishing && trusted && link.socket.has_nothing_unread() {
+                link.progress.set_waiting_for(WaitingFor::Close);
                 farewell(&link.socket).await;
                 return false;
             }
-            link.progress.show(|shown| shown.partial_bytes = input.len());
+            link.progress.update(|shown| shown.partial_bytes = input.len());
             let order = async {
-                while let Ok(Order::Look) = link.orders.recv().await {
-                    link.progress.looked();
+                while let Ok(TaskMessage::Refresh) = link.orders.recv().await {
+                    link.progress.refreshed();
                 }
                 None
             };
@@ -164,6 +165,6 @@
     }
 }
 
-fn closed(caller: &Caller, why: &str) -> Note {
-    Note::new("closed", format!("{caller} closed: {why}")).caller(caller).why(why)
+fn closed(caller: &Caller, why: &str) -> LogEntry {
+    LogEntry::new("closed", format!("{caller} closed: {why}")).caller(caller).why(why)
 }
--- a/src/features/control.rs
+++ b/src/features/control.rs
@@ -14,8 +14,8 @@
 use crate::clock::Clock;
 use crate::features::addresses::Lists;
 use crate::interface::Micros;
-use crate::net::framed::{self, Outbox, Word};
-use crate::net::unmapped;
+use crate::net::canonical_address;
+use crate::net::framed::{self, ConnectionEvent, Outbox};
 use crate::signals::{SignalRequest, Signals};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -48,7 +48,7 @@
 
 enum News {
     Accepted(Async<TcpStream>, SocketAddr),
-    Peer(PeerId, Word<Message>),
+    Peer(PeerId, ConnectionEvent<Message>),
     /// The disk has the records, or the file anew.
     Written(Result<Box<Store>, String>),
     /// Told by the accepting task, once in a row.
@@ -214,7 +214,7 @@
         match listener.accept().await {
             Ok((socket, peer)) => {
                 crowded = false;
-                let _ = queue.send(News::Accepted(socket, unmapped(peer))).await;
+                let _ = queue.send(News::Accepted(socket, canonical_address(peer))).await;
             }
             Err(why) => {
                 if !std::mem::replace(&mut crowded, true) {
@@ -282,22 +282,22 @@
         false
     }
 
-    fn peer(&mut self, now: Micros, peer: PeerId, word: Word<Message>, out: &mut Vec<Output>) {
+    fn peer(&mut self, now: Micros, peer: PeerId, word: ConnectionEvent<Message>, out: &mut Vec<Output>) {
         let Some(p) = self.peers.get_mut(&peer) else { return };
         match word {
-            Word::Up => {
+            ConnectionEvent::Up => {
                 p.up = true;
                 if let Some(control) = p.dialled {
                     self.control.up(now, peer, ConnectionKind::Control(control), out);
                 }
             }
-            Word::Said(_) if p.closing => {}
-            Word::Said(message) => {
+            ConnectionEvent::Message(_) if p.closing => {}
+            ConnectionEvent::Message(message) => {
                 if let Err(why) = self.control.handle_message(now, peer, &message, out) {
                     self.refuse(peer, &why);
                 }
             }
-            Word::Down(why) => {
+            ConnectionEvent::Down(why) => {
                 let (address, dialled, known) = (p.address, p.dialled, p.up && !p.closing);
                 self.peers.remove(&peer);
                 if known {
@@ -324,12 +324,12 @@
         }
         let _ = socket.get_ref().set_nodelay(true);
         self.last += 1;
-        let (peer, (outbox, inbox), queue) = (self.last, framed::outbox_of::<Message>(), self.queue.clone());
+        let (peer, (outbox, inbox), queue) = (self.last, framed::outbox_for::<Message>(), self.queue.clone());
         let task = self.executor.spawn(async move {
-            let said = |message| News::Peer(peer, Word::Said(message));
-            let why = framed::carry(&socket, inbox, &queue, said).await;
+            let said = |message| News::Peer(peer, ConnectionEvent::Message(message));
+            let why = framed::run_connection(&socket, inbox, &queue, said).await;
             drop(socket);
-            let _ = queue.send(News::Peer(peer, Word::Down(why))).await;
+            let _ = queue.send(News::Peer(peer, ConnectionEvent::Down(why))).await;
         });
         let new = Peer { address, dialled: None, up: true, outbox, closing: false, _task: task };
         self.peers.insert(peer, new);
@@ -342,7 +342,7 @@
         let address = listed.address;
         self.peers.retain(|_, p| p.up || p.dialled != Some(control));
         self.last += 1;
-        let (peer, (outbox, inbox)) = (self.last, framed::outbox_of::<Message>());
+        let (peer, (outbox, inbox)) = (self.last, framed::outbox_for::<Message>());
         let word = move |word| News::Peer(peer, word);
         let task = self.executor.spawn(framed::dial(address, inbox, self.queue.clone(), word));
         let new = Peer { address, dialled: Some(control), up: false, outbox, closing: false, _task: task };
--- a/src/features/file.rs
+++ b/src/features/file.rs
@@ -4,7 +4,7 @@
 use super::{addresses, figures, follower, forwarder, multiget, planner, snmp, tap};
 use crate::admission;
 use crate::interface::Micros;
-use crate::net::memcached::{self, Desk, Nodes, Speakers};
+use crate::net::memcached::{self, MemcachedNodes, NodeSettings, PortState};
 use crate::settings::Site;
 use plan::bounds;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
     pub figures: Option<figures::Settings>,
     pub memcached: Option<memcached::Settings>,
     /// Nodes that speak the memcached protocol.
-    pub memcachednodes: Nodes,
+    pub memcachednodes: NodeSettings,
     pub snmp: Option<snmp::Settings>,
     /// Always at work, with or without a line of its own.
     pub door: admission::Settings,
@@ -35,8 +35,8 @@
 impl Features {
     /// Whether the site has what is named here; an error tells the setting. With this, nothing is used yet.
     pub fn fit(&self, site: &Site) -> Result<(), String> {
-        self.memcached.as_ref().map(|settings| Desk::new(settings, site, 0)).transpose()?;
-        Speakers::new(&self.memcachednodes, site)?;
+        self.memcached.as_ref().map(|settings| PortState::new(settings, site, 0)).transpose()?;
+        MemcachedNodes::new(&self.memcachednodes, site)?;
         self.follower.as_ref().map_or(Ok(()), |settings| settings.controls.rules().map(drop))
     }
 }
@@ -84,7 +84,7 @@
     let mut tap = tap::Settings::default();
     let mut lists = addresses::Lists::default();
     let mut figures = figures::Settings::default();
-    let (mut memcached, mut nodes) = (memcached::Settings::default(), Nodes::default());
+    let (mut memcached, mut nodes) = (memcached::Settings::default(), NodeSettings::default());
     let mut agent = snmp::Lines::default();
     let mut door = admission::Settings::default();
     let (mut multigetport, mut tapport, mut memcacheport) = (None, None, None);
@@ -175,7 +175,7 @@
     Some(value).filter(|v| !v.is_empty()).map_or_else(|| wanted(value, what), |v| Ok(v.to_owned()))
 }
 
-fn speaker(value: &str, nodes: &mut Nodes) -> Result<(), String> {
+fn speaker(value: &str, nodes: &mut NodeSettings) -> Result<(), String> {
     match value.split_once(char::is_whitespace).map(|(sort, name)| (sort, name.trim())) {
         Some(("kind", name)) => nodes.kinds.push(name.to_owned()),
         Some(("id", name)) => nodes.ids.push(name.to_owned()),
--- a/src/features/multiget.rs
+++ b/src/features/multiget.rs
@@ -4,8 +4,8 @@
 use crate::codec::resp;
 use crate::core::{Answer, DownstreamId, NewStream};
 use crate::interface::Repeat;
-use crate::net::command::Vocabulary;
-use crate::net::protocol::{self, error, Parsed, Protocol};
+use crate::net::command::CommandParser;
+use crate::net::protocol::{self, resp_error, Parsed, Protocol};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -50,7 +50,7 @@
 /// The multi-gets of one downstream, one after the other.
 #[derive(Debug)]
 pub struct Batches {
-    words: Rc<Vocabulary>,
+    words: Rc<CommandParser>,
     max_keys: usize,
     open: Rc<Cell<usize>>,
     batch: Option<Batch>,
@@ -59,42 +59,42 @@
 
 impl Batches {
     /// `open` is the number of reads that all downstreams have open.
-    pub fn new(settings: &Settings, words: Rc<Vocabulary>, open: Rc<Cell<usize>>) -> Self {
+    pub fn new(settings: &Settings, words: Rc<CommandParser>, open: Rc<Cell<usize>>) -> Self {
         Batches { words, max_keys: settings.max_keys, open, batch: None, seats: None }
     }
 }
 
 impl Protocol for Batches {
-    fn streams(&self) -> usize {
+    fn max_streams(&self) -> usize {
         self.max_keys
     }
 
-    fn alone(&self) -> bool {
+    fn is_exclusive(&self) -> bool {
         true
     }
 
     /// A multi-get has begun and is not whole.
-    fn unfinished(&self) -> bool {
+    fn is_mid_command(&self) -> bool {
         self.batch.is_some()
     }
 
     /// The answer to a multi-get is written, so that another may be read.
-    fn written(&mut self) {
+    fn flushed(&mut self) {
         self.seats = None;
     }
 
-    fn take(&mut self, downstream: DownstreamId, first: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
-        protocol::array(bytes, |command, taken| self.command(downstream, first, command, taken))
+    fn parse(&mut self, downstream: DownstreamId, first: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
+        protocol::resp_command(bytes, |command, taken| self.command(downstream, first, command, taken))
     }
 
-    fn answer(&mut self, _: u64, answer: Answer) -> Vec<u8> {
+    fn encode_answer(&mut self, _: u64, answer: Answer) -> Vec<u8> {
         match answer {
-            Answer::Late => error("BUSY"),
-            other => protocol::reply(other),
+            Answer::Late => resp_error("BUSY"),
+            other => protocol::resp_answer(other),
         }
     }
 
-    fn put(&self, out: &mut Vec<u8>, answers: Vec<Vec<u8>>) {
+    fn combine(&self, out: &mut Vec<u8>, answers: Vec<Vec<u8>>) {
         // A null is no value: nobody has one.
         let value = |a: &&Vec<u8>| a.starts_with(b"$") && a.as_slice() != resp::NULL;
         let (n, values) = (answers.len(), answers.iter().filter(value).count());
@@ -118,7 +118,7 @@
         let Some(batch) = &mut self.batch else { return self.begin(downstream, first, command) };
         batch.bytes += bytes;
         if batch.bytes > resp::MAX_COMMAND + batch.wanted * READ {
-            return Parsed::Close(error("ERR the reads are too long"));
+            return Parsed::Close(resp_error("ERR the reads are too long"));
         }
         let read = read(&self.words, downstream, first + batch.taken as u64, command);
         batch.taken += 1;
@@ -131,18 +131,18 @@
             Err(what) => batch.fail(what),
         }
         if batch.taken < batch.wanted {
-            return Parsed::More;
+            return Parsed::Incomplete;
         }
-        let Some(batch) = self.batch.take() else { return Parsed::More };
+        let Some(batch) = self.batch.take() else { return Parsed::Incomplete };
         if let Some(fault) = batch.fault {
-            return Parsed::Local(error(&format!("ERR {fault}")));
+            return Parsed::Local(resp_error(&format!("ERR {fault}")));
         }
         if self.open.get() + batch.wanted > READS {
-            return Parsed::Local(error("BUSY"));
+            return Parsed::Local(resp_error("BUSY"));
         }
         self.open.set(self.open.get() + batch.wanted);
         self.seats = Some(Seats(self.open.clone(), batch.wanted));
-        Parsed::Asks(batch.asks)
+        Parsed::Streams(batch.asks)
     }
 
     /// What is no read of a multi-get: the beginning of one, or `PING` and `QUIT` as on the main port.
@@ -154,14 +154,18 @@
                 let n = crate::codec::length(n, self.max_keys).filter(|n| *n > 0);
                 let Some(wanted) = n else {
                     let most = self.max_keys;
-                    return Parsed::Close(error(&format!("ERR the number of reads is not from 1 to {most}")));
+                    return Parsed::Close(resp_error(&format!(
+                        "ERR the number of reads is not from 1 to {most}"
+                    )));
                 };
                 let asks = Vec::with_capacity(wanted);
                 self.batch = Some(Batch { wanted, taken: 0, bytes: 0, asks, fault: None });
-                Parsed::More
+                Parsed::Incomplete
+            }
+            (b"CACHE.MGET", ..) => Parsed::Close(resp_error("ERR wrong number of arguments")),
+            (b"CACHE.GET" | b"CACHE.SET", ..) => {
+                Parsed::Local(resp_error("ERR only CACHE.MGET is taken here"))
             }
-            (b"CACHE.MGET", ..) => Parsed::Close(error("ERR wrong number of arguments")),
-            (b"CACHE.GET" | b"CACHE.SET", ..) => Parsed::Local(error("ERR only CACHE.MGET is taken here")),
             _ => self.words.parse(downstream, place, command),
         }
     }
@@ -176,7 +180,7 @@
 
 /// One read. A class that the settings do not hold for safe to repeat is one of writes; its name tells nothing.
 fn read(
-    words: &Vocabulary,
+    words: &CommandParser,
     downstream: DownstreamId,
     place: u64,
     command: Vec<Vec<u8>>,
@@ -188,7 +192,7 @@
     if command.len() != 4 {
         return Err("wrong number of arguments");
     }
-    let ask = words.ask(downstream, place, command)?;
+    let ask = words.parse_stream(downstream, place, command)?;
     let class = words.site.settings.classes.get(usize::from(ask.class.0));
     let safe = class.is_some_and(|c| c.repeat == Repeat::Retryable);
     Some(ask).filter(|_| safe).ok_or("a class of writes")
--- a/src/features/planner.rs
+++ b/src/features/planner.rs
@@ -4,8 +4,8 @@
 use crate::clock::Clock;
 use crate::features::addresses::Lists;
 use crate::interface::Micros;
+use crate::net::canonical_address;
 use crate::net::framed::{self, Outbox};
-use crate::net::unmapped;
 use crate::signals::{SignalRequest, Signals};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -121,7 +121,7 @@
         match listener.accept().await {
             Ok((socket, peer)) => {
                 crowded = false;
-                let _ = queue.send(News::Accepted(socket, unmapped(peer))).await;
+                let _ = queue.send(News::Accepted(socket, canonical_address(peer))).await;
             }
             Err(why) => {
                 if !std::mem::replace(&mut crowded, true) {
@@ -205,7 +205,8 @@
         self.last += 1;
         let (peer, (outbox, inbox), queue) = (self.last, framed::outbox(), self.queue.clone());
         let task = self.executor.spawn(async move {
-            let why = framed::carry(&socket, inbox, &queue, |message| News::Said(peer, message)).await;
+            let why =
+                framed::run_connection(&socket, inbox, &queue, |message| News::Said(peer, message)).await;
             drop(socket);
             let _ = queue.send(News::Down(peer, why)).await;
         });
--- a/src/features/tap.rs
+++ b/src/features/tap.rs
@@ -4,8 +4,8 @@
 use crate::codec::discovery;
 use crate::core::Record;
 use crate::interface::{ClassId, TenantId};
-use crate::net::downstream::{farewell, Link, Order, WaitingFor};
-use crate::net::{read, tell, uninterrupted, write_all, Note};
+use crate::net::downstream::{farewell, Link, TaskMessage, WaitingFor};
+use crate::net::{read, send_event, uninterrupted, write_all, LogEntry};
 use crate::settings::Site;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
@@ -222,28 +222,29 @@
     let seat = filter(link, &tap.site).await.and_then(|f| tap.join(f));
     let left = match seat {
         Ok((seat, woken)) => {
-            let note = Note::new("tap_watches", format!("tap: {} watches", link.caller)).caller(&link.caller);
-            tell(&link.queue, note).await;
-            link.progress.set(WaitingFor::Answer);
+            let note =
+                LogEntry::new("tap_watches", format!("tap: {} watches", link.caller)).caller(&link.caller);
+            send_event(&link.queue, note).await;
+            link.progress.set_waiting_for(WaitingFor::Answer);
             match stream(link, &seat, &woken).await {
-                Some(waits) => link.progress.set(waits),
+                Some(waits) => link.progress.set_waiting_for(waits),
                 None => return,
             }
             if seat.1.lines.borrow().cut {
                 let text = format!("tap: {} cut, it reads too slowly", link.caller);
-                tell(&link.queue, Note::new("tap_cut", text).caller(&link.caller)).await;
+                send_event(&link.queue, LogEntry::new("tap_cut", text).caller(&link.caller)).await;
             }
             // Its place is free from here on, and no line comes any more.
             seat.1.lines.take()
         }
         Err(why) => {
-            link.progress.set(WaitingFor::Close);
+            link.progress.set_waiting_for(WaitingFor::Close);
             Lines { bytes: format!("{REFUSED}{why}\n").into_bytes(), ..Lines::default() }
         }
     };
     // Sweeps see to it that this ends even if the watcher never reads: no write counts as a step.
     if write_all(&link.socket, &left.bytes[left.written..]).await.is_ok() {
-        link.progress.set(WaitingFor::Close);
+        link.progress.set_waiting_for(WaitingFor::Close);
         farewell(&link.socket).await;
     }
 }
@@ -252,7 +253,7 @@
 async fn filter(link: &Link, site: &Site) -> Result<Filter, String> {
     let mut input = link.input.take();
     loop {
-        if link.finishing && link.socket.is_quiet() {
+        if link.finishing && link.socket.has_nothing_unread() {
             return Err(NONE.into());
         }
         let line = input.iter().position(|b| *b == b'\n');
@@ -262,10 +263,10 @@
         if let Some(end) = line {
             return Filter::parse(&input[..end], site);
         }
-        link.progress.show(|shown| shown.partial_bytes = input.len());
+        link.progress.update(|shown| shown.partial_bytes = input.len());
         let order = async {
-            while let Ok(Order::Look) = link.orders.recv().await {
-                link.progress.looked();
+            while let Ok(TaskMessage::Refresh) = link.orders.recv().await {
+                link.progress.refreshed();
             }
             Ok(0)
         };
@@ -287,12 +288,12 @@
         }
         let finish = async {
             match link.orders.recv().await {
-                Ok(Order::Look) => {
-                    link.progress.looked();
+                Ok(TaskMessage::Refresh) => {
+                    link.progress.refreshed();
                     Woken::More
                 }
-                Ok(Order::Answer(..)) => Woken::More,
-                Ok(Order::Finish | Order::Leave) | Err(_) => Woken::Finish,
+                Ok(TaskMessage::Answer(..)) => Woken::More,
+                Ok(TaskMessage::Finish | TaskMessage::FinishNow) | Err(_) => Woken::Finish,
             }
         };
         let more = async {
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -3,7 +3,7 @@
 //! Who may connect is a question to the caller's `admits`, since lists of addresses are a feature and no part
 //! of the sockets.
 
-use super::{tell, uninterrupted, unmapped, News, Note, Port, Queue};
+use super::{canonical_address, send_event, uninterrupted, EventSender, LogEntry, NetEvent, PortIndex};
 use crate::admission::PortKind;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
@@ -25,7 +25,7 @@
 /// How many connections may be open, of each sort of port and in all, and how many are, from accept until the
 /// descriptor is given back.
 #[derive(Debug, Default)]
-pub struct Gate {
+pub struct ConnectionLimiter {
     most: Cell<[usize; 2]>,
     all: Cell<usize>,
     open: Cell<[usize; 2]>,
@@ -35,12 +35,12 @@
     room: RefCell<Vec<Sender<()>>>,
 }
 
-impl Gate {
+impl ConnectionLimiter {
     /// The way in of one more port.
-    pub fn entry(self: &Rc<Self>, side: PortKind) -> Entry {
+    pub fn for_port(self: &Rc<Self>, side: PortKind) -> PortLimiter {
         let (wake, room) = async_channel::bounded(1);
         self.room.borrow_mut().push(wake);
-        Entry { gate: self.clone(), side, room }
+        PortLimiter { gate: self.clone(), side, room }
     }
 
     /// Of each side.
@@ -49,7 +49,7 @@
     }
 
     /// So many may be open from now on, of each side and in all; those that are stay.
-    pub fn allow(&self, most: [usize; 2], all: usize) {
+    pub fn set_limits(&self, most: [usize; 2], all: usize) {
         if (self.most.replace(most), self.all.replace(all)) != (most, all) {
             self.wake();
         }
@@ -63,7 +63,7 @@
     }
 
     /// No more are waited for: what the kernel has accepted by now comes in, then the ports are given back.
-    pub fn shut(&self) {
+    pub fn stop_accepting(&self) {
         if !self.shut.replace(true) {
             self.wake();
         }
@@ -83,8 +83,8 @@
 
 /// The way in of one port.
 #[derive(Debug)]
-pub struct Entry {
-    gate: Rc<Gate>,
+pub struct PortLimiter {
+    gate: Rc<ConnectionLimiter>,
     side: PortKind,
     room: Receiver<()>,
 }
@@ -93,13 +93,13 @@
 #[derive(Debug)]
 pub struct Socket {
     stream: Async<TcpStream>,
-    gate: Rc<Gate>,
+    gate: Rc<ConnectionLimiter>,
     side: PortKind,
 }
 
 impl Socket {
     /// Takes a place behind the gate, whether or not there is one left.
-    pub fn new(stream: Async<TcpStream>, gate: &Rc<Gate>, side: PortKind) -> Self {
+    pub fn new(stream: Async<TcpStream>, gate: &Rc<ConnectionLimiter>, side: PortKind) -> Self {
         gate.count(side, 1);
         Socket { stream, gate: gate.clone(), side }
     }
@@ -110,12 +110,12 @@
     }
 
     /// Nothing has come that was not read; a peer that has closed says nothing more.
-    pub fn is_quiet(&self) -> bool {
+    pub fn has_nothing_unread(&self) -> bool {
         !matches!(self.look(), Ok(1..))
     }
 
     /// The peer has closed, or has said that it sends no more, whatever waits to be read in front of that.
-    pub fn has_left(&self) -> bool {
+    pub fn peer_has_closed(&self) -> bool {
         // An event of its own: a read, or a look at what has come, shows an end only once nothing is in front of it.
         let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         let mut looked = [PollFd::new(&self.stream, PollFlags::RDHUP)];
@@ -148,12 +148,12 @@
 /// closed at once.
 pub async fn accept(
     listener: Async<TcpListener>,
-    port: Port,
-    queue: Queue,
-    entry: Entry,
+    port: PortIndex,
+    queue: EventSender,
+    entry: PortLimiter,
     admits: impl Fn(SocketAddr) -> bool,
 ) {
-    let Entry { gate, side, room } = entry;
+    let PortLimiter { gate, side, room } = entry;
     let mut failing = false;
     loop {
         while gate.is_full(side) {
@@ -172,10 +172,10 @@
             }
         };
         match next {
-            Ok((socket, peer)) if admits(unmapped(peer)) => {
+            Ok((socket, peer)) if admits(canonical_address(peer)) => {
                 failing = false;
                 let socket = Socket::new(socket, &gate, side);
-                tell(&queue, News::Accepted(socket, unmapped(peer), port)).await;
+                send_event(&queue, NetEvent::Accepted(socket, canonical_address(peer), port)).await;
                 // A full backlog taken in one go must not keep the others from their turn.
                 future::yield_now().await;
             }
@@ -190,11 +190,11 @@
                 // The connection stays in the backlog. Only where this process has no descriptor left does it help to
                 // close one; what the system lacks is back in a moment, or not through us.
                 if !std::mem::replace(&mut failing, true) {
-                    let note = Note::new("accept_failed", format!("accept failed: {e}")).why(&e);
-                    tell(&queue, note).await;
+                    let note = LogEntry::new("accept_failed", format!("accept failed: {e}")).why(&e);
+                    send_event(&queue, note).await;
                 }
                 if e.raw_os_error() == Some(EMFILE) {
-                    tell(&queue, News::Crowded).await;
+                    send_event(&queue, NetEvent::OutOfDescriptors).await;
                 }
                 let again = async {
                     Timer::after(ACCEPT_AGAIN).await;
--- a/src/net/cluster.rs
+++ b/src/net/cluster.rs
@@ -1,6 +1,6 @@
 //! Discovery: a watch on the list of nodes. When and from where to watch is the core's.
 
-use super::{read, tell, write_all, Heard, News, Note, Queue};
+use super::{read, send_event, write_all, EventSender, LogEntry, NetEvent, WatchEvent};
 use crate::codec::discovery::{self, ObjectSplitter, WatchItem};
 use crate::codec::http;
 use crate::settings::Site;
@@ -15,23 +15,23 @@
     number: u64,
     address: SocketAddr,
     after: Option<u64>,
-    queue: Queue,
+    queue: EventSender,
     site: std::rc::Rc<Site>,
 ) {
-    let heard = |heard| News::Discovery(number, heard);
+    let heard = |heard| NetEvent::Discovery(number, heard);
     if let Err(why) = follow(address, after, &queue, &site, &heard).await {
-        let note = Note::new("watch_ended", format!("watch on discovery ended: {why}")).why(why);
-        tell(&queue, note).await;
+        let note = LogEntry::new("watch_ended", format!("watch on discovery ended: {why}")).why(why);
+        send_event(&queue, note).await;
     }
-    tell(&queue, heard(Heard::Ended)).await;
+    send_event(&queue, heard(WatchEvent::Ended)).await;
 }
 
 async fn follow(
     address: SocketAddr,
     after: Option<u64>,
-    queue: &Queue,
+    queue: &EventSender,
     site: &Site,
-    heard: impl Fn(Heard) -> News,
+    heard: impl Fn(WatchEvent) -> NetEvent,
 ) -> Result<(), String> {
     let failed = |e: std::io::Error| e.to_string();
     let malformed = |m: crate::codec::Malformed| m.0.to_owned();
@@ -56,7 +56,7 @@
             }
             input.drain(..taken);
             begun = true;
-            tell(queue, heard(Heard::Answered)).await;
+            send_event(queue, heard(WatchEvent::Answered)).await;
         }
         while let Some((piece, taken)) = http::chunk(&input, discovery::LINE).map_err(malformed)? {
             input.drain(..taken);
@@ -71,12 +71,16 @@
                 WatchItem::Object(text) => {
                     let (list, odd) = discovery::parse_list(&text, site)?;
                     if let Some(odd) = odd {
-                        tell(queue, Note::new("odd_entry", format!("discovery lists {odd}")).why(odd)).await;
+                        send_event(
+                            queue,
+                            LogEntry::new("odd_entry", format!("discovery lists {odd}")).why(odd),
+                        )
+                        .await;
                     }
                     Some(list)
                 }
             };
-            tell(queue, heard(Heard::Told(list))).await;
+            send_event(queue, heard(WatchEvent::Update(list))).await;
         }
     }
 }
--- a/src/net/command.rs
+++ b/src/net/command.rs
@@ -1,8 +1,8 @@
 //! The words of a command that asks for one thing: the form of the main port, which other ports share for
-//! their reads. Names become positions in the settings, and what is wrong is told as a local reply. [`Plain`] is
+//! their reads. Names become positions in the settings, and what is wrong is told as a local reply. [`MainProtocol`] is
 //! the main port's protocol, which speaks nothing else.
 
-use super::protocol::{array, error, Parsed, Protocol};
+use super::protocol::{resp_command, resp_error, Parsed, Protocol};
 use crate::codec::discovery;
 use crate::core::{DownstreamId, Message, NewStream};
 use crate::interface::*;
@@ -17,39 +17,39 @@
 
 /// What commands are read with.
 #[derive(Debug)]
-pub struct Vocabulary {
+pub struct CommandParser {
     pub site: Rc<Site>,
     /// `PING` is answered with `+PONG`.
     pub ready: Cell<bool>,
 }
 
 /// The key as a number: as written where it is hexadecimal, else hashed.
-pub(crate) fn key(text: &[u8]) -> Key {
+pub(crate) fn hash_key(text: &[u8]) -> Key {
     let hex = std::str::from_utf8(text).ok().filter(|t| t.len() <= 16 && !t.starts_with('+'));
     Key(hex.and_then(|t| u64::from_str_radix(t, 16).ok()).unwrap_or_else(|| discovery::hash_id(text)).max(1))
 }
 
-impl Vocabulary {
+impl CommandParser {
     pub(crate) fn parse(&self, downstream: DownstreamId, place: u64, words: Vec<Vec<u8>>) -> Parsed {
         let Some(verb) = words.first().map(|w| w.to_ascii_uppercase()) else {
-            return Parsed::Local(error("ERR empty command"));
+            return Parsed::Local(resp_error("ERR empty command"));
         };
         match (verb.as_slice(), words.len()) {
-            (b"CACHE.GET", 4) | (b"CACHE.SET", 5) => match self.ask(downstream, place, words) {
-                Ok(ask) => Parsed::Ask(Box::new(ask)),
-                Err(what) => Parsed::Local(error(&format!("ERR {what}"))),
+            (b"CACHE.GET", 4) | (b"CACHE.SET", 5) => match self.parse_stream(downstream, place, words) {
+                Ok(ask) => Parsed::Stream(Box::new(ask)),
+                Err(what) => Parsed::Local(resp_error(&format!("ERR {what}"))),
             },
             (b"PING", 1) if self.ready.get() => Parsed::Local(b"+PONG\r\n".to_vec()),
-            (b"PING", 1) => Parsed::Local(error("LOADING not ready yet")),
+            (b"PING", 1) => Parsed::Local(resp_error("LOADING not ready yet")),
             (b"QUIT", 1) => Parsed::Close(b"+OK\r\n".to_vec()),
             (b"CACHE.GET" | b"CACHE.SET" | b"PING" | b"QUIT", _) => {
-                Parsed::Local(error("ERR wrong number of arguments"))
+                Parsed::Local(resp_error("ERR wrong number of arguments"))
             }
-            _ => Parsed::Local(error("ERR unknown command")),
+            _ => Parsed::Local(resp_error("ERR unknown command")),
         }
     }
 
-    pub(crate) fn ask(
+    pub(crate) fn parse_stream(
         &self,
         downstream: DownstreamId,
         place: u64,
@@ -90,7 +90,7 @@
             place,
             class: ClassId(class as u16),
             tenant: TenantId(tenant as u32),
-            key: key(&name),
+            key: hash_key(&name),
             repeat: value_of("r") == Some("1"),
             patience: (patience * 1000.0) as Micros,
             hint: hint.map(|ms| ms * 1000.0),
@@ -101,15 +101,15 @@
 
 /// The main port's: a command, a stream.
 #[derive(Debug)]
-pub struct Plain(pub Rc<Vocabulary>);
+pub struct MainProtocol(pub Rc<CommandParser>);
 
-impl Protocol for Plain {
-    fn streams(&self) -> usize {
+impl Protocol for MainProtocol {
+    fn max_streams(&self) -> usize {
         STREAMS
     }
 
-    fn take(&mut self, downstream: DownstreamId, place: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
-        array(bytes, |command, _| self.0.parse(downstream, place, command))
+    fn parse(&mut self, downstream: DownstreamId, place: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
+        resp_command(bytes, |command, _| self.0.parse(downstream, place, command))
     }
 }
 
--- a/src/net/command/tests.rs
+++ b/src/net/command/tests.rs
@@ -7,18 +7,18 @@
     ["pay", "pay-now", "pay-now-eu", "now-eu", "PAY", "a=b", "Grei\u{f0}a \u{fe}\u{e1}", "x", "d"];
 const TENANTS: [&str; 5] = ["pay", "pay-now", "", "c=pay", "\u{5317}\u{4eac} \u{94f6}\u{884c}"];
 
-fn words(classes: &[String], tenants: &[String]) -> Vocabulary {
+fn words(classes: &[String], tenants: &[String]) -> CommandParser {
     let site = Site { classes: classes.to_vec(), tenants: tenants.to_vec(), ..Site::default() };
-    Vocabulary { site: Rc::new(site), ready: Cell::new(true) }
+    CommandParser { site: Rc::new(site), ready: Cell::new(true) }
 }
 
 fn owned(names: &[&str]) -> Vec<String> {
     names.iter().map(|n| n.to_string()).collect()
 }
 
-fn ask(words: &Vocabulary, properties: &str) -> Result<(ClassId, TenantId), &'static str> {
+fn ask(words: &CommandParser, properties: &str) -> Result<(ClassId, TenantId), &'static str> {
     let command = [b"CACHE.GET", b"7f3a".as_slice(), b"id", properties.as_bytes()];
-    let ask = words.ask(DownstreamId(0), 0, command.map(<[u8]>::to_vec).to_vec())?;
+    let ask = words.parse_stream(DownstreamId(0), 0, command.map(<[u8]>::to_vec).to_vec())?;
     assert_eq!(ask.message.properties, properties.as_bytes(), "they go on as they came");
     Ok((ask.class, ask.tenant))
 }
@@ -87,7 +87,7 @@
     let (classes, class) = (owned(&["pay"]), Class { limit: limit_ms * 1000, ..Class::default() });
     let settings = Settings { classes: vec![class], ..Settings::default() };
     let site = Rc::new(Site { settings, classes, ..Site::default() });
-    let words = Vocabulary { site, ready: Cell::new(true) };
+    let words = CommandParser { site, ready: Cell::new(true) };
     for (d, fits) in [(0, false), (1, true), (limit_ms, true), (longest_ms, true), (longest_ms + 1, false)] {
         assert_eq!(ask(&words, &format!("c=pay,d={d}")).is_ok(), fits, "{d}");
     }
@@ -97,6 +97,6 @@
 fn properties_that_are_no_text_are_told_at_once() {
     let words = words(&owned(&["pay"]), &[]);
     let command = [b"CACHE.GET".as_slice(), b"7f3a", b"id", b"c=pay,d=9,x=\xff"];
-    let asked = words.ask(DownstreamId(0), 0, command.map(<[u8]>::to_vec).to_vec());
+    let asked = words.parse_stream(DownstreamId(0), 0, command.map(<[u8]>::to_vec).to_vec());
     assert_eq!(asked.err(), Some("invalid key, id or properties"));
 }
--- a/src/net/downstream.rs
+++ b/src/net/downstream.rs
@@ -3,7 +3,9 @@
 
 use super::accept::Socket;
 use super::protocol::{Parsed, Protocol};
-use super::{consume, peek, read, read_on, tell, write, Caller, News, Queue, READ};
+use super::{
+    consume, peek, read, read_without_yield, send_event, write, Caller, EventSender, NetEvent, READ,
+};
 use crate::admission::Activity;
 pub use crate::admission::WaitingFor;
 use crate::core::{Answer, DownstreamId, Input};
@@ -31,31 +33,36 @@
 
 /// What the owner tells a downstream. The queue is longer than a downstream can have streams open.
 #[derive(Debug)]
-pub enum Order {
+pub enum TaskMessage {
     Answer(u64, Answer),
     /// Close as soon as nothing is owed and nothing that it has sent waits to be read.
     Finish,
-    /// As [`Order::Finish`], also in the middle of a command. What still comes is answered at once, and answers
+    /// As [`TaskMessage::Finish`], also in the middle of a command. What still comes is answered at once, and answers
     /// wait till all that has come has its own: who sends again for each answer would never have nothing unread.
-    Leave,
-    /// Something has changed in its [`Progress`].
-    Look,
+    FinishNow,
+    /// Something has changed in its [`SharedActivity`].
+    Refresh,
 }
 
 /// Downstreams that have changed since the owner looked last, each of them once.
 #[derive(Debug)]
-pub struct Moved {
+pub struct ChangedDownstreams {
     ids: RefCell<Vec<DownstreamId>>,
     /// The owner wants to hear of each change at once.
     eager: Cell<bool>,
     /// It has been woken and has not looked yet.
     woken: Cell<bool>,
-    queue: Queue,
+    queue: EventSender,
 }
 
-impl Moved {
-    pub fn new(queue: Queue) -> Self {
-        Moved { ids: RefCell::default(), eager: Cell::new(false), woken: Cell::new(false), queue }
+impl ChangedDownstreams {
+    pub fn new(queue: EventSender) -> Self {
+        ChangedDownstreams {
+            ids: RefCell::default(),
+            eager: Cell::new(false),
+            woken: Cell::new(false),
+            queue,
+        }
     }
 
     /// Takes those that have changed. While `eager` the owner is woken for the next one.
@@ -69,47 +76,54 @@
     /// comes anyway.
     fn wake(&self, bytes: usize) {
         if (self.eager.get() || bytes >= LARGE) && !self.woken.replace(true) {
-            let _ = self.queue.try_send(News::Moved);
+            let _ = self.queue.try_send(NetEvent::DownstreamsChanged);
         }
     }
 }
 
 /// What a downstream shows, written by its task and read by the owner.
 #[derive(Debug)]
-pub struct Progress {
+pub struct SharedActivity {
     id: DownstreamId,
     shown: Cell<Activity>,
     /// It is among those that have moved.
     told: Cell<bool>,
-    moved: Rc<Moved>,
+    moved: Rc<ChangedDownstreams>,
     /// It is not to be read for now.
     paused: Cell<bool>,
-    /// An [`Order::Look`] is on its way to it.
+    /// An [`TaskMessage::Refresh`] is on its way to it.
     looks: Cell<bool>,
 }
 
-impl Progress {
+impl SharedActivity {
     /// `waits` is what it has to say first.
-    pub fn new(id: DownstreamId, waits: WaitingFor, moved: Rc<Moved>) -> Self {
+    pub fn new(id: DownstreamId, waits: WaitingFor, moved: Rc<ChangedDownstreams>) -> Self {
         let shown = Cell::new(Activity { waiting_for: waits, ..Activity::default() });
-        Progress { id, shown, moved, told: Cell::default(), paused: Cell::default(), looks: Cell::default() }
+        SharedActivity {
+            id,
+            shown,
+            moved,
+            told: Cell::default(),
+            paused: Cell::default(),
+            looks: Cell::default(),
+        }
     }
 
     /// What it shows, for the owner.
-    pub fn look(&self) -> Activity {
+    pub fn snapshot(&self) -> Activity {
         self.told.set(false);
         self.shown.get()
     }
 
-    pub fn waits(&self) -> WaitingFor {
+    pub fn waiting_for(&self) -> WaitingFor {
         self.shown.get().waiting_for
     }
 
-    pub(crate) fn set(&self, waits: WaitingFor) {
-        self.show(|shown| shown.waiting_for = waits);
+    pub(crate) fn set_waiting_for(&self, waits: WaitingFor) {
+        self.update(|shown| shown.waiting_for = waits);
     }
 
-    pub(crate) fn show(&self, change: impl FnOnce(&mut Activity)) {
+    pub(crate) fn update(&self, change: impl FnOnce(&mut Activity)) {
         let mut shown = self.shown.get();
         change(&mut shown);
         if self.shown.replace(shown) != shown {
@@ -121,10 +135,10 @@
     }
 
     fn step(&self) {
-        self.show(|shown| shown.steps += 1);
+        self.update(|shown| shown.steps += 1);
     }
 
-    /// Whether it may be read. If this says so, an [`Order::Look`] has to follow: there is one at a time.
+    /// Whether it may be read. If this says so, an [`TaskMessage::Refresh`] has to follow: there is one at a time.
     pub fn pause(&self, paused: bool) -> bool {
         self.paused.set(paused);
         !self.looks.replace(true)
@@ -135,14 +149,14 @@
         self.paused.get()
     }
 
-    /// An [`Order::Look`] has come.
-    pub(crate) fn looked(&self) {
+    /// An [`TaskMessage::Refresh`] has come.
+    pub(crate) fn refreshed(&self) {
         self.looks.set(false);
     }
 }
 
 enum Woken {
-    Order(Option<Order>),
+    Order(Option<TaskMessage>),
     Read(io::Result<usize>),
     Wrote(io::Result<usize>),
     Due,
@@ -152,9 +166,9 @@
 pub struct Link {
     pub id: DownstreamId,
     pub socket: Rc<Socket>,
-    pub orders: Receiver<Order>,
-    pub queue: Queue,
-    pub progress: Rc<Progress>,
+    pub orders: Receiver<TaskMessage>,
+    pub queue: EventSender,
+    pub progress: Rc<SharedActivity>,
     pub caller: Caller,
     /// What it has sent so far.
     pub input: Cell<Vec<u8>>,
@@ -217,14 +231,14 @@
         answers,
         first: 0,
     };
-    d.protocol.came(d.input.len());
+    d.protocol.received(d.input.len());
     d.run().await;
 }
 
 impl Downstream {
     async fn run(&mut self) {
         let (orders, progress) = (self.link.orders.clone(), self.link.progress.clone());
-        let ahead = self.protocol.longest().max(AHEAD);
+        let ahead = self.protocol.max_command_bytes().max(AHEAD);
         let mut greedy = false;
         loop {
             while let Ok(order) = orders.try_recv() {
@@ -235,7 +249,7 @@
             self.flush();
             // Behind much that came at once there may be the end of who has sent it and left: that is seen first.
             let reads = self.input.len() < ahead && !progress.paused.get();
-            if !reads && self.link.socket.has_left() {
+            if !reads && self.link.socket.peer_has_closed() {
                 return;
             }
             let much = reads && self.input.len() >= READ;
@@ -245,16 +259,16 @@
             self.flush();
             let unread = self.written < self.output.len();
             let idle = !unread && self.answers.is_empty();
-            let quiet = self.finishing && self.link.socket.is_quiet();
+            let quiet = self.finishing && self.link.socket.has_nothing_unread();
             self.ending |= idle && quiet && (self.leaving || self.input.is_empty());
             if self.ending && idle {
-                progress.set(WaitingFor::Close);
+                progress.set_waiting_for(WaitingFor::Close);
                 return farewell(&self.link.socket).await;
             }
             let held = self.output.len() - self.written + self.input.len();
             let held = held + self.answers.iter().map(Place::bytes).sum::<usize>();
-            let (part, more) = (self.input.len(), self.protocol.unfinished());
-            progress.show(|shown| {
+            let (part, more) = (self.input.len(), self.protocol.is_mid_command());
+            progress.update(|shown| {
                 shown.partial_bytes = part.max(more.into());
                 // Coarse: not every read is worth telling.
                 shown.held_bytes = held / 1024 * 1024;
@@ -279,7 +293,7 @@
             };
             let read = async {
                 match reads {
-                    true => Woken::Read(read_on(&self.link.socket, &mut self.input).await),
+                    true => Woken::Read(read_without_yield(&self.link.socket, &mut self.input).await),
                     false => Woken::Read(gone(&self.link.socket).await),
                 }
             };
@@ -305,7 +319,7 @@
                         consume(&mut self.output, self.written);
                         self.written = 0;
                         if self.batch == 0 {
-                            self.protocol.written();
+                            self.protocol.flushed();
                         }
                     }
                 }
@@ -313,7 +327,7 @@
                 Woken::Read(Ok(n)) if n > 0 => {
                     match self.ending {
                         true => self.input.clear(),
-                        false => self.protocol.came(n),
+                        false => self.protocol.received(n),
                     }
                     greedy = n == READ;
                 }
@@ -328,27 +342,27 @@
         while !self.ending && self.room() {
             let place = self.first + self.answers.len() as u64;
             let rest = self.input.get(at..).filter(|rest| !rest.is_empty());
-            let Some((taken, parsed)) = rest.and_then(|b| self.protocol.take(self.link.id, place, b)) else {
+            let Some((taken, parsed)) = rest.and_then(|b| self.protocol.parse(self.link.id, place, b)) else {
                 break;
             };
             at += taken;
             // Shown before the owner hears of it: from here on it has a command under way.
-            self.link.progress.show(|shown| {
-                shown.steps += u64::from(!matches!(parsed, Parsed::More | Parsed::Malformed(_)));
+            self.link.progress.update(|shown| {
+                shown.steps += u64::from(!matches!(parsed, Parsed::Incomplete | Parsed::Malformed(_)));
                 match &parsed {
-                    Parsed::Ask(ask) => shown.add_stream(ask),
-                    Parsed::Asks(asks) => asks.first().into_iter().for_each(|a| shown.add_stream(a)),
-                    Parsed::Local(_) | Parsed::Slow(..) | Parsed::Close(_) => shown.local_replies += 1,
+                    Parsed::Stream(ask) => shown.add_stream(ask),
+                    Parsed::Streams(asks) => asks.first().into_iter().for_each(|a| shown.add_stream(a)),
+                    Parsed::Local(_) | Parsed::Delayed(..) | Parsed::Close(_) => shown.local_replies += 1,
                     Parsed::Malformed(_) => {
                         (shown.local_replies, shown.malformed) = (shown.local_replies + 1, true)
                     }
-                    Parsed::More => {}
+                    Parsed::Incomplete => {}
                 }
             });
             match parsed {
-                Parsed::More => {}
+                Parsed::Incomplete => {}
                 Parsed::Local(answer) => self.answers.push_back(Place::Whole(answer)),
-                Parsed::Slow(answer, time) => {
+                Parsed::Delayed(answer, time) => {
                     self.answers.push_back(Place::Owed(taken));
                     self.held = Some((place, answer, Timer::after(time)));
                 }
@@ -356,15 +370,15 @@
                     self.answers.push_back(Place::Whole(answer));
                     self.ending = true;
                 }
-                Parsed::Ask(ask) => {
+                Parsed::Stream(ask) => {
                     self.answers.push_back(Place::Owed(taken));
-                    tell(&self.link.queue, Input::Stream(*ask)).await;
+                    send_event(&self.link.queue, Input::Stream(*ask)).await;
                 }
-                Parsed::Asks(asks) => {
+                Parsed::Streams(asks) => {
                     self.batch = asks.len();
                     self.answers.extend(asks.iter().map(|_| Place::Owed(taken)));
                     for ask in asks {
-                        tell(&self.link.queue, Input::Stream(ask)).await;
+                        send_event(&self.link.queue, Input::Stream(ask)).await;
                     }
                 }
             }
@@ -374,11 +388,11 @@
 
     /// Another command may be taken.
     fn room(&self) -> bool {
-        match self.protocol.alone() {
+        match self.protocol.is_exclusive() {
             true => self.answers.is_empty() && self.output.is_empty(),
             // Small commands can have long answers: who does not read them may not ask for more.
             false => {
-                let room = self.answers.len() < self.protocol.streams() && self.output.len() <= UNREAD;
+                let room = self.answers.len() < self.protocol.max_streams() && self.output.len() <= UNREAD;
                 room && self.held.is_none()
             }
         }
@@ -391,24 +405,24 @@
             return;
         }
         self.first += whole as u64;
-        self.protocol.sent(whole);
+        self.protocol.answers_taken(whole);
         let answers = self.answers.drain(..whole).map(|place| match place {
             Place::Whole(answer) => answer,
             Place::Owed(_) => Vec::new(),
         });
         if std::mem::take(&mut self.batch) > 0 {
-            return self.protocol.put(&mut self.output, answers.collect());
+            return self.protocol.combine(&mut self.output, answers.collect());
         }
         answers.for_each(|answer| self.output.extend(answer));
     }
 
-    fn order(&mut self, order: Order) {
+    fn order(&mut self, order: TaskMessage) {
         match order {
-            Order::Finish => self.finishing = true,
-            Order::Leave => (self.finishing, self.leaving) = (true, true),
-            Order::Look => self.link.progress.looked(),
-            Order::Answer(place, answer) => {
-                let answer = self.protocol.answer(place, answer);
+            TaskMessage::Finish => self.finishing = true,
+            TaskMessage::FinishNow => (self.finishing, self.leaving) = (true, true),
+            TaskMessage::Refresh => self.link.progress.refreshed(),
+            TaskMessage::Answer(place, answer) => {
+                let answer = self.protocol.encode_answer(place, answer);
                 self.settle(place, answer);
             }
         }
@@ -426,7 +440,7 @@
 /// for again and again.
 async fn gone(socket: &Socket) -> io::Result<usize> {
     while let Ok(1..) = peek(socket).await {
-        if socket.has_left() {
+        if socket.peer_has_closed() {
             break;
         }
         Timer::after(LOOK_AGAIN).await;
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -1,7 +1,7 @@
 //! The words between sockets and the owner of the core: who is there, what has come, what is worth a line.
 
 use super::accept::Socket;
-use super::framed::Word;
+use super::framed::ConnectionEvent;
 use crate::codec::discovery::Cluster;
 use crate::core::{DownstreamId, Input};
 use dissemination::{ControlId, Message};
@@ -23,52 +23,52 @@
 }
 
 /// An IPv4 address that came mapped into IPv6 is the IPv4 address.
-pub fn unmapped(address: SocketAddr) -> SocketAddr {
+pub fn canonical_address(address: SocketAddr) -> SocketAddr {
     SocketAddr::new(address.ip().to_canonical(), address.port())
 }
 
 /// A port that the proxy listens on, as a number of the owner's: what is spoken there is not the sockets'
 /// matter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Port(pub usize);
+pub struct PortIndex(pub usize);
 
 /// What sockets tell the one task that owns the core.
 #[derive(Debug)]
-pub enum News {
+pub enum NetEvent {
     Core(Input),
-    Accepted(Socket, SocketAddr, Port),
+    Accepted(Socket, SocketAddr, PortIndex),
     /// Some downstreams show something new.
-    Moved,
+    DownstreamsChanged,
     /// A front has said for whom a connection is; told in the log, each of them.
-    Fronted(DownstreamId, Caller),
+    ProxyHeader(DownstreamId, Caller),
     /// No descriptor was left for a connection: something idle has to go.
-    Crowded,
+    OutOfDescriptors,
     /// A local fault worth a line in the log.
-    Note(Box<Note>),
+    Log(Box<LogEntry>),
     /// From a watch on discovery, by its number.
-    Discovery(u64, Heard),
+    Discovery(u64, WatchEvent),
     /// From the connection to a planner, by its place in the file and the number of the connection.
-    Planner(usize, u64, Word),
+    Planner(usize, u64, ConnectionEvent),
     /// From the connection to a control machine, and the number of the connection.
-    Control(ControlId, u64, Word<Message>),
+    Control(ControlId, u64, ConnectionEvent<Message>),
     /// A planned end.
-    End,
+    Drain,
     /// The configuration has been replaced.
     Reload,
 }
 
 /// What a watch on discovery tells: a list, or `None` for a sign of life.
 #[derive(Debug)]
-pub enum Heard {
+pub enum WatchEvent {
     /// The call is answered: where nothing has changed, nothing more may come for a while.
     Answered,
-    Told(Option<Cluster>),
+    Update(Option<Cluster>),
     Ended,
 }
 
 /// A line about a peer: its text, and what of it has a name of its own for whoever reads the log by program.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Note {
+pub struct LogEntry {
     /// What has happened, in one word that stays.
     pub event: &'static str,
     pub text: String,
@@ -77,39 +77,39 @@
     pub why: Option<String>,
 }
 
-impl Note {
+impl LogEntry {
     pub fn new(event: &'static str, text: impl Into<String>) -> Self {
-        Note { event, text: text.into(), caller: None, node: None, why: None }
+        LogEntry { event, text: text.into(), caller: None, node: None, why: None }
     }
 
     pub fn caller(self, caller: &Caller) -> Self {
-        Note { caller: Some(caller.clone()), ..self }
+        LogEntry { caller: Some(caller.clone()), ..self }
     }
 
     pub fn node(self, node: SocketAddr) -> Self {
-        Note { node: Some(node), ..self }
+        LogEntry { node: Some(node), ..self }
     }
 
     pub fn why(self, why: impl ToString) -> Self {
-        Note { why: Some(why.to_string()), ..self }
+        LogEntry { why: Some(why.to_string()), ..self }
     }
 }
 
-pub type Queue = async_channel::Sender<News>;
+pub type EventSender = async_channel::Sender<NetEvent>;
 
-impl From<Input> for News {
+impl From<Input> for NetEvent {
     fn from(input: Input) -> Self {
-        News::Core(input)
+        NetEvent::Core(input)
     }
 }
 
-impl From<Note> for News {
-    fn from(note: Note) -> Self {
-        News::Note(Box::new(note))
+impl From<LogEntry> for NetEvent {
+    fn from(note: LogEntry) -> Self {
+        NetEvent::Log(Box::new(note))
     }
 }
 
 /// Tells the owner; it lives as long as every task, so a failure only means that the program ends.
-pub(crate) async fn tell(queue: &Queue, news: impl Into<News>) {
+pub(crate) async fn send_event(queue: &EventSender, news: impl Into<NetEvent>) {
     let _ = queue.send(news.into()).await;
 }
--- a/src/net/framed.rs
+++ b/src/net/framed.rs
@@ -1,7 +1,7 @@
 //! Connections on which frames go both ways, a task a connection: between forwarders and planners, and between control
 //! machines, followers and whoever submits changes. What a frame is, its message type says ([`Framed`]).
 //!
-//! Both sides use [`carry`]; [`dial`] is for the one that opens it. What is to be written waits in an [`Outbox`],
+//! Both sides use [`run_connection`]; [`dial`] is for the one that opens it. What is to be written waits in an [`Outbox`],
 //! bounded in frames and bytes: a peer that does not take it is cut. What is read is bounded by the frames' length and
 //! by messages a second: past that a peer floods and is cut, with the reason. Nobody ever waits for a peer except its
 //! own task.
@@ -89,9 +89,9 @@
 
 /// What a connection tells its owner.
 #[derive(Debug)]
-pub enum Word<M = Message> {
+pub enum ConnectionEvent<M = Message> {
     Up,
-    Said(Box<M>),
+    Message(Box<M>),
     /// It is over; the text says why.
     Down(String),
 }
@@ -119,11 +119,11 @@
 
 /// The two ends, between forwarders and planners.
 pub fn outbox() -> (Outbox, Inbox) {
-    outbox_of::<Message>()
+    outbox_for::<Message>()
 }
 
 /// The two ends for messages of a kind.
-pub fn outbox_of<M: Framed>() -> (Outbox, Inbox) {
+pub fn outbox_for<M: Framed>() -> (Outbox, Inbox) {
     let (items, taken) = async_channel::bounded(FRAMES);
     let held = Rc::new(Cell::new(0));
     (Outbox { items, held: held.clone(), most: M::WAITING }, Inbox { items: taken, held })
@@ -181,7 +181,7 @@
 
 /// Moves frames both ways until the connection is over; tells why. `hear` makes of each message what goes into
 /// `news`, where its task waits for room.
-pub async fn carry<M: Framed, T>(
+pub async fn run_connection<M: Framed, T>(
     socket: &Async<TcpStream>,
     out: Inbox,
     news: &Sender<T>,
@@ -268,19 +268,19 @@
     address: SocketAddr,
     out: Inbox,
     news: Sender<T>,
-    word: impl Fn(Word<M>) -> T,
+    word: impl Fn(ConnectionEvent<M>) -> T,
 ) {
     let why = match within(CONNECT, Async::<TcpStream>::connect(address)).await {
         Some(Ok(socket)) => {
             let _ = socket.get_ref().set_nodelay(true);
             // An owner that has gone drops this task.
-            let _ = news.send(word(Word::Up)).await;
-            carry(&socket, out, &news, |message| word(Word::Said(message))).await
+            let _ = news.send(word(ConnectionEvent::Up)).await;
+            run_connection(&socket, out, &news, |message| word(ConnectionEvent::Message(message))).await
         }
         Some(Err(why)) => why.to_string(),
         None => io::Error::from(io::ErrorKind::TimedOut).to_string(),
     };
-    let _ = news.send(word(Word::Down(why))).await;
+    let _ = news.send(word(ConnectionEvent::Down(why))).await;
 }
 
 #[cfg(test)]
--- a/src/net/memcached/gateway.rs
+++ b/src/net/memcached/gateway.rs
@@ -1,17 +1,17 @@
 //! The port of gateways: frames in, what they mean out, and answers in the order of the commands, so that a
 //! NOOP behind quiet ones waits for all of them and what is silent before it had its outcome.
 //!
-//! Every bound of a connection is here or in [`Desk`]: a frame's length, streams open, bytes passed over,
+//! Every bound of a connection is here or in [`PortState`]: a frame's length, streams open, bytes passed over,
 //! logins tried. What is refused for its form keeps the connection in step; what has no known end closes it.
 
 use super::answers::{error, put, Asked};
 use super::arrivals::Arrivals;
 use super::logins::{COST, TRIES};
 use super::mapping::Tenant;
-use super::Desk;
+use super::PortState;
 use crate::codec::resp;
 use crate::core::{Answer, DownstreamId};
-use crate::net::command::Vocabulary;
+use crate::net::command::CommandParser;
 use crate::net::protocol::{Parsed, Protocol};
 use memcached::{frame, header, sasl, Fault, Header, Limits, Opcode, Request, Response, Status, Step};
 use std::collections::VecDeque;
@@ -29,9 +29,9 @@
 const TEXT: &[u8] = b"ERROR this port speaks the memcached binary protocol\r\n";
 
 /// One connection.
-pub struct Front {
-    desk: Rc<Desk>,
-    words: Rc<Vocabulary>,
+pub struct GatewayConnection {
+    desk: Rc<PortState>,
+    words: Rc<CommandParser>,
     tenant: Option<Tenant>,
     /// PLAIN was begun without its message, which is to follow.
     stepping: bool,
@@ -45,9 +45,9 @@
     arrivals: Arrivals,
 }
 
-impl Front {
-    pub fn new(desk: Rc<Desk>, words: Rc<Vocabulary>) -> Self {
-        Front {
+impl GatewayConnection {
+    pub fn new(desk: Rc<PortState>, words: Rc<CommandParser>) -> Self {
+        GatewayConnection {
             tenant: desk.words.tenant.clone().filter(|_| desk.logins.is_none()),
             desk,
             words,
@@ -61,36 +61,36 @@
     }
 }
 
-impl Drop for Front {
+impl Drop for GatewayConnection {
     fn drop(&mut self) {
         let seats = self.owed.iter().flatten().count();
         self.desk.open.set(self.desk.open.get() - seats);
     }
 }
 
-impl Protocol for Front {
-    fn streams(&self) -> usize {
+impl Protocol for GatewayConnection {
+    fn max_streams(&self) -> usize {
         STREAMS
     }
 
-    fn longest(&self) -> usize {
+    fn max_command_bytes(&self) -> usize {
         LIMITS.most()
     }
 
-    fn unfinished(&self) -> bool {
+    fn is_mid_command(&self) -> bool {
         self.over > 0
     }
 
-    fn came(&mut self, n: usize) {
+    fn received(&mut self, n: usize) {
         self.arrivals.came(n, Instant::now());
     }
 
-    fn take(&mut self, downstream: DownstreamId, place: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
+    fn parse(&mut self, downstream: DownstreamId, place: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
         if self.over > 0 {
             let passed = self.over.min(bytes.len());
             self.over -= passed;
             self.arrivals.take(passed);
-            return Some((passed, Parsed::More));
+            return Some((passed, Parsed::Incomplete));
         }
         let (taken, parsed) = match frame::request(bytes, &LIMITS) {
             Ok(Step::More(_)) => return None,
@@ -105,28 +105,28 @@
             }
         };
         match &parsed {
-            Parsed::More => {}
+            Parsed::Incomplete => {}
             // Its seat was taken with the stream.
-            Parsed::Ask(_) => {}
+            Parsed::Stream(_) => {}
             _ => self.owed.push_back(None),
         }
         Some((taken, parsed))
     }
 
-    fn answer(&mut self, place: u64, answer: Answer) -> Vec<u8> {
+    fn encode_answer(&mut self, place: u64, answer: Answer) -> Vec<u8> {
         let at = usize::try_from(place.wrapping_sub(self.first)).ok();
         let asked = at.and_then(|at| self.owed.get(at)).and_then(Option::as_ref);
         asked.map_or_else(Vec::new, |asked| asked.answer(answer))
     }
 
-    fn sent(&mut self, n: usize) {
+    fn answers_taken(&mut self, n: usize) {
         let seats = self.owed.drain(..n.min(self.owed.len())).flatten().count();
         self.first += n as u64;
         self.desk.open.set(self.desk.open.get() - seats);
     }
 }
 
-impl Front {
+impl GatewayConnection {
     /// What begins no frame: the bytes to take, and what is said.
     fn fault(&mut self, fault: Fault) -> (usize, Parsed) {
         let stats = &self.desk.stats;
@@ -245,7 +245,7 @@
         let asked = Asked { opcode, opaque, cas, key };
         if asked.write() { &desk.stats.writes } else { &desk.stats.reads }.one();
         self.owed.push_back(Some(asked));
-        Parsed::Ask(Box::new(ask))
+        Parsed::Stream(Box::new(ask))
     }
 
     /// AUTH and STEP with PLAIN, whose message comes with either of them.
@@ -275,7 +275,7 @@
             None => {
                 self.desk.stats.logins_refused.one();
                 self.wrong += 1;
-                Parsed::Slow(told(Status::AUTH_ERROR, "wrong user or password"), COST)
+                Parsed::Delayed(told(Status::AUTH_ERROR, "wrong user or password"), COST)
             }
         }
     }
--- a/src/net/memcached/logins.rs
+++ b/src/net/memcached/logins.rs
@@ -134,7 +134,7 @@
     }
 
     /// How many were refused since this was told last, and the user that the last of them named, if known.
-    pub fn told(&self) -> Option<(u64, Option<String>)> {
+    pub fn take_refused(&self) -> Option<(u64, Option<String>)> {
         let refused = self.refused.take();
         (refused > 0).then(|| (refused, self.last.take()))
     }
--- a/src/net/memcached/logins/tests.rs
+++ b/src/net/memcached/logins/tests.rs
@@ -18,8 +18,8 @@
 fn only_a_user_with_its_own_password_comes_in(#[case] message: &[u8], #[case] tenant: Option<&str>) {
     let logins = read("# staff\n\nanna nordurbanki se cret \nben eyjabanki x\n", &site()).expect("sound");
     assert_eq!(logins.login(message).map(|t| t.name.to_string()), tenant.map(str::to_owned));
-    assert_eq!(logins.told().map(|(n, _)| n), tenant.is_none().then_some(1));
-    assert_eq!(logins.told(), None);
+    assert_eq!(logins.take_refused().map(|(n, _)| n), tenant.is_none().then_some(1));
+    assert_eq!(logins.take_refused(), None);
 }
 
 /// Who types the password where the user belongs must not find it in the log.
@@ -27,9 +27,9 @@
 fn only_known_users_are_named() {
     let logins = read("anna nordurbanki x", &site()).expect("sound");
     assert!(logins.login(b"\0hunter2\0anna").is_none());
-    assert_eq!(logins.told(), Some((1, None)));
+    assert_eq!(logins.take_refused(), Some((1, None)));
     assert!(logins.login(b"\0anna\0hunter2").is_none());
-    assert_eq!(logins.told(), Some((1, Some("anna".into()))));
+    assert_eq!(logins.take_refused(), Some((1, Some("anna".into()))));
 }
 
 #[rstest]
--- a/src/net/memcached/mapping.rs
+++ b/src/net/memcached/mapping.rs
@@ -33,7 +33,7 @@
 }
 
 #[derive(Debug)]
-pub struct Words {
+pub struct RequestMapping {
     reads: Use,
     writes: Option<Use>,
     /// The tenant of who has not logged in: none where one has to, or where the setting is absent.
@@ -58,10 +58,10 @@
 }
 
 /// Why a request is not asked at all.
-pub type Unasked = (Status, &'static str);
+pub type Rejection = (Status, &'static str);
 
-impl Words {
-    pub(super) fn new(settings: &Settings, site: &Site, seed: u64) -> Result<Words, String> {
+impl RequestMapping {
+    pub(super) fn new(settings: &Settings, site: &Site, seed: u64) -> Result<RequestMapping, String> {
         let classes = &site.settings.classes;
         let fit = |setting: &str, name: &Option<String>, wait: Option<Micros>, repeat: Repeat| {
             let at = match name {
@@ -104,7 +104,7 @@
             None if settings.passwords.is_some() => None,
             None => return Err("memcacheport: memcachepasswords or memcachetenant is wanted".into()),
         };
-        Ok(Words { reads, writes, tenant, seed: mix(seed ^ 0x6d63), ids: Cell::new(0) })
+        Ok(RequestMapping { reads, writes, tenant, seed: mix(seed ^ 0x6d63), ids: Cell::new(0) })
     }
 
     /// A read or a write as a stream. `waited` is the time since its last byte came.
@@ -115,7 +115,7 @@
         tenant: &Tenant,
         request: &Request,
         waited: Duration,
-    ) -> Result<NewStream, Unasked> {
+    ) -> Result<NewStream, Rejection> {
         let write = request.opcode.loud() == Opcode::SET;
         let of = match (write, &self.writes) {
             (false, _) => &self.reads,
@@ -157,7 +157,7 @@
             place,
             class: of.class,
             tenant: tenant.id,
-            key: command::key(request.key),
+            key: command::hash_key(request.key),
             repeat: false,
             patience,
             hint: None,
--- a/src/net/memcached/mapping/tests.rs
+++ b/src/net/memcached/mapping/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use rstest::rstest;
 
-fn words(read_wait: Micros) -> (Words, Tenant) {
+fn words(read_wait: Micros) -> (RequestMapping, Tenant) {
     let class = |repeat| Class { repeat, limit: 2_000_000, ..Class::default() };
     let classes = vec![class(Repeat::Retryable), class(Repeat::Dedup)];
     let site = Site {
@@ -15,7 +15,7 @@
         read_wait: Some(read_wait).filter(|wait| *wait > 0),
         ..Settings::default()
     };
-    let words = Words::new(&settings, &site, 1).expect("it fits");
+    let words = RequestMapping::new(&settings, &site, 1).expect("it fits");
     let tenant = words.tenant.clone().expect("a tenant");
     (words, tenant)
 }
@@ -51,7 +51,7 @@
         classes: vec!["lookup".into(), "instruct".into(), "order".into()],
         ..Site::default()
     };
-    let words = Words::new(&Settings::default(), &site, 1).expect("reads are known");
+    let words = RequestMapping::new(&Settings::default(), &site, 1).expect("reads are known");
     let tenant = words.tenant.clone().expect("a site without tenants");
     let set = Request { key: b"7f3a", extras: &[0; 8], cas: 1, ..Request::new(Opcode::SET) };
     let refused = words.ask(DownstreamId(1), 0, &tenant, &set, Duration::ZERO).err();
--- a/src/net/memcached/mod.rs
+++ b/src/net/memcached/mod.rs
@@ -22,7 +22,7 @@
 use crate::interface::{KindId, Micros, ServerId};
 use crate::settings::Site;
 use logins::Logins;
-use mapping::Words;
+use mapping::RequestMapping;
 use stats::Stats;
 use std::cell::Cell;
 use std::path::PathBuf;
@@ -43,47 +43,47 @@
 }
 
 /// The port's common part, behind all its connections.
-pub struct Desk {
-    words: Words,
+pub struct PortState {
+    words: RequestMapping,
     logins: Option<Logins>,
     pub stats: Stats,
     /// Streams that all connections have open or unread.
     open: Cell<usize>,
 }
 
-impl Desk {
+impl PortState {
     /// An error tells the setting that does not fit the site, or what is wrong with the file of passwords.
     /// `seed` is for the ids of requests, which this protocol has none of.
-    pub fn new(settings: &Settings, site: &Site, seed: u64) -> Result<Desk, String> {
+    pub fn new(settings: &Settings, site: &Site, seed: u64) -> Result<PortState, String> {
         let logins = settings.passwords.as_deref().map(|path| logins::load(path, site)).transpose()?;
-        let words = Words::new(settings, site, seed)?;
-        Ok(Desk { words, logins, stats: Stats::default(), open: Cell::new(0) })
+        let words = RequestMapping::new(settings, site, seed)?;
+        Ok(PortState { words, logins, stats: Stats::default(), open: Cell::new(0) })
     }
 
     /// How many logins were refused since this was told last, and the user of the last one, if known.
-    pub fn refused(&self) -> Option<(u64, Option<String>)> {
-        self.logins.as_ref().and_then(Logins::told)
+    pub fn take_refused(&self) -> Option<(u64, Option<String>)> {
+        self.logins.as_ref().and_then(Logins::take_refused)
     }
 }
 
 /// The nodes that speak this protocol, as operators name them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Nodes {
+pub struct NodeSettings {
     pub kinds: Vec<String>,
     pub ids: Vec<String>,
 }
 
 /// The same as the core knows them.
 #[derive(Clone, Debug, Default)]
-pub struct Speakers {
+pub struct MemcachedNodes {
     kinds: Vec<KindId>,
     servers: Vec<ServerId>,
 }
 
-impl Speakers {
+impl MemcachedNodes {
     /// A node with an id that nobody has is no error: discovery may list it later. A kind is one of the
     /// site's.
-    pub fn new(nodes: &Nodes, site: &Site) -> Result<Speakers, String> {
+    pub fn new(nodes: &NodeSettings, site: &Site) -> Result<MemcachedNodes, String> {
         let kind = |name: &String| {
             let at = site.kinds.iter().position(|kind| kind == name).map(|at| KindId(at as u16));
             let at = at.ok_or_else(|| format!("memcachenodes: unknown kind {}", name.escape_debug()))?;
@@ -93,13 +93,13 @@
             }
         };
         let servers = nodes.ids.iter().map(|id| ServerId(crate::codec::discovery::hash_id(id.as_bytes())));
-        Ok(Speakers {
+        Ok(MemcachedNodes {
             kinds: nodes.kinds.iter().map(kind).collect::<Result<_, _>>()?,
             servers: servers.collect(),
         })
     }
 
-    pub fn has(&self, server: ServerId, kind: KindId) -> bool {
+    pub fn contains(&self, server: ServerId, kind: KindId) -> bool {
         self.kinds.contains(&kind) || self.servers.contains(&server)
     }
 }
--- a/src/net/memcached/stats.rs
+++ b/src/net/memcached/stats.rs
@@ -6,7 +6,7 @@
 
 /// What the owner publishes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Published {
+pub struct PublishedStats {
     pub counters: Counters,
     /// Seconds since the start.
     pub uptime: u64,
@@ -19,7 +19,7 @@
 /// This port's own, since the start.
 #[derive(Debug, Default)]
 pub struct Stats {
-    pub published: Cell<Published>,
+    pub published: Cell<PublishedStats>,
     pub(super) reads: Count,
     pub(super) writes: Count,
     /// Commands that were answered here, not asked: not supported, wrong, too large, out of time.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -15,8 +15,8 @@
 pub mod protocol;
 pub mod upstream;
 
-pub(crate) use events::tell;
-pub use events::{unmapped, Caller, Heard, News, Note, Port, Queue};
+pub(crate) use events::send_event;
+pub use events::{canonical_address, Caller, EventSender, LogEntry, NetEvent, PortIndex, WatchEvent};
 
 use async_io::Async;
 use futures_lite::future;
@@ -35,7 +35,7 @@
 /// Appends what has come to `input`; 0 at the end. A peer that sends without a pause must not keep the others
 /// from their turn.
 pub(crate) async fn read(socket: &Async<TcpStream>, input: &mut Vec<u8>) -> io::Result<usize> {
-    let n = read_on(socket, input).await?;
+    let n = read_without_yield(socket, input).await?;
     if n == READ {
         future::yield_now().await;
     }
@@ -43,7 +43,7 @@
 }
 
 /// As [`read`], but the caller gives the others their turn once [`READ`] bytes have come.
-pub(crate) async fn read_on(socket: &Async<TcpStream>, input: &mut Vec<u8>) -> io::Result<usize> {
+pub(crate) async fn read_without_yield(socket: &Async<TcpStream>, input: &mut Vec<u8>) -> io::Result<usize> {
     socket
         .read_with(|mut s| {
             SCRATCH.with_borrow_mut(|scratch| {
--- a/src/net/origin.rs
+++ b/src/net/origin.rs
@@ -1,7 +1,7 @@
 //! The origin's dialect: an upstream request as an HTTP/1.1 request, and its response. The properties go on as they
 //! came but for the time: it is told what is left, as every node is.
 
-use super::upstream::properties;
+use super::upstream::with_time_left;
 use crate::codec::http::{self, PeerState};
 use crate::codec::{self, resp, Parsed};
 use crate::core::{Job, Reply};
@@ -13,7 +13,7 @@
     match job {
         Job::Probe => http::put_request(out, "GET", b"/stats", &host, &[], None),
         Job::Stream { message: m, patience } => {
-            let properties = properties(&m.properties, patience / 1000);
+            let properties = with_time_left(&m.properties, patience / 1000);
             let path = [b"/", m.key.as_slice()].concat();
             let headers: [(&str, &[u8]); 2] = [("X-Trace-Id", &m.id), ("X-Props", &properties)];
             let method = if m.value.is_some() { "PUT" } else { "GET" };
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to nodes: one upstream request at a time on each, the pool of them is the core's.
 
 use super::memcached::node as memcached;
-use super::{consume, origin, peek, read, tell, write_all, Note, Queue};
+use super::{consume, origin, peek, read, send_event, write_all, EventSender, LogEntry};
 use crate::codec::http::PeerState;
 use crate::codec::{self, resp, Malformed, Parsed};
 use crate::core::{ConnectionId, Input, Job, Reply, Stage, READ_RESULTS};
@@ -20,7 +20,7 @@
 
 /// What a node speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dialect {
+pub enum UpstreamProtocol {
     Cache,
     /// A cache node with the binary protocol of memcached.
     Memcached,
@@ -36,13 +36,13 @@
     columns: &'a [String],
 }
 
-impl Dialect {
+impl UpstreamProtocol {
     /// Writes a job down; or says at once how it went, where the dialect has no words for it.
     fn put(self, out: &mut Vec<u8>, turn: &Turn) -> Result<(), Reply> {
         match self {
-            Dialect::Cache => put(out, turn.job),
-            Dialect::Memcached => return memcached::put(out, turn.job, turn.number),
-            Dialect::Origin => origin::put(out, turn.job, turn.address),
+            UpstreamProtocol::Cache => put(out, turn.job),
+            UpstreamProtocol::Memcached => return memcached::put(out, turn.job, turn.number),
+            UpstreamProtocol::Origin => origin::put(out, turn.job, turn.address),
         }
         Ok(())
     }
@@ -52,15 +52,17 @@
         let Turn { job, columns, number, .. } = *turn;
         let probe = matches!(job, Job::Probe);
         match self {
-            Dialect::Cache => Ok(resp::reply(bytes)?.map(|(r, taken)| (reply(r, probe, columns), taken))),
-            Dialect::Memcached => memcached::reply(bytes, job, number),
-            Dialect::Origin => origin::reply(bytes, job, columns, rest),
+            UpstreamProtocol::Cache => {
+                Ok(resp::reply(bytes)?.map(|(r, taken)| (reply(r, probe, columns), taken)))
+            }
+            UpstreamProtocol::Memcached => memcached::reply(bytes, job, number),
+            UpstreamProtocol::Origin => origin::reply(bytes, job, columns, rest),
         }
     }
 }
 
 /// The list of names and values with another `d`; the rest byte for byte.
-pub fn properties(text: &[u8], patience_ms: i64) -> Vec<u8> {
+pub fn with_time_left(text: &[u8], patience_ms: i64) -> Vec<u8> {
     // Room for the digits of any time that a downstream may name, and more.
     let mut out = Vec::with_capacity(text.len() + 16);
     for (i, pair) in text.split(|b| *b == b',').enumerate() {
@@ -78,7 +80,7 @@
     match job {
         Job::Probe => resp::put_command(out, &[b"INFO", b"load"]),
         Job::Stream { message: m, patience } => {
-            let properties = properties(&m.properties, patience / 1000);
+            let properties = with_time_left(&m.properties, patience / 1000);
             let words: [&[u8]; 5] =
                 [&m.verb, &m.key, &m.id, &properties, m.value.as_deref().unwrap_or_default()];
             resp::put_command(out, &words[..if m.value.is_some() { 5 } else { 4 }]);
@@ -134,67 +136,67 @@
 
 /// The way of jobs to a connection, and how far it is with the last one.
 #[derive(Clone, Debug)]
-pub struct Jobs {
+pub struct JobQueue {
     taken: Receiver<Job>,
     /// The job's last byte is out.
     whole: Rc<Cell<bool>>,
 }
 
-impl From<Receiver<Job>> for Jobs {
+impl From<Receiver<Job>> for JobQueue {
     fn from(taken: Receiver<Job>) -> Self {
-        Jobs { taken, whole: Rc::default() }
+        JobQueue { taken, whole: Rc::default() }
     }
 }
 
-impl Jobs {
+impl JobQueue {
     /// A job is on its way.
-    pub fn given(&self) {
+    pub fn job_queued(&self) {
         self.whole.set(false);
     }
 
     /// Takes a job back of which not a byte is out.
-    pub fn back(&self) -> bool {
+    pub fn take_back(&self) -> bool {
         self.taken.try_recv().is_ok()
     }
 
     /// Whether the job's last byte is out: it may run.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_fully_written(&self) -> bool {
         self.whole.get()
     }
 }
 
 /// Connects, then carries one job after the other until the connection breaks or the task is dropped.
-pub async fn carry(
+pub async fn run_connection(
     id: ConnectionId,
     address: SocketAddr,
-    dialect: Dialect,
-    jobs: impl Into<Jobs>,
-    queue: Queue,
+    dialect: UpstreamProtocol,
+    jobs: impl Into<JobQueue>,
+    queue: EventSender,
     columns: Rc<Vec<String>>,
 ) {
-    let Jobs { taken: jobs, whole } = jobs.into();
+    let JobQueue { taken: jobs, whole } = jobs.into();
     let socket = match Async::<TcpStream>::connect(address).await {
         Ok(socket) => socket,
-        Err(_) => return tell(&queue, Input::Broken(id, Stage::Idle)).await,
+        Err(_) => return send_event(&queue, Input::Broken(id, Stage::Idle)).await,
     };
     let _ = socket.get_ref().set_nodelay(true);
-    tell(&queue, Input::Connected(id)).await;
+    send_event(&queue, Input::Connected(id)).await;
     let (number, input, output) = (0, Vec::new(), Vec::new());
     let mut connection = Connection { socket, address, dialect, number, whole, input, output, columns };
     loop {
         let job = match connection.idle(&jobs).await {
             Some(job) => job,
-            None => return tell(&queue, Input::Broken(id, Stage::Idle)).await,
+            None => return send_event(&queue, Input::Broken(id, Stage::Idle)).await,
         };
         match connection.carry(&job).await {
-            Ok(reply) => tell(&queue, Input::Replied(id, reply)).await,
+            Ok(reply) => send_event(&queue, Input::Replied(id, reply)).await,
             Err((stage, why)) => {
                 if let Some(Malformed(what)) = why {
                     let text = format!("node at {address}: malformed answer: {what}");
-                    let note = Note::new("malformed_answer", text).node(address).why(what);
-                    tell(&queue, note).await;
+                    let note = LogEntry::new("malformed_answer", text).node(address).why(what);
+                    send_event(&queue, note).await;
                 }
-                return tell(&queue, Input::Broken(id, stage)).await;
+                return send_event(&queue, Input::Broken(id, stage)).await;
             }
         }
     }
@@ -203,7 +205,7 @@
 struct Connection {
     socket: Async<TcpStream>,
     address: SocketAddr,
-    dialect: Dialect,
+    dialect: UpstreamProtocol,
     /// Jobs it has carried.
     number: u32,
     /// The last byte of the job is written.
--- a/src/owner/controls.rs
+++ b/src/owner/controls.rs
@@ -3,8 +3,8 @@
 
 use crate::features::follower::{Following, Wish};
 use crate::interface::Micros;
-use crate::net::framed::{self, Outbox, Word};
-use crate::net::{News, Queue};
+use crate::net::framed::{self, ConnectionEvent, Outbox};
+use crate::net::{EventSender, NetEvent};
 use async_executor::{LocalExecutor, Task};
 use dissemination::frame::{self, CloseReason};
 use dissemination::{ControlId, Message};
@@ -37,17 +37,23 @@
     }
 
     /// A connection's word. What an earlier connection left behind in the queue means nothing.
-    pub(super) fn hear(&mut self, now: Micros, control: ControlId, number: u64, word: Word<Message>) {
-        if matches!(word, Word::Down(_)) {
+    pub(super) fn hear(
+        &mut self,
+        now: Micros,
+        control: ControlId,
+        number: u64,
+        word: ConnectionEvent<Message>,
+    ) {
+        if matches!(word, ConnectionEvent::Down(_)) {
             self.leaving.remove(&number);
         }
         if self.open.get(&control).is_none_or(|c| c.number != number) {
             return;
         }
         match word {
-            Word::Up => self.following.up(now, control),
-            Word::Said(message) => self.following.said(now, control, &message),
-            Word::Down(why) => {
+            ConnectionEvent::Up => self.following.up(now, control),
+            ConnectionEvent::Message(message) => self.following.said(now, control, &message),
+            ConnectionEvent::Down(why) => {
                 self.open.remove(&control);
                 self.following.down(now, control, &why);
             }
@@ -55,7 +61,7 @@
     }
 
     /// Does what is due.
-    pub(super) fn tick(&mut self, now: Micros, executor: &LocalExecutor<'static>, queue: &Queue) {
+    pub(super) fn tick(&mut self, now: Micros, executor: &LocalExecutor<'static>, queue: &EventSender) {
         self.following.tick(now, &mut self.wishes);
         for wish in std::mem::take(&mut self.wishes) {
             match wish {
@@ -66,11 +72,11 @@
         }
     }
 
-    fn dial(&mut self, control: ControlId, executor: &LocalExecutor<'static>, queue: &Queue) {
+    fn dial(&mut self, control: ControlId, executor: &LocalExecutor<'static>, queue: &EventSender) {
         let Some(address) = self.following.address(control) else { return };
         self.last += 1;
-        let (number, (outbox, inbox)) = (self.last, framed::outbox_of::<Message>());
-        let word = move |word| News::Control(control, number, word);
+        let (number, (outbox, inbox)) = (self.last, framed::outbox_for::<Message>());
+        let word = move |word| NetEvent::Control(control, number, word);
         let task = executor.spawn(framed::dial(address, inbox, queue.clone(), word));
         self.open.insert(control, Connection { number, outbox, _task: task });
     }
--- a/src/owner/discovery.rs
+++ b/src/owner/discovery.rs
@@ -3,7 +3,7 @@
 
 use crate::config;
 use crate::core::Input;
-use crate::net::{cluster, Heard, Queue};
+use crate::net::{cluster, EventSender, WatchEvent};
 use crate::settings::Site;
 use async_executor::{LocalExecutor, Task};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
     /// The configuration's file.
     path: String,
     address: SocketAddr,
-    /// The watches made so far. News of one may still be in the queue when the next is made.
+    /// The watches made so far. NetEvent of one may still be in the queue when the next is made.
     made: u64,
     watch: Option<Task<()>>,
     /// The last watch that has spoken, until the present one does: what it told counts, and what it may yet tell is
@@ -34,7 +34,7 @@
         &mut self,
         after: Option<u64>,
         executor: &LocalExecutor<'static>,
-        queue: &Queue,
+        queue: &EventSender,
         site: &Rc<Site>,
     ) {
         if std::mem::take(&mut self.spoken) {
@@ -47,17 +47,17 @@
 
     /// What a watch tells, for the core. That of one before the present says nothing of the present one; its lists
     /// hold until the present one has spoken.
-    pub(super) fn hear(&mut self, number: u64, heard: Heard) -> Option<Input> {
+    pub(super) fn hear(&mut self, number: u64, heard: WatchEvent) -> Option<Input> {
         let present = number == self.made;
-        if present && matches!(heard, Heard::Told(_)) {
+        if present && matches!(heard, WatchEvent::Update(_)) {
             (self.spoken, self.before) = (true, None);
         }
         match heard {
-            Heard::Answered if present => Some(Input::Cluster(None)),
-            Heard::Told(list) if present => Some(Input::Cluster(list)),
-            Heard::Ended if present => Some(Input::WatchEnded),
-            Heard::Told(Some(list)) if !self.spoken => Some(Input::PreviousWatch(list)),
-            Heard::Answered | Heard::Told(_) | Heard::Ended => None,
+            WatchEvent::Answered if present => Some(Input::Cluster(None)),
+            WatchEvent::Update(list) if present => Some(Input::Cluster(list)),
+            WatchEvent::Ended if present => Some(Input::WatchEnded),
+            WatchEvent::Update(Some(list)) if !self.spoken => Some(Input::PreviousWatch(list)),
+            WatchEvent::Answered | WatchEvent::Update(_) | WatchEvent::Ended => None,
         }
     }
 
--- a/src/owner/downstreams.rs
+++ b/src/owner/downstreams.rs
@@ -6,8 +6,8 @@
 use crate::admission::Activity;
 use crate::core::{DownstreamId, Input};
 use crate::net::accept::Socket;
-use crate::net::downstream::{Link, Moved, Order, Progress, WaitingFor};
-use crate::net::{Caller, News, Queue};
+use crate::net::downstream::{ChangedDownstreams, Link, SharedActivity, TaskMessage, WaitingFor};
+use crate::net::{Caller, EventSender, NetEvent};
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use std::cell::Cell;
@@ -17,8 +17,8 @@
 
 struct Downstream {
     socket: Rc<Socket>,
-    orders: Sender<Order>,
-    progress: Rc<Progress>,
+    orders: Sender<TaskMessage>,
+    progress: Rc<SharedActivity>,
     service: Service,
     finishing: bool,
     leaving: bool,
@@ -28,7 +28,7 @@
 impl Downstream {
     fn finish(&mut self) {
         if !std::mem::replace(&mut self.finishing, true) {
-            let _ = self.orders.try_send(Order::Finish);
+            let _ = self.orders.try_send(TaskMessage::Finish);
         }
     }
 }
@@ -46,13 +46,13 @@
 
 pub(super) struct Downstreams {
     open: HashMap<DownstreamId, Downstream>,
-    moved: Rc<Moved>,
+    moved: Rc<ChangedDownstreams>,
     last_id: u64,
 }
 
 impl Downstreams {
-    pub(super) fn new(queue: Queue) -> Self {
-        Downstreams { open: HashMap::new(), moved: Rc::new(Moved::new(queue)), last_id: 0 }
+    pub(super) fn new(queue: EventSender) -> Self {
+        Downstreams { open: HashMap::new(), moved: Rc::new(ChangedDownstreams::new(queue)), last_id: 0 }
     }
 
     /// Takes one in; its task is what `serve` makes of its link.
@@ -60,14 +60,14 @@
         &mut self,
         new: New,
         executor: &LocalExecutor<'static>,
-        queue: &Queue,
+        queue: &EventSender,
         serve: impl FnOnce(Link) -> F,
     ) -> DownstreamId {
         self.last_id += 1;
         let id = DownstreamId(self.last_id);
         // An answer to each stream, and one each of the other orders at a time.
         let (orders, ordered) = async_channel::bounded(new.streams + 3);
-        let progress = Rc::new(Progress::new(id, new.waits, self.moved.clone()));
+        let progress = Rc::new(SharedActivity::new(id, new.waits, self.moved.clone()));
         let socket = Rc::new(new.socket);
         let served = serve(Link {
             id,
@@ -82,7 +82,7 @@
         let queue = queue.clone();
         let task = executor.spawn(async move {
             served.await;
-            let _ = queue.send(News::Core(Input::DownstreamClosed(id))).await;
+            let _ = queue.send(NetEvent::Core(Input::DownstreamClosed(id))).await;
         });
         let service = new.service;
         let one =
@@ -93,7 +93,7 @@
 
     /// The one place where a downstream's descriptor is given back. What it showed last comes back.
     pub(super) fn remove(&mut self, id: DownstreamId) -> Option<Activity> {
-        self.open.remove(&id).map(|one| one.progress.look())
+        self.open.remove(&id).map(|one| one.progress.snapshot())
     }
 
     pub(super) fn has(&self, id: DownstreamId) -> bool {
@@ -102,13 +102,13 @@
 
     /// Those that show something new, and what. While `eager` the owner is woken for the next change.
     pub(super) fn moved(&self, eager: bool) -> Vec<(DownstreamId, Activity)> {
-        let shown = |id| Some((id, self.open.get(&id)?.progress.look()));
+        let shown = |id| Some((id, self.open.get(&id)?.progress.snapshot()));
         self.moved.take(eager).into_iter().filter_map(shown).collect()
     }
 
     /// Something it has sent waits to be read: a command may be on its way.
     pub(super) fn speaks(&self, id: DownstreamId) -> bool {
-        self.open.get(&id).is_some_and(|one| !one.socket.is_quiet())
+        self.open.get(&id).is_some_and(|one| !one.socket.has_nothing_unread())
     }
 
     /// Something it has sent waits to be read, and is read next.
@@ -117,7 +117,7 @@
     }
 
     /// Tells one; the queue has room for all its answers, and one that has gone needs none.
-    pub(super) fn order(&self, id: DownstreamId, order: Order) {
+    pub(super) fn order(&self, id: DownstreamId, order: TaskMessage) {
         if let Some(one) = self.open.get(&id) {
             let _ = one.orders.try_send(order);
         }
@@ -127,7 +127,7 @@
     pub(super) fn pause(&self, id: DownstreamId, paused: bool) {
         if let Some(one) = self.open.get(&id) {
             if one.progress.pause(paused && !one.leaving) {
-                let _ = one.orders.try_send(Order::Look);
+                let _ = one.orders.try_send(TaskMessage::Refresh);
             }
         }
     }
@@ -144,9 +144,9 @@
         for one in self.open.values_mut() {
             one.finishing = true;
             if !std::mem::replace(&mut one.leaving, true) {
-                let _ = one.orders.try_send(Order::Leave);
+                let _ = one.orders.try_send(TaskMessage::FinishNow);
                 if one.progress.is_paused() && one.progress.pause(false) {
-                    let _ = one.orders.try_send(Order::Look);
+                    let _ = one.orders.try_send(TaskMessage::Refresh);
                 }
             }
         }
@@ -155,7 +155,7 @@
     /// A watcher that has sent no filter is told so rather than closed.
     pub(super) fn told(&mut self, id: DownstreamId) -> bool {
         let watcher = self.open.get_mut(&id).filter(|one| {
-            one.service == Service::Tap && one.progress.waits() == WaitingFor::Command && !one.finishing
+            one.service == Service::Tap && one.progress.waiting_for() == WaitingFor::Command && !one.finishing
         });
         watcher.map(Downstream::finish).is_some()
     }
--- a/src/owner/downstreams/tests.rs
+++ b/src/owner/downstreams/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::admission::PortKind;
-use crate::net::accept::Gate;
+use crate::net::accept::ConnectionLimiter;
 use async_io::Async;
 use std::net::{TcpListener, TcpStream};
 
@@ -8,7 +8,7 @@
 /// stop that again.
 #[test]
 fn who_is_told_to_leave_is_read_though_bytes_run_short() {
-    let (executor, gate) = (LocalExecutor::new(), Rc::new(Gate::default()));
+    let (executor, gate) = (LocalExecutor::new(), Rc::new(ConnectionLimiter::default()));
     let (queue, _news) = async_channel::bounded(8);
     let mut downstreams = Downstreams::new(queue.clone());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -28,12 +28,12 @@
     let (other, beside, _other) = add(&mut downstreams);
     let orders = |link: &Link| std::iter::from_fn(|| link.orders.try_recv().ok()).collect::<Vec<_>>();
     downstreams.pause(paused, true);
-    assert!(link.progress.is_paused() && matches!(orders(&link)[..], [Order::Look]));
-    link.progress.looked();
+    assert!(link.progress.is_paused() && matches!(orders(&link)[..], [TaskMessage::Refresh]));
+    link.progress.refreshed();
     downstreams.leave();
     assert!(!link.progress.is_paused());
-    assert!(matches!(orders(&link)[..], [Order::Leave, Order::Look]));
-    assert!(matches!(orders(&beside)[..], [Order::Leave]), "it was read all the time");
+    assert!(matches!(orders(&link)[..], [TaskMessage::FinishNow, TaskMessage::Refresh]));
+    assert!(matches!(orders(&beside)[..], [TaskMessage::FinishNow]), "it was read all the time");
     downstreams.leave();
     downstreams.pause(other, true);
     assert!(!beside.progress.is_paused() && !link.progress.is_paused());
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -33,10 +33,10 @@
 use crate::interface::Micros;
 use crate::log::writer::Writer;
 use crate::net::accept::Socket;
-use crate::net::command::Vocabulary;
-use crate::net::downstream::Order;
-use crate::net::memcached::stats::Published;
-use crate::net::{Caller, News, Port, Queue};
+use crate::net::command::CommandParser;
+use crate::net::downstream::TaskMessage;
+use crate::net::memcached::stats::PublishedStats;
+use crate::net::{Caller, EventSender, NetEvent, PortIndex};
 use crate::settings::Site;
 use crate::signals::{SignalRequest, Signals};
 use async_channel::Receiver;
@@ -56,7 +56,7 @@
 use tracing::{info, warn};
 use upstreams::Upstreams;
 
-/// News that may wait for the owner, and news taken before it looks at its timers.
+/// NetEvent that may wait for the owner, and news taken before it looks at its timers.
 const QUEUE: usize = 1024;
 const AT_ONCE: usize = 256;
 /// How often what changes slowly is looked at.
@@ -72,9 +72,9 @@
     /// Room for what the core wants done; empty between.
     effects: Vec<Effect>,
     executor: Rc<LocalExecutor<'static>>,
-    queue: Queue,
+    queue: EventSender,
     site: Rc<Site>,
-    words: Rc<Vocabulary>,
+    words: Rc<CommandParser>,
     ports: Ports,
     door: Admission,
     downstreams: Downstreams,
@@ -154,7 +154,7 @@
         effects: Vec::new(),
         executor: executor.clone(),
         queue: queue.clone(),
-        words: Rc::new(Vocabulary { site: site.clone(), ready: false.into() }),
+        words: Rc::new(CommandParser { site: site.clone(), ready: false.into() }),
         ports,
         door,
         downstreams: Downstreams::new(queue.clone()),
@@ -173,8 +173,8 @@
     let _signals = executor.spawn(async move {
         loop {
             let news = match signals.next().await {
-                SignalRequest::Reload => News::Reload,
-                SignalRequest::End => News::End,
+                SignalRequest::Reload => NetEvent::Reload,
+                SignalRequest::End => NetEvent::Drain,
             };
             let _ = queue.send(news).await;
         }
@@ -191,7 +191,7 @@
 }
 
 impl Owner {
-    async fn work(&mut self, news: &Receiver<News>) {
+    async fn work(&mut self, news: &Receiver<NetEvent>) {
         let mut timer = Timer::at(Instant::now());
         loop {
             // All that has happened comes before the timers: an answer that is here is no time-out.
@@ -250,9 +250,9 @@
         }
     }
 
-    fn hear(&mut self, now: Micros, news: News) {
+    fn hear(&mut self, now: Micros, news: NetEvent) {
         match news {
-            News::Core(input) => {
+            NetEvent::Core(input) => {
                 if let Input::DownstreamClosed(id) = input {
                     if let Some(shown) = self.downstreams.remove(id) {
                         self.door.update(now, id, shown);
@@ -265,37 +265,37 @@
                     self.core.input(now, input);
                 }
             }
-            News::Accepted(socket, peer, port) => {
+            NetEvent::Accepted(socket, peer, port) => {
                 self.accepted(now, socket, Caller { client: peer, via: None }, port)
             }
             // What they show is looked at in each turn.
-            News::Moved => {}
-            News::Fronted(id, caller) => {
+            NetEvent::DownstreamsChanged => {}
+            NetEvent::ProxyHeader(id, caller) => {
                 self.door.set_client_ip(id, caller.client.ip());
                 let (client, via) = (display(caller.client), caller.via.map(display));
                 info!(event = "fronted", client, via, "{caller} taken from a front");
             }
-            News::Discovery(number, heard) => {
+            NetEvent::Discovery(number, heard) => {
                 if let Some(input) = self.discovery.hear(number, heard) {
                     self.core.input(now, input);
                 }
             }
-            News::Planner(slot, number, word) => {
+            NetEvent::Planner(slot, number, word) => {
                 if let Some(planners) = &mut self.planners {
                     planners.hear(now, slot, number, word);
                 }
             }
-            News::Control(control, number, word) => {
+            NetEvent::Control(control, number, word) => {
                 if let Some(controls) = &mut self.controls {
                     controls.hear(now, control, number, word);
                 }
             }
-            News::Crowded => {
+            NetEvent::OutOfDescriptors => {
                 self.tell_door(now);
                 self.make_room(now, true);
             }
-            News::Note(note) => self.report.note(*note),
-            News::Reload => {
+            NetEvent::Log(note) => self.report.note(*note),
+            NetEvent::Reload => {
                 if self.discovery.reload() {
                     if let Some(snmp) = self.side.snmp() {
                         snmp.reloaded();
@@ -303,8 +303,8 @@
                     self.core.input(now, Input::DiscoveryMoved);
                 }
             }
-            News::End if self.ending.is_some() => {}
-            News::End => {
+            NetEvent::Drain if self.ending.is_some() => {}
+            NetEvent::Drain => {
                 let streams = self.core.open_streams();
                 info!(event = "told_to_end", streams, "told to end: {streams} streams open");
                 let longest = self.site.settings.classes.iter().map(|class| class.limit).max();
@@ -324,10 +324,10 @@
         }
     }
 
-    fn accepted(&mut self, now: Micros, socket: Socket, caller: Caller, port: Port) {
+    fn accepted(&mut self, now: Micros, socket: Socket, caller: Caller, port: PortIndex) {
         let service = self.ports.service(port);
         let protocol = self.side.protocol(service, &self.words);
-        let (streams, waits) = (protocol.streams(), self.side.first(caller.client));
+        let (streams, waits) = (protocol.max_streams(), self.side.first(caller.client));
         let ip = caller.client.ip();
         let new = New { socket, caller, service, streams, waits };
         let serve = |link| self.side.serve(service, link, protocol);
@@ -392,7 +392,7 @@
 
     fn drop_downstream(&mut self, id: DownstreamId) {
         let now = self.clock.now();
-        self.hear(now, News::Core(Input::DownstreamClosed(id)));
+        self.hear(now, NetEvent::Core(Input::DownstreamClosed(id)));
     }
 
     fn carry_out(&mut self) {
@@ -401,7 +401,7 @@
         for effect in effects.drain(..) {
             match effect {
                 Effect::Answer { downstream, place, answer } => {
-                    self.downstreams.order(downstream, Order::Answer(place, answer));
+                    self.downstreams.order(downstream, TaskMessage::Answer(place, answer));
                 }
                 Effect::Dial { connection, address, origin } => {
                     let dialect = self.side.dialect(origin, self.core.node(connection));
@@ -445,7 +445,7 @@
         self.ports.wake();
         self.side.tell_refused(now, false);
         self.side.tell_logins(now, false);
-        self.side.publish(|| Published {
+        self.side.publish(|| PublishedStats {
             counters: self.core.counters,
             uptime: ((now - self.started) / 1_000_000).max(0) as u64,
             downstreams: self.door.len(),
--- a/src/owner/planners.rs
+++ b/src/owner/planners.rs
@@ -3,8 +3,8 @@
 
 use crate::features::forwarder::{Forwarding, Wish};
 use crate::interface::{Micros, Plan};
-use crate::net::framed::{self, Outbox, Word};
-use crate::net::{News, Queue};
+use crate::net::framed::{self, ConnectionEvent, Outbox};
+use crate::net::{EventSender, NetEvent};
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use plan::frame;
@@ -36,14 +36,14 @@
     }
 
     /// A connection's word. What an earlier connection of a slot left behind in the queue means nothing.
-    pub(super) fn hear(&mut self, now: Micros, slot: usize, number: u64, word: Word) {
+    pub(super) fn hear(&mut self, now: Micros, slot: usize, number: u64, word: ConnectionEvent) {
         if self.open.get(&slot).is_none_or(|c| c.number != number) {
             return;
         }
         match word {
-            Word::Up => self.forwarding.up(now, slot),
-            Word::Said(message) => self.forwarding.said(now, slot, &message, &mut self.wishes),
-            Word::Down(why) => {
+            ConnectionEvent::Up => self.forwarding.up(now, slot),
+            ConnectionEvent::Message(message) => self.forwarding.said(now, slot, &message, &mut self.wishes),
+            ConnectionEvent::Down(why) => {
                 self.open.remove(&slot);
                 self.forwarding.down(now, slot, &why);
             }
@@ -55,7 +55,7 @@
         &mut self,
         now: Micros,
         executor: &LocalExecutor<'static>,
-        queue: &Queue,
+        queue: &EventSender,
     ) -> Option<Plan> {
         self.forwarding.tick(now, &mut self.wishes);
         let mut plan = None;
@@ -89,11 +89,11 @@
         }
     }
 
-    fn dial(&mut self, slot: usize, executor: &LocalExecutor<'static>, queue: &Queue) {
+    fn dial(&mut self, slot: usize, executor: &LocalExecutor<'static>, queue: &EventSender) {
         let Some(address) = self.forwarding.address(slot) else { return };
         self.last += 1;
         let (number, (outbox, inbox)) = (self.last, framed::outbox());
-        let word = move |word| News::Planner(slot, number, word);
+        let word = move |word| NetEvent::Planner(slot, number, word);
         let task = executor.spawn(framed::dial(address, inbox, queue.clone(), word));
         self.open.insert(slot, Connection { number, outbox, _task: task });
     }
--- a/src/owner/ports.rs
+++ b/src/owner/ports.rs
@@ -2,8 +2,8 @@
 
 use crate::admission::{Admission, PortKind};
 use crate::features::file::Features;
-use crate::net::accept::{accept, Gate};
-use crate::net::{Port, Queue};
+use crate::net::accept::{accept, ConnectionLimiter};
+use crate::net::{EventSender, PortIndex};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
 use std::net::{SocketAddr, TcpListener};
@@ -39,7 +39,7 @@
     /// One for each port; it ends, and the port with it, once the planned end takes no more.
     accept: Vec<Task<()>>,
     /// What comes while it is full waits in the backlog.
-    gate: Rc<Gate>,
+    gate: Rc<ConnectionLimiter>,
 }
 
 fn bind_one(address: SocketAddr) -> Result<(Async<TcpListener>, SocketAddr), String> {
@@ -84,12 +84,12 @@
     pub(super) fn open(
         self,
         executor: &LocalExecutor<'static>,
-        queue: &Queue,
+        queue: &EventSender,
         admits: impl Fn(SocketAddr) -> bool + Clone + 'static,
     ) -> Ports {
         let mut ports = Ports { services: vec![], accept: vec![], gate: Rc::default() };
         for (listener, service) in self.0 {
-            let (port, entry) = (Port(ports.services.len()), ports.gate.entry(service.side()));
+            let (port, entry) = (PortIndex(ports.services.len()), ports.gate.for_port(service.side()));
             let task = accept(listener, port, queue.clone(), entry, admits.clone());
             ports.accept.push(executor.spawn(task));
             ports.services.push(service);
@@ -99,13 +99,14 @@
 }
 
 impl Ports {
-    pub(super) fn service(&self, port: Port) -> Service {
+    pub(super) fn service(&self, port: PortIndex) -> Service {
         self.services.get(port.0).copied().unwrap_or(Service::Main)
     }
 
     /// How many the door lets in by now.
     pub(super) fn allow(&self, door: &Admission) {
-        self.gate.allow([PortKind::Main, PortKind::Side].map(|side| door.limit(side)), door.total_limit());
+        self.gate
+            .set_limits([PortKind::Main, PortKind::Side].map(|side| door.limit(side)), door.total_limit());
     }
 
     /// How many of each side have been accepted and are open, whether or not the owner has heard of them.
@@ -120,7 +121,7 @@
 
     /// Takes no more but what the kernel has accepted by now.
     pub(super) fn close(&self) {
-        self.gate.shut();
+        self.gate.stop_accepting();
     }
 
     /// Whether the ports are given back, with nobody left at them.
--- a/src/owner/report.rs
+++ b/src/owner/report.rs
@@ -3,7 +3,7 @@
 use crate::admission::{Admission, Counts};
 use crate::core::Core;
 use crate::interface::Micros;
-use crate::net::Note;
+use crate::net::LogEntry;
 use tracing::field::display;
 use tracing::{info, warn};
 
@@ -25,10 +25,10 @@
     }
 
     /// A line about a peer.
-    pub(super) fn note(&mut self, note: Note) {
+    pub(super) fn note(&mut self, note: LogEntry) {
         self.notes += 1;
         if self.notes <= NOTES {
-            let Note { event, text, caller, node, why } = note;
+            let LogEntry { event, text, caller, node, why } = note;
             let client = caller.as_ref().map(|c| display(c.client));
             let via = caller.as_ref().and_then(|c| c.via).map(display);
             warn!(event, client, via, node = node.map(display), why, "{text}");
--- a/src/owner/side.rs
+++ b/src/owner/side.rs
@@ -10,13 +10,13 @@
 use crate::features::snmp::{Identity, Snmp};
 use crate::features::tap::{self, Tap};
 use crate::interface::{KindId, Micros, ServerId};
-use crate::net::command::{Plain, Vocabulary};
+use crate::net::command::{CommandParser, MainProtocol};
 use crate::net::downstream::{self, Link, WaitingFor};
-use crate::net::memcached::gateway::Front;
-use crate::net::memcached::stats::Published;
-use crate::net::memcached::{Desk, Speakers};
+use crate::net::memcached::gateway::GatewayConnection;
+use crate::net::memcached::stats::PublishedStats;
+use crate::net::memcached::{MemcachedNodes, PortState};
 use crate::net::protocol::Protocol;
-use crate::net::upstream::Dialect;
+use crate::net::upstream::UpstreamProtocol;
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -34,9 +34,9 @@
     tap: Option<Rc<Tap>>,
     addresses: Option<Rc<Addresses>>,
     figures: Option<Rc<Figures>>,
-    memcached: Option<Rc<Desk>>,
+    memcached: Option<Rc<PortState>>,
     /// The nodes that speak the memcached protocol.
-    speakers: Speakers,
+    speakers: MemcachedNodes,
     /// When refused logins were told last.
     logins_told: Micros,
     snmp: Option<Rc<Snmp>>,
@@ -48,10 +48,11 @@
     /// An error tells what of the features does not fit the site.
     pub(super) fn new(now: Micros, features: Features, identity: Identity) -> Result<Self, String> {
         let (site, seed) = (&identity.site.clone(), identity.seed);
-        let memcached = features.memcached.map(|settings| Desk::new(&settings, site, seed)).transpose()?;
+        let memcached =
+            features.memcached.map(|settings| PortState::new(&settings, site, seed)).transpose()?;
         Ok(Side {
             memcached: memcached.map(Rc::new),
-            speakers: Speakers::new(&features.memcachednodes, site)?,
+            speakers: MemcachedNodes::new(&features.memcachednodes, site)?,
             logins_told: now,
             multiget: features.multiget,
             reads: Rc::default(),
@@ -64,16 +65,18 @@
     }
 
     /// What a node speaks; one that is known no more is not spoken to.
-    pub(super) fn dialect(&self, origin: bool, node: Option<(ServerId, KindId)>) -> Dialect {
+    pub(super) fn dialect(&self, origin: bool, node: Option<(ServerId, KindId)>) -> UpstreamProtocol {
         match origin {
-            true => Dialect::Origin,
-            false if node.is_some_and(|(server, kind)| self.speakers.has(server, kind)) => Dialect::Memcached,
-            false => Dialect::Cache,
+            true => UpstreamProtocol::Origin,
+            false if node.is_some_and(|(server, kind)| self.speakers.contains(server, kind)) => {
+                UpstreamProtocol::Memcached
+            }
+            false => UpstreamProtocol::Cache,
         }
     }
 
     /// Whoever asks the memcached port for figures is shown these.
-    pub(super) fn publish(&self, published: impl FnOnce() -> Published) {
+    pub(super) fn publish(&self, published: impl FnOnce() -> PublishedStats) {
         if let Some(desk) = &self.memcached {
             desk.stats.published.set(published());
         }
@@ -82,7 +85,7 @@
     /// Tells of logins that were refused, if it is time to or this is the end.
     pub(super) fn tell_logins(&mut self, now: Micros, end: bool) {
         let desk = self.memcached.as_ref().filter(|_| end || now - self.logins_told >= LOGINS);
-        let Some((n, last)) = desk.and_then(|desk| desk.refused()) else { return };
+        let Some((n, last)) = desk.and_then(|desk| desk.take_refused()) else { return };
         self.logins_told = now;
         let user = last.as_deref().unwrap_or("nobody known");
         warn!(
@@ -121,13 +124,15 @@
     }
 
     /// What is spoken on a port. A tap's downstream speaks it only as far as its orders go.
-    pub(super) fn protocol(&self, service: Service, words: &Rc<Vocabulary>) -> Box<dyn Protocol> {
+    pub(super) fn protocol(&self, service: Service, words: &Rc<CommandParser>) -> Box<dyn Protocol> {
         match (service, &self.multiget, &self.memcached) {
             (Service::Multiget, Some(settings), _) => {
                 Box::new(Batches::new(settings, words.clone(), self.reads.clone()))
             }
-            (Service::Memcached, _, Some(desk)) => Box::new(Front::new(desk.clone(), words.clone())),
-            _ => Box::new(Plain(words.clone())),
+            (Service::Memcached, _, Some(desk)) => {
+                Box::new(GatewayConnection::new(desk.clone(), words.clone()))
+            }
+            _ => Box::new(MainProtocol(words.clone())),
         }
     }
 
--- a/src/owner/upstreams.rs
+++ b/src/owner/upstreams.rs
@@ -2,8 +2,8 @@
 //! core's.
 
 use crate::core::{ConnectionId, Job, Stage};
-use crate::net::upstream::{carry, Dialect, Jobs};
-use crate::net::Queue;
+use crate::net::upstream::{run_connection, JobQueue, UpstreamProtocol};
+use crate::net::EventSender;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 
 struct Upstream {
     jobs: Sender<Job>,
-    given: Jobs,
+    given: JobQueue,
     _task: Task<()>,
 }
 
@@ -31,21 +31,22 @@
         &mut self,
         id: ConnectionId,
         address: SocketAddr,
-        dialect: Dialect,
+        dialect: UpstreamProtocol,
         executor: &LocalExecutor<'static>,
-        queue: &Queue,
+        queue: &EventSender,
     ) {
         // One request at a time: there is never a second job to wait.
         let (jobs, taken) = async_channel::bounded(1);
-        let given = Jobs::from(taken);
-        let carried = carry(id, address, dialect, given.clone(), queue.clone(), self.columns.clone());
+        let given = JobQueue::from(taken);
+        let carried =
+            run_connection(id, address, dialect, given.clone(), queue.clone(), self.columns.clone());
         let task = executor.spawn(carried);
         self.open.insert(id, Upstream { jobs, given, _task: task });
     }
 
     pub(super) fn write(&self, id: ConnectionId, job: Job) {
         if let Some(upstream) = self.open.get(&id) {
-            upstream.given.given();
+            upstream.given.job_queued();
             let _ = upstream.jobs.try_send(job);
         }
     }
@@ -53,9 +54,9 @@
     /// Takes a job back that nobody waits for, unless its last byte is out: how far it was.
     pub(super) fn withdraw(&self, id: ConnectionId) -> Option<Stage> {
         let given = &self.open.get(&id)?.given;
-        match given.back() {
+        match given.take_back() {
             true => Some(Stage::Idle),
-            false => (!given.is_whole()).then_some(Stage::Writing),
+            false => (!given.is_fully_written()).then_some(Stage::Writing),
         }
     }
 
--- a/tests/downstream.rs
+++ b/tests/downstream.rs
@@ -6,10 +6,10 @@
 use futures_lite::future::yield_now;
 use martenweir::admission::{PortKind, WaitingFor};
 use martenweir::core::{DownstreamId, Input};
-use martenweir::net::accept::{accept, Gate, Socket};
-use martenweir::net::downstream::{serve, Link, Moved, Order, Progress};
-use martenweir::net::protocol::{array, Parsed, Protocol};
-use martenweir::net::{Caller, News, Port};
+use martenweir::net::accept::{accept, ConnectionLimiter, Socket};
+use martenweir::net::downstream::{serve, ChangedDownstreams, Link, SharedActivity, TaskMessage};
+use martenweir::net::protocol::{resp_command, Parsed, Protocol};
+use martenweir::net::{Caller, NetEvent, PortIndex};
 use rstest::rstest;
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -20,27 +20,27 @@
 struct Echo;
 
 impl Protocol for Echo {
-    fn streams(&self) -> usize {
+    fn max_streams(&self) -> usize {
         1
     }
 
-    fn take(&mut self, _: DownstreamId, _: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
-        array(bytes, |mut command, _| Parsed::Local(command.pop().unwrap_or_default()))
+    fn parse(&mut self, _: DownstreamId, _: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
+        resp_command(bytes, |mut command, _| Parsed::Local(command.pop().unwrap_or_default()))
     }
 }
 
 /// A downstream's peer, socket and progress, and the way for its orders; its task runs on `executor`.
 fn downstream(
     executor: &LocalExecutor<'static>,
-    gate: &Rc<Gate>,
-) -> (TcpStream, Rc<Socket>, Rc<Progress>, Sender<Order>) {
+    gate: &Rc<ConnectionLimiter>,
+) -> (TcpStream, Rc<Socket>, Rc<SharedActivity>, Sender<TaskMessage>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let peer = TcpStream::connect(listener.local_addr().expect("an address")).expect("it listens");
     let (socket, client) = listener.accept().expect("a connection");
     let socket = Rc::new(Socket::new(Async::new(socket).expect("a socket"), gate, PortKind::Main));
     let (queue, _) = async_channel::bounded(8);
-    let moved = Rc::new(Moved::new(queue.clone()));
-    let progress = Rc::new(Progress::new(DownstreamId(1), WaitingFor::Command, moved));
+    let moved = Rc::new(ChangedDownstreams::new(queue.clone()));
+    let progress = Rc::new(SharedActivity::new(DownstreamId(1), WaitingFor::Command, moved));
     let (give, orders) = async_channel::bounded(4);
     let caller = Caller { client, via: None };
     let (input, finishing) = (Cell::default(), false);
@@ -48,7 +48,7 @@
     let link = Link { id, socket, orders, queue: queue.clone(), progress, caller, input, finishing };
     let task = executor.spawn(async move {
         serve(link, Box::new(Echo)).await;
-        let _ = queue.send(News::Core(Input::DownstreamClosed(id))).await;
+        let _ = queue.send(NetEvent::Core(Input::DownstreamClosed(id))).await;
     });
     task.detach();
     (peer, held, shows, give)
@@ -59,7 +59,7 @@
 fn a_downstream_that_leaves_while_it_is_not_read_has_left() {
     for reset in [false, true] {
         let executor = LocalExecutor::new();
-        let gate = Rc::new(Gate::default());
+        let gate = Rc::new(ConnectionLimiter::default());
         let (peer, socket, progress, _orders) = downstream(&executor, &gate);
         assert!(progress.pause(true));
         async_io::block_on(executor.run(async {
@@ -90,7 +90,7 @@
     #[values(1, 2_000)] commands: usize,
 ) {
     let executor = LocalExecutor::new();
-    let gate = Rc::new(Gate::default());
+    let gate = Rc::new(ConnectionLimiter::default());
     let (mut peer, socket, progress, _orders) = downstream(&executor, &gate);
     assert!(progress.pause(true));
     async_io::block_on(executor.run(async {
@@ -111,7 +111,7 @@
             yield_now().await;
         }
     }));
-    assert_eq!(progress.look().local_replies, 0, "of {commands} commands");
+    assert_eq!(progress.snapshot().local_replies, 0, "of {commands} commands");
 }
 
 /// Guards the term on clients that have gone: one that sends many commands at once and goes, before any of them was
@@ -120,7 +120,7 @@
 fn who_sends_much_at_once_and_goes_before_it_is_read_has_no_command_taken() {
     for commands in [1_200, 5_000, 15_000] {
         let executor = LocalExecutor::new();
-        let gate = Rc::new(Gate::default());
+        let gate = Rc::new(ConnectionLimiter::default());
         let (mut peer, socket, progress, _orders) = downstream(&executor, &gate);
         peer.set_nonblocking(true).expect("a socket");
         peer.write_all(&b"*1\r\n$4\r\nhere\r\n".repeat(commands)).expect("the kernel takes all of it");
@@ -132,7 +132,7 @@
                 yield_now().await;
             }
         }));
-        assert_eq!(progress.look().local_replies, 0, "of {commands} commands");
+        assert_eq!(progress.snapshot().local_replies, 0, "of {commands} commands");
     }
 }
 
@@ -145,7 +145,7 @@
     #[values(20_000, 22_000)] commands: usize,
 ) {
     let executor = LocalExecutor::new();
-    let gate = Rc::new(Gate::default());
+    let gate = Rc::new(ConnectionLimiter::default());
     let (mut peer, socket, progress, _orders) = downstream(&executor, &gate);
     peer.set_nonblocking(true).expect("a socket");
     peer.write_all(&b"*1\r\n$4\r\nhere\r\n".repeat(commands)).expect("the kernel takes all of it");
@@ -157,7 +157,7 @@
             yield_now().await;
         }
     }));
-    assert_eq!(progress.look().local_replies, 0, "of {commands} commands");
+    assert_eq!(progress.snapshot().local_replies, 0, "of {commands} commands");
 }
 
 /// Who sends on and stays is answered, however much comes at once: what has come is taken once as much is here as may be,
@@ -165,7 +165,7 @@
 #[rstest]
 fn who_sends_much_at_once_and_stays_is_answered(#[values(1_024, 5_000, 60_000)] commands: usize) {
     let executor = LocalExecutor::new();
-    let gate = Rc::new(Gate::default());
+    let gate = Rc::new(ConnectionLimiter::default());
     let (peer, _socket, progress, _orders) = downstream(&executor, &gate);
     let command = b"*1\r\n$6\r\nanswer\r\n";
     assert_eq!(16 * 1024 % command.len(), 0, "so that reads end with a command");
@@ -180,7 +180,11 @@
     async_io::block_on(executor.run(async {
         let late = Instant::now() + Duration::from_secs(20);
         while !reads.is_finished() {
-            assert!(Instant::now() < late, "{} of {commands} are answered", progress.look().local_replies);
+            assert!(
+                Instant::now() < late,
+                "{} of {commands} are answered",
+                progress.snapshot().local_replies
+            );
             yield_now().await;
         }
     }));
@@ -195,23 +199,26 @@
     #[values(false, true)] leaves: bool,
 ) {
     let executor = LocalExecutor::new();
-    let gate = Rc::new(Gate::default());
+    let gate = Rc::new(ConnectionLimiter::default());
     let (mut peer, socket, progress, orders) = downstream(&executor, &gate);
-    assert_eq!((gate.open(), socket.is_quiet()), ([1, 0], true));
+    assert_eq!((gate.open(), socket.has_nothing_unread()), ([1, 0], true));
     assert!(progress.pause(true) && !progress.pause(true), "one look at a time is wanted");
     peer.write_all(b"*1\r\n$4\r\nhere\r\n").expect("sent");
     async_io::block_on(executor.run(async {
-        while socket.is_quiet() {
+        while socket.has_nothing_unread() {
             yield_now().await;
         }
-        orders.send(if leaves { Order::Leave } else { Order::Finish }).await.expect("it listens");
+        orders
+            .send(if leaves { TaskMessage::FinishNow } else { TaskMessage::Finish })
+            .await
+            .expect("it listens");
         for _ in 0..100 {
             yield_now().await;
         }
-        assert!(!socket.is_quiet() && progress.look().steps == 0, "it was read");
+        assert!(!socket.has_nothing_unread() && progress.snapshot().steps == 0, "it was read");
         progress.pause(false);
-        orders.send(Order::Look).await.expect("it listens");
-        while progress.look().waiting_for != WaitingFor::Close {
+        orders.send(TaskMessage::Refresh).await.expect("it listens");
+        while progress.snapshot().waiting_for != WaitingFor::Close {
             yield_now().await;
         }
     }));
@@ -227,7 +234,7 @@
 #[test]
 fn who_sends_again_for_each_answer_is_closed_with_every_command_answered() {
     let executor = LocalExecutor::new();
-    let gate = Rc::new(Gate::default());
+    let gate = Rc::new(ConnectionLimiter::default());
     let (mut peer, socket, progress, orders) = downstream(&executor, &gate);
     peer.set_nonblocking(true).expect("a socket");
     let command = b"*1\r\n$1\r\n.\r\n";
@@ -240,7 +247,7 @@
                 sent += 1;
             }
             if turn == 100 {
-                orders.send(Order::Leave).await.expect("it listens");
+                orders.send(TaskMessage::FinishNow).await.expect("it listens");
             }
             yield_now().await;
             // All that has come, and the end if that has too.
@@ -258,8 +265,8 @@
         }
     }));
     assert!(over && answered > 8, "it was never closed");
-    assert_eq!(progress.look().waiting_for, WaitingFor::Close);
-    assert_eq!((sent, progress.look().local_replies as usize), (answered, answered));
+    assert_eq!(progress.snapshot().waiting_for, WaitingFor::Close);
+    assert_eq!((sent, progress.snapshot().local_replies as usize), (answered, answered));
     drop((executor, socket));
 }
 
@@ -267,22 +274,22 @@
 #[test]
 fn who_waits_in_the_backlog_comes_in_before_the_port_closes() {
     let executor = LocalExecutor::new();
-    let gate = Rc::new(Gate::default());
+    let gate = Rc::new(ConnectionLimiter::default());
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let address = listener.get_ref().local_addr().expect("an address");
     let (queue, news) = async_channel::bounded(8);
-    gate.allow([2, 2], 2);
+    gate.set_limits([2, 2], 2);
     let mut peers: Vec<_> = (0..5).map(|_| TcpStream::connect(address).expect("it listens")).collect();
     for peer in &mut peers {
         peer.write_all(b"*1\r\n$4\r\nPING\r\n").expect("sent");
     }
-    gate.shut();
-    let port = executor.spawn(accept(listener, Port(0), queue, gate.entry(PortKind::Main), |_| true));
+    gate.stop_accepting();
+    let port = executor.spawn(accept(listener, PortIndex(0), queue, gate.for_port(PortKind::Main), |_| true));
     let come = async_io::block_on(executor.run(async {
         let mut come = 0;
         // Each goes as soon as it has come, which makes room.
-        while let Ok(News::Accepted(socket, ..)) = news.recv().await {
-            assert!(gate.open()[0] <= 2 && !socket.is_quiet());
+        while let Ok(NetEvent::Accepted(socket, ..)) = news.recv().await {
+            assert!(gate.open()[0] <= 2 && !socket.has_nothing_unread());
             come += 1;
         }
         port.await;
--- a/tests/memcached.rs
+++ b/tests/memcached.rs
@@ -4,12 +4,12 @@
 use martenweir::admission::PortKind;
 use martenweir::core::{Answer, DownstreamId, Input, NewStream};
 use martenweir::net::accept::Socket;
-use martenweir::net::command::Vocabulary;
-use martenweir::net::downstream::{serve, Link, Moved, Order, Progress, WaitingFor};
-use martenweir::net::memcached::gateway::Front;
-use martenweir::net::memcached::{Desk, Settings};
+use martenweir::net::command::CommandParser;
+use martenweir::net::downstream::{serve, ChangedDownstreams, Link, SharedActivity, TaskMessage, WaitingFor};
+use martenweir::net::memcached::gateway::GatewayConnection;
+use martenweir::net::memcached::{PortState, Settings};
 use martenweir::net::protocol::{Parsed, Protocol};
-use martenweir::net::{Caller, News};
+use martenweir::net::{Caller, NetEvent};
 use martenweir::settings::{self, Site};
 use memcached::{frame, Limits, Opcode, Request, Response, Status, Step};
 use proptest::collection::vec;
@@ -28,13 +28,13 @@
     settings::site(&config["settings"]).expect("sound settings")
 }
 
-fn desk() -> Rc<Desk> {
+fn desk() -> Rc<PortState> {
     let settings = Settings { tenant: Some("nordurbanki".into()), ..Settings::default() };
-    Rc::new(Desk::new(&settings, &site(), 1).expect("it fits the site"))
+    Rc::new(PortState::new(&settings, &site(), 1).expect("it fits the site"))
 }
 
-fn front(desk: &Rc<Desk>) -> Front {
-    Front::new(desk.clone(), Rc::new(Vocabulary { site: Rc::new(site()), ready: true.into() }))
+fn front(desk: &Rc<PortState>) -> GatewayConnection {
+    GatewayConnection::new(desk.clone(), Rc::new(CommandParser { site: Rc::new(site()), ready: true.into() }))
 }
 
 fn written(requests: &[Request]) -> Vec<u8> {
@@ -44,12 +44,13 @@
 }
 
 /// Takes all that is whole in `bytes`, and what each command became.
-fn take(front: &mut Front, place: &mut u64, bytes: &mut Vec<u8>) -> Vec<Parsed> {
+fn take(front: &mut GatewayConnection, place: &mut u64, bytes: &mut Vec<u8>) -> Vec<Parsed> {
     let mut all = Vec::new();
-    while let Some((taken, parsed)) = front.take(DownstreamId(1), *place, bytes).filter(|_| !bytes.is_empty())
+    while let Some((taken, parsed)) =
+        front.parse(DownstreamId(1), *place, bytes).filter(|_| !bytes.is_empty())
     {
         bytes.drain(..taken);
-        *place += u64::from(!matches!(parsed, Parsed::More));
+        *place += u64::from(!matches!(parsed, Parsed::Incomplete));
         let closes = matches!(parsed, Parsed::Close(_) | Parsed::Malformed(_));
         all.push(parsed);
         if closes {
@@ -60,7 +61,7 @@
 }
 
 fn asks(parsed: &[Parsed]) -> Vec<&NewStream> {
-    parsed.iter().filter_map(|p| if let Parsed::Ask(ask) = p { Some(&**ask) } else { None }).collect()
+    parsed.iter().filter_map(|p| if let Parsed::Stream(ask) = p { Some(&**ask) } else { None }).collect()
 }
 
 fn read(key: &[u8]) -> Request<'_> {
@@ -75,7 +76,7 @@
 fn told(request: Request, answer: Answer) -> Option<Status> {
     let mut front = front(&desk());
     assert_eq!(asks(&take(&mut front, &mut 0, &mut written(&[request]))).len(), 1);
-    let bytes = front.answer(0, answer);
+    let bytes = front.encode_answer(0, answer);
     match frame::response(&bytes, &Limits::default()) {
         Ok(Step::Whole(Response { opcode, status, opaque, .. }, _)) => {
             assert_eq!((opcode, opaque), (request.opcode, request.opaque));
@@ -116,16 +117,17 @@
     let mut fronts: Vec<_> = (0..17).map(|_| (front(&desk), 0)).collect();
     let mut told = 0;
     for (front, place) in &mut fronts {
-        let parsed = take(front, place, &mut written(&vec![read(b"k"); front.streams()]));
+        let parsed = take(front, place, &mut written(&vec![read(b"k"); front.max_streams()]));
         told += asks(&parsed).len();
     }
-    assert_eq!(told, 1024, "of {}", 17 * fronts[0].0.streams());
+    assert_eq!(told, 1024, "of {}", 17 * fronts[0].0.max_streams());
     let (first, place) = &mut fronts[0];
-    assert!(!first.answer(0, Answer::Value(Vec::new())).is_empty());
-    let mut one =
-        |first: &mut Front, n: usize| asks(&take(first, place, &mut written(&[read(b"k")]))).len() == n;
+    assert!(!first.encode_answer(0, Answer::Value(Vec::new())).is_empty());
+    let mut one = |first: &mut GatewayConnection, n: usize| {
+        asks(&take(first, place, &mut written(&[read(b"k")]))).len() == n
+    };
     assert!(one(first, 0), "its value is not on its way out");
-    first.sent(1);
+    first.answers_taken(1);
     assert!(one(first, 1) && one(first, 0));
     drop(fronts.pop());
     drop(fronts.pop());
@@ -165,7 +167,7 @@
     let mut ids: Vec<_> = (0..2000)
         .flat_map(|_| {
             let parsed = take(&mut front, &mut place, &mut written(&[read(b"k")]));
-            front.sent(1);
+            front.answers_taken(1);
             asks(&parsed).iter().map(|ask| ask.message.id.clone()).collect::<Vec<_>>()
         })
         .collect();
@@ -181,7 +183,7 @@
 #[case::reads(Settings { reads: Some("instruct".into()), ..Settings::default() }, "which may run again")]
 #[case::no_file(Settings { passwords: Some("/none".into()), ..Settings::default() }, "/none: ")]
 fn settings_that_do_not_fit_the_site_are_told(#[case] settings: Settings, #[case] wanted: &str) {
-    let told = Desk::new(&settings, &site(), 1).err().unwrap_or_default();
+    let told = PortState::new(&settings, &site(), 1).err().unwrap_or_default();
     assert!(told.contains(wanted), "{told}");
 }
 
@@ -203,13 +205,17 @@
         )),
         orders,
         queue: tell.clone(),
-        progress: Rc::new(Progress::new(DownstreamId(1), WaitingFor::Command, Rc::new(Moved::new(tell)))),
+        progress: Rc::new(SharedActivity::new(
+            DownstreamId(1),
+            WaitingFor::Command,
+            Rc::new(ChangedDownstreams::new(tell)),
+        )),
         caller: Caller { client, via: None },
         input: Cell::default(),
         finishing: false,
     };
     let front = front(&desk());
-    let most = front.streams();
+    let most = front.max_streams();
     gateway.write_all(&written(&vec![write(b"v", 1); most + 1])).expect("sent");
     let executor = LocalExecutor::new();
     let _task = executor.spawn(serve(link, Box::new(front)));
@@ -221,14 +227,14 @@
                 Err(async_channel::RecvError)
             };
             match futures_lite::future::or(news.recv(), patience).await {
-                Ok(News::Core(Input::Stream(_))) => taken += 1,
-                Ok(News::Moved) => continue,
+                Ok(NetEvent::Core(Input::Stream(_))) => taken += 1,
+                Ok(NetEvent::DownstreamsChanged) => continue,
                 _ => return taken,
             }
             // The first is answered last, and until then none of them makes room.
             if taken == most {
                 for place in (0..most as u64).rev() {
-                    give.try_send(Order::Answer(place, Answer::Value(Vec::new()))).expect("room");
+                    give.try_send(TaskMessage::Answer(place, Answer::Value(Vec::new()))).expect("room");
                 }
             }
             if taken > most {
@@ -269,9 +275,9 @@
                 held.extend_from_slice(part);
                 for parsed in take(&mut front, &mut place, &mut held) {
                     let line = match parsed {
-                        Parsed::More => continue,
+                        Parsed::Incomplete => continue,
                         Parsed::Close(_) | Parsed::Malformed(_) => "closed".to_owned(),
-                        Parsed::Ask(ask) => format!("{:?} {:?}", ask.message.verb, ask.message.key),
+                        Parsed::Stream(ask) => format!("{:?} {:?}", ask.message.verb, ask.message.key),
                         other => format!("{other:?}"),
                     };
                     told.push(line);
@@ -279,7 +285,7 @@
                 if told.last().is_some_and(|last| last == "closed") {
                     break;
                 }
-                assert!(held.len() < front.longest() + piece);
+                assert!(held.len() < front.max_command_bytes() + piece);
             }
             told
         };
--- a/tests/upstream.rs
+++ b/tests/upstream.rs
@@ -5,8 +5,8 @@
 use martenweir::codec::http::{self, PeerState};
 use martenweir::core::{ConnectionId, Input, Job, Message, Stage};
 use martenweir::interface::Verdict;
-use martenweir::net::upstream::{carry, Dialect};
-use martenweir::net::News;
+use martenweir::net::upstream::{run_connection, UpstreamProtocol};
+use martenweir::net::NetEvent;
 use rstest::rstest;
 use std::future::Future;
 use std::io::{Read, Write};
@@ -14,24 +14,24 @@
 use std::rc::Rc;
 
 /// A connection that has come up, as `play` drives it: the node's port, the way of its jobs, and what it tells.
-fn driven<F: Future>(play: impl FnOnce(TcpListener, Sender<Job>, Receiver<News>) -> F) -> F::Output {
-    driven_as(Dialect::Cache, play)
+fn driven<F: Future>(play: impl FnOnce(TcpListener, Sender<Job>, Receiver<NetEvent>) -> F) -> F::Output {
+    driven_as(UpstreamProtocol::Cache, play)
 }
 
 /// The same with a node that speaks this.
 fn driven_as<F: Future>(
-    dialect: Dialect,
-    play: impl FnOnce(TcpListener, Sender<Job>, Receiver<News>) -> F,
+    dialect: UpstreamProtocol,
+    play: impl FnOnce(TcpListener, Sender<Job>, Receiver<NetEvent>) -> F,
 ) -> F::Output {
     let node = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = node.local_addr().expect("an address");
     let (tell, news) = async_channel::bounded(4);
     let (give, jobs) = async_channel::bounded(1);
     let executor = LocalExecutor::new();
-    let carried = carry(ConnectionId(1), address, dialect, jobs, tell, Rc::new(Vec::new()));
+    let carried = run_connection(ConnectionId(1), address, dialect, jobs, tell, Rc::new(Vec::new()));
     let _task = executor.spawn(carried);
     async_io::block_on(executor.run(async {
-        assert!(matches!(news.recv().await, Ok(News::Core(Input::Connected(_)))));
+        assert!(matches!(news.recv().await, Ok(NetEvent::Core(Input::Connected(_)))));
         play(node, give, news).await
     }))
 }
@@ -52,7 +52,7 @@
         give.try_send(Job::Probe).expect("room for a job");
         news.recv().await
     });
-    assert!(matches!(ended, Ok(News::Core(Input::Broken(_, Stage::Idle)))));
+    assert!(matches!(ended, Ok(NetEvent::Core(Input::Broken(_, Stage::Idle)))));
 }
 
 /// Guards what is believed of a node with a full table: it turns a new connection away and closes it, and is not busy.
@@ -75,7 +75,7 @@
         drop(kept);
         told
     });
-    let Ok(News::Core(Input::Replied(_, reply))) = told else { panic!("no reply") };
+    let Ok(NetEvent::Core(Input::Replied(_, reply))) = told else { panic!("no reply") };
     assert_eq!((reply.verdict, reply.no_place, reply.keep), (Verdict::Full, closes, !closes));
 }
 
@@ -111,10 +111,10 @@
         told
     });
     match (told, verdict) {
-        (Ok(News::Core(Input::Replied(_, reply))), Some(verdict)) => {
+        (Ok(NetEvent::Core(Input::Replied(_, reply))), Some(verdict)) => {
             assert_eq!((reply.verdict, reply.keep), (verdict, false))
         }
-        (Ok(News::Core(Input::Broken(_, stage))), None) => assert_eq!(stage, Stage::Writing),
+        (Ok(NetEvent::Core(Input::Broken(_, stage))), None) => assert_eq!(stage, Stage::Writing),
         (told, _) => panic!("{told:?}"),
     }
 }
@@ -156,7 +156,7 @@
     #[case] ends: Ends,
     #[case] value: Option<&str>,
 ) {
-    let told = driven_as(Dialect::Origin, |node, give, news| async move {
+    let told = driven_as(UpstreamProtocol::Origin, |node, give, news| async move {
         let (mut socket, _) = node.accept().expect("a connection");
         let job = Job::Stream { message: Rc::new(Message::default()), patience: 1_000_000 };
         give.try_send(job).expect("room for a job");
@@ -177,11 +177,11 @@
         news.recv().await
     });
     match (told, value) {
-        (Ok(News::Core(Input::Replied(_, reply))), Some(value)) => {
+        (Ok(NetEvent::Core(Input::Replied(_, reply))), Some(value)) => {
             assert_eq!((reply.verdict, reply.value.as_slice()), (Verdict::Served, value.as_bytes()));
             assert!(!reply.keep, "the connection is over");
         }
-        (Ok(News::Core(Input::Broken(_, stage))), None) => assert_eq!(stage, Stage::Reading),
+        (Ok(NetEvent::Core(Input::Broken(_, stage))), None) => assert_eq!(stage, Stage::Reading),
         (told, _) => panic!("{told:?}"),
     }
 }
