--- a/src/admission/budget.rs
+++ b/src/admission/budget.rs
@@ -1,64 +1,66 @@
-//! Descriptors: how many downstreams and nodes may hold. Each has a part for sure; the rest goes to who comes
-//! first.
+//! Splits the file descriptors between downstreams and connections to nodes. Each side has a guaranteed
+//! share; the rest goes to whichever takes it first.
 
-/// Descriptors for what is neither downstream nor node: listeners, discovery, the poller, standard streams.
+/// Descriptors for everything that is neither a downstream nor a connection to a node: listeners, discovery,
+/// the poller and the standard streams.
 pub const RESERVE: usize = 32;
-/// What side ports have for sure, and what they may have while others are there: parts of the downstreams'.
-const SIDE_SURE: usize = 16;
-const SIDE_MOST: usize = 4;
+/// The guaranteed share of side ports and, while the main port has connections, their maximum, both as a
+/// fraction (1/16 and 1/4) of what downstreams may hold.
+const SIDE_GUARANTEED_DIVISOR: usize = 16;
+const SIDE_MAX_DIVISOR: usize = 4;
 
-/// The two sorts of ports.
+/// The two kinds of listening ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PortKind {
-    /// Where clients connect.
+    /// The port for clients.
     Main,
-    /// A feature's.
+    /// A port opened by an optional feature.
     Side,
 }
 
-/// The split, O(1) throughout.
+/// The split of the descriptors. All methods are O(1).
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     total: usize,
-    /// What downstreams and what nodes have for sure.
-    sure: usize,
-    side_sure: usize,
+    /// The share guaranteed to downstreams, and the equal share guaranteed to node connections.
+    guaranteed: usize,
+    side_guaranteed: usize,
 }
 
 impl Budget {
-    /// Of `descriptors` that the process may hold, 64 at the least; `side_ports` are bound besides the main
-    /// one.
+    /// `descriptors` is the process limit, at least 64; `side_ports` is the number of listening ports besides
+    /// the main one.
     pub fn new(descriptors: usize, side_ports: usize) -> Self {
         let total = descriptors.max(2 * RESERVE) - RESERVE;
-        let sure = total * 2 / 5;
-        let side_sure = if side_ports > 0 { (sure / SIDE_SURE).max(2) } else { 0 };
-        Budget { total, sure, side_sure }
+        let guaranteed = total * 2 / 5;
+        let side_guaranteed = if side_ports > 0 { (guaranteed / SIDE_GUARANTEED_DIVISOR).max(2) } else { 0 };
+        Budget { total, guaranteed, side_guaranteed }
     }
 
-    /// Connections to nodes, with so many downstreams of each side open.
+    /// The limit on connections to nodes while this many downstreams of each kind are open.
     pub fn node_limit(&self, [main, side]: [usize; 2]) -> usize {
-        self.rest(main + side.max(self.side_sure))
+        self.remaining(main + side.max(self.side_guaranteed))
     }
 
-    /// Downstreams of all ports, with so many connections to nodes open.
+    /// The limit on downstreams of all ports while this many connections to nodes are open.
     pub fn downstream_limit(&self, nodes: usize) -> usize {
-        self.rest(nodes)
+        self.remaining(nodes)
     }
 
-    /// What is left beside so many of the others, who have their part for sure.
-    fn rest(&self, others: usize) -> usize {
-        self.total - others.clamp(self.sure, self.total - self.sure)
+    /// What is left beside `others` descriptors of the other party, which always keeps its guaranteed share.
+    fn remaining(&self, others: usize) -> usize {
+        self.total - others.clamp(self.guaranteed, self.total - self.guaranteed)
     }
 
-    /// Downstreams of one sort of port, with so many of the other open.
+    /// The limit on downstreams of one kind of port while `others` of the other kind are open.
     pub fn limit_of(&self, side: PortKind, nodes: usize, others: usize) -> usize {
         let all = self.downstream_limit(nodes);
         match side {
-            PortKind::Main => all - others.clamp(self.side_sure, all),
+            PortKind::Main => all - others.clamp(self.side_guaranteed, all),
             PortKind::Side if others == 0 => all,
-            PortKind::Side => {
-                (all / SIDE_MOST).max(self.side_sure).min(all - others.min(all - self.side_sure))
-            }
+            PortKind::Side => (all / SIDE_MAX_DIVISOR)
+                .max(self.side_guaranteed)
+                .min(all - others.min(all - self.side_guaranteed)),
         }
     }
 }
--- a/src/admission/budget/tests.rs
+++ b/src/admission/budget/tests.rs
@@ -3,7 +3,7 @@
 
 proptest! {
     #[test]
-    fn what_is_open_never_passes_the_descriptors_whoever_takes_one_more(
+    fn open_descriptors_never_exceed_the_budget(
         descriptors in 64usize..600,
         side_ports in 0usize..3,
         steps in proptest::collection::vec((0usize..3, proptest::bool::weighted(0.7)), 0..2000),
@@ -23,16 +23,16 @@
                 false => *open = open.saturating_sub(1),
             }
             prop_assert!(nodes + main + side + RESERVE <= descriptors);
-            // What each has for sure is never taken by the others.
-            prop_assert!(budget.node_limit([main, side]) >= budget.sure);
-            prop_assert!(budget.downstream_limit(nodes) >= budget.sure);
+            // The guaranteed shares are never taken by the other party.
+            prop_assert!(budget.node_limit([main, side]) >= budget.guaranteed);
+            prop_assert!(budget.downstream_limit(nodes) >= budget.guaranteed);
             prop_assert!(side_ports == 0 || budget.limit_of(PortKind::Side, nodes, main) >= 2);
         }
     }
 }
 
 #[test]
-fn alone_each_may_have_all_that_is_not_the_others_for_sure() {
+fn a_lone_user_may_take_all_but_the_guaranteed_share_of_the_others() {
     let budget = Budget::new(1024, 1);
     assert_eq!((budget.node_limit([0, 0]), budget.downstream_limit(0)), (596, 596));
     assert_eq!((budget.node_limit([590, 6]), budget.downstream_limit(596)), (396, 396));
--- a/src/admission/bytes.rs
+++ b/src/admission/bytes.rs
@@ -1,29 +1,29 @@
-//! The bytes that downstreams hold, against a budget: whose reading pauses, and who goes when pausing is not
-//! enough.
+//! The byte budget of all downstreams: decides whose reading is paused, and which downstream is closed when
+//! pausing is not enough.
 
 use crate::core::DownstreamId;
 use std::collections::BTreeSet;
 
-/// Who holds less is never paused: it is about what one read brings.
-const SMALL: usize = 16 * 1024;
+/// A downstream that holds less, about one read, is never paused.
+const PAUSE_THRESHOLD: usize = 16 * 1024;
 
-/// O(log n) for each call.
+/// Bytes held by all downstreams. Each call is O(log n).
 #[derive(Debug)]
-pub(super) struct Bytes {
-    most: usize,
+pub(super) struct ByteBudget {
+    limit: usize,
     held: usize,
-    /// Who is read and holds [`SMALL`] or more: those that do not read their answers behind the others, then
-    /// by how much.
+    /// Downstreams that are being read and hold [`PAUSE_THRESHOLD`] or more. Ordered so that those that do
+    /// not read their answers come last, then by bytes held: the last is paused first.
     large: BTreeSet<(bool, usize, DownstreamId)>,
-    /// Who does not read its answers, by how much it holds.
-    deaf: BTreeSet<(usize, DownstreamId)>,
+    /// Downstreams that do not read their answers, by bytes held.
+    not_reading: BTreeSet<(usize, DownstreamId)>,
     paused: BTreeSet<DownstreamId>,
 }
 
-impl Bytes {
-    pub fn new(most: usize) -> Self {
-        let (large, deaf, paused) = Default::default();
-        Bytes { most, held: 0, large, deaf, paused }
+impl ByteBudget {
+    pub fn new(limit: usize) -> Self {
+        let (large, not_reading, paused) = Default::default();
+        ByteBudget { limit, held: 0, large, not_reading, paused }
     }
 
     pub fn held(&self) -> usize {
@@ -34,27 +34,28 @@
         self.paused.len()
     }
 
-    /// One holds `is` bytes where it held `was`, and reads its answers or does not.
-    pub fn change(&mut self, id: DownstreamId, was: (usize, bool), is: (usize, bool)) {
+    /// Records that a downstream went from `was` to `is`; each is the bytes held and whether it fails to read
+    /// its answers.
+    pub fn update(&mut self, id: DownstreamId, was: (usize, bool), is: (usize, bool)) {
         self.held = self.held - was.0 + is.0;
         self.large.remove(&(was.1, was.0, id));
-        self.deaf.remove(&(was.0, id));
-        if is.0 >= SMALL && !self.paused.contains(&id) {
+        self.not_reading.remove(&(was.0, id));
+        if is.0 >= PAUSE_THRESHOLD && !self.paused.contains(&id) {
             self.large.insert((is.1, is.0, id));
         }
         if is.1 && is.0 > 0 {
-            self.deaf.insert((is.0, id));
+            self.not_reading.insert((is.0, id));
         }
     }
 
-    pub fn leave(&mut self, id: DownstreamId, was: (usize, bool)) {
-        self.change(id, was, (0, false));
+    pub fn remove(&mut self, id: DownstreamId, was: (usize, bool)) {
+        self.update(id, was, (0, false));
         self.paused.remove(&id);
     }
 
-    /// The next one that is to be read no more, if bytes run short.
+    /// The next downstream to pause, while more than three quarters of the budget are held.
     pub fn pause(&mut self) -> Option<DownstreamId> {
-        if self.held <= self.most / 4 * 3 {
+        if self.held <= self.limit / 4 * 3 {
             return None;
         }
         let (_, _, id) = self.large.pop_last()?;
@@ -62,21 +63,22 @@
         Some(id)
     }
 
-    /// The next one that may be read again; [`Bytes::resumed`] is to follow.
+    /// The next downstream to resume, while less than half of the budget is held; the caller then calls
+    /// [`ByteBudget::resumed`].
     pub fn resume(&mut self) -> Option<DownstreamId> {
-        if self.held >= self.most / 2 {
+        if self.held >= self.limit / 2 {
             return None;
         }
         self.paused.pop_first()
     }
 
-    /// One that was resumed counts as read again.
+    /// Counts a resumed downstream as being read again.
     pub fn resumed(&mut self, id: DownstreamId, holds: (usize, bool)) {
-        self.change(id, holds, holds);
+        self.update(id, holds, holds);
     }
 
-    /// Who has to go, since pausing was not enough.
-    pub fn over(&self) -> Option<DownstreamId> {
-        self.deaf.last().filter(|_| self.held > self.most).map(|(_, id)| *id)
+    /// The downstream to close because the budget is exceeded although reading was paused.
+    pub fn next_to_close(&self) -> Option<DownstreamId> {
+        self.not_reading.last().filter(|_| self.held > self.limit).map(|(_, id)| *id)
     }
 }
--- a/src/admission/idle.rs
+++ b/src/admission/idle.rs
@@ -1,58 +1,58 @@
-//! Downstreams that could make room, in the order in which they would.
+//! Downstreams that may be evicted, in eviction order.
 
 use super::rank::Rank;
 use crate::core::DownstreamId;
 use crate::interface::Micros;
 use std::collections::BTreeSet;
 
-/// A place in the order: the rank, since when, and who.
-pub(super) type Place = (Rank, Micros, DownstreamId);
+/// A position in the eviction order: the rank, the time since which it holds, and the downstream.
+pub(super) type Position = (Rank, Micros, DownstreamId);
 
-/// The ranks of those that have never asked.
-pub(super) const UNASKED: [Rank; 4] = [Rank::Leaving, Rank::Silent, Rank::Stalled, Rank::Pinging];
+/// The ranks of downstreams that have made no request.
+pub(super) const NEVER_REQUESTED: [Rank; 4] = [Rank::Leaving, Rank::Silent, Rank::Stalled, Rank::Pinging];
 
-/// All of the proxy, or all of one source. O(log n) for each call.
+/// The evictable downstreams of the whole proxy or of one source. Each call is O(log n).
 #[derive(Debug, Default)]
-pub(super) struct Idle {
-    places: BTreeSet<Place>,
-    /// How many are of each rank.
-    of: [usize; Rank::ALL.len()],
+pub(super) struct IdleSet {
+    positions: BTreeSet<Position>,
+    /// The number of downstreams of each rank.
+    counts: [usize; Rank::ALL.len()],
 }
 
-impl Idle {
-    pub fn insert(&mut self, place: Place) {
-        if self.places.insert(place) {
-            self.of[place.0 as usize] += 1;
+impl IdleSet {
+    pub fn insert(&mut self, position: Position) {
+        if self.positions.insert(position) {
+            self.counts[position.0 as usize] += 1;
         }
     }
 
-    pub fn remove(&mut self, place: Place) {
-        if self.places.remove(&place) {
-            self.of[place.0 as usize] -= 1;
+    pub fn remove(&mut self, position: Position) {
+        if self.positions.remove(&position) {
+            self.counts[position.0 as usize] -= 1;
         }
     }
 
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
-    pub fn of(&self, rank: Rank) -> usize {
-        self.of[rank as usize]
+    pub fn count(&self, rank: Rank) -> usize {
+        self.counts[rank as usize]
     }
 
-    /// How many have never asked for anything.
-    pub fn unasked(&self) -> usize {
-        UNASKED.iter().map(|rank| self.of(*rank)).sum()
+    /// The number of downstreams that have made no request.
+    pub fn count_without_requests(&self) -> usize {
+        NEVER_REQUESTED.iter().map(|rank| self.count(*rank)).sum()
     }
 
-    /// The one that has been of a rank for longest.
-    pub fn first(&self, rank: Rank) -> Option<Place> {
+    /// The downstream that has had this rank for the longest time.
+    pub fn first(&self, rank: Rank) -> Option<Position> {
         let from = (rank, Micros::MIN, DownstreamId(0));
-        self.places.range(from..).next().copied().filter(|place| place.0 == rank)
+        self.positions.range(from..).next().copied().filter(|position| position.0 == rank)
     }
 
-    /// All of them, those that go first in front.
-    pub fn all(&self) -> impl Iterator<Item = DownstreamId> + '_ {
-        self.places.iter().map(|(_, _, id)| *id)
+    /// All downstreams in eviction order.
+    pub fn ids(&self) -> impl Iterator<Item = DownstreamId> + '_ {
+        self.positions.iter().map(|(_, _, id)| *id)
     }
 }
--- a/src/admission/rank.rs
+++ b/src/admission/rank.rs
@@ -1,47 +1,47 @@
-//! What a downstream shows, and how it ranks among those that may have to go.
+//! The activity of a downstream, its rank in the eviction order, and the reasons for closing it.
 
 use crate::core::NewStream;
 
-/// What a downstream is up to.
+/// What a downstream is waiting for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WaitingFor {
-    /// For the PROXY header of a front.
+    /// The PROXY header of a front.
     Header,
-    /// For its first whole command, or for the rest of one.
+    /// Its first whole command, or the rest of one.
     #[default]
     Command,
-    /// For the peer to read its answers.
+    /// The peer to read its answers.
     Peer,
-    /// For the peer to close in its turn.
+    /// The peer to close its side.
     Close,
-    /// For the answer to a stream.
+    /// The answer to a stream.
     Answer,
-    /// For nothing: it may send another command.
+    /// Nothing: it may send another command.
     Nothing,
 }
 
-/// What a downstream has shown, as its task tells it. Counts are since it was accepted.
+/// The activity of a downstream as its task reports it. Counters start at accept.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Activity {
     pub waiting_for: WaitingFor,
-    /// Whole commands taken and writes done: a drip of bytes is no step.
+    /// Whole commands parsed and writes completed. Single bytes that trickle in are no step.
     pub steps: u64,
     /// Commands that became streams.
     pub streams: u64,
-    /// Local replies to whole commands: PING, errors.
+    /// Local replies to whole commands, such as PING and errors.
     pub local_replies: u64,
-    /// Bytes received that are no whole command yet.
+    /// Bytes received that do not form a whole command yet.
     pub partial_bytes: usize,
-    /// Bytes held for it: input, answers and output that it has not read.
+    /// Bytes held for it: input, answers and unread output.
     pub held_bytes: usize,
-    /// It has sent what cannot be read; nothing more of it is.
+    /// It has sent malformed bytes and is not read any more.
     pub malformed: bool,
-    /// The tenant that it asked for last.
+    /// The tenant named by its last request.
     pub tenant: Option<u32>,
 }
 
 impl Activity {
-    /// A command became a stream, or several.
+    /// Records a command that became one or several streams.
     pub fn add_stream(&mut self, ask: &NewStream) {
         self.streams += 1;
         self.tenant = Some(ask.tenant.0);
@@ -49,7 +49,7 @@
     }
 }
 
-/// In the order in which they make room.
+/// Idle downstreams in the order in which they are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rank {
     /// Was told that nothing more is read, and has not closed.
@@ -58,11 +58,11 @@
     Silent,
     /// Has sent a part of a command and then nothing.
     Stalled,
-    /// Got local replies alone.
+    /// Got only local replies.
     Pinging,
-    /// Asked once, was answered and holds on.
+    /// Made one request, was answered and keeps the connection open.
     Held,
-    /// Has asked more than once.
+    /// Has made more than one request.
     Usual,
 }
 
@@ -70,7 +70,7 @@
     pub const ALL: [Rank; 6] =
         [Rank::Leaving, Rank::Silent, Rank::Stalled, Rank::Pinging, Rank::Held, Rank::Usual];
 
-    /// `None`: something is under way, so it cannot make room.
+    /// `None` while something is in progress, so that the downstream cannot be evicted.
     pub fn of(shown: &Activity) -> Option<Rank> {
         match shown.waiting_for {
             WaitingFor::Answer | WaitingFor::Peer => None,
@@ -89,13 +89,13 @@
 /// Why a downstream was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// To make room, by its rank.
+    /// Evicted, by its rank.
     Room(Rank),
-    /// To make room, though it had not been there for long.
+    /// Evicted although it had been there for only a short time.
     Young,
-    /// To make room, a usual one of a source that takes more than its part.
+    /// Evicted while in regular use, because its source is over its limit.
     Source,
-    /// It sent no PROXY header, or no whole command, in time.
+    /// It sent no PROXY header or no whole command in time.
     Speechless,
     /// It did not read its answers.
     Unread,
@@ -103,14 +103,14 @@
     Idle,
     /// It was told that nothing more is read, and did not close.
     Lingering,
-    /// Bytes ran short, and it did not read its answers.
+    /// The byte budget was exceeded and it did not read its answers.
     Bytes,
-    /// It sent what cannot be read, and was told so.
+    /// It sent malformed bytes and was told so.
     Malformed,
 }
 
 impl CloseReason {
-    /// All there are, in the order of [`CloseReason::index`].
+    /// All reasons, in the order of [`CloseReason::index`].
     pub const ALL: [CloseReason; 14] = [
         CloseReason::Room(Rank::Leaving),
         CloseReason::Room(Rank::Silent),
@@ -142,7 +142,7 @@
         }
     }
 
-    /// As figures and the log name it.
+    /// The name in metrics and in the log.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::Room(Rank::Leaving) => "leaving",
@@ -162,7 +162,7 @@
         }
     }
 
-    /// It went so that another could come.
+    /// Whether it was closed so that another connection could be accepted.
     pub fn makes_room(self) -> bool {
         matches!(self, CloseReason::Room(_) | CloseReason::Young | CloseReason::Source)
     }
