--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,10 +1,10 @@
-//! Admission of connections: how many to accept now (the rest waits in the backlog), which downstream to evict
-//! next, and whose reading to pause.
+//! Admission of connections: how many to accept now (the rest waits in the backlog), which downstream to
+//! evict next, and whose reading to pause.
 //!
-//! [`Admission`] owns the budgets of descriptors and bytes and the activity of each downstream. It has no sockets
-//! and no clock: the owner of the connections reports each event with its time and carries out the decisions.
-//! It never refuses a request and knows of nodes only the number of their connections; requests are handled by
-//! [`crate::choice`], as are limits on what is sent to nodes.
+//! [`Admission`] owns the budgets of descriptors and bytes and the activity of each downstream. It has no
+//! sockets and no clock: the owner of the connections reports each event with its time and carries out the
+//! decisions. It never refuses a request and knows of nodes only the number of their connections; requests
+//! are handled by [`crate::choice`], as are limits on what is sent to nodes.
 //!
 //! ```
 //! use martenweir::admission::{Activity, Admission, Limits, PortKind, Settings, WaitingFor};
@@ -216,11 +216,18 @@
     // ---- events
 
     /// Records an accepted connection; `ip` is the peer's until [`Admission::set_client_ip`] corrects it.
-    pub fn accepted(&mut self, now: Micros, id: DownstreamId, side: PortKind, ip: IpAddr, waits: WaitingFor) {
+    pub fn accepted(
+        &mut self,
+        now: Micros,
+        id: DownstreamId,
+        side: PortKind,
+        ip: IpAddr,
+        waiting_for: WaitingFor,
+    ) {
         let main = side == PortKind::Main;
         let sources = [Source::Address(ip), Source::prefix(ip)].map(|source| Some(source).filter(|_| main));
         let sources = [sources[0], sources[1], None];
-        let activity = Activity { waiting_for: waits, ..Activity::default() };
+        let activity = Activity { waiting_for, ..Activity::default() };
         let connection = Connection {
             side,
             sources,
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,7 +1,5 @@
-//! A port that the proxy listens on: takes connections and hands them to the owner.
-//!
-//! Who may connect is a question to the caller's `admits`, since lists of addresses are a feature and no part
-//! of the sockets.
+//! Accepts the connections of one listening port and hands them to the owner. The caller's `admits` decides
+//! which addresses may connect, because address lists are a feature and not part of the sockets.
 
 use super::{canonical_address, send_event, uninterrupted, EventSender, LogEntry, NetEvent, PortIndex};
 use crate::admission::PortKind;
@@ -17,61 +15,62 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// "Too many open files" of this process, by errno(3); the standard library has no name for it.
+/// "Too many open files" of this process, see errno(3); the standard library has no name for it.
 const EMFILE: i32 = 24;
-/// How long after an accept that failed the next is tried.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(5);
+/// The delay before accepting again after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// How many connections may be open, of each sort of port and in all, and how many are, from accept until the
-/// descriptor is given back.
+/// Limits the open connections of each kind of port and in total. A connection counts from accept until its
+/// descriptor is released.
 #[derive(Debug, Default)]
 pub struct ConnectionLimiter {
-    most: Cell<[usize; 2]>,
-    all: Cell<usize>,
+    limits: Cell<[usize; 2]>,
+    total_limit: Cell<usize>,
     open: Cell<[usize; 2]>,
-    /// No more are waited for, at any port.
-    shut: Cell<bool>,
-    /// Wake who waits, one at each port.
-    room: RefCell<Vec<Sender<()>>>,
+    /// Whether accepting has stopped at all ports.
+    stopping: Cell<bool>,
+    /// One sender for each port, to wake its accept loop.
+    wakers: RefCell<Vec<Sender<()>>>,
 }
 
 impl ConnectionLimiter {
-    /// The way in of one more port.
+    /// Adds a port that shares these limits.
     pub fn for_port(self: &Rc<Self>, side: PortKind) -> PortLimiter {
-        let (wake, room) = async_channel::bounded(1);
-        self.room.borrow_mut().push(wake);
-        PortLimiter { gate: self.clone(), side, room }
+        let (wake, wakeups) = async_channel::bounded(1);
+        self.wakers.borrow_mut().push(wake);
+        PortLimiter { limiter: self.clone(), side, wakeups }
     }
 
-    /// Of each side.
+    /// The number of open connections of each kind of port.
     pub fn open(&self) -> [usize; 2] {
         self.open.get()
     }
 
-    /// So many may be open from now on, of each side and in all; those that are stay.
-    pub fn set_limits(&self, most: [usize; 2], all: usize) {
-        if (self.most.replace(most), self.all.replace(all)) != (most, all) {
+    /// Sets the limits of each kind and in total. Connections that are already open stay.
+    pub fn set_limits(&self, limits: [usize; 2], total: usize) {
+        if (self.limits.replace(limits), self.total_limit.replace(total)) != (limits, total) {
             self.wake();
         }
     }
 
-    /// Who waits tries again, whoever may have given a descriptor back.
+    /// Makes every accept loop check the limits again, whoever may have released a descriptor.
     pub fn wake(&self) {
-        for room in self.room.borrow().iter() {
-            let _ = room.try_send(());
+        for waker in self.wakers.borrow().iter() {
+            let _ = waker.try_send(());
         }
     }
 
-    /// No more are waited for: what the kernel has accepted by now comes in, then the ports are given back.
+    /// Stops accepting: connections that the kernel has completed by now are still taken, then the ports are
+    /// closed.
     pub fn stop_accepting(&self) {
-        if !self.shut.replace(true) {
+        if !self.stopping.replace(true) {
             self.wake();
         }
     }
 
     fn is_full(&self, side: PortKind) -> bool {
         let (open, side) = (self.open.get(), side as usize);
-        open[side] >= self.most.get()[side] || open.iter().sum::<usize>() >= self.all.get()
+        open[side] >= self.limits.get()[side] || open.iter().sum::<usize>() >= self.total_limit.get()
     }
 
     fn count(&self, side: PortKind, change: isize) {
@@ -81,50 +80,52 @@
     }
 }
 
-/// The way in of one port.
+/// The share of one port in a [`ConnectionLimiter`].
 #[derive(Debug)]
 pub struct PortLimiter {
-    gate: Rc<ConnectionLimiter>,
+    limiter: Rc<ConnectionLimiter>,
     side: PortKind,
-    room: Receiver<()>,
+    wakeups: Receiver<()>,
 }
 
-/// A connection that was accepted. Its descriptor and its place behind the gate are given back together.
+/// An accepted connection. Its descriptor and its slot in the limiter are released together.
 #[derive(Debug)]
 pub struct Socket {
     stream: Async<TcpStream>,
-    gate: Rc<ConnectionLimiter>,
+    limiter: Rc<ConnectionLimiter>,
     side: PortKind,
 }
 
 impl Socket {
-    /// Takes a place behind the gate, whether or not there is one left.
-    pub fn new(stream: Async<TcpStream>, gate: &Rc<ConnectionLimiter>, side: PortKind) -> Self {
-        gate.count(side, 1);
-        Socket { stream, gate: gate.clone(), side }
+    /// Takes a slot of the limiter, even if none is free.
+    pub fn new(stream: Async<TcpStream>, limiter: &Rc<ConnectionLimiter>, side: PortKind) -> Self {
+        limiter.count(side, 1);
+        Socket { stream, limiter: limiter.clone(), side }
     }
 
-    /// Something can be read: bytes, or the end.
+    /// Whether a read would return at once, with bytes or the end of the stream.
     pub fn is_readable(&self) -> bool {
-        !matches!(self.look(), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        !matches!(self.peek_now(), Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Nothing has come that was not read; a peer that has closed says nothing more.
+    /// Whether no unread bytes have arrived; a peer that has closed counts as having nothing unread.
     pub fn has_nothing_unread(&self) -> bool {
-        !matches!(self.look(), Ok(1..))
+        !matches!(self.peek_now(), Ok(1..))
     }
 
-    /// The peer has closed, or has said that it sends no more, whatever waits to be read in front of that.
+    /// Whether the peer has closed or shut down its sending side, whatever bytes are still unread before
+    /// that.
     pub fn peer_has_closed(&self) -> bool {
-        // An event of its own: a read, or a look at what has come, shows an end only once nothing is in front of it.
+        // POLLRDHUP is reported on its own; a read or a peek shows the end only once no bytes are in front of
+        // it.
         let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-        let mut looked = [PollFd::new(&self.stream, PollFlags::RDHUP)];
-        let result = retry_on_intr(|| poll(&mut looked, Some(&Timespec::default())));
-        result.is_ok() && looked[0].revents().intersects(ended)
+        let mut polled = [PollFd::new(&self.stream, PollFlags::RDHUP)];
+        let result = retry_on_intr(|| poll(&mut polled, Some(&Timespec::default())));
+        result.is_ok() && polled[0].revents().intersects(ended)
     }
 
-    /// Looks at what has come without a wait.
-    fn look(&self) -> io::Result<usize> {
+    /// Peeks at the socket without waiting.
+    fn peek_now(&self) -> io::Result<usize> {
         uninterrupted(|| self.stream.get_ref().peek(&mut [0; 1]))
     }
 }
@@ -139,33 +140,35 @@
 
 impl Drop for Socket {
     fn drop(&mut self) {
-        self.gate.count(self.side, -1);
-        self.gate.wake();
+        self.limiter.count(self.side, -1);
+        self.limiter.wake();
     }
 }
 
-/// Accepts connections until the gate of `entry` is shut, and none while it is full. Whom `admits` turns away is
-/// closed at once.
+/// Accepts connections until the limiter stops, and none while it is full. A connection that `admits` rejects
+/// is closed at once.
 pub async fn accept(
     listener: Async<TcpListener>,
     port: PortIndex,
     queue: EventSender,
-    entry: PortLimiter,
+    port_limiter: PortLimiter,
     admits: impl Fn(SocketAddr) -> bool,
 ) {
-    let PortLimiter { gate, side, room } = entry;
+    let PortLimiter { limiter, side, wakeups } = port_limiter;
     let mut failing = false;
     loop {
-        while gate.is_full(side) {
-            // What comes now waits in the backlog: accepted and turned away, its requests would be lost.
-            let _ = room.recv().await;
+        while limiter.is_full(side) {
+            // New connections wait in the backlog; if they were accepted and closed, their requests would be
+            // lost.
+            let _ = wakeups.recv().await;
         }
-        let next = match gate.shut.get() {
-            // The kernel resets what still waits at a port that closes, requests and all: first it comes in.
+        let next = match limiter.stopping.get() {
+            // The kernel resets connections still in the backlog when the listener closes, including their
+            // requests, so they are accepted first.
             true => listener.get_ref().accept().and_then(|(s, peer)| Ok((Async::new(s)?, peer))),
             false => {
                 let woken = async {
-                    let _ = room.recv().await;
+                    let _ = wakeups.recv().await;
                     Err(io::ErrorKind::Interrupted.into())
                 };
                 future::or(listener.accept(), woken).await
@@ -174,12 +177,13 @@
         match next {
             Ok((socket, peer)) if admits(canonical_address(peer)) => {
                 failing = false;
-                let socket = Socket::new(socket, &gate, side);
+                let socket = Socket::new(socket, &limiter, side);
                 send_event(&queue, NetEvent::Accepted(socket, canonical_address(peer), port)).await;
-                // A full backlog taken in one go must not keep the others from their turn.
+                // Yields so that accepting a full backlog in one go doesn't starve other tasks.
                 future::yield_now().await;
             }
-            // Closed, and no downstream; who connects again at once must not keep the others from their turn.
+            // A rejected connection is closed and never becomes a downstream. Yields so that a peer that
+            // reconnects at once doesn't starve other tasks.
             Ok(refused) => {
                 drop(refused);
                 future::yield_now().await;
@@ -187,22 +191,22 @@
             Err(e) if matches!(e.kind(), io::ErrorKind::ConnectionAborted | io::ErrorKind::Interrupted) => {}
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
             Err(e) => {
-                // The connection stays in the backlog. Only where this process has no descriptor left does it help to
-                // close one; what the system lacks is back in a moment, or not through us.
+                // The connection stays in the backlog. Closing something helps only if this process is out of
+                // descriptors (EMFILE); a shortage of the system ends after a moment, or not through us.
                 if !std::mem::replace(&mut failing, true) {
-                    let note = LogEntry::new("accept_failed", format!("accept failed: {e}")).why(&e);
-                    send_event(&queue, note).await;
+                    let entry = LogEntry::new("accept_failed", format!("accept failed: {e}")).why(&e);
+                    send_event(&queue, entry).await;
                 }
                 if e.raw_os_error() == Some(EMFILE) {
                     send_event(&queue, NetEvent::OutOfDescriptors).await;
                 }
-                let again = async {
-                    Timer::after(ACCEPT_AGAIN).await;
+                let retry = async {
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 };
                 let woken = async {
-                    let _ = room.recv().await;
+                    let _ = wakeups.recv().await;
                 };
-                future::or(woken, again).await;
+                future::or(woken, retry).await;
             }
         }
     }
--- a/src/net/cluster.rs
+++ b/src/net/cluster.rs
@@ -1,4 +1,4 @@
-//! Discovery: a watch on the list of nodes. When and from where to watch is the core's.
+//! Discovery: one watch on the list of nodes. The core decides when and where to watch.
 
 use super::{read, send_event, write_all, EventSender, LogEntry, NetEvent, WatchEvent};
 use crate::codec::discovery::{self, ObjectSplitter, WatchItem};
@@ -9,8 +9,8 @@
 
 const PATH: &str = "/registry/instances";
 
-/// Watches until the connection ends or says something malformed; tells each object and each sign of life, under the
-/// number of the watch.
+/// Runs one watch until the connection ends or the response is malformed. Reports each list and each sign of
+/// life under the number of the watch.
 pub async fn watch(
     number: u64,
     address: SocketAddr,
@@ -18,20 +18,20 @@
     queue: EventSender,
     site: std::rc::Rc<Site>,
 ) {
-    let heard = |heard| NetEvent::Discovery(number, heard);
-    if let Err(why) = follow(address, after, &queue, &site, &heard).await {
-        let note = LogEntry::new("watch_ended", format!("watch on discovery ended: {why}")).why(why);
-        send_event(&queue, note).await;
+    let event = |event| NetEvent::Discovery(number, event);
+    if let Err(why) = read_watch(address, after, &queue, &site, &event).await {
+        let entry = LogEntry::new("watch_ended", format!("watch on discovery ended: {why}")).why(why);
+        send_event(&queue, entry).await;
     }
-    send_event(&queue, heard(WatchEvent::Ended)).await;
+    send_event(&queue, event(WatchEvent::Ended)).await;
 }
 
-async fn follow(
+async fn read_watch(
     address: SocketAddr,
     after: Option<u64>,
     queue: &EventSender,
     site: &Site,
-    heard: impl Fn(WatchEvent) -> NetEvent,
+    event: impl Fn(WatchEvent) -> NetEvent,
 ) -> Result<(), String> {
     let failed = |e: std::io::Error| e.to_string();
     let malformed = |m: crate::codec::Malformed| m.0.to_owned();
@@ -42,12 +42,12 @@
     http::put_request(&mut out, "GET", path.as_bytes(), &address.to_string(), &[], None);
     write_all(&socket, &out).await.map_err(failed)?;
     let (mut input, mut body) = (Vec::new(), ObjectSplitter::default());
-    let mut begun = false;
+    let mut head_read = false;
     loop {
         if read(&socket, &mut input).await.map_err(failed)? == 0 {
             return Err("closed".into());
         }
-        if !begun {
+        if !head_read {
             let Some((head, taken)) = http::head(&input, discovery::LINE).map_err(malformed)? else {
                 continue;
             };
@@ -55,8 +55,8 @@
                 return Err(format!("status {}, {:?}", head.status, head.framing));
             }
             input.drain(..taken);
-            begun = true;
-            send_event(queue, heard(WatchEvent::Answered)).await;
+            head_read = true;
+            send_event(queue, event(WatchEvent::Answered)).await;
         }
         while let Some((piece, taken)) = http::chunk(&input, discovery::LINE).map_err(malformed)? {
             input.drain(..taken);
@@ -80,7 +80,7 @@
                     Some(list)
                 }
             };
-            send_event(queue, heard(WatchEvent::Update(list))).await;
+            send_event(queue, event(WatchEvent::Update(list))).await;
         }
     }
 }
--- a/src/net/command.rs
+++ b/src/net/command.rs
@@ -1,6 +1,6 @@
-//! The words of a command that asks for one thing: the form of the main port, which other ports share for
-//! their reads. Names become positions in the settings, and what is wrong is told as a local reply. [`MainProtocol`] is
-//! the main port's protocol, which speaks nothing else.
+//! Parses single commands of the main port, a form that other ports share for their reads. Names become
+//! positions in the settings, and errors become local replies. [`MainProtocol`] is the protocol of the main
+//! port, which has no other commands.
 
 use super::protocol::{resp_command, resp_error, Parsed, Protocol};
 use crate::codec::discovery;
@@ -10,20 +10,20 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Streams that one downstream of the main port may have open.
-const STREAMS: usize = 16;
-/// The longest `d` that makes sense, in ms: an hour, or the time that the settings give the class, if that is longer.
-const LONGEST: f64 = 3.6e6;
+/// The maximum number of open streams of one downstream of the main port.
+const MAX_STREAMS: usize = 16;
+/// The largest accepted `d`, in ms: an hour, or the limit that the settings give the class if that is longer.
+const MAX_PATIENCE_MS: f64 = 3.6e6;
 
-/// What commands are read with.
+/// Parses commands according to the settings of the site.
 #[derive(Debug)]
 pub struct CommandParser {
     pub site: Rc<Site>,
-    /// `PING` is answered with `+PONG`.
+    /// Whether `PING` is answered with `+PONG`.
     pub ready: Cell<bool>,
 }
 
-/// The key as a number: as written where it is hexadecimal, else hashed.
+/// The key as a number: its value if it is hexadecimal, else its hash.
 pub(crate) fn hash_key(text: &[u8]) -> Key {
     let hex = std::str::from_utf8(text).ok().filter(|t| t.len() <= 16 && !t.starts_with('+'));
     Key(hex.and_then(|t| u64::from_str_radix(t, 16).ok()).unwrap_or_else(|| discovery::hash_id(text)).max(1))
@@ -59,23 +59,24 @@
         let mut word = || words.next().unwrap_or_default();
         let (verb, name, id, properties) = (word(), word(), word(), word());
         let value = words.next();
-        // They go into the lines of an HTTP request when the origin is asked.
+        // Key and id are written into the lines of an HTTP request when the origin is asked.
         let printable = |w: &[u8]| w.iter().all(|b| b.is_ascii_graphic());
-        // Names are the settings': in any letters, with spaces between them. A header holds all but control characters.
+        // Names come from the settings: any letters, with spaces between them. An HTTP header may hold
+        // everything but control characters.
         let text = std::str::from_utf8(&properties).ok().filter(|text| !text.contains(char::is_control));
         let text = text.filter(|_| !name.is_empty() && !id.is_empty() && printable(&name) && printable(&id));
         let text = text.ok_or("invalid key, id or properties")?;
         let pairs: Vec<_> = text.split(',').filter_map(|pair| pair.split_once('=')).collect();
-        // A name twice is two requests in one: a node could go by the other than this proxy.
-        let twice = |i: usize| pairs[..i].iter().any(|(name, _)| *name == pairs[i].0);
-        if pairs.len() != text.split(',').count() || (0..pairs.len()).any(twice) {
+        // A repeated name would be two requests in one: a node could take the other value than this proxy.
+        let is_repeated = |i: usize| pairs[..i].iter().any(|(name, _)| *name == pairs[i].0);
+        if pairs.len() != text.split(',').count() || (0..pairs.len()).any(is_repeated) {
             return Err("invalid properties");
         }
         let value_of = |key: &str| pairs.iter().find(|(name, _)| *name == key).map(|(_, value)| *value);
         let class = value_of("c").and_then(|c| self.site.classes.iter().position(|n| n == c));
         let class = class.ok_or("unknown class")?;
         let tenant = match value_of("t") {
-            // Without tenants in the settings nobody is told from others, whatever a request says of it.
+            // Without tenants in the settings all requests belong to the same one, whatever they say.
             _ if self.site.tenants.is_empty() => 0,
             None => return Err("no tenant"),
             Some(t) => self.site.tenants.iter().position(|n| n == t).ok_or("unknown tenant")?,
@@ -83,7 +84,8 @@
         let digits = |d: &&str| d.bytes().all(|b| b.is_ascii_digit() || b == b'.');
         let patience = value_of("d").filter(digits).and_then(|d| d.parse::<f64>().ok());
         let limit = self.site.settings.classes.get(class).map_or(0.0, |c| c.limit as f64 / 1000.0);
-        let patience = patience.filter(|d| (1.0..=LONGEST.max(limit)).contains(d)).ok_or("invalid d")?;
+        let patience =
+            patience.filter(|d| (1.0..=MAX_PATIENCE_MS.max(limit)).contains(d)).ok_or("invalid d")?;
         let hint = value_of("hint").and_then(|h| h.parse::<f64>().ok()).filter(|h| *h > 0.0 && h.is_finite());
         Ok(NewStream {
             downstream,
@@ -99,13 +101,13 @@
     }
 }
 
-/// The main port's: a command, a stream.
+/// The protocol of the main port: each command is one stream.
 #[derive(Debug)]
 pub struct MainProtocol(pub Rc<CommandParser>);
 
 impl Protocol for MainProtocol {
     fn max_streams(&self) -> usize {
-        STREAMS
+        MAX_STREAMS
     }
 
     fn parse(&mut self, downstream: DownstreamId, place: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
--- a/src/net/downstream.rs
+++ b/src/net/downstream.rs
@@ -1,5 +1,5 @@
-//! The clients' side: commands in, answers out in the order of the commands. What is spoken is the port's
-//! [`Protocol`].
+//! The client side of the proxy: reads commands and writes the answers in the order of the commands. The
+//! [`Protocol`] of the port defines their form.
 
 use super::accept::Socket;
 use super::protocol::{Parsed, Protocol};
@@ -19,38 +19,41 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes that a downstream may leave unread before no more commands are taken.
-const UNREAD: usize = 256 * 1024;
-/// Bytes that are read ahead of the commands that may be taken, a command's length at the least: behind them may be the end
-/// of who has left. The budget of bytes bounds what all hold together.
-const AHEAD: usize = 256 * 1024;
-/// How often a peer that is not read, with bytes unread, is looked at for its end: no attempt may begin over 0.1 s after it.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-/// Bytes that a downstream may still send once it is told that no more is read.
-const FAREWELL: usize = 256 * 1024;
-/// Bytes held for a downstream from which on the owner hears of each change at once.
-const LARGE: usize = 16 * 1024;
+/// The amount of unread output above which no more commands are taken from a downstream.
+const MAX_UNREAD_OUTPUT: usize = 256 * 1024;
+/// Bytes read ahead of the commands that may be taken, at least one command's length: behind them the
+/// client's close may be waiting. The byte budget bounds what all downstreams hold together.
+const READ_AHEAD: usize = 256 * 1024;
+/// How often a paused peer with unread bytes is checked for its close: no attempt may begin more than 0.1 s
+/// after it.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Bytes that a downstream may still send after it was told that nothing more is read.
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
+/// The number of bytes held from which on the owner is woken for every change.
+const LARGE_HOLDING: usize = 16 * 1024;
 
-/// What the owner tells a downstream. The queue is longer than a downstream can have streams open.
+/// A message from the owner to the task of a downstream. The queue is longer than the number of streams a
+/// downstream can have open.
 #[derive(Debug)]
 pub enum TaskMessage {
     Answer(u64, Answer),
-    /// Close as soon as nothing is owed and nothing that it has sent waits to be read.
+    /// Close once no answer is owed and no bytes of the downstream are unread.
     Finish,
-    /// As [`TaskMessage::Finish`], also in the middle of a command. What still comes is answered at once, and answers
-    /// wait till all that has come has its own: who sends again for each answer would never have nothing unread.
+    /// As [`TaskMessage::Finish`], also in the middle of a command. What still arrives is answered at once,
+    /// and answers are held back until everything that has arrived has its own: otherwise a peer that sends
+    /// again for each answer would always have something unread.
     FinishNow,
-    /// Something has changed in its [`SharedActivity`].
+    /// Its [`SharedActivity`] was changed by the owner.
     Refresh,
 }
 
-/// Downstreams that have changed since the owner looked last, each of them once.
+/// Downstreams whose activity has changed since the owner last looked, each listed once.
 #[derive(Debug)]
 pub struct ChangedDownstreams {
     ids: RefCell<Vec<DownstreamId>>,
-    /// The owner wants to hear of each change at once.
+    /// Whether the owner wants to be woken for every change.
     eager: Cell<bool>,
-    /// It has been woken and has not looked yet.
+    /// Whether the owner has been woken and has not looked yet.
     woken: Cell<bool>,
     queue: EventSender,
 }
@@ -65,104 +68,105 @@
         }
     }
 
-    /// Takes those that have changed. While `eager` the owner is woken for the next one.
+    /// Takes the changed downstreams. While `eager` is set, the next change wakes the owner.
     pub fn take(&self, eager: bool) -> Vec<DownstreamId> {
         self.eager.set(eager);
         self.woken.set(false);
         self.ids.take()
     }
 
-    /// Otherwise the owner looks when it has something to do, unless much is held; with its queue full it
-    /// comes anyway.
+    /// Unless `eager` is set or much is held, the owner looks when it has something else to do. If its queue
+    /// is full it will run anyway.
     fn wake(&self, bytes: usize) {
-        if (self.eager.get() || bytes >= LARGE) && !self.woken.replace(true) {
+        if (self.eager.get() || bytes >= LARGE_HOLDING) && !self.woken.replace(true) {
             let _ = self.queue.try_send(NetEvent::DownstreamsChanged);
         }
     }
 }
 
-/// What a downstream shows, written by its task and read by the owner.
+/// The activity of a downstream, written by its task and read by the owner.
 #[derive(Debug)]
 pub struct SharedActivity {
     id: DownstreamId,
-    shown: Cell<Activity>,
-    /// It is among those that have moved.
-    told: Cell<bool>,
-    moved: Rc<ChangedDownstreams>,
-    /// It is not to be read for now.
+    activity: Cell<Activity>,
+    /// Whether it is listed among the changed downstreams.
+    reported: Cell<bool>,
+    changed: Rc<ChangedDownstreams>,
+    /// Whether reading is paused.
     paused: Cell<bool>,
-    /// An [`TaskMessage::Refresh`] is on its way to it.
-    looks: Cell<bool>,
+    /// Whether a [`TaskMessage::Refresh`] is on its way to the task.
+    refresh_pending: Cell<bool>,
 }
 
 impl SharedActivity {
-    /// `waits` is what it has to say first.
-    pub fn new(id: DownstreamId, waits: WaitingFor, moved: Rc<ChangedDownstreams>) -> Self {
-        let shown = Cell::new(Activity { waiting_for: waits, ..Activity::default() });
+    /// `waiting_for` is what the downstream has to send first.
+    pub fn new(id: DownstreamId, waiting_for: WaitingFor, changed: Rc<ChangedDownstreams>) -> Self {
+        let activity = Cell::new(Activity { waiting_for, ..Activity::default() });
         SharedActivity {
             id,
-            shown,
-            moved,
-            told: Cell::default(),
+            activity,
+            changed,
+            reported: Cell::default(),
             paused: Cell::default(),
-            looks: Cell::default(),
+            refresh_pending: Cell::default(),
         }
     }
 
-    /// What it shows, for the owner.
+    /// Returns the activity to the owner and marks it as seen.
     pub fn snapshot(&self) -> Activity {
-        self.told.set(false);
-        self.shown.get()
+        self.reported.set(false);
+        self.activity.get()
     }
 
     pub fn waiting_for(&self) -> WaitingFor {
-        self.shown.get().waiting_for
+        self.activity.get().waiting_for
     }
 
-    pub(crate) fn set_waiting_for(&self, waits: WaitingFor) {
-        self.update(|shown| shown.waiting_for = waits);
+    pub(crate) fn set_waiting_for(&self, waiting_for: WaitingFor) {
+        self.update(|activity| activity.waiting_for = waiting_for);
     }
 
     pub(crate) fn update(&self, change: impl FnOnce(&mut Activity)) {
-        let mut shown = self.shown.get();
-        change(&mut shown);
-        if self.shown.replace(shown) != shown {
-            if !self.told.replace(true) {
-                self.moved.ids.borrow_mut().push(self.id);
+        let mut activity = self.activity.get();
+        change(&mut activity);
+        if self.activity.replace(activity) != activity {
+            if !self.reported.replace(true) {
+                self.changed.ids.borrow_mut().push(self.id);
             }
-            self.moved.wake(shown.held_bytes);
+            self.changed.wake(activity.held_bytes);
         }
     }
 
     fn step(&self) {
-        self.update(|shown| shown.steps += 1);
+        self.update(|activity| activity.steps += 1);
     }
 
-    /// Whether it may be read. If this says so, an [`TaskMessage::Refresh`] has to follow: there is one at a time.
+    /// Pauses or resumes reading. If this returns true, the caller has to send [`TaskMessage::Refresh`]; at
+    /// most one is on its way.
     pub fn pause(&self, paused: bool) -> bool {
         self.paused.set(paused);
-        !self.looks.replace(true)
+        !self.refresh_pending.replace(true)
     }
 
-    /// It is not read for now.
+    /// Whether reading is paused.
     pub fn is_paused(&self) -> bool {
         self.paused.get()
     }
 
-    /// An [`TaskMessage::Refresh`] has come.
+    /// Marks the [`TaskMessage::Refresh`] as received.
     pub(crate) fn refreshed(&self) {
-        self.looks.set(false);
+        self.refresh_pending.set(false);
     }
 }
 
-enum Woken {
+enum Wakeup {
     Order(Option<TaskMessage>),
     Read(io::Result<usize>),
     Wrote(io::Result<usize>),
-    Due,
+    DelayElapsed,
 }
 
-/// What the task of a downstream is given: its socket, and the ways to and from the owner.
+/// Everything the task of a downstream is given: its socket and the channels from and to the owner.
 pub struct Link {
     pub id: DownstreamId,
     pub socket: Rc<Socket>,
@@ -170,24 +174,24 @@
     pub queue: EventSender,
     pub progress: Rc<SharedActivity>,
     pub caller: Caller,
-    /// What it has sent so far.
+    /// Bytes received so far.
     pub input: Cell<Vec<u8>>,
-    /// It was told to finish before it said anything.
+    /// Whether it was told to finish before it sent anything.
     pub finishing: bool,
 }
 
-/// An answer in its place.
-enum Place {
-    /// Owed, to a command of so many bytes.
-    Owed(usize),
-    Whole(Vec<u8>),
+/// The slot of one answer in the output order.
+enum Slot {
+    /// The answer to a command of this many bytes is not known yet.
+    Pending(usize),
+    Ready(Vec<u8>),
 }
 
-impl Place {
+impl Slot {
     fn bytes(&self) -> usize {
         match self {
-            Place::Owed(n) => *n,
-            Place::Whole(answer) => answer.len(),
+            Slot::Pending(n) => *n,
+            Slot::Ready(answer) => answer.len(),
         }
     }
 }
@@ -195,33 +199,33 @@
 struct Downstream {
     link: Link,
     protocol: Box<dyn Protocol>,
-    /// How many of the answers belong to one command; 0 where each stands alone.
+    /// How many of the answers belong to one command; 0 if each stands alone.
     batch: usize,
     input: Vec<u8>,
     output: Vec<u8>,
     written: usize,
-    /// Answers in order, from place `first` on.
-    answers: VecDeque<Place>,
+    /// Answers in order; the first has the place `first`.
+    answers: VecDeque<Slot>,
     first: u64,
-    /// A local reply that is held back, and till when; nothing is taken meanwhile.
-    held: Option<(u64, Vec<u8>, Timer)>,
-    /// It closes once nothing is owed and nothing waits to be read.
+    /// A delayed local reply with its timer; no command is taken in the meantime.
+    delayed: Option<(u64, Vec<u8>, Timer)>,
+    /// Closes once no answer is owed and no bytes are unread.
     finishing: bool,
-    /// The same, whatever part of a command has come.
-    leaving: bool,
-    /// No command is read any more; it closes once all is written.
-    ending: bool,
+    /// As `finishing`, even if a part of a command has arrived.
+    finish_now: bool,
+    /// No command is read any more; closes once everything is written.
+    closing: bool,
 }
 
-/// Serves a downstream until it leaves, sends what is malformed or is told to finish.
+/// Serves a downstream until it closes, sends malformed bytes or is told to finish.
 pub async fn serve(link: Link, protocol: Box<dyn Protocol>) {
     let _ = link.socket.get_ref().set_nodelay(true);
     let (input, output, answers) = (link.input.take(), Vec::new(), VecDeque::new());
-    let mut d = Downstream {
-        held: None,
+    let mut downstream = Downstream {
+        delayed: None,
         finishing: link.finishing,
-        leaving: false,
-        ending: false,
+        finish_now: false,
+        closing: false,
         link,
         protocol,
         batch: 0,
@@ -231,88 +235,89 @@
         answers,
         first: 0,
     };
-    d.protocol.received(d.input.len());
-    d.run().await;
+    downstream.protocol.received(downstream.input.len());
+    downstream.run().await;
 }
 
 impl Downstream {
     async fn run(&mut self) {
         let (orders, progress) = (self.link.orders.clone(), self.link.progress.clone());
-        let ahead = self.protocol.max_command_bytes().max(AHEAD);
-        let mut greedy = false;
+        let read_ahead = self.protocol.max_command_bytes().max(READ_AHEAD);
+        let mut filled_read = false;
         loop {
             while let Ok(order) = orders.try_recv() {
-                self.order(order);
+                self.handle_message(order);
             }
-            // First what makes room: nothing wakes it later for commands that wait where the answers before
-            // them are silent.
-            self.flush();
-            // Behind much that came at once there may be the end of who has sent it and left: that is seen first.
-            let reads = self.input.len() < ahead && !progress.paused.get();
+            // Flushes first to make room: if the answers before the waiting commands are silent, nothing
+            // would wake this task for them later.
+            self.flush_answers();
+            // A client that sent much at once may have closed behind it; its close is noticed before its
+            // commands are taken.
+            let reads = self.input.len() < read_ahead && !progress.paused.get();
             if !reads && self.link.socket.peer_has_closed() {
                 return;
             }
-            let much = reads && self.input.len() >= READ;
-            if !(much && self.link.socket.is_readable()) {
-                self.commands().await;
+            let full_buffer = reads && self.input.len() >= READ;
+            if !(full_buffer && self.link.socket.is_readable()) {
+                self.take_commands().await;
             }
-            self.flush();
+            self.flush_answers();
             let unread = self.written < self.output.len();
             let idle = !unread && self.answers.is_empty();
             let quiet = self.finishing && self.link.socket.has_nothing_unread();
-            self.ending |= idle && quiet && (self.leaving || self.input.is_empty());
-            if self.ending && idle {
+            self.closing |= idle && quiet && (self.finish_now || self.input.is_empty());
+            if self.closing && idle {
                 progress.set_waiting_for(WaitingFor::Close);
                 return farewell(&self.link.socket).await;
             }
             let held = self.output.len() - self.written + self.input.len();
-            let held = held + self.answers.iter().map(Place::bytes).sum::<usize>();
+            let held = held + self.answers.iter().map(Slot::bytes).sum::<usize>();
             let (part, more) = (self.input.len(), self.protocol.is_mid_command());
-            progress.update(|shown| {
-                shown.partial_bytes = part.max(more.into());
-                // Coarse: not every read is worth telling.
-                shown.held_bytes = held / 1024 * 1024;
-                shown.waiting_for = match unread {
+            progress.update(|activity| {
+                activity.partial_bytes = part.max(more.into());
+                // Rounded down to KiB, because not every read is worth a report.
+                activity.held_bytes = held / 1024 * 1024;
+                activity.waiting_for = match unread {
                     true => WaitingFor::Peer,
                     _ if !idle => WaitingFor::Answer,
-                    _ if shown.steps == 0 || part > 0 || more => WaitingFor::Command,
+                    _ if activity.steps == 0 || part > 0 || more => WaitingFor::Command,
                     _ => WaitingFor::Nothing,
                 };
             });
-            // Shown first: what was read and is no whole command yet is one on its way.
-            if std::mem::take(&mut greedy) {
+            // Yields after the report, so that the owner sees unparsed bytes as a command that is arriving.
+            if std::mem::take(&mut filled_read) {
                 future::yield_now().await;
             }
-            let reads = self.input.len() < ahead && !progress.paused.get();
-            let writes = unread && !(self.leaving && !quiet && reads);
+            let reads = self.input.len() < read_ahead && !progress.paused.get();
+            let writes = unread && !(self.finish_now && !quiet && reads);
             let write = async {
                 match writes {
-                    true => Woken::Wrote(write(&self.link.socket, &self.output[self.written..]).await),
+                    true => Wakeup::Wrote(write(&self.link.socket, &self.output[self.written..]).await),
                     false => future::pending().await,
                 }
             };
             let read = async {
                 match reads {
-                    true => Woken::Read(read_without_yield(&self.link.socket, &mut self.input).await),
-                    false => Woken::Read(gone(&self.link.socket).await),
+                    true => Wakeup::Read(read_without_yield(&self.link.socket, &mut self.input).await),
+                    false => Wakeup::Read(wait_for_close(&self.link.socket).await),
                 }
             };
-            let order = async { Woken::Order(orders.recv().await.ok()) };
+            let order = async { Wakeup::Order(orders.recv().await.ok()) };
             let due = async {
-                match &mut self.held {
+                match &mut self.delayed {
                     Some((.., timer)) => timer.await,
                     None => future::pending().await,
                 };
-                Woken::Due
+                Wakeup::DelayElapsed
             };
             match future::or(write, future::or(order, future::or(due, read))).await {
-                Woken::Order(Some(order)) => self.order(order),
-                Woken::Due => {
-                    if let Some((place, answer, _)) = self.held.take() {
-                        self.settle(place, answer);
+                Wakeup::Order(Some(order)) => self.handle_message(order),
+                Wakeup::DelayElapsed => {
+                    if let Some((place, answer, _)) = self.delayed.take() {
+                        self.complete(place, answer);
                     }
                 }
-                Woken::Wrote(Ok(n)) if n > 0 => {
+                Wakeup::Wrote(Ok(n)) if n > 0 => {
                     progress.step();
                     self.written += n;
                     if self.written == self.output.len() {
@@ -323,60 +328,61 @@
                         }
                     }
                 }
-                // A second reading of the end after `ending` must not spin: who is gone is gone.
-                Woken::Read(Ok(n)) if n > 0 => {
-                    match self.ending {
+                // Any other result ends the task. In particular a second end of stream while closing must not
+                // spin.
+                Wakeup::Read(Ok(n)) if n > 0 => {
+                    match self.closing {
                         true => self.input.clear(),
                         false => self.protocol.received(n),
                     }
-                    greedy = n == READ;
+                    filled_read = n == READ;
                 }
                 _ => return,
             }
         }
     }
 
-    /// Takes the whole commands that have come, as far as there is room for their answers.
-    async fn commands(&mut self) {
+    /// Takes the whole commands that have arrived, as far as there is room for their answers.
+    async fn take_commands(&mut self) {
         let mut at = 0;
-        while !self.ending && self.room() {
+        while !self.closing && self.has_room() {
             let place = self.first + self.answers.len() as u64;
             let rest = self.input.get(at..).filter(|rest| !rest.is_empty());
             let Some((taken, parsed)) = rest.and_then(|b| self.protocol.parse(self.link.id, place, b)) else {
                 break;
             };
             at += taken;
-            // Shown before the owner hears of it: from here on it has a command under way.
-            self.link.progress.update(|shown| {
-                shown.steps += u64::from(!matches!(parsed, Parsed::Incomplete | Parsed::Malformed(_)));
+            // Updated before the owner hears of the stream: from here on a command is in progress.
+            self.link.progress.update(|activity| {
+                activity.steps += u64::from(!matches!(parsed, Parsed::Incomplete | Parsed::Malformed(_)));
                 match &parsed {
-                    Parsed::Stream(ask) => shown.add_stream(ask),
-                    Parsed::Streams(asks) => asks.first().into_iter().for_each(|a| shown.add_stream(a)),
-                    Parsed::Local(_) | Parsed::Delayed(..) | Parsed::Close(_) => shown.local_replies += 1,
+                    Parsed::Stream(ask) => activity.add_stream(ask),
+                    Parsed::Streams(asks) => asks.first().into_iter().for_each(|a| activity.add_stream(a)),
+                    Parsed::Local(_) | Parsed::Delayed(..) | Parsed::Close(_) => activity.local_replies += 1,
                     Parsed::Malformed(_) => {
-                        (shown.local_replies, shown.malformed) = (shown.local_replies + 1, true)
+                        (activity.local_replies, activity.malformed) = (activity.local_replies + 1, true)
                     }
                     Parsed::Incomplete => {}
                 }
             });
             match parsed {
                 Parsed::Incomplete => {}
-                Parsed::Local(answer) => self.answers.push_back(Place::Whole(answer)),
+                Parsed::Local(answer) => self.answers.push_back(Slot::Ready(answer)),
                 Parsed::Delayed(answer, time) => {
-                    self.answers.push_back(Place::Owed(taken));
-                    self.held = Some((place, answer, Timer::after(time)));
+                    self.answers.push_back(Slot::Pending(taken));
+                    self.delayed = Some((place, answer, Timer::after(time)));
                 }
                 Parsed::Close(answer) | Parsed::Malformed(answer) => {
-                    self.answers.push_back(Place::Whole(answer));
-                    self.ending = true;
+                    self.answers.push_back(Slot::Ready(answer));
+                    self.closing = true;
                 }
                 Parsed::Stream(ask) => {
-                    self.answers.push_back(Place::Owed(taken));
+                    self.answers.push_back(Slot::Pending(taken));
                     send_event(&self.link.queue, Input::Stream(*ask)).await;
                 }
                 Parsed::Streams(asks) => {
                     self.batch = asks.len();
-                    self.answers.extend(asks.iter().map(|_| Place::Owed(taken)));
+                    self.answers.extend(asks.iter().map(|_| Slot::Pending(taken)));
                     for ask in asks {
                         send_event(&self.link.queue, Input::Stream(ask)).await;
                     }
@@ -386,29 +392,31 @@
         consume(&mut self.input, at);
     }
 
-    /// Another command may be taken.
-    fn room(&self) -> bool {
+    /// Whether another command may be taken.
+    fn has_room(&self) -> bool {
         match self.protocol.is_exclusive() {
             true => self.answers.is_empty() && self.output.is_empty(),
-            // Small commands can have long answers: who does not read them may not ask for more.
+            // Small commands can have long answers: a client that doesn't read them may not send more
+            // commands.
             false => {
-                let room = self.answers.len() < self.protocol.max_streams() && self.output.len() <= UNREAD;
-                room && self.held.is_none()
+                let room = self.answers.len() < self.protocol.max_streams()
+                    && self.output.len() <= MAX_UNREAD_OUTPUT;
+                room && self.delayed.is_none()
             }
         }
     }
 
-    /// Takes over what may be written: answers in their order, those of one command all at once.
-    fn flush(&mut self) {
-        let whole = self.answers.iter().take_while(|a| matches!(a, Place::Whole(_))).count();
-        if whole < self.batch {
+    /// Moves finished answers to the output in their order; those of one command go together.
+    fn flush_answers(&mut self) {
+        let ready = self.answers.iter().take_while(|a| matches!(a, Slot::Ready(_))).count();
+        if ready < self.batch {
             return;
         }
-        self.first += whole as u64;
-        self.protocol.answers_taken(whole);
-        let answers = self.answers.drain(..whole).map(|place| match place {
-            Place::Whole(answer) => answer,
-            Place::Owed(_) => Vec::new(),
+        self.first += ready as u64;
+        self.protocol.answers_taken(ready);
+        let answers = self.answers.drain(..ready).map(|place| match place {
+            Slot::Ready(answer) => answer,
+            Slot::Pending(_) => Vec::new(),
         });
         if std::mem::take(&mut self.batch) > 0 {
             return self.protocol.combine(&mut self.output, answers.collect());
@@ -416,43 +424,42 @@
         answers.for_each(|answer| self.output.extend(answer));
     }
 
-    fn order(&mut self, order: TaskMessage) {
+    fn handle_message(&mut self, order: TaskMessage) {
         match order {
             TaskMessage::Finish => self.finishing = true,
-            TaskMessage::FinishNow => (self.finishing, self.leaving) = (true, true),
+            TaskMessage::FinishNow => (self.finishing, self.finish_now) = (true, true),
             TaskMessage::Refresh => self.link.progress.refreshed(),
             TaskMessage::Answer(place, answer) => {
                 let answer = self.protocol.encode_answer(place, answer);
-                self.settle(place, answer);
+                self.complete(place, answer);
             }
         }
     }
 
-    /// An answer that was owed is here.
-    fn settle(&mut self, place: u64, answer: Vec<u8>) {
+    /// Fills in an answer that was pending.
+    fn complete(&mut self, place: u64, answer: Vec<u8>) {
         if let Some(owed) = self.answers.get_mut(place.wrapping_sub(self.first) as usize) {
-            *owed = Place::Whole(answer);
+            *owed = Slot::Ready(answer);
         }
     }
 }
 
-/// Waits for the end of a peer that is not read for now. Nothing wakes for an end behind unread bytes, so that one is looked
-/// for again and again.
-async fn gone(socket: &Socket) -> io::Result<usize> {
+/// Waits until a paused peer closes. No event reports a close behind unread bytes, so it is polled for.
+async fn wait_for_close(socket: &Socket) -> io::Result<usize> {
     while let Ok(1..) = peek(socket).await {
         if socket.peer_has_closed() {
             break;
         }
-        Timer::after(LOOK_AGAIN).await;
+        Timer::after(CLOSE_POLL_INTERVAL).await;
     }
     Ok(0)
 }
 
-/// Says that no more will come, and reads on until the peer has closed too: closing with bytes unread
-/// would reset the connection and could take an answer with it. Who goes on sending all the same is cut off.
+/// Shuts down the sending side and reads on until the peer has closed too: closing with unread bytes would
+/// reset the connection and could destroy an answer. A peer that goes on sending is cut off.
 pub(crate) async fn farewell(socket: &Async<TcpStream>) {
     let _ = socket.get_ref().shutdown(std::net::Shutdown::Write);
-    let mut left = FAREWELL;
+    let mut left = MAX_DISCARDED_BYTES;
     let mut input = Vec::new();
     while let Ok(n @ 1..) = read(socket, &mut input).await {
         input.clear();
--- a/src/net/events.rs
+++ b/src/net/events.rs
@@ -1,4 +1,4 @@
-//! The words between sockets and the owner of the core: who is there, what has come, what is worth a line.
+//! Events from the socket tasks to the owner of the core.
 
 use super::accept::Socket;
 use super::framed::ConnectionEvent;
@@ -7,11 +7,11 @@
 use dissemination::{ControlId, Message};
 use std::net::SocketAddr;
 
-/// Who is at the other end, as lines of the log name it.
+/// The client at the other end, as the log shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Caller {
     pub client: SocketAddr,
-    /// The front that it came through.
+    /// The front through which it connected.
     pub via: Option<SocketAddr>,
 }
 
@@ -22,54 +22,53 @@
     }
 }
 
-/// An IPv4 address that came mapped into IPv6 is the IPv4 address.
+/// Turns an IPv4-mapped IPv6 address into the IPv4 address.
 pub fn canonical_address(address: SocketAddr) -> SocketAddr {
     SocketAddr::new(address.ip().to_canonical(), address.port())
 }
 
-/// A port that the proxy listens on, as a number of the owner's: what is spoken there is not the sockets'
-/// matter.
+/// The owner's number of a listening port. The sockets don't know what is spoken there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortIndex(pub usize);
 
-/// What sockets tell the one task that owns the core.
+/// Events that socket tasks send to the task that owns the core.
 #[derive(Debug)]
 pub enum NetEvent {
     Core(Input),
     Accepted(Socket, SocketAddr, PortIndex),
-    /// Some downstreams show something new.
+    /// The activity of some downstreams has changed.
     DownstreamsChanged,
-    /// A front has said for whom a connection is; told in the log, each of them.
+    /// A PROXY header has named the client of a connection; each is logged.
     ProxyHeader(DownstreamId, Caller),
-    /// No descriptor was left for a connection: something idle has to go.
+    /// No descriptor was left for a new connection, so an idle one has to be closed.
     OutOfDescriptors,
-    /// A local fault worth a line in the log.
+    /// A local fault to be logged.
     Log(Box<LogEntry>),
-    /// From a watch on discovery, by its number.
+    /// From the watch on discovery with this number.
     Discovery(u64, WatchEvent),
-    /// From the connection to a planner, by its place in the file and the number of the connection.
+    /// From the connection to a planner: its position in the file and the number of the connection.
     Planner(usize, u64, ConnectionEvent),
-    /// From the connection to a control machine, and the number of the connection.
+    /// From the connection to a control machine, with the number of the connection.
     Control(ControlId, u64, ConnectionEvent<Message>),
-    /// A planned end.
+    /// A graceful shutdown was requested.
     Drain,
-    /// The configuration has been replaced.
+    /// The configuration file was replaced.
     Reload,
 }
 
-/// What a watch on discovery tells: a list, or `None` for a sign of life.
+/// An event of a watch on discovery. An update without a list is a sign of life.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// The call is answered: where nothing has changed, nothing more may come for a while.
+    /// The response has begun; if nothing has changed, no update may come for a while.
     Answered,
     Update(Option<Cluster>),
     Ended,
 }
 
-/// A line about a peer: its text, and what of it has a name of its own for whoever reads the log by program.
+/// A log line about a peer: its text, and the fields for programs that read the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// What has happened, in one word that stays.
+    /// The name of the event in the log, which is stable.
     pub event: &'static str,
     pub text: String,
     pub caller: Option<Caller>,
@@ -109,7 +108,8 @@
     }
 }
 
-/// Tells the owner; it lives as long as every task, so a failure only means that the program ends.
+/// Sends an event to the owner. The owner outlives every task, so a failure only means that the program is
+/// exiting.
 pub(crate) async fn send_event(queue: &EventSender, news: impl Into<NetEvent>) {
     let _ = queue.send(news.into()).await;
 }
--- a/src/net/memcached/answers.rs
+++ b/src/net/memcached/answers.rs
@@ -1,46 +1,48 @@
-//! How outcomes are told. What the whole system does not have, a refusal, a failure and time that has run out
-//! are four statuses, so that a gateway never has to guess whether its request may have run.
+//! Encodes the outcomes of requests. A missing key, a refusal, a failure and an expired deadline have four
+//! different statuses, so that a gateway never has to guess whether its request may have run.
 //!
 //! | outcome | status | may it have run? |
 //! | --- | --- | --- |
 //! | nobody has the key | 0x01 key not found | yes, and that is the answer |
-//! | refused | 0x85 busy | trying again is harmless, a write with the same token |
+//! | refused | 0x85 busy | a retry is harmless, for a write with the same token |
 //! | failed | 0x84 internal error | a write may have |
-//! | out of time | 0x86 temporary failure | a write may have, and may yet |
+//! | deadline expired | 0x86 temporary failure | a write may have, and may yet |
 //!
-//! A quiet read that finds nothing and a quiet write that succeeded say nothing; whatever else became of a
-//! quiet command is said.
+//! A quiet read that finds nothing and a quiet write that succeeds send no answer; every other outcome of a
+//! quiet command is answered.
 
 use crate::core::Answer;
 use memcached::{Opcode, Response, Status};
 
-/// A stream's command, as far as its answer needs it.
+/// A command that became a stream, as far as its answer needs it.
 #[derive(Clone, Debug)]
-pub(super) struct Asked {
+pub(super) struct PendingCommand {
     pub opcode: Opcode,
     pub opaque: u32,
     pub cas: u64,
-    /// The key, where the answer bears it.
+    /// The key, if the answer contains it.
     pub key: Vec<u8>,
 }
 
-impl Asked {
-    pub(super) fn write(&self) -> bool {
+impl PendingCommand {
+    pub(super) fn is_write(&self) -> bool {
         self.opcode.loud() == Opcode::SET
     }
 
-    /// Its final answer; empty where the protocol wants it unsaid.
-    pub(super) fn answer(&self, answer: Answer) -> Vec<u8> {
-        let write = self.write();
+    /// Encodes the final answer; empty if the protocol sends none.
+    pub(super) fn encode(&self, answer: Answer) -> Vec<u8> {
+        let write = self.is_write();
         let (status, text) = match answer {
-            Answer::Value(_) | Answer::Absent if self.silent(&answer) => return Vec::new(),
+            Answer::Value(_) | Answer::Absent if self.is_silent(&answer) => return Vec::new(),
             Answer::Value(value) => {
                 let ok = Response::new(self.opcode, self.opaque);
-                // A write's answer has no body by the protocol, and the receipt has no place in it. A read's
-                // has no CAS: as a write's token it would be the same for two writes.
+                // The answer to a write has no body, so a receipt has no place in it. The answer to a read
+                // has no CAS: as the token of a write it would be the same for two writes.
                 return match write {
-                    true => put(Response { cas: self.cas, ..ok }),
-                    false => put(Response { extras: &[0; 4], key: &self.key, value: &value, ..ok }),
+                    true => encode_response(Response { cas: self.cas, ..ok }),
+                    false => {
+                        encode_response(Response { extras: &[0; 4], key: &self.key, value: &value, ..ok })
+                    }
                 };
             }
             Answer::Absent => (Status::KEY_NOT_FOUND, "not found".to_owned()),
@@ -57,28 +59,28 @@
             }
             Answer::Failed | Answer::DuplicateId => (Status::INTERNAL, "failed".to_owned()),
         };
-        error(self.opcode, self.opaque, status, &text)
+        encode_error(self.opcode, self.opaque, status, &text)
     }
 
-    /// Whether the protocol wants this outcome unsaid.
-    fn silent(&self, answer: &Answer) -> bool {
-        self.opcode.quiet() && self.write() == matches!(answer, Answer::Value(_))
+    /// Whether the protocol omits the answer for this outcome.
+    fn is_silent(&self, answer: &Answer) -> bool {
+        self.opcode.quiet() && self.is_write() == matches!(answer, Answer::Value(_))
     }
 }
 
-/// A response as bytes. One that is too long to be written down cannot come about: values are bounded.
-pub(super) fn put(response: Response) -> Vec<u8> {
+/// Encodes a response. One that is too long cannot occur, because values are bounded.
+pub(super) fn encode_response(response: Response) -> Vec<u8> {
     let mut out = Vec::with_capacity(memcached::header::LEN + response.value.len() + response.key.len() + 4);
     if response.put(&mut out).is_err() {
-        out = error(response.opcode, response.opaque, Status::TOO_LARGE, "the answer is too large");
+        out = encode_error(response.opcode, response.opaque, Status::TOO_LARGE, "the answer is too large");
     }
     out
 }
 
-/// What is wrong, in the status and in words.
-pub(super) fn error(opcode: Opcode, opaque: u32, status: Status, text: &str) -> Vec<u8> {
+/// Encodes an error with its status and text.
+pub(super) fn encode_error(opcode: Opcode, opaque: u32, status: Status, text: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    // Texts are ours and short.
+    // The texts are short constants, so encoding cannot fail.
     let _ = Response { status, value: text.as_bytes(), ..Response::new(opcode, opaque) }.put(&mut out);
     out
 }
--- a/src/net/memcached/arrivals.rs
+++ b/src/net/memcached/arrivals.rs
@@ -1,28 +1,28 @@
-//! When bytes came. A gateway counts its time from when it sent a request, and a pipeline's last commands may
-//! wait here till there is room for them; that wait is part of their time.
+//! Records when bytes arrived. The time of a gateway runs from when it sent a request, and the last commands
+//! of a pipeline may wait here for room, so that wait is deducted from their deadline.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// Bytes that came within this time of each other count as come together.
-const TOGETHER: Duration = Duration::from_millis(5);
-/// Moments that are kept; beyond them bytes count as come earlier than they did.
-const MOST: usize = 64;
+/// Bytes that arrive within this time of each other share one entry.
+const MERGE_WINDOW: Duration = Duration::from_millis(5);
+/// The maximum number of entries; beyond it bytes count as having arrived earlier than they did.
+const MAX_ENTRIES: usize = 64;
 
-/// The bytes that have come and are not taken, by when they came.
+/// The bytes received and not taken, with their arrival times.
 #[derive(Debug, Default)]
 pub(super) struct Arrivals(VecDeque<(usize, Instant)>);
 
 impl Arrivals {
-    pub(super) fn came(&mut self, n: usize, now: Instant) {
-        let full = self.0.len() >= MOST;
+    pub(super) fn received(&mut self, n: usize, now: Instant) {
+        let full = self.0.len() >= MAX_ENTRIES;
         match self.0.back_mut() {
-            Some((bytes, at)) if full || now - *at < TOGETHER => *bytes += n,
+            Some((bytes, at)) if full || now - *at < MERGE_WINDOW => *bytes += n,
             _ => self.0.push_back((n, now)),
         }
     }
 
-    /// Takes the first `n` bytes; when the last of them came.
+    /// Takes the first `n` bytes and returns when the last of them arrived.
     pub(super) fn take(&mut self, mut n: usize) -> Option<Instant> {
         let mut last = None;
         while let Some((bytes, at)) = self.0.front_mut() {
--- a/src/net/memcached/gateway.rs
+++ b/src/net/memcached/gateway.rs
@@ -1,12 +1,13 @@
-//! The port of gateways: frames in, what they mean out, and answers in the order of the commands, so that a
-//! NOOP behind quiet ones waits for all of them and what is silent before it had its outcome.
+//! One connection of a gateway: parses frames and sends the answers in the order of the commands, so that a
+//! NOOP behind quiet commands waits for all of them and every silent one before it has its outcome.
 //!
-//! Every bound of a connection is here or in [`PortState`]: a frame's length, streams open, bytes passed over,
-//! logins tried. What is refused for its form keeps the connection in step; what has no known end closes it.
+//! Every limit of a connection is here or in [`PortState`]: the length of a frame, open streams, skipped
+//! bytes and login attempts. A frame that is refused for its form keeps the connection in step; input without
+//! a known end closes it.
 
-use super::answers::{error, put, Asked};
+use super::answers::{encode_error, encode_response, PendingCommand};
 use super::arrivals::Arrivals;
-use super::logins::{COST, TRIES};
+use super::logins::{FAILURE_DELAY, MAX_FAILED_LOGINS};
 use super::mapping::Tenant;
 use super::PortState;
 use crate::codec::resp;
@@ -18,44 +19,45 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Answers that one connection may be owed: hundreds of quiet reads come in a packet, and each takes a node's
-/// time.
-const STREAMS: usize = 64;
-/// Streams that all connections of this port may have open or unread: each can bring a value of 64 KiB.
-const OPEN: usize = 1024;
-/// The longest body of a frame that is refused but passed over; behind a longer one the connection is closed.
-const PASSED_OVER: u32 = 1024 * 1024;
+/// Answers that one connection may be owed: hundreds of quiet reads arrive in one packet, and each takes a
+/// node's time.
+const MAX_STREAMS: usize = 64;
+/// Streams of all connections of this port that may be open or not yet written out: each can bring a value of
+/// 64 KiB.
+const MAX_OPEN_STREAMS: usize = 1024;
+/// The longest body of a refused frame that is skipped; after a longer one the connection is closed.
+const MAX_SKIPPED_BODY: u32 = 1024 * 1024;
 const LIMITS: Limits = Limits { key: frame::KEY, value: resp::MAX_VALUE };
-const TEXT: &[u8] = b"ERROR this port speaks the memcached binary protocol\r\n";
+const TEXT_PROTOCOL_ERROR: &[u8] = b"ERROR this port speaks the memcached binary protocol\r\n";
 
-/// One connection.
+/// The state of one connection.
 pub struct GatewayConnection {
-    desk: Rc<PortState>,
-    words: Rc<CommandParser>,
+    port: Rc<PortState>,
+    parser: Rc<CommandParser>,
     tenant: Option<Tenant>,
     /// PLAIN was begun without its message, which is to follow.
-    stepping: bool,
-    wrong: u32,
-    /// The commands whose answers are not on their way out, from place `first` on; those of streams bear what
-    /// their answers need, and a seat among [`OPEN`].
-    owed: VecDeque<Option<Asked>>,
+    awaiting_step: bool,
+    failed_logins: u32,
+    /// The commands whose answers are not in the output yet, from place `first` on. Those of streams carry
+    /// what their answers need and count towards [`MAX_OPEN_STREAMS`].
+    pending: VecDeque<Option<PendingCommand>>,
     first: u64,
-    /// Bytes of a refused frame's body that are still to come.
-    over: usize,
+    /// Bytes of the body of a refused frame that are still to arrive.
+    skip_bytes: usize,
     arrivals: Arrivals,
 }
 
 impl GatewayConnection {
-    pub fn new(desk: Rc<PortState>, words: Rc<CommandParser>) -> Self {
+    pub fn new(port: Rc<PortState>, parser: Rc<CommandParser>) -> Self {
         GatewayConnection {
-            tenant: desk.words.tenant.clone().filter(|_| desk.logins.is_none()),
-            desk,
-            words,
-            stepping: false,
-            wrong: 0,
-            owed: VecDeque::new(),
+            tenant: port.mapping.tenant.clone().filter(|_| port.logins.is_none()),
+            port,
+            parser,
+            awaiting_step: false,
+            failed_logins: 0,
+            pending: VecDeque::new(),
             first: 0,
-            over: 0,
+            skip_bytes: 0,
             arrivals: Arrivals::default(),
         }
     }
@@ -63,14 +65,14 @@
 
 impl Drop for GatewayConnection {
     fn drop(&mut self) {
-        let seats = self.owed.iter().flatten().count();
-        self.desk.open.set(self.desk.open.get() - seats);
+        let freed = self.pending.iter().flatten().count();
+        self.port.open.set(self.port.open.get() - freed);
     }
 }
 
 impl Protocol for GatewayConnection {
     fn max_streams(&self) -> usize {
-        STREAMS
+        MAX_STREAMS
     }
 
     fn max_command_bytes(&self) -> usize {
@@ -78,25 +80,25 @@
     }
 
     fn is_mid_command(&self) -> bool {
-        self.over > 0
+        self.skip_bytes > 0
     }
 
     fn received(&mut self, n: usize) {
-        self.arrivals.came(n, Instant::now());
+        self.arrivals.received(n, Instant::now());
     }
 
     fn parse(&mut self, downstream: DownstreamId, place: u64, bytes: &[u8]) -> Option<(usize, Parsed)> {
-        if self.over > 0 {
-            let passed = self.over.min(bytes.len());
-            self.over -= passed;
+        if self.skip_bytes > 0 {
+            let passed = self.skip_bytes.min(bytes.len());
+            self.skip_bytes -= passed;
             self.arrivals.take(passed);
             return Some((passed, Parsed::Incomplete));
         }
         let (taken, parsed) = match frame::request(bytes, &LIMITS) {
             Ok(Step::More(_)) => return None,
             Ok(Step::Whole(request, taken)) => {
-                let came = self.arrivals.take(taken);
-                (taken, self.command(downstream, place, &request, came))
+                let received_at = self.arrivals.take(taken);
+                (taken, self.command(downstream, place, &request, received_at))
             }
             Err(fault) => {
                 let (taken, parsed) = self.fault(fault);
@@ -106,41 +108,42 @@
         };
         match &parsed {
             Parsed::Incomplete => {}
-            // Its seat was taken with the stream.
+            // It was added to `pending` when the stream was started.
             Parsed::Stream(_) => {}
-            _ => self.owed.push_back(None),
+            _ => self.pending.push_back(None),
         }
         Some((taken, parsed))
     }
 
     fn encode_answer(&mut self, place: u64, answer: Answer) -> Vec<u8> {
         let at = usize::try_from(place.wrapping_sub(self.first)).ok();
-        let asked = at.and_then(|at| self.owed.get(at)).and_then(Option::as_ref);
-        asked.map_or_else(Vec::new, |asked| asked.answer(answer))
+        let asked = at.and_then(|at| self.pending.get(at)).and_then(Option::as_ref);
+        asked.map_or_else(Vec::new, |asked| asked.encode(answer))
     }
 
     fn answers_taken(&mut self, n: usize) {
-        let seats = self.owed.drain(..n.min(self.owed.len())).flatten().count();
+        let freed = self.pending.drain(..n.min(self.pending.len())).flatten().count();
         self.first += n as u64;
-        self.desk.open.set(self.desk.open.get() - seats);
+        self.port.open.set(self.port.open.get() - freed);
     }
 }
 
 impl GatewayConnection {
-    /// What begins no frame: the bytes to take, and what is said.
+    /// Handles input that is no valid frame: the number of bytes to take, and the reply.
     fn fault(&mut self, fault: Fault) -> (usize, Parsed) {
-        let stats = &self.desk.stats;
-        let told = |header: &Header, status, why| error(Opcode(header.opcode), header.opaque, status, why);
+        let stats = &self.port.stats;
+        let reply =
+            |header: &Header, status, why| encode_error(Opcode(header.opcode), header.opaque, status, why);
         match fault {
             Fault::Text => {
                 stats.text.one();
-                (0, Parsed::Malformed(TEXT.to_vec()))
+                (0, Parsed::Malformed(TEXT_PROTOCOL_ERROR.to_vec()))
             }
             Fault::Magic(_) => {
                 stats.malformed.one();
                 (
                     0,
-                    Parsed::Malformed(error(
+                    Parsed::Malformed(encode_error(
                         Opcode(0),
                         0,
                         Status::INVALID,
@@ -151,16 +154,16 @@
             Fault::Lengths(header) => {
                 stats.malformed.one();
                 let why = "the body is shorter than extras and key";
-                (0, Parsed::Malformed(told(&header, Status::INVALID, why)))
+                (0, Parsed::Malformed(reply(&header, Status::INVALID, why)))
             }
-            Fault::Refused(header, status, why) if header.body <= PASSED_OVER => {
+            Fault::Refused(header, status, why) if header.body <= MAX_SKIPPED_BODY => {
                 stats.invalid.one();
-                self.over = header.body as usize;
-                (header::LEN, Parsed::Local(told(&header, status, why)))
+                self.skip_bytes = header.body as usize;
+                (header::LEN, Parsed::Local(reply(&header, status, why)))
             }
             Fault::Refused(header, status, why) => {
                 stats.invalid.one();
-                (0, Parsed::Close(told(&header, status, why)))
+                (0, Parsed::Close(reply(&header, status, why)))
             }
         }
     }
@@ -170,124 +173,130 @@
         downstream: DownstreamId,
         place: u64,
         request: &Request,
-        came: Option<Instant>,
+        received_at: Option<Instant>,
     ) -> Parsed {
         let Request { opcode, opaque, .. } = *request;
-        let told = |status, text: &str| Parsed::Local(error(opcode, opaque, status, text));
-        let ok = |value: &[u8]| put(Response { value, ..Response::new(opcode, opaque) });
+        let reply = |status, text: &str| Parsed::Local(encode_error(opcode, opaque, status, text));
+        let ok = |value: &[u8]| encode_response(Response { value, ..Response::new(opcode, opaque) });
         let free = matches!(
             opcode.loud(),
             Opcode::SASL_LIST | Opcode::SASL_AUTH | Opcode::SASL_STEP | Opcode::VERSION | Opcode::QUIT
         );
         if self.tenant.is_none() && !free {
-            return told(Status::AUTH_ERROR, "log in first");
+            return reply(Status::AUTH_ERROR, "log in first");
         }
         if let Err(why) = request.check() {
-            self.desk.stats.invalid.one();
-            return told(Status::INVALID, why);
+            self.port.stats.invalid.one();
+            return reply(Status::INVALID, why);
         }
         match opcode.loud() {
-            Opcode::GET | Opcode::GETK | Opcode::SET => self.ask(downstream, place, request, came),
-            // As PING is on the main port: not before there are nodes to ask.
-            Opcode::NOOP if !self.words.ready.get() => told(Status::TEMPORARY, "not ready yet"),
+            Opcode::GET | Opcode::GETK | Opcode::SET => {
+                self.start_stream(downstream, place, request, received_at)
+            }
+            // As PING on the main port: not before there are nodes to ask.
+            Opcode::NOOP if !self.parser.ready.get() => reply(Status::TEMPORARY, "not ready yet"),
             Opcode::NOOP => Parsed::Local(ok(b"")),
             Opcode::VERSION => Parsed::Local(ok(env!("CARGO_PKG_VERSION").as_bytes())),
             Opcode::QUIT if opcode.quiet() => Parsed::Close(Vec::new()),
             Opcode::QUIT => Parsed::Close(ok(b"")),
-            Opcode::STAT => match self.desk.stats.group(request.key, self.desk.open.get()) {
-                Some(group) => Parsed::Local(listed(opaque, &group)),
-                None => told(Status::KEY_NOT_FOUND, "no such group"),
+            Opcode::STAT => match self.port.stats.group(request.key, self.port.open.get()) {
+                Some(group) => Parsed::Local(stat_responses(opaque, &group)),
+                None => reply(Status::KEY_NOT_FOUND, "no such group"),
             },
-            Opcode::SASL_LIST | Opcode::SASL_AUTH | Opcode::SASL_STEP if self.desk.logins.is_none() => {
-                told(Status::UNKNOWN_COMMAND, "nobody logs in here")
+            Opcode::SASL_LIST | Opcode::SASL_AUTH | Opcode::SASL_STEP if self.port.logins.is_none() => {
+                reply(Status::UNKNOWN_COMMAND, "nobody logs in here")
             }
             Opcode::SASL_LIST => Parsed::Local(ok(sasl::PLAIN.as_bytes())),
             Opcode::SASL_AUTH | Opcode::SASL_STEP => self.login(request),
             known => {
-                self.desk.stats.unsupported.one();
+                self.port.stats.unsupported.one();
                 match known.name() {
-                    Some(name) => told(Status::NOT_SUPPORTED, &format!("{name} is not supported")),
-                    None => told(Status::UNKNOWN_COMMAND, "unknown command"),
+                    Some(name) => reply(Status::NOT_SUPPORTED, &format!("{name} is not supported")),
+                    None => reply(Status::UNKNOWN_COMMAND, "unknown command"),
                 }
             }
         }
     }
 
-    fn ask(
+    fn start_stream(
         &mut self,
         downstream: DownstreamId,
         place: u64,
         request: &Request,
-        came: Option<Instant>,
+        received_at: Option<Instant>,
     ) -> Parsed {
         let Request { opcode, opaque, cas, key, .. } = *request;
-        let (desk, told) = (&self.desk, |status, text| Parsed::Local(error(opcode, opaque, status, text)));
-        let Some(tenant) = &self.tenant else { return told(Status::AUTH_ERROR, "log in first") };
-        let waited = came.map_or_else(Default::default, |came| came.elapsed());
-        let ask = match desk.words.ask(downstream, place, tenant, request, waited) {
+        let (port, reply) =
+            (&self.port, |status, text| Parsed::Local(encode_error(opcode, opaque, status, text)));
+        let Some(tenant) = &self.tenant else { return reply(Status::AUTH_ERROR, "log in first") };
+        let waited = received_at.map_or_else(Default::default, |received_at| received_at.elapsed());
+        let ask = match port.mapping.to_stream(downstream, place, tenant, request, waited) {
             Ok(ask) => ask,
             Err((status, why)) => {
                 let counter = match status {
-                    Status::TEMPORARY => &desk.stats.late,
-                    Status::NOT_SUPPORTED => &desk.stats.unsupported,
-                    _ => &desk.stats.invalid,
+                    Status::TEMPORARY => &port.stats.late,
+                    Status::NOT_SUPPORTED => &port.stats.unsupported,
+                    _ => &port.stats.invalid,
                 };
                 counter.one();
-                return told(status, why);
+                return reply(status, why);
             }
         };
-        if desk.open.get() >= OPEN {
-            desk.stats.crowded.one();
-            return told(Status::BUSY, "busy");
+        if port.open.get() >= MAX_OPEN_STREAMS {
+            port.stats.crowded.one();
+            return reply(Status::BUSY, "busy");
         }
-        desk.open.set(desk.open.get() + 1);
+        port.open.set(port.open.get() + 1);
         let key = if opcode.names_key() { key.to_vec() } else { Vec::new() };
-        let asked = Asked { opcode, opaque, cas, key };
-        if asked.write() { &desk.stats.writes } else { &desk.stats.reads }.one();
-        self.owed.push_back(Some(asked));
+        let asked = PendingCommand { opcode, opaque, cas, key };
+        if asked.is_write() { &port.stats.writes } else { &port.stats.reads }.one();
+        self.pending.push_back(Some(asked));
         Parsed::Stream(Box::new(ask))
     }
 
-    /// AUTH and STEP with PLAIN, whose message comes with either of them.
+    /// AUTH and STEP with PLAIN, whose message may come with either of them.
     fn login(&mut self, request: &Request) -> Parsed {
         let Request { opcode, opaque, .. } = *request;
-        let told = |status, text| error(opcode, opaque, status, text);
-        if self.wrong >= TRIES {
-            return Parsed::Close(told(Status::AUTH_ERROR, "too many wrong passwords"));
+        let reply = |status, text| encode_error(opcode, opaque, status, text);
+        if self.failed_logins >= MAX_FAILED_LOGINS {
+            return Parsed::Close(reply(Status::AUTH_ERROR, "too many wrong passwords"));
         }
-        let step = std::mem::take(&mut self.stepping);
+        let step = std::mem::take(&mut self.awaiting_step);
         let plain = request.key == sasl::PLAIN.as_bytes();
         let begins = opcode == Opcode::SASL_AUTH;
         if plain && begins && request.value.is_empty() {
-            self.stepping = true;
-            return Parsed::Local(told(Status::AUTH_CONTINUE, ""));
+            self.awaiting_step = true;
+            return Parsed::Local(reply(Status::AUTH_CONTINUE, ""));
         }
-        // Who logs in anew is nobody until that has gone well.
+        // A connection that logs in again has no tenant until that succeeds.
         self.tenant = None;
         let message = if plain && (begins || step) { request.value } else { b"" };
-        self.tenant = self.desk.logins.as_ref().and_then(|logins| logins.login(message));
+        self.tenant = self.port.logins.as_ref().and_then(|logins| logins.login(message));
         match self.tenant {
             Some(_) => {
-                self.desk.stats.logins.one();
-                self.wrong = 0;
-                Parsed::Local(put(Response { value: b"Authenticated", ..Response::new(opcode, opaque) }))
+                self.port.stats.logins.one();
+                self.failed_logins = 0;
+                Parsed::Local(encode_response(Response {
+                    value: b"Authenticated",
+                    ..Response::new(opcode, opaque)
+                }))
             }
             None => {
-                self.desk.stats.logins_refused.one();
-                self.wrong += 1;
-                Parsed::Delayed(told(Status::AUTH_ERROR, "wrong user or password"), COST)
+                self.port.stats.logins_refused.one();
+                self.failed_logins += 1;
+                Parsed::Delayed(reply(Status::AUTH_ERROR, "wrong user or password"), FAILURE_DELAY)
             }
         }
     }
 }
 
-/// A group of figures: a response each, and one with nothing in it behind them.
-fn listed(opaque: u32, group: &[(&str, String)]) -> Vec<u8> {
+/// Encodes a group of statistics: one response for each, followed by an empty one.
+fn stat_responses(opaque: u32, group: &[(&str, String)]) -> Vec<u8> {
     let of = |(name, value): &(&str, String)| {
         let (key, value) = (name.as_bytes(), value.as_bytes());
-        put(Response { key, value, ..Response::new(Opcode::STAT, opaque) })
+        encode_response(Response { key, value, ..Response::new(Opcode::STAT, opaque) })
     };
     let mut out: Vec<u8> = group.iter().flat_map(of).collect();
-    out.extend(put(Response::new(Opcode::STAT, opaque)));
+    out.extend(encode_response(Response::new(Opcode::STAT, opaque)));
     out
 }
--- a/src/net/memcached/logins.rs
+++ b/src/net/memcached/logins.rs
@@ -1,8 +1,8 @@
-//! Who may ask: SASL PLAIN (RFC 4616) against a file of passwords, read once, at the start.
+//! Authentication with SASL PLAIN (RFC 4616) against a file of passwords, which is read once at the start.
 //!
-//! A line is `USER TENANT PASSWORD`; a password may hold spaces, `#` begins a comment at the start of a line.
-//! The file holds secrets, so nobody but its owner may read or write it. Passwords are compared in a time
-//! that depends on nothing that a caller does not know, are never shown and never logged.
+//! A line is `USER TENANT PASSWORD`; a password may contain spaces, and `#` at the start of a line begins a
+//! comment. The file holds secrets, so only its owner may read or write it. Passwords are compared in a time
+//! that depends only on what the caller knows, and are never shown or logged.
 
 use super::mapping::Tenant;
 use crate::settings::Site;
@@ -15,29 +15,29 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The largest file and the most users that make sense.
-const SIZE: u64 = 256 * 1024;
-const USERS: usize = 1024;
-/// The longest user or password that PLAIN can say.
-const PART: usize = 255;
-/// What a wrong password costs, and how many a connection may try.
-pub(super) const COST: Duration = Duration::from_secs(1);
-pub(super) const TRIES: u32 = 3;
+/// The largest accepted file and number of users.
+const MAX_FILE_BYTES: u64 = 256 * 1024;
+const MAX_USERS: usize = 1024;
+/// The longest user or password that PLAIN can carry.
+const MAX_FIELD_BYTES: usize = 255;
+/// The delay of the answer to a failed login, and how many a connection may make.
+pub(super) const FAILURE_DELAY: Duration = Duration::from_secs(1);
+pub(super) const MAX_FAILED_LOGINS: u32 = 3;
 
-/// A password in a form whose comparison shows nothing of it, not its length either.
-struct Secret([u8; PART + 1]);
+/// A padded password, whose comparison reveals nothing of it, not even its length.
+struct Secret([u8; MAX_FIELD_BYTES + 1]);
 
 impl Secret {
-    /// `None` for what is longer than any password.
+    /// `None` if it is longer than any password.
     fn new(password: &[u8]) -> Option<Secret> {
-        let mut padded = [0; PART + 1];
+        let mut padded = [0; MAX_FIELD_BYTES + 1];
         padded[0] = u8::try_from(password.len()).ok()?;
         padded.get_mut(1..=password.len())?.copy_from_slice(password);
         Some(Secret(padded))
     }
 
-    /// In constant time: all bytes are looked at, whatever is found.
-    fn is(&self, other: &Secret) -> bool {
+    /// Compares in constant time: every byte is visited, whatever is found.
+    fn equals(&self, other: &Secret) -> bool {
         let differ = self.0.iter().zip(&other.0).fold(0, |differ, (a, b)| differ | (a ^ b));
         std::hint::black_box(differ) == 0
     }
@@ -45,12 +45,12 @@
 
 pub struct Logins {
     users: BTreeMap<Vec<u8>, (Tenant, Secret)>,
-    /// What an unknown user's password is compared with, so that it takes as long.
-    nobody: Secret,
-    /// Refused since this was told last, and who the last one said to be, if that is somebody known: else it
-    /// could be a password at the wrong place.
+    /// The password of an unknown user is compared with this, so that it takes as long.
+    dummy: Secret,
+    /// The logins refused since the last report, and the user of the last one if it is known; an unknown name
+    /// could be a password typed into the wrong field.
     refused: Cell<u64>,
-    last: RefCell<Option<String>>,
+    last_user: RefCell<Option<String>>,
 }
 
 impl std::fmt::Debug for Logins {
@@ -59,22 +59,22 @@
     }
 }
 
-/// Reads the file; an error names the file and the line, and nothing of a password.
+/// Reads the file. An error names the file and the line, and nothing of a password.
 pub fn load(path: &Path, site: &Site) -> Result<Logins, String> {
     let at = path.display();
     let failed = |e: std::io::Error| format!("memcachepasswords: {at}: {e}");
     let file = File::open(path).map_err(failed)?;
-    // Of what was opened, not of what stands at the path by now.
+    // Checks the opened file, not whatever is at the path by now.
     let metadata = file.metadata().map_err(failed)?;
     if !metadata.is_file() {
-        return Err(format!("memcachepasswords: {at}: no regular file"));
+        return Err(format!("memcachepasswords: {at}: not a regular file"));
     }
     if metadata.permissions().mode() & 0o077 != 0 {
-        return Err(format!("memcachepasswords: {at}: others may read or write it, mode 0600 is wanted"));
+        return Err(format!("memcachepasswords: {at}: group or others may read or write it; set mode 0600"));
     }
     let mut text = String::new();
-    file.take(SIZE + 1).read_to_string(&mut text).map_err(failed)?;
-    if text.len() as u64 > SIZE {
+    file.take(MAX_FILE_BYTES + 1).read_to_string(&mut text).map_err(failed)?;
+    if text.len() as u64 > MAX_FILE_BYTES {
         return Err(format!("memcachepasswords: {at}: larger than 256 KB"));
     }
     read(&text, site).map_err(|(line, what)| format!("memcachepasswords: {at}:{line}: {what}"))
@@ -90,53 +90,56 @@
         let mut parts = line.splitn(3, ' ');
         let (user, tenant, password) = (parts.next(), parts.next(), parts.next());
         let (Some(user), Some(tenant), Some(password)) = (user, tenant, password) else {
-            return wrong("USER TENANT PASSWORD is wanted, with one space between them");
+            return wrong("expected USER TENANT PASSWORD, separated by single spaces");
         };
-        let sound = |part: &str| !part.is_empty() && part.len() <= PART && !part.contains('\0');
-        let Some(secret) = Secret::new(password.as_bytes()).filter(|_| sound(user) && sound(password)) else {
-            return wrong("a user and a password of 1 to 255 bytes are wanted");
+        let is_valid_field =
+            |part: &str| !part.is_empty() && part.len() <= MAX_FIELD_BYTES && !part.contains('\0');
+        let Some(secret) =
+            Secret::new(password.as_bytes()).filter(|_| is_valid_field(user) && is_valid_field(password))
+        else {
+            return wrong("user and password must have 1 to 255 bytes");
         };
-        let whose = match site.tenants.is_empty() {
+        let owner = match site.tenants.is_empty() {
             true => Some(Tenant { id: Default::default(), name: "".into() }),
             false => Tenant::named(tenant, site),
         };
-        let Some(whose) = whose else { return wrong("an unknown tenant") };
-        if users.insert(user.as_bytes().to_vec(), (whose, secret)).is_some() {
-            return wrong("a user twice");
+        let Some(owner) = owner else { return wrong("unknown tenant") };
+        if users.insert(user.as_bytes().to_vec(), (owner, secret)).is_some() {
+            return wrong("duplicate user");
         }
-        if users.len() > USERS {
+        if users.len() > MAX_USERS {
             return wrong("more than 1024 users");
         }
     }
-    let nobody = Secret([0; PART + 1]);
-    Ok(Logins { users, nobody, refused: Cell::new(0), last: RefCell::default() })
+    let dummy = Secret([0; MAX_FIELD_BYTES + 1]);
+    Ok(Logins { users, dummy, refused: Cell::new(0), last_user: RefCell::default() })
 }
 
 impl Logins {
-    /// Whose requests those of this connection are from now on; `None`, counted, where it is nobody's.
+    /// The tenant of the user that logs in; `None`, and counted, if the login is refused.
     pub(super) fn login(&self, message: &[u8]) -> Option<Tenant> {
         let plain = sasl::plain(message);
         let known = plain.and_then(|p| self.users.get(p.user));
-        let said = plain.and_then(|p| Secret::new(p.password));
-        let expected = known.map_or(&self.nobody, |(_, secret)| secret);
-        // Nobody acts for anybody else here.
-        let itself = plain.is_some_and(|p| p.acts_for.is_empty() || p.acts_for == p.user);
-        let right = said.is_some_and(|said| expected.is(&said)) & itself;
+        let given = plain.and_then(|p| Secret::new(p.password));
+        let expected = known.map_or(&self.dummy, |(_, secret)| secret);
+        // A user may not act for another one.
+        let for_itself = plain.is_some_and(|p| p.acts_for.is_empty() || p.acts_for == p.user);
+        let right = given.is_some_and(|given| expected.equals(&given)) & for_itself;
         match known.filter(|_| right) {
             Some((tenant, _)) => Some(tenant.clone()),
             None => {
                 self.refused.set(self.refused.get().saturating_add(1));
                 let named = plain.filter(|_| known.is_some()).map(|p| p.user.escape_ascii().to_string());
-                *self.last.borrow_mut() = named;
+                *self.last_user.borrow_mut() = named;
                 None
             }
         }
     }
 
-    /// How many were refused since this was told last, and the user that the last of them named, if known.
+    /// The number of logins refused since the last call, and the user of the last one, if known.
     pub fn take_refused(&self) -> Option<(u64, Option<String>)> {
         let refused = self.refused.take();
-        (refused > 0).then(|| (refused, self.last.take()))
+        (refused > 0).then(|| (refused, self.last_user.take()))
     }
 }
 
--- a/src/net/memcached/mod.rs
+++ b/src/net/memcached/mod.rs
@@ -1,12 +1,13 @@
-//! The memcached binary protocol, on both sides of the proxy: [`gateway`] is a port for gateways that speak
-//! nothing else, [`node`] the dialect of cache nodes that do. The bytes are the package `memcached`'s.
+//! The memcached binary protocol on both sides of the proxy: [`gateway`] serves a port for gateways that
+//! speak nothing else, [`node`] talks to cache nodes that do. The package `memcached` encodes and decodes the
+//! frames.
 //!
-//! What it owns: what the protocol's commands mean here ([`mapping`]), how outcomes are told in it
-//! ([`answers`]), who may ask ([`logins`]) and what may be looked up ([`stats`]). A read or a write becomes
-//! a [`NewStream`] like any other; what becomes of it is the module's, here as on every port.
+//! This module maps the commands to streams ([`mapping`]), encodes their outcomes ([`answers`]),
+//! authenticates clients ([`logins`]) and serves statistics ([`stats`]). A read or a write becomes a
+//! [`NewStream`] like any other; the decision module handles it as on every port.
 //!
-//! When not to use it: for RESP, and for the text protocol, which is told off in a line. It keeps no values,
-//! so commands that need one kept (ADD, INCR, TOUCH …) are not supported. docs/design/memcached.md has the
+//! It doesn't serve RESP or the text protocol, which gets one line of error. The proxy stores no values, so
+//! commands that need one stored (ADD, INCR, TOUCH …) are not supported. docs/design/memcached.md has the
 //! table.
 //!
 //! [`NewStream`]: crate::core::NewStream
@@ -27,40 +28,40 @@
 use std::cell::Cell;
 use std::path::PathBuf;
 
-/// What operators say of the port.
+/// The settings of the port.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     pub port: u16,
-    /// The file of those who may ask. With one, nobody else may.
+    /// The file of users and passwords. If set, every connection has to log in.
     pub passwords: Option<PathBuf>,
-    /// Whose all requests are; without a file of passwords.
+    /// The tenant of all requests, if there is no file of passwords.
     pub tenant: Option<String>,
-    /// The classes of reads and of writes, and how long a gateway waits for an answer.
+    /// The classes of reads and writes, and how long a gateway waits for an answer.
     pub reads: Option<String>,
     pub writes: Option<String>,
     pub read_wait: Option<Micros>,
     pub write_wait: Option<Micros>,
 }
 
-/// The port's common part, behind all its connections.
+/// The state that all connections of the port share.
 pub struct PortState {
-    words: RequestMapping,
+    mapping: RequestMapping,
     logins: Option<Logins>,
     pub stats: Stats,
-    /// Streams that all connections have open or unread.
+    /// Streams of all connections that are open or not yet written out.
     open: Cell<usize>,
 }
 
 impl PortState {
-    /// An error tells the setting that does not fit the site, or what is wrong with the file of passwords.
-    /// `seed` is for the ids of requests, which this protocol has none of.
+    /// An error names the setting that doesn't fit the site, or what is wrong with the file of passwords.
+    /// `seed` is for the ids of requests, which this protocol doesn't have.
     pub fn new(settings: &Settings, site: &Site, seed: u64) -> Result<PortState, String> {
         let logins = settings.passwords.as_deref().map(|path| logins::load(path, site)).transpose()?;
-        let words = RequestMapping::new(settings, site, seed)?;
-        Ok(PortState { words, logins, stats: Stats::default(), open: Cell::new(0) })
+        let mapping = RequestMapping::new(settings, site, seed)?;
+        Ok(PortState { mapping, logins, stats: Stats::default(), open: Cell::new(0) })
     }
 
-    /// How many logins were refused since this was told last, and the user of the last one, if known.
+    /// The number of logins refused since the last call, and the user of the last one, if known.
     pub fn take_refused(&self) -> Option<(u64, Option<String>)> {
         self.logins.as_ref().and_then(Logins::take_refused)
     }
@@ -73,7 +74,7 @@
     pub ids: Vec<String>,
 }
 
-/// The same as the core knows them.
+/// The nodes that speak this protocol, as the core identifies them.
 #[derive(Clone, Debug, Default)]
 pub struct MemcachedNodes {
     kinds: Vec<KindId>,
@@ -81,8 +82,7 @@
 }
 
 impl MemcachedNodes {
-    /// A node with an id that nobody has is no error: discovery may list it later. A kind is one of the
-    /// site's.
+    /// An unknown node id is no error, as discovery may list it later. A kind has to be one of the site's.
     pub fn new(nodes: &NodeSettings, site: &Site) -> Result<MemcachedNodes, String> {
         let kind = |name: &String| {
             let at = site.kinds.iter().position(|kind| kind == name).map(|at| KindId(at as u16));
--- a/src/net/memcached/node.rs
+++ b/src/net/memcached/node.rs
@@ -1,10 +1,10 @@
-//! A node's side: the dialect of cache nodes that speak the binary protocol. Such a node is asked one thing
-//! at a time, as all are, and its answer has to bear the number that the question had.
+//! The binary protocol of memcached towards cache nodes. Such a node gets one request at a time, as all do,
+//! and its response has to carry the number of the request.
 //!
-//! What it cannot say stays unknown: how a read went beyond hit or miss, and its load. What cannot be said to
-//! it is not sent: a write bears an idempotency key by which nodes drop repeats, and here is no word for
-//! that, so it is turned away before its first byte. A key that is too long for the protocol is none that the
-//! node has.
+//! What the protocol cannot express stays unknown: the result of a read beyond hit or miss, and the load of
+//! the node. What cannot be expressed to the node is not sent: a write carries an idempotency key by which
+//! nodes drop repeats, and the protocol has no field for it, so it is rejected before its first byte. A key
+//! that is too long for the protocol is one that the node doesn't have.
 
 use crate::codec::{resp, Malformed, Parsed};
 use crate::core::{Job, Reply};
@@ -13,7 +13,7 @@
 
 const LIMITS: Limits = Limits { key: frame::KEY, value: resp::MAX_VALUE };
 
-/// The request that a job is; `None` for what this protocol cannot say.
+/// The request for a job; `None` if the protocol cannot express it.
 fn request(job: &Job, number: u32) -> Option<Request<'_>> {
     match job {
         Job::Probe => Some(Request { opaque: number, ..Request::new(Opcode::NOOP) }),
@@ -28,16 +28,17 @@
     Reply { verdict, value: value.to_vec(), note: 0, report: Vec::new(), keep, no_place: false }
 }
 
-/// `number` tells the jobs of one connection apart.
-pub(in crate::net) fn put(out: &mut Vec<u8>, job: &Job, number: u32) -> Result<(), Reply> {
+/// Encodes a job. `number` distinguishes the jobs of one connection.
+pub(in crate::net) fn encode(out: &mut Vec<u8>, job: &Job, number: u32) -> Result<(), Reply> {
     let read = matches!(job, Job::Stream { message, .. } if message.value.is_none());
-    let unsaid = || answer(if read { Verdict::Miss } else { Verdict::Full }, b"", true);
-    request(job, number).ok_or_else(unsaid)?.put(out).map_err(|_| unsaid())
+    let unsupported = || answer(if read { Verdict::Miss } else { Verdict::Full }, b"", true);
+    request(job, number).ok_or_else(unsupported)?.put(out).map_err(|_| unsupported())
 }
 
-/// The answer to a job. What is out of step is malformed: a late answer must not be taken for another's.
-pub(in crate::net) fn reply(bytes: &[u8], job: &Job, number: u32) -> Parsed<Reply> {
-    let asked = request(job, number).ok_or(Malformed("an answer to nothing"))?;
+/// Decodes the response to a job. A response out of step is malformed: a late one must not be taken for that
+/// of another job.
+pub(in crate::net) fn decode(bytes: &[u8], job: &Job, number: u32) -> Parsed<Reply> {
+    let sent = request(job, number).ok_or(Malformed("an answer to nothing"))?;
     let (response, taken) = match frame::response(bytes, &LIMITS) {
         Ok(Step::More(_)) => return Ok(None),
         Ok(Step::Whole(response, taken)) => (response, taken),
@@ -46,7 +47,7 @@
         Err(Fault::Magic(_)) => return Err(Malformed("no answer of the binary protocol")),
         Err(Fault::Lengths(_)) => return Err(Malformed("a body shorter than what is in it")),
     };
-    response.answers(&asked).map_err(Malformed)?;
+    response.answers(&sent).map_err(Malformed)?;
     let verdict = match response.status {
         Status::OK => Verdict::Served,
         Status::KEY_NOT_FOUND => Verdict::Miss,
--- a/src/net/memcached/stats.rs
+++ b/src/net/memcached/stats.rs
@@ -1,10 +1,10 @@
-//! What STAT shows: a few groups of our counters. Those of the core are as the owner published them last, at
-//! most a sweep ago; those of this port are up to date.
+//! The statistics that STAT returns, in a few groups. Counters of the core are as the owner last published
+//! them, at most one sweep ago; those of this port are current.
 
 use crate::core::Counters;
 use std::cell::Cell;
 
-/// What the owner publishes.
+/// The statistics that the owner publishes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PublishedStats {
     pub counters: Counters,
@@ -16,19 +16,19 @@
     pub serving: usize,
 }
 
-/// This port's own, since the start.
+/// The counters of this port since the start.
 #[derive(Debug, Default)]
 pub struct Stats {
     pub published: Cell<PublishedStats>,
     pub(super) reads: Count,
     pub(super) writes: Count,
-    /// Commands that were answered here, not asked: not supported, wrong, too large, out of time.
+    /// Commands answered locally: not supported, invalid or too large, deadline expired.
     pub(super) unsupported: Count,
     pub(super) invalid: Count,
     pub(super) late: Count,
-    /// Turned away here for the streams that all connections of this port have open.
+    /// Rejected because the connections of this port have too many streams open.
     pub(super) crowded: Count,
-    /// Connections that were out of step, and those that spoke the text protocol.
+    /// Connections that sent malformed frames, and those that spoke the text protocol.
     pub(super) malformed: Count,
     pub(super) text: Count,
     pub(super) logins: Count,
@@ -44,11 +44,11 @@
     }
 }
 
-/// The groups that have a name; the one without is the first that a client asks for.
+/// The named groups; the group without a name is the first that a client asks for.
 const GROUPS: [&str; 3] = ["streams", "nodes", "memcached"];
 
 impl Stats {
-    /// The names and values of a group; `None` for one that there is not.
+    /// The names and values of a group; `None` if it doesn't exist.
     pub(super) fn group(&self, name: &[u8], open: usize) -> Option<Vec<(&'static str, String)>> {
         let p = self.published.get();
         let c = p.counters;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,8 +1,8 @@
-//! Sockets. Each connection is a task that owns its descriptor; it hears from the owner of the core through a
-//! bounded queue and tells it through another. Dropping the task closes the descriptor.
+//! Sockets. Each connection is a task that owns its descriptor. It receives messages from the owner of the
+//! core through one bounded queue and reports through another. Dropping the task closes the descriptor.
 //!
-//! Nothing here knows a feature: what is spoken on a port is a [`protocol::Protocol`], who may connect a
-//! function that [`accept::accept`] is given.
+//! This module knows no feature: what a port speaks is a [`protocol::Protocol`], and which addresses may
+//! connect is decided by a function passed to [`accept::accept`].
 
 pub mod accept;
 pub mod cluster;
@@ -24,16 +24,17 @@
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
 
-/// Most bytes read at once.
+/// The maximum number of bytes read at once.
 const READ: usize = 16 * 1024;
 
 thread_local! {
-    /// Where all sockets read: one at a time does, on the one thread, and keeps only what has come.
+    /// The read buffer of all sockets: they share one thread, read one at a time, and keep only what has
+    /// arrived.
     static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; READ]);
 }
 
-/// Appends what has come to `input`; 0 at the end. A peer that sends without a pause must not keep the others
-/// from their turn.
+/// Appends available bytes to `input`; returns 0 at the end of the stream. Yields after a full read, so that
+/// a peer that sends without pause doesn't starve other tasks.
 pub(crate) async fn read(socket: &Async<TcpStream>, input: &mut Vec<u8>) -> io::Result<usize> {
     let n = read_without_yield(socket, input).await?;
     if n == READ {
@@ -42,7 +43,7 @@
     Ok(n)
 }
 
-/// As [`read`], but the caller gives the others their turn once [`READ`] bytes have come.
+/// As [`read`], but the caller has to yield once [`READ`] bytes have arrived.
 pub(crate) async fn read_without_yield(socket: &Async<TcpStream>, input: &mut Vec<u8>) -> io::Result<usize> {
     socket
         .read_with(|mut s| {
@@ -55,7 +56,7 @@
         .await
 }
 
-/// Makes a system call again for as long as a signal interrupts it: that says nothing of the connection.
+/// Repeats a system call while a signal interrupts it (EINTR), which says nothing about the connection.
 pub(crate) fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -65,17 +66,17 @@
     }
 }
 
-/// Waits until something has come, or the end, and leaves it there; 0 at the end.
+/// Waits until bytes or the end of the stream have arrived, without consuming them; returns 0 at the end.
 pub(crate) async fn peek(socket: &Async<TcpStream>) -> io::Result<usize> {
     socket.read_with(|s| uninterrupted(|| s.peek(&mut [0; 1]))).await
 }
 
-/// Writes as much as the socket takes.
+/// Writes as much as the socket accepts.
 pub(crate) async fn write(socket: &Async<TcpStream>, bytes: &[u8]) -> io::Result<usize> {
     socket.write_with(|mut s| uninterrupted(|| s.write(bytes))).await
 }
 
-/// Writes all of it, interrupted or not: what the socket's own `write_all` gives back as an error.
+/// Writes all bytes and retries interrupted calls, which the socket's own `write_all` returns as errors.
 pub(crate) async fn write_all(socket: &Async<TcpStream>, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         match write(socket, bytes).await? {
@@ -86,7 +87,7 @@
     Ok(())
 }
 
-/// Takes `n` bytes off the front, and gives back what a long message took once it is read.
+/// Removes the first `n` bytes, and frees the memory of a long message once it is consumed.
 pub(crate) fn consume(input: &mut Vec<u8>, n: usize) {
     input.drain(..n);
     if input.is_empty() && input.capacity() > READ / 4 {
--- a/src/net/origin.rs
+++ b/src/net/origin.rs
@@ -1,5 +1,5 @@
-//! The origin's dialect: an upstream request as an HTTP/1.1 request, and its response. The properties go on as they
-//! came but for the time: it is told what is left, as every node is.
+//! The HTTP/1.1 protocol of the origin: encodes an upstream request and decodes its response. The properties
+//! are passed on unchanged except for the time left, as to every node.
 
 use super::upstream::with_time_left;
 use crate::codec::http::{self, PeerState};
@@ -8,7 +8,7 @@
 use crate::interface::Verdict;
 use std::net::SocketAddr;
 
-pub(super) fn put(out: &mut Vec<u8>, job: &Job, address: SocketAddr) {
+pub(super) fn encode(out: &mut Vec<u8>, job: &Job, address: SocketAddr) {
     let host = address.to_string();
     match job {
         Job::Probe => http::put_request(out, "GET", b"/stats", &host, &[], None),
@@ -22,15 +22,15 @@
     }
 }
 
-pub(super) fn reply(bytes: &[u8], job: &Job, columns: &[String], rest: PeerState) -> Parsed<Reply> {
+pub(super) fn decode(bytes: &[u8], job: &Job, columns: &[String], rest: PeerState) -> Parsed<Reply> {
     let response = http::response(bytes, resp::MAX_VALUE, rest)?;
     let Some(((head, value), taken)) = response else { return Ok(None) };
     let never_ran = head.header("X-Never-Ran") == Some(b"1");
     let read = matches!(job, Job::Stream { message, .. } if message.value.is_none());
     let verdict = match head.status {
         200 => Verdict::Served,
-        // Nobody has what a read names (RFC 9110, section 15.5.5). A write was not promised to be without
-        // effect by that.
+        // The resource doesn't exist (RFC 9110, section 15.5.5). For a write this status doesn't promise that
+        // it had no effect.
         404 if read => Verdict::Miss,
         503 | 504 if never_ran => Verdict::Full,
         _ => Verdict::Error,
--- a/src/net/protocol.rs
+++ b/src/net/protocol.rs
@@ -1,10 +1,10 @@
-//! What is spoken on a port: how whole commands become streams, and answers what is written.
+//! The protocol of a port: how commands become streams, and how answers are encoded.
 //!
-//! For whoever puts another protocol in front of the core: implement [`Protocol`] beside the feature that
-//! wants it and hand it to [`super::downstream::serve`]. Where commands are RESP arrays, [`resp_command`] cuts them
-//! out and answers are written as they are on the main port; [`super::memcached`] has a framing of its own.
-//! What is no dialogue of commands and answers (a stream of lines, say) wants a task of its own on the
-//! [`Link`] instead.
+//! To put another protocol in front of the core, implement [`Protocol`] beside the feature that needs it and
+//! pass it to [`super::downstream::serve`]. If commands are RESP arrays, [`resp_command`] splits them off and
+//! answers are encoded as on the main port; [`super::memcached`] has a framing of its own. What is no
+//! dialogue of commands and answers, such as a stream of lines, runs a task of its own on the [`Link`]
+//! instead.
 //!
 //! [`Link`]: super::downstream::Link
 
@@ -12,71 +12,71 @@
 use crate::core::{Answer, DownstreamId, NewStream};
 use std::time::Duration;
 
-/// A command as a local reply or a stream.
+/// A parsed command: a local reply or a stream.
 #[derive(Debug)]
 pub enum Parsed {
     Local(Vec<u8>),
     Stream(Box<NewStream>),
-    /// One answer from several streams, which [`Protocol::combine`] makes of theirs.
+    /// One answer from several streams, built by [`Protocol::combine`].
     Streams(Vec<NewStream>),
-    /// A part of a command: more of them make it whole.
+    /// A part of a command, which further parts will complete.
     Incomplete,
-    /// A local reply that costs whoever caused it time: it goes out after so long, and nothing more is taken
-    /// meanwhile.
+    /// A local reply that is delayed to slow the client down; no command is taken in the meantime.
     Delayed(Vec<u8>, Duration),
-    /// A last answer, behind which the connection is closed.
+    /// A last answer, after which the connection is closed.
     Close(Vec<u8>),
-    /// The same to bytes that make no sense, and no command.
+    /// As `Close`, in reply to bytes that are no valid command.
     Malformed(Vec<u8>),
 }
 
-/// One port's protocol, with the state of one connection.
+/// The protocol of one port, with the state of one connection.
 pub trait Protocol {
-    /// Streams that a connection may have open at the most.
+    /// The maximum number of open streams of a connection.
     fn max_streams(&self) -> usize;
 
-    /// Takes the first command of `bytes`, all that has come and is not taken yet: how many bytes it took,
-    /// and what it is; `None` while it is not whole. `place` is the place of its answer among all of the
-    /// connection; those of [`Parsed::Streams`] take the places from there on.
+    /// Parses the first command of `bytes`, which holds everything received and not taken yet. Returns the
+    /// number of bytes taken and the command, or `None` while it is incomplete. `place` is the place of its
+    /// answer among all of the connection; the streams of [`Parsed::Streams`] take the places from there on.
     fn parse(&mut self, downstream: DownstreamId, place: u64, bytes: &[u8]) -> Option<(usize, Parsed)>;
 
-    /// The most bytes of a command: as many are read ahead at the least.
+    /// The maximum length of a command; at least as many bytes are read ahead.
     fn max_command_bytes(&self) -> usize {
         resp::MAX_COMMAND
     }
 
-    /// So many bytes have come, just now.
+    /// This many bytes have just arrived.
     fn received(&mut self, _: usize) {}
 
-    /// The final answer to the stream at `place`, as it is written; where nothing is to be said, nothing.
+    /// The final answer to the stream at `place`, encoded; empty if the protocol sends none.
     fn encode_answer(&mut self, _: u64, answer: Answer) -> Vec<u8> {
         resp_answer(answer)
     }
 
-    /// The first so many answers are on their way out; the next has the place behind them.
+    /// The first answers were moved to the output; the next one has the place after them.
     fn answers_taken(&mut self, _: usize) {}
 
-    /// A command has begun of which more has to come.
+    /// Whether a command has begun whose rest is still to arrive.
     fn is_mid_command(&self) -> bool {
         false
     }
 
-    /// A command fills its connection alone: the next one is taken once its answer is written, and what comes
-    /// meanwhile waits, up to a command's length.
+    /// Whether a command occupies the connection alone: the next one is taken once its answer is written, and
+    /// until then input waits, up to the length of a command.
     fn is_exclusive(&self) -> bool {
         false
     }
 
-    /// Writes the one answer of [`Parsed::Streams`], from the answers to its streams as they would stand alone.
+    /// Writes the one answer of [`Parsed::Streams`], built from the answers that its streams would have
+    /// alone.
     fn combine(&self, out: &mut Vec<u8>, answers: Vec<Vec<u8>>) {
         answers.into_iter().for_each(|answer| out.extend(answer));
     }
 
-    /// All that was to be written is.
+    /// All output has been written.
     fn flushed(&mut self) {}
 }
 
-/// The first RESP array of `bytes`, handed to `take` with its length.
+/// Splits off the first RESP array of `bytes` and passes it to `take` with its length.
 pub fn resp_command(
     bytes: &[u8],
     take: impl FnOnce(Vec<Vec<u8>>, usize) -> Parsed,
@@ -89,7 +89,7 @@
     }
 }
 
-/// A final answer in RESP.
+/// Encodes a final answer in RESP.
 pub fn resp_answer(answer: Answer) -> Vec<u8> {
     match answer {
         Answer::Value(value) => {
@@ -105,7 +105,7 @@
     }
 }
 
-/// An error line.
+/// Encodes an error line.
 pub(crate) fn resp_error(text: &str) -> Vec<u8> {
     let mut out = Vec::new();
     resp::put_error(&mut out, text);
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes: one upstream request at a time on each, the pool of them is the core's.
+//! Connections to nodes, one upstream request at a time on each. The core manages the pool.
 
 use super::memcached::node as memcached;
 use super::{consume, origin, peek, read, send_event, write_all, EventSender, LogEntry};
@@ -15,10 +15,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a node that turns the first job of a connection away is given to close it too: that comes right behind.
-const CLOSING: Duration = Duration::from_millis(2);
+/// How long to wait for a node to close after it has rejected the first job of a connection; the close
+/// follows right behind.
+const CLOSE_GRACE: Duration = Duration::from_millis(2);
 
-/// What a node speaks.
+/// The protocol that a node speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamProtocol {
     Cache,
@@ -27,43 +28,43 @@
     Origin,
 }
 
-/// A job as it stands on one connection.
-struct Turn<'a> {
+/// A job and the connection that it runs on.
+struct JobContext<'a> {
     job: &'a Job,
     address: SocketAddr,
-    /// Which of the connection's jobs it is.
+    /// The number of the job on its connection.
     number: u32,
     columns: &'a [String],
 }
 
 impl UpstreamProtocol {
-    /// Writes a job down; or says at once how it went, where the dialect has no words for it.
-    fn put(self, out: &mut Vec<u8>, turn: &Turn) -> Result<(), Reply> {
+    /// Encodes a job, or returns its result at once if the protocol cannot express it.
+    fn encode(self, out: &mut Vec<u8>, context: &JobContext) -> Result<(), Reply> {
         match self {
-            UpstreamProtocol::Cache => put(out, turn.job),
-            UpstreamProtocol::Memcached => return memcached::put(out, turn.job, turn.number),
-            UpstreamProtocol::Origin => origin::put(out, turn.job, turn.address),
+            UpstreamProtocol::Cache => encode_command(out, context.job),
+            UpstreamProtocol::Memcached => return memcached::encode(out, context.job, context.number),
+            UpstreamProtocol::Origin => origin::encode(out, context.job, context.address),
         }
         Ok(())
     }
 
-    /// The reply that has come, if it is whole.
-    fn reply(self, bytes: &[u8], turn: &Turn, rest: PeerState) -> Parsed<Reply> {
-        let Turn { job, columns, number, .. } = *turn;
+    /// Decodes the reply if it is complete.
+    fn decode(self, bytes: &[u8], context: &JobContext, rest: PeerState) -> Parsed<Reply> {
+        let JobContext { job, columns, number, .. } = *context;
         let probe = matches!(job, Job::Probe);
         match self {
             UpstreamProtocol::Cache => {
-                Ok(resp::reply(bytes)?.map(|(r, taken)| (reply(r, probe, columns), taken)))
+                Ok(resp::reply(bytes)?.map(|(r, taken)| (decode_reply(r, probe, columns), taken)))
             }
-            UpstreamProtocol::Memcached => memcached::reply(bytes, job, number),
-            UpstreamProtocol::Origin => origin::reply(bytes, job, columns, rest),
+            UpstreamProtocol::Memcached => memcached::decode(bytes, job, number),
+            UpstreamProtocol::Origin => origin::decode(bytes, job, columns, rest),
         }
     }
 }
 
-/// The list of names and values with another `d`; the rest byte for byte.
+/// Replaces `d` in the list of properties; everything else stays byte for byte.
 pub fn with_time_left(text: &[u8], patience_ms: i64) -> Vec<u8> {
-    // Room for the digits of any time that a downstream may name, and more.
+    // Leaves room for the digits of any time that a downstream may send.
     let mut out = Vec::with_capacity(text.len() + 16);
     for (i, pair) in text.split(|b| *b == b',').enumerate() {
         out.extend_from_slice(if i > 0 { b"," } else { b"" });
@@ -76,7 +77,7 @@
     out
 }
 
-fn put(out: &mut Vec<u8>, job: &Job) {
+fn encode_command(out: &mut Vec<u8>, job: &Job) {
     match job {
         Job::Probe => resp::put_command(out, &[b"INFO", b"load"]),
         Job::Stream { message: m, patience } => {
@@ -88,12 +89,12 @@
     }
 }
 
-/// How a read went, as the module counts it; `None` for a word that no node says.
-fn note(how: Option<&[u8]>) -> Option<u32> {
+/// The result of a read as the decision module numbers it; `None` for a word that no node sends.
+fn read_result(how: Option<&[u8]>) -> Option<u32> {
     how.map_or(Some(0), |how| READ_RESULTS.iter().position(|w| w.as_bytes() == how).map(|at| at as u32 + 1))
 }
 
-fn reply(reply: resp::Reply, probe: bool, columns: &[String]) -> Reply {
+fn decode_reply(reply: resp::Reply, probe: bool, columns: &[String]) -> Reply {
     let mut r = Reply {
         verdict: Verdict::Error,
         value: Vec::new(),
@@ -105,7 +106,8 @@
     match reply {
         resp::Reply::Array(items) if !probe => {
             let whole = <[_; 3]>::try_from(items).ok();
-            let known = whole.and_then(|[value, how, report]| Some((value, note(how.as_deref())?, report)));
+            let known =
+                whole.and_then(|[value, how, report]| Some((value, read_result(how.as_deref())?, report)));
             match known {
                 Some((value, note, report)) => {
                     r.verdict = if value.is_some() { Verdict::Served } else { Verdict::Miss };
@@ -113,7 +115,7 @@
                     r.note = note;
                     r.report = report.map_or_else(Vec::new, |t| codec::report(&t, columns));
                 }
-                // No answer that a node makes: a miss would be taken for a proof that nothing ran.
+                // Not a valid answer of a node: a miss would be taken as proof that nothing ran.
                 None => r.keep = false,
             }
         }
@@ -124,57 +126,57 @@
         resp::Reply::Error(text) => {
             let code = text.split(|b| *b == b' ').next().unwrap_or_default();
             r.verdict = if code == b"BUSY" { Verdict::Full } else { Verdict::Error };
-            // What only looks like an error line is noise, and more of it may follow.
+            // Bytes that only look like an error line are noise, and more may follow.
             r.keep = !code.is_empty() && code.iter().all(u8::is_ascii_uppercase);
             r.report = codec::report(&text, columns);
         }
-        // Nothing a node says to such a job: it may have run, and the connection is out of step.
+        // Not a valid reply to such a job: it may have run, and the connection is out of step.
         _ => r.keep = false,
     }
     r
 }
 
-/// The way of jobs to a connection, and how far it is with the last one.
+/// The queue of jobs to a connection, and whether the current job is written.
 #[derive(Clone, Debug)]
 pub struct JobQueue {
     taken: Receiver<Job>,
-    /// The job's last byte is out.
-    whole: Rc<Cell<bool>>,
+    /// Whether the last byte of the job is written.
+    written: Rc<Cell<bool>>,
 }
 
 impl From<Receiver<Job>> for JobQueue {
     fn from(taken: Receiver<Job>) -> Self {
-        JobQueue { taken, whole: Rc::default() }
+        JobQueue { taken, written: Rc::default() }
     }
 }
 
 impl JobQueue {
-    /// A job is on its way.
+    /// Records that a job was queued.
     pub fn job_queued(&self) {
-        self.whole.set(false);
+        self.written.set(false);
     }
 
-    /// Takes a job back of which not a byte is out.
+    /// Takes back a job of which no byte is written.
     pub fn take_back(&self) -> bool {
         self.taken.try_recv().is_ok()
     }
 
-    /// Whether the job's last byte is out: it may run.
+    /// Whether the last byte of the job is written, so that it may run.
     pub fn is_fully_written(&self) -> bool {
-        self.whole.get()
+        self.written.get()
     }
 }
 
-/// Connects, then carries one job after the other until the connection breaks or the task is dropped.
+/// Connects, then runs one job after the other until the connection breaks or the task is dropped.
 pub async fn run_connection(
     id: ConnectionId,
     address: SocketAddr,
-    dialect: UpstreamProtocol,
+    protocol: UpstreamProtocol,
     jobs: impl Into<JobQueue>,
     queue: EventSender,
     columns: Rc<Vec<String>>,
 ) {
-    let JobQueue { taken: jobs, whole } = jobs.into();
+    let JobQueue { taken: jobs, written } = jobs.into();
     let socket = match Async::<TcpStream>::connect(address).await {
         Ok(socket) => socket,
         Err(_) => return send_event(&queue, Input::Broken(id, Stage::Idle)).await,
@@ -182,13 +184,13 @@
     let _ = socket.get_ref().set_nodelay(true);
     send_event(&queue, Input::Connected(id)).await;
     let (number, input, output) = (0, Vec::new(), Vec::new());
-    let mut connection = Connection { socket, address, dialect, number, whole, input, output, columns };
+    let mut connection = Connection { socket, address, protocol, number, written, input, output, columns };
     loop {
-        let job = match connection.idle(&jobs).await {
+        let job = match connection.next_job(&jobs).await {
             Some(job) => job,
             None => return send_event(&queue, Input::Broken(id, Stage::Idle)).await,
         };
-        match connection.carry(&job).await {
+        match connection.run_job(&job).await {
             Ok(reply) => send_event(&queue, Input::Replied(id, reply)).await,
             Err((stage, why)) => {
                 if let Some(Malformed(what)) = why {
@@ -205,21 +207,21 @@
 struct Connection {
     socket: Async<TcpStream>,
     address: SocketAddr,
-    dialect: UpstreamProtocol,
-    /// Jobs it has carried.
+    protocol: UpstreamProtocol,
+    /// The number of jobs run.
     number: u32,
-    /// The last byte of the job is written.
-    whole: Rc<Cell<bool>>,
+    /// Whether the last byte of the job is written.
+    written: Rc<Cell<bool>>,
     input: Vec<u8>,
-    /// The job that is written.
+    /// The encoded job.
     output: Vec<u8>,
     columns: Rc<Vec<String>>,
 }
 
 impl Connection {
-    /// The next job; `None` once the node has closed, or has said something unasked. The socket is looked at
-    /// first, with a job in hand too, so that none goes out on a connection that is known to be closed.
-    async fn idle(&self, jobs: &Receiver<Job>) -> Option<Job> {
+    /// The next job, or `None` once the node has closed or has sent something unasked. The socket is checked
+    /// first, even if a job is waiting, so that none is sent on a connection known to be closed.
+    async fn next_job(&self, jobs: &Receiver<Job>) -> Option<Job> {
         let closed = async {
             let _ = peek(&self.socket).await;
             None
@@ -230,19 +232,20 @@
         future::or(closed, async { jobs.recv().await.ok() }).await
     }
 
-    /// Whether the node closes within [`CLOSING`], with nothing more to say.
-    async fn closes(&self) -> bool {
+    /// Whether the node closes within [`CLOSE_GRACE`] without sending anything more.
+    async fn closes_soon(&self) -> bool {
         let closed = async { matches!(peek(&self.socket).await, Ok(0) | Err(_)) };
         let stays = async {
-            Timer::after(CLOSING).await;
+            Timer::after(CLOSE_GRACE).await;
             false
         };
         self.input.is_empty() && future::or(closed, stays).await
     }
 
-    /// Writes the job: whether to its last byte. A node that says something or ends before that has not heard it
-    /// whole, and the rest is not written. The socket was looked at just before, in [`Connection::idle`]: with what
-    /// goes out at once nothing can have come.
+    /// Writes the job and returns whether its last byte was written. If the node sends something or closes
+    /// before that, it has not received the whole job, and the rest is not written. No check is needed for
+    /// what is written at once: [`Connection::next_job`] has just checked the socket, so nothing can have
+    /// arrived.
     async fn write(&self) -> bool {
         let mut written = std::pin::pin!(write_all(&self.socket, &self.output));
         if let Some(written) = future::poll_once(written.as_mut()).await {
@@ -255,24 +258,24 @@
         future::or(early, async { written.await.is_ok() }).await
     }
 
-    async fn carry(&mut self, job: &Job) -> Result<Reply, (Stage, Option<Malformed>)> {
+    async fn run_job(&mut self, job: &Job) -> Result<Reply, (Stage, Option<Malformed>)> {
         self.number = self.number.wrapping_add(1);
-        let turn = Turn { job, address: self.address, number: self.number, columns: &self.columns };
-        if let Err(reply) = self.dialect.put(&mut self.output, &turn) {
+        let context = JobContext { job, address: self.address, number: self.number, columns: &self.columns };
+        if let Err(reply) = self.protocol.encode(&mut self.output, &context) {
             self.output.clear();
-            self.whole.set(true);
+            self.written.set(true);
             return Ok(reply);
         }
         if !self.write().await {
-            // Not its last byte was written, so it never ran. A node may turn a job away before it has heard all of
-            // it; what else it says by then is no answer to it.
+            // The last byte was not written, so the job never ran. A node may reject a job before it has
+            // received all of it; anything else it has sent by then is no answer to it.
             let _ = future::poll_once(read(&self.socket, &mut self.input)).await;
-            return match self.dialect.reply(&self.input, &turn, PeerState::Open) {
+            return match self.protocol.decode(&self.input, &context, PeerState::Open) {
                 Ok(Some((r, _))) if r.verdict == Verdict::Full => Ok(Reply { keep: false, ..r }),
                 _ => Err((Stage::Writing, None)),
             };
         }
-        self.whole.set(true);
+        self.written.set(true);
         let written = self.output.len();
         consume(&mut self.output, written);
         loop {
@@ -281,12 +284,12 @@
                 Ok(0) => PeerState::Closed,
                 Err(_) => return Err((Stage::Reading, None)),
             };
-            let parsed = self.dialect.reply(&self.input, &turn, rest);
+            let parsed = self.protocol.decode(&self.input, &context, rest);
             let parsed = parsed.map_err(|m| (Stage::Reading, Some(m)))?;
             if let Some((mut reply, taken)) = parsed {
                 consume(&mut self.input, taken);
                 if self.number == 1 && reply.verdict == Verdict::Full {
-                    reply.no_place = self.closes().await;
+                    reply.no_place = self.closes_soon().await;
                     reply.keep &= !reply.no_place;
                 }
                 return Ok(reply);
