--- a/crates/dissemination/src/follower.rs
+++ b/crates/dissemination/src/follower.rs
@@ -1,62 +1,63 @@
-//! A proxy's side: it holds two connections to control machines, applies what it is sent, once and in order, and
-//! knows by its own clock as of when it holds everything that was acknowledged.
+//! The state machine of a proxy. It keeps connections to two control machines, applies the changes that they
+//! send exactly once and in order, and knows by its own clock as of when it holds everything acknowledged.
 //!
-//! What it holds: a number and a digest of each stream, two connections with [`bounds::MAX_CHALLENGES`] challenges and
-//! three positions each, of each stream at most one change that is not whole yet; 64 KB at the most, 10 KB as a
-//! rule.
+//! Memory: a number and a digest per stream; per connection [`bounds::MAX_CHALLENGES`] challenges and three
+//! positions; per stream at most one partially received change. At most 64 KB, usually 10 KB.
 //!
-//! What it sends: to its primary an ack of 10 to 50 bytes every [`Rules::ack_interval`], and after changes at most one every
-//! [`Rules::beat_interval`]; to its secondary an ack of 8 bytes every [`Rules::ack_interval`]. All of it within [`Rules::follower_rate`],
-//! except hellos, which are as rare as new connections.
+//! Traffic: to its primary an ack of 10 to 50 bytes every [`Rules::ack_interval`], and after changes at most
+//! one every [`Rules::beat_interval`]; to its secondary an ack of 8 bytes every [`Rules::ack_interval`]. The
+//! total is limited to [`Rules::follower_rate`], except for hellos, which are as rare as new connections.
 //!
-//! Why it is sound: a beat says "who holds all that I showed you is as fresh as your challenge less this age". The
-//! age is that of the start of a poll which a majority of the stores answered. The beat was sent after the
-//! challenge, so that start is no earlier than the challenge's instant less the age, by the follower's own clock.
-//! Clocks may differ in rate by 200 ppm: over a lease that is 1.4 ms, for which the lease has room.
+//! Why freshness is sound: a beat states that a follower that holds everything announced is up to date as of
+//! its challenge minus an age. The age is that of the start of a poll answered by a majority of the stores.
+//! The beat was sent after the challenge, so the poll started no earlier than the send time of the challenge
+//! minus the age, by the follower's own clock. Clock rates may differ by 200 ppm, which is 1.4 ms over a
+//! lease; the lease has room for that.
 
 use crate::bucket::Bucket;
 use crate::change::{self, Content, Entry, Fit, Head, Piece, Position, SavedState};
 use crate::frame::{self, CloseReason};
 use crate::message::{Ack, Beat, Hello, Message};
-use crate::order::spread;
+use crate::order::hash_jitter;
 use crate::rules::InjectedFault;
 use crate::{bounds, ControlId, FollowerId, Micros, Rules, StreamId, TopicKind, SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
-/// What the host is to do, in order.
+/// Actions for the host, to be carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Output {
-    /// Open a connection to a control machine. [`Follower::down`] says that it failed.
+    /// Open a connection to a control machine. A failure is reported through [`Follower::down`].
     Dial(ControlId),
-    /// Send.
+    /// Send a message.
     Send(ControlId, Message),
-    /// Say why, as [`frame::refusal`], and close, also one that is only being opened. No [`Follower::down`] need
-    /// follow.
+    /// Send the reason as [`frame::refusal`] and close, or abort an attempt to connect. [`Follower::down`]
+    /// need not be called.
     Close(ControlId, CloseReason),
-    /// Apply this: changes in order, or a mark: whatever is held of the topic from before now is stale.
+    /// Apply a piece: changes in order, or a mark, after which everything obtained before now on the topic is
+    /// stale.
     Apply(Piece),
-    /// What is held of a stream is not what was said by the stores. Of a set's topic, whatever is held from before
-    /// now is stale; of a register, the stream's values are void. All of it comes anew.
+    /// The follower's history of a stream differs from that of the stores. On the topic of a set, everything
+    /// obtained before now is stale; of a register, the stream's values are void. All changes are sent again.
     Stale(StreamId),
-    /// The lease has run out: serve nothing that a change could have touched.
+    /// The lease has expired: serve nothing that a change could have affected.
     OutOfService,
-    /// Everything acknowledged until lately is held again.
+    /// The follower is up to date within the lease again.
     InService,
 }
 
-/// Figures for logs.
+/// Statistics for logs. The lab's report prints this type with `Debug`, names included.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shown {
-    /// Who pushes changes, and who stands by; whether each is up.
+    /// The control machine that pushes changes and the one that stands by, and whether each is connected.
     pub primary: Option<(ControlId, bool)>,
     /// See [`Shown::primary`].
     pub secondary: Option<(ControlId, bool)>,
-    /// Age of the instant as of which everything acknowledged is held.
+    /// Time since the instant as of which everything acknowledged is held.
     pub age: Option<Micros>,
-    /// Since the start: changes applied, marks, changes asked for from the secondary, promotions of it, pieces that
-    /// did not fit, streams begun anew.
+    /// Since the start: changes applied, marks applied, pull requests, promotions of the secondary, pieces
+    /// that did not match the history, and streams that were reset.
     pub applied: u64,
     /// See [`Shown::applied`].
     pub marks: u64,
@@ -68,76 +69,80 @@
     pub misfits: u64,
     /// See [`Shown::applied`].
     pub stale: u64,
-    /// Since the start: bytes of frames that came, and that went.
+    /// Bytes of frames received and sent since the start.
     pub bytes_in: u64,
     /// See [`Shown::bytes_in`].
     pub bytes_out: u64,
 }
 
-/// Figures do nothing: states that differ by them alone go on alike, so they have the same hash.
+/// Statistics do not influence behaviour. They are left out of the hash so that states that differ only in
+/// them compare as equal.
 impl Hash for Shown {
     fn hash<H: Hasher>(&self, _: &mut H) {}
 }
 
-/// A claim: who holds this is as fresh as that.
+/// A freshness claim: a follower that holds this position is up to date as of this instant.
 type Claim = (Micros, Position);
 
 #[derive(Clone, Debug, Hash)]
-struct Conn {
+struct Connection {
     up: bool,
-    /// When it was asked for, or came up; when it was last heard.
+    /// When the connection was requested or established, and when a beat, batch or welcome last arrived.
     since: Micros,
-    heard: Micros,
-    /// Hellos that have not been answered: what is shown until then does not count.
-    hellos: u32,
+    last_heard: Micros,
+    /// Hellos without an answer. Announcements are ignored while there are any.
+    unanswered_hellos: u32,
     challenge: u32,
     challenges: VecDeque<(u32, Micros)>,
-    /// What it showed; what was told to it.
-    shown: Position,
-    told: Position,
-    /// The freshest instant that it claimed, whether held or not.
-    claimed: Option<Micros>,
-    /// The claim that is waited for, and the last one: while changes come all the time, the last is never reached.
-    waits: Option<Claim>,
-    last: Option<Claim>,
-    acked: Micros,
-    /// How many refusals it was told.
+    /// What the control machine has announced, and what has been confirmed to it.
+    announced: Position,
+    acked: Position,
+    /// The latest instant claimed by the control machine, whether the claimed position is held or not.
+    freshest_claim: Option<Micros>,
+    /// The claim that is waited for, and the latest one. While changes keep coming, the latest claim is never
+    /// reached, so an older one is kept until it is covered.
+    pending_claim: Option<Claim>,
+    latest_claim: Option<Claim>,
+    last_ack: Micros,
+    /// How many refusals have been reported on this connection.
     refused: u64,
-    /// Whether it was asked for what lacks: then it is told what has come another way.
+    /// Whether missing changes were requested here. The control machine is then told what arrived through the
+    /// other connection.
     pulled: bool,
 }
 
-/// A stream of which more is shown than held.
+/// A stream of which more has been announced than is held.
 #[derive(Clone, Debug, Hash)]
-struct Lack {
+struct MissingChanges {
     held: u64,
     part: usize,
     since: Micros,
     asked: Option<Micros>,
 }
 
-/// A change that is not whole yet.
+/// A change of which only some fragments have been received.
 #[derive(Clone, Debug, Hash)]
-struct Part {
+struct PartialChange {
     number: u64,
     key: u32,
     whole: u16,
     check: u32,
     digest: u32,
     bytes: Vec<u8>,
-    /// Who sent the first part, and whether another sent any: then nobody is to blame for a wrong byte.
+    /// Who sent the first fragment, and whether another machine sent some as well. In that case a wrong byte
+    /// cannot be attributed.
     from: ControlId,
     mixed: bool,
 }
 
 /// When a control machine may be dialled again, and how often it has failed.
 #[derive(Clone, Copy, Debug, Default, Hash)]
-struct Wait {
-    until: Option<Micros>,
-    tries: u32,
+struct Backoff {
+    retry_at: Option<Micros>,
+    failures: u32,
 }
 
-/// See the file's comment.
+/// The state machine of a proxy; see the module documentation.
 #[derive(Clone, Debug, Hash)]
 pub struct Follower {
     rules: Rules,
@@ -147,97 +152,98 @@
     epoch: u32,
     heads: BTreeMap<StreamId, Head>,
     position: Position,
-    conns: BTreeMap<ControlId, Conn>,
+    conns: BTreeMap<ControlId, Connection>,
     primary: Option<ControlId>,
     secondary: Option<ControlId>,
-    waits: BTreeMap<ControlId, Wait>,
-    lacks: BTreeMap<StreamId, Lack>,
-    parts: BTreeMap<StreamId, Part>,
-    /// Control machines that hold another history of a stream.
-    doubts: BTreeMap<StreamId, BTreeSet<ControlId>>,
+    backoffs: BTreeMap<ControlId, Backoff>,
+    missing: BTreeMap<StreamId, MissingChanges>,
+    partial_changes: BTreeMap<StreamId, PartialChange>,
+    /// Control machines that reported a different history of a stream.
+    mismatch_reports: BTreeMap<StreamId, BTreeSet<ControlId>>,
     refused: VecDeque<(StreamId, u64)>,
-    refusals: u64,
+    refused_total: u64,
     fresh: Option<Micros>,
-    service: bool,
+    serving: bool,
     /// Whether anything was applied since the last ack to the primary.
-    news: bool,
-    /// Whether control machines are to be told at the next tick what is held.
-    greets: bool,
+    unacked: bool,
+    /// Whether to send a hello to all control machines at the next tick.
+    hello_due: bool,
     bucket: Bucket,
-    ticked: Micros,
-    figures: Shown,
+    last_tick: Micros,
+    stats: Shown,
 }
 
 impl Follower {
-    /// One that begins. `order` is as [`order::preference_order`](crate::order::preference_order) gives it; `life` differs from one start
-    /// to the next. It fails on rules or an order that do not fit.
+    /// Creates a follower. `order` comes from [`order::preference_order`](crate::order::preference_order);
+    /// `life` differs between process starts. Fails if rules or order are invalid.
     pub fn new(
         now: Micros,
         rules: Rules,
         me: FollowerId,
         order: Vec<ControlId>,
-        kept: Option<SavedState>,
+        saved: Option<SavedState>,
         life: u64,
     ) -> Result<Self, &'static str> {
         rules.check()?;
         let distinct: BTreeSet<ControlId> = order.iter().copied().collect();
         if order.is_empty() || distinct.len() < order.len() || order.iter().any(|c| c.0 >= rules.controls) {
-            return Err("an order of control machines that is none");
+            return Err("the order of control machines is empty, names one twice, or names an unknown one");
         }
-        let kept = kept.unwrap_or_default();
+        let saved = saved.unwrap_or_default();
         let known = |(stream, head): &(StreamId, Head)| {
             let sane = (1..=bounds::MAX_NUMBER).contains(&head.number);
             sane && rules.kind(stream.topic).is_some() && rules.is_store(stream.store)
         };
-        let heads: BTreeMap<StreamId, Head> = kept.heads.into_iter().filter(known).collect();
-        let own = i64::from(rules.follower_rate) * SECOND / (SECOND + rules.beat_interval);
-        let depth = i64::from(rules.follower_rate) - own;
+        let heads: BTreeMap<StreamId, Head> = saved.heads.into_iter().filter(known).collect();
+        let steady_rate = i64::from(rules.follower_rate) * SECOND / (SECOND + rules.beat_interval);
+        let depth = i64::from(rules.follower_rate) - steady_rate;
         let bytes = |n: i64| u32::try_from(n).unwrap_or(u32::MAX);
         Ok(Follower {
-            bucket: Bucket::new(now, bytes(own), bytes(depth)),
+            bucket: Bucket::new(now, bytes(steady_rate), bytes(depth)),
             me,
             life,
             order,
-            epoch: kept.epoch,
+            epoch: saved.epoch,
             position: heads.iter().map(|(stream, head)| (*stream, head.number)).collect(),
             heads,
             conns: BTreeMap::new(),
             primary: None,
             secondary: None,
-            waits: BTreeMap::new(),
-            lacks: BTreeMap::new(),
-            parts: BTreeMap::new(),
-            doubts: BTreeMap::new(),
+            backoffs: BTreeMap::new(),
+            missing: BTreeMap::new(),
+            partial_changes: BTreeMap::new(),
+            mismatch_reports: BTreeMap::new(),
             refused: VecDeque::new(),
-            refusals: 0,
+            refused_total: 0,
             fresh: None,
-            service: false,
-            news: false,
-            greets: false,
-            ticked: now,
-            figures: Shown::default(),
+            serving: false,
+            unacked: false,
+            hello_due: false,
+            last_tick: now,
+            stats: Shown::default(),
             rules,
         })
     }
 
-    /// A connection that was asked for is up.
+    /// A requested connection was established.
     pub fn up(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         let Some(conn) = self.conns.get_mut(&control) else {
             return out.push(Output::Close(control, CloseReason::NoLongerNeeded));
         };
-        (conn.up, conn.since, conn.heard) = (true, now, now);
-        self.greet(now, control, out);
+        (conn.up, conn.since, conn.last_heard) = (true, now, now);
+        self.send_hello(now, control, out);
     }
 
-    /// A connection is gone, or could not be opened.
+    /// A connection was lost or could not be established.
     pub fn down(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         if self.conns.contains_key(&control) {
-            self.lose(now, control, false);
-            self.arrange(now, out);
+            self.drop_connection(now, control, false);
+            self.fill_connections(now, out);
         }
     }
 
-    /// A message came. On an error the host says why and closes; no [`Follower::down`] need follow.
+    /// Handles a message. On an error the host sends the reason and closes; [`Follower::down`] need not be
+    /// called.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -248,76 +254,79 @@
         if !self.conns.get(&control).is_some_and(|c| c.up) {
             return Err(CloseReason::Unexpected(message.name()));
         }
-        self.figures.bytes_in += frame::size(message) as u64;
-        let done =
-            message.check().map_err(CloseReason::Bounds).and_then(|()| self.hear(now, control, message, out));
-        if let Err(why) = &done {
-            // Who says what is wrong is asked again last.
-            let wrong = !matches!(why, CloseReason::NoCapacity | CloseReason::ByPeer(_));
-            self.lose(now, control, wrong);
+        self.stats.bytes_in += frame::size(message) as u64;
+        let result = message
+            .check()
+            .map_err(CloseReason::Bounds)
+            .and_then(|()| self.dispatch(now, control, message, out));
+        if let Err(reason) = &result {
+            // A control machine that sent something wrong is tried again last.
+            let misbehaved = !matches!(reason, CloseReason::NoCapacity | CloseReason::ByPeer(_));
+            self.drop_connection(now, control, misbehaved);
         }
-        self.look(now, out);
-        if done.is_err() {
-            self.arrange(now, out);
+        self.update_freshness(now, out);
+        if result.is_err() {
+            self.fill_connections(now, out);
         }
-        done
+        result
     }
 
-    /// The host could not put a change in force. It counts as applied, and control machines are told.
+    /// The host could not put a change into effect. It counts as applied, and the control machines are told.
     pub fn report_refused(&mut self, stream: StreamId, number: u64) {
         self.refused.push_back((stream, number));
-        self.refusals += 1;
+        self.refused_total += 1;
         if self.refused.len() > bounds::MAX_REFUSED {
             self.refused.pop_front();
         }
-        self.news = true;
+        self.unacked = true;
     }
 
-    /// Time passed.
+    /// Performs everything that is due at `now`.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
-        self.excuse(now);
-        self.ticked = now;
-        if std::mem::take(&mut self.greets) {
-            self.greet_all(now, out);
+        self.adjust_for_stall(now);
+        self.last_tick = now;
+        if std::mem::take(&mut self.hello_due) {
+            self.send_hello_to_all(now, out);
         }
-        self.silence(now, out);
-        self.compare(now, out);
-        self.seek(now, out);
-        self.arrange(now, out);
-        self.acks(now, out);
-        self.look(now, out);
+        self.close_silent(now, out);
+        self.leave_stale_primary(now, out);
+        self.request_missing(now, out);
+        self.fill_connections(now, out);
+        self.send_due_acks(now, out);
+        self.update_freshness(now, out);
     }
 
-    /// When [`Follower::tick`] is due.
+    /// When [`Follower::tick`] must be called next.
     pub fn next_tick(&self) -> Micros {
         let beat = self.rules.beat_interval;
-        if self.greets {
-            return self.ticked + 1000;
+        if self.hello_due {
+            return self.last_tick + 1000;
         }
         let conns = self.conns.iter().flat_map(|(id, c)| {
             let ack = c.up.then(|| {
-                c.acked + if self.news && self.primary == Some(*id) { beat } else { self.rules.ack_interval }
+                c.last_ack
+                    + if self.unacked && self.primary == Some(*id) { beat } else { self.rules.ack_interval }
             });
-            [Some(c.heard + self.rules.silence_timeout + 1), ack]
+            [Some(c.last_heard + self.rules.silence_timeout + 1), ack]
         });
-        let lacks =
-            self.lacks.values().map(|l| l.asked.unwrap_or(l.since).max(l.since) + self.rules.gap_timeout);
-        let lease = self.fresh.filter(|_| self.service).map(|f| f + self.rules.lease + 1);
+        let gaps =
+            self.missing.values().map(|l| l.asked.unwrap_or(l.since).max(l.since) + self.rules.gap_timeout);
+        let lease = self.fresh.filter(|_| self.serving).map(|f| f + self.rules.lease + 1);
         let open = self.primary.is_none() || self.secondary.is_none();
         let dials = self.order.iter().filter(|c| open && !self.conns.contains_key(c));
-        let dials = dials.map(|c| self.waits.get(c).and_then(|w| w.until).unwrap_or(self.ticked));
-        let next = conns.flatten().chain(lacks).chain(lease).chain(dials).min();
-        // Never at once again: a millisecond is less than anything here takes.
-        next.unwrap_or(self.ticked + beat).max(self.ticked + 1000)
+        let dials = dials.map(|c| self.backoffs.get(c).and_then(|w| w.retry_at).unwrap_or(self.last_tick));
+        let next = conns.flatten().chain(gaps).chain(lease).chain(dials).min();
+        // Wait at least a millisecond, which is shorter than any timeout here, to avoid a busy loop.
+        next.unwrap_or(self.last_tick + beat).max(self.last_tick + 1000)
     }
 
-    /// Whether it may serve: everything acknowledged a lease ago is applied.
+    /// Whether it may serve: everything acknowledged before the last lease interval is applied.
     pub fn in_service(&self, now: Micros) -> bool {
         let lease = self.rules.lease;
-        self.fresh.is_some_and(|f| self.rules.is(InjectedFault::NoLease) || now - f <= lease)
+        self.fresh.is_some_and(|f| self.rules.has_fault(InjectedFault::NoLease) || now - f <= lease)
     }
 
-    /// What is applied.
+    /// The applied position.
     pub fn position(&self) -> &Position {
         &self.position
     }
@@ -327,31 +336,31 @@
         self.fresh
     }
 
-    /// The epoch of what is applied.
+    /// The epoch of the applied changes.
     pub fn epoch(&self) -> u32 {
         self.epoch
     }
 
-    /// What it holds, for its next start.
+    /// The state to save for the next start.
     pub fn saved_state(&self) -> SavedState {
         SavedState { epoch: self.epoch, heads: self.heads.iter().map(|(s, h)| (*s, *h)).collect() }
     }
 
-    /// Figures for logs.
+    /// Statistics for logs.
     pub fn stats(&self, now: Micros) -> Shown {
-        let who = |c: Option<ControlId>| c.map(|c| (c, self.conns.get(&c).is_some_and(|c| c.up)));
+        let with_state = |c: Option<ControlId>| c.map(|c| (c, self.conns.get(&c).is_some_and(|c| c.up)));
         Shown {
-            primary: who(self.primary),
-            secondary: who(self.secondary),
+            primary: with_state(self.primary),
+            secondary: with_state(self.secondary),
             age: self.fresh.map(|f| now - f),
-            ..self.figures.clone()
+            ..self.stats.clone()
         }
     }
 
-    // Connections.
+    // Connection management.
 
-    /// Fills the two places, nearest in the order first.
-    fn arrange(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// Dials control machines for an empty primary or secondary slot, in order of preference.
+    fn fill_connections(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.primary.is_none() {
             self.promote(now, out);
         }
@@ -361,108 +370,110 @@
                 continue;
             }
             let ready = |c: &&ControlId| {
-                let waits = self.waits.get(c).and_then(|w| w.until);
+                let waits = self.backoffs.get(c).and_then(|w| w.retry_at);
                 !self.conns.contains_key(c) && waits.is_none_or(|until| until <= now)
             };
             let Some(next) = self.order.iter().find(ready).copied() else { continue };
-            self.conns.insert(next, Conn::new(now));
+            self.conns.insert(next, Connection::new(now));
             *(if primary { &mut self.primary } else { &mut self.secondary }) = Some(next);
             out.push(Output::Dial(next));
         }
     }
 
-    /// Makes the secondary the primary, if it is there.
+    /// Makes the secondary the primary, if it is connected.
     fn promote(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(next) = self.secondary.filter(|s| self.conns.get(s).is_some_and(|c| c.up)) else { return };
         (self.primary, self.secondary) = (Some(next), None);
-        self.figures.promotions += 1;
-        self.ack(now, next, out);
+        self.stats.promotions += 1;
+        self.send_ack(now, next, out);
     }
 
-    /// The machine forgets a connection. Its control machine is dialled again after a while, a longer one if it has
-    /// failed before or said what is wrong.
-    fn lose(&mut self, now: Micros, control: ControlId, wrong: bool) {
+    /// Forgets a connection. The control machine is dialled again after a delay, which is longer if it has
+    /// failed before or has sent something wrong.
+    fn drop_connection(&mut self, now: Micros, control: ControlId, misbehaved: bool) {
         self.conns.remove(&control);
         for place in [&mut self.primary, &mut self.secondary] {
             *place = place.filter(|c| *c != control);
         }
-        let wait = self.waits.entry(control).or_default();
+        let backoff = self.backoffs.entry(control).or_default();
         let span = self
             .rules
             .min_redial_delay
-            .saturating_mul(1 << wait.tries.min(16))
+            .saturating_mul(1 << backoff.failures.min(16))
             .min(self.rules.max_redial_delay);
-        let span = if wrong { self.rules.max_redial_delay } else { span };
-        wait.until = Some(now + span / 2 + spread((self.me, control, wait.tries), span / 2));
-        wait.tries = wait.tries.saturating_add(1);
+        let span = if misbehaved { self.rules.max_redial_delay } else { span };
+        backoff.retry_at = Some(now + span / 2 + hash_jitter((self.me, control, backoff.failures), span / 2));
+        backoff.failures = backoff.failures.saturating_add(1);
     }
 
-    fn close(&mut self, now: Micros, control: ControlId, why: CloseReason, out: &mut Vec<Output>) {
-        self.lose(now, control, false);
-        out.push(Output::Close(control, why));
+    fn close(&mut self, now: Micros, control: ControlId, reason: CloseReason, out: &mut Vec<Output>) {
+        self.drop_connection(now, control, false);
+        out.push(Output::Close(control, reason));
     }
 
-    /// A host that was held up itself has not heard, though there may be what waits to be read.
-    fn excuse(&mut self, now: Micros) {
-        let due = self.next_tick().max(self.ticked + self.rules.beat_interval);
+    /// If the host itself was stalled, messages may be waiting to be read; extends the silence timeouts by
+    /// the delay.
+    fn adjust_for_stall(&mut self, now: Micros) {
+        let due = self.next_tick().max(self.last_tick + self.rules.beat_interval);
         let late = now - due;
         if late > self.rules.beat_interval {
-            self.conns.values_mut().for_each(|c| c.heard = (c.heard + late).min(now));
+            self.conns.values_mut().for_each(|c| c.last_heard = (c.last_heard + late).min(now));
         }
     }
 
-    /// Leaves control machines that say nothing.
-    fn silence(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let silent = self.conns.iter().filter(|(_, c)| now - c.heard > self.rules.silence_timeout);
+    /// Leaves control machines that have been silent for too long.
+    fn close_silent(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let silent = self.conns.iter().filter(|(_, c)| now - c.last_heard > self.rules.silence_timeout);
         let silent: Vec<ControlId> = silent.map(|(id, _)| *id).collect();
         for control in silent {
             self.close(now, control, CloseReason::Timeout, out);
         }
     }
 
-    /// Leaves a primary that knows much less than the secondary.
-    fn compare(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// Leaves a primary whose claims are far older than those of the secondary.
+    fn leave_stale_primary(&mut self, now: Micros, out: &mut Vec<Output>) {
         let (Some(primary), Some(secondary)) = (self.primary, self.secondary) else { return };
         let (Some(first), Some(second)) = (self.conns.get(&primary), self.conns.get(&secondary)) else {
             return;
         };
-        let knows = first.claimed.unwrap_or(first.since);
-        if second.claimed.is_some_and(|c| c - knows > 2 * self.rules.silence_timeout) {
+        let knows = first.freshest_claim.unwrap_or(first.since);
+        if second.freshest_claim.is_some_and(|c| c - knows > 2 * self.rules.silence_timeout) {
             self.close(now, primary, CloseReason::NoLongerNeeded, out);
         }
     }
 
-    /// Asks for what was shown and did not come: the secondary first, which is there for that. If that does not
-    /// help either, the secondary becomes the primary.
-    fn seek(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// Requests changes that were announced but did not arrive, preferably from the secondary, whose purpose
+    /// this is. If that does not help, the secondary becomes the primary.
+    fn request_missing(&mut self, now: Micros, out: &mut Vec<Output>) {
         let mut shown = Position::default();
-        self.conns.values().filter(|c| c.hellos == 0).for_each(|c| shown.merge(&c.shown));
-        self.lacks.retain(|stream, _| shown.get(*stream) > self.position.get(*stream));
+        self.conns.values().filter(|c| c.unanswered_hellos == 0).for_each(|c| shown.merge(&c.announced));
+        self.missing.retain(|stream, _| shown.get(*stream) > self.position.get(*stream));
         let mut stuck = false;
         for (stream, number) in shown.iter() {
             let held = self.position.get(stream);
             if number <= held {
                 continue;
             }
-            let part = self.parts.get(&stream).map_or(0, |p| p.bytes.len());
-            let lack = self.lacks.entry(stream).or_insert(Lack { held, part, since: now, asked: None });
-            if (lack.held, lack.part) != (held, part) {
-                *lack = Lack { held, part, since: now, asked: lack.asked };
+            let part = self.partial_changes.get(&stream).map_or(0, |p| p.bytes.len());
+            let missing =
+                self.missing.entry(stream).or_insert(MissingChanges { held, part, since: now, asked: None });
+            if (missing.held, missing.part) != (held, part) {
+                *missing = MissingChanges { held, part, since: now, asked: missing.asked };
             }
-            let (since, asked) = (lack.since, lack.asked);
+            let (since, asked) = (missing.since, missing.asked);
             if now - since < self.rules.gap_timeout
                 || asked.is_some_and(|at| now - at < self.rules.gap_timeout)
             {
                 continue;
             }
             let has = |c: &ControlId| {
-                self.conns.get(c).is_some_and(|c| c.hellos == 0 && c.shown.get(stream) > held)
+                self.conns.get(c).is_some_and(|c| c.unanswered_hellos == 0 && c.announced.get(stream) > held)
             };
             let second = self.secondary.filter(has);
             stuck |= second.is_some() && now - since >= self.rules.silence_timeout + self.rules.gap_timeout;
             let Some(from) = second.or(self.primary.filter(has)) else { continue };
-            lack.asked = Some(now);
-            self.figures.pulls += 1;
+            missing.asked = Some(now);
+            self.stats.pulls += 1;
             if let Some(conn) = self.conns.get_mut(&from) {
                 conn.pulled = true;
             }
@@ -473,18 +484,18 @@
         }
     }
 
-    fn greet(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
+    fn send_hello(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         let position = self.position.clone();
         let Some(conn) = self.conns.get_mut(&control) else { return };
-        conn.hellos += 1;
-        (conn.shown, conn.told) = (position.clone(), position);
-        (conn.waits, conn.last, conn.acked) = (None, None, now);
+        conn.unanswered_hellos += 1;
+        (conn.announced, conn.acked) = (position.clone(), position);
+        (conn.pending_claim, conn.latest_claim, conn.last_ack) = (None, None, now);
         let hello = Hello {
             epoch: self.epoch,
             id: self.me,
             life: self.life,
             primary: self.primary == Some(control),
-            challenge: conn.challenge(now),
+            challenge: conn.next_challenge(now),
             heads: self.heads.iter().map(|(s, h)| (*s, *h)).collect(),
         };
         self.send(now, control, Message::Hello(hello), out);
@@ -493,47 +504,48 @@
     fn send(&mut self, now: Micros, control: ControlId, message: Message, out: &mut Vec<Output>) {
         let bytes = frame::size(&message);
         self.bucket.take(now, bytes);
-        self.figures.bytes_out += bytes as u64;
+        self.stats.bytes_out += bytes as u64;
         out.push(Output::Send(control, message));
     }
 
-    fn acks(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let due = |(id, c): (&ControlId, &Conn)| {
-            let news = self.news && self.primary == Some(*id);
+    fn send_due_acks(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let due = |(id, c): (&ControlId, &Connection)| {
+            let news = self.unacked && self.primary == Some(*id);
             let every = if news { self.rules.beat_interval } else { self.rules.ack_interval };
-            (c.up && now - c.acked >= every).then_some(*id)
+            (c.up && now - c.last_ack >= every).then_some(*id)
         };
         let due: Vec<ControlId> = self.conns.iter().filter_map(due).collect();
         for control in due {
             if self.bucket.level(now) > 0 {
-                self.ack(now, control, out);
+                self.send_ack(now, control, out);
             }
         }
     }
 
-    fn ack(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
+    fn send_ack(&mut self, now: Micros, control: ControlId, out: &mut Vec<Output>) {
         let primary = self.primary == Some(control);
-        let unsaid =
-            |said: u64| self.refused.len() - ((self.refusals - said) as usize).min(self.refused.len());
+        let unreported = |reported: u64| {
+            self.refused.len() - ((self.refused_total - reported) as usize).min(self.refused.len())
+        };
         let Some(conn) = self.conns.get_mut(&control).filter(|c| c.up) else { return };
-        conn.acked = now;
-        let mut ack = Ack { primary, challenge: conn.challenge(now), ..Ack::default() };
+        conn.last_ack = now;
+        let mut ack = Ack { primary, challenge: conn.next_challenge(now), ..Ack::default() };
         if primary || conn.pulled {
-            ack.gains = self.position.gains(&conn.told);
-            conn.told.merge(&self.position);
-            conn.pulled &= !self.lacks.is_empty();
+            ack.gains = self.position.gains(&conn.acked);
+            conn.acked.merge(&self.position);
+            conn.pulled &= !self.missing.is_empty();
         }
         if primary {
-            ack.refused = self.refused.iter().skip(unsaid(conn.refused)).copied().collect();
-            conn.refused = self.refusals;
-            self.news = false;
+            ack.refused = self.refused.iter().skip(unreported(conn.refused)).copied().collect();
+            conn.refused = self.refused_total;
+            self.unacked = false;
         }
         self.send(now, control, Message::Ack(ack), out);
     }
 
-    // Words.
+    // Message handling.
 
-    fn hear(
+    fn dispatch(
         &mut self,
         now: Micros,
         control: ControlId,
@@ -545,13 +557,13 @@
                 if *id != control {
                     return Err(CloseReason::Bounds("not the control machine that should be there"));
                 }
-                self.welcome(now, control, *epoch, out)
+                self.handle_welcome(now, control, *epoch, out)
             }
-            Message::Beat(beat) => self.beat(now, control, beat),
-            Message::Batch(pieces) => pieces.iter().try_for_each(|p| self.piece(now, control, p, out)),
+            Message::Beat(beat) => self.handle_beat(now, control, beat),
+            Message::Batch(pieces) => pieces.iter().try_for_each(|p| self.handle_piece(now, control, p, out)),
             Message::Differs { stream, number } => {
                 if self.welcomed(control) && self.position.get(*stream) >= *number && *number > 0 {
-                    self.doubt(control, *stream, out);
+                    self.record_mismatch(control, *stream, out);
                 }
                 Ok(())
             }
@@ -560,21 +572,21 @@
     }
 
     fn welcomed(&self, control: ControlId) -> bool {
-        self.conns.get(&control).is_some_and(|c| c.hellos == 0)
+        self.conns.get(&control).is_some_and(|c| c.unanswered_hellos == 0)
     }
 
-    fn welcome(
+    fn handle_welcome(
         &mut self,
         now: Micros,
         control: ControlId,
         epoch: u32,
         out: &mut Vec<Output>,
     ) -> Result<(), CloseReason> {
-        let Some(conn) = self.conns.get_mut(&control).filter(|c| c.hellos > 0) else {
+        let Some(conn) = self.conns.get_mut(&control).filter(|c| c.unanswered_hellos > 0) else {
             return Err(CloseReason::Unexpected("a welcome"));
         };
-        (conn.hellos, conn.heard) = (conn.hellos - 1, now);
-        if conn.hellos > 0 {
+        (conn.unanswered_hellos, conn.last_heard) = (conn.unanswered_hellos - 1, now);
+        if conn.unanswered_hellos > 0 {
             return Ok(());
         }
         if epoch < self.epoch {
@@ -583,72 +595,73 @@
         if epoch > self.epoch {
             let streams: Vec<StreamId> = self.heads.keys().copied().collect();
             self.epoch = epoch;
-            self.anew(&streams, out);
-            // The others are told as well: they may hold the new epoch, or say that they do not.
-            self.greet_all(now, out);
+            self.reset_streams(&streams, out);
+            // Tell the others too: they may already have the new epoch, or reply that they do not.
+            self.send_hello_to_all(now, out);
         }
         Ok(())
     }
 
-    fn greet_all(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn send_hello_to_all(&mut self, now: Micros, out: &mut Vec<Output>) {
         let up: Vec<ControlId> = self.conns.iter().filter(|(_, c)| c.up).map(|(id, _)| *id).collect();
-        up.into_iter().for_each(|c| self.greet(now, c, out));
+        up.into_iter().for_each(|c| self.send_hello(now, c, out));
     }
 
-    /// All that is held of streams is void.
-    fn anew(&mut self, streams: &[StreamId], out: &mut Vec<Output>) {
+    /// Discards everything held of these streams.
+    fn reset_streams(&mut self, streams: &[StreamId], out: &mut Vec<Output>) {
         self.fresh = None;
         for stream in streams {
-            self.figures.stale += 1;
+            self.stats.stale += 1;
             self.heads.remove(stream);
             self.position.set(*stream, 0);
-            self.parts.remove(stream);
-            self.lacks.remove(stream);
-            self.doubts.remove(stream);
+            self.partial_changes.remove(stream);
+            self.missing.remove(stream);
+            self.mismatch_reports.remove(stream);
             out.push(Output::Stale(*stream));
         }
     }
 
-    /// A control machine holds another history of a stream. One may be wrong; two are believed.
-    fn doubt(&mut self, control: ControlId, stream: StreamId, out: &mut Vec<Output>) {
-        let doubts = self.doubts.entry(stream).or_default();
+    /// Records that a control machine has a different history of a stream. A single one may be wrong; two are
+    /// believed.
+    fn record_mismatch(&mut self, control: ControlId, stream: StreamId, out: &mut Vec<Output>) {
+        let doubts = self.mismatch_reports.entry(stream).or_default();
         doubts.insert(control);
         if doubts.len() >= self.order.len().min(2) {
-            self.anew(&[stream], out);
-            // At the next tick, for where one stream differs others do as well.
-            self.greets = true;
+            self.reset_streams(&[stream], out);
+            // Sent at the next tick, because other streams usually differ as well.
+            self.hello_due = true;
         }
     }
 
-    fn beat(&mut self, now: Micros, control: ControlId, beat: &Beat) -> Result<(), CloseReason> {
-        if beat.gains.iter().any(|(stream, _)| !self.knows(*stream)) {
+    fn handle_beat(&mut self, now: Micros, control: ControlId, beat: &Beat) -> Result<(), CloseReason> {
+        if beat.gains.iter().any(|(stream, _)| !self.is_known_stream(*stream)) {
             return Err(CloseReason::Bounds("a stream that there is not"));
         }
         let Some(conn) = self.conns.get_mut(&control) else { return Ok(()) };
-        conn.heard = now;
-        if conn.hellos > 0 {
+        conn.last_heard = now;
+        if conn.unanswered_hellos > 0 {
             return Ok(());
         }
-        conn.shown.gain(&beat.gains);
+        conn.announced.gain(&beat.gains);
         let Some(age) = beat.age else { return Ok(()) };
         let Some(sent) = conn.challenges.iter().find(|c| c.0 == beat.echo).map(|c| c.1) else {
             return Ok(());
         };
-        let sent = if self.rules.is(InjectedFault::FreshAtBeat) { now } else { sent };
+        let sent = if self.rules.has_fault(InjectedFault::FreshAtBeat) { now } else { sent };
         let instant = sent - Micros::from(age) * 1000;
-        conn.claimed = conn.claimed.max(Some(instant));
-        conn.last = Some((instant, conn.shown.clone()));
-        if let Some(wait) = self.waits.get_mut(&control) {
-            wait.tries = 0;
+        conn.freshest_claim = conn.freshest_claim.max(Some(instant));
+        conn.latest_claim = Some((instant, conn.announced.clone()));
+        if let Some(backoff) = self.backoffs.get_mut(&control) {
+            backoff.failures = 0;
         }
         Ok(())
     }
 
-    fn knows(&self, stream: StreamId) -> bool {
+    fn is_known_stream(&self, stream: StreamId) -> bool {
         self.rules.kind(stream.topic).is_some() && self.rules.is_store(stream.store)
     }
 
-    fn piece(
+    fn handle_piece(
         &mut self,
         now: Micros,
         control: ControlId,
@@ -669,60 +682,60 @@
         let head = self.heads.get(&stream).copied().unwrap_or_default();
         let part = matches!(piece.content, Content::Part { .. });
         if let Some(conn) = self.conns.get_mut(&control) {
-            conn.heard = now;
-            // What was sent before the hello was heard is shown anew.
-            if conn.hellos == 0 && !part {
-                conn.shown.raise(stream, piece.upto());
+            conn.last_heard = now;
+            // What was sent before the hello arrived is announced again.
+            if conn.unanswered_hellos == 0 && !part {
+                conn.announced.raise(stream, piece.upto());
             }
         }
-        let fit = self.plant(piece, head);
+        let fit = self.fit_with_fault(piece, head);
         match fit {
             Fit::AlreadyHeld => Ok(()),
             Fit::Gap => Ok(()),
-            Fit::Part => match self.part(control, piece, head) {
-                Some(whole) => self.piece(now, control, &whole, out),
+            Fit::Part => match self.assemble_part(control, piece, head) {
+                Some(whole) => self.handle_piece(now, control, &whole, out),
                 None => Ok(()),
             },
             Fit::Mismatch => {
-                self.figures.misfits += 1;
-                self.doubt(control, stream, out);
+                self.stats.misfits += 1;
+                self.record_mismatch(control, stream, out);
                 Err(CloseReason::HistoryMismatch)
             }
             Fit::Continues(piece, head) => {
-                self.figures.applied += piece.changes().count() as u64;
-                self.figures.marks += u64::from(piece.is_mark());
+                self.stats.applied += piece.changes().count() as u64;
+                self.stats.marks += u64::from(piece.is_mark());
                 self.heads.insert(stream, head);
                 self.position.set(stream, head.number);
-                self.parts.remove(&stream);
-                self.doubts.remove(&stream);
-                self.news = true;
+                self.partial_changes.remove(&stream);
+                self.mismatch_reports.remove(&stream);
+                self.unacked = true;
                 out.push(Output::Apply(piece));
                 Ok(())
             }
         }
     }
 
-    /// How a piece goes on from a head, with what tests plant.
-    fn plant(&self, piece: &Piece, head: Head) -> Fit {
+    /// Determines how a piece relates to a head, applying an injected fault.
+    fn fit_with_fault(&self, piece: &Piece, head: Head) -> Fit {
         let fit = piece.continue_from(head);
         let end = Head { number: piece.upto(), digest: piece.digest };
         match fit {
-            Fit::AlreadyHeld if self.rules.is(InjectedFault::Twice) && end == head => {
+            Fit::AlreadyHeld if self.rules.has_fault(InjectedFault::Twice) && end == head => {
                 Fit::Continues(piece.clone(), end)
             }
-            Fit::Gap if self.rules.is(InjectedFault::Gaps) => Fit::Continues(piece.clone(), end),
-            Fit::Mismatch if self.rules.is(InjectedFault::NoDigest) && end.number > head.number => {
+            Fit::Gap if self.rules.has_fault(InjectedFault::Gaps) => Fit::Continues(piece.clone(), end),
+            Fit::Mismatch if self.rules.has_fault(InjectedFault::NoDigest) && end.number > head.number => {
                 Fit::Continues(piece.clone(), end)
             }
             fit => fit,
         }
     }
 
-    /// Puts a part to those before it; the whole change as a piece if it is the last.
-    fn part(&mut self, control: ControlId, piece: &Piece, head: Head) -> Option<Piece> {
+    /// Appends a fragment to those received; returns the whole change as a piece after the last one.
+    fn assemble_part(&mut self, control: ControlId, piece: &Piece, head: Head) -> Option<Piece> {
         let Content::Part { number, key, whole, offset, check, bytes } = &piece.content else { return None };
         let stream = piece.stream;
-        let new = Part {
+        let new = PartialChange {
             number: *number,
             key: *key,
             whole: *whole,
@@ -732,28 +745,29 @@
             from: control,
             mixed: false,
         };
-        let same = |held: &Part| {
+        let same = |held: &PartialChange| {
             (held.number, held.key, held.whole, held.check, held.digest)
                 == (new.number, new.key, new.whole, new.check, new.digest)
         };
-        if *offset == 0 && !self.parts.get(&stream).is_some_and(same) {
-            self.parts.insert(stream, new.clone());
+        if *offset == 0 && !self.partial_changes.get(&stream).is_some_and(same) {
+            self.partial_changes.insert(stream, new.clone());
         }
-        // Both control machines may send it; what is new in a part is what goes on from here.
-        let held = self.parts.get_mut(&stream).filter(|held| same(held))?;
+        // Both control machines may send fragments; only bytes beyond those received are new.
+        let held = self.partial_changes.get_mut(&stream).filter(|held| same(held))?;
         let known = held.bytes.len().checked_sub(usize::from(*offset))?;
         held.bytes.extend_from_slice(bytes.get(known..)?);
         held.mixed |= held.from != control;
         if held.bytes.len() < usize::from(*whole) {
             return None;
         }
-        let held = self.parts.remove(&stream)?;
+        let held = self.partial_changes.remove(&stream)?;
         let body: Rc<[u8]> = Rc::from(held.bytes);
         let right = crc32fast::hash(&body) == held.check;
         if !right && held.mixed {
             return None;
         }
-        // A wrong byte makes a digest that is wrong for certain, also where it could not be computed.
+        // On a wrong checksum, use a digest that is certain not to match, including where digests cannot be
+        // recomputed.
         let digest = if right { held.digest } else { !held.digest };
         let content = match self.rules.kind(stream.topic)? {
             TopicKind::Set => Content::Bodies(vec![body]),
@@ -766,47 +780,49 @@
         Some(Piece { stream, after: head.number, digest: held.digest, content })
     }
 
-    /// As of when everything is held, and whether that is enough.
-    fn look(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// Updates the fresh instant, and reports when the follower enters or leaves service.
+    fn update_freshness(&mut self, now: Micros, out: &mut Vec<Output>) {
         for conn in self.conns.values_mut() {
             for _ in 0..2 {
-                conn.waits = conn.waits.take().or_else(|| conn.last.take());
-                let uncovered = self.rules.is(InjectedFault::FreshUncovered);
-                if let Some((instant, _)) = conn.waits.take_if(|w| uncovered || self.position.covers(&w.1)) {
+                conn.pending_claim = conn.pending_claim.take().or_else(|| conn.latest_claim.take());
+                let uncovered = self.rules.has_fault(InjectedFault::FreshUncovered);
+                if let Some((instant, _)) =
+                    conn.pending_claim.take_if(|w| uncovered || self.position.covers(&w.1))
+                {
                     self.fresh = self.fresh.max(Some(instant));
                 }
             }
         }
-        let service = self.in_service(now);
-        if service != self.service {
-            self.service = service;
-            out.push(if service { Output::InService } else { Output::OutOfService });
+        let serving = self.in_service(now);
+        if serving != self.serving {
+            self.serving = serving;
+            out.push(if serving { Output::InService } else { Output::OutOfService });
         }
     }
 }
 
-impl Conn {
+impl Connection {
     fn new(now: Micros) -> Self {
-        Conn {
+        Connection {
             up: false,
             since: now,
-            heard: now,
-            hellos: 0,
+            last_heard: now,
+            unanswered_hellos: 0,
             challenge: 0,
             challenges: VecDeque::new(),
-            shown: Position::default(),
-            told: Position::default(),
-            claimed: None,
-            waits: None,
-            last: None,
-            acked: now,
+            announced: Position::default(),
+            acked: Position::default(),
+            freshest_claim: None,
+            pending_claim: None,
+            latest_claim: None,
+            last_ack: now,
             refused: 0,
             pulled: false,
         }
     }
 
-    /// One more challenge, as of now.
-    fn challenge(&mut self, now: Micros) -> u32 {
+    /// Creates a challenge and remembers when it was sent.
+    fn next_challenge(&mut self, now: Micros) -> u32 {
         self.challenge = self.challenge.wrapping_add(1);
         self.challenges.push_back((self.challenge, now));
         if self.challenges.len() > bounds::MAX_CHALLENGES {
--- a/crates/lab/src/virtual_host/lobby.rs
+++ b/crates/lab/src/virtual_host/lobby.rs
@@ -1,7 +1,7 @@
 //! The connections to one proxy: those of usual clients, who keep and reuse them, and those of a crowd.
 //!
-//! It owns the backlog and what is accepted, and asks a judge who makes room: `martenweir::admission` itself, or
-//! what it is compared with. Only for scenarios with a crowd; without one a try needs no connection here. A command is
+//! It owns the backlog and what is accepted, and asks a judge who makes room: `martenweir::admission` itself, or what
+//! it is compared with. Only for scenarios with a crowd; without one a try needs no connection here. A command is
 //! read in the moment in which its connection is accepted, and closing one never crosses a command: that takes
 //! sockets.
 
@@ -13,9 +13,9 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::net::{IpAddr, Ipv4Addr};
 use world::facts::TryNo;
-use world::outcome::Doorway;
+use world::outcome::ConnectionCounts;
 use world::random::{exponential, seconds, Map, Random};
-use world::scenario::{Crowd, Judge, Manner};
+use world::scenario::{Crowd, CrowdBehavior, EvictionPolicy};
 
 /// As the program had them before the door: how long one is quiet before it makes room, and how often that is
 /// looked at.
@@ -100,7 +100,7 @@
     ample: usize,
     door: Option<Admission>,
     bytes: usize,
-    pub counts: Doorway,
+    pub counts: ConnectionCounts,
 }
 
 impl Lobby {
@@ -115,7 +115,8 @@
     ) -> Self {
         let (descriptors, memory) = (sockets as usize, (memory_mb as usize) << 20);
         let limits = Limits { descriptors, memory, side_ports: 0 };
-        let door = (crowd.judge == Judge::Door).then(|| Admission::new(&Settings::default(), limits));
+        let door =
+            (crowd.judge == EvictionPolicy::Door).then(|| Admission::new(&Settings::default(), limits));
         let gap = f64::from(proxies) * 1e6 / crowd.connections_per_s;
         let next_guest = after(now, gap, &mut rng);
         Lobby {
@@ -139,7 +140,7 @@
             ample: descriptors / AMPLE,
             door,
             bytes: 0,
-            counts: Doorway::default(),
+            counts: ConnectionCounts::default(),
         }
     }
 
@@ -253,11 +254,11 @@
     fn guest(&mut self, at: Micros) -> Waiting {
         let n = self.rng_below(6);
         let does = match self.crowd.manner {
-            Manner::Silent => Does::Nothing,
-            Manner::Ping => Does::Ping,
-            Manner::Mixed => [Does::Nothing, Does::Ping][n as usize % 2],
-            Manner::SlowReader => Does::Asks,
-            Manner::Rude => [Does::HalfACommand, Does::Nonsense, Does::Resets][n as usize % 3],
+            CrowdBehavior::Silent => Does::Nothing,
+            CrowdBehavior::Ping => Does::Ping,
+            CrowdBehavior::Mixed => [Does::Nothing, Does::Ping][n as usize % 2],
+            CrowdBehavior::SlowReader => Does::Asks,
+            CrowdBehavior::Rude => [Does::HalfACommand, Does::Nonsense, Does::Resets][n as usize % 3],
         };
         let from = match self.crowd.sources {
             0 => USUAL,
@@ -399,9 +400,9 @@
 
     fn make_room(&mut self, now: Micros, accepted: bool) {
         match self.crowd.judge {
-            Judge::Off => {}
-            Judge::Quiet => self.close_quiet(now, accepted),
-            Judge::Door => self.keep_door(now),
+            EvictionPolicy::Off => {}
+            EvictionPolicy::Quiet => self.close_quiet(now, accepted),
+            EvictionPolicy::Door => self.keep_door(now),
         }
         if now >= self.sweeps {
             self.sweeps = now + QUIET;
--- a/crates/plan/src/planner.rs
+++ b/crates/plan/src/planner.rs
@@ -1,9 +1,9 @@
-//! The planner's side: takes what forwarders see, and publishes plans.
+//! The planner's state machine: collects reports from forwarders and publishes plans.
 //!
-//! It owns its peers as far as they need no socket, what they told, its judgements, and the numbers of its
-//! plans. An adapter accepts connections, moves bytes ([`crate::frame`]), calls [`Planner::tick`] at
-//! [`Planner::next`], bounds what waits to be written to a peer and cuts one that does not take it. Nothing
-//! is kept over a restart.
+//! It manages its peers without any socket, and stores their reports, its findings and its plan numbers. An
+//! adapter accepts connections, transfers bytes ([`crate::frame`]) and calls [`Planner::tick`] at
+//! [`Planner::next`]. The adapter must bound the write queue of each peer and close peers that do not read.
+//! No state survives a restart.
 
 use crate::bounds;
 use crate::frame::Refused;
@@ -18,41 +18,40 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// A connection, as the adapter numbers it; never the same number again.
+/// A connection number assigned by the adapter; never reused.
 pub type PeerId = u64;
 
-/// Connections that may be open: forwarders, some that are about to be replaced, and those who ask for the
-/// plan.
-const PEERS: usize = bounds::FORWARDERS + 64;
+/// Maximum number of open connections: forwarders, connections about to be replaced, and `plan show` clients.
+const MAX_PEERS: usize = bounds::FORWARDERS + 64;
 
-/// What is to be done.
+/// An action for the adapter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a message to a peer.
     Send(PeerId, Message),
-    /// Send terms to all forwarders; encoded once.
+    /// Send terms to all of these forwarders; the message needs to be encoded only once.
     Terms(Vec<PeerId>, Message),
-    /// Tell a peer the reason ([`crate::frame::refusal`]), and close its connection.
+    /// Send the reason to a peer ([`crate::frame::refusal`]) and close its connection.
     Close(PeerId, Refused),
 }
 
 #[derive(Clone, Debug)]
 struct Link {
     forwarder: Option<ForwarderId>,
-    /// What it may send, in messages: a bucket, and when it was last filled, which is when the peer last
-    /// spoke.
+    /// Token bucket for received messages, and when it was last filled, which is when the peer last sent
+    /// something.
     tokens: f64,
     filled: Micros,
 }
 
-/// See the file's comment.
+/// The planner's state machine; see the module documentation.
 #[derive(Clone, Debug)]
 pub struct Planner {
     rules: Rules,
     started: Micros,
     links: BTreeMap<PeerId, Link>,
-    of: BTreeMap<ForwarderId, PeerId>,
-    join: FleetView,
+    peer_of: BTreeMap<ForwarderId, PeerId>,
+    fleet: FleetView,
     silence: Silence,
     allocator: Allocator,
     numbers: PlanNumbers,
@@ -63,15 +62,15 @@
 }
 
 impl Planner {
-    /// Begins with nothing. `epoch` should grow from start to start, as the clock's milliseconds do; it need
-    /// not (see [`crate::publish`]).
+    /// Starts without state. `epoch` should increase with each start, as the clock's milliseconds do, but
+    /// need not (see [`crate::publish`]).
     pub fn new(now: Micros, rules: Rules, epoch: u64) -> Result<Self, &'static str> {
         rules.check()?;
         Ok(Planner {
             started: now,
             links: BTreeMap::new(),
-            of: BTreeMap::new(),
-            join: FleetView::default(),
+            peer_of: BTreeMap::new(),
+            fleet: FleetView::default(),
             silence: Silence::default(),
             allocator: Allocator::default(),
             numbers: PlanNumbers::new(epoch),
@@ -83,9 +82,9 @@
         })
     }
 
-    /// A connection was accepted; an error says why it must not stay.
+    /// A connection was accepted; an error means that it must be closed.
     pub fn up(&mut self, now: Micros, peer: PeerId) -> Result<(), Refused> {
-        if self.links.len() >= PEERS {
+        if self.links.len() >= MAX_PEERS {
             return Err(Refused::Room);
         }
         let tokens = 2.0 * bounds::MESSAGES_PER_SECOND;
@@ -93,15 +92,15 @@
         Ok(())
     }
 
-    /// A connection is over. What its forwarder told stays until it is old.
+    /// A connection ended. The reports of its forwarder are kept until they expire.
     pub fn down(&mut self, peer: PeerId) {
         let Some(link) = self.links.remove(&peer) else { return };
-        if let Some(id) = link.forwarder.filter(|id| self.of.get(id) == Some(&peer)) {
-            self.of.remove(&id);
+        if let Some(id) = link.forwarder.filter(|id| self.peer_of.get(id) == Some(&peer)) {
+            self.peer_of.remove(&id);
         }
     }
 
-    /// Takes a message of a peer. After an error its connection is to be closed, with the reason.
+    /// Handles a message from a peer. After an error its connection must be closed with that reason.
     pub fn message(
         &mut self,
         now: Micros,
@@ -112,14 +111,14 @@
         let Some(link) = self.links.get_mut(&peer) else {
             return Err(Refused::Unexpected("a word after the end"));
         };
-        if !link.takes(now) {
+        if !link.take_token(now) {
             return Err(Refused::Flood);
         }
         match (message, link.forwarder) {
             (Message::Hello(hello), None) => self.hello(now, peer, hello, out),
             (Message::Report(report), Some(id)) => {
-                self.learn(report.holds);
-                if self.join.report(now, id, report, &self.rules) {
+                self.learn_number(report.holds);
+                if self.fleet.report(now, id, report, &self.rules) {
                     let made = self.numbers.made(report.holds);
                     self.allocator.report(now, id, report.parts, made);
                 }
@@ -150,15 +149,15 @@
         out: &mut Vec<Output>,
     ) -> Result<(), Refused> {
         let id = hello.forwarder;
-        let another = self.join.peer(id).is_none_or(|p| p.life != hello.life);
-        if !self.join.hello(now, hello) {
+        let new_start = self.fleet.peer(id).is_none_or(|p| p.life != hello.life);
+        if !self.fleet.hello(now, hello) {
             return Err(Refused::Room);
         }
-        self.learn(hello.holds);
-        if another {
+        self.learn_number(hello.holds);
+        if new_start {
             self.allocator.hello(now, id, usize::from(hello.tenants), &self.rules);
         }
-        if let Some(old) = self.of.insert(id, peer).filter(|old| *old != peer) {
+        if let Some(old) = self.peer_of.insert(id, peer).filter(|old| *old != peer) {
             self.links.remove(&old);
             out.push(Output::Close(old, Refused::Unexpected("another connection of this forwarder")));
         }
@@ -168,31 +167,31 @@
         Ok(())
     }
 
-    fn learn(&mut self, held: PlanNumber) {
+    fn learn_number(&mut self, held: PlanNumber) {
         if !self.rules.has(Planted::NumbersGoBack) {
             self.numbers.learn(held);
         }
     }
 
     fn forget(&mut self, id: ForwarderId) {
-        self.join.forget(id);
+        self.fleet.forget(id);
         self.allocator.forget(id);
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         let terms = self.next_terms <= now;
         if terms {
-            self.next_terms = after(self.next_terms, now, self.rules.terms_every);
-            let aggregated = self.join.aggregated(now, &self.rules);
+            self.next_terms = next_period(self.next_terms, now, self.rules.terms_every);
+            let aggregated = self.fleet.aggregated(now, &self.rules);
             self.solved = solve(now, &aggregated, &self.rules);
         }
         if self.next_plan <= now {
-            self.next_plan = after(self.next_plan, now, self.rules.plan_every);
+            self.next_plan = next_period(self.next_plan, now, self.rules.plan_every);
             self.publish(now, out);
         }
         if terms && self.is_warm(now) {
-            let to: Vec<PeerId> = self.of.values().copied().collect();
+            let to: Vec<PeerId> = self.peer_of.values().copied().collect();
             for nodes in self.solved.nodes.chunks(bounds::NODES_PER_MESSAGE).filter(|_| !to.is_empty()) {
                 let terms = Terms { number: self.numbers.last(), nodes: nodes.to_vec() };
                 out.push(Output::Terms(to.clone(), Message::Terms(terms)));
@@ -201,10 +200,10 @@
     }
 
     fn publish(&mut self, now: Micros, out: &mut Vec<Output>) {
-        for id in self.join.sweep(now, &self.rules) {
+        for id in self.fleet.sweep(now, &self.rules) {
             self.allocator.forget(id);
         }
-        // Also connections that said no hello, or farewell, and then stayed.
+        // Includes connections that never sent a hello, or that stayed open after a bye.
         let idle = |l: &Link| now.saturating_sub(l.filled) >= self.rules.forget_forwarder_after;
         let idle: Vec<PeerId> = self.links.iter().filter(|(_, l)| idle(l)).map(|(peer, _)| *peer).collect();
         for peer in idle {
@@ -214,25 +213,25 @@
         let number = self.numbers.next(now);
         let warm = self.is_warm(now);
         if warm {
-            self.findings = self.silence.assess(now, &self.join, self.solved.long, &self.rules);
-            let uses = self.join.peers().map(|(id, p)| (id, p.uses(now, &self.rules))).collect();
+            self.findings = self.silence.assess(now, &self.fleet, self.solved.long_response, &self.rules);
+            let uses = self.fleet.peers().map(|(id, p)| (id, p.uses(now, &self.rules))).collect();
             self.allocator.allocate(now, number, &uses, &self.rules);
         }
-        let common = self.common(number, warm);
-        for (id, peer) in &self.of {
-            let (life, heard) = self.join.peer(*id).map_or((0, 0), |p| (p.life, p.number));
+        let common = self.common_plan(number, warm);
+        for (id, peer) in &self.peer_of {
+            let (life, heard) = self.fleet.peer(*id).map_or((0, 0), |p| (p.life, p.number));
             let evidence = Evidence { life, heard, ..common.evidence };
             let plan = Plan { evidence, parts: self.allocator.parts(*id), ..common.clone() };
             out.push(Output::Send(*peer, Message::Plan(plan)));
         }
     }
 
-    /// What all forwarders get alike.
-    fn common(&self, number: PlanNumber, warm: bool) -> Plan {
+    /// The content that is the same for all forwarders.
+    fn common_plan(&self, number: PlanNumber, warm: bool) -> Plan {
         let (forwarders, witnesses) = (self.findings.heard, self.findings.witnesses);
         Plan {
             number,
-            list: self.join.peers().map(|(_, p)| p.list).max().unwrap_or(0),
+            list: self.fleet.peers().map(|(_, p)| p.list).max().unwrap_or(0),
             evidence: Evidence { forwarders, witnesses, warm, life: 0, heard: 0 },
             silent: self.findings.silent.clone(),
             lives: self.findings.lives.clone(),
@@ -241,12 +240,12 @@
         }
     }
 
-    /// What it finds silent or cut off, for a line of the log.
+    /// Nodes found silent and zones found cut off, for logging.
     pub fn findings(&self) -> &Findings {
         &self.findings
     }
 
-    /// The plan as it stands, for whoever asks.
+    /// The current plan, for `plan show`.
     pub fn shown(&self, now: Micros) -> Shown {
         let known = |(forwarder, p): (ForwarderId, &crate::join::Peer)| {
             let parts = self.allocator.parts(forwarder);
@@ -254,25 +253,25 @@
             Known { forwarder, zone, heard, holds, origin: parts.origin, cold: parts.cold }
         };
         Shown {
-            plan: self.common(self.numbers.last(), self.is_warm(now)),
+            plan: self.common_plan(self.numbers.last(), self.is_warm(now)),
             terms: self.solved.nodes.iter().take(bounds::NODES_PER_MESSAGE).copied().collect(),
-            forwarders: self.join.peers().take(bounds::NODES_PER_MESSAGE).map(known).collect(),
+            forwarders: self.fleet.peers().take(bounds::NODES_PER_MESSAGE).map(known).collect(),
         }
     }
 
-    /// When [`Planner::tick`] has something to do.
+    /// The time at which [`Planner::tick`] must be called next.
     pub fn next(&self) -> Micros {
         self.next_plan.min(self.next_terms)
     }
 
-    /// Whether it has run long enough to have opinions and to give parts.
+    /// Whether it has run long enough to make statements and assign parts.
     pub fn is_warm(&self, now: Micros) -> bool {
         now.saturating_sub(self.started) >= self.rules.warm_up
     }
 }
 
 impl Link {
-    fn takes(&mut self, now: Micros) -> bool {
+    fn take_token(&mut self, now: Micros) -> bool {
         let seconds = now.saturating_sub(self.filled).max(0) as f64 / 1e6;
         let most = 2.0 * bounds::MESSAGES_PER_SECOND;
         self.tokens = (self.tokens + seconds * bounds::MESSAGES_PER_SECOND).min(most);
@@ -283,8 +282,8 @@
     }
 }
 
-/// The next moment of a period that has come; periods that were missed are left out.
-fn after(due: Micros, now: Micros, every: Micros) -> Micros {
+/// The next due time of a period after `now`; missed periods are skipped.
+fn next_period(due: Micros, now: Micros, every: Micros) -> Micros {
     let late = now.saturating_sub(due) / every.max(1);
     due.saturating_add(every.saturating_mul(late.saturating_add(1)))
 }
--- a/src/net/memcached/answers.rs
+++ b/src/net/memcached/answers.rs
@@ -26,7 +26,7 @@
 
 impl PendingCommand {
     pub(super) fn is_write(&self) -> bool {
-        self.opcode.loud() == Opcode::SET
+        self.opcode.non_quiet() == Opcode::SET
     }
 
     /// Encodes the final answer; empty if the protocol sends none.
@@ -64,7 +64,7 @@
 
     /// Whether the protocol omits the answer for this outcome.
     fn is_silent(&self, answer: &Answer) -> bool {
-        self.opcode.quiet() && self.is_write() == matches!(answer, Answer::Value(_))
+        self.opcode.is_quiet() && self.is_write() == matches!(answer, Answer::Value(_))
     }
 }
 
--- a/src/net/memcached/gateway.rs
+++ b/src/net/memcached/gateway.rs
@@ -27,7 +27,7 @@
 const MAX_OPEN_STREAMS: usize = 1024;
 /// The longest body of a refused frame that is skipped; after a longer one the connection is closed.
 const MAX_SKIPPED_BODY: u32 = 1024 * 1024;
-const LIMITS: Limits = Limits { key: frame::KEY, value: resp::MAX_VALUE };
+const LIMITS: Limits = Limits { key: frame::MAX_KEY_LEN, value: resp::MAX_VALUE };
 const TEXT_PROTOCOL_ERROR: &[u8] = b"ERROR this port speaks the memcached binary protocol\r\n";
 
 /// The state of one connection.
@@ -76,7 +76,7 @@
     }
 
     fn max_command_bytes(&self) -> usize {
-        LIMITS.most()
+        LIMITS.max_frame_len()
     }
 
     fn is_mid_command(&self) -> bool {
@@ -95,8 +95,8 @@
             return Some((passed, Parsed::Incomplete));
         }
         let (taken, parsed) = match frame::request(bytes, &LIMITS) {
-            Ok(Step::More(_)) => return None,
-            Ok(Step::Whole(request, taken)) => {
+            Ok(Step::Incomplete(_)) => return None,
+            Ok(Step::Complete(request, taken)) => {
                 let received_at = self.arrivals.take(taken);
                 (taken, self.command(downstream, place, &request, received_at))
             }
@@ -179,7 +179,7 @@
         let reply = |status, text: &str| Parsed::Local(encode_error(opcode, opaque, status, text));
         let ok = |value: &[u8]| encode_response(Response { value, ..Response::new(opcode, opaque) });
         let free = matches!(
-            opcode.loud(),
+            opcode.non_quiet(),
             Opcode::SASL_LIST | Opcode::SASL_AUTH | Opcode::SASL_STEP | Opcode::VERSION | Opcode::QUIT
         );
         if self.tenant.is_none() && !free {
@@ -189,7 +189,7 @@
             self.port.stats.invalid.one();
             return reply(Status::INVALID, why);
         }
-        match opcode.loud() {
+        match opcode.non_quiet() {
             Opcode::GET | Opcode::GETK | Opcode::SET => {
                 self.start_stream(downstream, place, request, received_at)
             }
@@ -197,7 +197,7 @@
             Opcode::NOOP if !self.parser.ready.get() => reply(Status::TEMPORARY, "not ready yet"),
             Opcode::NOOP => Parsed::Local(ok(b"")),
             Opcode::VERSION => Parsed::Local(ok(env!("CARGO_PKG_VERSION").as_bytes())),
-            Opcode::QUIT if opcode.quiet() => Parsed::Close(Vec::new()),
+            Opcode::QUIT if opcode.is_quiet() => Parsed::Close(Vec::new()),
             Opcode::QUIT => Parsed::Close(ok(b"")),
             Opcode::STAT => match self.port.stats.group(request.key, self.port.open.get()) {
                 Some(group) => Parsed::Local(stat_responses(opaque, &group)),
@@ -247,7 +247,7 @@
             return reply(Status::BUSY, "busy");
         }
         port.open.set(port.open.get() + 1);
-        let key = if opcode.names_key() { key.to_vec() } else { Vec::new() };
+        let key = if opcode.returns_key() { key.to_vec() } else { Vec::new() };
         let asked = PendingCommand { opcode, opaque, cas, key };
         if asked.is_write() { &port.stats.writes } else { &port.stats.reads }.one();
         self.pending.push_back(Some(asked));
--- a/src/net/memcached/logins.rs
+++ b/src/net/memcached/logins.rs
@@ -123,7 +123,7 @@
         let given = plain.and_then(|p| Secret::new(p.password));
         let expected = known.map_or(&self.dummy, |(_, secret)| secret);
         // A user may not act for another one.
-        let for_itself = plain.is_some_and(|p| p.acts_for.is_empty() || p.acts_for == p.user);
+        let for_itself = plain.is_some_and(|p| p.authzid.is_empty() || p.authzid == p.user);
         let right = given.is_some_and(|given| expected.equals(&given)) & for_itself;
         match known.filter(|_| right) {
             Some((tenant, _)) => Some(tenant.clone()),
--- a/src/net/memcached/mapping.rs
+++ b/src/net/memcached/mapping.rs
@@ -124,7 +124,7 @@
         request: &Request,
         waited: Duration,
     ) -> Result<NewStream, Rejection> {
-        let write = request.opcode.loud() == Opcode::SET;
+        let write = request.opcode.non_quiet() == Opcode::SET;
         let of = match (write, &self.writes) {
             (false, _) => &self.reads,
             (true, Some(of)) => of,
--- a/tests/memcached.rs
+++ b/tests/memcached.rs
@@ -82,7 +82,7 @@
     assert_eq!(asks(&take(&mut connection, &mut 0, &mut written(&[request]))).len(), 1);
     let bytes = connection.encode_answer(0, answer);
     match frame::response(&bytes, &Limits::default()) {
-        Ok(Step::Whole(Response { opcode, status, opaque, .. }, _)) => {
+        Ok(Step::Complete(Response { opcode, status, opaque, .. }, _)) => {
             assert_eq!((opcode, opaque), (request.opcode, request.opaque));
             Some(status)
         }
