--- a/crates/snmp/src/mib.rs
+++ b/crates/snmp/src/mib.rs
@@ -1,14 +1,14 @@
-//! Names, types and indexes of the objects, read from the MIB's own text (SMIv2, RFC 2578): so much of it as
-//! `mibs/MARTENWEIR-MIB.txt` uses. It is what the manager shows names with, and what a test compares the agent
-//! with; the agent itself does without.
+//! Names, types and indexes of the objects, parsed from the text of the MIB (SMIv2, RFC 2578, as far as
+//! `mibs/MARTENWEIR-MIB.txt` uses it). The manager shows names with it, and a test compares the agent with
+//! it; the agent itself does not use it.
 
 use crate::{Oid, Value};
 use std::collections::BTreeMap;
 
-/// The text that comes with this package.
+/// The text of the MIB.
 pub const TEXT: &str = include_str!("../../../mibs/MARTENWEIR-MIB.txt");
 
-/// The standard's own objects that the agent answers, for showing.
+/// Standard objects that the agent serves, for showing their names.
 const STANDARD: [(&[u32], &str); 33] = [
     (&[1, 3, 6, 1, 2, 1, 1, 1], "sysDescr"),
     (&[1, 3, 6, 1, 2, 1, 1, 2], "sysObjectID"),
@@ -45,16 +45,16 @@
     (&[1, 3, 6, 1, 6, 3, 15, 1, 1, 6], "usmStatsDecryptionErrors"),
 ];
 
-/// What a definition is of.
+/// Kind of a definition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectKind {
-    /// A name to put others under.
+    /// A node that only has other definitions below it.
     Node,
-    /// An object with one instance, or a column.
+    /// An object with a single instance.
     Scalar,
-    /// See `Scalar`.
+    /// A column of a table.
     Column,
-    /// A table or a row, or a column that is only an index.
+    /// A table, a row, or a column that is only an index.
     Hidden,
     /// A notification.
     Notification,
@@ -63,31 +63,31 @@
 /// A definition.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Where it is.
+    /// The object identifier.
     pub oid: Oid,
-    /// What it is.
+    /// The kind.
     pub kind: ObjectKind,
-    /// The type on the wire, as SMIv2 names it: textual conventions are followed to it.
+    /// The type on the wire, by its SMIv2 name, with textual conventions resolved.
     pub syntax: String,
-    /// The same as the text has it: a type or a textual convention.
+    /// The type or textual convention as written in the text.
     pub convention: String,
-    /// The labels of an enumeration.
+    /// The labels of an enumeration, with their numbers.
     pub labels: Vec<(String, i32)>,
-    /// In a column, the types of the indexes; in a notification, the objects that go with it.
-    pub with: Vec<String>,
-    /// Its description.
+    /// For a column, the types of the indexes; for a notification, its objects.
+    pub related: Vec<String>,
+    /// The description.
     pub description: String,
 }
 
-/// A module.
+/// A parsed MIB module.
 #[derive(Clone, Debug, Default)]
 pub struct Mib {
     objects: BTreeMap<Oid, Object>,
 }
 
-/// A word of the text, or a quoted string.
+/// A word or a quoted string of the text.
 #[derive(Clone, Debug, PartialEq)]
 enum Token<'a> {
     Word(&'a str),
@@ -118,9 +118,9 @@
     all
 }
 
-/// A definition with names that are not followed yet.
+/// A parsed definition whose names are not resolved yet.
 #[derive(Default)]
-struct Raw<'a> {
+struct RawDefinition<'a> {
     macro_name: &'a str,
     parent: &'a str,
     arc: u32,
@@ -128,11 +128,11 @@
     labels: Vec<(String, i32)>,
     access: &'a str,
     /// INDEX, or OBJECTS.
-    with: Vec<&'a str>,
+    related: Vec<&'a str>,
     description: &'a str,
 }
 
-/// The words between the braces that open at `at`, and where to go on.
+/// The words between the braces that open at `at`, and the position after them.
 fn braces<'a>(words: &[Token<'a>], at: usize) -> (Vec<&'a str>, usize) {
     let inner = words.iter().skip(at + 1).map_while(|t| match t {
         Token::Word("}") => None,
@@ -144,14 +144,14 @@
     (inner, next)
 }
 
-/// Reads one definition, which begins behind its name; comes back with where it ended.
-fn definition<'a>(words: &[Token<'a>], mut at: usize) -> Option<(Raw<'a>, usize)> {
-    let mut raw = Raw::default();
+/// Parses the definition that starts after its name at `at`. Returns it with the position after it.
+fn definition<'a>(words: &[Token<'a>], mut at: usize) -> Option<(RawDefinition<'a>, usize)> {
+    let mut raw = RawDefinition::default();
     let word = |at: usize| match words.get(at) {
         Some(Token::Word(w)) => Some(*w),
         _ => None,
     };
-    // A type: `Name ::= TEXTUAL-CONVENTION … SYNTAX …`; an object: `name OBJECT-TYPE … ::= { … }`.
+    // Types are written `Name ::= TEXTUAL-CONVENTION … SYNTAX …`, objects `name OBJECT-TYPE … ::= { … }`.
     let is_type = word(at)? == "::=";
     at += usize::from(is_type);
     raw.macro_name = word(at)?;
@@ -182,8 +182,8 @@
                 at += 2;
             }
             (Some("INDEX" | "OBJECTS" | "NOTIFICATIONS"), Some(Token::Word("{"))) => {
-                (raw.with, at) = braces(words, at + 1);
-                raw.with.retain(|w| *w != ",");
+                (raw.related, at) = braces(words, at + 1);
+                raw.related.retain(|w| *w != ",");
             }
             (Some("::="), Some(Token::Word("{"))) => {
                 let (inner, next) = braces(words, at + 1);
@@ -206,10 +206,10 @@
 }
 
 impl Mib {
-    /// Reads a module's text. What it cannot follow to a name that it knows is left out.
+    /// Parses the text of a module. Definitions that cannot be resolved to a known name are left out.
     pub fn read(text: &str) -> Mib {
         let words = tokens(text);
-        let (mut types, mut raws) = (BTreeMap::new(), Vec::new());
+        let (mut types, mut definitions) = (BTreeMap::new(), Vec::new());
         let mut at = words.iter().position(|w| *w == Token::Word(";")).map_or(0, |at| at + 1);
         while let Some(Token::Word(name)) = words.get(at) {
             let name: &str = name;
@@ -224,21 +224,21 @@
                     at = next;
                 }
                 Some((raw, next)) => {
-                    raws.push((name, raw));
+                    definitions.push((name, raw));
                     at = next;
                 }
                 None => at += 1,
             }
         }
-        Mib::follow(&types, &raws)
+        Mib::resolve_names(&types, &definitions)
     }
 
-    fn follow(types: &BTreeMap<&str, Raw>, raws: &[(&str, Raw)]) -> Mib {
+    fn resolve_names(types: &BTreeMap<&str, RawDefinition>, definitions: &[(&str, RawDefinition)]) -> Mib {
         let mut oids = BTreeMap::from([("enterprises", Oid::enterprises())]);
-        // Definitions may stand before what they are under.
-        for _ in 0..raws.len() {
+        // A definition may precede its parent.
+        for _ in 0..definitions.len() {
             let before = oids.len();
-            for (name, raw) in raws {
+            for (name, raw) in definitions {
                 if let Some(oid) = oids.get(raw.parent).map(|parent| parent.child(&[raw.arc])) {
                     oids.insert(name, oid);
                 }
@@ -259,11 +259,11 @@
             };
             own.to_owned()
         };
-        let followed = |syntax: &str| base(types.get(syntax).map_or(syntax, |t| t.syntax));
+        let resolved = |syntax: &str| base(types.get(syntax).map_or(syntax, |t| t.syntax));
         let mut mib = Mib::default();
-        for (name, raw) in raws {
+        for (name, raw) in definitions {
             let Some(oid) = oids.get(name) else { continue };
-            let row = raws.iter().find(|(n, r)| *n == raw.parent && !r.with.is_empty());
+            let row = definitions.iter().find(|(n, r)| *n == raw.parent && !r.related.is_empty());
             let kind = match (raw.macro_name, raw.access) {
                 ("NOTIFICATION-TYPE", _) => ObjectKind::Notification,
                 ("OBJECT-TYPE", "not-accessible") => ObjectKind::Hidden,
@@ -277,36 +277,36 @@
                 _ => raw.labels.clone(),
             };
             let index_type = |index: &&str| {
-                let of = raws.iter().find(|(n, _)| n == index).map_or("", |(_, r)| r.syntax);
-                followed(of)
+                let of = definitions.iter().find(|(n, _)| n == index).map_or("", |(_, r)| r.syntax);
+                resolved(of)
             };
-            let with = match kind {
+            let related = match kind {
                 ObjectKind::Column => {
-                    row.map_or_else(Vec::new, |(_, r)| r.with.iter().map(index_type).collect())
+                    row.map_or_else(Vec::new, |(_, r)| r.related.iter().map(index_type).collect())
                 }
-                _ => raw.with.iter().map(|w| (*w).to_owned()).collect(),
+                _ => raw.related.iter().map(|w| (*w).to_owned()).collect(),
             };
             let description = raw.description.split_whitespace().collect::<Vec<_>>().join(" ");
-            let (name, oid, syntax) = ((*name).to_owned(), oid.clone(), followed(raw.syntax));
+            let (name, oid, syntax) = ((*name).to_owned(), oid.clone(), resolved(raw.syntax));
             let convention = raw.syntax.to_owned();
             let object =
-                Object { name, oid: oid.clone(), kind, syntax, convention, labels, with, description };
+                Object { name, oid: oid.clone(), kind, syntax, convention, labels, related, description };
             mib.objects.insert(oid, object);
         }
         mib
     }
 
-    /// Its definitions, in the order of the tree.
+    /// All definitions, in the order of the tree.
     pub fn objects(&self) -> impl Iterator<Item = &Object> {
         self.objects.values()
     }
 
-    /// The definition that a name is below, or is.
+    /// The definition that a name equals or is below.
     pub fn of(&self, name: &Oid) -> Option<&Object> {
         self.objects.range(..=name.clone()).rev().map(|(_, o)| o).find(|o| name.is_under(&o.oid))
     }
 
-    /// A name as somebody types it: numbers, or an object with numbers behind it.
+    /// Parses a name as typed by a user: numbers, or the name of an object followed by numbers.
     pub fn resolve(&self, text: &str) -> Option<Oid> {
         if let Some(oid) = Oid::parse(text) {
             return Some(oid);
@@ -320,7 +320,7 @@
         Some(oid.child(&arcs?))
     }
 
-    /// A name as people read it: `mwNodeState["s-1"]`, `mwReady`, or the numbers.
+    /// Formats a name for display: `mwNodeState["s-1"]`, `mwReady`, or the numbers.
     pub fn show(&self, name: &Oid) -> String {
         let Some(object) = self.of(name) else {
             let known = STANDARD.iter().filter_map(|(arcs, n)| Some((Oid::new(arcs)?, *n)));
@@ -338,30 +338,30 @@
             _ => {}
         }
         let (mut rest, mut shown) = (rest, Vec::new());
-        for index in &object.with {
+        for index in &object.related {
             let string = rest.split_first().filter(|_| index == "OCTET STRING");
             match (string, rest) {
-                (Some((n, behind)), _) if behind.len() >= *n as usize => {
-                    let (text, behind) = behind.split_at(*n as usize);
+                (Some((n, tail)), _) if tail.len() >= *n as usize => {
+                    let (text, tail) = tail.split_at(*n as usize);
                     let bytes: Vec<u8> = text.iter().map(|b| (*b).min(255) as u8).collect();
                     shown.push(format!("\"{}\"", String::from_utf8_lossy(&bytes).escape_debug()));
-                    rest = behind;
+                    rest = tail;
                 }
-                (None, [n, behind @ ..]) => {
+                (None, [n, tail @ ..]) => {
                     shown.push(n.to_string());
-                    rest = behind;
+                    rest = tail;
                 }
                 _ => return format!("{}.{rest:?}", object.name),
             }
         }
-        let behind = rest.iter().fold(String::new(), |all, arc| format!("{all}.{arc}"));
+        let tail = rest.iter().fold(String::new(), |all, arc| format!("{all}.{arc}"));
         match object.kind {
-            ObjectKind::Column => format!("{}[{}]{behind}", object.name, shown.join(", ")),
-            _ => format!("{}{behind}", object.name),
+            ObjectKind::Column => format!("{}[{}]{tail}", object.name, shown.join(", ")),
+            _ => format!("{}{tail}", object.name),
         }
     }
 
-    /// A value as people read it.
+    /// Formats a value for display.
     pub fn show_value(&self, name: &Oid, value: &Value) -> String {
         let object = self.of(name);
         match value {
@@ -387,7 +387,7 @@
     }
 }
 
-/// DateAndTime as RFC 2579's display hint has it, but for zeros.
+/// Formats a DateAndTime by the display hint of RFC 2579, but with leading zeros.
 fn date(bytes: &[u8]) -> String {
     match bytes {
         [high, low, month, day, hour, minute, second, deci, zone @ ..] => {
@@ -402,7 +402,7 @@
     }
 }
 
-/// What SMIv2 calls the type of a value on the wire.
+/// The SMIv2 name of the type of a value on the wire.
 pub fn syntax(value: &Value) -> &'static str {
     match value {
         Value::Integer(_) => "INTEGER",
