--- a/crates/snmp/src/tally/tests.rs
+++ b/crates/snmp/src/tally/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_cell_holds_its_longest_time_and_the_next_cell_the_one_after() {
+fn cells_are_contiguous() {
     for at in 0..HISTOGRAM_CELLS - 1 {
         assert_eq!((cell_index(cell_upper_bound(at)), cell_index(cell_upper_bound(at) + 1)), (at, at + 1));
     }
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn percentiles_are_of_the_last_minute_and_histograms_of_all_time() {
+fn percentiles_cover_the_last_minute_and_histograms_all_time() {
     let (classes, tenants) = (["read".to_owned()], ["a".to_owned(), "b".to_owned()]);
     let mut tally = Tally::new(7, &classes, &tenants);
     let stream =
@@ -22,7 +22,7 @@
     let times = &tally.times(61 * SECOND)[0];
     assert_eq!((times.recent, times.mean, times.percentiles[3]), (1, 2_000, 2_047));
     assert_eq!(times.histogram.iter().sum::<u64>(), 1001);
-    // 5 ms are in the second bucket: a bucket's bound is not in it.
+    // 5 ms falls into the second bucket, since a bucket's upper bound is exclusive.
     assert_eq!(&times.histogram[..3], &[5, 5, 10]);
     assert_eq!(tally.requests()[1].counts.served, 1001);
 }
--- a/src/features/file.rs
+++ b/src/features/file.rs
@@ -2,9 +2,9 @@
 
 use super::control::{self, ControlEntry, ControlList};
 use super::{addresses, figures, follower, forwarder, multiget, planner, snmp, tap};
-use crate::door;
+use crate::admission;
 use crate::interface::Micros;
-use crate::net::memcached::{self, Desk, Nodes, Speakers};
+use crate::net::memcached::{self, MemcachedNodes, NodeSettings, PortState};
 use crate::settings::Site;
 use plan::bounds;
 use std::net::SocketAddr;
@@ -22,10 +22,10 @@
     pub figures: Option<figures::Settings>,
     pub memcached: Option<memcached::Settings>,
     /// Nodes that speak the memcached protocol.
-    pub memcachednodes: Nodes,
+    pub memcachednodes: NodeSettings,
     pub snmp: Option<snmp::Settings>,
     /// Always at work, with or without a line of its own.
-    pub door: door::Settings,
+    pub door: admission::Settings,
     pub forwarder: Option<forwarder::Settings>,
     pub planner: Option<planner::Settings>,
     pub control: Option<control::Settings>,
@@ -35,8 +35,8 @@
 impl Features {
     /// Whether the site has what is named here; an error tells the setting. With this, nothing is used yet.
     pub fn check_site(&self, site: &Site) -> Result<(), String> {
-        self.memcached.as_ref().map(|settings| Desk::new(settings, site, 0)).transpose()?;
-        Speakers::new(&self.memcachednodes, site)?;
+        self.memcached.as_ref().map(|settings| PortState::new(settings, site, 0)).transpose()?;
+        MemcachedNodes::new(&self.memcachednodes, site)?;
         self.follower.as_ref().map_or(Ok(()), |settings| settings.controls.rules().map(drop))
     }
 }
@@ -84,9 +84,9 @@
     let mut tap = tap::Settings::default();
     let mut lists = addresses::AddressLists::default();
     let mut figures = figures::Settings::default();
-    let (mut memcached, mut nodes) = (memcached::Settings::default(), Nodes::default());
+    let (mut memcached, mut nodes) = (memcached::Settings::default(), NodeSettings::default());
     let mut agent = snmp::SettingLines::default();
-    let mut door = door::Settings::default();
+    let mut door = admission::Settings::default();
     let (mut multigetport, mut tapport, mut memcacheport) = (None, None, None);
     let (mut planners, mut plannerport, mut forwarders) = (Vec::new(), None, None);
     let (mut controls, mut control) = (ControlList::default(), control::Settings::default());
@@ -116,9 +116,9 @@
                 "memcachereadwait" => memcached.read_wait = Some(time(value, 1..=3_600_000)?),
                 "memcachewritewait" => memcached.write_wait = Some(time(value, 1..=3_600_000)?),
                 "memcachenodes" => speaker(value, &mut nodes)?,
-                "doorample" => door.ample = fraction(value)?,
-                "doorsource" => door.source = fraction(value)?,
-                "doorbytes" => door.bytes = Some(size(value, 256 * 1024..=1024 * 1024 * 1024)?),
+                "doorample" => door.soft_limit_ratio = fraction(value)?,
+                "doorsource" => door.source_ratio = fraction(value)?,
+                "doorbytes" => door.memory_bytes = Some(size(value, 256 * 1024..=1024 * 1024 * 1024)?),
                 "planner" => planners.push(planner(value, &planners)?),
                 "plannerport" => plannerport = Some(port(value)?),
                 "planforwarders" => forwarders = Some(whole(value, 1..=bounds::FORWARDERS)? as u32),
@@ -175,7 +175,7 @@
     Some(value).filter(|v| !v.is_empty()).map_or_else(|| wanted(value, what), |v| Ok(v.to_owned()))
 }
 
-fn speaker(value: &str, nodes: &mut Nodes) -> Result<(), String> {
+fn speaker(value: &str, nodes: &mut NodeSettings) -> Result<(), String> {
     match value.split_once(char::is_whitespace).map(|(sort, name)| (sort, name.trim())) {
         Some(("kind", name)) => nodes.kinds.push(name.to_owned()),
         Some(("id", name)) => nodes.ids.push(name.to_owned()),
--- a/src/owner/controls.rs
+++ b/src/owner/controls.rs
@@ -3,8 +3,8 @@
 
 use crate::features::follower::{FollowerDriver, HostAction};
 use crate::interface::Micros;
-use crate::net::framed::{self, Outbox, Word};
-use crate::net::{News, Queue};
+use crate::net::framed::{self, ConnectionEvent, Outbox};
+use crate::net::{EventSender, NetEvent};
 use async_executor::{LocalExecutor, Task};
 use dissemination::frame::{self, CloseReason};
 use dissemination::{ControlId, Message};
@@ -37,17 +37,23 @@
     }
 
     /// Handles an event of a connection. Events of earlier connections left in the queue are ignored.
-    pub(super) fn handle(&mut self, now: Micros, control: ControlId, number: u64, word: Word<Message>) {
-        if matches!(word, Word::Down(_)) {
+    pub(super) fn handle(
+        &mut self,
+        now: Micros,
+        control: ControlId,
+        number: u64,
+        word: ConnectionEvent<Message>,
+    ) {
+        if matches!(word, ConnectionEvent::Down(_)) {
             self.leaving.remove(&number);
         }
         if self.open.get(&control).is_none_or(|c| c.number != number) {
             return;
         }
         match word {
-            Word::Up => self.following.up(now, control),
-            Word::Said(message) => self.following.handle_message(now, control, &message),
-            Word::Down(why) => {
+            ConnectionEvent::Up => self.following.up(now, control),
+            ConnectionEvent::Message(message) => self.following.handle_message(now, control, &message),
+            ConnectionEvent::Down(why) => {
                 self.open.remove(&control);
                 self.following.down(now, control, &why);
             }
@@ -55,7 +61,7 @@
     }
 
     /// Runs due work and carries out the resulting wishes.
-    pub(super) fn tick(&mut self, now: Micros, executor: &LocalExecutor<'static>, queue: &Queue) {
+    pub(super) fn tick(&mut self, now: Micros, executor: &LocalExecutor<'static>, queue: &EventSender) {
         self.following.tick(now, &mut self.wishes);
         for wish in std::mem::take(&mut self.wishes) {
             match wish {
@@ -66,11 +72,11 @@
         }
     }
 
-    fn dial(&mut self, control: ControlId, executor: &LocalExecutor<'static>, queue: &Queue) {
+    fn dial(&mut self, control: ControlId, executor: &LocalExecutor<'static>, queue: &EventSender) {
         let Some(address) = self.following.address(control) else { return };
         self.last += 1;
-        let (number, (outbox, inbox)) = (self.last, framed::outbox_of::<Message>());
-        let word = move |word| News::Control(control, number, word);
+        let (number, (outbox, inbox)) = (self.last, framed::outbox_for::<Message>());
+        let word = move |word| NetEvent::Control(control, number, word);
         let task = executor.spawn(framed::dial(address, inbox, queue.clone(), word));
         self.open.insert(control, Connection { number, outbox, _task: task });
     }
--- a/src/owner/downstreams.rs
+++ b/src/owner/downstreams.rs
@@ -3,11 +3,11 @@
 //! [`Downstreams::remove`].
 
 use super::ports::Service;
+use crate::admission::Activity;
 use crate::core::{DownstreamId, Input};
-use crate::door::Shown;
 use crate::net::accept::Socket;
-use crate::net::downstream::{Link, Moved, Order, Progress, Waits};
-use crate::net::{Caller, News, Queue};
+use crate::net::downstream::{ChangedDownstreams, Link, SharedActivity, TaskMessage, WaitingFor};
+use crate::net::{Caller, EventSender, NetEvent};
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use std::cell::Cell;
@@ -17,8 +17,8 @@
 
 struct Downstream {
     socket: Rc<Socket>,
-    orders: Sender<Order>,
-    progress: Rc<Progress>,
+    orders: Sender<TaskMessage>,
+    progress: Rc<SharedActivity>,
     service: Service,
     finishing: bool,
     leaving: bool,
@@ -28,7 +28,7 @@
 impl Downstream {
     fn finish(&mut self) {
         if !std::mem::replace(&mut self.finishing, true) {
-            let _ = self.orders.try_send(Order::Finish);
+            let _ = self.orders.try_send(TaskMessage::Finish);
         }
     }
 }
@@ -41,18 +41,18 @@
     /// The maximum number of open streams.
     pub(super) streams: usize,
     /// What the downstream has to send first.
-    pub(super) waits: Waits,
+    pub(super) waits: WaitingFor,
 }
 
 pub(super) struct Downstreams {
     open: HashMap<DownstreamId, Downstream>,
-    moved: Rc<Moved>,
+    moved: Rc<ChangedDownstreams>,
     last_id: u64,
 }
 
 impl Downstreams {
-    pub(super) fn new(queue: Queue) -> Self {
-        Downstreams { open: HashMap::new(), moved: Rc::new(Moved::new(queue)), last_id: 0 }
+    pub(super) fn new(queue: EventSender) -> Self {
+        Downstreams { open: HashMap::new(), moved: Rc::new(ChangedDownstreams::new(queue)), last_id: 0 }
     }
 
     /// Adds a downstream; `serve` makes its task from its link.
@@ -60,14 +60,14 @@
         &mut self,
         new: NewDownstream,
         executor: &LocalExecutor<'static>,
-        queue: &Queue,
+        queue: &EventSender,
         serve: impl FnOnce(Link) -> F,
     ) -> DownstreamId {
         self.last_id += 1;
         let id = DownstreamId(self.last_id);
         // Room for an answer to each stream and one of each other order at a time.
         let (orders, order_receiver) = async_channel::bounded(new.streams + 3);
-        let progress = Rc::new(Progress::new(id, new.waits, self.moved.clone()));
+        let progress = Rc::new(SharedActivity::new(id, new.waits, self.moved.clone()));
         let socket = Rc::new(new.socket);
         let task_future = serve(Link {
             id,
@@ -82,7 +82,7 @@
         let queue = queue.clone();
         let task = executor.spawn(async move {
             task_future.await;
-            let _ = queue.send(News::Core(Input::DownstreamClosed(id))).await;
+            let _ = queue.send(NetEvent::Core(Input::DownstreamClosed(id))).await;
         });
         let service = new.service;
         let downstream =
@@ -93,8 +93,8 @@
 
     /// Removes a downstream and releases its descriptor; returns its last reported progress. All downstream
     /// descriptors are released here.
-    pub(super) fn remove(&mut self, id: DownstreamId) -> Option<Shown> {
-        self.open.remove(&id).map(|downstream| downstream.progress.look())
+    pub(super) fn remove(&mut self, id: DownstreamId) -> Option<Activity> {
+        self.open.remove(&id).map(|downstream| downstream.progress.snapshot())
     }
 
     pub(super) fn has(&self, id: DownstreamId) -> bool {
@@ -102,14 +102,14 @@
     }
 
     /// Downstreams with new progress. With `eager`, the event loop is woken for the next change.
-    pub(super) fn changed(&self, eager: bool) -> Vec<(DownstreamId, Shown)> {
-        let shown = |id| Some((id, self.open.get(&id)?.progress.look()));
+    pub(super) fn changed(&self, eager: bool) -> Vec<(DownstreamId, Activity)> {
+        let shown = |id| Some((id, self.open.get(&id)?.progress.snapshot()));
         self.moved.take(eager).into_iter().filter_map(shown).collect()
     }
 
     /// Whether the downstream has sent unread bytes: a command may be on its way.
     pub(super) fn has_unread(&self, id: DownstreamId) -> bool {
-        self.open.get(&id).is_some_and(|downstream| !downstream.socket.is_quiet())
+        self.open.get(&id).is_some_and(|downstream| !downstream.socket.has_nothing_unread())
     }
 
     /// Whether the downstream has sent unread bytes and is not paused, so they are read next.
@@ -119,7 +119,7 @@
 
     /// Sends an order to a downstream. The channel has room for all its answers; a closed downstream needs
     /// none.
-    pub(super) fn order(&self, id: DownstreamId, order: Order) {
+    pub(super) fn order(&self, id: DownstreamId, order: TaskMessage) {
         if let Some(downstream) = self.open.get(&id) {
             let _ = downstream.orders.try_send(order);
         }
@@ -130,7 +130,7 @@
     pub(super) fn pause(&self, id: DownstreamId, paused: bool) {
         if let Some(downstream) = self.open.get(&id) {
             if downstream.progress.pause(paused && !downstream.leaving) {
-                let _ = downstream.orders.try_send(Order::Look);
+                let _ = downstream.orders.try_send(TaskMessage::Refresh);
             }
         }
     }
@@ -147,9 +147,9 @@
         for downstream in self.open.values_mut() {
             downstream.finishing = true;
             if !std::mem::replace(&mut downstream.leaving, true) {
-                let _ = downstream.orders.try_send(Order::Leave);
+                let _ = downstream.orders.try_send(TaskMessage::FinishNow);
                 if downstream.progress.is_paused() && downstream.progress.pause(false) {
-                    let _ = downstream.orders.try_send(Order::Look);
+                    let _ = downstream.orders.try_send(TaskMessage::Refresh);
                 }
             }
         }
@@ -160,7 +160,7 @@
     pub(super) fn finish_unsubscribed(&mut self, id: DownstreamId) -> bool {
         let watcher = self.open.get_mut(&id).filter(|downstream| {
             downstream.service == Service::Tap
-                && downstream.progress.waits() == Waits::Command
+                && downstream.progress.waiting_for() == WaitingFor::Command
                 && !downstream.finishing
         });
         watcher.map(Downstream::finish).is_some()
--- a/src/owner/mod.rs
+++ b/src/owner/mod.rs
@@ -10,7 +10,7 @@
 //! No decision about a request is made here: that is the module's. Who may connect, which connection is
 //! closed to make room and how a planned shutdown proceeds is decided by the [`door`].
 //!
-//! [`door`]: crate::door
+//! [`door`]: crate::admission
 
 mod controls;
 mod discovery;
@@ -21,12 +21,12 @@
 mod side;
 mod upstreams;
 
+use crate::admission::drain::Drain;
+use crate::admission::{Admission, CloseReason, Counts, Limits, MemoryAction};
 use crate::clock::Clock;
 use crate::codec::discovery::hash_id;
 use crate::config::Config;
 use crate::core::{Core, DownstreamId, Effect, Input};
-use crate::door::ending::Ending;
-use crate::door::{Counts, Door, Feed, Limits, Why};
 use crate::features::figures::Gauges;
 use crate::features::file::Features;
 use crate::features::follower::{applier::StagingApplier, FollowerDriver};
@@ -35,10 +35,10 @@
 use crate::interface::Micros;
 use crate::log::writer::Writer;
 use crate::net::accept::Socket;
-use crate::net::downstream::Order;
-use crate::net::memcached::stats::Published;
-use crate::net::vocabulary::Vocabulary;
-use crate::net::{Caller, News, Port, Queue};
+use crate::net::command::CommandParser;
+use crate::net::downstream::TaskMessage;
+use crate::net::memcached::stats::PublishedStats;
+use crate::net::{Caller, EventSender, NetEvent, PortIndex};
 use crate::settings::Site;
 use crate::signals::{SignalRequest, Signals};
 use async_channel::Receiver;
@@ -74,11 +74,11 @@
     /// Reused buffer for the core's effects; empty between uses.
     effects: Vec<Effect>,
     executor: Rc<LocalExecutor<'static>>,
-    queue: Queue,
+    queue: EventSender,
     site: Rc<Site>,
-    vocabulary: Rc<Vocabulary>,
+    vocabulary: Rc<CommandParser>,
     ports: Ports,
-    door: Door,
+    door: Admission,
     downstreams: Downstreams,
     upstreams: Upstreams,
     discovery: Discovery,
@@ -90,7 +90,7 @@
     flushed: Counts,
     started: Micros,
     swept: Micros,
-    shutdown: Option<Ending>,
+    shutdown: Option<Drain>,
 }
 
 /// Serves until a planned shutdown (SIGTERM or SIGINT) is complete. `path` is the configuration file, read
@@ -143,14 +143,20 @@
         let answers = executor.spawn(snmp.clone().answer(bound, move || clock.now()));
         (answers, executor.spawn(snmp.notify(move || clock.now())))
     });
-    let door = Door::new(&door, limits);
+    let door = Admission::new(&door, limits);
     let mut event_loop = EventLoop {
         clock,
-        core: Core::new(now, site.settings.clone(), config.seed, door.most_nodes([0; 2]), config.known),
+        core: Core::new(
+            now,
+            site.settings.clone(),
+            config.seed,
+            door.node_connection_limit([0; 2]),
+            config.known,
+        ),
         effects: Vec::new(),
         executor: executor.clone(),
         queue: queue.clone(),
-        vocabulary: Rc::new(Vocabulary { site: site.clone(), ready: false.into() }),
+        vocabulary: Rc::new(CommandParser { site: site.clone(), ready: false.into() }),
         ports,
         door,
         downstreams: Downstreams::new(queue.clone()),
@@ -169,8 +175,8 @@
     let _signals = executor.spawn(async move {
         loop {
             let news = match signals.next().await {
-                SignalRequest::Reload => News::Reload,
-                SignalRequest::End => News::End,
+                SignalRequest::Reload => NetEvent::Reload,
+                SignalRequest::End => NetEvent::Drain,
             };
             let _ = queue.send(news).await;
         }
@@ -187,7 +193,7 @@
 }
 
 impl EventLoop {
-    async fn run_loop(&mut self, news: &Receiver<News>) {
+    async fn run_loop(&mut self, news: &Receiver<NetEvent>) {
         let mut timer = Timer::at(Instant::now());
         loop {
             // Handle queued events before timers: an answer that has arrived must not be treated as a
@@ -195,7 +201,7 @@
             let now = self.clock.now();
             self.core.wants_records = self.side.listens() || self.planners.is_some();
             self.core.wants_node_events = self.planners.is_some();
-            self.core.limit_connections(self.door.most_nodes(self.ports.open()));
+            self.core.limit_connections(self.door.node_connection_limit(self.ports.open()));
             for _ in 0..MAX_EVENTS_PER_TURN {
                 let Ok(event) = news.try_recv() else { break };
                 self.handle(now, event);
@@ -223,7 +229,7 @@
             }
             let wake_at =
                 now + if self.shutdown.is_some() { SHUTDOWN_CHECK_INTERVAL } else { SWEEP_INTERVAL };
-            let wake_at = self.door.next(now).map_or(wake_at, |at| wake_at.min(at));
+            let wake_at = self.door.next_deadline(now).map_or(wake_at, |at| wake_at.min(at));
             let wake_at = self.planners.as_ref().map_or(wake_at, |p| wake_at.min(p.forwarding.next(now)));
             let wake_at = self.controls.as_ref().map_or(wake_at, |c| wake_at.min(c.following.next()));
             timer.set_at(self.clock.instant(self.core.next().min(wake_at)));
@@ -248,12 +254,12 @@
         }
     }
 
-    fn handle(&mut self, now: Micros, news: News) {
+    fn handle(&mut self, now: Micros, news: NetEvent) {
         match news {
-            News::Core(input) => {
+            NetEvent::Core(input) => {
                 if let Input::DownstreamClosed(id) = input {
                     if let Some(shown) = self.downstreams.remove(id) {
-                        self.door.shows(now, id, shown);
+                        self.door.update(now, id, shown);
                         self.door.left(id);
                     }
                 }
@@ -263,37 +269,37 @@
                     self.core.input(now, input);
                 }
             }
-            News::Accepted(socket, peer, port) => {
+            NetEvent::Accepted(socket, peer, port) => {
                 self.accepted(now, socket, Caller { client: peer, via: None }, port)
             }
             // Progress of downstreams is read in every iteration of the loop; this event only wakes it.
-            News::Moved => {}
-            News::Fronted(id, caller) => {
-                self.door.fronted(id, caller.client.ip());
+            NetEvent::DownstreamsChanged => {}
+            NetEvent::ProxyHeader(id, caller) => {
+                self.door.set_client_ip(id, caller.client.ip());
                 let (client, via) = (display(caller.client), caller.via.map(display));
                 info!(event = "fronted", client, via, "{caller}: client address taken from a PROXY header");
             }
-            News::Discovery(number, heard) => {
+            NetEvent::Discovery(number, heard) => {
                 if let Some(input) = self.discovery.handle(number, heard) {
                     self.core.input(now, input);
                 }
             }
-            News::Planner(slot, number, word) => {
+            NetEvent::Planner(slot, number, word) => {
                 if let Some(planners) = &mut self.planners {
                     planners.handle(now, slot, number, word);
                 }
             }
-            News::Control(control, number, word) => {
+            NetEvent::Control(control, number, word) => {
                 if let Some(controls) = &mut self.controls {
                     controls.handle(now, control, number, word);
                 }
             }
-            News::Crowded => {
+            NetEvent::OutOfDescriptors => {
                 self.report_to_door(now);
                 self.make_room(now, true);
             }
-            News::Note(note) => self.report.note(*note),
-            News::Reload => {
+            NetEvent::Log(note) => self.report.note(*note),
+            NetEvent::Reload => {
                 if self.discovery.reload() {
                     if let Some(snmp) = self.side.snmp() {
                         snmp.reloaded();
@@ -301,13 +307,13 @@
                     self.core.input(now, Input::DiscoveryMoved);
                 }
             }
-            News::End if self.shutdown.is_some() => {}
-            News::End => {
+            NetEvent::Drain if self.shutdown.is_some() => {}
+            NetEvent::Drain => {
                 let streams = self.core.open_streams();
                 info!(event = "told_to_end", streams, "told to end: {streams} streams open");
                 let longest = self.site.settings.classes.iter().map(|class| class.limit).max();
-                let ending = Ending::new(now, longest);
-                self.core.input(now, Input::ShutdownBy(ending.answered()));
+                let ending = Drain::new(now, longest);
+                self.core.input(now, Input::ShutdownBy(ending.answer_deadline()));
                 self.shutdown = Some(ending);
             }
         }
@@ -322,10 +328,10 @@
         }
     }
 
-    fn accepted(&mut self, now: Micros, socket: Socket, caller: Caller, port: Port) {
+    fn accepted(&mut self, now: Micros, socket: Socket, caller: Caller, port: PortIndex) {
         let service = self.ports.service(port);
         let protocol = self.side.protocol(service, &self.vocabulary);
-        let (streams, waits) = (protocol.streams(), self.side.first(caller.client));
+        let (streams, waits) = (protocol.max_streams(), self.side.first(caller.client));
         let ip = caller.client.ip();
         let new = NewDownstream { socket, caller, service, streams, waits };
         let serve = |link| self.side.serve(service, link, protocol);
@@ -338,31 +344,33 @@
 
     /// Reports changes of downstream and upstream connections to the door.
     fn report_to_door(&mut self, now: Micros) {
-        for (id, shown) in self.downstreams.changed(self.door.is_pressed()) {
-            self.door.shows(now, id, shown);
+        for (id, shown) in self.downstreams.changed(self.door.is_under_pressure()) {
+            self.door.update(now, id, shown);
         }
-        self.door.nodes(self.core.open_connections());
+        self.door.set_node_connections(self.core.open_connections());
     }
 
     /// Closes, pauses and resumes downstreams as the door decides.
     fn apply_door(&mut self, now: Micros) {
         self.report_to_door(now);
-        while let Some((id, why)) = self.door.due(now) {
+        while let Some((id, why)) = self.door.next_timeout(now) {
             if self.downstreams.finish_unsubscribed(id) {
-                self.door.extend(now, id);
-            } else if matches!(why, Why::Speechless | Why::Idle) && self.downstreams.reads_next(id) {
+                self.door.extend_timeout(now, id);
+            } else if matches!(why, CloseReason::Speechless | CloseReason::Idle)
+                && self.downstreams.reads_next(id)
+            {
                 // A command has arrived and is read next.
-                self.door.again(now, id);
+                self.door.retry_timeout(now, id);
             } else {
                 self.close(id, why);
             }
         }
         self.make_room(now, false);
         for _ in 0..MAX_EVENTS_PER_TURN {
-            match self.door.feed() {
-                Some(Feed::Pause(id)) => self.downstreams.pause(id, true),
-                Some(Feed::Resume(id)) => self.downstreams.pause(id, false),
-                Some(Feed::Close(id)) => self.close(id, Why::Bytes),
+            match self.door.next_memory_action() {
+                Some(MemoryAction::Pause(id)) => self.downstreams.pause(id, true),
+                Some(MemoryAction::Resume(id)) => self.downstreams.pause(id, false),
+                Some(MemoryAction::Close(id)) => self.close(id, CloseReason::Bytes),
                 None => break,
             }
         }
@@ -371,9 +379,9 @@
     /// Closes the downstreams the door selects to make room; exactly one if a descriptor is missing. Unread
     /// bytes in a socket are a command on its way, so a downstream that has sent some stays.
     fn make_room(&mut self, now: Micros, mut missing: bool) {
-        while let Some((id, why)) = self.door.worst(now, missing) {
+        while let Some((id, why)) = self.door.next_eviction(now, missing) {
             if self.downstreams.has_unread(id) {
-                self.door.spoke(id);
+                self.door.spare(id);
                 continue;
             }
             self.close(id, why);
@@ -381,15 +389,15 @@
         }
     }
 
-    fn close(&mut self, id: DownstreamId, why: Why) {
-        self.door.gone(id, why);
+    fn close(&mut self, id: DownstreamId, why: CloseReason) {
+        self.door.closed(id, why);
         self.core.counters.unanswered += self.core.open_streams_of(id) as u64;
         self.drop_downstream(id);
     }
 
     fn drop_downstream(&mut self, id: DownstreamId) {
         let now = self.clock.now();
-        self.handle(now, News::Core(Input::DownstreamClosed(id)));
+        self.handle(now, NetEvent::Core(Input::DownstreamClosed(id)));
     }
 
     fn apply_effects(&mut self) {
@@ -398,7 +406,7 @@
         for effect in effects.drain(..) {
             match effect {
                 Effect::Answer { downstream, place, answer } => {
-                    self.downstreams.order(downstream, Order::Answer(place, answer));
+                    self.downstreams.order(downstream, TaskMessage::Answer(place, answer));
                 }
                 Effect::Dial { connection, address, origin } => {
                     let dialect = self.side.dialect(origin, self.core.node(connection));
@@ -442,7 +450,7 @@
         self.ports.wake();
         self.side.log_refused(now, false);
         self.side.log_logins(now, false);
-        self.side.publish(|| Published {
+        self.side.publish(|| PublishedStats {
             counters: self.core.counters,
             uptime: ((now - self.started) / 1_000_000).max(0) as u64,
             downstreams: self.door.len(),
@@ -465,12 +473,12 @@
         let process_state = OwnerStatus {
             ready: self.vocabulary.ready.get(),
             downstreams: self.door.len(),
-            downstreams_limit: self.door.most_of_all(),
+            downstreams_limit: self.door.total_limit(),
             downstreams_refused: self.side.refused(),
-            downstreams_silent: counts.silent(),
+            downstreams_silent: counts.timed_out(),
             downstreams_made_room: counts.made_room(),
             upstreams: self.core.open_connections(),
-            upstreams_limit: self.door.most_nodes(self.ports.open()),
+            upstreams_limit: self.door.node_connection_limit(self.ports.open()),
             streams: self.core.open_streams(),
             counters: self.core.counters,
         };
@@ -495,12 +503,12 @@
         if !ending.accepts(now, none_open) {
             self.ports.close();
         }
-        let step = ending.tell(now, || self.door.order());
+        let step = ending.step(now, || self.door.close_order());
         step.finish.into_iter().for_each(|id| self.downstreams.finish(id));
         if step.all {
             self.downstreams.leave();
         }
-        let over = ending.over(now, none_open && self.ports.are_closed());
+        let over = ending.is_over(now, none_open && self.ports.are_closed());
         if over {
             let streams = self.core.open_streams();
             self.core.counters.unanswered += streams as u64;
--- a/src/owner/report.rs
+++ b/src/owner/report.rs
@@ -1,9 +1,9 @@
 //! Rate-limited log lines about peers, and the periodic figures.
 
+use crate::admission::{Admission, Counts};
 use crate::core::Core;
-use crate::door::{Counts, Door};
 use crate::interface::Micros;
-use crate::net::Note;
+use crate::net::LogEntry;
 use tracing::field::display;
 use tracing::{info, warn};
 
@@ -25,10 +25,10 @@
     }
 
     /// Logs a warning about a peer, up to the limit.
-    pub(super) fn note(&mut self, note: Note) {
+    pub(super) fn note(&mut self, note: LogEntry) {
         self.notes += 1;
         if self.notes <= MAX_NOTES {
-            let Note { event, text, caller, node, why } = note;
+            let LogEntry { event, text, caller, node, why } = note;
             let client = caller.as_ref().map(|c| display(c.client));
             let via = caller.as_ref().and_then(|c| c.via).map(display);
             warn!(event, client, via, node = node.map(display), why, "{text}");
@@ -36,7 +36,7 @@
     }
 
     /// Logs the figures if due, and how many lines about peers were suppressed since.
-    pub(super) fn tick(&mut self, now: Micros, core: &Core, door: &Door) {
+    pub(super) fn tick(&mut self, now: Micros, core: &Core, door: &Admission) {
         if now - self.last_figures < FIGURES_INTERVAL {
             return;
         }
@@ -50,9 +50,9 @@
 }
 
 /// Logs the counters since the start and what is open now.
-pub(super) fn figures(core: &Core, door: &Door) {
+pub(super) fn figures(core: &Core, door: &Admission) {
     let (c, counts) = (core.counters, door.counts());
-    let (downstreams, silent) = (door.len(), counts.silent());
+    let (downstreams, silent) = (door.len(), counts.timed_out());
     let (streams, connections) = (core.open_streams(), core.open_connections());
     info!(
         event = "figures",
@@ -140,7 +140,7 @@
 }
 
 /// Logs why downstreams were closed since the start, if any was.
-fn closed(door: &Door) {
+fn closed(door: &Admission) {
     let (counts, (bytes, paused)) = (door.counts(), door.bytes());
     let closed = counts.since(&Counts::default()).map(|(name, n)| format!("{name} {n}"));
     let closed: Vec<String> = closed.collect();
