--- a/crates/lab/src/loopback/cost/mod.rs
+++ b/crates/lab/src/loopback/cost/mod.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use stub_servers::{StubDiscovery, StubNodes};
-use world::facts::{NodeNo, ProxyNo, LEDGER};
+use world::facts::{NodeNo, ProxyNo, ORIGIN};
 use world::outcome::Latencies;
 use world::world::World;
 
@@ -116,7 +116,7 @@
     let discovery = StubDiscovery::start().map_err(io_error("cannot start discovery"))?;
     let reserved = ReservedPort::reserve().map_err(io_error("cannot reserve a port for the proxy"))?;
     // Every read hits, so the origin is never asked and any node's address will do for it.
-    let address = |node: NodeNo| nodes.addresses()[if node == LEDGER { 0 } else { node.0 as usize }];
+    let address = |node: NodeNo| nodes.addresses()[if node == ORIGIN { 0 } else { node.0 as usize }];
     let start = settings::ProxyStart {
         proxy: ProxyNo(0),
         listen: reserved.address(),
--- a/crates/lab/src/loopback/event_loop/mod.rs
+++ b/crates/lab/src/loopback/event_loop/mod.rs
@@ -133,7 +133,7 @@
         for member in world.members() {
             ports.add(&world, member.no).map_err(system("cannot reserve a port for a node"))?;
         }
-        ports.add(&world, world::facts::LEDGER).map_err(system("cannot reserve a port for the origin"))?;
+        ports.add(&world, world::facts::ORIGIN).map_err(system("cannot reserve a port for the origin"))?;
         ports.apply(&world, &executor, &queue).map_err(system("cannot open a port"))?;
         let mut stage = EventLoop {
             requests: world.request_table(),
--- a/crates/lab/src/loopback/event_loop/node_requests.rs
+++ b/crates/lab/src/loopback/event_loop/node_requests.rs
@@ -13,7 +13,7 @@
 use martenweir::codec::resp;
 use std::collections::VecDeque;
 use std::net::TcpStream;
-use world::facts::{ClassNo, Fact, NodeNo, ProxyNo, LEDGER};
+use world::facts::{ClassNo, Fact, NodeNo, ProxyNo, ORIGIN};
 use world::node::{Answer, DialOutcome, NodeRequest, Report};
 use world::random::ms;
 use world::scenario::Repeat;
@@ -35,7 +35,7 @@
     /// `None` for discovery.
     pub node: Option<NodeNo>,
     address: u32,
-    hall: u16,
+    zone: u16,
     link: Link,
     /// Unanswered commands in the order of arrival; an answer that is ready waits here for earlier ones.
     pending: VecDeque<PendingAnswer>,
@@ -85,15 +85,15 @@
         let id = LinkId(self.last_link);
         let (node, dialect) = match owner {
             Owner::Discovery => (None, Dialect::Discovery),
-            Owner::Node { node: LEDGER, .. } => (Some(LEDGER), Dialect::Ledger),
+            Owner::Node { node: ORIGIN, .. } => (Some(ORIGIN), Dialect::Origin),
             Owner::Node { node, .. } => (Some(node), Dialect::Cache),
         };
         let (executor, clock) = (self.executor.clone(), self.clock.clone());
         let link = Link::new(id, socket, dialect, &executor, clock, self.queue.clone());
         let now = self.advanced_to;
-        let (mut address, mut hall) = (0, 0);
+        let (mut address, mut zone) = (0, 0);
         if let Some(node) = node {
-            (address, hall) = (self.world.member(node).address, self.world.member(node).hall);
+            (address, zone) = (self.world.member(node).address, self.world.member(node).zone);
             match self.world.connect(now, node, id.0) {
                 DialOutcome::Accepted => {}
                 DialOutcome::Refused => {
@@ -105,13 +105,13 @@
             }
         }
         // The handshake takes one round trip before the first command can leave.
-        let outbound = self.delay(proxy, hall).unwrap_or(0);
-        let back = self.delay(proxy, hall).unwrap_or(0);
+        let outbound = self.delay(proxy, zone).unwrap_or(0);
+        let back = self.delay(proxy, zone).unwrap_or(0);
         let connection = Connection {
             proxy,
             node,
             address,
-            hall,
+            zone,
             link,
             pending: VecDeque::new(),
             out_at: now + outbound + back,
@@ -124,16 +124,16 @@
     }
 
     /// One-way delay between a proxy and a zone; `None` if the packet is lost.
-    fn delay(&mut self, proxy: ProxyNo, hall: u16) -> Option<Micros> {
+    fn delay(&mut self, proxy: ProxyNo, zone: u16) -> Option<Micros> {
         let here = self.world.proxies().get(proxy.0 as usize).copied().unwrap_or(0);
-        self.world.network.between(here, hall)
+        self.world.network.between(here, zone)
     }
 
     /// When data that leaves now arrives at the other end of a connection; `None` if it is lost.
     fn travel(&mut self, at: Micros, id: LinkId, out: bool) -> Option<Micros> {
         let link = self.links.get(&id)?;
-        let (proxy, hall, lost) = (link.proxy, link.hall, link.lost);
-        let delay = self.delay(proxy, hall).filter(|_| !lost);
+        let (proxy, zone, lost) = (link.proxy, link.zone, link.lost);
+        let delay = self.delay(proxy, zone).filter(|_| !lost);
         let link = self.links.get_mut(&id)?;
         let Some(delay) = delay else {
             link.lost = true;
@@ -151,7 +151,7 @@
         self.last_job += 1;
         let job = self.last_job;
         connection.pending.push_back(PendingAnswer { job, answer: None });
-        let dialect = if node == LEDGER { Dialect::Ledger } else { Dialect::Cache };
+        let dialect = if node == ORIGIN { Dialect::Origin } else { Dialect::Cache };
         let kind = match command {
             Command::Load => JobKind::Load,
             Command::Ping => JobKind::Ping,
@@ -185,7 +185,7 @@
             self.taken(first_byte_at, of);
             self.world.observe(first_byte_at, Fact::AttemptBegun { proxy, node, of });
             let here = self.world.proxies().get(proxy.0 as usize).copied();
-            let crosses = here != Some(self.world.member(node).hall);
+            let crosses = here != Some(self.world.member(node).zone);
             let counts = self.world.recorder.work();
             counts.attempts += 1;
             counts.crossings += u64::from(crosses);
@@ -222,7 +222,7 @@
         {
             return None;
         }
-        let sent = self.requests.recall(id.of);
+        let sent = self.requests.find_recent(id.of);
         if let Some(r) = sent.map(|t| &t.request) {
             let repeat = p.repeat.is_none_or(|key| key == r.repeat_key());
             if (r.key, r.class) != (key, class) || !repeat {
@@ -241,7 +241,7 @@
             repeat: p.repeat.map(|key| (key, ms(class_config.window_ms))),
             expires: at + p.patience,
         };
-        let after = sent.and_then(|t| t.after).filter(|_| *node == Some(LEDGER));
+        let after = sent.and_then(|t| t.after).filter(|_| *node == Some(ORIGIN));
         Some(NodeAttempt { proxy: *proxy, request, after })
     }
 
@@ -274,7 +274,7 @@
             let waits = self.requests.get(attempt.request.of);
             useful &= waits.is_some();
             let missed = waits.filter(|_| open).map(|t| t.missed);
-            if node == LEDGER && reply == Answer::Value {
+            if node == ORIGIN && reply == Answer::Value {
                 if attempt.request.write {
                     self.world.invalidate_copies(attempt.request.key);
                 } else if let Some(missed) = missed {
@@ -287,16 +287,16 @@
                 }
             }
         }
-        if !useful && node != LEDGER {
+        if !useful && node != ORIGIN {
             self.world.recorder.work().wasted_us += work;
         }
         let Some(Job { link, kind, .. }) = job else { return };
         if reply == Answer::Reset {
             return self.timers.add(at, TimerEvent::BreakConnection { link });
         }
-        let dialect = if node == LEDGER { Dialect::Ledger } else { Dialect::Cache };
+        let dialect = if node == ORIGIN { Dialect::Origin } else { Dialect::Cache };
         let bytes = answer(dialect, &kind, reply);
-        let then = if reply == Answer::Spoilt { AfterWrite::Close } else { AfterWrite::KeepOpen };
+        let then = if reply == Answer::Corrupted { AfterWrite::Close } else { AfterWrite::KeepOpen };
         if let Some(arrives) = self.travel(at, link, false) {
             self.timers.add(arrives, TimerEvent::WriteAnswer { link, job: number, bytes, then });
         }
@@ -321,7 +321,7 @@
     pub(super) fn link_ended(&mut self, id: LinkId) {
         if let Some(connection) = self.drop_link(id) {
             if let Some(node) = connection.node {
-                let hears = self.delay(connection.proxy, connection.hall).unwrap_or(0);
+                let hears = self.delay(connection.proxy, connection.zone).unwrap_or(0);
                 self.timers.add(self.advanced_to + hears, TimerEvent::Disconnect { node, link: id });
             }
         }
@@ -380,8 +380,8 @@
     pub(super) fn update_paused_links(&mut self) {
         for connection in self.links.values_mut() {
             let Some(node) = connection.node else { continue };
-            let (proxy, hall) = (connection.proxy, connection.hall);
-            let silent = self.ports.is_silent(proxy, hall, connection.address, node);
+            let (proxy, zone) = (connection.proxy, connection.zone);
+            let silent = self.ports.is_silent(proxy, zone, connection.address, node);
             if silent != connection.paused {
                 connection.paused = silent;
                 // A connection that lost data stays silent until the cut ends and it is broken.
@@ -397,7 +397,7 @@
         let back = |l: &Connection| {
             l.node.is_some_and(|node| {
                 l.paused
-                    && !ports.is_silent(l.proxy, l.hall, l.address, node)
+                    && !ports.is_silent(l.proxy, l.zone, l.address, node)
                     && (l.lost || l.link.has_unread_input())
             })
         };
@@ -415,7 +415,7 @@
 /// Encodes an answer.
 fn answer(dialect: Dialect, kind: &JobKind, reply: Answer) -> Vec<u8> {
     let mut out = Vec::new();
-    if reply == Answer::Spoilt {
+    if reply == Answer::Corrupted {
         return b"?\x00 no answer\r\n".to_vec();
     }
     match (dialect, kind, reply) {
--- a/crates/lab/src/loopback/event_loop/ports.rs
+++ b/crates/lab/src/loopback/event_loop/ports.rs
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct AddressState {
     node: NodeNo,
-    hall: u16,
+    zone: u16,
     up: bool,
     vanished: bool,
     /// It accepts no further connection until one ends.
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct PortTable {
     proxies: Vec<SocketAddr>,
-    halls: Vec<u16>,
+    zones: Vec<u16>,
     entries: Vec<PortEntry>,
     /// Index of the port by address and proxy, and of the discovery port by proxy.
     by_address: BTreeMap<(u32, ProxyNo), usize>,
@@ -61,18 +61,18 @@
 
 impl PortTable {
     pub fn new(world: &World, proxies: Vec<SocketAddr>) -> io::Result<Self> {
-        let halls = world.scenario().halls.len();
+        let zones = world.scenario().halls.len();
         let mut ports = PortTable {
-            halls: world.proxies().to_vec(),
+            zones: world.proxies().to_vec(),
             proxies,
             entries: Vec::new(),
             by_address: BTreeMap::new(),
             discovery: Vec::new(),
             addresses: BTreeMap::new(),
-            cuts: vec![false; halls * halls],
+            cuts: vec![false; zones * zones],
             changed: true,
         };
-        for proxy in 0..ports.halls.len() {
+        for proxy in 0..ports.zones.len() {
             let index = ports.add_entry(Owner::Discovery, ProxyNo(proxy as u32))?;
             ports.discovery.push(index);
         }
@@ -89,8 +89,8 @@
     /// A node, or the origin, starts at its address and replaces whatever was there.
     pub fn add(&mut self, world: &World, node: NodeNo) -> io::Result<()> {
         let member = world.member(node);
-        let (address, hall) = (member.address, member.hall);
-        for proxy in 0..self.halls.len() {
+        let (address, zone) = (member.address, member.zone);
+        for proxy in 0..self.zones.len() {
             let proxy = ProxyNo(proxy as u32);
             match self.by_address.get(&(address, proxy)) {
                 Some(index) => self.entries[*index].owner = Owner::Node { node, address },
@@ -100,7 +100,7 @@
                 }
             }
         }
-        let state = AddressState { node, hall, up: true, vanished: false, full: false };
+        let state = AddressState { node, zone, up: true, vanished: false, full: false };
         self.addresses.insert(address, state);
         self.changed = true;
         Ok(())
@@ -129,22 +129,22 @@
     }
 
     /// Whether a connection between a proxy and a node passes nothing on.
-    pub fn is_silent(&self, proxy: ProxyNo, hall: u16, address: u32, node: NodeNo) -> bool {
+    pub fn is_silent(&self, proxy: ProxyNo, zone: u16, address: u32, node: NodeNo) -> bool {
         let vanished = self.addresses.get(&address).is_some_and(|r| r.node == node && r.vanished);
-        vanished || self.is_cut(proxy, hall)
+        vanished || self.is_cut(proxy, zone)
     }
 
-    fn is_cut(&self, proxy: ProxyNo, hall: u16) -> bool {
-        let halls = self.cuts.len().isqrt();
-        let here = self.halls.get(proxy.0 as usize).copied().unwrap_or(0);
-        self.cuts.get(usize::from(here) * halls + usize::from(hall)).copied().unwrap_or(false)
+    fn is_cut(&self, proxy: ProxyNo, zone: u16) -> bool {
+        let zones = self.cuts.len().isqrt();
+        let here = self.zones.get(proxy.0 as usize).copied().unwrap_or(0);
+        self.cuts.get(usize::from(here) * zones + usize::from(zone)).copied().unwrap_or(false)
     }
 
     /// Reads the state that the world reports no event for: cuts between zones, and whether the origin is up.
     pub fn refresh(&mut self, world: &World) {
-        let halls = self.cuts.len().isqrt();
+        let zones = self.cuts.len().isqrt();
         for (i, stored) in self.cuts.iter_mut().enumerate() {
-            let cut = world.network.is_cut((i / halls) as u16, (i % halls) as u16);
+            let cut = world.network.is_cut((i / zones) as u16, (i % zones) as u16);
             self.changed |= cut != *stored;
             *stored = cut;
         }
@@ -152,8 +152,8 @@
     }
 
     fn refresh_origin(&mut self, world: &World) {
-        let up = world.ledger().is_up();
-        self.update(world, world::facts::LEDGER, |r| r.up = up);
+        let up = world.origin().is_up();
+        self.update(world, world::facts::ORIGIN, |r| r.up = up);
     }
 
     /// Whether ports and connections may be out of date.
@@ -170,7 +170,7 @@
             let state = match owner {
                 Owner::Discovery => PortState::Open,
                 Owner::Node { node, address } => match self.addresses.get(&address) {
-                    Some(r) if self.is_silent(proxy, r.hall, address, node) => PortState::Silent,
+                    Some(r) if self.is_silent(proxy, r.zone, address, node) => PortState::Silent,
                     Some(r) if r.up && !r.full => PortState::Open,
                     _ => PortState::Closed,
                 },
--- a/crates/lab/src/loopback/event_loop/tries.rs
+++ b/crates/lab/src/loopback/event_loop/tries.rs
@@ -20,7 +20,7 @@
     /// Sends a client's next try to a proxy chosen by the front.
     pub(super) fn send(&mut self, at: Micros, slot: RequestSlot) {
         let Some(request) = self.requests.request(slot) else { return };
-        let Some(proxy) = self.world.front().pick(request.hall, request.no.0 ^ (at as u64) << 20) else {
+        let Some(proxy) = self.world.front().pick(request.zone, request.no.0 ^ (at as u64) << 20) else {
             let next = self.requests.unreached(at, slot, &mut self.world.recorder);
             return self.retry(next);
         };
--- a/crates/lab/src/loopback/scripted/peer.rs
+++ b/crates/lab/src/loopback/scripted/peer.rs
@@ -27,7 +27,7 @@
     }
 
     pub fn ledger() -> Result<Self, Surprise> {
-        Listener::new(Dialect::Ledger)
+        Listener::new(Dialect::Origin)
     }
 
     pub fn discovery() -> Result<Self, Surprise> {
--- a/crates/lab/src/loopback/socket/wire.rs
+++ b/crates/lab/src/loopback/socket/wire.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dialect {
     Cache,
-    Ledger,
+    Origin,
     Discovery,
 }
 
@@ -53,9 +53,9 @@
     pub fn command(self, bytes: &[u8]) -> Option<(Command, usize)> {
         let parsed = match self {
             Dialect::Cache => resp_command(bytes),
-            Dialect::Ledger | Dialect::Discovery => request(bytes).map(|r| {
+            Dialect::Origin | Dialect::Discovery => request(bytes).map(|r| {
                 r.map(|(r, taken)| {
-                    (if self == Dialect::Ledger { origin_command(r) } else { discovery_command(&r) }, taken)
+                    (if self == Dialect::Origin { origin_command(r) } else { discovery_command(&r) }, taken)
                 })
             }),
         };
--- a/crates/world/src/rules/one_answer.rs
+++ b/crates/world/src/rules/one_answer.rs
@@ -1,4 +1,4 @@
-//! One final outcome in time for each request taken, and a value only from who made it for this request.
+//! Each request gets exactly one final answer, in time, and a value only if it was made for this request.
 
 use super::Findings;
 use crate::facts::{Fact, Final, ProxyNo, TryNo};
@@ -7,8 +7,8 @@
 use crate::scenario::Scenario;
 use crate::Micros;
 
-/// What is overdue is looked for this often, and answered tries are remembered for at least as long.
-const SWEEP: Micros = 5_000_000;
+/// Interval of the search for overdue tries, and the minimum time for which answered tries are remembered.
+const SWEEP_INTERVAL: Micros = 5_000_000;
 
 #[derive(Clone, Copy, Debug)]
 struct Open {
@@ -22,10 +22,10 @@
 pub struct OneAnswer {
     grace: Micros,
     open: Map<TryNo, Open>,
-    /// Answered of late, and before that.
+    /// Answered since the last sweep, and in the interval before it.
     answered: Map<TryNo, ()>,
-    before: Map<TryNo, ()>,
-    sweep: Micros,
+    previously_answered: Map<TryNo, ()>,
+    next_sweep: Micros,
 }
 
 impl OneAnswer {
@@ -34,16 +34,16 @@
             grace: ms(s.rules.answer_grace_ms) + slack,
             open: Map::default(),
             answered: Map::default(),
-            before: Map::default(),
-            sweep: 0,
+            previously_answered: Map::default(),
+            next_sweep: 0,
         }
     }
 
     pub fn observe(&mut self, at: Micros, fact: &Fact, findings: &mut Findings) {
-        if at >= self.sweep {
+        if at >= self.next_sweep {
             self.overdue(at, findings);
-            self.before = std::mem::take(&mut self.answered);
-            self.sweep = at + SWEEP;
+            self.previously_answered = std::mem::take(&mut self.answered);
+            self.next_sweep = at + SWEEP_INTERVAL;
         }
         let mut breach = |what: String| findings.add(Rule::OneAnswer, at, || what);
         match *fact {
@@ -65,7 +65,7 @@
                         of.0,
                         (at - open.due) / 1000
                     )),
-                    None if self.answered.contains_key(&of) || self.before.contains_key(&of) => {
+                    None if self.answered.contains_key(&of) || self.previously_answered.contains_key(&of) => {
                         breach(format!("proxy {} answered try {} twice", proxy.0, of.0));
                     }
                     _ => {}
@@ -88,7 +88,8 @@
             Fact::Dropped { proxy, of } if self.open.remove(&of).is_some() => {
                 breach(format!("proxy {} closed on try {} without an answer", proxy.0, of.0));
             }
-            // Who leaves while the proxy may still answer is owed nothing; who has waited for all of that time was.
+            // A client that leaves while the proxy may still answer is owed nothing; one that has waited for
+            // all of that time was owed an answer.
             Fact::Left { of, .. } if self.open.get(&of).is_some_and(|o| at < o.due) => {
                 self.open.remove(&of);
             }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// What is open at the end, and could have been answered by then, was lost.
+    /// A try that is still open at the end and is overdue was lost.
     pub fn finish(&mut self, at: Micros, findings: &mut Findings) {
         self.overdue(at, findings);
     }
--- a/crates/world/src/world/faults.rs
+++ b/crates/world/src/world/faults.rs
@@ -1,8 +1,8 @@
-//! The faults of a scenario, played: each begins, may have further steps, and ends.
+//! Executes the faults of a scenario: each begins, may have further steps, and ends.
 
 use super::{Occurrence, World};
 use crate::discovery::{Entry, Notice};
-use crate::facts::{Fact, NodeNo, ProxyNo, Status, LEDGER};
+use crate::facts::{Fact, NodeNo, ProxyNo, Status, ORIGIN};
 use crate::node::Event;
 use crate::outcome::FaultMark;
 use crate::random::{seconds, stream};
@@ -12,31 +12,31 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What becomes of a proxy's process.
+/// A change of a proxy's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyChange {
-    /// It is told to end: it completes what it has.
+    /// It is told to shut down and completes what it has accepted.
     End,
     /// It dies at once.
     Die,
     Start,
 }
 
-/// Until a drained node ends, where the fault does not say.
-const DRAIN_S: f64 = 4.0;
-/// Until what died or was replaced is back.
-const BACK_S: f64 = 2.0;
-/// From one node or proxy to the next.
-const EVERY_S: f64 = 5.0;
-/// A restart ends a process and starts it this much later.
-const EXEC_S: f64 = 0.5;
-/// A planned end of a proxy: connections still come for this long.
-const STILL_S: f64 = 0.3;
-/// A planned end is cut short this long after the longest patience (counted as 3 s at most) at the earliest.
-const KILL_S: f64 = 0.7;
-const PATIENCE_S: f64 = 3.0;
-/// Names that a mark lists; the rest are only counted.
-const NAMED: usize = 4;
+/// Default time until a drained node ends.
+const DEFAULT_DRAIN_S: f64 = 4.0;
+/// Default time until a crashed or replaced process is back.
+const DEFAULT_DOWN_S: f64 = 2.0;
+/// Default interval between one affected node or proxy and the next.
+const DEFAULT_INTERVAL_S: f64 = 5.0;
+/// Time between the end of a process and its restart.
+const RESTART_DELAY_S: f64 = 0.5;
+/// After a planned shutdown of a proxy begins, new connections still arrive for this long.
+const UNLIST_DELAY_S: f64 = 0.3;
+/// A planned shutdown ends no earlier than this long after the longest patience (counted as 3 s at most).
+const SHUTDOWN_MARGIN_S: f64 = 0.7;
+const MAX_PATIENCE_S: f64 = 3.0;
+/// Number of names that a fault mark lists; the rest is only counted.
+const MAX_NAMES: usize = 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
@@ -94,13 +94,13 @@
     }
 }
 
-/// So many are this part of all: at least one, unless it is nothing.
-fn part_of(part: f64, all: usize) -> usize {
+/// The number of items in this part of all: at least one, unless the part is zero.
+fn count_of_part(part: f64, all: usize) -> usize {
     ((part * all as f64).round() as usize).max(usize::from(part > 0.0))
 }
 
 impl World {
-    /// Carries out the next step, due now.
+    /// Executes the next step, which is due now.
     pub(super) fn run_step(&mut self, at: Micros, out: &mut Vec<(Micros, Occurrence)>) {
         let Some(Reverse((_, _, step))) = self.fault_schedule.steps.pop() else { return };
         let mut events = std::mem::take(&mut self.events);
@@ -121,7 +121,7 @@
                 self.at_node(no, &mut events, |n, _, _| n.set_failure_rates(errors, spoils));
             }
             Step::Drain(no) => {
-                // Of a process that is gone already, discovery has nothing to tell.
+                // Discovery has nothing to report about a process that is already gone.
                 if self.nodes.get(no.0 as usize).is_some_and(|n| n.is_up()) {
                     let entry = Entry { node: no, status: Status::Draining, started: None };
                     self.at_node(no, &mut events, |n, _, _| n.drain());
@@ -129,22 +129,22 @@
                 }
             }
             Step::End(no) => self.end_node(at, no, out),
-            Step::Start(no) if self.is_taken(no) => {}
-            Step::Replace(old) if self.is_taken(old) || self.is_up(old) => {}
+            Step::Start(no) if self.is_address_taken(no) => {}
+            Step::Replace(old) if self.is_address_taken(old) || self.is_up(old) => {}
             Step::Start(no) => self.add_started(at, no, out),
             Step::Replace(old) => {
                 let member = self.member(old).clone();
                 let group = self.scenario.nodes.iter().find(|g| g.kind == member.kind).cloned();
                 if let Some(group) = group {
-                    let no = self.add_node(&group, member.hall, Some(member.address));
+                    let no = self.add_node(&group, member.zone, Some(member.address));
                     self.add_started(at, no, out);
                 }
             }
             Step::Grow(i, count) => self.grow(at, i, count, out),
-            Step::Cut(hall, on) => {
-                self.network.cut(hall, on);
+            Step::Cut(zone, on) => {
+                self.network.cut(zone, on);
                 if !on {
-                    out.push((at, Occurrence::CutOver { hall }));
+                    out.push((at, Occurrence::CutOver { zone }));
                 }
             }
             Step::Break(on, i) => {
@@ -154,13 +154,13 @@
             }
             Step::SlowLedger(on, i) => {
                 let times = if on { self.fault_schedule.faults[i].times.unwrap_or(1.0) } else { 1.0 };
-                self.ledger.set_slowdown(at, times, &mut self.shared.dedup, &mut events);
-                self.publish_events(LEDGER, events, out);
+                self.origin.set_slowdown(at, times, &mut self.shared.dedup, &mut events);
+                self.publish_events(ORIGIN, events, out);
                 events = std::mem::take(&mut self.events);
             }
             Step::Silence(on) => self.discovery.silence(at, on),
             Step::ProxyEnds(proxy) => {
-                self.fault_schedule.plan(at + seconds(STILL_S), Step::ProxyUnlisted(proxy));
+                self.fault_schedule.plan(at + seconds(UNLIST_DELAY_S), Step::ProxyUnlisted(proxy));
                 out.push((at, Occurrence::Proxy { proxy, change: ProxyChange::End }));
             }
             Step::ProxyDies(proxy) => {
@@ -187,7 +187,7 @@
         events: &mut Vec<Event>,
         act: impl FnOnce(&mut crate::node::Node, &mut crate::node::SharedState, &mut Vec<Event>),
     ) {
-        self.shared.initial_contents.asker = no;
+        self.shared.initial_contents.requester = no;
         if let Some(node) = self.nodes.get_mut(no.0 as usize).filter(|n| n.is_up()) {
             act(node, &mut self.shared, events);
         }
@@ -216,9 +216,10 @@
         self.nodes.get(no.0 as usize).is_some_and(|n| n.is_up())
     }
 
-    /// The address of this node is another's: that of the node that replaced it, whether or not that one runs just now, or of
-    /// one that runs there. A second cannot listen there, and what is sent to the one would count as sent to the other.
-    fn is_taken(&self, no: NodeNo) -> bool {
+    /// Whether the address of this node is used by another one: by its replacement, whether or not that is
+    /// running at the moment, or by any node running there. A second process cannot listen there, and
+    /// requests sent to one would count as sent to the other.
+    fn is_address_taken(&self, no: NodeNo) -> bool {
         let address = self.member(no).address;
         let mut others = self.members.iter().filter(|m| m.no != no && m.address == address);
         others.any(|m| m.no > no || self.is_up(m.no))
@@ -227,12 +228,13 @@
     fn grow(&mut self, at: Micros, fault: usize, which: u32, out: &mut Vec<(Micros, Occurrence)>) {
         let Some(group) = self.scenario.nodes.first().cloned() else { return };
         let named = group.hall.as_ref().and_then(|h| self.scenario.halls.iter().position(|x| x == h));
-        let hall = named.unwrap_or((fault + which as usize) % self.scenario.halls.len());
-        let no = self.add_node(&group, hall as u16, None);
+        let zone = named.unwrap_or((fault + which as usize) % self.scenario.halls.len());
+        let no = self.add_node(&group, zone as u16, None);
         self.add_started(at, no, out);
     }
 
-    /// The nodes that a fault strikes, drawn from those that serve, in the order in which they are struck.
+    /// The nodes affected by a fault, chosen at random from those that serve, in the order in which they are
+    /// affected.
     fn affected_nodes(&self, fault: &Fault, i: usize) -> Vec<NodeNo> {
         if let Some(node) = fault.node {
             return vec![NodeNo(node)];
@@ -241,15 +243,16 @@
             self.members.iter().map(|m| m.no).filter(|no| self.nodes[no.0 as usize].serves()).collect();
         let wanted = match (fault.nodes, fault.part) {
             (Some(nodes), _) => nodes as usize,
-            (None, Some(part)) => part_of(part, serving.len()),
+            (None, Some(part)) => count_of_part(part, serving.len()),
             (None, None) => 0,
         };
-        self.draw(i, wanted, &mut serving);
+        self.choose(i, wanted, &mut serving);
         serving
     }
 
-    /// Leaves so many of all, drawn by the seed and the fault's place, in the order in which they were drawn.
-    fn draw<T>(&self, i: usize, wanted: usize, all: &mut Vec<T>) {
+    /// Keeps `wanted` random items, chosen by the seed and the fault's index, in the order in which they were
+    /// drawn.
+    fn choose<T>(&self, i: usize, wanted: usize, all: &mut Vec<T>) {
         let mut rng = stream(self.seed, "struck", i as u64);
         let wanted = wanted.min(all.len());
         for at in 0..wanted {
@@ -262,27 +265,27 @@
     fn begin(&mut self, at: Micros, i: usize, out: &mut Vec<(Micros, Occurrence)>) {
         let fault = self.fault_schedule.faults[i].clone();
         let until = at + seconds(fault.for_s);
-        let every = seconds(fault.every_s.unwrap_or(EVERY_S));
+        let every = seconds(fault.every_s.unwrap_or(DEFAULT_INTERVAL_S));
         let down = |or: f64| seconds(fault.down_s.unwrap_or(or));
         let mut end = until;
-        let mut struck = Vec::new();
+        let mut affected = Vec::new();
         if fault.kind.reads().nodes && fault.kind != FaultKind::Grow {
-            struck = self.affected_nodes(&fault, i);
+            affected = self.affected_nodes(&fault, i);
         }
-        let names = |struck: &[NodeNo]| {
+        let names = |affected: &[NodeNo]| {
             let mut names: Vec<&str> =
-                struck.iter().take(NAMED).map(|no| self.member(*no).name.as_str()).collect();
-            let more = format!("{} more", struck.len().saturating_sub(NAMED));
-            if struck.len() > NAMED {
+                affected.iter().take(MAX_NAMES).map(|no| self.member(*no).name.as_str()).collect();
+            let more = format!("{} more", affected.len().saturating_sub(MAX_NAMES));
+            if affected.len() > MAX_NAMES {
                 names.push(&more);
             }
             names.join(", ")
         };
-        let mut what = names(&struck);
-        let count = struck.len() as i64;
-        // Over its time, where it strikes one after the other.
+        let mut what = names(&affected);
+        let count = affected.len() as i64;
+        // Spread over the fault's duration if it affects one after the other.
         let spread = |k: usize| at + (until - at) * k as i64 / count.max(1);
-        for (k, no) in struck.iter().copied().enumerate() {
+        for (k, no) in affected.iter().copied().enumerate() {
             let turn = at + every * k as i64;
             match fault.kind {
                 FaultKind::Hang => self.plan_start_and_end(at, until, |on| Step::Hang(no, on)),
@@ -292,12 +295,12 @@
                 }
                 FaultKind::Crash => {
                     self.fault_schedule.plan(at, Step::End(no));
-                    end = at + down(BACK_S);
+                    end = at + down(DEFAULT_DOWN_S);
                     self.fault_schedule.plan(end, Step::Start(no));
                 }
                 FaultKind::Restart | FaultKind::Replace => {
-                    let over = turn + down(DRAIN_S);
-                    end = over + seconds(EXEC_S);
+                    let over = turn + down(DEFAULT_DRAIN_S);
+                    end = over + seconds(RESTART_DELAY_S);
                     self.fault_schedule.plan(turn, Step::Drain(no));
                     self.fault_schedule.plan(over, Step::End(no));
                     let next =
@@ -305,9 +308,9 @@
                     self.fault_schedule.plan(end, next);
                 }
                 FaultKind::Drain | FaultKind::Shrink => {
-                    end = until.max(spread(k) + down(DRAIN_S));
+                    end = until.max(spread(k) + down(DEFAULT_DRAIN_S));
                     self.fault_schedule.plan(spread(k), Step::Drain(no));
-                    self.fault_schedule.plan(spread(k) + down(DRAIN_S), Step::End(no));
+                    self.fault_schedule.plan(spread(k) + down(DEFAULT_DRAIN_S), Step::End(no));
                 }
                 FaultKind::Vanish => {
                     let node = &mut self.nodes[no.0 as usize];
@@ -335,8 +338,8 @@
             }
             FaultKind::HallCut => {
                 let name = fault.hall.clone().unwrap_or_default();
-                let hall = self.scenario.halls.iter().position(|h| *h == name).unwrap_or(0) as u16;
-                self.plan_start_and_end(at, until, |on| Step::Cut(hall, on));
+                let zone = self.scenario.halls.iter().position(|h| *h == name).unwrap_or(0) as u16;
+                self.plan_start_and_end(at, until, |on| Step::Cut(zone, on));
                 what = name;
             }
             FaultKind::BreakConnections => {
@@ -348,9 +351,9 @@
                 what = format!("{times} times slower");
             }
             FaultKind::StopLedger => {
-                self.ledger.stop(at, until);
-                self.schedule_wake(LEDGER);
-                out.push((at, Occurrence::Ended { node: LEDGER }));
+                self.origin.stop(at, until);
+                self.schedule_wake(ORIGIN);
+                out.push((at, Occurrence::Ended { node: ORIGIN }));
             }
             FaultKind::SilentDiscovery => self.plan_start_and_end(at, until, Step::Silence),
             FaultKind::ProxyRestart | FaultKind::ProxyCrash => {
@@ -358,21 +361,22 @@
                 let mut proxies: Vec<u32> = all.filter(|p| fault.proxy.is_none_or(|f| f == *p)).collect();
                 let count = proxies.len();
                 if let Some(part) = fault.part {
-                    self.draw(i, part_of(part, count), &mut proxies);
+                    self.choose(i, count_of_part(part, count), &mut proxies);
                 }
-                // A part goes at once.
+                // A part of the proxies is affected at once.
                 let every = if fault.part.is_some() && fault.every_s.is_none() { 0 } else { every };
                 for (k, proxy) in proxies.iter().enumerate() {
                     let (turn, proxy) = (at + every * k as i64, ProxyNo(*proxy));
                     let planned = fault.kind == FaultKind::ProxyRestart;
                     let (step, back) = if planned {
-                        (Step::ProxyEnds(proxy), DRAIN_S)
+                        (Step::ProxyEnds(proxy), DEFAULT_DRAIN_S)
                     } else {
-                        (Step::ProxyDies(proxy), BACK_S)
+                        (Step::ProxyDies(proxy), DEFAULT_DOWN_S)
                     };
                     self.fault_schedule.plan(turn, step);
-                    // Who is told to end has the time to answer what it took.
-                    let least = if planned { self.longest_patience() + seconds(KILL_S) } else { 0 };
+                    // A proxy that is told to shut down gets the time to answer what it has accepted.
+                    let least =
+                        if planned { self.longest_patience() + seconds(SHUTDOWN_MARGIN_S) } else { 0 };
                     end = turn + down(back).max(least);
                     self.fault_schedule.plan(end, Step::ProxyStarts(proxy));
                 }
@@ -399,7 +403,7 @@
 
     fn longest_patience(&self) -> Micros {
         let classes = self.scenario.clients.classes.iter();
-        seconds(classes.map(|c| c.patience_ms / 1e3).fold(0.0, f64::max).min(PATIENCE_S))
+        seconds(classes.map(|c| c.patience_ms / 1e3).fold(0.0, f64::max).min(MAX_PATIENCE_S))
     }
 
     fn plan_start_and_end(&mut self, at: Micros, until: Micros, step: impl Fn(bool) -> Step) {
--- a/src/owner/ports.rs
+++ b/src/owner/ports.rs
@@ -1,9 +1,9 @@
 //! The ports the proxy listens on: an accepting task for each, and a connection gate shared by them.
 
-use crate::door::{Door, Side};
+use crate::admission::{Admission, PortKind};
 use crate::features::file::Features;
-use crate::net::accept::{accept, Gate};
-use crate::net::{Port, Queue};
+use crate::net::accept::{accept, ConnectionLimiter};
+use crate::net::{EventSender, PortIndex};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
 use std::net::{SocketAddr, TcpListener};
@@ -21,11 +21,11 @@
 }
 
 impl Service {
-    pub(super) fn side(self) -> Side {
+    pub(super) fn side(self) -> PortKind {
         if self == Service::Main {
-            Side::Main
+            PortKind::Main
         } else {
-            Side::Port
+            PortKind::Side
         }
     }
 }
@@ -40,7 +40,7 @@
     /// connections.
     accept: Vec<Task<()>>,
     /// Limits open connections; while it is full, new connections wait in the listen backlog.
-    gate: Rc<Gate>,
+    gate: Rc<ConnectionLimiter>,
 }
 
 fn bind_one(address: SocketAddr) -> Result<(Async<TcpListener>, SocketAddr), String> {
@@ -85,12 +85,12 @@
     pub(super) fn open(
         self,
         executor: &LocalExecutor<'static>,
-        queue: &Queue,
+        queue: &EventSender,
         admits: impl Fn(SocketAddr) -> bool + Clone + 'static,
     ) -> Ports {
         let mut ports = Ports { services: vec![], accept: vec![], gate: Rc::default() };
         for (listener, service) in self.0 {
-            let (port, entry) = (Port(ports.services.len()), ports.gate.entry(service.side()));
+            let (port, entry) = (PortIndex(ports.services.len()), ports.gate.for_port(service.side()));
             let task = accept(listener, port, queue.clone(), entry, admits.clone());
             ports.accept.push(executor.spawn(task));
             ports.services.push(service);
@@ -100,13 +100,14 @@
 }
 
 impl Ports {
-    pub(super) fn service(&self, port: Port) -> Service {
+    pub(super) fn service(&self, port: PortIndex) -> Service {
         self.services.get(port.0).copied().unwrap_or(Service::Main)
     }
 
     /// Sets the connection limits from the door's present ones.
-    pub(super) fn allow(&self, door: &Door) {
-        self.gate.allow([Side::Main, Side::Port].map(|side| door.most(side)), door.most_of_all());
+    pub(super) fn allow(&self, door: &Admission) {
+        self.gate
+            .set_limits([PortKind::Main, PortKind::Side].map(|side| door.limit(side)), door.total_limit());
     }
 
     /// The numbers of open accepted connections per side, including those not yet reported to the event loop.
@@ -121,7 +122,7 @@
 
     /// Stops accepting, except for connections already in the listen backlog.
     pub(super) fn close(&self) {
-        self.gate.shut();
+        self.gate.stop_accepting();
     }
 
     /// Whether all ports are closed.
--- a/tests/upstream.rs
+++ b/tests/upstream.rs
@@ -5,8 +5,8 @@
 use martenweir::codec::http::{self, PeerState};
 use martenweir::core::{ConnectionId, Input, Job, Message, Stage};
 use martenweir::interface::Verdict;
-use martenweir::net::upstream::{carry, Dialect};
-use martenweir::net::News;
+use martenweir::net::upstream::{run_connection, UpstreamProtocol};
+use martenweir::net::NetEvent;
 use rstest::rstest;
 use std::future::Future;
 use std::io::{Read, Write};
@@ -16,25 +16,26 @@
 /// Runs `script` on an established connection, with the node's listener, the sender of its jobs and the
 /// receiver of its events.
 fn with_connection<F: Future>(
-    script: impl FnOnce(TcpListener, Sender<Job>, Receiver<News>) -> F,
+    script: impl FnOnce(TcpListener, Sender<Job>, Receiver<NetEvent>) -> F,
 ) -> F::Output {
-    with_connection_as(Dialect::Cache, script)
+    with_connection_as(UpstreamProtocol::Cache, script)
 }
 
 /// The same with a node that speaks `dialect`.
 fn with_connection_as<F: Future>(
-    dialect: Dialect,
-    script: impl FnOnce(TcpListener, Sender<Job>, Receiver<News>) -> F,
+    dialect: UpstreamProtocol,
+    script: impl FnOnce(TcpListener, Sender<Job>, Receiver<NetEvent>) -> F,
 ) -> F::Output {
     let node = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = node.local_addr().expect("an address");
     let (event_sender, news) = async_channel::bounded(4);
     let (send_job, jobs) = async_channel::bounded(1);
     let executor = LocalExecutor::new();
-    let connection_task = carry(ConnectionId(1), address, dialect, jobs, event_sender, Rc::new(Vec::new()));
+    let connection_task =
+        run_connection(ConnectionId(1), address, dialect, jobs, event_sender, Rc::new(Vec::new()));
     let _task = executor.spawn(connection_task);
     async_io::block_on(executor.run(async {
-        assert!(matches!(news.recv().await, Ok(News::Core(Input::Connected(_)))));
+        assert!(matches!(news.recv().await, Ok(NetEvent::Core(Input::Connected(_)))));
         script(node, send_job, news).await
     }))
 }
@@ -56,7 +57,7 @@
         send_job.try_send(Job::Probe).expect("room for a job");
         news.recv().await
     });
-    assert!(matches!(ended, Ok(News::Core(Input::Broken(_, Stage::Idle)))));
+    assert!(matches!(ended, Ok(NetEvent::Core(Input::Broken(_, Stage::Idle)))));
 }
 
 /// A node with a full connection table rejects a new connection and closes it; this must not be taken for a
@@ -80,7 +81,7 @@
         drop(kept);
         event
     });
-    let Ok(News::Core(Input::Replied(_, reply))) = event else { panic!("no reply") };
+    let Ok(NetEvent::Core(Input::Replied(_, reply))) = event else { panic!("no reply") };
     assert_eq!((reply.verdict, reply.no_place, reply.keep), (Verdict::Full, closes, !closes));
 }
 
@@ -117,10 +118,10 @@
         event
     });
     match (event, verdict) {
-        (Ok(News::Core(Input::Replied(_, reply))), Some(verdict)) => {
+        (Ok(NetEvent::Core(Input::Replied(_, reply))), Some(verdict)) => {
             assert_eq!((reply.verdict, reply.keep), (verdict, false))
         }
-        (Ok(News::Core(Input::Broken(_, stage))), None) => assert_eq!(stage, Stage::Writing),
+        (Ok(NetEvent::Core(Input::Broken(_, stage))), None) => assert_eq!(stage, Stage::Writing),
         (event, _) => panic!("{event:?}"),
     }
 }
@@ -162,7 +163,7 @@
     #[case] ending: Ending,
     #[case] value: Option<&str>,
 ) {
-    let event = with_connection_as(Dialect::Origin, |node, send_job, news| async move {
+    let event = with_connection_as(UpstreamProtocol::Origin, |node, send_job, news| async move {
         let (mut socket, _) = node.accept().expect("a connection");
         let job = Job::Stream { message: Rc::new(Message::default()), patience: 1_000_000 };
         send_job.try_send(job).expect("room for a job");
@@ -183,11 +184,11 @@
         news.recv().await
     });
     match (event, value) {
-        (Ok(News::Core(Input::Replied(_, reply))), Some(value)) => {
+        (Ok(NetEvent::Core(Input::Replied(_, reply))), Some(value)) => {
             assert_eq!((reply.verdict, reply.value.as_slice()), (Verdict::Served, value.as_bytes()));
             assert!(!reply.keep, "the connection is over");
         }
-        (Ok(News::Core(Input::Broken(_, stage))), None) => assert_eq!(stage, Stage::Reading),
+        (Ok(NetEvent::Core(Input::Broken(_, stage))), None) => assert_eq!(stage, Stage::Reading),
         (event, _) => panic!("{event:?}"),
     }
 }
