--- a/crates/lab/src/loopback/children/child/tests.rs
+++ b/crates/lab/src/loopback/children/child/tests.rs
@@ -22,8 +22,8 @@
     let (few, little) = (Limits { descriptors: 1, ..LIMITS }, Limits { memory_kb: 1, ..LIMITS });
     let usage = child.usage().expect("process is running");
     assert!(child.limit_error(LIMITS, usage).is_none());
-    let told = child.limit_error(few, usage).expect("at least three are open").to_string();
-    assert!(told.contains("descriptors, the limit is 1"), "{told}");
+    let message = child.limit_error(few, usage).expect("at least three are open").to_string();
+    assert!(message.contains("descriptors, the limit is 1"), "{message}");
     assert!(child.limit_error(little, usage).expect("uses more than 1 KB").to_string().contains("of memory"));
     let pid = child.pid();
     drop(child);
--- a/crates/lab/src/loopback/event_loop/mod.rs
+++ b/crates/lab/src/loopback/event_loop/mod.rs
@@ -135,7 +135,7 @@
         }
         ports.add(&world, world::facts::ORIGIN).map_err(system("cannot reserve a port for the origin"))?;
         ports.apply(&world, &executor, &queue).map_err(system("cannot open a port"))?;
-        let mut stage = EventLoop {
+        let mut event_loop = EventLoop {
             requests: world.request_table(),
             arrivals: world.arrivals().peekable(),
             alive: vec![true; world.proxies().len()],
@@ -162,10 +162,10 @@
             fatal_error: None,
             socket_tries: SocketTryCounts::default(),
         };
-        stage.timers.add(stage.advanced_to, TimerEvent::Heartbeat);
-        let all = 0..stage.alive.len() as u32;
-        let configurations = all.map(|p| stage.configuration(ProxyNo(p))).collect();
-        Ok((stage, configurations))
+        event_loop.timers.add(event_loop.advanced_to, TimerEvent::Heartbeat);
+        let all = 0..event_loop.alive.len() as u32;
+        let configurations = all.map(|p| event_loop.configuration(ProxyNo(p))).collect();
+        Ok((event_loop, configurations))
     }
 
     /// Configuration of a proxy that starts now.
@@ -195,7 +195,7 @@
     /// Runs the loop until the run ends.
     pub fn run(mut self) -> Result<Run, HostError> {
         let executor = self.executor.clone();
-        async_io::block_on(executor.run(self.event_loop()))?;
+        async_io::block_on(executor.run(self.run_loop()))?;
         let late = self.lateness();
         let now = self.advanced_to.max(self.clock.now());
         Ok(Run { meetings: Some(self.socket_tries), ..self.world.finish(now, late) })
@@ -206,7 +206,7 @@
         Lateness { p99_us, max_us, void: p99_us > LATE_P99 || max_us > LATE_MAX }
     }
 
-    async fn event_loop(&mut self) -> Result<(), HostError> {
+    async fn run_loop(&mut self) -> Result<(), HostError> {
         let (socket_events, client_events) = (self.socket_events.clone(), self.clients.events().clone());
         let notices = self.channels.notices.clone();
         enum Wakeup {
@@ -252,7 +252,9 @@
                 Wakeup::Client(Some(event)) => self.handle_client_event(event),
                 Wakeup::Notice(event) => self.handle_notice(event.unwrap_or(Notice::Stop))?,
                 Wakeup::Client(None) | Wakeup::Socket(None) => {
-                    return Err(HostError::Unplayable("the clients' thread ended unexpectedly".into()));
+                    return Err(HostError::Unplayable(
+                        "an event queue of the stand-ins closed unexpectedly".into(),
+                    ));
                 }
                 Wakeup::Time => {}
             }
--- a/crates/lab/src/loopback/host.rs
+++ b/crates/lab/src/loopback/host.rs
@@ -195,9 +195,9 @@
             channels: Channels { process_commands: command_sender, notices: notice_receiver },
         };
         let thread = thread::Builder::new().name("world".into()).spawn(move || {
-            let (stage, configurations) = EventLoop::open(parts)?;
+            let (event_loop, configurations) = EventLoop::open(parts)?;
             let _ = opened.send(configurations);
-            stage.run()
+            event_loop.run()
         });
         let thread = thread
             .map_err(|source| HostError::Io { what: "cannot start the world thread".into(), source })?;
--- a/crates/lab/tests/loopback/children.rs
+++ b/crates/lab/tests/loopback/children.rs
@@ -71,8 +71,8 @@
         .stdout(Stdio::piped())
         .spawn()
         .expect("process starts");
-    let said = std::io::BufReader::new(lab.stdout.take().expect("piped output"));
-    let mut lines = std::io::BufRead::lines(said).map_while(Result::ok);
+    let stdout = std::io::BufReader::new(lab.stdout.take().expect("piped output"));
+    let mut lines = std::io::BufRead::lines(stdout).map_while(Result::ok);
     let pid = lines
         .find_map(|l| l.split_once("child ")?.1.trim().parse::<u32>().ok())
         .expect("child pid is printed");
@@ -145,10 +145,10 @@
     let kill = Command::new("kill").args(["-INT", &lab.id().to_string()]).status();
     assert!(kill.expect("kill").success());
     let ended = lab.wait().expect("process exits");
-    let mut said = String::new();
-    lab.stderr.take().expect("piped output").read_to_string(&mut said).expect("text");
-    assert_eq!(ended.code(), Some(2), "{said}");
-    assert!(said.contains("interrupted"), "{said}");
+    let mut stderr = String::new();
+    lab.stderr.take().expect("piped output").read_to_string(&mut stderr).expect("text");
+    assert_eq!(ended.code(), Some(2), "{stderr}");
+    assert!(stderr.contains("interrupted"), "{stderr}");
     assert!(!children.iter().any(|pid| runs(*pid)), "a proxy is still there");
     assert_eq!(std::fs::read_dir(dir.path()).expect("temporary directory").count(), 0, "its folder is gone");
 }
