--- a/src/commands/change.rs
+++ b/src/commands/change.rs
@@ -4,7 +4,7 @@
 //! where it is not yet (submit: refused for want of room, try again after the time that is told; status and wait: not
 //! known of all), 1 for everything else: a wrong word, no answer, nobody within reach.
 
-use super::{fail, say};
+use super::{fail, print};
 use crate::codec::discovery;
 use crate::features::control::settings;
 use crate::features::file;
@@ -28,17 +28,17 @@
 const WAIT: &str = "martenweir change wait [--for SECONDS] [--followers FILE] CHANGE ADDRESS...";
 /// Without an answer for so long another control machine is asked. A store answers once a majority has the change,
 /// a status is counted for a second at most.
-const PATIENCE: Duration = Duration::from_secs(3);
-const CONNECT: Duration = Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Between two questions of `wait`.
-const AGAIN: Duration = Duration::from_millis(250);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// Positions of the topics in [`dissemination::Rules::topics`].
 const PURGES: u8 = 0;
 const SETTINGS: u8 = 1;
 /// Bytes of a purged object's key: of 110 million objects 4 in 10 million are purged in vain with each.
-const KEY: usize = 6;
+const PURGE_KEY_BYTES: usize = 6;
 /// Names of proxies that are printed in one line.
-const NAMES: usize = 20;
+const NAMES_PER_LINE: usize = 20;
 /// Not yet: see the file's comment.
 const NOT_YET: u8 = 2;
 
@@ -85,7 +85,7 @@
     Wait {
         /// How long it waits at most
         #[arg(long = "for", value_name = "SECONDS", default_value = "10")]
-        most: f64,
+        timeout: f64,
         /// The list of proxies' names [default: names as 16 hexadecimal digits]
         #[arg(long, value_name = "FILE")]
         followers: Option<String>,
@@ -98,7 +98,7 @@
 }
 
 /// Whether it is done, or not yet.
-type Done = Result<bool, String>;
+type Completed = Result<bool, String>;
 
 pub(super) fn run(options: &Options) -> ExitCode {
     let done = match &options.command {
@@ -106,8 +106,8 @@
             changes(purge, setting, reset.as_deref()).and_then(|changes| submit(&changes, addresses))
         }
         Command::Status { followers, change, addresses } => status(followers.as_deref(), change, addresses),
-        Command::Wait { most, followers, change, addresses } => {
-            wait(*most, followers.as_deref(), change, addresses)
+        Command::Wait { timeout, followers, change, addresses } => {
+            wait(*timeout, followers.as_deref(), change, addresses)
         }
     };
     match done {
@@ -119,13 +119,13 @@
 
 /// A change that is to be submitted.
 #[derive(Debug)]
-struct New {
+struct NewChange {
     topic: u8,
     key: u32,
     body: Rc<[u8]>,
 }
 
-fn changes(purge: &[String], setting: &[String], reset: Option<&str>) -> Result<Vec<New>, String> {
+fn changes(purge: &[String], setting: &[String], reset: Option<&str>) -> Result<Vec<NewChange>, String> {
     let lines = match reset {
         Some(name) => name.trim().to_owned(),
         None => setting.join("\n"),
@@ -135,52 +135,56 @@
         // The greatest version counts: that of who says it last, by the clock of the machine where it is said.
         let version = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let body = applier::body(version, &lines).into();
-        return Ok(vec![New { topic: SETTINGS, key: applier::key(name), body }]);
+        return Ok(vec![NewChange { topic: SETTINGS, key: applier::key(name), body }]);
     }
     if purge.is_empty() {
         return Err("nothing to submit: --purge, --setting or --reset".into());
     }
     let key = |name: &String| discovery::hash_id(name.as_bytes()).to_be_bytes();
-    let change = |name| New { topic: PURGES, key: 0, body: key(name).iter().take(KEY).copied().collect() };
+    let change = |name| NewChange {
+        topic: PURGES,
+        key: 0,
+        body: key(name).iter().take(PURGE_KEY_BYTES).copied().collect(),
+    };
     Ok(purge.iter().map(change).collect())
 }
 
 /// A control machine, connected when it is first needed.
-struct Machine {
+struct ControlClient {
     address: SocketAddr,
-    open: Option<(TcpStream, Reader)>,
+    connection: Option<(TcpStream, Reader)>,
 }
 
-impl Machine {
-    fn all(addresses: &[String]) -> Result<Vec<Machine>, String> {
+impl ControlClient {
+    fn all(addresses: &[String]) -> Result<Vec<ControlClient>, String> {
         let one = |text: &String| match text.parse() {
-            Ok(address) => Ok(Machine { address, open: None }),
+            Ok(address) => Ok(ControlClient { address, connection: None }),
             Err(_) => Err(format!("{text}: not an address like 127.0.0.1:7500")),
         };
         addresses.iter().map(one).collect()
     }
 
     /// Asks it something, and waits for the answer that `take` takes for one.
-    fn ask<T>(&mut self, message: &Message, take: impl Fn(Message) -> Option<T>) -> Result<T, String> {
-        let answer = self.talk(message, take);
+    fn ask<T>(&mut self, message: &Message, accept: impl Fn(Message) -> Option<T>) -> Result<T, String> {
+        let answer = self.try_ask(message, accept);
         if answer.is_err() {
-            self.open = None;
+            self.connection = None;
         }
         answer.map_err(|why| format!("{}: {why}", self.address))
     }
 
-    fn talk<T>(&mut self, message: &Message, take: impl Fn(Message) -> Option<T>) -> Result<T, String> {
+    fn try_ask<T>(&mut self, message: &Message, accept: impl Fn(Message) -> Option<T>) -> Result<T, String> {
         let failed = |e: io::Error| e.to_string();
-        let (socket, reader) = match &mut self.open {
+        let (socket, reader) = match &mut self.connection {
             Some(open) => open,
             closed => {
-                let socket = TcpStream::connect_timeout(&self.address, CONNECT).map_err(failed)?;
+                let socket = TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT).map_err(failed)?;
                 socket.set_nodelay(true).map_err(failed)?;
                 closed.insert((socket, Reader::default()))
             }
         };
         socket.write_all(&frame::encode(message).map_err(|e| e.to_string())?).map_err(failed)?;
-        let (mut bytes, until) = ([0; 16 * 1024], Instant::now() + PATIENCE);
+        let (mut bytes, until) = ([0; 16 * 1024], Instant::now() + ANSWER_TIMEOUT);
         loop {
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
@@ -196,9 +200,9 @@
                 }
                 Err(e) => return Err(e.to_string()),
             };
-            let mut come = bytes.get(..n).unwrap_or_default();
-            while let Some(message) = reader.read(&mut come).map_err(|e| e.to_string())? {
-                if let Some(answer) = take(message) {
+            let mut input = bytes.get(..n).unwrap_or_default();
+            while let Some(message) = reader.read(&mut input).map_err(|e| e.to_string())? {
+                if let Some(answer) = accept(message) {
                     return Ok(answer);
                 }
             }
@@ -215,22 +219,22 @@
 /// Gives each change to a store, the next of the list each time, and to the others in turn where one has no room or
 /// does not answer. What was not answered may have been taken all the same: it is the same change twice, and does no
 /// harm.
-fn submit(changes: &[New], addresses: &[String]) -> Done {
-    let mut machines = Machine::all(addresses)?;
-    let count = machines.len();
+fn submit(changes: &[NewChange], addresses: &[String]) -> Completed {
+    let mut clients = ControlClient::all(addresses)?;
+    let count = clients.len();
     // Who submits one change at a time is not always at the first.
     let start =
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().subsec_nanos() as usize / 1000;
     for (i, new) in changes.iter().enumerate() {
         let message = |token| {
-            let New { topic, key, body } = new;
+            let NewChange { topic, key, body } = new;
             Message::Submit { token, topic: *topic, key: *key, body: body.clone() }
         };
         let (mut busy, mut why, mut taken) = (None::<u32>, String::new(), None);
         for turn in 0..count {
             let token = i as u32;
-            let Some(machine) = machines.get_mut((start + i + turn) % count) else { continue };
-            let answer = machine.ask(&message(token), |answer| match answer {
+            let Some(client) = clients.get_mut((start + i + turn) % count) else { continue };
+            let answer = client.ask(&message(token), |answer| match answer {
                 Message::Submitted { token: of, stream, number } if of == token => {
                     Some(Answer::Taken(stream, number))
                 }
@@ -248,14 +252,14 @@
         }
         match (taken, busy) {
             (Some((stream, number)), _) => {
-                say(&format!(
+                print(&format!(
                     "{}.{}.{number} acknowledged: a majority of the stores has it on disk",
                     stream.topic, stream.store.0
                 ))?;
             }
             (None, Some(after)) => {
                 let left = changes.len() - i;
-                say(&format!(
+                print(&format!(
                     "refused: no store has room now, try again after {after} ms; {left} not taken"
                 ))?;
                 return Ok(false);
@@ -263,13 +267,13 @@
             (None, None) => return Err(format!("{why}; {} not acknowledged", changes.len() - i)),
         }
     }
-    say("acknowledged changes are not lost while a majority of the stores lives, and reach every proxy; one that \
+    print("acknowledged changes are not lost while a majority of the stores lives, and reach every proxy; one that \
          does not have them within the lease of 7 s knows so and goes out of service")?;
     Ok(true)
 }
 
 /// A change by the words of `submit`: topic, store and number.
-fn named(change: &str) -> Result<(StreamId, u64), String> {
+fn parse_change(change: &str) -> Result<(StreamId, u64), String> {
     let wrong = || format!("{change}: a change like 0.2.17 is wanted, as submit prints it");
     let mut parts = change.split('.');
     let mut part = || parts.next().and_then(|p| p.parse::<u64>().ok()).ok_or_else(wrong);
@@ -282,36 +286,42 @@
 }
 
 /// What the first control machine that answers says of a change, with all that it names.
-fn told(machines: &mut [Machine], (stream, number): (StreamId, u64)) -> Result<StatusReport, String> {
+fn query_status(
+    clients: &mut [ControlClient],
+    (stream, number): (StreamId, u64),
+) -> Result<StatusReport, String> {
     let mut why = String::new();
-    for machine in machines {
+    for client in clients {
         let mut ask = |from| {
             let question = Message::Status { token: 1, stream, number, from };
-            let answer = machine.ask(&question, |answer| match answer {
-                Message::Told(told) => Some(Some(told)),
+            let answer = client.ask(&question, |answer| match answer {
+                Message::Told(report) => Some(Some(report)),
                 Message::Busy { .. } => Some(None),
                 _ => None,
             });
             answer?.ok_or_else(|| "too many ask at once".to_owned())
         };
-        let mut told = match ask(FollowerId(0)) {
-            Ok(told) => told,
+        let mut report = match ask(FollowerId(0)) {
+            Ok(report) => report,
             Err(what) => {
                 why = what;
                 continue;
             }
         };
         // Where more are missing than one answer holds.
-        while let Some(FollowerId(last)) =
-            told.missing.last().copied().filter(|_| (told.missing.len() as u32) < told.followers - told.have)
+        while let Some(FollowerId(last)) = report
+            .missing
+            .last()
+            .copied()
+            .filter(|_| (report.missing.len() as u32) < report.followers - report.have)
         {
             let Some(from) = last.checked_add(1) else { break };
             match ask(FollowerId(from)) {
-                Ok(more) if !more.missing.is_empty() => told.missing.extend(more.missing),
+                Ok(more) if !more.missing.is_empty() => report.missing.extend(more.missing),
                 _ => break,
             }
         }
-        return Ok(told);
+        return Ok(report);
     }
     Err(why)
 }
@@ -320,68 +330,73 @@
     followers.map_or_else(|| Ok(BTreeMap::new()), |path| settings::roster(Path::new(path)))
 }
 
-fn list(of: &[FollowerId], names: &BTreeMap<FollowerId, String>) -> String {
+fn format_names(of: &[FollowerId], names: &BTreeMap<FollowerId, String>) -> String {
     let name = |id: &FollowerId| names.get(id).cloned().unwrap_or_else(|| format!("{:016x}", id.0));
-    of.chunks(NAMES)
+    of.chunks(NAMES_PER_LINE)
         .map(|some| some.iter().map(name).collect::<Vec<_>>().join(" "))
         .collect::<Vec<_>>()
         .join("\n  ")
 }
 
 /// Whether every proxy that serves has it.
-fn done(told: &StatusReport) -> bool {
-    told.all() || (told.committed && told.lapsed)
+fn is_complete(report: &StatusReport) -> bool {
+    report.all() || (report.committed && report.lapsed)
 }
 
-fn show(change: &str, told: &StatusReport, names: &BTreeMap<FollowerId, String>) -> Result<(), String> {
-    let StatusReport { committed, since, followers, have, .. } = told;
+fn show(change: &str, report: &StatusReport, names: &BTreeMap<FollowerId, String>) -> Result<(), String> {
+    let StatusReport { committed, since, followers, have, .. } = report;
     match committed {
-        true => say(&format!(
+        true => print(&format!(
             "change {change}: a majority of the stores has it, known for {:.1} s",
             f64::from(*since) / 1000.0
         ))?,
-        false => say(&format!("change {change}: no majority of the stores is known to have it"))?,
+        false => print(&format!("change {change}: no majority of the stores is known to have it"))?,
     }
-    say(&format!("{have} of {followers} proxies are known to have it"))?;
-    if !told.missing.is_empty() {
-        say(&format!("not known to have it:\n  {}", list(&told.missing, names)))?;
+    print(&format!("{have} of {followers} proxies are known to have it"))?;
+    if !report.missing.is_empty() {
+        print(&format!("not known to have it:\n  {}", format_names(&report.missing, names)))?;
     }
-    if told.lapsed && have < followers {
-        say("the lease has passed since: those not known to have it are out of service")?;
+    if report.lapsed && have < followers {
+        print("the lease has passed since: those not known to have it are out of service")?;
     }
-    if !told.refused.is_empty() {
-        say(&format!("have it and could not put it in force:\n  {}", list(&told.refused, names)))?;
+    if !report.refused.is_empty() {
+        print(&format!(
+            "have it and could not put it in force:\n  {}",
+            format_names(&report.refused, names)
+        ))?;
     }
-    if !told.unheard.is_empty() {
-        let unheard: Vec<String> = told.unheard.iter().map(|c| c.0.to_string()).collect();
-        say(&format!("control machines not heard: {}", unheard.join(" ")))?;
+    if !report.unheard.is_empty() {
+        let unheard: Vec<String> = report.unheard.iter().map(|c| c.0.to_string()).collect();
+        print(&format!("control machines not heard: {}", unheard.join(" ")))?;
     }
     Ok(())
 }
 
-fn status(followers: Option<&str>, change: &str, addresses: &[String]) -> Done {
-    let (names, of) = (names(followers)?, named(change)?);
-    let told = told(&mut Machine::all(addresses)?, of)?;
-    show(change, &told, &names)?;
-    Ok(done(&told))
+fn status(followers: Option<&str>, change: &str, addresses: &[String]) -> Completed {
+    let (names, of) = (names(followers)?, parse_change(change)?);
+    let report = query_status(&mut ControlClient::all(addresses)?, of)?;
+    show(change, &report, &names)?;
+    Ok(is_complete(&report))
 }
 
-fn wait(most: f64, followers: Option<&str>, change: &str, addresses: &[String]) -> Done {
-    let (names, of) = (names(followers)?, named(change)?);
-    let most = Duration::try_from_secs_f64(most).map_err(|_| "--for wants seconds".to_owned())?;
-    let until = Instant::now().checked_add(most).ok_or("--for wants seconds")?;
-    let mut machines = Machine::all(addresses)?;
+fn wait(timeout: f64, followers: Option<&str>, change: &str, addresses: &[String]) -> Completed {
+    let (names, of) = (names(followers)?, parse_change(change)?);
+    let timeout = Duration::try_from_secs_f64(timeout).map_err(|_| "--for wants seconds".to_owned())?;
+    let until = Instant::now().checked_add(timeout).ok_or("--for wants seconds")?;
+    let mut clients = ControlClient::all(addresses)?;
     loop {
         // Asked again also where nobody answers: a control machine may be starting.
-        let told = told(&mut machines, of);
-        let over = Instant::now() >= until;
-        match told {
-            Ok(told) if over || done(&told) => {
-                show(change, &told, &names)?;
-                return Ok(done(&told));
+        let report = query_status(&mut clients, of);
+        let expired = Instant::now() >= until;
+        match report {
+            Ok(report) if expired || is_complete(&report) => {
+                show(change, &report, &names)?;
+                return Ok(is_complete(&report));
+            }
+            Err(why) if expired => return Err(why),
+            Ok(_) | Err(_) => {
+                std::thread::sleep(POLL_INTERVAL.min(until.saturating_duration_since(Instant::now())))
             }
-            Err(why) if over => return Err(why),
-            Ok(_) | Err(_) => std::thread::sleep(AGAIN.min(until.saturating_duration_since(Instant::now()))),
         }
     }
 }
--- a/src/commands/checkaddr.rs
+++ b/src/commands/checkaddr.rs
@@ -1,7 +1,7 @@
 //! `martenweir checkaddr FILE ADDRESS`: whether the file's address lists let a caller in. It says so and is
 //! content either way; it fails where the file or the address cannot be read.
 
-use super::say;
+use super::print;
 use crate::features::file;
 use std::net::IpAddr;
 
@@ -24,5 +24,5 @@
     let address = &options.address;
     let ip: IpAddr = address.parse().map_err(|_| format!("checkaddr: not an address: {address}"))?;
     let admitted = features.addresses.unwrap_or_default().admits(ip);
-    say(if admitted { "allow" } else { "deny" }).map_err(|e| format!("checkaddr: {e}"))
+    print(if admitted { "allow" } else { "deny" }).map_err(|e| format!("checkaddr: {e}"))
 }
--- a/src/commands/control.rs
+++ b/src/commands/control.rs
@@ -29,13 +29,13 @@
 
 fn start(options: &Options) -> Result<Start, String> {
     let features = file::load(&options.conf)?;
-    let in_file = |what: String| format!("control: {}: {what}", options.conf);
-    let settings = features.control.ok_or_else(|| in_file("no controlport".into()))?;
-    settings.controls.rules().map_err(in_file)?;
+    let file_error = |what: String| format!("control: {}: {what}", options.conf);
+    let settings = features.control.ok_or_else(|| file_error("no controlport".into()))?;
+    settings.controls.rules().map_err(file_error)?;
     let listed = settings.controls.listed.len();
     if usize::from(settings.number) >= listed {
         let number = settings.number;
-        return Err(in_file(format!("controlnumber {number}, but there are {listed} control lines")));
+        return Err(file_error(format!("controlnumber {number}, but there are {listed} control lines")));
     }
     let path = options.config.clone().or_else(|| std::env::var("NODE_CONFIG").ok());
     let config = path.as_deref().map(config::load).transpose()?;
--- a/src/commands/figurestest.rs
+++ b/src/commands/figurestest.rs
@@ -15,8 +15,8 @@
 
 pub(super) const USAGE: &str = "martenweir figurestest [FILE]";
 /// A collector's refusal has come by then; a target that takes longer than the other is given up.
-const REFUSAL: Duration = Duration::from_millis(100);
-const PATIENCE: Duration = Duration::from_secs(5);
+const REFUSAL_WAIT: Duration = Duration::from_millis(100);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Sends one of each figure where FILE says, or to standard error
 #[derive(Debug, clap::Args)]
@@ -40,8 +40,10 @@
         ..Site::default()
     };
     let figures = Figures::new(settings, Rc::new(site));
-    let ends = [StreamOutcome::Served, StreamOutcome::Refused, StreamOutcome::Failed, StreamOutcome::Left];
-    for (class, ended, note) in ends.into_iter().enumerate().map(|(i, e)| (i as u16 % 2, e, 1 + i as u32 % 3))
+    let outcomes =
+        [StreamOutcome::Served, StreamOutcome::Refused, StreamOutcome::Failed, StreamOutcome::Left];
+    for (class, ended, note) in
+        outcomes.into_iter().enumerate().map(|(i, e)| (i as u16 % 2, e, 1 + i as u32 % 3))
     {
         let note = if class == 0 { note } else { 0 };
         let (tenant, message, node) = (TenantId(0), Rc::default(), None);
@@ -56,15 +58,15 @@
             figures.done(0);
         }
         if sink.sends() {
-            Timer::after(REFUSAL).await;
+            Timer::after(REFUSAL_WAIT).await;
         }
         Some(lost + sink.refused().unwrap_or(0))
     };
-    let late = async {
-        Timer::after(PATIENCE).await;
+    let timeout = async {
+        Timer::after(TIMEOUT).await;
         None
     };
-    match async_io::block_on(future::or(all, late)) {
+    match async_io::block_on(future::or(all, timeout)) {
         Some(0) => Ok(()),
         Some(lost) => Err(format!("figurestest: {lost} batches lost")),
         None => Err("figurestest: the target does not take them".into()),
--- a/src/commands/mget.rs
+++ b/src/commands/mget.rs
@@ -8,10 +8,10 @@
 
 pub(super) const USAGE: &str = "martenweir mget ADDRESS CACHE.GET KEY ID PROPERTIES [CACHE.GET ...]";
 /// Without an answer for so long it gives up, if no `d` is longer.
-const PATIENCE: Duration = Duration::from_secs(5);
-const LONGEST: Duration = Duration::from_secs(3600);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_DEADLINE: Duration = Duration::from_secs(3600);
 /// The longest line of an answer that is no value.
-const LINE: u64 = 4096;
+const MAX_LINE: u64 = 4096;
 
 /// Asks the multi-get port at ADDRESS for all these reads at once; fails unless each brings its value
 #[derive(Debug, clap::Args)]
@@ -38,19 +38,19 @@
         }
     }
     let n = commands.len().to_string();
-    let told =
+    let has_header =
         commands.first().and_then(|c| c.first()).is_some_and(|w| w.eq_ignore_ascii_case(b"CACHE.MGET"));
-    if !told {
+    if !has_header {
         commands.insert(0, vec![b"CACHE.MGET", n.as_bytes()]);
     }
     let mut out = Vec::new();
     commands.iter().for_each(|c| resp::put_command(&mut out, c));
-    let longest =
+    let max_deadline =
         options.reads.iter().flat_map(|w| w.split(',')).filter_map(|p| p.strip_prefix("d=")?.parse().ok());
-    let longest = longest.max().map_or(Duration::ZERO, Duration::from_millis);
-    let ask = || -> io::Result<bool> {
+    let max_deadline = max_deadline.max().map_or(Duration::ZERO, Duration::from_millis);
+    let exchange = || -> io::Result<bool> {
         let mut socket = TcpStream::connect(address)?;
-        socket.set_read_timeout(Some(PATIENCE + longest.min(LONGEST)))?;
+        socket.set_read_timeout(Some(ANSWER_TIMEOUT + max_deadline.min(MAX_DEADLINE)))?;
         socket.write_all(&out)?;
         let mut from = BufReader::new(socket);
         let head = line(&mut from)?;
@@ -66,7 +66,7 @@
         }
         Ok(complete)
     };
-    match ask() {
+    match exchange() {
         Ok(true) => Ok(()),
         Ok(false) => Err("mget: not complete".into()),
         Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
@@ -87,7 +87,7 @@
 
 fn line(from: &mut impl BufRead) -> io::Result<String> {
     let mut bytes = Vec::new();
-    from.by_ref().take(LINE).read_until(b'\n', &mut bytes)?;
+    from.by_ref().take(MAX_LINE).read_until(b'\n', &mut bytes)?;
     match bytes.strip_suffix(b"\r\n") {
         Some(text) => Ok(String::from_utf8_lossy(text).into_owned()),
         None => Err(io::Error::new(ErrorKind::UnexpectedEof, "closed without a whole answer")),
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -38,7 +38,7 @@
        martenweir snmp get|walk [WHO] ADDRESS [NAME ...]
        martenweir snmp listen [WHO] ADDRESS";
 /// What a usage error says besides.
-const WORDS: &str = "CONFIG is a JSON file; without it NODE_CONFIG names it. FILE turns features on, docs/features.md lists its
+const DESCRIPTION: &str = "CONFIG is a JSON file; without it NODE_CONFIG names it. FILE turns features on, docs/features.md lists its
 settings. --check reads both and exits. --log-format is text if not given.
 mget: asks the multi-get port at ADDRESS for all these reads at once; fails unless each brings its value.
 tap: prints a line for each sampled request that matches, as the tap port at ADDRESS tells them.
@@ -68,7 +68,7 @@
     args_override_self = true,
     disable_help_subcommand = true
 )]
-struct Line {
+struct CommandLine {
     #[command(flatten)]
     serve: serve::Options,
     #[command(subcommand)]
@@ -92,10 +92,10 @@
 
 /// Runs the program with these arguments, which are those behind its name.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
-    let arguments = closed(arguments.into_iter().collect());
-    let done = match Line::try_parse_from(&arguments) {
-        Ok(Line { command: None, serve }) => return serve::run(serve),
-        Ok(Line { command: Some(command), .. }) => match command {
+    let arguments = escape_port_words(arguments.into_iter().collect());
+    let result = match CommandLine::try_parse_from(&arguments) {
+        Ok(CommandLine { command: None, serve }) => return serve::run(serve),
+        Ok(CommandLine { command: Some(command), .. }) => match command {
             Command::Mget(options) => mget::run(&options),
             Command::Tap(options) => tap::run(&options),
             Command::Checkaddr(options) => checkaddr::run(&options),
@@ -107,19 +107,19 @@
             Command::Snmp(options) => snmp::run(&options),
         },
         Err(error) => match error.kind() {
-            ErrorKind::DisplayHelp => say(error.render().to_string().trim_end()),
-            ErrorKind::DisplayVersion => say(&format!("martenweir {}", env!("CARGO_PKG_VERSION"))),
-            _ => Err(complaint(&arguments, &error)),
+            ErrorKind::DisplayHelp => print(error.render().to_string().trim_end()),
+            ErrorKind::DisplayVersion => print(&format!("martenweir {}", env!("CARGO_PKG_VERSION"))),
+            _ => Err(usage_error(&arguments, &error)),
         },
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => fail(&what),
     }
 }
 
 /// Behind the address of `mget` and `tap` all words are for the port, also those that ask for help here.
-fn closed(mut arguments: Vec<OsString>) -> Vec<OsString> {
+fn escape_port_words(mut arguments: Vec<OsString>) -> Vec<OsString> {
     let port = arguments.first().is_some_and(|word| word == "mget" || word == "tap");
     let help = ["-h", "--help", "-V", "--version"].map(OsString::from);
     let (address, next) = (arguments.get(1), arguments.get(2));
@@ -133,7 +133,7 @@
 }
 
 /// What is wrong with the command line, in our words.
-fn complaint(arguments: &[OsString], error: &clap::Error) -> String {
+fn usage_error(arguments: &[OsString], error: &clap::Error) -> String {
     let usage = match arguments.first().and_then(|word| word.to_str()) {
         Some("mget") => mget::USAGE,
         Some("tap") => tap::USAGE,
@@ -149,12 +149,12 @@
     if !usage.is_empty() {
         return format!("usage: {usage}");
     }
-    let told = |kind| match error.get(kind) {
+    let context = |kind| match error.get(kind) {
         Some(ContextValue::String(text)) => text.as_str(),
         _ => "",
     };
-    let (option, value) = (told(ContextKind::InvalidArg), told(ContextKind::InvalidValue));
-    let unknown = |option: &str| format!("unknown option {option}\nusage: {USAGE}\n{WORDS}");
+    let (option, value) = (context(ContextKind::InvalidArg), context(ContextKind::InvalidValue));
+    let unknown = |option: &str| format!("unknown option {option}\nusage: {USAGE}\n{DESCRIPTION}");
     match error.kind() {
         ErrorKind::UnknownArgument => unknown(option),
         // clap names an option together with its value: `--conf <FILE>`.
@@ -166,12 +166,12 @@
         ErrorKind::TooManyValues => unknown(&format!("{option}={value}")),
         ErrorKind::InvalidUtf8 => "an argument is no text".into(),
         // None that this command line can bring about.
-        _ => format!("usage: {USAGE}\n{WORDS}"),
+        _ => format!("usage: {USAGE}\n{DESCRIPTION}"),
     }
 }
 
 /// Prints what was asked for.
-fn say(text: &str) -> Result<(), String> {
+fn print(text: &str) -> Result<(), String> {
     writeln!(io::stdout(), "{text}").map_err(|e| e.to_string())
 }
 
--- a/src/commands/plan.rs
+++ b/src/commands/plan.rs
@@ -1,7 +1,7 @@
 //! `martenweir plan show ADDRESS [--json] [--config CONFIG]`: the plan as the planner at ADDRESS has it, with
 //! what it rests on. Ids are printed as 16 hexadecimal digits; names come from the list in CONFIG.
 
-use super::say;
+use super::print;
 use crate::codec::discovery;
 use crate::config;
 use plan::frame::{self, Reader};
@@ -17,7 +17,7 @@
 
 pub(super) const USAGE: &str = "martenweir plan show ADDRESS [--json] [--config CONFIG]";
 /// Without an answer for so long it gives up.
-const PATIENCE: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Asks a planner for its plan
 #[derive(Debug, clap::Args)]
@@ -55,23 +55,23 @@
     let shown = ask(address).map_err(|e| format!("plan: {address}: {e}"))?;
     let names = Names(names);
     let text = if *json { format!("{:#}", names.json(&shown)) } else { names.table(&shown) };
-    say(text.trim_end()).map_err(|e| format!("plan: {e}"))
+    print(text.trim_end()).map_err(|e| format!("plan: {e}"))
 }
 
 fn ask(address: &str) -> Result<Shown, String> {
     let failed = |e: std::io::Error| e.to_string();
     let to: SocketAddr = address.parse().map_err(|_| "not an address like 127.0.0.1:7400".to_owned())?;
-    let mut socket = TcpStream::connect_timeout(&to, PATIENCE).map_err(failed)?;
-    socket.set_read_timeout(Some(PATIENCE)).map_err(failed)?;
+    let mut socket = TcpStream::connect_timeout(&to, TIMEOUT).map_err(failed)?;
+    socket.set_read_timeout(Some(TIMEOUT)).map_err(failed)?;
     socket.write_all(&frame::encode(&Message::Show).map_err(|e| e.to_string())?).map_err(failed)?;
-    let (mut reader, mut bytes, until) = (Reader::default(), [0; 16 * 1024], Instant::now() + PATIENCE);
+    let (mut reader, mut bytes, until) = (Reader::default(), [0; 16 * 1024], Instant::now() + TIMEOUT);
     while Instant::now() < until {
         let n = socket.read(&mut bytes).map_err(failed)?;
         if n == 0 {
             return Err("closed without an answer".into());
         }
-        let mut come = bytes.get(..n).unwrap_or_default();
-        match reader.read(&mut come).map_err(|e| e.to_string())? {
+        let mut input = bytes.get(..n).unwrap_or_default();
+        match reader.read(&mut input).map_err(|e| e.to_string())? {
             Some(Message::Shown(shown)) => return Ok(shown),
             Some(_) => return Err("an answer that is no plan".into()),
             None => {}
@@ -83,7 +83,7 @@
 /// Names by id, as far as they are known.
 struct Names(BTreeMap<u64, String>);
 
-fn halls(of: ZoneSet) -> Option<Vec<u8>> {
+fn zone_numbers(of: ZoneSet) -> Option<Vec<u8>> {
     (of != ZoneSet::ALL).then(|| (0..ZoneSet::MOST).filter(|h| of.has(Zone(*h))).collect())
 }
 
@@ -111,11 +111,11 @@
         ));
         line(format!("\n{:<18} {:<10} {:>9} {:>9}", "silent", "for halls", "since s", "witnesses"));
         for m in &plan.silent {
-            let halls = halls(m.zones).map_or("all".into(), |h| format!("{h:?}"));
+            let halls = zone_numbers(m.zones).map_or("all".into(), |h| format!("{h:?}"));
             line(format!("{:<18} {halls:<10} {:>9.1} {:>9}", self.of(m.node), seconds(m.since), m.witnesses));
         }
         for v in &plan.lives {
-            let halls = halls(v.zones).map_or("all".into(), |h| format!("{h:?}"));
+            let halls = zone_numbers(v.zones).map_or("all".into(), |h| format!("{h:?}"));
             line(format!("{:<18} {halls:<10} lives after all", self.of(v.node)));
         }
         for c in &plan.cuts {
@@ -156,10 +156,11 @@
             |n: Node| json!({ "id": format!("{:016x}", n.id), "name": self.0.get(&n.id), "life": n.life });
         let number = |n: plan::PlanNumber| json!({ "epoch": n.epoch, "count": n.count });
         let silent = plan.silent.iter().map(|m| {
-            json!({ "node": node(m.node), "halls": halls(m.zones), "sinceS": seconds(m.since),
+            json!({ "node": node(m.node), "halls": zone_numbers(m.zones), "sinceS": seconds(m.since),
                 "witnesses": m.witnesses })
         });
-        let lives = plan.lives.iter().map(|v| json!({ "node": node(v.node), "halls": halls(v.zones) }));
+        let lives =
+            plan.lives.iter().map(|v| json!({ "node": node(v.node), "halls": zone_numbers(v.zones) }));
         let cuts = plan.cuts.iter().map(|c| json!({ "from": c.from.0, "to": c.to.0 }));
         let terms = shown.terms.iter().map(|t| {
             json!({ "node": node(t.node), "rho": t.rho, "serviceUs": t.service, "arrivalScv": t.arrival_scv,
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,6 +1,6 @@
 //! No subcommand: the proxy itself. Reads what it is told, starts the log, hands over to the owner.
 
-use super::{fail, say};
+use super::{fail, print};
 use crate::features::file;
 use crate::{config, log, owner};
 use async_executor::LocalExecutor;
@@ -47,7 +47,7 @@
     let config = match config::load(&path).and_then(fit) {
         Err(what) => return fail(&what),
         Ok(_) if options.check => {
-            return match say("the configuration is fine") {
+            return match print("the configuration is fine") {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(what) => fail(&what),
             }
--- a/src/commands/snmp.rs
+++ b/src/commands/snmp.rs
@@ -19,12 +19,12 @@
 pub(super) const USAGE: &str =
     "martenweir snmp get|walk [WHO] ADDRESS [NAME ...], martenweir snmp listen [WHO] ADDRESS";
 /// How long an answer is waited for, and how often it is asked for.
-const PATIENCE: Duration = Duration::from_secs(1);
-const TRIES: usize = 4;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_TRIES: usize = 4;
 /// What a session may learn of the other engine before an answer comes.
-const LESSONS: usize = 4;
+const MAX_SYNCS: usize = 4;
 /// Instances that are asked for at a time.
-const REPETITIONS: u32 = 30;
+const MAX_REPETITIONS: u32 = 30;
 
 /// Asks the agent at ADDRESS for objects, or prints notifications that come to ADDRESS
 #[derive(Debug, clap::Args)]
@@ -38,10 +38,10 @@
 enum Command {
     /// Asks for the objects of these names; fails unless all are there
     #[command(override_usage = USAGE, help_template = super::HELP)]
-    Get(Ask),
+    Get(Query),
     /// Asks for all objects below these names, or for the whole MIB
     #[command(override_usage = USAGE, help_template = super::HELP)]
-    Walk(Ask),
+    Walk(Query),
     /// Prints a line for each notification that comes, and acknowledges informs
     #[command(override_usage = USAGE, help_template = super::HELP)]
     Listen(Listen),
@@ -49,7 +49,7 @@
 
 // As whom; what is told on the command line is seen by all users of the machine, what stands in a file is not.
 #[derive(Debug, clap::Args)]
-struct Who {
+struct Identity {
     /// WHO in SNMPv2c: a community [default: public]
     #[arg(long, value_name = "NAME")]
     community: Option<String>,
@@ -77,9 +77,9 @@
 }
 
 #[derive(Debug, clap::Args)]
-struct Ask {
+struct Query {
     #[command(flatten)]
-    who: Who,
+    who: Identity,
     /// IP address and UDP port of the agent
     address: SocketAddr,
     /// Names of the MIB or numbers, as mwReady or 1.3.6.1.2.1.1.3.0 [default for walk: mwObjects]
@@ -89,7 +89,7 @@
 #[derive(Debug, clap::Args)]
 struct Listen {
     #[command(flatten)]
-    who: Who,
+    who: Identity,
     /// IP address and UDP port to listen on
     address: SocketAddr,
     /// Ends after so many notifications [default: none, it goes on]
@@ -105,8 +105,8 @@
     }
 }
 
-impl Who {
-    fn as_whom(&self) -> Result<As, String> {
+impl Identity {
+    fn credentials(&self) -> Result<As, String> {
         let Some(name) = &self.user else {
             return Ok(As::Community(self.community.as_deref().unwrap_or("public").as_bytes().to_vec()));
         };
@@ -135,7 +135,7 @@
     }
 }
 
-fn unix() -> Micros {
+fn unix_micros() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as Micros)
 }
 
@@ -146,7 +146,7 @@
 }
 
 /// The way to an agent: a socket, and what is known of the other side.
-struct Way {
+struct AgentConnection {
     socket: UdpSocket,
     address: SocketAddr,
     session: Session,
@@ -154,20 +154,20 @@
     since: Instant,
 }
 
-impl Way {
-    fn new(ask: &Ask) -> Result<Way, String> {
+impl AgentConnection {
+    fn new(ask: &Query) -> Result<AgentConnection, String> {
         let any = match ask.address {
             SocketAddr::V4(_) => IpAddr::V4(Ipv4Addr::UNSPECIFIED),
             SocketAddr::V6(_) => IpAddr::V6(Ipv6Addr::UNSPECIFIED),
         };
-        let told = |e: io::Error| format!("snmp: {}: {e}", ask.address);
-        let socket = UdpSocket::bind((any, 0)).map_err(told)?;
-        socket.connect(ask.address).map_err(told)?;
+        let failed = |e: io::Error| format!("snmp: {}: {e}", ask.address);
+        let socket = UdpSocket::bind((any, 0)).map_err(failed)?;
+        socket.connect(ask.address).map_err(failed)?;
         // Two managers of one machine must not take each other's answers for theirs; ports tell them apart.
-        let seed = (unix() as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let session = Session::new(ask.who.as_whom()?, None, seed);
+        let seed = (unix_micros() as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let session = Session::new(ask.who.credentials()?, None, seed);
         let request = (seed >> 40) as i32;
-        Ok(Way { socket, address: ask.address, session, request, since: Instant::now() })
+        Ok(AgentConnection { socket, address: ask.address, session, request, since: Instant::now() })
     }
 
     fn now(&self) -> Micros {
@@ -178,14 +178,14 @@
     fn ask(&mut self, pdu: impl Fn(i32) -> Pdu) -> Result<Pdu, String> {
         self.request = self.request.wrapping_add(1) & i32::MAX;
         let pdu = pdu(self.request);
-        let (mut tries, mut lessons) = (0, 0);
+        let (mut tries, mut syncs) = (0, 0);
         let mut buffer = vec![0; DATAGRAM + 1];
-        while tries < TRIES && lessons <= LESSONS {
+        while tries < MAX_TRIES && syncs <= MAX_SYNCS {
             let out = self.session.request(self.now(), &pdu);
             // Nobody there may be told at the next send or receive: the tries end it.
             let _ = self.socket.send(&out);
-            let until = Instant::now() + PATIENCE;
-            let learnt = loop {
+            let until = Instant::now() + ANSWER_TIMEOUT;
+            let synchronized = loop {
                 let left = until.saturating_duration_since(Instant::now());
                 if left.is_zero() {
                     break false;
@@ -202,7 +202,7 @@
                     Heard::Nothing => {}
                 }
             };
-            (tries, lessons) = (tries + usize::from(!learnt), lessons + usize::from(learnt));
+            (tries, syncs) = (tries + usize::from(!synchronized), syncs + usize::from(synchronized));
         }
         Err(format!("snmp: no answer from {}", self.address))
     }
@@ -210,7 +210,7 @@
 
 /// What a report's counter says.
 fn reason(counter: &Oid) -> String {
-    let told = [
+    let known = [
         ("1.3.6.1.6.3.15.1.1.1.0", "not the level of safety that this user has"),
         ("1.3.6.1.6.3.15.1.1.2.0", "not within the time window"),
         ("1.3.6.1.6.3.15.1.1.3.0", "no such user"),
@@ -219,10 +219,10 @@
         ("1.3.6.1.6.3.15.1.1.6.0", "it cannot be decrypted: another passphrase for privacy"),
     ];
     let counter = counter.to_string();
-    told.iter().find(|(oid, _)| *oid == counter).map_or(counter, |(_, why)| (*why).to_owned())
+    known.iter().find(|(oid, _)| *oid == counter).map_or(counter, |(_, why)| (*why).to_owned())
 }
 
-fn get(ask: &Ask) -> Result<(), String> {
+fn get(ask: &Query) -> Result<(), String> {
     let mib = ask.who.mib();
     let names = ask.names.iter().map(|name| {
         let oid = mib.resolve(name).ok_or_else(|| format!("snmp: no object is called {name:?}"))?;
@@ -235,7 +235,7 @@
         return Err(format!("usage: {USAGE}"));
     }
     let pdu = |request| Pdu { kind: Kind::Get, request, status: 0, index: 0, bindings: bindings.clone() };
-    let answer = Way::new(ask)?.ask(pdu)?;
+    let answer = AgentConnection::new(ask)?.ask(pdu)?;
     if answer.status != 0 {
         return Err(format!("snmp: error {} from {}", answer.status, ask.address));
     }
@@ -252,18 +252,18 @@
     }
 }
 
-fn walk(ask: &Ask) -> Result<(), String> {
+fn walk(ask: &Query) -> Result<(), String> {
     let mib = ask.who.mib();
     let names: Vec<&str> = match ask.names.is_empty() {
         true => vec!["mwObjects"],
         false => ask.names.iter().map(String::as_str).collect(),
     };
-    let mut way = Way::new(ask)?;
+    let mut agent = AgentConnection::new(ask)?;
     for name in names {
         let root = mib.resolve(name).ok_or_else(|| format!("snmp: no object is called {name:?}"))?;
-        let mut walk = Walk::new(root, REPETITIONS);
+        let mut walk = Walk::new(root, MAX_REPETITIONS);
         while walk.next(0).is_some() {
-            let answer = way.ask(|request| walk.next(request).unwrap_or_else(|| nothing(request)))?;
+            let answer = agent.ask(|request| walk.next(request).unwrap_or_else(|| empty_request(request)))?;
             let part = walk.take(answer).map_err(|broken| match broken {
                 Broken::Status(status) => format!("snmp: error {status} from {}", ask.address),
                 Broken::Order(name) => format!("snmp: {} tells {name} out of order", ask.address),
@@ -278,25 +278,25 @@
     Ok(())
 }
 
-fn nothing(request: i32) -> Pdu {
+fn empty_request(request: i32) -> Pdu {
     Pdu { kind: Kind::GetNext, request, status: 0, index: 0, bindings: Vec::new() }
 }
 
 fn listen(options: &Listen) -> Result<(), String> {
     let mib = options.who.mib();
-    let told = |e: io::Error| format!("snmp: {}: {e}", options.address);
-    let socket = UdpSocket::bind(options.address).map_err(told)?;
-    let address = socket.local_addr().map_err(told)?;
+    let failed = |e: io::Error| format!("snmp: {}: {e}", options.address);
+    let socket = UdpSocket::bind(options.address).map_err(failed)?;
+    let address = socket.local_addr().map_err(failed)?;
     let mut access = Access::default();
     let any = ["0.0.0.0/0", "::/0"].into_iter().filter_map(|range| range.parse().ok());
-    match options.who.as_whom()? {
+    match options.who.credentials()? {
         As::Community(name) => {
             access.communities =
                 any.map(|from| Community { name: name.clone(), from, view: View::all() }).collect();
         }
         As::User(user) => access.readers = vec![Reader { user, view: View::all() }],
     }
-    let (now, since) = (unix(), Instant::now());
+    let (now, since) = (unix_micros(), Instant::now());
     let boots = boots::count(None, now / 1_000_000, 0).0.boots;
     let engine = Engine::new(Engine::id_of(options.who.enterprise, &address.to_string()), boots, 0);
     let mut listener = Listener::new(0, engine, access, now as u64);
@@ -319,7 +319,7 @@
 }
 
 /// A notification in one line: when it came, from where, its name, and what it carries.
-fn line(who: &Who, mib: &Mib, from: SocketAddr, pdu: &Pdu) -> String {
+fn line(who: &Identity, mib: &Mib, from: SocketAddr, pdu: &Pdu) -> String {
     let how = if pdu.kind == Kind::Inform { "inform" } else { "trap" };
     let name = pdu.bindings.iter().find_map(|(_, value)| match value {
         Value::Oid(oid) => Some(mib.show(oid)),
@@ -329,5 +329,5 @@
     let carried = pdu.bindings.iter().skip(2).map(|(name, value)| who.show(mib, name, value));
     let carried: Vec<String> = carried.collect();
     let name = name.unwrap_or_else(|| "nameless".to_owned());
-    format!("{} {} {how} {name} {}", unix() / 1000, from.ip(), carried.join(" ")).trim_end().to_owned()
+    format!("{} {} {how} {name} {}", unix_micros() / 1000, from.ip(), carried.join(" ")).trim_end().to_owned()
 }
--- a/src/commands/tap.rs
+++ b/src/commands/tap.rs
@@ -7,7 +7,7 @@
 
 pub(super) const USAGE: &str = "martenweir tap ADDRESS [class=NAME] [tenant=NAME]";
 /// More than any line of the proxy's.
-const LINE: u64 = 64 * 1024;
+const MAX_LINE: u64 = 64 * 1024;
 
 /// Prints a line for each sampled request that matches, as the tap port at ADDRESS tells them
 #[derive(Debug, clap::Args)]
@@ -30,7 +30,7 @@
     let mut from = BufReader::new(socket);
     loop {
         let mut line = Vec::new();
-        (&mut from).take(LINE).read_until(b'\n', &mut line).map_err(failed)?;
+        (&mut from).take(MAX_LINE).read_until(b'\n', &mut line).map_err(failed)?;
         if line.is_empty() {
             return Ok(());
         }
--- a/src/config.rs
+++ b/src/config.rs
@@ -28,25 +28,25 @@
 
 fn read(text: &[u8]) -> Result<Config, String> {
     let v: Value = serde_json::from_slice(text).map_err(|e| format!("not JSON: {e}"))?;
-    let word = |key: &str, variable: &str| {
-        let told = v.get(key).and_then(Value::as_str).map(str::to_owned);
-        told.or_else(|| std::env::var(variable).ok()).ok_or_else(|| format!("{key} is missing"))
+    let string = |key: &str, variable: &str| {
+        let value = v.get(key).and_then(Value::as_str).map(str::to_owned);
+        value.or_else(|| std::env::var(variable).ok()).ok_or_else(|| format!("{key} is missing"))
     };
     let address = |key: &str, variable: &str| {
-        word(key, variable)?.parse().map_err(|_| format!("{key} is not an address like 127.0.0.1:6379"))
+        string(key, variable)?.parse().map_err(|_| format!("{key} is not an address like 127.0.0.1:6379"))
     };
     let site = settings::site(v.get("settings").ok_or("settings is missing")?)?;
     // Discovery tells the list soon: an old one that cannot be read is no reason not to start.
     let none = || Cluster { revision: 0, complete: true, nodes: Vec::new() };
     let known = v.get("known").map(|known| discovery::list_from_json(known, &site));
     let (known, known_error) =
-        known.unwrap_or_else(|| Ok((none(), None))).unwrap_or_else(|why| (none(), Some(why)));
+        known.unwrap_or_else(|| Ok((none(), None))).unwrap_or_else(|error| (none(), Some(error)));
     let seed = v.get("seed").and_then(Value::as_str).unwrap_or_default();
     let sockets = v.pointer("/limits/sockets").map(|n| n.as_u64().filter(|n| *n >= 64));
     let memory = v.pointer("/limits/memory_mb").map(|n| n.as_f64().filter(|mb| (1.0..=1e7).contains(mb)));
     let memory = memory.unwrap_or(Some(192.0)).ok_or("limits.memory_mb is not a number of 1 or more")?;
     Ok(Config {
-        name: word("name", "NODE_NAME").unwrap_or_else(|_| "martenweir".into()),
+        name: string("name", "NODE_NAME").unwrap_or_else(|_| "martenweir".into()),
         listen: address("listen", "NODE_LISTEN")?,
         discovery: address("discovery", "NODE_DISCOVERY")?,
         // Any text will do; on the platform it is hexadecimal.
--- a/src/features/addresses.rs
+++ b/src/features/addresses.rs
@@ -10,7 +10,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 /// Refused connections are told once in this time at the most.
-const TELL: Micros = 1_000_000;
+const LOG_INTERVAL: Micros = 1_000_000;
 
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AddressLists {
@@ -58,13 +58,13 @@
     /// All of them since the start.
     refused_total: Cell<u64>,
     last: RefCell<Option<Caller>>,
-    told: Cell<Micros>,
+    last_logged: Cell<Micros>,
 }
 
 impl AddressFilter {
     pub fn new(lists: AddressLists) -> Self {
-        let (refused, refused_total, told) = Default::default();
-        AddressFilter { lists, refused, refused_total, last: RefCell::default(), told }
+        let (refused, refused_total, last_logged) = Default::default();
+        AddressFilter { lists, refused, refused_total, last: RefCell::default(), last_logged }
     }
 
     /// Judges a socket at accept: a front is let in unless it is denied itself, and whom it speaks for is
@@ -96,20 +96,20 @@
     /// How many were refused since this was told last, and the last of them; if it is time to tell it or this
     /// is the end.
     pub fn take_refused(&self, now: Micros, end: bool) -> Option<(u64, Caller)> {
-        if self.refused.get() == 0 || (now - self.told.get() < TELL && !end) {
+        if self.refused.get() == 0 || (now - self.last_logged.get() < LOG_INTERVAL && !end) {
             return None;
         }
-        self.told.set(now);
+        self.last_logged.set(now);
         Some((self.refused.take(), self.last.take()?))
     }
 
     /// Learns who has connected before anything of the protocol is read. `false`: it is to be closed.
     pub async fn identify(&self, link: &mut Link) -> bool {
         let peer = link.caller.client;
-        let trusted = self.trusts(peer);
+        let is_front = self.trusts(peer);
         let mut input = Vec::new();
         loop {
-            let header = if trusted { proxy::header(&input) } else { Ok(None) };
+            let header = if is_front { proxy::header(&input) } else { Ok(None) };
             match (header, proxy::begins(&input)) {
                 (Ok(Some((source, taken))), _) => {
                     if let Source::Client(client) = source {
@@ -127,15 +127,15 @@
                     tell(&link.queue, closed(&link.caller, malformed.0)).await;
                     return false;
                 }
-                (_, Some(true)) if !trusted => {
+                (_, Some(true)) if !is_front => {
                     tell(&link.queue, closed(&link.caller, "a PROXY header, but no front of ours")).await;
                     return false;
                 }
-                (_, Some(false)) if !trusted => break,
+                (_, Some(false)) if !is_front => break,
                 _ => {}
             }
             // Told to finish: a header on its way comes first, and a command may be behind it.
-            if link.finishing && trusted && link.socket.is_quiet() {
+            if link.finishing && is_front && link.socket.is_quiet() {
                 link.progress.set(Waits::Close);
                 farewell(&link.socket).await;
                 return false;
@@ -153,7 +153,7 @@
                 // Told to finish. Without a header nothing may be said; others are told as ever.
                 None => {
                     link.finishing = true;
-                    if !trusted {
+                    if !is_front {
                         break;
                     }
                 }
--- a/src/features/control.rs
+++ b/src/features/control.rs
@@ -32,27 +32,27 @@
 use tracing::{info, warn};
 
 /// News that may wait, and news taken before what is due is done.
-const QUEUE: usize = 1024;
-const AT_ONCE: usize = 256;
+const QUEUE_CAPACITY: usize = 1024;
+const EVENTS_PER_TURN: usize = 256;
 /// What may wait for the disk, in things to be done. Past that it does not keep up.
-const WAITING: usize = 64 * 1024;
+const MAX_PENDING_OUTPUTS: usize = 64 * 1024;
 /// How long a write may take, in us: far more than the lease, after which nobody waits for this machine.
-const WRITE: Micros = 10_000_000;
+const WRITE_TIMEOUT: Micros = 10_000_000;
 /// Without a descriptor for a connection: how long until the next is tried.
-const CROWDED: Duration = Duration::from_millis(200);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// How often figures are told, and how many lines about peers between two of them; how often it is looked whether there
 /// is something else to tell.
-const FIGURES: Micros = 10_000_000;
-const LINES: u64 = 20;
-const LOOK: Micros = 200_000;
+const FIGURES_INTERVAL: Micros = 10_000_000;
+const MAX_LINES: u64 = 20;
+const CHECK_INTERVAL: Micros = 200_000;
 
-enum News {
+enum Event {
     Accepted(Async<TcpStream>, SocketAddr),
     Peer(PeerId, Word<Message>),
     /// The disk has the records, or the file anew.
     Written(Result<Box<Store>, String>),
     /// Told by the accepting task, once in a row.
-    Crowded(String),
+    AcceptFailed(String),
     /// The list of followers is to be read again.
     Reload,
     End,
@@ -86,18 +86,18 @@
     peers: BTreeMap<PeerId, Peer>,
     last: PeerId,
     lists: AddressLists,
-    queue: Sender<News>,
+    queue: Sender<Event>,
     executor: Rc<LocalExecutor<'static>>,
     disk: Disk,
     /// What is to be done, in order. While the disk writes nothing of it is.
-    todo: VecDeque<Output>,
+    pending_outputs: VecDeque<Output>,
     /// Why it cannot go on.
-    failed: Option<String>,
-    lines: u64,
-    told: Micros,
-    looked: Micros,
+    fatal_error: Option<String>,
+    logged_lines: u64,
+    last_figures: Micros,
+    last_check: Micros,
     /// What was told of last.
-    takes: bool,
+    accepting: bool,
     fresh: bool,
     conflicts: BTreeSet<StreamId>,
     refused: BTreeSet<(StreamId, u64)>,
@@ -125,13 +125,13 @@
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     let clock = Clock::new();
     let now = clock.now();
-    let (queue, news) = async_channel::bounded(QUEUE);
+    let (queue, events) = async_channel::bounded(QUEUE_CAPACITY);
     let (me, rules) = (settings.me(), settings.controls.rules()?);
     let (stores, followers) = (rules.stores, roster.len());
     let (records, disk) = match loaded {
         None => (Vec::new(), Disk::None),
         Some(Loaded { store, records, torn, older }) => {
-            tell_loaded(&settings, records.len(), torn, older);
+            log_loaded(&settings, records.len(), torn, older);
             (records, Disk::Idle(Box::new(store)))
         }
     };
@@ -159,12 +159,12 @@
         queue: queue.clone(),
         executor: executor.clone(),
         disk,
-        todo: VecDeque::new(),
-        failed: None,
-        lines: 0,
-        told: now,
-        looked: now,
-        takes: false,
+        pending_outputs: VecDeque::new(),
+        fatal_error: None,
+        logged_lines: 0,
+        last_figures: now,
+        last_check: now,
+        accepting: false,
         fresh: false,
         conflicts: BTreeSet::new(),
         refused: BTreeSet::new(),
@@ -172,15 +172,15 @@
     let _accept = executor.spawn(accept(listener, queue.clone()));
     let _signals = executor.spawn(async move {
         loop {
-            let news = match signals.next().await {
-                SignalRequest::Reload => News::Reload,
-                SignalRequest::End => News::End,
+            let event = match signals.next().await {
+                SignalRequest::Reload => Event::Reload,
+                SignalRequest::End => Event::End,
             };
-            let _ = queue.send(news).await;
+            let _ = queue.send(event).await;
         }
     });
-    host.work(&clock, &news).await;
-    if let Some(why) = host.failed {
+    host.run_loop(&clock, &events).await;
+    if let Some(why) = host.fatal_error {
         return Err(why);
     }
     info!(event = "ended", "ended");
@@ -188,7 +188,7 @@
 }
 
 /// What was found in a store's file.
-fn tell_loaded(settings: &Settings, records: usize, torn: u64, older: Option<u32>) {
+fn log_loaded(settings: &Settings, records: usize, torn: u64, older: Option<u32>) {
     let file = settings.store.as_ref().map(|p| p.display().to_string()).unwrap_or_default();
     info!(event = "loaded", file, records, "{file}: {records} records");
     if torn > 0 {
@@ -208,19 +208,19 @@
     }
 }
 
-async fn accept(listener: Async<TcpListener>, queue: Sender<News>) {
-    let mut crowded = false;
+async fn accept(listener: Async<TcpListener>, queue: Sender<Event>) {
+    let mut failing = false;
     loop {
         match listener.accept().await {
             Ok((socket, peer)) => {
-                crowded = false;
-                let _ = queue.send(News::Accepted(socket, unmapped(peer))).await;
+                failing = false;
+                let _ = queue.send(Event::Accepted(socket, unmapped(peer))).await;
             }
             Err(why) => {
-                if !std::mem::replace(&mut crowded, true) {
-                    let _ = queue.send(News::Crowded(why.to_string())).await;
+                if !std::mem::replace(&mut failing, true) {
+                    let _ = queue.send(Event::AcceptFailed(why.to_string())).await;
                 }
-                Timer::after(CROWDED).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -232,13 +232,13 @@
 }
 
 impl Host {
-    async fn work(&mut self, clock: &Clock, news: &Receiver<News>) {
+    async fn run_loop(&mut self, clock: &Clock, events: &Receiver<Event>) {
         let mut timer = Timer::at(Instant::now());
-        while self.failed.is_none() {
+        while self.fatal_error.is_none() {
             let now = clock.now();
-            for _ in 0..AT_ONCE {
-                let Ok(one) = news.try_recv() else { break };
-                if self.hear(now, one) {
+            for _ in 0..EVENTS_PER_TURN {
+                let Ok(event) = events.try_recv() else { break };
+                if self.handle_event(now, event) {
                     return;
                 }
             }
@@ -248,18 +248,18 @@
                 self.carry_out(now, out);
             }
             self.watch_disk(now);
-            self.tell(now);
-            if !news.is_empty() {
+            self.log_changes(now);
+            if !events.is_empty() {
                 future::yield_now().await;
                 continue;
             }
-            timer.set_at(clock.instant(self.control.next_tick().min(now + LOOK)));
+            timer.set_at(clock.instant(self.control.next_tick().min(now + CHECK_INTERVAL)));
             let tick = async {
                 (&mut timer).await;
                 None
             };
-            if let Some(one) = future::or(async { news.recv().await.ok() }, tick).await {
-                if self.hear(clock.now(), one) {
+            if let Some(event) = future::or(async { events.recv().await.ok() }, tick).await {
+                if self.handle_event(clock.now(), event) {
                     return;
                 }
             }
@@ -267,16 +267,16 @@
     }
 
     /// Whether it is to end.
-    fn hear(&mut self, now: Micros, news: News) -> bool {
+    fn handle_event(&mut self, now: Micros, event: Event) -> bool {
         let mut out = Vec::new();
-        match news {
-            News::Accepted(socket, address) => self.accepted(now, socket, address, &mut out),
-            News::Peer(peer, word) => self.peer(now, peer, word, &mut out),
-            News::Written(Ok(store)) => self.disk = Disk::Idle(store),
-            News::Written(Err(why)) => self.failed = Some(why),
-            News::Crowded(why) => warn!(event = "accept_failed", why, "accept failed: {why}"),
-            News::Reload => self.reload(),
-            News::End => return true,
+        match event {
+            Event::Accepted(socket, address) => self.accepted(now, socket, address, &mut out),
+            Event::Peer(peer, word) => self.peer(now, peer, word, &mut out),
+            Event::Written(Ok(store)) => self.disk = Disk::Idle(store),
+            Event::Written(Err(why)) => self.fatal_error = Some(why),
+            Event::AcceptFailed(why) => warn!(event = "accept_failed", why, "accept failed: {why}"),
+            Event::Reload => self.reload(),
+            Event::End => return true,
         }
         self.carry_out(now, out);
         false
@@ -304,7 +304,9 @@
                     self.control.down(now, peer, out);
                 }
                 if known || dialled.is_some() {
-                    self.line(|| info!(event = "peer_left", client = %address, why, "{address} left: {why}"));
+                    self.log_limited(
+                        || info!(event = "peer_left", client = %address, why, "{address} left: {why}"),
+                    );
                 }
             }
         }
@@ -318,7 +320,7 @@
         out: &mut Vec<Output>,
     ) {
         if !self.lists.admits(address.ip()) {
-            return self.line(
+            return self.log_limited(
                 || warn!(event = "refused", client = %address, "{address} refused by the address lists"),
             );
         }
@@ -326,10 +328,10 @@
         self.last += 1;
         let (peer, (outbox, inbox), queue) = (self.last, framed::outbox_of::<Message>(), self.queue.clone());
         let task = self.executor.spawn(async move {
-            let said = |message| News::Peer(peer, Word::Said(message));
+            let said = |message| Event::Peer(peer, Word::Said(message));
             let why = framed::carry(&socket, inbox, &queue, said).await;
             drop(socket);
-            let _ = queue.send(News::Peer(peer, Word::Down(why))).await;
+            let _ = queue.send(Event::Peer(peer, Word::Down(why))).await;
         });
         let new = Peer { address, dialled: None, up: true, outbox, closing: false, _task: task };
         self.peers.insert(peer, new);
@@ -343,7 +345,7 @@
         self.peers.retain(|_, p| p.up || p.dialled != Some(control));
         self.last += 1;
         let (peer, (outbox, inbox)) = (self.last, framed::outbox_of::<Message>());
-        let word = move |word| News::Peer(peer, word);
+        let word = move |word| Event::Peer(peer, word);
         let task = self.executor.spawn(framed::dial(address, inbox, self.queue.clone(), word));
         let new = Peer { address, dialled: Some(control), up: false, outbox, closing: false, _task: task };
         self.peers.insert(peer, new);
@@ -358,20 +360,20 @@
             self.peers.remove(&peer);
         }
         let why = why.to_string();
-        self.line(|| warn!(event = "peer_refused", client = %address, why, "{address} closed: {why}"));
+        self.log_limited(|| warn!(event = "peer_refused", client = %address, why, "{address} closed: {why}"));
     }
 
     /// Does what is to be done, as far as the disk lets it.
     fn carry_out(&mut self, now: Micros, out: Vec<Output>) {
-        self.todo.extend(out);
-        if self.todo.len() > WAITING {
-            self.failed = Some(self.disk_failed("it does not keep up"));
+        self.pending_outputs.extend(out);
+        if self.pending_outputs.len() > MAX_PENDING_OUTPUTS {
+            self.fatal_error = Some(self.disk_failed("it does not keep up"));
             return;
         }
         // What was encoded last: batches to many followers are the same message.
         let mut last: Option<(Rc<Message>, Rc<[u8]>)> = None;
         while !matches!(self.disk, Disk::Writes { .. }) {
-            match self.todo.pop_front() {
+            match self.pending_outputs.pop_front() {
                 None => return self.rewrite(now),
                 Some(Output::Persist(records)) => self.persist(now, records),
                 Some(Output::Dial(control)) => self.dial(control),
@@ -383,7 +385,7 @@
                             Ok(bytes) => bytes.into(),
                             Err(why) => {
                                 let why = why.to_string();
-                                self.line(|| warn!(event = "not_told", why, "not told: {why}"));
+                                self.log_limited(|| warn!(event = "not_told", why, "not told: {why}"));
                                 continue;
                             }
                         },
@@ -402,13 +404,15 @@
         self.peers.remove(&peer);
         let mut out = Vec::new();
         self.control.down(now, peer, &mut out);
-        self.todo.extend(out);
-        self.line(|| warn!(event = "peer_cut", client = %address, "{address} cut, it reads too slowly"));
+        self.pending_outputs.extend(out);
+        self.log_limited(
+            || warn!(event = "peer_cut", client = %address, "{address} cut, it reads too slowly"),
+        );
     }
 
     /// Writes these records and all others that wait to be written: earlier than they need.
     fn persist(&mut self, now: Micros, mut records: Vec<Record>) {
-        for output in &mut self.todo {
+        for output in &mut self.pending_outputs {
             if let Output::Persist(more) = output {
                 records.append(more);
             }
@@ -418,14 +422,14 @@
         }
         let Disk::Idle(mut store) = std::mem::replace(&mut self.disk, Disk::None) else {
             // Only stores have something to write, and none starts without a file.
-            self.failed = Some("control: a store without a controlstore".into());
+            self.fatal_error = Some("control: a store without a controlstore".into());
             return;
         };
         let (queue, failed, bytes) = (self.queue.clone(), self.disk_failed(""), store::encode(&records));
         let task = self.executor.spawn(async move {
             let write = move || bytes.and_then(|bytes| store.append(&bytes)).map(|()| store);
             let written = blocking::unblock(write).await;
-            let _ = queue.send(News::Written(written.map_err(|e| format!("{failed}{e}")))).await;
+            let _ = queue.send(Event::Written(written.map_err(|e| format!("{failed}{e}")))).await;
         });
         self.disk = Disk::Writes { since: now, _task: task };
     }
@@ -442,14 +446,14 @@
         let task = self.executor.spawn(async move {
             let written = blocking::unblock(move || bytes.and_then(|bytes| store.rewrite(&bytes))).await;
             let written = written.map(Box::new).map_err(|e| format!("{failed}{e}"));
-            let _ = queue.send(News::Written(written)).await;
+            let _ = queue.send(Event::Written(written)).await;
         });
         self.disk = Disk::Writes { since: now, _task: task };
     }
 
     fn watch_disk(&mut self, now: Micros) {
-        if matches!(self.disk, Disk::Writes { since, .. } if now - since > WRITE) {
-            self.failed = Some(self.disk_failed("it hangs"));
+        if matches!(self.disk, Disk::Writes { since, .. } if now - since > WRITE_TIMEOUT) {
+            self.fatal_error = Some(self.disk_failed("it hangs"));
         }
     }
 
@@ -472,21 +476,21 @@
     }
 
     /// A line of which there could be many.
-    fn line(&mut self, tell: impl FnOnce()) {
-        self.lines += 1;
-        if self.lines <= LINES {
+    fn log_limited(&mut self, tell: impl FnOnce()) {
+        self.logged_lines += 1;
+        if self.logged_lines <= MAX_LINES {
             tell();
         }
     }
 
     /// Lines about what has changed, and the figures.
-    fn tell(&mut self, now: Micros) {
-        if now - self.looked < LOOK {
+    fn log_changes(&mut self, now: Micros) {
+        if now - self.last_check < CHECK_INTERVAL {
             return;
         }
-        self.looked = now;
+        self.last_check = now;
         let stats = self.control.stats(now);
-        if stats.accepting != std::mem::replace(&mut self.takes, stats.accepting) {
+        if stats.accepting != std::mem::replace(&mut self.accepting, stats.accepting) {
             match stats.accepting {
                 true => info!(event = "takes", "takes submissions"),
                 false => warn!(event = "takes_none", "takes no submissions"),
@@ -503,7 +507,7 @@
         for of in stats.conflicts.iter().filter(|s| !self.conflicts.contains(s)).copied().collect::<Vec<_>>()
         {
             let name = stream_name(of);
-            self.line(|| {
+            self.log_limited(|| {
                 warn!(
                     event = "conflict",
                     stream = name,
@@ -516,7 +520,7 @@
             stats.refused.iter().map(|(stream, number, _)| (*stream, *number)).collect();
         for (of, number) in refused.difference(&self.refused).copied().collect::<Vec<_>>() {
             let name = stream_name(of);
-            self.line(|| {
+            self.log_limited(|| {
                 warn!(
                     event = "change_refused",
                     stream = name,
@@ -526,10 +530,10 @@
             });
         }
         self.refused = refused;
-        if now - self.told < FIGURES {
+        if now - self.last_figures < FIGURES_INTERVAL {
             return;
         }
-        self.told = now;
+        self.last_figures = now;
         self.figures(now);
     }
 
@@ -577,7 +581,7 @@
             s.clients,
             s.unidentified,
         );
-        let left = std::mem::take(&mut self.lines).saturating_sub(LINES);
+        let left = std::mem::take(&mut self.logged_lines).saturating_sub(MAX_LINES);
         if left > 0 {
             warn!(event = "left_out", lines = left, "{left} more lines left out");
         }
--- a/src/features/control/settings.rs
+++ b/src/features/control/settings.rs
@@ -9,10 +9,10 @@
 /// Control machines on the list.
 pub const MAX_CONTROLS: usize = bounds::MAX_CONTROLS as usize;
 /// Stores, where the list is long enough and the file says nothing else.
-const STORES: u8 = 5;
+const DEFAULT_STORES: u8 = 5;
 /// The longest list of followers, in bytes and names.
-const ROSTER: u64 = 16 << 20;
-const FOLLOWERS: usize = 65_536;
+const MAX_ROSTER_BYTES: u64 = 16 << 20;
+const MAX_FOLLOWERS: usize = 65_536;
 
 /// A control machine as the file names it.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,7 +46,7 @@
     /// What of the lines does not fit together.
     pub fn rules(&self) -> Result<Rules, String> {
         let controls = self.listed.len() as u8;
-        let stores = self.stores.unwrap_or(STORES.min(controls));
+        let stores = self.stores.unwrap_or(DEFAULT_STORES.min(controls));
         if stores > controls {
             return Err(format!("controlstores: {stores}, but there are {controls} control lines"));
         }
@@ -108,7 +108,7 @@
 pub fn roster(path: &Path) -> Result<BTreeMap<FollowerId, String>, String> {
     let at = path.display();
     let size = std::fs::metadata(path).map_err(|e| format!("{at}: {e}"))?.len();
-    if size > ROSTER {
+    if size > MAX_ROSTER_BYTES {
         return Err(format!("{at}: larger than 16 MB"));
     }
     let bytes = std::fs::read(path).map_err(|e| format!("{at}: {e}"))?;
@@ -121,8 +121,8 @@
         if let Some(before) = names.insert(follower(name), name.to_owned()) {
             return Err(format!("{at}:{}: {name} and {before} are one follower", i + 1));
         }
-        if names.len() > FOLLOWERS {
-            return Err(format!("{at}:{}: more than {FOLLOWERS} followers", i + 1));
+        if names.len() > MAX_FOLLOWERS {
+            return Err(format!("{at}:{}: more than {MAX_FOLLOWERS} followers", i + 1));
         }
     }
     Ok(names)
--- a/src/features/control/store.rs
+++ b/src/features/control/store.rs
@@ -79,37 +79,37 @@
     Ok(bytes)
 }
 
-fn word(bytes: &[u8], at: usize) -> Option<u32> {
+fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
     bytes.get(at..at + 4)?.try_into().ok().map(u32::from_le_bytes)
 }
 
 /// What the next frame holds.
-enum Next<'a> {
+enum Frame<'a> {
     Body(&'a [u8]),
     /// The file ends before the frame does.
     Torn,
     Damaged(&'static str),
 }
 
-fn next(bytes: &[u8]) -> Next<'_> {
-    let header = word(bytes, 0).zip(word(bytes, 4)).zip(word(bytes, 8));
-    let Some(((length, of_length), of_body)) = header else { return Next::Torn };
-    if crc32fast::hash(&length.to_le_bytes()) != of_length {
+fn next_frame(bytes: &[u8]) -> Frame<'_> {
+    let header = read_u32(bytes, 0).zip(read_u32(bytes, 4)).zip(read_u32(bytes, 8));
+    let Some(((length, length_crc), body_crc)) = header else { return Frame::Torn };
+    if crc32fast::hash(&length.to_le_bytes()) != length_crc {
         return match bytes.iter().all(|b| *b == 0) {
-            true => Next::Torn,
-            false => Next::Damaged("a record's length is damaged"),
+            true => Frame::Torn,
+            false => Frame::Damaged("a record's length is damaged"),
         };
     }
-    let Some(body) = bytes.get(HEADER_BYTES..HEADER_BYTES + length as usize) else { return Next::Torn };
-    match crc32fast::hash(body) == of_body {
-        true => Next::Body(body),
-        false if bytes.get(HEADER_BYTES..).unwrap_or_default().iter().all(|b| *b == 0) => Next::Torn,
-        false => Next::Damaged("a record is damaged"),
+    let Some(body) = bytes.get(HEADER_BYTES..HEADER_BYTES + length as usize) else { return Frame::Torn };
+    match crc32fast::hash(body) == body_crc {
+        true => Frame::Body(body),
+        false if bytes.get(HEADER_BYTES..).unwrap_or_default().iter().all(|b| *b == 0) => Frame::Torn,
+        false => Frame::Damaged("a record is damaged"),
     }
 }
 
 /// One value, and nothing behind it.
-fn value<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, &'static str> {
+fn decode<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, &'static str> {
     match postcard::take_from_bytes(body) {
         Ok((value, [])) => Ok(value),
         _ => Err("a record that cannot be read"),
@@ -141,7 +141,7 @@
             Ok(of) if of.len() > MAX_FILE => return Err(format!("{}: larger than 1 GB", path.display())),
             Ok(_) => fs::read(path).map_err(failed)?,
         };
-        let Whole { head: before, records, bytes: whole } =
+        let Contents { head: before, records, bytes: whole } =
             read(&bytes).map_err(|(at, what)| format!("{}: byte {at}: {what}", path.display()))?;
         let Head { control, epoch: written } = before.unwrap_or(head);
         if control != me.0 {
@@ -210,7 +210,7 @@
 }
 
 /// What is whole of a file.
-struct Whole {
+struct Contents {
     /// None in one that was torn before its head was written.
     head: Option<Head>,
     records: Vec<Record>,
@@ -218,26 +218,26 @@
 }
 
 /// An error has its place.
-fn read(bytes: &[u8]) -> Result<Whole, (usize, &'static str)> {
+fn read(bytes: &[u8]) -> Result<Contents, (usize, &'static str)> {
     let mut at = MAGIC.len();
     if bytes.get(..at) != Some(MAGIC) {
         return Err((0, "no store's file, or of another version"));
     }
     let (mut head, mut records) = (None, Vec::new());
     while at < bytes.len() {
-        match next(bytes.get(at..).unwrap_or_default()) {
-            Next::Torn => break,
-            Next::Damaged(what) => return Err((at, what)),
-            Next::Body(body) => {
+        match next_frame(bytes.get(at..).unwrap_or_default()) {
+            Frame::Torn => break,
+            Frame::Damaged(what) => return Err((at, what)),
+            Frame::Body(body) => {
                 match head {
-                    None => head = Some(value(body).map_err(|what| (at, what))?),
-                    Some(_) => records.push(value(body).map_err(|what| (at, what))?),
+                    None => head = Some(decode(body).map_err(|what| (at, what))?),
+                    Some(_) => records.push(decode(body).map_err(|what| (at, what))?),
                 }
                 at += HEADER_BYTES + body.len();
             }
         }
     }
-    Ok(Whole { head, records, bytes: at as u64 })
+    Ok(Contents { head, records, bytes: at as u64 })
 }
 
 #[cfg(test)]
--- a/src/features/control/store/tests.rs
+++ b/src/features/control/store/tests.rs
@@ -5,15 +5,15 @@
 const ME: ControlId = ControlId(2);
 
 /// A folder of its own for each, gone with it.
-struct Folder(PathBuf);
+struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     fn new() -> Self {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("martenweir-{}-store-{count}", std::process::id()));
         fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        TempDir(path)
     }
 
     fn file(&self) -> PathBuf {
@@ -21,7 +21,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -45,7 +45,7 @@
 }
 
 /// A file with so many records, and its bytes.
-fn written(folder: &Folder, count: u64) -> (Vec<Record>, Vec<u8>) {
+fn written(folder: &TempDir, count: u64) -> (Vec<Record>, Vec<u8>) {
     let records: Vec<Record> = (1..=count).map(record).collect();
     let mut loaded = open(&folder.file()).expect("a new file");
     assert_eq!((loaded.records.len(), loaded.torn, loaded.older), (0, 0, None));
@@ -55,7 +55,7 @@
 
 #[test]
 fn what_was_appended_is_there_at_the_next_start_and_goes_on() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let (mut records, _) = written(&folder, 8);
     let mut loaded = open(&folder.file()).expect("the file");
     assert_eq!((&loaded.records, loaded.torn, loaded.older), (&records, 0, None));
@@ -67,11 +67,11 @@
 /// Wherever the file ends, what stands whole before that is there, the rest is told, and more can be appended.
 #[test]
 fn a_last_record_that_was_torn_goes_and_those_before_it_stay() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let (records, bytes) = written(&folder, 6);
     let ends: Vec<usize> = {
         let mut ends = vec![MAGIC.len()];
-        while let Next::Body(body) = next(&bytes[ends[ends.len() - 1]..]) {
+        while let Frame::Body(body) = next_frame(&bytes[ends[ends.len() - 1]..]) {
             ends.push(ends[ends.len() - 1] + HEADER_BYTES + body.len());
         }
         ends
@@ -95,7 +95,7 @@
 
 #[test]
 fn zeros_at_the_end_are_a_torn_record() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let (records, mut bytes) = written(&folder, 4);
     bytes.extend([0; 300]);
     fs::write(folder.file(), &bytes).expect("the file");
@@ -106,7 +106,7 @@
 /// No changed bit anywhere goes unseen, in the last record neither.
 #[test]
 fn a_damaged_file_is_refused_with_its_name_and_the_place() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let (_, bytes) = written(&folder, 5);
     for at in 0..bytes.len() {
         for bit in 0..8 {
@@ -122,7 +122,7 @@
 
 #[test]
 fn a_file_of_another_machine_or_of_a_later_epoch_is_refused_and_of_an_earlier_one_is_taken() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let (records, _) = written(&folder, 4);
     let other = Store::open(&folder.file(), ControlId(3), 1).map(drop);
     assert!(other.expect_err("another's").ends_with(": written by control machine 2, this is 3"));
@@ -135,7 +135,7 @@
 
 #[test]
 fn a_file_that_is_written_anew_has_what_it_was_given_and_goes_on() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let (records, bytes) = written(&folder, 8);
     let loaded = open(&folder.file()).expect("the file");
     assert!(!loaded.store.needs_rewrite());
@@ -148,7 +148,7 @@
 
 #[test]
 fn a_file_that_has_grown_far_beyond_what_it_needs_is_to_be_written_anew() {
-    let folder = Folder::new();
+    let folder = TempDir::new();
     let mut store = open(&folder.file()).expect("a new file").store;
     let stream = StreamId { topic: 1, store: ME };
     let large = |number| Record::Change(Change { stream, number, key: 1, body: vec![7; 4096].into() }, 1);
--- a/src/features/figures.rs
+++ b/src/features/figures.rs
@@ -76,7 +76,8 @@
     fn line(self, name: &str, kind: MetricKind, tags: &[(&str, &str)], value: u64) -> String {
         match self {
             Format::Statsd => {
-                let tags: Vec<String> = tags.iter().map(|(k, v)| format!("{k}:{}", statsd(v))).collect();
+                let tags: Vec<String> =
+                    tags.iter().map(|(k, v)| format!("{k}:{}", escape_statsd(v))).collect();
                 let tags = if tags.is_empty() { String::new() } else { format!("|#{}", tags.join(",")) };
                 let kind = match kind {
                     MetricKind::Counter => "c",
@@ -86,7 +87,7 @@
                 format!("martenweir.{name}:{value}|{kind}{tags}\n")
             }
             Format::Influx => {
-                let tags: String = tags.iter().map(|(k, v)| format!(",{k}={}", influx(v))).collect();
+                let tags: String = tags.iter().map(|(k, v)| format!(",{k}={}", escape_influx(v))).collect();
                 let field = match kind {
                     MetricKind::Counter => "count",
                     MetricKind::Gauge => "value",
@@ -98,12 +99,12 @@
     }
 }
 
-fn statsd(value: &str) -> String {
+fn escape_statsd(value: &str) -> String {
     let bad = |c: char| c.is_control() || c.is_whitespace() || "|#,:@".contains(c);
     value.chars().map(|c| if bad(c) { '_' } else { c }).collect()
 }
 
-fn influx(value: &str) -> String {
+fn escape_influx(value: &str) -> String {
     let mut out = String::new();
     for c in value.chars() {
         match c {
@@ -138,7 +139,7 @@
     writing: usize,
     /// Batches lost and not told.
     dropped: u64,
-    closing: bool,
+    shutting_down: bool,
 }
 
 impl State {
@@ -252,21 +253,21 @@
         for (counter, n) in std::mem::take(&mut state.counters) {
             *state.due.entry(counter).or_default() += n;
         }
-        self.fill(&mut state);
+        self.format_due(&mut state);
         state.close();
         let _ = self.wake.try_send(());
     }
 
     /// Turns what is due into lines, as far as there is room: what is not told yet stays summed.
-    fn fill(&self, state: &mut State) {
-        let nothing = state.due.is_empty();
+    fn format_due(&self, state: &mut State) {
+        let none_due = state.due.is_empty();
         while state.held() + 3 * MAX_BATCH < MAX_PENDING {
             let Some(((name, class, tenant, tag), n)) = state.due.pop_first() else { break };
             let [class, tenant] = self.tags(class, tenant);
             let last = if name == "reads" { ("result", tag) } else { ("outcome", tag) };
             state.push(&self.settings.format.line(name, MetricKind::Counter, &[class, tenant, last], n));
         }
-        if !nothing {
+        if !none_due {
             state.close();
         }
     }
@@ -283,25 +284,25 @@
         let mut state = self.state.borrow_mut();
         state.writing = 0;
         state.dropped += lost;
-        self.fill(&mut state);
+        self.format_due(&mut state);
     }
 
     /// The target is given up, and with it all that was meant for it.
     fn stop(&self) {
         self.stopped.set(true);
         let mut state = self.state.borrow_mut();
-        *state = State { closing: state.closing, ..State::default() };
+        *state = State { shutting_down: state.shutting_down, ..State::default() };
     }
 
     /// A planned end: flushes once and gives the writer a moment.
     pub async fn end(&self, gauges: Gauges, writer: impl std::future::Future<Output = ()>) {
         self.flush(gauges);
-        self.state.borrow_mut().closing = true;
+        self.state.borrow_mut().shutting_down = true;
         let _ = self.wake.try_send(());
-        let late = async {
+        let timeout = async {
             Timer::after(SHUTDOWN_TIMEOUT).await;
         };
-        future::or(writer, late).await;
+        future::or(writer, timeout).await;
     }
 
     /// Writes batches until the end is told, through `stderr` where they go there.
@@ -314,7 +315,7 @@
                 if sink.stopped {
                     self.stop();
                 }
-            } else if self.state.borrow().closing {
+            } else if self.state.borrow().shutting_down {
                 return;
             } else {
                 let _ = self.woken.recv().await;
--- a/src/features/file.rs
+++ b/src/features/file.rs
@@ -70,12 +70,13 @@
 
 /// A file's text with the lines about some settings, by their names, in place of its own. Lines without a value say
 /// that the file's own hold.
-pub fn apply_overrides<'a>(text: &str, over: impl Iterator<Item = (&'a str, &'a str)>) -> String {
+pub fn apply_overrides<'a>(text: &str, overrides: impl Iterator<Item = (&'a str, &'a str)>) -> String {
     let valued = |lines: &str| lines.lines().filter_map(setting).any(|(_, value)| !value.is_empty());
-    let over: Vec<(&str, &str)> = over.filter(|(_, lines)| valued(lines)).collect();
-    let stays = |line: &str| setting(line).is_none_or(|(name, _)| over.iter().all(|(o, _)| *o != name));
-    let stay = text.lines().map(|line| if stays(line) { line } else { "" });
-    stay.chain(over.iter().flat_map(|(_, lines)| lines.lines())).flat_map(|line| [line, "\n"]).collect()
+    let overrides: Vec<(&str, &str)> = overrides.filter(|(_, lines)| valued(lines)).collect();
+    let is_kept =
+        |line: &str| setting(line).is_none_or(|(name, _)| overrides.iter().all(|(o, _)| *o != name));
+    let kept = text.lines().map(|line| if is_kept(line) { line } else { "" });
+    kept.chain(overrides.iter().flat_map(|(_, lines)| lines.lines())).flat_map(|line| [line, "\n"]).collect()
 }
 
 /// As [`load`] for a text that is at hand. An error comes with the number of its line.
@@ -97,11 +98,11 @@
         let mut set = || {
             match name {
                 "multigetport" => multigetport = Some(port(value)?),
-                "multigetmaxkeys" => multiget.max_keys = whole(value, 1..=multiget::MAX_OPEN_READS)?,
+                "multigetmaxkeys" => multiget.max_keys = integer(value, 1..=multiget::MAX_OPEN_READS)?,
                 "tapport" => tapport = Some(port(value)?),
                 "tapsample" => tap.sample = fraction(value)?,
                 "tapbuffer" => tap.buffer = size(value, 1024..=64 * 1024 * 1024)?,
-                "tapwatchers" => tap.watchers = whole(value, 1..=64)?,
+                "tapwatchers" => tap.watchers = integer(value, 1..=64)?,
                 "allow" => lists.allow.push(network(value)?),
                 "deny" => lists.deny.push(network(value)?),
                 "proxyfrom" => lists.proxyfrom.push(network(value)?),
@@ -109,45 +110,46 @@
                 "figurestarget" => figures.target = target(value)?,
                 "figuresflush" => figures.flush = time(value, 1_000..=3_600_000)?,
                 "memcacheport" => memcacheport = Some(port(value)?),
-                "memcachepasswords" => memcached.passwords = Some(named(value, "a file")?.into()),
-                "memcachetenant" => memcached.tenant = Some(named(value, "a tenant")?),
-                "memcachereads" => memcached.reads = Some(named(value, "a class")?),
-                "memcachewrites" => memcached.writes = Some(named(value, "a class")?),
+                "memcachepasswords" => memcached.passwords = Some(non_empty(value, "a file")?.into()),
+                "memcachetenant" => memcached.tenant = Some(non_empty(value, "a tenant")?),
+                "memcachereads" => memcached.reads = Some(non_empty(value, "a class")?),
+                "memcachewrites" => memcached.writes = Some(non_empty(value, "a class")?),
                 "memcachereadwait" => memcached.read_wait = Some(time(value, 1..=3_600_000)?),
                 "memcachewritewait" => memcached.write_wait = Some(time(value, 1..=3_600_000)?),
-                "memcachenodes" => speaker(value, &mut nodes)?,
+                "memcachenodes" => memcached_node(value, &mut nodes)?,
                 "doorample" => door.ample = fraction(value)?,
                 "doorsource" => door.source = fraction(value)?,
                 "doorbytes" => door.bytes = Some(size(value, 256 * 1024..=1024 * 1024 * 1024)?),
                 "planner" => planners.push(planner(value, &planners)?),
                 "plannerport" => plannerport = Some(port(value)?),
-                "planforwarders" => forwarders = Some(whole(value, 1..=bounds::FORWARDERS)? as u32),
+                "planforwarders" => forwarders = Some(integer(value, 1..=bounds::FORWARDERS)? as u32),
                 "control" => controls.listed.push(listed(value, &controls.listed)?),
-                "controlstores" => controls.stores = Some(whole(value, 1..=control::MAX_CONTROLS)? as u8),
-                "controlepoch" => controls.epoch = whole(value, 1..=u32::MAX as usize)? as u32,
+                "controlstores" => controls.stores = Some(integer(value, 1..=control::MAX_CONTROLS)? as u8),
+                "controlepoch" => controls.epoch = integer(value, 1..=u32::MAX as usize)? as u32,
                 "controlplace" => place = Some(self::place(value)?),
                 "controlport" => controlport = Some(port(value)?),
-                "controlnumber" => control.number = whole(value, 0..=control::MAX_CONTROLS - 1)? as u8,
-                "controlstore" => control.store = Some(named(value, "a file")?.into()),
-                "followers" => control.followers = Some(named(value, "a file")?.into()),
+                "controlnumber" => control.number = integer(value, 0..=control::MAX_CONTROLS - 1)? as u8,
+                "controlstore" => control.store = Some(non_empty(value, "a file")?.into()),
+                "followers" => control.followers = Some(non_empty(value, "a file")?.into()),
                 _ if name.starts_with("snmp") => agent.set(i + 1, name, value)?,
                 _ => return Err("unknown setting".to_owned()),
             }
             Ok(())
         };
         set().map_err(|what| (i + 1, format!("{}: {what}", name.escape_debug())))?;
-        let many = matches!(name, "allow" | "deny" | "proxyfrom" | "planner" | "memcachenodes" | "control");
-        let many = many || snmp::SettingLines::is_repeatable(name);
-        if !many && seen.contains(&name) {
+        let repeatable =
+            matches!(name, "allow" | "deny" | "proxyfrom" | "planner" | "memcachenodes" | "control");
+        let repeatable = repeatable || snmp::SettingLines::is_repeatable(name);
+        if !repeatable && seen.contains(&name) {
             return Err((i + 1, format!("{name}: set twice")));
         }
         seen.push(name);
     }
-    let counted = seen.iter().any(|name| name.starts_with("figures"));
+    let figures_on = seen.iter().any(|name| name.starts_with("figures"));
     Ok(Features {
         multiget: multigetport.map(|port| multiget::Settings { port, ..multiget }),
         tap: tapport.map(|port| tap::Settings { port, ..tap }),
-        figures: Some(figures).filter(|_| counted),
+        figures: Some(figures).filter(|_| figures_on),
         memcached: memcacheport.map(|port| memcached::Settings { port, ..memcached }),
         memcachednodes: nodes,
         snmp: agent.settle()?,
@@ -166,20 +168,20 @@
     })
 }
 
-fn wanted<T>(value: &str, what: &str) -> Result<T, String> {
+fn expected<T>(value: &str, what: &str) -> Result<T, String> {
     let value: String = value.chars().take(80).collect();
     Err(format!("{what} is wanted, not \"{}\"", value.escape_debug()))
 }
 
-fn named(value: &str, what: &str) -> Result<String, String> {
-    Some(value).filter(|v| !v.is_empty()).map_or_else(|| wanted(value, what), |v| Ok(v.to_owned()))
+fn non_empty(value: &str, what: &str) -> Result<String, String> {
+    Some(value).filter(|v| !v.is_empty()).map_or_else(|| expected(value, what), |v| Ok(v.to_owned()))
 }
 
-fn speaker(value: &str, nodes: &mut Nodes) -> Result<(), String> {
+fn memcached_node(value: &str, nodes: &mut Nodes) -> Result<(), String> {
     match value.split_once(char::is_whitespace).map(|(sort, name)| (sort, name.trim())) {
         Some(("kind", name)) => nodes.kinds.push(name.to_owned()),
         Some(("id", name)) => nodes.ids.push(name.to_owned()),
-        _ => return wanted(value, "kind NAME or id NAME"),
+        _ => return expected(value, "kind NAME or id NAME"),
     }
     Ok(())
 }
@@ -188,16 +190,16 @@
     Some(value).filter(|v| v.bytes().all(|b| b.is_ascii_digit())).and_then(|v| v.parse().ok())
 }
 
-fn whole(value: &str, range: RangeInclusive<usize>) -> Result<usize, String> {
+fn integer(value: &str, range: RangeInclusive<usize>) -> Result<usize, String> {
     let what = || format!("a whole number from {} to {}", range.start(), range.end());
-    digits(value).filter(|n| range.contains(n)).map_or_else(|| wanted(value, &what()), Ok)
+    digits(value).filter(|n| range.contains(n)).map_or_else(|| expected(value, &what()), Ok)
 }
 
 fn format(value: &str) -> Result<figures::Format, String> {
     match value {
         "statsd" => Ok(figures::Format::Statsd),
         "influx" => Ok(figures::Format::Influx),
-        _ => wanted(value, "statsd or influx"),
+        _ => expected(value, "statsd or influx"),
     }
 }
 
@@ -207,7 +209,7 @@
         ("stderr", "", _) => Ok(figures::Target::Stderr),
         ("file", path, _) if !path.is_empty() => Ok(figures::Target::File(path.into())),
         ("udp", _, Ok(address)) => Ok(figures::Target::Udp(address)),
-        _ => wanted(value, "stderr, file PATH or udp ADDRESS"),
+        _ => expected(value, "stderr, file PATH or udp ADDRESS"),
     }
 }
 
@@ -215,17 +217,17 @@
     let units = [("ms", 1), ("s", 1000), ("min", 60_000)];
     let what = || format!("a time like 10 s, from {} to {} ms", range.start(), range.end());
     let ms = measure(value, &units).filter(|n| range.contains(n));
-    ms.map_or_else(|| wanted(value, &what()), |ms| Ok(ms as Micros * 1000))
+    ms.map_or_else(|| expected(value, &what()), |ms| Ok(ms as Micros * 1000))
 }
 
 fn network(value: &str) -> Result<ipnet::IpNet, String> {
-    addresses::network(value).map_or_else(|| wanted(value, "a range like 10.20.0.0/16"), Ok)
+    addresses::network(value).map_or_else(|| expected(value, "a range like 10.20.0.0/16"), Ok)
 }
 
 /// Another planner beside those that are named already.
 fn planner(value: &str, named: &[SocketAddr]) -> Result<SocketAddr, String> {
     match value.parse().ok().filter(|a: &SocketAddr| a.port() > 0) {
-        None => wanted(value, "an address like 127.0.0.1:7400"),
+        None => expected(value, "an address like 127.0.0.1:7400"),
         Some(address) if named.contains(&address) => Err(format!("{address} is named twice")),
         Some(_) if named.len() >= bounds::PLANNERS => Err(format!("more than {} planners", bounds::PLANNERS)),
         Some(address) => Ok(address),
@@ -244,7 +246,7 @@
             Err(format!("more than {} control machines", control::MAX_CONTROLS))
         }
         (Some(address), Ok(place)) => Ok(ControlEntry { address, place }),
-        _ => wanted(value, "an address and a place, like 127.0.0.1:7500 REGION/ZONE/SITE,"),
+        _ => expected(value, "an address and a place, like 127.0.0.1:7500 REGION/ZONE/SITE,"),
     }
 }
 
@@ -252,17 +254,17 @@
 fn place(value: &str) -> Result<[String; 3], String> {
     let letter = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let parts: Vec<String> = value.split('/').map(str::to_owned).collect();
-    let fine = parts.iter().all(|part| !part.is_empty() && part.chars().all(letter));
+    let valid = parts.iter().all(|part| !part.is_empty() && part.chars().all(letter));
     match parts.try_into() {
-        Ok(parts) if fine => Ok(parts),
-        _ => wanted(value, "a place like REGION/ZONE/SITE"),
+        Ok(parts) if valid => Ok(parts),
+        _ => expected(value, "a place like REGION/ZONE/SITE"),
     }
 }
 
 fn fraction(value: &str) -> Result<f64, String> {
     let plain = value.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     let part = value.parse::<f64>().ok().filter(|x| plain && *x > 0.0 && *x <= 1.0);
-    part.map_or_else(|| wanted(value, "a fraction above 0 and up to 1"), Ok)
+    part.map_or_else(|| expected(value, "a fraction above 0 and up to 1"), Ok)
 }
 
 /// A whole number and the unit behind it, which is one of `units`; a number alone is of the first.
@@ -279,10 +281,10 @@
 fn size(value: &str, range: RangeInclusive<usize>) -> Result<usize, String> {
     let units = [("B", 1), ("KB", 1024), ("MB", 1024 * 1024)];
     let what = || format!("a size like 256 KB, from {} to {} bytes", range.start(), range.end());
-    measure(value, &units).filter(|n| range.contains(n)).map_or_else(|| wanted(value, &what()), Ok)
+    measure(value, &units).filter(|n| range.contains(n)).map_or_else(|| expected(value, &what()), Ok)
 }
 
 /// A port on the address of `listen`; 0 is one of the system's choice.
 fn port(value: &str) -> Result<u16, String> {
-    digits(value).and_then(|n| n.try_into().ok()).map_or_else(|| wanted(value, "a port"), Ok)
+    digits(value).and_then(|n| n.try_into().ok()).map_or_else(|| expected(value, "a port"), Ok)
 }
--- a/src/features/follower.rs
+++ b/src/features/follower.rs
@@ -21,8 +21,8 @@
 use tracing::{info, warn};
 
 /// How often figures are told; lines about changes between two of them.
-const FIGURES: Micros = 10_000_000;
-const LINES: u64 = 20;
+const FIGURES_INTERVAL: Micros = 10_000_000;
+const MAX_LINES: u64 = 20;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
@@ -46,15 +46,15 @@
 /// See the file's comment.
 #[derive(Debug)]
 pub struct FollowerDriver {
-    machine: Follower,
+    follower: Follower,
     topics: Vec<TopicKind>,
     addresses: Vec<SocketAddr>,
     applier: Box<dyn Applier>,
     out: Vec<Output>,
     /// Control machines whose trouble has been told.
     troubled: BTreeSet<ControlId>,
-    lines: u64,
-    told: Micros,
+    logged_lines: u64,
+    last_figures: Micros,
     in_service: bool,
     /// Changes that were not put in force, since the start.
     refused: u64,
@@ -79,14 +79,14 @@
             controls, first, "follower {id:016x} of {controls} control machines, the first is {first}"
         );
         Ok(FollowerDriver {
-            machine: Follower::new(now, rules, me, order, None, now.unsigned_abs())?,
+            follower: Follower::new(now, rules, me, order, None, now.unsigned_abs())?,
             topics,
             addresses: settings.controls.listed.iter().map(|l| l.address).collect(),
             applier,
             out: Vec::new(),
             troubled: BTreeSet::new(),
-            lines: 0,
-            told: now,
+            logged_lines: 0,
+            last_figures: now,
             in_service: false,
             refused: 0,
         })
@@ -99,16 +99,16 @@
 
     /// A connection is up.
     pub fn up(&mut self, now: Micros, control: ControlId) {
-        self.machine.up(now, control, &mut self.out);
+        self.follower.up(now, control, &mut self.out);
     }
 
     /// A connection is over, or did not come up. The first of a row is told.
     pub fn down(&mut self, now: Micros, control: ControlId, why: &str) {
-        self.trouble(control, why);
-        self.machine.down(now, control, &mut self.out);
+        self.log_trouble(control, why);
+        self.follower.down(now, control, &mut self.out);
     }
 
-    fn trouble(&mut self, control: ControlId, why: &str) {
+    fn log_trouble(&mut self, control: ControlId, why: &str) {
         if self.troubled.insert(control) {
             let (number, address) = (control.0, self.address(control).map(display));
             warn!(event = "control_down", number, control = address, why, "control machine {number}: {why}");
@@ -118,9 +118,9 @@
     /// A control machine has said something.
     pub fn handle_message(&mut self, now: Micros, control: ControlId, message: &Message) {
         let welcome = matches!(message, Message::Welcome { .. });
-        match self.machine.handle_message(now, control, message, &mut self.out) {
+        match self.follower.handle_message(now, control, message, &mut self.out) {
             Err(why) => {
-                self.trouble(control, &why.to_string());
+                self.log_trouble(control, &why.to_string());
                 self.out.push(Output::Close(control, why));
             }
             Ok(()) if welcome && self.troubled.remove(&control) => {
@@ -138,7 +138,7 @@
 
     /// When [`FollowerDriver::tick`] has something to do.
     pub fn next(&self) -> Micros {
-        self.machine.next_tick()
+        self.follower.next_tick()
     }
 
     /// Whether everything that was acknowledged a lease ago is applied.
@@ -147,22 +147,22 @@
     }
 
     /// Does what is due, and hands out what is to be done.
-    pub fn tick(&mut self, now: Micros, wishes: &mut Vec<HostAction>) {
-        if self.machine.next_tick() <= now {
-            self.machine.tick(now, &mut self.out);
+    pub fn tick(&mut self, now: Micros, actions: &mut Vec<HostAction>) {
+        if self.follower.next_tick() <= now {
+            self.follower.tick(now, &mut self.out);
         }
         for output in std::mem::take(&mut self.out) {
             match output {
-                Output::Dial(control) => wishes.push(HostAction::Dial(control)),
-                Output::Send(control, message) => wishes.push(HostAction::Send(control, message)),
+                Output::Dial(control) => actions.push(HostAction::Dial(control)),
+                Output::Send(control, message) => actions.push(HostAction::Send(control, message)),
                 Output::Close(control, why) => {
                     if !matches!(why, CloseReason::NoLongerNeeded) {
-                        self.trouble(control, &why.to_string());
+                        self.log_trouble(control, &why.to_string());
                     }
-                    wishes.push(HostAction::Close(control, why));
+                    actions.push(HostAction::Close(control, why));
                 }
                 Output::Apply(piece) => self.apply(&piece),
-                Output::Stale(of) => self.stale(of),
+                Output::Stale(of) => self.reset_stream(of),
                 Output::OutOfService => {
                     self.in_service = false;
                     let lease = "no control machine has said for the lease that nothing lacks";
@@ -174,8 +174,8 @@
                 }
             }
         }
-        if now - self.told >= FIGURES {
-            self.told = now;
+        if now - self.last_figures >= FIGURES_INTERVAL {
+            self.last_figures = now;
             self.figures(now);
         }
     }
@@ -186,7 +186,7 @@
             Some(TopicKind::Set) if piece.is_mark() => {
                 self.applier.mark_all_stale();
                 let (name, upto) = (stream_name(of), piece.upto());
-                self.line(|| {
+                self.log_limited(|| {
                     info!(
                         event = "mark",
                         stream = name,
@@ -198,8 +198,8 @@
             Some(TopicKind::Set) => piece.changes().for_each(|(_, _, body)| self.applier.mark_stale(body)),
             Some(TopicKind::Register) => {
                 for (number, key, body) in piece.changes() {
-                    let done = self.applier.configure(of, key, body);
-                    self.configured(of, number, done);
+                    let result = self.applier.configure(of, key, body);
+                    self.configured(of, number, result);
                 }
             }
             // The machine applies no topic that its rules have not.
@@ -207,10 +207,10 @@
         }
     }
 
-    fn configured(&mut self, of: StreamId, number: u64, done: Result<String, Refusal>) {
+    fn configured(&mut self, of: StreamId, number: u64, result: Result<String, Refusal>) {
         let name = stream_name(of);
-        match done {
-            Ok(setting) => self.line(|| {
+        match result {
+            Ok(setting) => self.log_limited(|| {
                 info!(
                     event = "configured",
                     stream = name,
@@ -221,8 +221,8 @@
             }),
             Err(Refusal(why)) => {
                 self.refused += 1;
-                self.machine.report_refused(of, number);
-                self.line(|| {
+                self.follower.report_refused(of, number);
+                self.log_limited(|| {
                     warn!(
                         event = "change_refused",
                         stream = name,
@@ -235,33 +235,33 @@
         }
     }
 
-    fn stale(&mut self, of: StreamId) {
+    fn reset_stream(&mut self, of: StreamId) {
         match self.topics.get(usize::from(of.topic)) {
             Some(TopicKind::Set) => self.applier.mark_all_stale(),
             Some(TopicKind::Register) => self.applier.void_stream(of),
             None => {}
         }
         let name = stream_name(of);
-        self.line(|| {
+        self.log_limited(|| {
             warn!(event = "begun_anew", stream = name, "{name}: what was held is void, it comes anew")
         });
     }
 
     /// A line of which there could be many.
-    fn line(&mut self, tell: impl FnOnce()) {
-        self.lines += 1;
-        if self.lines <= LINES {
+    fn log_limited(&mut self, tell: impl FnOnce()) {
+        self.logged_lines += 1;
+        if self.logged_lines <= MAX_LINES {
             tell();
         }
     }
 
     fn figures(&mut self, now: Micros) {
-        let s = self.machine.stats(now);
+        let s = self.follower.stats(now);
         let number = |of: Option<(ControlId, bool)>| of.filter(|(_, up)| *up).map(|(c, _)| c.0);
         let (primary, secondary) = (number(s.primary), number(s.secondary));
-        let held: u64 = self.machine.position().iter().map(|(_, number)| number).sum();
+        let held: u64 = self.follower.position().iter().map(|(_, number)| number).sum();
         let (age_ms, refused) = (s.age.map(|age| age / 1000), self.refused);
-        let told = |n: Option<u8>| n.map_or("none".to_owned(), |n| n.to_string());
+        let shown = |n: Option<u8>| n.map_or("none".to_owned(), |n| n.to_string());
         let age = age_ms.map_or("never".to_owned(), |ms| format!("{ms} ms ago"));
         let (in_service, applied) = (self.in_service, self.applier.counts());
         info!(
@@ -284,8 +284,8 @@
             bytes_out = s.bytes_out,
             "following: in service {in_service}, primary {} secondary {}, all known {age}; held {held} applied {} \
              marks {} refused {refused} settings {}; pulls {} promotions {} misfits {}; bytes in {} out {}",
-            told(primary),
-            told(secondary),
+            shown(primary),
+            shown(secondary),
             s.applied,
             s.marks,
             applied.settings,
@@ -295,7 +295,7 @@
             s.bytes_in,
             s.bytes_out,
         );
-        let left = std::mem::take(&mut self.lines).saturating_sub(LINES);
+        let left = std::mem::take(&mut self.logged_lines).saturating_sub(MAX_LINES);
         if left > 0 {
             warn!(event = "left_out", lines = left, "{left} more lines about changes left out");
         }
--- a/src/features/follower/applier.rs
+++ b/src/features/follower/applier.rs
@@ -83,14 +83,14 @@
     /// The last that each stream has of a setting.
     held: BTreeMap<u32, BTreeMap<StreamId, Setting>>,
     /// The last of each that fitted, and what it is about.
-    good: BTreeMap<u32, (Setting, Rc<str>)>,
+    active: BTreeMap<u32, (Setting, Rc<str>)>,
 }
 
 impl StagingApplier {
     /// For a proxy whose own file has this text, at this site.
     pub fn new(text: Rc<str>, site: Rc<Site>) -> Self {
-        let (held, good) = (BTreeMap::new(), BTreeMap::new());
-        StagingApplier { text, site, stale: BTreeSet::new(), all_stale: 0, held, good }
+        let (held, active) = (BTreeMap::new(), BTreeMap::new());
+        StagingApplier { text, site, stale: BTreeSet::new(), all_stale: 0, held, active }
     }
 
     /// Whether a key stands in the record by itself.
@@ -102,26 +102,26 @@
     pub fn text(&self) -> String {
         file::apply_overrides(
             &self.text,
-            self.good.values().map(|(setting, name)| (&**name, &*setting.lines)),
+            self.active.values().map(|(setting, name)| (&**name, &*setting.lines)),
         )
     }
 
     /// Puts the newest of a setting among those that stand, if our own file fits with it.
     fn activate(&mut self, key: u32) -> Result<(), Refusal> {
         let Some(newest) = self.held.get(&key).and_then(|of| of.values().max()).cloned() else {
-            self.good.remove(&key);
+            self.active.remove(&key);
             return Ok(());
         };
         let name: Rc<str> = file::setting_name(&newest.lines).unwrap_or_default().into();
-        let before = self.good.insert(key, (newest, name));
+        let before = self.active.insert(key, (newest, name));
         let why = match file::read(&self.text()) {
             Err((_, why)) => Some(why),
             Ok(features) => features.check_site(&self.site).err(),
         };
         let Some(why) = why else { return Ok(()) };
         match before {
-            Some(before) => self.good.insert(key, before),
-            None => self.good.remove(&key),
+            Some(before) => self.active.insert(key, before),
+            None => self.active.remove(&key),
         };
         Err(Refusal(why))
     }
@@ -131,7 +131,7 @@
         let newest = |of: &BTreeMap<StreamId, Setting>| of.values().max().cloned();
         loop {
             let open =
-                |(key, of)| (newest(of).as_ref() != self.good.get(key).map(|(s, _)| s)).then_some(*key);
+                |(key, of)| (newest(of).as_ref() != self.active.get(key).map(|(s, _)| s)).then_some(*key);
             let open: Vec<u32> = self.held.iter().filter_map(open).collect();
             if !open.into_iter().any(|key| self.activate(key).is_ok()) {
                 return;
@@ -166,7 +166,7 @@
         let name = name.to_owned();
         if !self.held.contains_key(&key) && self.held.len() >= MAX_SETTINGS {
             // There are not so many settings: some of these are none, and make room.
-            let unfit = self.held.keys().find(|key| !self.good.contains_key(key)).copied();
+            let unfit = self.held.keys().find(|key| !self.active.contains_key(key)).copied();
             let unfit = unfit.ok_or_else(|| refusal("more settings than can be carried"))?;
             self.held.remove(&unfit);
         }
@@ -185,9 +185,9 @@
         self.held.values_mut().for_each(|of| drop(of.remove(&stream)));
         self.held.retain(|_, of| !of.is_empty());
         let gone: Vec<u32> =
-            self.good.iter().filter(|(_, (s, _))| s.stream == stream).map(|(k, _)| *k).collect();
+            self.active.iter().filter(|(_, (s, _))| s.stream == stream).map(|(k, _)| *k).collect();
         for key in gone {
-            self.good.remove(&key);
+            self.active.remove(&key);
             // Of what is left, what does not fit stays out.
             let _ = self.activate(key);
         }
@@ -195,7 +195,7 @@
     }
 
     fn counts(&self) -> Counts {
-        Counts { stale: self.stale.len(), all_stale: self.all_stale, settings: self.good.len() }
+        Counts { stale: self.stale.len(), all_stale: self.all_stale, settings: self.active.len() }
     }
 }
 
--- a/src/features/follower/applier/tests.rs
+++ b/src/features/follower/applier/tests.rs
@@ -4,27 +4,27 @@
 
 const OWN: &str = "tapport 7101\ntapsample 0.5 # half\ndeny 10.0.0.0/8\ndeny 10.1.0.0/16\n";
 
-fn carried() -> StagingApplier {
+fn applier() -> StagingApplier {
     StagingApplier::new(OWN.into(), Rc::new(Site::default()))
 }
 
-fn of(store: u8) -> StreamId {
+fn stream(store: u8) -> StreamId {
     StreamId { topic: 1, store: ControlId(store) }
 }
 
 fn change(to: &mut StagingApplier, store: u8, version: u64, lines: &str) -> Result<String, Refusal> {
     let name = file::setting_name(lines).expect("one setting");
-    to.configure(of(store), key(name), &body(version, lines))
+    to.configure(stream(store), key(name), &body(version, lines))
 }
 
 /// Lines of the text that say something.
-fn said(of: &StagingApplier) -> Vec<String> {
+fn settings_of(of: &StagingApplier) -> Vec<String> {
     of.text().lines().map(str::trim).filter(|l| !l.is_empty()).map(str::to_owned).collect()
 }
 
 #[test]
 fn a_carried_setting_takes_the_place_of_the_files_own_until_it_is_reset() {
-    let mut to = carried();
+    let mut to = applier();
     assert_eq!(change(&mut to, 0, 1, "deny 10.9.0.0/16\ndeny 10.8.0.0/16"), Ok("deny".into()));
     assert_eq!(change(&mut to, 0, 2, "tapsample 0.25"), Ok("tapsample".into()));
     assert_eq!(to.counts().settings, 2);
@@ -35,7 +35,7 @@
     assert!(!text.contains("10.1.0.0"), "{text}");
     assert_eq!(change(&mut to, 1, 3, "tapsample"), Ok("tapsample".into()));
     assert_eq!(change(&mut to, 1, 4, "deny"), Ok("deny".into()));
-    assert_eq!(said(&to), said(&carried()));
+    assert_eq!(settings_of(&to), settings_of(&applier()));
 }
 
 /// Whatever the order in which the changes of two stores come, the greatest version counts.
@@ -57,7 +57,7 @@
     }
     assert_eq!(orders.len(), 24);
     for order in orders {
-        let mut to = carried();
+        let mut to = applier();
         for i in &order {
             let (store, version, lines) = all[*i];
             assert_eq!(change(&mut to, store, version, lines), Ok("tapsample".into()));
@@ -72,7 +72,7 @@
 #[case::twice("tapsample 0.1\ntapsample 0.2", "tapsample: set twice")]
 #[case::site("memcachenodes kind nonesuch", "memcachenodes: ")]
 fn what_does_not_fit_is_refused_whole_and_the_last_good_stays(#[case] lines: &str, #[case] why: &str) {
-    let mut to = carried();
+    let mut to = applier();
     assert_eq!(change(&mut to, 0, 1, "tapsample 0.25"), Ok("tapsample".into()));
     let before = to.text();
     let refused = change(&mut to, 0, 2, lines).expect_err("it does not fit");
@@ -90,15 +90,15 @@
 #[case::two(key("tapport"), body(1, "tapport 1\ntapsample 1"), "lines that are not about one setting")]
 #[case::other(key("tapport"), body(1, "tapsample 1"), "lines that are not about the change's key")]
 fn what_is_no_change_of_settings_is_refused(#[case] key: u32, #[case] body: Vec<u8>, #[case] why: &str) {
-    let mut to = carried();
-    assert_eq!(to.configure(of(0), key, &body), Err(Refusal(why.into())));
-    assert_eq!((said(&to), to.counts().settings), (said(&carried()), 0));
+    let mut to = applier();
+    assert_eq!(to.configure(stream(0), key, &body), Err(Refusal(why.into())));
+    assert_eq!((settings_of(&to), to.counts().settings), (settings_of(&applier()), 0));
 }
 
 /// Two settings that fit only together: the first that comes is refused, and stands once the other is there.
 #[test]
 fn a_setting_that_did_not_fit_stands_once_it_does() {
-    let mut to = carried();
+    let mut to = applier();
     let why = change(&mut to, 0, 1, "snmpuser ops sha256 passphrase view w").expect_err("no such view");
     assert_eq!((why.0.as_str(), to.counts().settings), ("snmpuser: no snmpview is called \"w\"", 0));
     assert_eq!(change(&mut to, 1, 2, "snmpview w include 1.3"), Ok("snmpview".into()));
@@ -108,18 +108,18 @@
 
 #[test]
 fn what_came_in_a_stream_that_is_void_is_gone_and_the_rest_stands() {
-    let mut to = carried();
+    let mut to = applier();
     assert!(change(&mut to, 0, 1, "tapsample 0.1").is_ok());
     assert!(change(&mut to, 1, 2, "tapsample 0.2").is_ok());
     assert!(change(&mut to, 1, 3, "tapport 7200").is_ok());
-    to.void_stream(of(1));
+    to.void_stream(stream(1));
     assert_eq!(to.counts().settings, 1);
     assert!(to.text().contains("tapsample 0.1\n") && to.text().contains("tapport 7101\n"), "{}", to.text());
 }
 
 #[test]
 fn the_record_of_what_is_stale_is_bounded_and_forgets_nothing() {
-    let mut to = carried();
+    let mut to = applier();
     (0..MAX_STALE_KEYS as u64).for_each(|n| to.mark_stale(&n.to_be_bytes()));
     to.mark_stale(&0u64.to_be_bytes());
     assert_eq!(to.counts(), Counts { stale: 0, all_stale: 1, settings: 0 });
@@ -134,7 +134,7 @@
 /// What is no setting takes no room from those that are.
 #[test]
 fn settings_that_are_carried_are_bounded() {
-    let mut to = carried();
+    let mut to = applier();
     for n in 0..2 * MAX_SETTINGS {
         assert!(change(&mut to, 0, 1, &format!("nonesuch{n} 1")).is_err());
         assert!(to.held.len() <= MAX_SETTINGS);
--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -48,40 +48,40 @@
 /// See the file's comment.
 #[derive(Debug)]
 pub struct ForwarderDriver {
-    machine: Forwarder,
+    forwarder: Forwarder,
     planners: Vec<SocketAddr>,
     members: BTreeMap<ServerId, (Member, Rc<str>)>,
     nodes: BTreeMap<ServerId, Node>,
     origins: BTreeSet<ServerId>,
     origin_kind: Option<KindId>,
     /// Of each class.
-    aims: Vec<Micros>,
-    even: f64,
+    target_latencies: Vec<Micros>,
+    even_share: f64,
     out: Vec<Output>,
     /// What the module was told last, and what is in force of it, for the log.
-    said: interface::Plan,
+    last_plan: interface::Plan,
     in_force: BTreeSet<MarkTarget>,
     /// Slots whose trouble has been told.
     troubled: BTreeSet<usize>,
 }
 
 /// A zone beyond the halls that plans tell apart is the last of them.
-fn hall(zone: interface::ZoneId) -> Zone {
+fn zone_of(zone: interface::ZoneId) -> Zone {
     Zone(zone.0.min(u16::from(ZoneSet::MOST - 1)) as u8)
 }
 
 fn verdict(verdict: Verdict) -> plan::message::Verdict {
-    use plan::message::Verdict as Told;
+    use plan::message::Verdict as PlanVerdict;
     match verdict {
-        Verdict::Served => Told::Served,
-        Verdict::Miss => Told::Miss,
-        Verdict::Error => Told::Error,
-        Verdict::Full => Told::Full,
-        Verdict::Timeout => Told::Timeout,
+        Verdict::Served => PlanVerdict::Served,
+        Verdict::Miss => PlanVerdict::Miss,
+        Verdict::Error => PlanVerdict::Error,
+        Verdict::Full => PlanVerdict::Full,
+        Verdict::Timeout => PlanVerdict::Timeout,
         // What found no connection in all of its time: neither has the node said anything.
-        Verdict::ConnectFailed | Verdict::Moot => Told::ConnectFailed,
-        Verdict::Reset => Told::Reset,
-        Verdict::Cancelled => Told::Cancelled,
+        Verdict::ConnectFailed | Verdict::Moot => PlanVerdict::ConnectFailed,
+        Verdict::Reset => PlanVerdict::Reset,
+        Verdict::Cancelled => PlanVerdict::Cancelled,
     }
 }
 
@@ -96,11 +96,11 @@
         seed: u64,
     ) -> Result<Self, &'static str> {
         let rules = rules(settings.forwarders, site);
-        let even = rules.even_part();
+        let even_share = rules.even_part();
         let config = Config {
             id: ForwarderId(discovery::hash_id(name.as_bytes())),
             life: now.unsigned_abs(),
-            zone: hall(site.zone),
+            zone: zone_of(site.zone),
             tenants: site.quotas.len(),
             classes: site.classes.len(),
             planners: settings.planners.len(),
@@ -112,16 +112,16 @@
             planners, forwarders, "forwarder {id:016x} of {forwarders}, {planners} planners"
         );
         let mut forwarding = ForwarderDriver {
-            machine: Forwarder::new(now, rules, config)?,
+            forwarder: Forwarder::new(now, rules, config)?,
             planners: settings.planners,
             members: BTreeMap::new(),
             nodes: BTreeMap::new(),
             origins: BTreeSet::new(),
             origin_kind: site.origin_kind,
-            aims: site.classes.iter().map(|c| c.target_latency).collect(),
-            even,
+            target_latencies: site.classes.iter().map(|c| c.target_latency).collect(),
+            even_share,
             out: Vec::new(),
-            said: interface::Plan::default(),
+            last_plan: interface::Plan::default(),
             in_force: BTreeSet::new(),
             troubled: BTreeSet::new(),
         };
@@ -135,41 +135,41 @@
     }
 
     /// Something went on at a node.
-    pub fn handle_node_event(&mut self, now: Micros, seen: NodeEvent) {
-        match seen {
+    pub fn handle_node_event(&mut self, now: Micros, event: NodeEvent) {
+        match event {
             NodeEvent::Listed { revision, form, nodes } => self.list(now, revision, form, nodes),
             NodeEvent::StreamTaken { class, tenant, write } => {
-                self.machine.observations().request_received(tenant.0 as usize, usize::from(class.0));
+                self.forwarder.observations().request_received(tenant.0 as usize, usize::from(class.0));
                 if write && self.origin_kind.is_some() {
-                    self.machine.observations().origin_needed();
+                    self.forwarder.observations().origin_needed();
                 }
             }
             NodeEvent::Sent(server) if self.origins.contains(&server) => {
-                self.machine.observations().fetched()
+                self.forwarder.observations().fetched()
             }
             NodeEvent::Sent(server) => {
                 if let Some(node) = self.nodes.get(&server) {
-                    self.machine.observations().sent(now, *node);
+                    self.forwarder.observations().sent(now, *node);
                 }
             }
             NodeEvent::Ended { server, verdict, elapsed, .. } if self.origins.contains(&server) => {
                 let answered = matches!(verdict, Verdict::Served | Verdict::Miss).then_some(elapsed);
-                self.machine.observations().fetch_ended(answered);
+                self.forwarder.observations().fetch_ended(answered);
             }
             NodeEvent::Ended { server, verdict: end, elapsed, load } => {
                 let Some(node) = self.nodes.get(&server).copied() else { return };
-                let eyes = self.machine.observations();
-                eyes.ended(now, node, verdict(end), elapsed);
+                let observations = self.forwarder.observations();
+                observations.ended(now, node, verdict(end), elapsed);
                 if load.is_some() {
-                    eyes.load(now, node, load);
+                    observations.load(now, node, load);
                 }
                 if end == Verdict::Miss && self.origin_kind.is_some() {
-                    eyes.origin_needed();
+                    observations.origin_needed();
                 }
             }
             NodeEvent::LateAnswer(server) => {
                 if let Some(node) = self.nodes.get(&server) {
-                    self.machine.observations().load(now, *node, None);
+                    self.forwarder.observations().load(now, *node, None);
                 }
             }
         }
@@ -178,10 +178,12 @@
     /// A stream has ended.
     pub fn record(&mut self, record: &Record) {
         let (tenant, class) = (record.tenant.0 as usize, usize::from(record.class.0));
-        let aim = self.aims.get(class).copied().unwrap_or(Micros::MAX);
+        let target = self.target_latencies.get(class).copied().unwrap_or(Micros::MAX);
         match record.ended {
-            StreamOutcome::Served if record.time <= aim => self.machine.observations().served(tenant, class),
-            StreamOutcome::Refused => self.machine.observations().refused(tenant, class),
+            StreamOutcome::Served if record.time <= target => {
+                self.forwarder.observations().served(tenant, class)
+            }
+            StreamOutcome::Refused => self.forwarder.observations().refused(tenant, class),
             _ => {}
         }
     }
@@ -203,9 +205,9 @@
             }
             let node = Node { id: id.0, life: m.started.map_or(0, |t| t.unsigned_abs()) };
             self.nodes.insert(*id, node);
-            listed.push(Listed { node, zone: hall(m.zone), ready: m.phase == Phase::Ready });
+            listed.push(Listed { node, zone: zone_of(m.zone), ready: m.phase == Phase::Ready });
         }
-        self.machine.list(now, revision, &listed, &mut self.out);
+        self.forwarder.list(now, revision, &listed, &mut self.out);
     }
 
     /// A slot's connection is up.
@@ -213,7 +215,7 @@
         self.troubled.remove(&slot);
         let address = self.address(slot).map(tracing::field::display);
         info!(event = "planner_up", planner = address, "planner {slot} is connected");
-        self.machine.up(now, slot, &mut self.out);
+        self.forwarder.up(now, slot, &mut self.out);
     }
 
     /// A slot's connection is over, or did not come up. The first of a row is told.
@@ -222,7 +224,7 @@
             let address = self.address(slot).map(tracing::field::display);
             warn!(event = "planner_down", planner = address, why, "planner {slot} is out of reach: {why}");
         }
-        self.machine.down(now, slot);
+        self.forwarder.down(now, slot);
     }
 
     /// A planner has said something.
@@ -231,37 +233,37 @@
         now: Micros,
         slot: usize,
         message: &Message,
-        wishes: &mut Vec<HostAction>,
+        actions: &mut Vec<HostAction>,
     ) {
-        if let Err(why) = self.machine.message(now, slot, message, &mut self.out) {
-            wishes.push(HostAction::Close(slot));
+        if let Err(why) = self.forwarder.message(now, slot, message, &mut self.out) {
+            actions.push(HostAction::Close(slot));
             self.down(now, slot, &why.to_string());
         }
     }
 
     /// What planners have this proxy avoid.
     pub fn in_force(&self) -> impl Iterator<Item = MarkTarget> + '_ {
-        self.machine.in_force()
+        self.forwarder.in_force()
     }
 
     /// When [`ForwarderDriver::tick`] has something to do.
     pub fn next(&self, now: Micros) -> Micros {
-        self.machine.next(now)
+        self.forwarder.next(now)
     }
 
     /// Does what is due, and hands out what is to be done.
-    pub fn tick(&mut self, now: Micros, wishes: &mut Vec<HostAction>) {
-        if self.machine.next(now) <= now {
-            self.machine.tick(now, &mut self.out);
+    pub fn tick(&mut self, now: Micros, actions: &mut Vec<HostAction>) {
+        if self.forwarder.next(now) <= now {
+            self.forwarder.tick(now, &mut self.out);
             // What stands fades, whether anything came or went.
             self.out.push(Output::GuidanceChanged);
         }
-        let mut stands = false;
+        let mut changed = false;
         for output in std::mem::take(&mut self.out) {
             match output {
-                Output::Dial(slot) => wishes.push(HostAction::Dial(slot)),
-                Output::Send(slot, message) => wishes.push(HostAction::Send(slot, message)),
-                Output::GuidanceChanged => stands = true,
+                Output::Dial(slot) => actions.push(HostAction::Dial(slot)),
+                Output::Send(slot, message) => actions.push(HostAction::Send(slot, message)),
+                Output::GuidanceChanged => changed = true,
                 Output::Refused(slot, why) => {
                     let planner = self.address(slot).map(tracing::field::display);
                     let why = why.to_string();
@@ -269,30 +271,30 @@
                 }
             }
         }
-        if stands {
-            self.tell_force();
+        if changed {
+            self.log_in_force();
             let plan = self.plan(now);
-            if plan != self.said {
-                self.said = plan.clone();
-                wishes.push(HostAction::Plan(plan));
+            if plan != self.last_plan {
+                self.last_plan = plan.clone();
+                actions.push(HostAction::Plan(plan));
             }
         }
     }
 
     /// The planned end.
-    pub fn bye(&mut self, wishes: &mut Vec<HostAction>) {
+    pub fn bye(&mut self, actions: &mut Vec<HostAction>) {
         let mut out = Vec::new();
-        self.machine.bye(&mut out);
+        self.forwarder.bye(&mut out);
         let send = |o| match o {
             Output::Send(slot, message) => Some(HostAction::Send(slot, message)),
             _ => None,
         };
-        wishes.extend(out.into_iter().filter_map(send));
+        actions.extend(out.into_iter().filter_map(send));
     }
 
     /// What stands, in the module's words.
     fn plan(&self, now: Micros) -> interface::Plan {
-        let standing = self.machine.guidance(now);
+        let guidance = self.forwarder.guidance(now);
         let solved = |(n, q, trust): &(Node, plan::solve::Queue, f64)| PlannedTerms {
             server: ServerId(n.id),
             rho: q.rho,
@@ -302,29 +304,29 @@
             trust: *trust,
         };
         interface::Plan {
-            key_fractions: standing.takes.iter().map(|(n, part)| (ServerId(n.id), *part)).collect(),
-            solved: standing.queues.iter().filter(|q| q.2 > 0.0).map(solved).collect(),
-            trust: standing.parts_trust,
-            quotas: standing.tenants,
+            key_fractions: guidance.takes.iter().map(|(n, part)| (ServerId(n.id), *part)).collect(),
+            solved: guidance.queues.iter().filter(|q| q.2 > 0.0).map(solved).collect(),
+            trust: guidance.parts_trust,
+            quotas: guidance.tenants,
             // Each proxy's own budget is its part of the traffic already; a part below the even one lowers it.
-            cold: (standing.cold / self.even).clamp(0.0, 1.0),
+            cold: (guidance.cold / self.even_share).clamp(0.0, 1.0),
             // What one proxy alone may have out, for all of them together.
-            fetches: standing.origin * origin::MAX_LIMIT,
+            fetches: guidance.origin * origin::MAX_LIMIT,
         }
     }
 
     /// What came into force or left it, a line each: bounded by the rules' most changes.
-    fn tell_force(&mut self) {
-        let now: BTreeSet<MarkTarget> = self.machine.in_force().collect();
-        for matter in now.symmetric_difference(&self.in_force) {
-            let what = match matter {
+    fn log_in_force(&mut self) {
+        let now: BTreeSet<MarkTarget> = self.forwarder.in_force().collect();
+        for target in now.symmetric_difference(&self.in_force) {
+            let what = match target {
                 MarkTarget::Node(n) => {
                     let name = self.members.get(&ServerId(n.id)).map(|(_, name)| name.as_ref());
                     format!("node {}", name.unwrap_or("that is gone"))
                 }
                 MarkTarget::Zone(h) => format!("hall {}", h.0),
             };
-            match now.contains(matter) {
+            match now.contains(target) {
                 true => warn!(event = "plan_avoids", what, "{what} is avoided, as planners say"),
                 false => info!(event = "plan_returns", what, "{what} is no longer avoided"),
             }
--- a/src/features/multiget.rs
+++ b/src/features/multiget.rs
@@ -40,9 +40,9 @@
 #[derive(Debug)]
 struct Batch {
     wanted: usize,
-    taken: usize,
+    received: usize,
     bytes: usize,
-    asks: Vec<NewStream>,
+    streams: Vec<NewStream>,
     /// Why none of it will be asked; the rest is read all the same, to stay in step.
     fault: Option<String>,
 }
@@ -120,29 +120,29 @@
         if batch.bytes > resp::MAX_COMMAND + batch.wanted * READ_BYTES {
             return Parsed::Close(error("ERR the reads are too long"));
         }
-        let read = read(&self.words, downstream, first + batch.taken as u64, command);
-        batch.taken += 1;
+        let read = read(&self.words, downstream, first + batch.received as u64, command);
+        batch.received += 1;
         match read {
-            Ok(ask) if batch.asks.iter().any(|a| a.message.id == ask.message.id) => {
+            Ok(stream) if batch.streams.iter().any(|a| a.message.id == stream.message.id) => {
                 batch.fail("an id twice");
             }
-            Ok(ask) if batch.fault.is_none() => batch.asks.push(ask),
+            Ok(stream) if batch.fault.is_none() => batch.streams.push(stream),
             Ok(_) => {}
             Err(what) => batch.fail(what),
         }
-        if batch.taken < batch.wanted {
+        if batch.received < batch.wanted {
             return Parsed::More;
         }
         let Some(batch) = self.batch.take() else { return Parsed::More };
-        if let Some(fault) = batch.fault {
-            return Parsed::Local(error(&format!("ERR {fault}")));
+        if let Some(reason) = batch.fault {
+            return Parsed::Local(error(&format!("ERR {reason}")));
         }
         if self.open.get() + batch.wanted > MAX_OPEN_READS {
             return Parsed::Local(error("BUSY"));
         }
         self.open.set(self.open.get() + batch.wanted);
         self.permits = Some(ReadPermits(self.open.clone(), batch.wanted));
-        Parsed::Asks(batch.asks)
+        Parsed::Asks(batch.streams)
     }
 
     /// What is no read of a multi-get: the beginning of one, or `PING` and `QUIT` as on the main port.
@@ -156,8 +156,8 @@
                     let most = self.max_keys;
                     return Parsed::Close(error(&format!("ERR the number of reads is not from 1 to {most}")));
                 };
-                let asks = Vec::with_capacity(wanted);
-                self.batch = Some(Batch { wanted, taken: 0, bytes: 0, asks, fault: None });
+                let streams = Vec::with_capacity(wanted);
+                self.batch = Some(Batch { wanted, received: 0, bytes: 0, streams, fault: None });
                 Parsed::More
             }
             (b"CACHE.MGET", ..) => Parsed::Close(error("ERR wrong number of arguments")),
@@ -170,7 +170,7 @@
 impl Batch {
     /// The first fault is told, with the number of its read.
     fn fail(&mut self, what: &str) {
-        self.fault.get_or_insert_with(|| format!("read {}: {what}", self.taken));
+        self.fault.get_or_insert_with(|| format!("read {}: {what}", self.received));
     }
 }
 
@@ -188,8 +188,8 @@
     if command.len() != 4 {
         return Err("wrong number of arguments");
     }
-    let ask = words.ask(downstream, place, command)?;
-    let class = words.site.settings.classes.get(usize::from(ask.class.0));
+    let stream = words.ask(downstream, place, command)?;
+    let class = words.site.settings.classes.get(usize::from(stream.class.0));
     let safe = class.is_some_and(|c| c.repeat == Repeat::Retryable);
-    Some(ask).filter(|_| safe).ok_or("a class of writes")
+    Some(stream).filter(|_| safe).ok_or("a class of writes")
 }
--- a/src/features/planner.rs
+++ b/src/features/planner.rs
@@ -22,13 +22,13 @@
 use tracing::{info, warn};
 
 /// News that may wait, and news taken before what is due is done.
-const QUEUE: usize = 1024;
-const AT_ONCE: usize = 256;
+const QUEUE_CAPACITY: usize = 1024;
+const EVENTS_PER_TURN: usize = 256;
 /// Without a descriptor for a connection: how long until the next is tried.
-const CROWDED: Duration = Duration::from_millis(200);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// How often figures are told, and how many lines about peers and nodes between two of them.
-const FIGURES: Micros = 10_000_000;
-const LINES: u64 = 20;
+const FIGURES_INTERVAL: Micros = 10_000_000;
+const MAX_LINES: u64 = 20;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
@@ -37,12 +37,12 @@
     pub forwarders: Option<u32>,
 }
 
-enum News {
+enum Event {
     Accepted(Async<TcpStream>, SocketAddr),
-    Said(PeerId, Box<Message>),
+    Message(PeerId, Box<Message>),
     Down(PeerId, String),
     /// Told by the accepting task, once in a row.
-    Crowded(String),
+    AcceptFailed(String),
     End,
 }
 
@@ -59,12 +59,12 @@
     peers: BTreeMap<PeerId, Peer>,
     last: PeerId,
     lists: AddressLists,
-    queue: Sender<News>,
+    queue: Sender<Event>,
     executor: Rc<LocalExecutor<'static>>,
-    lines: u64,
-    told: Micros,
+    logged_lines: u64,
+    last_figures: Micros,
     /// Nodes marked, for lines of the log.
-    silent: BTreeSet<Node>,
+    logged_silent: BTreeSet<Node>,
 }
 
 /// Serves until SIGTERM or SIGINT. All tasks are spawned on `executor`, whose thread this has to be.
@@ -80,7 +80,7 @@
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     let clock = Clock::new();
     let now = clock.now();
-    let (queue, news) = async_channel::bounded(QUEUE);
+    let (queue, events) = async_channel::bounded(QUEUE_CAPACITY);
     let forwarders = rules.forwarders;
     // The clock's milliseconds as the epoch; forwarders correct one that went back.
     let planner = Planner::new(now, rules, now.unsigned_abs() / 1000)?;
@@ -91,9 +91,9 @@
         lists,
         queue: queue.clone(),
         executor: executor.clone(),
-        lines: 0,
-        told: now,
-        silent: BTreeSet::new(),
+        logged_lines: 0,
+        last_figures: now,
+        logged_silent: BTreeSet::new(),
     };
     info!(
         event = "planning",
@@ -106,41 +106,41 @@
         loop {
             // There is nothing to read again.
             if signals.next().await == SignalRequest::End {
-                let _ = queue.send(News::End).await;
+                let _ = queue.send(Event::End).await;
             }
         }
     });
-    host.work(&clock, &news).await;
+    host.run_loop(&clock, &events).await;
     info!(event = "ended", "ended");
     Ok(())
 }
 
-async fn accept(listener: Async<TcpListener>, queue: Sender<News>) {
-    let mut crowded = false;
+async fn accept(listener: Async<TcpListener>, queue: Sender<Event>) {
+    let mut failing = false;
     loop {
         match listener.accept().await {
             Ok((socket, peer)) => {
-                crowded = false;
-                let _ = queue.send(News::Accepted(socket, unmapped(peer))).await;
+                failing = false;
+                let _ = queue.send(Event::Accepted(socket, unmapped(peer))).await;
             }
             Err(why) => {
-                if !std::mem::replace(&mut crowded, true) {
-                    let _ = queue.send(News::Crowded(why.to_string())).await;
+                if !std::mem::replace(&mut failing, true) {
+                    let _ = queue.send(Event::AcceptFailed(why.to_string())).await;
                 }
-                Timer::after(CROWDED).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 impl Host {
-    async fn work(&mut self, clock: &Clock, news: &Receiver<News>) {
+    async fn run_loop(&mut self, clock: &Clock, events: &Receiver<Event>) {
         let mut timer = Timer::at(Instant::now());
         loop {
             let now = clock.now();
-            for _ in 0..AT_ONCE {
-                let Ok(one) = news.try_recv() else { break };
-                if self.hear(now, one) {
+            for _ in 0..EVENTS_PER_TURN {
+                let Ok(event) = events.try_recv() else { break };
+                if self.handle_event(now, event) {
                     return;
                 }
             }
@@ -148,9 +148,9 @@
                 let mut out = Vec::new();
                 self.planner.tick(now, &mut out);
                 self.carry_out(out);
-                self.tell(now);
+                self.log_changes(now);
             }
-            if !news.is_empty() {
+            if !events.is_empty() {
                 future::yield_now().await;
                 continue;
             }
@@ -159,8 +159,8 @@
                 (&mut timer).await;
                 None
             };
-            if let Some(one) = future::or(async { news.recv().await.ok() }, tick).await {
-                if self.hear(clock.now(), one) {
+            if let Some(event) = future::or(async { events.recv().await.ok() }, tick).await {
+                if self.handle_event(clock.now(), event) {
                     return;
                 }
             }
@@ -168,10 +168,10 @@
     }
 
     /// Whether it is to end.
-    fn hear(&mut self, now: Micros, news: News) -> bool {
-        match news {
-            News::Accepted(socket, address) => self.accepted(now, socket, address),
-            News::Said(peer, message) => {
+    fn handle_event(&mut self, now: Micros, event: Event) -> bool {
+        match event {
+            Event::Accepted(socket, address) => self.accepted(now, socket, address),
+            Event::Message(peer, message) => {
                 let mut out = Vec::new();
                 let known = self.peers.get(&peer).is_some_and(|p| !p.closing);
                 if known {
@@ -182,22 +182,24 @@
                 }
                 self.carry_out(out);
             }
-            News::Down(peer, why) => {
+            Event::Down(peer, why) => {
                 self.planner.down(peer);
                 if let Some(p) = self.peers.remove(&peer).filter(|p| !p.closing) {
                     let address = p.address;
-                    self.line(|| info!(event = "peer_left", client = %address, why, "{address} left: {why}"));
+                    self.log_limited(
+                        || info!(event = "peer_left", client = %address, why, "{address} left: {why}"),
+                    );
                 }
             }
-            News::Crowded(why) => warn!(event = "accept_failed", why, "accept failed: {why}"),
-            News::End => return true,
+            Event::AcceptFailed(why) => warn!(event = "accept_failed", why, "accept failed: {why}"),
+            Event::End => return true,
         }
         false
     }
 
     fn accepted(&mut self, now: Micros, socket: Async<TcpStream>, address: SocketAddr) {
         if !self.lists.admits(address.ip()) {
-            return self.line(
+            return self.log_limited(
                 || warn!(event = "refused", client = %address, "{address} refused by the address lists"),
             );
         }
@@ -205,9 +207,9 @@
         self.last += 1;
         let (peer, (outbox, inbox), queue) = (self.last, framed::outbox(), self.queue.clone());
         let task = self.executor.spawn(async move {
-            let why = framed::carry(&socket, inbox, &queue, |message| News::Said(peer, message)).await;
+            let why = framed::carry(&socket, inbox, &queue, |message| Event::Message(peer, message)).await;
             drop(socket);
-            let _ = queue.send(News::Down(peer, why)).await;
+            let _ = queue.send(Event::Down(peer, why)).await;
         });
         self.peers.insert(peer, Peer { address, outbox, closing: false, _task: task });
         if let Err(why) = self.planner.up(now, peer) {
@@ -224,7 +226,7 @@
             self.peers.remove(&peer);
         }
         let why = why.to_string();
-        self.line(|| warn!(event = "peer_refused", client = %address, why, "{address} closed: {why}"));
+        self.log_limited(|| warn!(event = "peer_refused", client = %address, why, "{address} closed: {why}"));
     }
 
     fn carry_out(&mut self, out: Vec<Output>) {
@@ -241,7 +243,8 @@
         let frame: Rc<[u8]> = match frame::encode(message) {
             Ok(bytes) => bytes.into(),
             Err(why) => {
-                return self.line(|| warn!(event = "not_told", why = why.to_string(), "not told: {why}"))
+                return self
+                    .log_limited(|| warn!(event = "not_told", why = why.to_string(), "not told: {why}"))
             }
         };
         for peer in peers {
@@ -252,7 +255,7 @@
             if let Some(p) = self.peers.remove(peer) {
                 self.planner.down(*peer);
                 let address = p.address;
-                self.line(
+                self.log_limited(
                     || warn!(event = "peer_cut", client = %address, "{address} cut, it reads too slowly"),
                 );
             }
@@ -260,22 +263,22 @@
     }
 
     /// A line of which there could be many.
-    fn line(&mut self, tell: impl FnOnce()) {
-        self.lines += 1;
-        if self.lines <= LINES {
+    fn log_limited(&mut self, tell: impl FnOnce()) {
+        self.logged_lines += 1;
+        if self.logged_lines <= MAX_LINES {
             tell();
         }
     }
 
     /// Lines about nodes that are marked or no longer, and the figures.
-    fn tell(&mut self, now: Micros) {
+    fn log_changes(&mut self, now: Micros) {
         let marks: BTreeMap<Node, (u16, ZoneSet)> =
             self.planner.findings().silent.iter().map(|m| (m.node, (m.witnesses, m.zones))).collect();
-        for node in marks.keys().filter(|n| !self.silent.contains(n)).copied().collect::<Vec<_>>() {
+        for node in marks.keys().filter(|n| !self.logged_silent.contains(n)).copied().collect::<Vec<_>>() {
             let (witnesses, halls) = marks.get(&node).copied().unwrap_or_default();
             let for_all = if halls == ZoneSet::ALL { "all" } else { "some halls" };
             let id = node.id;
-            self.line(|| {
+            self.log_limited(|| {
                 warn!(
                     event = "silent",
                     node = id,
@@ -284,15 +287,16 @@
                 );
             });
         }
-        for node in self.silent.iter().filter(|n| !marks.contains_key(n)).copied().collect::<Vec<_>>() {
+        for node in self.logged_silent.iter().filter(|n| !marks.contains_key(n)).copied().collect::<Vec<_>>()
+        {
             let id = node.id;
-            self.line(|| info!(event = "lives", node = id, "node {id:016x} is silent no more"));
+            self.log_limited(|| info!(event = "lives", node = id, "node {id:016x} is silent no more"));
         }
-        self.silent = marks.into_keys().collect();
-        if now - self.told < FIGURES {
+        self.logged_silent = marks.into_keys().collect();
+        if now - self.last_figures < FIGURES_INTERVAL {
             return;
         }
-        self.told = now;
+        self.last_figures = now;
         let shown = self.planner.shown(now);
         let (plan, peers) = (&shown.plan, self.peers.len());
         let number = format!("{}.{}", plan.number.epoch, plan.number.count);
@@ -310,7 +314,7 @@
             "plan {number} warm {warm} forwarders {forwarders} witnesses {witnesses} silent {silent} \
              cuts {cuts}; open: peers {peers}"
         );
-        let left = std::mem::take(&mut self.lines).saturating_sub(LINES);
+        let left = std::mem::take(&mut self.logged_lines).saturating_sub(MAX_LINES);
         if left > 0 {
             warn!(event = "left_out", lines = left, "{left} more lines left out");
         }
--- a/src/features/snmp/mod.rs
+++ b/src/features/snmp/mod.rs
@@ -33,14 +33,14 @@
 use tracing::{info, warn};
 
 /// The part of the thread's time that the agent may take, one in so many, and how much of it may be saved up.
-const SHARE: u32 = 20;
-const SAVED: Duration = Duration::from_millis(2);
+const CPU_DIVISOR: u32 = 20;
+const MAX_SAVED: Duration = Duration::from_millis(2);
 /// A snapshot is published no more often than this.
-const PUBLISH: Micros = 200_000;
+const PUBLISH_INTERVAL: Micros = 200_000;
 /// A tree is built anew when somebody asks and it is older than this.
-const TREE: Micros = 1_000_000;
+const TREE_MAX_AGE: Micros = 1_000_000;
 /// After an error of a socket.
-const PAUSE: Duration = Duration::from_millis(100);
+const ERROR_DELAY: Duration = Duration::from_millis(100);
 
 /// Who the proxy is, for the agent.
 #[derive(Debug)]
@@ -148,7 +148,7 @@
 
     /// Whether the last snapshot is old enough for another.
     pub fn due(&self, now: Micros) -> bool {
-        !(0..PUBLISH).contains(&(now - self.published.borrow().at))
+        !(0..PUBLISH_INTERVAL).contains(&(now - self.published.borrow().at))
     }
 
     /// Publishes what there is to see, and hands on what changed since.
@@ -170,7 +170,7 @@
     /// The instances of now, or of a moment ago.
     fn tree(&self, now: Micros) -> Rc<Tree> {
         let mut kept = self.tree.borrow_mut();
-        if let Some((_, tree)) = kept.as_ref().filter(|(at, _)| (0..TREE).contains(&(now - at))) {
+        if let Some((_, tree)) = kept.as_ref().filter(|(at, _)| (0..TREE_MAX_AGE).contains(&(now - at))) {
             return tree.clone();
         }
         let agent = self.agent.borrow();
@@ -197,7 +197,7 @@
         let mut budget = Budget::new(Instant::now());
         loop {
             let Ok((n, from)) = receive(&socket, &mut buffer).await else {
-                Timer::after(PAUSE).await;
+                Timer::after(ERROR_DELAY).await;
                 continue;
             };
             let began = Instant::now();
@@ -247,10 +247,10 @@
                 let _ = self.woken.recv().await;
                 None
             };
-            let heard = future::or(heard(&four), heard(&six));
-            match future::or(future::or(woken, due), async { Some(heard.await) }).await {
+            let received = future::or(receive_on(&four), receive_on(&six));
+            match future::or(future::or(woken, due), async { Some(received.await) }).await {
                 Some(Ok((from, datagram))) => self.notifier.borrow_mut().heard(clock(), from, &datagram),
-                Some(Err(_)) => drop(Timer::after(PAUSE).await),
+                Some(Err(_)) => drop(Timer::after(ERROR_DELAY).await),
                 None => {}
             }
         }
@@ -263,7 +263,7 @@
 }
 
 /// The next datagram that comes back, if there is a socket for any.
-async fn heard(socket: &Option<Async<UdpSocket>>) -> io::Result<(SocketAddr, Vec<u8>)> {
+async fn receive_on(socket: &Option<Async<UdpSocket>>) -> io::Result<(SocketAddr, Vec<u8>)> {
     let Some(socket) = socket else { return future::pending().await };
     let mut buffer = vec![0; DATAGRAM + 1];
     let (n, from) = receive(socket, &mut buffer).await?;
@@ -280,18 +280,18 @@
 
 impl Budget {
     fn new(at: Instant) -> Self {
-        Budget { saved: SAVED, owed: Duration::ZERO, at }
+        Budget { saved: MAX_SAVED, owed: Duration::ZERO, at }
     }
 
     /// Spends; comes back with how long to rest, if more was spent than there was.
     fn spend(&mut self, now: Instant, spent: Duration) -> Option<Duration> {
-        let gained = (now - self.at) / SHARE;
+        let gained = (now - self.at) / CPU_DIVISOR;
         self.at = now;
         let paid = gained.min(self.owed);
-        (self.owed, self.saved) = (self.owed - paid, (self.saved + gained - paid).min(SAVED));
+        (self.owed, self.saved) = (self.owed - paid, (self.saved + gained - paid).min(MAX_SAVED));
         let free = spent.min(self.saved);
         (self.saved, self.owed) = (self.saved - free, self.owed + spent - free);
-        (self.owed > Duration::ZERO).then(|| self.owed * SHARE)
+        (self.owed > Duration::ZERO).then(|| self.owed * CPU_DIVISOR)
     }
 }
 
--- a/src/features/snmp/settings.rs
+++ b/src/features/snmp/settings.rs
@@ -44,7 +44,7 @@
 pub struct SettingLines {
     port: Option<u16>,
     enterprise: Option<u32>,
-    open: bool,
+    noauth: bool,
     state: Option<PathBuf>,
     contact: String,
     location: String,
@@ -56,21 +56,21 @@
     fingerprint: u64,
 }
 
-fn number<T: std::str::FromStr + Copy>(
+fn parse_number<T: std::str::FromStr + Copy>(
     value: &str,
     what: &str,
     fits: impl Fn(T) -> bool,
 ) -> Result<T, String> {
     let digits = value.bytes().all(|b| b.is_ascii_digit());
     let n = value.parse().ok().filter(|n| digits && fits(*n));
-    n.ok_or_else(|| format!("{what} is wanted, not \"{}\"", shown(value)))
+    n.ok_or_else(|| format!("{what} is wanted, not \"{}\"", escape(value)))
 }
 
-fn shown(value: &str) -> String {
+fn escape(value: &str) -> String {
     value.chars().take(80).collect::<String>().escape_debug().to_string()
 }
 
-fn text(value: &str) -> Result<String, String> {
+fn parse_text(value: &str) -> Result<String, String> {
     match value.len() {
         1..=MAX_TEXT => Ok(value.to_owned()),
         _ => Err(format!("a text of up to {MAX_TEXT} bytes is wanted")),
@@ -105,39 +105,40 @@
             }
         }
         let line = Line { number: number_of_line, words };
-        let room = |list: &Vec<Line>, most: usize| match list.len() < most {
+        let check_count = |list: &Vec<Line>, most: usize| match list.len() < most {
             true => Ok(()),
             false => Err(format!("more than {most} of them")),
         };
         match name {
-            "snmpport" => self.port = Some(number(value, "a port", |_: u16| true)?),
+            "snmpport" => self.port = Some(parse_number(value, "a port", |_: u16| true)?),
             "snmpenterprise" => {
                 let what = "an enterprise number from 1 to 2147483647";
-                self.enterprise = Some(number(value, what, |n: u32| (1..=i32::MAX as u32).contains(&n))?);
+                self.enterprise =
+                    Some(parse_number(value, what, |n: u32| (1..=i32::MAX as u32).contains(&n))?);
             }
             "snmpnoauth" => match value {
-                "on" => self.open = true,
-                "off" => self.open = false,
-                _ => return Err(format!("on or off is wanted, not \"{}\"", shown(value))),
+                "on" => self.noauth = true,
+                "off" => self.noauth = false,
+                _ => return Err(format!("on or off is wanted, not \"{}\"", escape(value))),
             },
-            "snmpstate" => self.state = Some(text(value)?.into()),
-            "snmpcontact" => self.contact = text(value)?,
-            "snmplocation" => self.location = text(value)?,
+            "snmpstate" => self.state = Some(parse_text(value)?.into()),
+            "snmpcontact" => self.contact = parse_text(value)?,
+            "snmplocation" => self.location = parse_text(value)?,
             "snmpfleetleast" => {
                 let what = "a number of nodes from 1 to 100000";
-                self.fleet_least = number(value, what, |n: u32| (1..=100_000).contains(&n))?;
+                self.fleet_least = parse_number(value, what, |n: u32| (1..=100_000).contains(&n))?;
             }
             "snmpview" => self.view(&line.words)?,
             "snmpcommunity" => {
-                room(&self.communities, access::MOST)?;
+                check_count(&self.communities, access::MOST)?;
                 self.communities.push(line);
             }
             "snmpuser" => {
-                room(&self.users, access::MOST)?;
+                check_count(&self.users, access::MOST)?;
                 self.users.push(line);
             }
             "snmptrapto" => {
-                room(&self.targets, RECEIVERS)?;
+                check_count(&self.targets, RECEIVERS)?;
                 self.targets.push(line);
             }
             _ => return Err("unknown setting".to_owned()),
@@ -147,14 +148,14 @@
 
     /// `NAME include|exclude OID`
     fn view(&mut self, words: &[String]) -> Result<(), String> {
-        let wanted = || "NAME include OID or NAME exclude OID is wanted".to_owned();
-        let [name, how, root] = words else { return Err(wanted()) };
-        let is = match how.as_str() {
+        let expected = || "NAME include OID or NAME exclude OID is wanted".to_owned();
+        let [name, how, root] = words else { return Err(expected()) };
+        let included = match how.as_str() {
             "include" => true,
             "exclude" => false,
-            _ => return Err(wanted()),
+            _ => return Err(expected()),
         };
-        let root = Oid::parse(root).ok_or_else(wanted)?;
+        let root = Oid::parse(root).ok_or_else(expected)?;
         if !self.views.contains_key(name) && self.views.len() >= access::MOST {
             return Err(format!("more than {} views", access::MOST));
         }
@@ -162,17 +163,17 @@
         if view.subtrees.len() >= access::MOST {
             return Err(format!("more than {} subtrees in a view", access::MOST));
         }
-        view.subtrees.push((root, is));
+        view.subtrees.push((root, included));
         Ok(())
     }
 
     /// The view that the words behind a line's name: `view NAME`, or everything.
-    fn named(&self, words: &[&str]) -> Result<View, String> {
+    fn view_named(&self, words: &[&str]) -> Result<View, String> {
         match words {
             [] => Ok(View::all()),
             ["view", name] => {
                 let view = self.views.get(*name).cloned();
-                view.ok_or_else(|| format!("no snmpview is called \"{}\"", shown(name)))
+                view.ok_or_else(|| format!("no snmpview is called \"{}\"", escape(name)))
             }
             _ => Err("view NAME is wanted behind it, or nothing".into()),
         }
@@ -188,7 +189,7 @@
             return Err(format!("a name of up to {} bytes is wanted", access::NAME));
         }
         let from = network(from).ok_or("a range like 10.20.0.0/16 is wanted behind the name")?;
-        Ok(Community { name: name.as_bytes().to_vec(), from, view: self.named(rest)? })
+        Ok(Community { name: name.as_bytes().to_vec(), from, view: self.view_named(rest)? })
     }
 
     /// `NAME noauth [view NAME]` or `NAME sha256 PASSPHRASE [aes PASSPHRASE] [view NAME]`
@@ -208,53 +209,52 @@
             _ => return Err("NAME sha256 PASSPHRASE [aes PASSPHRASE] [view NAME] is wanted".into()),
         };
         let user = user?;
-        if user.level() == Level::Open && !self.open {
+        if user.level() == Level::Open && !self.noauth {
             return Err("a user without authentication wants snmpnoauth on".into());
         }
-        Ok(Reader { user, view: self.named(rest)? })
+        Ok(Reader { user, view: self.view_named(rest)? })
     }
 
     /// `trap|inform ADDRESS community NAME` or `trap|inform ADDRESS user NAME`
     fn target(line: &Line, access: &Access) -> Result<Target, String> {
-        let wanted = "trap or inform, ADDRESS, and community NAME or user NAME is wanted";
+        let expected = "trap or inform, ADDRESS, and community NAME or user NAME is wanted";
         let words: Vec<&str> = line.words.iter().map(String::as_str).collect();
-        let [how, address, sort, name] = words.as_slice() else { return Err(wanted.into()) };
+        let [how, address, sort, name] = words.as_slice() else { return Err(expected.into()) };
         let informs = match *how {
             "trap" => false,
             "inform" => true,
-            _ => return Err(wanted.into()),
+            _ => return Err(expected.into()),
         };
         let address: SocketAddr = address.parse().map_err(|_| "an address like 10.0.0.9:162 is wanted")?;
         let as_whom = match *sort {
             "community" => As::Community(name.as_bytes().to_vec()),
             "user" => {
                 let reader = access.reader(name.as_bytes()).map(|(_, r)| r.user.clone());
-                As::User(reader.ok_or_else(|| format!("no snmpuser is called \"{}\"", shown(name)))?)
+                As::User(reader.ok_or_else(|| format!("no snmpuser is called \"{}\"", escape(name)))?)
             }
-            _ => return Err(wanted.into()),
+            _ => return Err(expected.into()),
         };
         Ok(Target { address, informs, as_whom })
     }
 
     /// What the lines mean together: nothing without a port. An error comes with the number of its line.
     pub fn settle(self) -> Result<Option<Settings>, (usize, String)> {
-        let of = |line: &Line, name: &str, what: String| (line.number, format!("{name}: {what}"));
+        let error_at = |line: &Line, name: &str, what: String| (line.number, format!("{name}: {what}"));
         let mut access = Access::default();
         for line in &self.communities {
-            let one = self.community(line).map_err(|what| of(line, "snmpcommunity", what))?;
+            let one = self.community(line).map_err(|what| error_at(line, "snmpcommunity", what))?;
             access.communities.push(one);
         }
         for line in &self.users {
-            let one = self.user(line).map_err(|what| of(line, "snmpuser", what))?;
+            let one = self.user(line).map_err(|what| error_at(line, "snmpuser", what))?;
             if access.reader(&one.user.name).is_some() {
-                return Err(of(line, "snmpuser", "a user twice".into()));
+                return Err(error_at(line, "snmpuser", "a user twice".into()));
             }
             access.readers.push(one);
         }
-        let targets = self
-            .targets
-            .iter()
-            .map(|line| SettingLines::target(line, &access).map_err(|what| of(line, "snmptrapto", what)));
+        let targets = self.targets.iter().map(|line| {
+            SettingLines::target(line, &access).map_err(|what| error_at(line, "snmptrapto", what))
+        });
         let targets = targets.collect::<Result<_, _>>()?;
         Ok(self.port.map(|port| Settings {
             port,
--- a/src/features/snmp/snapshot_builder.rs
+++ b/src/features/snmp/snapshot_builder.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 
 /// A ledger that may have fewer out than this rests between two: next to nothing goes there.
-const CLOSED: f64 = 1.0;
+const CLOSED_WINDOW: f64 = 1.0;
 /// Answers so many times slower than at their best are strain, as `limits::ledger` has it.
-const STRAINED: f64 = 2.5;
+const STRAINED_LATENCY_RATIO: f64 = 2.5;
 
 /// What the owner knows beside the core.
 #[derive(Clone, Copy, Debug, Default)]
@@ -52,8 +52,8 @@
     }
 }
 
-fn state(seen: &NodeStatus) -> State {
-    match seen.sight.map(|s| s.health) {
+fn state(node: &NodeStatus) -> State {
+    match node.sight.map(|s| s.health) {
         None => State::Gone,
         Some(Health::Serving) => State::Serving,
         Some(Health::Cold) => State::Cold,
@@ -63,11 +63,11 @@
     }
 }
 
-fn ledger(survey: &ClusterStatus) -> Ledger {
-    let Some(origin) = survey.origin else { return Ledger::default() };
-    let state = if !origin.available || origin.window < CLOSED {
+fn ledger(status: &ClusterStatus) -> Ledger {
+    let Some(origin) = status.origin else { return Ledger::default() };
+    let state = if !origin.available || origin.window < CLOSED_WINDOW {
         LedgerState::Closed
-    } else if origin.latency_ratio >= STRAINED {
+    } else if origin.latency_ratio >= STRAINED_LATENCY_RATIO {
         LedgerState::Strained
     } else {
         LedgerState::Open
@@ -100,31 +100,31 @@
         }
     }
 
-    fn node(&mut self, now: Micros, seen: NodeStatus) -> Node {
-        let (phase, state) = (phase(seen.phase), state(&seen));
-        let last = self.changed.entry(seen.name.clone()).or_insert((phase, state, seen.since));
+    fn node(&mut self, now: Micros, node: NodeStatus) -> Node {
+        let (phase, state) = (phase(node.phase), state(&node));
+        let last = self.changed.entry(node.name.clone()).or_insert((phase, state, node.since));
         if (last.0, last.1) != (phase, state) {
             *last = (phase, state, now);
         }
         let changed = last.2;
         let named = |names: &[Rc<str>], at: u16| names.get(usize::from(at)).cloned().unwrap_or_default();
         Node {
-            address: seen.address.to_string(),
-            hall: named(&self.zones, seen.zone.0),
-            kind: named(&self.kinds, seen.kind.0),
-            ledger: seen.origin,
+            address: node.address.to_string(),
+            hall: named(&self.zones, node.zone.0),
+            kind: named(&self.kinds, node.kind.0),
+            ledger: node.origin,
             phase,
             state,
-            out: seen.sight.map_or(0, |s| s.out),
-            connections: seen.connections,
-            utilisation: seen.sight.and_then(|s| s.rho),
-            served: seen.ends.served,
-            missed: seen.ends.missed,
-            refused: seen.ends.refused,
-            failed: seen.ends.failed,
+            out: node.sight.map_or(0, |s| s.out),
+            connections: node.connections,
+            utilisation: node.sight.and_then(|s| s.rho),
+            served: node.ends.served,
+            missed: node.ends.missed,
+            refused: node.ends.refused,
+            failed: node.ends.failed,
             changed,
-            since: seen.since,
-            name: seen.name,
+            since: node.since,
+            name: node.name,
         }
     }
 
@@ -132,17 +132,17 @@
     pub fn take(
         &mut self,
         now: Micros,
-        survey: ClusterStatus,
+        status: ClusterStatus,
         tally: &mut Tally,
-        o: OwnerStatus,
+        owned: OwnerStatus,
     ) -> Snapshot {
-        let ledger = ledger(&survey);
-        let ClusterStatus { nodes, revision, heard, told, .. } = survey;
-        let nodes: Vec<Node> = nodes.into_iter().map(|seen| self.node(now, seen)).collect();
+        let ledger = ledger(&status);
+        let ClusterStatus { nodes, revision, heard, told, .. } = status;
+        let nodes: Vec<Node> = nodes.into_iter().map(|node| self.node(now, node)).collect();
         if self.changed.len() > nodes.len() {
             self.changed.retain(|name, _| nodes.binary_search_by(|n| n.name.cmp(name)).is_ok());
         }
-        let c = o.counters;
+        let c = owned.counters;
         let hall = self.zones.get(usize::from(self.site.settings.zone.0)).cloned().unwrap_or_default();
         Snapshot {
             at: now,
@@ -152,25 +152,25 @@
             name: self.name.clone(),
             version: self.version.clone(),
             hall,
-            ready: o.ready,
+            ready: owned.ready,
             reloads: self.reloads,
             nodes,
             bound: self.fleet_least,
             requests: tally.requests(),
             refusals: tally.refusals(),
             taken: c.taken,
-            streams: o.streams as u64,
+            streams: owned.streams as u64,
             streams_limit: u64::from(self.site.settings.max_open),
             overdue: c.overdue,
             times: tally.times(now),
             connections: Connections {
-                downstreams: o.downstreams as u64,
-                downstreams_limit: o.downstreams_limit as u64,
-                downstreams_refused: o.downstreams_refused,
-                downstreams_silent: o.downstreams_silent,
-                downstreams_made_room: o.downstreams_made_room,
-                upstreams: o.upstreams as u64,
-                upstreams_limit: o.upstreams_limit as u64,
+                downstreams: owned.downstreams as u64,
+                downstreams_limit: owned.downstreams_limit as u64,
+                downstreams_refused: owned.downstreams_refused,
+                downstreams_silent: owned.downstreams_silent,
+                downstreams_made_room: owned.downstreams_made_room,
+                upstreams: owned.upstreams as u64,
+                upstreams_limit: owned.upstreams_limit as u64,
                 dials: c.dials,
                 unconnected: c.unconnected,
                 resets: c.resets,
--- a/src/features/tap.rs
+++ b/src/features/tap.rs
@@ -80,7 +80,7 @@
     bytes: Vec<u8>,
     /// How many of them are written.
     written: usize,
-    cut: bool,
+    cut_off: bool,
 }
 
 impl Lines {
@@ -90,7 +90,7 @@
 
     /// Takes a line, or cuts the watcher: a line that is half out is finished, all behind it dropped.
     fn push(&mut self, line: &[u8], most: usize) {
-        if self.cut {
+        if self.cut_off {
             return;
         }
         if self.left() + line.len() <= most {
@@ -100,7 +100,7 @@
         let end = self.bytes[self.written..].iter().position(|b| *b == b'\n').filter(|_| !whole);
         self.bytes.truncate(end.map_or(self.written, |at| self.written + at + 1));
         self.bytes.extend_from_slice(CUT);
-        self.cut = true;
+        self.cut_off = true;
     }
 
     fn write(&mut self, mut to: &TcpStream) -> io::Result<usize> {
@@ -108,7 +108,7 @@
         let n = uninterrupted(|| to.write(&self.bytes[self.written..end]))?;
         self.written += n;
         if self.left() == 0 {
-            *self = Lines { cut: self.cut, ..Lines::default() };
+            *self = Lines { cut_off: self.cut_off, ..Lines::default() };
         } else if self.written > MAX_WRITE {
             // The line that is half out stays, to tell that it is.
             let start = self.bytes[..self.written].iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1);
@@ -210,10 +210,10 @@
     }
 }
 
-enum Woken {
+enum Wakeup {
     Finish,
     More,
-    Moved(io::Result<usize>),
+    Io(io::Result<usize>),
 }
 
 /// Serves a watcher until it leaves, reads too slowly or the program ends.
@@ -229,7 +229,7 @@
                 Some(waits) => link.progress.set(waits),
                 None => return,
             }
-            if registration.1.lines.borrow().cut {
+            if registration.1.lines.borrow().cut_off {
                 let text = format!("tap: {} cut, it reads too slowly", link.caller);
                 tell(&link.queue, Note::new("tap_cut", text).caller(&link.caller)).await;
             }
@@ -281,37 +281,37 @@
     let lines = &registration.1.lines;
     let mut input = Vec::new();
     loop {
-        let (left, cut) = (lines.borrow().left(), lines.borrow().cut);
-        if cut {
+        let (left, cut_off) = (lines.borrow().left(), lines.borrow().cut_off);
+        if cut_off {
             return Some(Waits::Peer);
         }
         let finish = async {
             match link.orders.recv().await {
                 Ok(Order::Look) => {
                     link.progress.looked();
-                    Woken::More
+                    Wakeup::More
                 }
-                Ok(Order::Answer(..)) => Woken::More,
-                Ok(Order::Finish | Order::Leave) | Err(_) => Woken::Finish,
+                Ok(Order::Answer(..)) => Wakeup::More,
+                Ok(Order::Finish | Order::Leave) | Err(_) => Wakeup::Finish,
             }
         };
         let more = async {
             let _ = woken.recv().await;
-            Woken::More
+            Wakeup::More
         };
         let write = async {
             if left == 0 {
                 future::pending::<()>().await;
             }
-            Woken::Moved(link.socket.write_with(|to| lines.borrow_mut().write(to)).await)
+            Wakeup::Io(link.socket.write_with(|to| lines.borrow_mut().write(to)).await)
         };
-        let read = async { Woken::Moved(read(&link.socket, &mut input).await) };
+        let read = async { Wakeup::Io(read(&link.socket, &mut input).await) };
         match future::or(finish, future::or(more, future::or(read, write))).await {
-            Woken::Finish => return Some(Waits::Close),
-            Woken::More => {}
+            Wakeup::Finish => return Some(Waits::Close),
+            Wakeup::More => {}
             // Nothing that a watcher says behind its filter means anything.
-            Woken::Moved(Ok(1..)) => input.clear(),
-            Woken::Moved(_) => return None,
+            Wakeup::Io(Ok(1..)) => input.clear(),
+            Wakeup::Io(_) => return None,
         }
     }
 }
--- a/src/log/filter.rs
+++ b/src/log/filter.rs
@@ -26,19 +26,22 @@
     pub fn new(text: &str) -> (Filter, Vec<InvalidDirective>) {
         let (mut directives, mut invalid) = (Vec::<(String, LevelFilter)>::new(), Vec::new());
         for directive in text.split(',').map(str::trim).filter(|d| !d.is_empty()) {
-            let read = match directive.split_once('=') {
+            let parsed = match directive.split_once('=') {
                 None => match level(directive) {
                     Some(level) => Some(("", level)),
                     None => Some((directive, LevelFilter::TRACE)),
                 },
                 Some((module, "")) => Some((module, LevelFilter::TRACE)),
-                Some((module, of)) => level(of.trim()).map(|level| (module, level)),
+                Some((module, name)) => level(name.trim()).map(|level| (module, level)),
             };
             // A module's name is no path and no pattern: env_logger took a text to look for behind a slash.
-            let plain = |m: &str| m.bytes().all(|b| b.is_ascii_alphanumeric() || b"_:-".contains(&b));
-            match read.map(|(module, level)| (module.trim(), level)).filter(|(module, _)| plain(module)) {
+            let valid_name = |m: &str| m.bytes().all(|b| b.is_ascii_alphanumeric() || b"_:-".contains(&b));
+            match parsed
+                .map(|(module, level)| (module.trim(), level))
+                .filter(|(module, _)| valid_name(module))
+            {
                 Some((module, level)) => {
-                    directives.retain(|(known, _)| known != module);
+                    directives.retain(|(other, _)| other != module);
                     directives.push((module.to_owned(), level));
                 }
                 None => invalid.push(InvalidDirective(directive.chars().take(80).collect())),
@@ -53,8 +56,8 @@
 
     /// Whether a line of a module is told.
     pub fn admits(&self, module: &str, level: &Level) -> bool {
-        let decides = self.directives.iter().find(|(of, _)| module.starts_with(of.as_str()));
-        decides.is_some_and(|(_, most)| level <= most)
+        let matching = self.directives.iter().find(|(prefix, _)| module.starts_with(prefix.as_str()));
+        matching.is_some_and(|(_, max)| level <= max)
     }
 
     /// The most verbose level that any module is told at.
--- a/src/log/format.rs
+++ b/src/log/format.rs
@@ -56,15 +56,15 @@
     }
 
     /// The line of a program that cannot go on. In text it is what any command says that fails.
-    pub(super) fn fatal(self, at_ms: u64, what: &str) -> Vec<u8> {
-        let text = format!("martenweir: {what}");
+    pub(super) fn fatal(self, at_ms: u64, reason: &str) -> Vec<u8> {
+        let text = format!("martenweir: {reason}");
         if self == Format::Text {
             return [text.as_bytes(), b"\n"].concat();
         }
         let mut line = Line::begin(self, at_ms, &Level::ERROR, module_path!());
         line.message(&text);
         line.text_field("event", "fatal");
-        line.text_field("why", what);
+        line.text_field("why", reason);
         line.end()
     }
 }
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -64,8 +64,8 @@
     }
 
     /// Why the program ends, for which it has no other words: in text the line of a command that fails.
-    pub fn fatal(&self, what: &str) {
-        self.writer.push(self.format.fatal(unix_ms(), what));
+    pub fn fatal(&self, message: &str) {
+        self.writer.push(self.format.fatal(unix_ms(), message));
     }
 }
 
--- a/src/log/writer.rs
+++ b/src/log/writer.rs
@@ -47,7 +47,7 @@
 #[derive(Default)]
 struct Shared {
     state: Mutex<State>,
-    work: Condvar,
+    work_available: Condvar,
     idle: Condvar,
 }
 
@@ -79,28 +79,28 @@
         lost: impl Fn(u64) -> Vec<u8> + Send + 'static,
     ) -> io::Result<Writer> {
         let shared = Arc::new(Shared::default());
-        let theirs = shared.clone();
+        let worker_shared = shared.clone();
         let thread = thread::Builder::new().name("stderr".into()).stack_size(STACK_BYTES);
         // It ends with `finish` or with the process.
-        thread.spawn(move || work(&theirs, to, lost))?;
+        thread.spawn(move || run(&worker_shared, to, lost))?;
         Ok(Writer { shared })
     }
 
     /// Hands over a whole line; it is counted as lost where no more may wait.
     pub fn push(&self, line: Vec<u8>) {
-        self.add(Piece { bytes: line, written: None });
+        self.enqueue(Piece { bytes: line, written: None });
     }
 
     /// Writes a batch of whole lines behind what waits, and comes back once it is out. Whoever gives up
     /// waiting leaves the batch to be written all the same, so it is for one batch at a time.
     pub async fn write(&self, bytes: Vec<u8>) {
-        let (written, done) = async_channel::bounded(1);
-        self.add(Piece { bytes, written: Some(written) });
+        let (written, completion) = async_channel::bounded(1);
+        self.enqueue(Piece { bytes, written: Some(written) });
         // An end without a word: it is dropped, since nothing is taken any more.
-        let _ = done.recv().await;
+        let _ = completion.recv().await;
     }
 
-    fn add(&self, piece: Piece) {
+    fn enqueue(&self, piece: Piece) {
         let mut state = self.shared.lock();
         if state.closed {
             return;
@@ -114,22 +114,22 @@
         }
         state.pieces.push_back(piece);
         drop(state);
-        self.shared.work.notify_one();
+        self.shared.work_available.notify_one();
     }
 
     /// Takes no more, and waits this long at the most for what is still to be written; whether all of it was.
     /// It blocks its thread, so it is for the end of the program.
-    pub fn finish(&self, patience: Duration) -> bool {
+    pub fn finish(&self, timeout: Duration) -> bool {
         let mut state = self.shared.lock();
         state.closed = true;
-        self.shared.work.notify_one();
-        let ended = self.shared.idle.wait_timeout_while(state, patience, |state| !state.idle());
-        let (state, _) = ended.unwrap_or_else(PoisonError::into_inner);
+        self.shared.work_available.notify_one();
+        let waited = self.shared.idle.wait_timeout_while(state, timeout, |state| !state.idle());
+        let (state, _) = waited.unwrap_or_else(PoisonError::into_inner);
         state.idle()
     }
 }
 
-fn work(shared: &Shared, mut to: impl Write, lost: impl Fn(u64) -> Vec<u8>) {
+fn run(shared: &Shared, mut to: impl Write, lost: impl Fn(u64) -> Vec<u8>) {
     let mut state = shared.lock();
     loop {
         while state.idle() {
@@ -137,21 +137,21 @@
             if state.closed {
                 return;
             }
-            state = shared.work.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state = shared.work_available.wait(state).unwrap_or_else(PoisonError::into_inner);
         }
         let pieces = std::mem::take(&mut state.pieces);
         let n = std::mem::take(&mut state.lost);
         (state.held, state.writing) = (0, true);
         drop(state);
         for piece in pieces {
-            put(&mut to, &piece.bytes);
+            write_whole(&mut to, &piece.bytes);
             if let Some(written) = piece.written {
                 let _ = written.try_send(());
             }
         }
         // They were lost because all of these waited.
         if n > 0 {
-            put(&mut to, &lost(n));
+            write_whole(&mut to, &lost(n));
         }
         state = shared.lock();
         state.writing = false;
@@ -159,7 +159,7 @@
 }
 
 /// Writes all of it, whoever else has made the target one that does not wait. A closed one gets nothing.
-fn put(to: &mut impl Write, mut bytes: &[u8]) {
+fn write_whole(to: &mut impl Write, mut bytes: &[u8]) {
     while !bytes.is_empty() {
         match to.write(bytes) {
             Ok(0) => return,
