--- a/src/commands/change.rs
+++ b/src/commands/change.rs
@@ -1,8 +1,10 @@
-//! `martenweir change submit|status|wait`: gives changes to control machines, and tells which proxies have them.
+//! `martenweir change submit|status|wait`: submits changes to control machines and shows which proxies have
+//! applied them.
 //!
-//! Exit statuses: 0 where it is done (submit: all are acknowledged; status and wait: every proxy that serves has it), 2
-//! where it is not yet (submit: refused for want of room, try again after the time that is told; status and wait: not
-//! known of all), 1 for everything else: a wrong word, no answer, nobody within reach.
+//! Exit statuses: 0 on success (submit: all changes are acknowledged; status and wait: every proxy in service
+//! has the change), 2 if it is not complete yet (submit: refused because the stores are full, retry after the
+//! printed time; status and wait: not every proxy is known to have it), 1 on any other error, such as an
+//! invalid argument, no answer or no reachable control machine.
 
 use super::{fail, print};
 use crate::codec::discovery;
@@ -26,23 +28,24 @@
 const SUBMIT: &str = "martenweir change submit --purge KEY ...|--setting LINE ...|--reset NAME ADDRESS...";
 const STATUS: &str = "martenweir change status [--followers FILE] CHANGE ADDRESS...";
 const WAIT: &str = "martenweir change wait [--for SECONDS] [--followers FILE] CHANGE ADDRESS...";
-/// Without an answer for so long another control machine is asked. A store answers once a majority has the change,
-/// a status is counted for a second at most.
+/// Time without an answer after which the next control machine is asked. A store answers once a majority of
+/// stores has the change; the answer to a status query is collected for a second at most.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two questions of `wait`.
+/// Interval between two status queries of `wait`.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// Positions of the topics in [`dissemination::Rules::topics`].
+/// Indexes of the topics in [`dissemination::Rules::topics`].
 const PURGES: u8 = 0;
 const SETTINGS: u8 = 1;
-/// Bytes of a purged object's key: of 110 million objects 4 in 10 million are purged in vain with each.
+/// Length of the hashed key of a purged object. With 110 million objects, a purge also hits another object by
+/// collision in 4 of 10 million cases.
 const PURGE_KEY_BYTES: usize = 6;
-/// Names of proxies that are printed in one line.
+/// Number of proxy names that are printed per line.
 const NAMES_PER_LINE: usize = 20;
-/// Not yet: see the file's comment.
+/// Exit status for "not complete yet", see the module documentation.
 const NOT_YET: u8 = 2;
 
-/// Gives changes to control machines, and tells which proxies have them
+/// Submits changes to control machines, and shows which proxies have them
 #[derive(Debug, clap::Args)]
 #[command(override_usage = USAGE, help_template = super::HELP)]
 pub(super) struct Options {
@@ -52,52 +55,52 @@
 
 #[derive(Debug, clap::Subcommand)]
 enum Command {
-    /// Gives changes to stores; each is printed once a majority of the stores has it
+    /// Submits changes to stores; prints each one once a majority of the stores has it
     #[command(override_usage = SUBMIT, help_template = super::HELP)]
     Submit {
-        /// An object whose copies at nodes are stale; may be given many times
+        /// Key of an object whose copies on nodes are stale; may be repeated
         #[arg(long, value_name = "KEY", allow_hyphen_values = true)]
         purge: Vec<String>,
-        /// A line of the file of features; several lines, all about one setting, are one change
+        /// A line of the feature file; several lines, all of the same setting, make one change
         #[arg(long, value_name = "LINE", conflicts_with = "purge")]
         setting: Vec<String>,
-        /// A setting whose lines in each proxy's own file are to hold again
+        /// A setting for which each proxy is to use the lines of its own file again
         #[arg(long, value_name = "NAME", conflicts_with_all = ["purge", "setting"])]
         reset: Option<String>,
         /// IP addresses and ports of the control machines
         #[arg(required = true)]
         addresses: Vec<String>,
     },
-    /// Prints how many proxies have a change, and which are not known to
+    /// Prints how many proxies have a change, and which ones are not known to have it
     #[command(override_usage = STATUS, help_template = super::HELP)]
     Status {
         /// The list of proxies' names [default: names as 16 hexadecimal digits]
         #[arg(long, value_name = "FILE")]
         followers: Option<String>,
-        /// The change, as submit prints it
+        /// The change, as printed by submit
         change: String,
-        /// IP addresses and ports of control machines, of which the first to answer is believed
+        /// IP addresses and ports of control machines; the first answer is used
         #[arg(required = true)]
         addresses: Vec<String>,
     },
-    /// Waits until every proxy that serves has a change
+    /// Waits until every proxy in service has a change
     #[command(override_usage = WAIT, help_template = super::HELP)]
     Wait {
-        /// How long it waits at most
+        /// Maximum time to wait
         #[arg(long = "for", value_name = "SECONDS", default_value = "10")]
         timeout: f64,
         /// The list of proxies' names [default: names as 16 hexadecimal digits]
         #[arg(long, value_name = "FILE")]
         followers: Option<String>,
-        /// The change, as submit prints it
+        /// The change, as printed by submit
         change: String,
-        /// IP addresses and ports of control machines, of which the first to answer is believed
+        /// IP addresses and ports of control machines; the first answer is used
         #[arg(required = true)]
         addresses: Vec<String>,
     },
 }
 
-/// Whether it is done, or not yet.
+/// `true` if the operation is complete, `false` if it is not complete yet.
 type Completed = Result<bool, String>;
 
 pub(super) fn run(options: &Options) -> ExitCode {
@@ -117,7 +120,7 @@
     }
 }
 
-/// A change that is to be submitted.
+/// A change to submit.
 #[derive(Debug)]
 struct NewChange {
     topic: u8,
@@ -132,7 +135,8 @@
     };
     if !lines.is_empty() {
         let name = file::setting_name(&lines).ok_or("the lines are not about one setting")?;
-        // The greatest version counts: that of who says it last, by the clock of the machine where it is said.
+        // Conflicts are resolved by the greatest version, so the last writer wins, by the clock of the
+        // submitting machine.
         let version = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
         let body = applier::body(version, &lines).into();
         return Ok(vec![NewChange { topic: SETTINGS, key: applier::key(name), body }]);
@@ -149,7 +153,7 @@
     Ok(purge.iter().map(change).collect())
 }
 
-/// A control machine, connected when it is first needed.
+/// A client of one control machine, which connects on first use.
 struct ControlClient {
     address: SocketAddr,
     connection: Option<(TcpStream, Reader)>,
@@ -164,7 +168,7 @@
         addresses.iter().map(one).collect()
     }
 
-    /// Asks it something, and waits for the answer that `take` takes for one.
+    /// Sends a message and waits for the answer, which is the first message that `accept` accepts.
     fn ask<T>(&mut self, message: &Message, accept: impl Fn(Message) -> Option<T>) -> Result<T, String> {
         let answer = self.try_ask(message, accept);
         if answer.is_err() {
@@ -210,19 +214,19 @@
     }
 }
 
-/// What a store makes of a submission.
+/// A store's answer to a submission.
 enum Answer {
     Taken(StreamId, u64),
     Busy(u32),
 }
 
-/// Gives each change to a store, the next of the list each time, and to the others in turn where one has no room or
-/// does not answer. What was not answered may have been taken all the same: it is the same change twice, and does no
+/// Submits each change to the next store of the list, and on failure or a full store to the others in turn. A
+/// submission without an answer may have been accepted all the same; submitting the same change twice does no
 /// harm.
 fn submit(changes: &[NewChange], addresses: &[String]) -> Completed {
     let mut clients = ControlClient::all(addresses)?;
     let count = clients.len();
-    // Who submits one change at a time is not always at the first.
+    // A random start, so that runs with a single change do not always go to the first store.
     let start =
         SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().subsec_nanos() as usize / 1000;
     for (i, new) in changes.iter().enumerate() {
@@ -272,7 +276,7 @@
     Ok(true)
 }
 
-/// A change by the words of `submit`: topic, store and number.
+/// Parses a change as printed by `submit`: topic, store and number.
 fn parse_change(change: &str) -> Result<(StreamId, u64), String> {
     let wrong = || format!("{change}: a change like 0.2.17 is wanted, as submit prints it");
     let mut parts = change.split('.');
@@ -285,7 +289,8 @@
     Ok((StreamId { topic: topic as u8, store: ControlId(store as u8) }, number))
 }
 
-/// What the first control machine that answers says of a change, with all that it names.
+/// Asks the control machines for the status of a change, with the complete list of missing proxies; the first
+/// answer is used.
 fn query_status(
     clients: &mut [ControlClient],
     (stream, number): (StreamId, u64),
@@ -308,7 +313,7 @@
                 continue;
             }
         };
-        // Where more are missing than one answer holds.
+        // Fetches the rest if more proxies are missing than fit into one answer.
         while let Some(FollowerId(last)) = report
             .missing
             .last()
@@ -338,7 +343,7 @@
         .join("\n  ")
 }
 
-/// Whether every proxy that serves has it.
+/// Whether every proxy in service has the change.
 fn is_complete(report: &StatusReport) -> bool {
     report.all() || (report.committed && report.lapsed)
 }
@@ -385,7 +390,7 @@
     let until = Instant::now().checked_add(timeout).ok_or("--for wants seconds")?;
     let mut clients = ControlClient::all(addresses)?;
     loop {
-        // Asked again also where nobody answers: a control machine may be starting.
+        // Errors are retried too: a control machine may be starting.
         let report = query_status(&mut clients, of);
         let expired = Instant::now() >= until;
         match report {
--- a/src/commands/checkaddr.rs
+++ b/src/commands/checkaddr.rs
@@ -1,5 +1,5 @@
-//! `martenweir checkaddr FILE ADDRESS`: whether the file's address lists let a caller in. It says so and is
-//! content either way; it fails where the file or the address cannot be read.
+//! `martenweir checkaddr FILE ADDRESS`: prints whether the address lists of the file admit a client. The exit
+//! status is 0 for both results; it is an error if the file or the address cannot be parsed.
 
 use super::print;
 use crate::features::file;
@@ -7,14 +7,14 @@
 
 pub(super) const USAGE: &str = "martenweir checkaddr FILE ADDRESS";
 
-/// Prints allow or deny, as FILE has it for a caller at ADDRESS
+/// Prints whether the lists of FILE allow or deny a client at ADDRESS
 #[derive(Debug, clap::Args)]
 #[command(override_usage = USAGE, help_template = super::HELP)]
 pub(super) struct Options {
-    /// The file of features with the lists: allow, deny
+    /// The feature file with the address lists: allow, deny
     #[arg(allow_hyphen_values = true)]
     file: String,
-    /// The caller's IP address, without a port
+    /// The client's IP address, without a port
     #[arg(allow_hyphen_values = true)]
     address: String,
 }
--- a/src/commands/control.rs
+++ b/src/commands/control.rs
@@ -1,5 +1,5 @@
-//! `martenweir control --conf FILE [CONFIG]`: a control machine. The file names its port, its place in the list and the
-//! list; the configuration, where one is given, the address.
+//! `martenweir control --conf FILE [CONFIG]`: runs a control machine. The file has its port, its index in the
+//! list of control machines and the list itself; the optional configuration has the listen address.
 
 use super::fail;
 use crate::features::control::{self, settings, Start};
@@ -13,17 +13,18 @@
 
 pub(super) const USAGE: &str = "martenweir control --conf FILE [--log-format text|json] [CONFIG]";
 
-/// Carries changes to proxies and knows which have them, on the controlport of FILE; docs/dissemination.md says how
+/// Distributes changes to proxies and tracks which have them, on the controlport of FILE; see
+/// docs/dissemination.md
 #[derive(Debug, clap::Args)]
 #[command(override_usage = USAGE, help_template = super::HELP)]
 pub(super) struct Options {
-    /// The file of features with controlport and the control lines
+    /// The feature file with controlport and the control lines
     #[arg(long, value_name = "FILE", allow_hyphen_values = true)]
     conf: String,
-    /// The form of the log, text or json
+    /// Format of the log, text or json
     #[arg(long, value_name = "FORMAT", default_value = "text")]
     log_format: log::Format,
-    /// The configuration, for the address [default: what NODE_CONFIG names, or 127.0.0.1]
+    /// The configuration, for the listen address [default: the file named by NODE_CONFIG, or 127.0.0.1]
     config: Option<String>,
 }
 
--- a/src/commands/figurestest.rs
+++ b/src/commands/figurestest.rs
@@ -1,5 +1,5 @@
-//! `martenweir figurestest [FILE]`: sends one of each figure, as the file says or in statsd to standard
-//! error. It fails where a batch is lost or the target does not take it.
+//! `martenweir figurestest [FILE]`: sends one sample of each figure, as configured in the file or in statsd
+//! format to standard error. Fails if a batch is lost or the target does not accept it in time.
 
 use crate::core::{Record, StreamDetails, StreamOutcome};
 use crate::features::figures::{Figures, Gauges, Settings, Sink};
@@ -14,15 +14,15 @@
 use std::time::Duration;
 
 pub(super) const USAGE: &str = "martenweir figurestest [FILE]";
-/// A collector's refusal has come by then; a target that takes longer than the other is given up.
+/// How long to wait for an ICMP refusal by a UDP collector, and the timeout for all of the writes.
 const REFUSAL_WAIT: Duration = Duration::from_millis(100);
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sends one of each figure where FILE says, or to standard error
+/// Sends one sample of each figure to the target named in FILE, or to standard error
 #[derive(Debug, clap::Args)]
 #[command(override_usage = USAGE, help_template = super::HELP)]
 pub(super) struct Options {
-    /// The file of features with the figures' target and form [default: statsd to standard error]
+    /// The feature file with target and format of the figures [default: statsd to standard error]
     #[arg(allow_hyphen_values = true)]
     file: Option<String>,
 }
--- a/src/commands/mget.rs
+++ b/src/commands/mget.rs
@@ -1,5 +1,5 @@
-//! `martenweir mget ADDRESS CACHE.GET KEY ID PROPERTIES [CACHE.GET ...]`: asks a multi-get port and prints a
-//! line for each element of the answer. It fails where the answer is not COMPLETE.
+//! `martenweir mget ADDRESS CACHE.GET KEY ID PROPERTIES [CACHE.GET ...]`: sends a multi-get and prints a line
+//! for each element of the answer. Fails if the answer is not COMPLETE.
 
 use crate::codec::{length, resp};
 use std::io::{self, BufRead, BufReader, ErrorKind, Read, Write};
@@ -7,27 +7,27 @@
 use std::time::Duration;
 
 pub(super) const USAGE: &str = "martenweir mget ADDRESS CACHE.GET KEY ID PROPERTIES [CACHE.GET ...]";
-/// Without an answer for so long it gives up, if no `d` is longer.
+/// Read timeout, added to the longest deadline (`d`) of the reads.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_DEADLINE: Duration = Duration::from_secs(3600);
-/// The longest line of an answer that is no value.
+/// Maximum length of an answer line that is not a value.
 const MAX_LINE: u64 = 4096;
 
-/// Asks the multi-get port at ADDRESS for all these reads at once; fails unless each brings its value
+/// Sends all these reads to the multi-get port at ADDRESS as one command; fails unless each returns a value
 #[derive(Debug, clap::Args)]
 #[command(override_usage = USAGE, help_template = super::HELP)]
 pub(super) struct Options {
     /// Host and port of the multi-get port
     #[arg(allow_hyphen_values = true)]
     address: String,
-    /// The reads, each CACHE.GET KEY ID PROPERTIES, sent as they are; d=MS among the properties is its patience
+    /// The reads, each CACHE.GET KEY ID PROPERTIES, sent unchanged; the property d=MS is a read's deadline
     #[arg(required = true, trailing_var_arg = true, allow_hyphen_values = true)]
     reads: Vec<String>,
 }
 
 pub(super) fn run(options: &Options) -> Result<(), String> {
     let address = &options.address;
-    // A read goes up to the next verb.
+    // Each read extends up to the next command name.
     let mut commands: Vec<Vec<&[u8]>> = Vec::new();
     for word in &options.reads {
         match commands.last_mut() {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Values are bytes; what a terminal would not show as it is stands escaped.
+/// Prints a line. Values are arbitrary bytes, so control characters are escaped.
 fn println(text: &str) -> io::Result<()> {
     let shown: String = text
         .chars()
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,12 +1,12 @@
-//! The command line: what the program is called with, and what it does then. A file a subcommand; without one
-//! it serves ([`serve`]).
+//! The command line. Each subcommand has its own file; without a subcommand the proxy serves ([`serve`]).
 //!
-//! [`main`] is the whole program, for `src/main.rs` and for whoever runs the proxy in a child process of its
-//! own program. It takes over the process (signals, the log), so it is nothing to call beside other work.
+//! [`main`] is the whole program, for `src/main.rs` and for programs that run the proxy in a child process.
+//! It installs signal handlers and the log, so it must not run beside other work in the same process.
 //!
-//! Words, messages and exit statuses are what operators and scripts know and must stay. A usage error is told
-//! like any other: in one message on standard error, with exit status 1. Help that is asked for goes to standard
-//! output, with exit status 0: clap makes it of the comments on the options, of which each has one line.
+//! Names, messages and exit statuses are an interface for operators and scripts and must not change. A usage
+//! error is reported like any other error: as one message on standard error, with exit status 1. Requested
+//! help goes to standard output, with exit status 0. clap generates it from the doc comments of the options,
+//! each of which is one line.
 
 mod change;
 mod checkaddr;
@@ -37,7 +37,7 @@
        martenweir change status|wait CHANGE ADDRESS...
        martenweir snmp get|walk [WHO] ADDRESS [NAME ...]
        martenweir snmp listen [WHO] ADDRESS";
-/// What a usage error says besides.
+/// Explanation that follows the usage in usage errors.
 const DESCRIPTION: &str = "CONFIG is a JSON file; without it NODE_CONFIG names it. FILE turns features on, docs/features.md lists its
 settings. --check reads both and exits. --log-format is text if not given.
 mget: asks the multi-get port at ADDRESS for all these reads at once; fails unless each brings its value.
@@ -51,10 +51,10 @@
 --setting LINE ... or --reset NAME; CHANGE is as submit prints it.
 snmp: asks the agent at ADDRESS for objects, or prints notifications that come to ADDRESS. WHO is --community NAME,
 or --user NAME with --conf FILE or --auth sha256 --auth-pass WORDS [--priv-pass WORDS].";
-/// The form of all help: usage in the words of its errors.
+/// Template of all help texts, with the usage in the same form as in usage errors.
 const HELP: &str = "usage: {usage}\n\n{about-with-newline}\n{all-args}";
 
-/// A subcommand is one only as the first word: a configuration may be called `tap` anywhere else.
+/// A subcommand is only recognised as the first argument, so that a configuration file may be called `tap`.
 #[derive(Debug, Parser)]
 #[command(
     name = "martenweir",
@@ -90,7 +90,7 @@
     Snmp(snmp::Options),
 }
 
-/// Runs the program with these arguments, which are those behind its name.
+/// Runs the program with the given arguments, without the program name.
 pub fn main(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let arguments = escape_port_words(arguments.into_iter().collect());
     let result = match CommandLine::try_parse_from(&arguments) {
@@ -118,7 +118,8 @@
     }
 }
 
-/// Behind the address of `mget` and `tap` all words are for the port, also those that ask for help here.
+/// Inserts `--` after the address of `mget` and `tap` if a help option follows it: all further arguments are
+/// sent to the port, also those that are options of this program.
 fn escape_port_words(mut arguments: Vec<OsString>) -> Vec<OsString> {
     let port = arguments.first().is_some_and(|word| word == "mget" || word == "tap");
     let help = ["-h", "--help", "-V", "--version"].map(OsString::from);
@@ -132,7 +133,7 @@
     arguments
 }
 
-/// What is wrong with the command line, in our words.
+/// Formats a clap error in the style of this program.
 fn usage_error(arguments: &[OsString], error: &clap::Error) -> String {
     let usage = match arguments.first().and_then(|word| word.to_str()) {
         Some("mget") => mget::USAGE,
@@ -157,7 +158,7 @@
     let unknown = |option: &str| format!("unknown option {option}\nusage: {USAGE}\n{DESCRIPTION}");
     match error.kind() {
         ErrorKind::UnknownArgument => unknown(option),
-        // clap names an option together with its value: `--conf <FILE>`.
+        // clap reports the option with its value name: `--conf <FILE>`.
         ErrorKind::InvalidValue | ErrorKind::ValueValidation => match option.split(' ').next() {
             Some("--conf") => "--conf wants a file".into(),
             Some("--log-format") => "--log-format wants text or json".into(),
@@ -165,17 +166,17 @@
         },
         ErrorKind::TooManyValues => unknown(&format!("{option}={value}")),
         ErrorKind::InvalidUtf8 => "an argument is no text".into(),
-        // None that this command line can bring about.
+        // No other kind of error can occur with this command line.
         _ => format!("usage: {USAGE}\n{DESCRIPTION}"),
     }
 }
 
-/// Prints what was asked for.
+/// Prints a line to standard output.
 fn print(text: &str) -> Result<(), String> {
     writeln!(io::stdout(), "{text}").map_err(|e| e.to_string())
 }
 
-/// Standard error may be closed: nothing to be done about it, and no reason to panic.
+/// Prints an error. Failures to write are ignored, since standard error may be closed.
 fn fail(what: &str) -> ExitCode {
     let _ = writeln!(io::stderr(), "martenweir: {what}");
     ExitCode::FAILURE
--- a/src/commands/plan.rs
+++ b/src/commands/plan.rs
@@ -1,5 +1,6 @@
-//! `martenweir plan show ADDRESS [--json] [--config CONFIG]`: the plan as the planner at ADDRESS has it, with
-//! what it rests on. Ids are printed as 16 hexadecimal digits; names come from the list in CONFIG.
+//! `martenweir plan show ADDRESS [--json] [--config CONFIG]`: prints the current plan of the planner at
+//! ADDRESS and the evidence for it. Ids are printed as 16 hexadecimal digits, or as names if the list in
+//! CONFIG has them.
 
 use super::print;
 use crate::codec::discovery;
@@ -16,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 pub(super) const USAGE: &str = "martenweir plan show ADDRESS [--json] [--config CONFIG]";
-/// Without an answer for so long it gives up.
+/// Timeout for connecting and for the answer.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Asks a planner for its plan
@@ -29,12 +30,12 @@
 
 #[derive(Debug, clap::Subcommand)]
 enum Command {
-    /// Prints the plan as the planner at ADDRESS has it, with what it rests on
+    /// Prints the current plan of the planner at ADDRESS, and the evidence for it
     #[command(override_usage = USAGE, help_template = super::HELP)]
     Show {
         /// IP address and port of the planner
         address: String,
-        /// Prints the plan as JSON, not as a table
+        /// Prints the plan as JSON instead of a table
         #[arg(long)]
         json: bool,
         /// A configuration whose list gives the names of nodes [default: ids as 16 hexadecimal digits]
@@ -80,7 +81,7 @@
     Err("no answer".into())
 }
 
-/// Names by id, as far as they are known.
+/// Names of nodes by id; ids without a name are printed in hexadecimal.
 struct Names(BTreeMap<u64, String>);
 
 fn zone_numbers(of: ZoneSet) -> Option<Vec<u8>> {
@@ -101,7 +102,7 @@
         let e = &plan.evidence;
         let warm = if e.warm { "warm" } else { "not warm yet: it has no opinions" };
         let mut line = |text: String| {
-            // A string takes all that is written to it.
+            // Writing to a string cannot fail.
             let _ = writeln!(out, "{text}");
         };
         line(format!("plan {}.{}, {warm}, list {}", plan.number.epoch, plan.number.count, plan.list));
--- a/src/commands/planner.rs
+++ b/src/commands/planner.rs
@@ -1,5 +1,5 @@
-//! `martenweir planner --conf FILE [CONFIG]`: a planner. The file names its port; the configuration, where one
-//! is given, the address and how many proxies there are.
+//! `martenweir planner --conf FILE [CONFIG]`: runs a planner. The file has its port; the optional
+//! configuration has the listen address and the number of proxies.
 
 use super::fail;
 use crate::features::{file, forwarder, planner};
@@ -13,21 +13,22 @@
 
 pub(super) const USAGE: &str = "martenweir planner --conf FILE [--log-format text|json] [CONFIG]";
 
-/// Tells proxies what all of them see, on the plannerport of FILE; docs/planners.md says how
+/// Publishes plans computed from the reports of all proxies, on the plannerport of FILE; see docs/planners.md
 #[derive(Debug, clap::Args)]
 #[command(override_usage = USAGE, help_template = super::HELP)]
 pub(super) struct Options {
-    /// The file of features with plannerport
+    /// The feature file with plannerport
     #[arg(long, value_name = "FILE", allow_hyphen_values = true)]
     conf: String,
-    /// The form of the log, text or json
+    /// Format of the log, text or json
     #[arg(long, value_name = "FORMAT", default_value = "text")]
     log_format: log::Format,
-    /// The configuration, for the address and the number of proxies [default: what NODE_CONFIG names, or none]
+    /// The configuration, for the listen address and the number of proxies [default: the file named by
+    /// NODE_CONFIG, or none]
     config: Option<String>,
 }
 
-/// What it needs to serve.
+/// What the planner is started with.
 struct Start {
     address: SocketAddr,
     rules: Rules,
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! No subcommand: the proxy itself. Reads what it is told, starts the log, hands over to the owner.
+//! Without a subcommand: runs the proxy. Reads the configuration, starts the log and runs the owner task.
 
 use super::{fail, print};
 use crate::features::file;
@@ -9,22 +9,22 @@
 
 #[derive(Debug, clap::Args)]
 pub(super) struct Options {
-    /// Reads the configuration and the file of features, and exits
+    /// Checks the configuration and the feature file, and exits
     #[arg(long)]
     check: bool,
-    // Its name may begin with a dash, as all that stands behind `--conf`.
-    /// The file that turns features on, docs/features.md lists its settings [default: none is on]
+    // Any value after `--conf` is a file name, even if it starts with a dash.
+    /// The feature file, whose settings docs/features.md lists [default: all features are off]
     #[arg(long, value_name = "FILE", allow_hyphen_values = true)]
     conf: Option<String>,
-    /// The form of the log, text or json
+    /// Format of the log, text or json
     #[arg(long, value_name = "FORMAT", default_value = "text")]
     log_format: log::Format,
-    /// The configuration, a JSON file; the last one counts [default: what NODE_CONFIG names]
+    /// The configuration, a JSON file; the last one counts [default: the file named by NODE_CONFIG]
     #[arg(value_name = "CONFIG", value_parser = name)]
     configs: Vec<String>,
 }
 
-/// A lone dash is no file: it never stood for standard input here.
+/// Rejects a lone dash, which has never meant standard input here.
 fn name(text: &str) -> Result<String, &'static str> {
     if text == "-" {
         return Err("a file is wanted");
@@ -33,7 +33,8 @@
 }
 
 pub(super) fn run(mut options: Options) -> ExitCode {
-    // Read here, not by clap: in service it is set for subcommands too, with which it does not conflict.
+    // Read here and not by clap: deployments set NODE_CONFIG for subcommands too, and clap would report a
+    // conflict.
     let path = options.configs.pop().or_else(|| std::env::var("NODE_CONFIG").ok());
     let features = match options.conf.as_deref().map(file::load).transpose() {
         Ok(features) => features.unwrap_or_default(),
--- a/src/commands/snmp.rs
+++ b/src/commands/snmp.rs
@@ -1,5 +1,5 @@
-//! `martenweir snmp get|walk|listen`: a small manager, for tests, demonstrations and staff without another one.
-//! It shows names and values as the MIB has them.
+//! `martenweir snmp get|walk|listen`: a minimal SNMP manager for tests, demonstrations and operators without
+//! another one. Names and values are printed as the MIB defines them.
 
 use crate::features::file;
 use crate::features::snmp::boots;
@@ -18,15 +18,15 @@
 
 pub(super) const USAGE: &str =
     "martenweir snmp get|walk [WHO] ADDRESS [NAME ...], martenweir snmp listen [WHO] ADDRESS";
-/// How long an answer is waited for, and how often it is asked for.
+/// Timeout of a request, and the number of times it is sent.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_TRIES: usize = 4;
-/// What a session may learn of the other engine before an answer comes.
+/// Maximum number of extra rounds for learning the agent's engine ID, boots and time.
 const MAX_SYNCS: usize = 4;
-/// Instances that are asked for at a time.
+/// Maximum number of instances per request of a walk (max-repetitions).
 const MAX_REPETITIONS: u32 = 30;
 
-/// Asks the agent at ADDRESS for objects, or prints notifications that come to ADDRESS
+/// Queries the agent at ADDRESS, or prints notifications that are sent to ADDRESS
 #[derive(Debug, clap::Args)]
 #[command(override_usage = USAGE, help_template = super::HELP)]
 pub(super) struct Options {
@@ -36,30 +36,30 @@
 
 #[derive(Debug, clap::Subcommand)]
 enum Command {
-    /// Asks for the objects of these names; fails unless all are there
+    /// Gets the objects with these names; fails unless all of them exist
     #[command(override_usage = USAGE, help_template = super::HELP)]
     Get(Query),
-    /// Asks for all objects below these names, or for the whole MIB
+    /// Walks all objects below these names, or the whole MIB
     #[command(override_usage = USAGE, help_template = super::HELP)]
     Walk(Query),
-    /// Prints a line for each notification that comes, and acknowledges informs
+    /// Prints a line for each notification received, and acknowledges informs
     #[command(override_usage = USAGE, help_template = super::HELP)]
     Listen(Listen),
 }
 
-// As whom; what is told on the command line is seen by all users of the machine, what stands in a file is not.
+// Credentials. Command line arguments are visible to all users of the machine, the content of a file is not.
 #[derive(Debug, clap::Args)]
 struct Identity {
-    /// WHO in SNMPv2c: a community [default: public]
+    /// The community for SNMPv2c (WHO) [default: public]
     #[arg(long, value_name = "NAME")]
     community: Option<String>,
-    /// WHO in SNMPv3: a user, in place of a community
+    /// The user for SNMPv3 (WHO), instead of a community
     #[arg(long, value_name = "NAME", conflicts_with = "community")]
     user: Option<String>,
-    /// The file of features whose snmpuser line has the user's passphrases, out of other users' sight
+    /// The feature file whose snmpuser line has the user's passphrases, which keeps them off the command line
     #[arg(long, value_name = "FILE")]
     conf: Option<String>,
-    /// How the user is authenticated: sha224, sha256, sha384 or sha512
+    /// Authentication protocol of the user: sha224, sha256, sha384 or sha512
     #[arg(long, value_name = "HOW", default_value = "sha256")]
     auth: String,
     /// The user's passphrase for authentication, 8 bytes or more [default: none, no authentication]
@@ -68,10 +68,10 @@
     /// The user's passphrase for privacy, 8 bytes or more [default: none, no privacy]
     #[arg(long, value_name = "WORDS", allow_hyphen_values = true)]
     priv_pass: Option<String>,
-    /// The enterprise number that the agent has the MIB under
+    /// The enterprise number under which the agent serves the MIB
     #[arg(long, value_name = "NUMBER", default_value_t = ENTERPRISE)]
     enterprise: u32,
-    /// Shows names as numbers
+    /// Prints names as numbers
     #[arg(long)]
     numeric: bool,
 }
@@ -82,7 +82,7 @@
     who: Identity,
     /// IP address and UDP port of the agent
     address: SocketAddr,
-    /// Names of the MIB or numbers, as mwReady or 1.3.6.1.2.1.1.3.0 [default for walk: mwObjects]
+    /// Names from the MIB or numbers, like mwReady or 1.3.6.1.2.1.1.3.0 [default for walk: mwObjects]
     names: Vec<String>,
 }
 
@@ -92,7 +92,7 @@
     who: Identity,
     /// IP address and UDP port to listen on
     address: SocketAddr,
-    /// Ends after so many notifications [default: none, it goes on]
+    /// Exits after this number of notifications [default: none, runs until it is stopped]
     #[arg(long, value_name = "NUMBER")]
     count: Option<u64>,
 }
@@ -120,7 +120,7 @@
         User::new(name, auth, self.priv_pass.as_deref()).map(As::User).map_err(str::to_owned)
     }
 
-    /// The MIB, under the agent's enterprise number.
+    /// The MIB, with the agent's enterprise number.
     fn mib(&self) -> Mib {
         Mib::read(
             &TEXT.replace(&format!("enterprises {ENTERPRISE}"), &format!("enterprises {}", self.enterprise)),
@@ -139,13 +139,13 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as Micros)
 }
 
-/// Prints a line; `false` where whoever read this has gone.
+/// Prints a line; returns `false` if standard output is closed.
 fn println(line: &str) -> bool {
     let mut out = io::stdout().lock();
     writeln!(out, "{line}").and_then(|()| out.flush()).is_ok()
 }
 
-/// The way to an agent: a socket, and what is known of the other side.
+/// A connection to an agent: the socket and the session state.
 struct AgentConnection {
     socket: UdpSocket,
     address: SocketAddr,
@@ -163,7 +163,7 @@
         let failed = |e: io::Error| format!("snmp: {}: {e}", ask.address);
         let socket = UdpSocket::bind((any, 0)).map_err(failed)?;
         socket.connect(ask.address).map_err(failed)?;
-        // Two managers of one machine must not take each other's answers for theirs; ports tell them apart.
+        // Several managers on one machine cannot receive each other's responses, since their ports differ.
         let seed = (unix_micros() as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let session = Session::new(ask.who.credentials()?, None, seed);
         let request = (seed >> 40) as i32;
@@ -174,7 +174,7 @@
         self.since.elapsed().as_micros() as Micros
     }
 
-    /// Asks until there is an answer, or none is to be expected.
+    /// Sends a request until it is answered, refused, or all tries have timed out.
     fn ask(&mut self, pdu: impl Fn(i32) -> Pdu) -> Result<Pdu, String> {
         self.request = self.request.wrapping_add(1) & i32::MAX;
         let pdu = pdu(self.request);
@@ -182,7 +182,8 @@
         let mut buffer = vec![0; DATAGRAM + 1];
         while tries < MAX_TRIES && syncs <= MAX_SYNCS {
             let out = self.session.request(self.now(), &pdu);
-            // Nobody there may be told at the next send or receive: the tries end it.
+            // An unreachable agent is reported as an error of a later send or receive; it is ignored, and the
+            // tries run out.
             let _ = self.socket.send(&out);
             let until = Instant::now() + ANSWER_TIMEOUT;
             let synchronized = loop {
@@ -208,7 +209,7 @@
     }
 }
 
-/// What a report's counter says.
+/// The meaning of the counter in a report PDU.
 fn reason(counter: &Oid) -> String {
     let known = [
         ("1.3.6.1.6.3.15.1.1.1.0", "not the level of safety that this user has"),
@@ -226,7 +227,7 @@
     let mib = ask.who.mib();
     let names = ask.names.iter().map(|name| {
         let oid = mib.resolve(name).ok_or_else(|| format!("snmp: no object is called {name:?}"))?;
-        // A scalar's instance is meant by its name.
+        // The name of a scalar stands for its only instance.
         let scalar = mib.of(&oid).is_some_and(|o| o.oid == oid && o.sort == snmp::mib::Sort::Scalar);
         Ok((if scalar { oid.child(&[0]) } else { oid }, Value::Unspecified))
     });
@@ -318,14 +319,14 @@
     Ok(())
 }
 
-/// A notification in one line: when it came, from where, its name, and what it carries.
+/// Formats a notification as one line: time, source address, kind, name and variable bindings.
 fn line(who: &Identity, mib: &Mib, from: SocketAddr, pdu: &Pdu) -> String {
     let how = if pdu.kind == Kind::Inform { "inform" } else { "trap" };
     let name = pdu.bindings.iter().find_map(|(_, value)| match value {
         Value::Oid(oid) => Some(mib.show(oid)),
         _ => None,
     });
-    // sysUpTime and the name come first (RFC 3416, 4.2.6).
+    // The first two bindings are sysUpTime and the notification's name (RFC 3416, 4.2.6).
     let carried = pdu.bindings.iter().skip(2).map(|(name, value)| who.show(mib, name, value));
     let carried: Vec<String> = carried.collect();
     let name = name.unwrap_or_else(|| "nameless".to_owned());
--- a/src/commands/tap.rs
+++ b/src/commands/tap.rs
@@ -1,22 +1,22 @@
 //! `martenweir tap ADDRESS [class=NAME] [tenant=NAME]`: sends the filter to a tap port and prints the lines
-//! until the proxy closes. It fails where it is refused or cut off.
+//! until the proxy closes the connection. Fails if the proxy refuses the filter or cuts off the connection.
 
 use crate::features::tap::{CUT, REFUSED};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
 pub(super) const USAGE: &str = "martenweir tap ADDRESS [class=NAME] [tenant=NAME]";
-/// More than any line of the proxy's.
+/// Longer than any line that the proxy sends.
 const MAX_LINE: u64 = 64 * 1024;
 
-/// Prints a line for each sampled request that matches, as the tap port at ADDRESS tells them
+/// Prints a line for each sampled request that matches, as received from the tap port at ADDRESS
 #[derive(Debug, clap::Args)]
 #[command(override_usage = USAGE, help_template = super::HELP)]
 pub(super) struct Options {
     /// Host and port of the tap port
     #[arg(allow_hyphen_values = true)]
     address: String,
-    // Told to the proxy as they are: what they mean is its matter.
+    // Sent to the proxy unchanged, which parses them.
     /// class=NAME, tenant=NAME or both [default: all that is sampled]
     #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
     filter: Vec<String>,
@@ -39,7 +39,7 @@
         }
         let mut out = io::stdout().lock();
         if out.write_all(&line).and_then(|()| out.flush()).is_err() {
-            // Whoever read this has gone.
+            // Standard output is closed, which is no error.
             return Ok(());
         }
         if line == CUT {
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration file; `NODE_NAME`, `NODE_LISTEN` and `NODE_DISCOVERY` stand in for what it lacks.
+//! The JSON configuration file. The environment variables `NODE_NAME`, `NODE_LISTEN` and `NODE_DISCOVERY`
+//! replace missing keys.
 
 use crate::codec::discovery::{self, Cluster};
 use crate::settings::{self, Site};
@@ -11,12 +12,12 @@
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Maximum number of open file descriptors of the process.
     pub sockets: usize,
-    /// Bytes of memory that the process may use.
+    /// Memory limit of the process, in bytes.
     pub memory: usize,
     pub known: Cluster,
-    /// What of it could not be read, in a line.
+    /// One-line description of the entries of `known` that could not be parsed.
     pub known_error: Option<String>,
     pub site: Site,
 }
@@ -36,7 +37,7 @@
         string(key, variable)?.parse().map_err(|_| format!("{key} is not an address like 127.0.0.1:6379"))
     };
     let site = settings::site(v.get("settings").ok_or("settings is missing")?)?;
-    // Discovery tells the list soon: an old one that cannot be read is no reason not to start.
+    // Discovery sends a current list soon after the start, so an unreadable cached list must not prevent it.
     let none = || Cluster { revision: 0, complete: true, nodes: Vec::new() };
     let known = v.get("known").map(|known| discovery::list_from_json(known, &site));
     let (known, known_error) =
@@ -49,7 +50,7 @@
         name: string("name", "NODE_NAME").unwrap_or_else(|_| "martenweir".into()),
         listen: address("listen", "NODE_LISTEN")?,
         discovery: address("discovery", "NODE_DISCOVERY")?,
-        // Any text will do; on the platform it is hexadecimal.
+        // Any string is accepted; the platform passes hexadecimal digits. Other strings are hashed.
         seed: u64::from_str_radix(seed, 16).unwrap_or_else(|_| discovery::hash_id(seed.as_bytes())),
         sockets: sockets.unwrap_or(Some(1024)).ok_or("limits.sockets is not a number of 64 or more")?
             as usize,
--- a/src/features/addresses.rs
+++ b/src/features/addresses.rs
@@ -1,4 +1,5 @@
-//! Address lists: who may connect, and for whom fronts speak. The caller's real address is judged.
+//! Address lists: which clients may connect, and which fronts may send a PROXY header. Behind a front, the
+//! client's address from the header is checked.
 
 use crate::codec::proxy::{self, Source};
 use crate::interface::Micros;
@@ -9,7 +10,7 @@
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
 
-/// Refused connections are told once in this time at the most.
+/// Refused connections are logged at most once in this time.
 const LOG_INTERVAL: Micros = 1_000_000;
 
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -19,7 +20,7 @@
     pub proxyfrom: Vec<IpNet>,
 }
 
-/// A range like `10.20.0.0/16`, or a single address; bits behind the prefix count for nothing.
+/// Parses a range like `10.20.0.0/16` or a single address; host bits are cleared.
 pub fn network(text: &str) -> Option<IpNet> {
     let network = text.parse().ok().or_else(|| text.parse::<IpAddr>().ok().map(IpNet::from))?;
     let mapped = match network {
@@ -39,23 +40,23 @@
 }
 
 impl AddressLists {
-    /// Whether a caller may connect: a deny line wins, and without allow lines all others may.
+    /// Whether a client may connect: deny lines take precedence, and without allow lines everybody else may.
     pub fn admits(&self, ip: IpAddr) -> bool {
         !contains(&self.deny, ip) && (self.allow.is_empty() || contains(&self.allow, ip))
     }
 
-    /// Whether a connection from there must begin with a PROXY header.
+    /// Whether a connection from this address must begin with a PROXY header.
     pub fn trusts(&self, ip: IpAddr) -> bool {
         contains(&self.proxyfrom, ip)
     }
 }
 
-/// The lists at work, and what is still to be told of those they refused.
+/// The lists in use, and the refused connections that have not been logged yet.
 #[derive(Debug)]
 pub struct AddressFilter {
     lists: AddressLists,
     refused: Cell<u64>,
-    /// All of them since the start.
+    /// Refused connections since the start.
     refused_total: Cell<u64>,
     last: RefCell<Option<Caller>>,
     last_logged: Cell<Micros>,
@@ -67,8 +68,8 @@
         AddressFilter { lists, refused, refused_total, last: RefCell::default(), last_logged }
     }
 
-    /// Judges a socket at accept: a front is let in unless it is denied itself, and whom it speaks for is
-    /// judged behind its header.
+    /// Checks the peer of an accepted socket. A front is accepted unless it is denied itself; the client it
+    /// forwards is checked once its header has been read.
     pub fn accepts(&self, peer: SocketAddr) -> bool {
         let front = self.trusts(peer) && !contains(&self.lists.deny, peer.ip());
         front || self.admits(&Caller { client: peer, via: None })
@@ -88,13 +89,13 @@
         admitted
     }
 
-    /// How many were refused since the start.
+    /// Number of refused connections since the start.
     pub fn refused(&self) -> u64 {
         self.refused_total.get()
     }
 
-    /// How many were refused since this was told last, and the last of them; if it is time to tell it or this
-    /// is the end.
+    /// The number of connections refused since the last call that returned them, and the last of them, if
+    /// [`LOG_INTERVAL`] has passed or `end` is set.
     pub fn take_refused(&self, now: Micros, end: bool) -> Option<(u64, Caller)> {
         if self.refused.get() == 0 || (now - self.last_logged.get() < LOG_INTERVAL && !end) {
             return None;
@@ -103,7 +104,8 @@
         Some((self.refused.take(), self.last.take()?))
     }
 
-    /// Learns who has connected before anything of the protocol is read. `false`: it is to be closed.
+    /// Determines the client of a connection before any byte of the protocol is parsed. Returns `false` if
+    /// the connection must be closed.
     pub async fn identify(&self, link: &mut Link) -> bool {
         let peer = link.caller.client;
         let is_front = self.trusts(peer);
@@ -134,7 +136,7 @@
                 (_, Some(false)) if !is_front => break,
                 _ => {}
             }
-            // Told to finish: a header on its way comes first, and a command may be behind it.
+            // Shutting down: a header that has already arrived is read first, since a command may follow it.
             if link.finishing && is_front && link.socket.is_quiet() {
                 link.progress.set(Waits::Close);
                 farewell(&link.socket).await;
@@ -150,7 +152,8 @@
             match future::or(order, async { Some(read(&link.socket, &mut input).await) }).await {
                 Some(Ok(1..)) => {}
                 Some(_) => return false,
-                // Told to finish. Without a header nothing may be said; others are told as ever.
+                // Shutting down. Nothing may be sent before the PROXY header is known; other clients are
+                // answered as usual.
                 None => {
                     link.finishing = true;
                     if !is_front {
--- a/src/features/control.rs
+++ b/src/features/control.rs
@@ -1,10 +1,12 @@
-//! A control machine: carries numbered changes to every proxy, and knows which have them; carries no traffic. It owns
-//! the [`Control`], the connections of followers, of other control machines and of whoever submits, a task each
-//! ([`crate::net::framed`]), and a store's file ([`store`]).
+//! A control machine: distributes numbered changes to all proxies and tracks which proxies have them; it
+//! carries no client traffic. This module owns the [`Control`] state machine, the connections of followers,
+//! other control machines and submitters (one task each, see [`crate::net::framed`]) and a store's file
+//! ([`store`]).
 //!
-//! What the machine wants done is done in its order. A store's changes are written off this thread; until they last,
-//! all that is to be done after them waits, and what else is to be written by then goes with the next write: one
-//! fdatasync for many changes. A disk that fails or hangs ends the process, as if the machine had died: others go on.
+//! Outputs of the state machine are executed in order. A store's changes are written on another thread; until
+//! they are durable, all later outputs wait, and records that have to be written meanwhile are combined into
+//! the next write, so that one fdatasync covers many changes. A failing or hanging disk ends the process, as
+//! if the machine had failed; the other machines take over.
 
 pub mod settings;
 pub mod store;
@@ -31,17 +33,18 @@
 use store::{Loaded, Store};
 use tracing::{info, warn};
 
-/// News that may wait, and news taken before what is due is done.
+/// Capacity of the event queue, and number of events handled before timers are checked.
 const QUEUE_CAPACITY: usize = 1024;
 const EVENTS_PER_TURN: usize = 256;
-/// What may wait for the disk, in things to be done. Past that it does not keep up.
+/// Maximum number of outputs that wait for the disk; beyond that, the disk is too slow.
 const MAX_PENDING_OUTPUTS: usize = 64 * 1024;
-/// How long a write may take, in us: far more than the lease, after which nobody waits for this machine.
+/// Maximum duration of a write in us. It is far longer than the lease, after which no other machine waits for
+/// this one.
 const WRITE_TIMEOUT: Micros = 10_000_000;
-/// Without a descriptor for a connection: how long until the next is tried.
+/// Delay before accepting is retried after an error, such as a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How often figures are told, and how many lines about peers between two of them; how often it is looked whether there
-/// is something else to tell.
+/// Interval between figures in the log, maximum number of log lines about peers within it, and interval
+/// between checks for state changes to log.
 const FIGURES_INTERVAL: Micros = 10_000_000;
 const MAX_LINES: u64 = 20;
 const CHECK_INTERVAL: Micros = 200_000;
@@ -49,29 +52,29 @@
 enum Event {
     Accepted(Async<TcpStream>, SocketAddr),
     Peer(PeerId, Word<Message>),
-    /// The disk has the records, or the file anew.
+    /// The records have been written, or the file has been rewritten.
     Written(Result<Box<Store>, String>),
-    /// Told by the accepting task, once in a row.
+    /// Accepting has failed. Sent once per series of failures.
     AcceptFailed(String),
-    /// The list of followers is to be read again.
+    /// The list of followers must be read again.
     Reload,
     End,
 }
 
 struct Peer {
     address: SocketAddr,
-    /// A control machine that we dialled.
+    /// The control machine that this connection was opened to, if it is an outgoing one.
     dialled: Option<ControlId>,
     up: bool,
     outbox: Outbox,
-    /// Its last words are on their way: the core knows it no more.
+    /// The reason for closing is being sent; the state machine has already dropped the peer.
     closing: bool,
     _task: Task<()>,
 }
 
-/// A store's disk.
+/// State of the store's disk.
 enum Disk {
-    /// It is no store.
+    /// This machine is not a store.
     None,
     Idle(Box<Store>),
     Writes {
@@ -89,34 +92,34 @@
     queue: Sender<Event>,
     executor: Rc<LocalExecutor<'static>>,
     disk: Disk,
-    /// What is to be done, in order. While the disk writes nothing of it is.
+    /// Outputs that have not been executed yet, in order. They all wait while the disk is written.
     pending_outputs: VecDeque<Output>,
-    /// Why it cannot go on.
+    /// Why the process must end.
     fatal_error: Option<String>,
     logged_lines: u64,
     last_figures: Micros,
     last_check: Micros,
-    /// What was told of last.
+    /// The state that was logged last.
     accepting: bool,
     fresh: bool,
     conflicts: BTreeSet<StreamId>,
     refused: BTreeSet<(StreamId, u64)>,
 }
 
-/// What a control machine starts with.
+/// Initial state of a control machine.
 #[derive(Debug)]
 pub struct Start {
     pub address: SocketAddr,
     pub settings: Settings,
     pub lists: AddressLists,
-    /// The followers that there are, by their names' numbers.
+    /// The known followers, with their names by id.
     pub roster: BTreeMap<FollowerId, String>,
-    /// A store's file as it was found.
+    /// The content of the store's file.
     pub loaded: Option<Loaded>,
 }
 
-/// Serves until SIGTERM or SIGINT; SIGHUP has it read the list of followers again. All tasks are spawned on
-/// `executor`, whose thread this has to be. An error says why it cannot serve.
+/// Runs until SIGTERM or SIGINT; SIGHUP reloads the list of followers. All tasks are spawned on `executor`,
+/// which must run on the current thread. The error says why the machine cannot continue.
 pub async fn run(start: Start, executor: Rc<LocalExecutor<'static>>) -> Result<(), String> {
     let Start { address, settings, lists, roster, loaded } = start;
     let failed = |e| format!("cannot listen on {address}: {e}");
@@ -187,7 +190,7 @@
     Ok(())
 }
 
-/// What was found in a store's file.
+/// Logs what was found in the store's file.
 fn log_loaded(settings: &Settings, records: usize, torn: u64, older: Option<u32>) {
     let file = settings.store.as_ref().map(|p| p.display().to_string()).unwrap_or_default();
     info!(event = "loaded", file, records, "{file}: {records} records");
@@ -226,7 +229,7 @@
     }
 }
 
-/// A stream as lines name it: its topic and the store that numbers it.
+/// The name of a stream in log lines: its topic and the store that numbers it.
 pub fn stream_name(of: StreamId) -> String {
     format!("{}.{}", of.topic, of.store.0)
 }
@@ -266,7 +269,7 @@
         }
     }
 
-    /// Whether it is to end.
+    /// Handles an event. Returns whether the process must end.
     fn handle_event(&mut self, now: Micros, event: Event) -> bool {
         let mut out = Vec::new();
         match event {
@@ -338,7 +341,7 @@
         self.control.up(now, peer, ConnectionKind::Accepted, out);
     }
 
-    /// Opens a connection to another control machine; one that is only being opened there gives way.
+    /// Connects to another control machine. A connection to it that is not established yet is dropped.
     fn dial(&mut self, control: ControlId) {
         let Some(listed) = self.settings.controls.listed.get(usize::from(control.0)) else { return };
         let address = listed.address;
@@ -351,7 +354,8 @@
         self.peers.insert(peer, new);
     }
 
-    /// Tells a peer why its connection is closed; the core knows it no more.
+    /// Sends the reason for closing to a peer and closes the connection; the state machine has already
+    /// dropped it.
     fn refuse(&mut self, peer: PeerId, why: &CloseReason) {
         let Some(p) = self.peers.get_mut(&peer) else { return };
         let (address, said) = (p.address, p.outbox.last(frame::refusal(why)));
@@ -363,14 +367,14 @@
         self.log_limited(|| warn!(event = "peer_refused", client = %address, why, "{address} closed: {why}"));
     }
 
-    /// Does what is to be done, as far as the disk lets it.
+    /// Executes outputs, except those that have to wait for the disk.
     fn carry_out(&mut self, now: Micros, out: Vec<Output>) {
         self.pending_outputs.extend(out);
         if self.pending_outputs.len() > MAX_PENDING_OUTPUTS {
             self.fatal_error = Some(self.disk_failed("it does not keep up"));
             return;
         }
-        // What was encoded last: batches to many followers are the same message.
+        // The last encoded message, which is reused because batches to many followers share it.
         let mut last: Option<(Rc<Message>, Rc<[u8]>)> = None;
         while !matches!(self.disk, Disk::Writes { .. }) {
             match self.pending_outputs.pop_front() {
@@ -410,7 +414,8 @@
         );
     }
 
-    /// Writes these records and all others that wait to be written: earlier than they need.
+    /// Writes these records together with all others that are waiting to be written, earlier than they have
+    /// to be.
     fn persist(&mut self, now: Micros, mut records: Vec<Record>) {
         for output in &mut self.pending_outputs {
             if let Output::Persist(more) = output {
@@ -421,7 +426,7 @@
             return;
         }
         let Disk::Idle(mut store) = std::mem::replace(&mut self.disk, Disk::None) else {
-            // Only stores have something to write, and none starts without a file.
+            // Only stores write records, and a store does not start without a file.
             self.fatal_error = Some("control: a store without a controlstore".into());
             return;
         };
@@ -434,7 +439,7 @@
         self.disk = Disk::Writes { since: now, _task: task };
     }
 
-    /// Has the file written anew if it has grown. All that the machine holds lasts by now.
+    /// Rewrites the file if it has grown too much. At this point everything the machine holds is durable.
     fn rewrite(&mut self, now: Micros) {
         let Disk::Idle(store) = &self.disk else { return };
         if !store.needs_rewrite() {
@@ -462,7 +467,7 @@
         format!("control: {}: {why}", file.unwrap_or_default())
     }
 
-    /// Reads the list of followers again.
+    /// Reloads the list of followers.
     fn reload(&mut self) {
         let Some(path) = self.settings.followers.clone() else { return };
         match settings::roster(&path) {
@@ -475,7 +480,7 @@
         }
     }
 
-    /// A line of which there could be many.
+    /// Logs a line of a kind that can be frequent, up to [`MAX_LINES`] per interval.
     fn log_limited(&mut self, tell: impl FnOnce()) {
         self.logged_lines += 1;
         if self.logged_lines <= MAX_LINES {
@@ -483,7 +488,7 @@
         }
     }
 
-    /// Lines about what has changed, and the figures.
+    /// Logs state changes and, once per interval, the figures.
     fn log_changes(&mut self, now: Micros) {
         if now - self.last_check < CHECK_INTERVAL {
             return;
@@ -496,7 +501,7 @@
                 false => warn!(event = "takes_none", "takes no submissions"),
             }
         }
-        // Known within the lease: who has no fresh instant is of no use to followers.
+        // 2 s is well within the lease; without a fresh instant this machine is of no use to followers.
         let fresh = stats.fresh.is_some_and(|at| now - at < 2_000_000);
         if fresh != std::mem::replace(&mut self.fresh, fresh) {
             match fresh {
@@ -588,11 +593,11 @@
     }
 }
 
-/// Opens a store's file, for one that is a store.
+/// Opens the store's file, if this machine is a store.
 ///
 /// # Errors
 ///
-/// One line: a store without a file, a file that cannot be used.
+/// A one-line message if no file is configured or the file cannot be used.
 pub fn load(settings: &Settings) -> Result<Option<Loaded>, String> {
     let rules = settings.controls.rules()?;
     if !rules.is_store(settings.me()) {
--- a/src/features/control/settings.rs
+++ b/src/features/control/settings.rs
@@ -1,4 +1,4 @@
-//! The lines about control machines in our own file, which control machines and proxies share.
+//! The settings of control machines in the feature file, which control machines and proxies share.
 
 use crate::codec::discovery;
 use dissemination::{bounds, ControlId, FollowerId, Location, Rules};
@@ -6,28 +6,28 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Control machines on the list.
+/// Maximum number of control machines.
 pub const MAX_CONTROLS: usize = bounds::MAX_CONTROLS as usize;
-/// Stores, where the list is long enough and the file says nothing else.
+/// Default number of stores, if there are at least as many control machines.
 const DEFAULT_STORES: u8 = 5;
-/// The longest list of followers, in bytes and names.
+/// Limits of the list of followers, in bytes and in names.
 const MAX_ROSTER_BYTES: u64 = 16 << 20;
 const MAX_FOLLOWERS: usize = 65_536;
 
-/// A control machine as the file names it.
+/// A control machine as configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlEntry {
     pub address: SocketAddr,
-    /// Region, zone, site.
+    /// Region, zone and site.
     pub place: [String; 3],
 }
 
-/// The control machines, as all of them and all proxies know them.
+/// The control machines; the same on all of them and on all proxies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ControlList {
-    /// In the order of their lines, which gives them their numbers.
+    /// In the order of their lines, whose index is the machine's number.
     pub listed: Vec<ControlEntry>,
-    /// How many of them, the first ones, are stores.
+    /// Number of stores, which are the first machines of the list.
     pub stores: Option<u8>,
     pub epoch: u32,
 }
@@ -39,11 +39,11 @@
 }
 
 impl ControlList {
-    /// What control machines and followers go by.
+    /// The rules that control machines and followers share.
     ///
     /// # Errors
     ///
-    /// What of the lines does not fit together.
+    /// The settings that contradict each other.
     pub fn rules(&self) -> Result<Rules, String> {
         let controls = self.listed.len() as u8;
         let stores = self.stores.unwrap_or(DEFAULT_STORES.min(controls));
@@ -55,8 +55,8 @@
         Ok(rules)
     }
 
-    /// Where the control machines stand, and where one stands that is told by its names. Numbers mean something
-    /// beside each other only.
+    /// The locations of the control machines, and the location with the names in `own`. Numbers are only
+    /// comparable within one result.
     pub fn places(&self, own: Option<&[String; 3]>) -> (Vec<Location>, Location) {
         let mut known: BTreeMap<Vec<String>, u16> = BTreeMap::new();
         let mut number = |names: &[String]| {
@@ -69,42 +69,42 @@
             site: number(&[region.clone(), zone.clone(), site.clone()]),
         };
         let all = self.listed.iter().map(|l| place(&l.place)).collect();
-        // Of one that stands nowhere nothing is near.
+        // Without a location, no control machine is near.
         let nowhere = Location { region: u16::MAX, zone: u16::MAX, site: u16::MAX };
         (all, own.map_or(nowhere, place))
     }
 }
 
-/// A control machine's own lines.
+/// Settings of a control machine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     pub port: u16,
-    /// Its place in the list, from 0.
+    /// Index in the list, from 0.
     pub number: u8,
     pub controls: ControlList,
-    /// Where a store writes its changes down.
+    /// File in which a store keeps its changes.
     pub store: Option<PathBuf>,
-    /// The list of proxies' names.
+    /// File with the names of all proxies.
     pub followers: Option<PathBuf>,
 }
 
 impl Settings {
-    /// Which one it is.
+    /// This machine's id.
     pub fn me(&self) -> ControlId {
         ControlId(self.number)
     }
 }
 
-/// A proxy's name as a follower's.
+/// The follower id of the proxy with this name.
 pub fn follower(name: &str) -> FollowerId {
     FollowerId(discovery::hash_id(name.as_bytes()))
 }
 
-/// The names in a file, one a line, `#` before a comment.
+/// Reads a file of names, one per line, with comments after `#`.
 ///
 /// # Errors
 ///
-/// One line with the file and the place in it.
+/// A one-line message with the file and the line.
 pub fn roster(path: &Path) -> Result<BTreeMap<FollowerId, String>, String> {
     let at = path.display();
     let size = std::fs::metadata(path).map_err(|e| format!("{at}: {e}"))?.len();
--- a/src/features/control/store.rs
+++ b/src/features/control/store.rs
@@ -1,12 +1,13 @@
-//! A store's changes on disk: a file that is appended to, and written anew once it has grown.
+//! Durable storage of a store's changes: an append-only file that is rewritten once it has grown too much.
 //!
-//! The file begins with [`MAGIC`]; frames follow, of which the first is a [`Head`], the others are
-//! [`dissemination::Record`]s in postcard's form. A frame is the length of its body (u32, little-endian), the CRC-32
-//! of these four bytes, that of the body, and the body. So a record that was being written when the machine stopped is
-//! told from one that was damaged: of the first the file's end is missing, or nothing but zeros; it was acknowledged to
-//! nobody and goes. Anything else that does not fit is an error, with its place.
+//! The file begins with [`MAGIC`], followed by frames: a [`Head`], then [`dissemination::Record`]s, all
+//! encoded by postcard. A frame consists of the length of its body (u32, little-endian), the CRC-32 of these
+//! four bytes, the CRC-32 of the body, and the body. This distinguishes a record that was being written when
+//! the machine stopped from a damaged one: the former is cut short by the end of the file, or has only zeros;
+//! it has not been acknowledged and is dropped. Anything else is an error, which is reported with its
+//! position.
 //!
-//! All of this may block: the host calls it off the thread that serves.
+//! All functions may block, so the host calls them on another thread.
 
 use dissemination::{ControlId, Record};
 use serde::{Deserialize, Serialize};
@@ -14,47 +15,48 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// What the file begins with; the last byte is the form's version.
+/// Start of the file; the last byte is the version of the format.
 const MAGIC: &[u8; 8] = b"mwstore\x01";
-/// Bytes before a body.
+/// Size of a frame header.
 const HEADER_BYTES: usize = 12;
-/// The longest body: a change of the largest size, and what names it.
+/// Maximum size of a body: the largest change and its identification.
 const MAX_BODY: usize = 8 * 1024;
-/// A file that has grown by so many bytes beyond twice what it needs is written anew. Large, so that it is seldom.
+/// The file is rewritten once it exceeds twice the needed size by this many bytes. The threshold is large to
+/// make rewrites rare.
 const REWRITE_THRESHOLD: u64 = 16 << 20;
-/// The largest file that is read at the start: what is held, and several times of what is let grow.
+/// Maximum size of a file to load: the needed size plus several times the growth allowed above.
 const MAX_FILE: u64 = 1 << 30;
 
-/// Whose file it is.
+/// The machine and epoch that wrote the file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Head {
     control: u8,
     epoch: u32,
 }
 
-/// A store's file, open to be appended to.
+/// The open file of a store.
 #[derive(Debug)]
 pub struct Store {
     path: PathBuf,
     file: File,
     head: Head,
-    /// Bytes of the file now, and when it was written anew last.
+    /// Current size of the file, and its size after the last rewrite.
     bytes: u64,
     needed: u64,
 }
 
-/// What a file had.
+/// The content of a file.
 #[derive(Debug)]
 pub struct Loaded {
     pub store: Store,
     pub records: Vec<Record>,
-    /// Bytes at its end that were no whole record and are gone.
+    /// Size of the incomplete record that was dropped from the end of the file.
     pub torn: u64,
-    /// The epoch in which it was written, if another.
+    /// The epoch in which the file was written, if it was an earlier one.
     pub older: Option<u32>,
 }
 
-/// A value as a frame. It fails on what no machine makes: a record beyond its bounds.
+/// Appends a value as a frame. Fails for records beyond the limits, which no machine creates.
 fn frame(value: &impl Serialize, to: &mut Vec<u8>) -> io::Result<()> {
     let body = postcard::to_allocvec(value).map_err(io::Error::other)?;
     if body.len() > MAX_BODY {
@@ -68,11 +70,11 @@
     Ok(())
 }
 
-/// Records as they stand in the file.
+/// Encodes records for [`Store::append`] and [`Store::rewrite`].
 ///
 /// # Errors
 ///
-/// A record beyond its bounds, which no machine makes.
+/// A record beyond the limits, which no machine creates.
 pub fn encode(records: &[Record]) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     records.iter().try_for_each(|record| frame(record, &mut bytes))?;
@@ -83,10 +85,10 @@
     bytes.get(at..at + 4)?.try_into().ok().map(u32::from_le_bytes)
 }
 
-/// What the next frame holds.
+/// The next frame of a file.
 enum Frame<'a> {
     Body(&'a [u8]),
-    /// The file ends before the frame does.
+    /// The file ends within the frame.
     Torn,
     Damaged(&'static str),
 }
@@ -108,7 +110,7 @@
     }
 }
 
-/// One value, and nothing behind it.
+/// Decodes a value that takes up the whole body.
 fn decode<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, &'static str> {
     match postcard::take_from_bytes(body) {
         Ok((value, [])) => Ok(value),
@@ -116,19 +118,19 @@
     }
 }
 
-/// The folder's entry of a file lasts.
+/// Syncs the directory, so that the entry of a new file is durable.
 fn sync_directory(path: &Path) -> io::Result<()> {
     let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
     File::open(folder)?.sync_all()
 }
 
 impl Store {
-    /// Reads a file and opens it to be appended to; without one there it is begun.
+    /// Loads a file and opens it for appending; creates it if it does not exist.
     ///
     /// # Errors
     ///
-    /// One line with the file and the place in it: it cannot be read or written, is damaged, or another's; it was
-    /// written in a later epoch.
+    /// A one-line message with the file and the position, if it cannot be read or written, is damaged,
+    /// belongs to another machine or was written in a later epoch.
     pub fn open(path: &Path, me: ControlId, epoch: u32) -> Result<Loaded, String> {
         let failed = |e: io::Error| format!("{}: {e}", path.display());
         let head = Head { control: me.0, epoch };
@@ -160,17 +162,17 @@
                 let file = OpenOptions::new().append(true).open(path).map_err(failed)?;
                 Store { path: path.into(), file, head, bytes: whole, needed: whole }
             }
-            // Begun anew without what was torn, by the epoch that is now.
+            // Rewritten in the current epoch, without the incomplete record.
             false => encode(&records).and_then(|bytes| Store::write(path, head, &bytes)).map_err(failed)?,
         };
         Ok(Loaded { store, records, torn, older: Some(written).filter(|w| *w < epoch) })
     }
 
-    /// Appends what [`encode`] has made of records. They last when it returns.
+    /// Appends records encoded by [`encode`]. They are durable when this returns.
     ///
     /// # Errors
     ///
-    /// Those of the file; what it holds then is not known.
+    /// I/O errors, after which the content of the file is unknown.
     pub fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.file.write_all(bytes)?;
         self.file.sync_data()?;
@@ -178,17 +180,17 @@
         Ok(())
     }
 
-    /// Whether most of the file is no longer needed.
+    /// Whether most of the file is obsolete.
     pub fn needs_rewrite(&self) -> bool {
         self.bytes > 2 * self.needed + REWRITE_THRESHOLD
     }
 
-    /// The file with these records alone, as [`encode`] has made them. It is whole at any moment: the new one takes the old one's name once it
-    /// lasts.
+    /// Replaces the file by one with only these records, as encoded by [`encode`]. The file is complete at
+    /// any time: the new one is renamed to the old name once it is durable.
     ///
     /// # Errors
     ///
-    /// Those of the files.
+    /// I/O errors.
     pub fn rewrite(&self, records: &[u8]) -> io::Result<Store> {
         Store::write(&self.path, self.head, records)
     }
@@ -209,15 +211,15 @@
     }
 }
 
-/// What is whole of a file.
+/// The complete frames of a file.
 struct Contents {
-    /// None in one that was torn before its head was written.
+    /// `None` if the file ends before the head was complete.
     head: Option<Head>,
     records: Vec<Record>,
     bytes: u64,
 }
 
-/// An error has its place.
+/// Parses a file; an error has its position.
 fn read(bytes: &[u8]) -> Result<Contents, (usize, &'static str)> {
     let mut at = MAGIC.len();
     if bytes.get(..at) != Some(MAGIC) {
--- a/src/features/control/store/tests.rs
+++ b/src/features/control/store/tests.rs
@@ -4,7 +4,7 @@
 
 const ME: ControlId = ControlId(2);
 
-/// A folder of its own for each, gone with it.
+/// A directory of its own for each test, removed on drop.
 struct TempDir(PathBuf);
 
 impl TempDir {
@@ -44,7 +44,7 @@
     store.append(&encode(records).expect("records")).expect("it is written");
 }
 
-/// A file with so many records, and its bytes.
+/// Creates a file with this number of records; returns them and the bytes of the file.
 fn written(folder: &TempDir, count: u64) -> (Vec<Record>, Vec<u8>) {
     let records: Vec<Record> = (1..=count).map(record).collect();
     let mut loaded = open(&folder.file()).expect("a new file");
@@ -64,7 +64,8 @@
     assert_eq!(open(&folder.file()).expect("the file").records, records);
 }
 
-/// Wherever the file ends, what stands whole before that is there, the rest is told, and more can be appended.
+/// A file may be cut off at any byte, if the machine stops during a write. Complete records before the cut
+/// are loaded, the size of the rest is reported, and the file can be appended to.
 #[test]
 fn a_last_record_that_was_torn_goes_and_those_before_it_stay() {
     let folder = TempDir::new();
@@ -81,7 +82,7 @@
         fs::write(folder.file(), &bytes[..cut]).expect("the file");
         let mut loaded = open(&folder.file()).expect("the file");
         let whole = ends.iter().rposition(|end| *end <= cut).expect("the first");
-        // The head is the first frame.
+        // The first frame is the head.
         let kept = &records[..whole.saturating_sub(1)];
         assert_eq!((&loaded.records[..], loaded.torn), (kept, (cut - ends[whole]) as u64), "cut at {cut}");
         append(&mut loaded.store, &[record(99)]);
@@ -103,7 +104,7 @@
     assert_eq!((loaded.records, loaded.torn), (records, 300));
 }
 
-/// No changed bit anywhere goes unseen, in the last record neither.
+/// Every flipped bit is detected, also in the last record.
 #[test]
 fn a_damaged_file_is_refused_with_its_name_and_the_place() {
     let folder = TempDir::new();
--- a/src/features/figures.rs
+++ b/src/features/figures.rs
@@ -1,5 +1,5 @@
-//! figures: counters, gauges and timers for a collector, in batches. Counters are summed until they are
-//! flushed; every latency has a line. Whatever the target does, nobody waits for it.
+//! Figures: sends counters, gauges and timers to a metrics collector, in batches. Counters are summed between
+//! flushes; each latency is a line of its own. The proxy never waits for the target.
 
 use crate::core::{Record, StreamOutcome};
 use crate::interface::{ClassId, Micros, TenantId};
@@ -19,10 +19,11 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Bytes of a batch, which is whole lines, and of all that is held: the oldest batches are dropped first.
+/// Maximum size of a batch, which consists of whole lines, and of all held batches, of which the oldest are
+/// dropped first.
 const MAX_BATCH: usize = 1400;
 const MAX_PENDING: usize = 64 * 1024;
-/// How long a planned end waits for the last batches.
+/// How long a graceful shutdown waits for the last batches to be written.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -51,16 +52,16 @@
     }
 }
 
-/// What is open at a moment, and what has happened since the moment before.
+/// Current gauge values, and counters since the last flush.
 #[derive(Clone, Debug, Default)]
 pub struct Gauges {
     pub downstreams: usize,
     pub upstreams: usize,
     /// Nodes that discovery lists as SERVING.
     pub serving: usize,
-    /// Downstreams that were closed, by the reason.
+    /// Closed downstreams by reason.
     pub closed: Vec<(&'static str, u64)>,
-    /// Whether control machines keep this proxy in service, where there are any.
+    /// Whether control machines keep this proxy in service; `None` without control machines.
     pub controlled: Option<bool>,
 }
 
@@ -72,7 +73,8 @@
 }
 
 impl Format {
-    /// One line: `name` has dots, what the format cannot hold in a tag is escaped or becomes `_`.
+    /// Formats a line. Dots in `name` are converted as needed; characters of tags that the format does not
+    /// allow are escaped or replaced by `_`.
     fn line(self, name: &str, kind: MetricKind, tags: &[(&str, &str)], value: u64) -> String {
         match self {
             Format::Statsd => {
@@ -108,7 +110,7 @@
     let mut out = String::new();
     for c in value.chars() {
         match c {
-            // Behind a backslash the end of a tag would be none.
+            // A backslash at the end of a tag would escape the separator that follows it.
             '\\' => out.push('_'),
             _ if c.is_control() => out.push('_'),
             ',' | '=' | ' ' => out.extend(['\\', c]),
@@ -118,26 +120,26 @@
     out
 }
 
-/// Whole lines, and how many lost batches are told in them.
+/// Complete lines, and the number of lost batches that they report.
 #[derive(Debug, Default)]
 pub(crate) struct Batch {
     bytes: Vec<u8>,
     dropped: u64,
 }
 
-/// What a counter counts: its name, class, tenant, and the last tag.
+/// Key of a counter: its name, class, tenant and the value of the last tag.
 type Counter = (&'static str, ClassId, TenantId, &'static str);
 
 #[derive(Debug, Default)]
 struct State {
     counters: BTreeMap<Counter, u64>,
-    /// Flushed, but there was no room for their lines yet.
+    /// Flushed counters for whose lines there was no room yet.
     due: BTreeMap<Counter, u64>,
     current: Batch,
     ready: VecDeque<Batch>,
-    /// Bytes of the batch that is being written.
+    /// Size of the batch that is being written.
     writing: usize,
-    /// Batches lost and not told.
+    /// Number of lost batches that have not been reported yet.
     dropped: u64,
     shutting_down: bool,
 }
@@ -147,7 +149,7 @@
         self.ready.iter().map(|b| b.bytes.len()).sum::<usize>() + self.current.bytes.len() + self.writing
     }
 
-    /// Ends the current batch; the oldest make room.
+    /// Completes the current batch; drops the oldest ones to make room.
     fn close(&mut self) {
         let batch = std::mem::take(&mut self.current);
         if !batch.bytes.is_empty() {
@@ -161,7 +163,7 @@
 
     fn push(&mut self, line: &str) {
         if line.len() > MAX_BATCH {
-            // No batch could hold it: names of that length are no tags.
+            // No batch can hold a line this long; it comes from overlong names.
             self.dropped += 1;
             return;
         }
@@ -172,13 +174,13 @@
     }
 }
 
-/// The figures of one proxy.
+/// The figures of a proxy.
 #[derive(Debug)]
 pub struct Figures {
     settings: Settings,
     site: Rc<Site>,
     state: RefCell<State>,
-    /// The target is given up.
+    /// The target has failed for good.
     stopped: Cell<bool>,
     wake: Sender<()>,
     woken: Receiver<()>,
@@ -195,7 +197,7 @@
         self.settings.flush
     }
 
-    /// Records are wanted.
+    /// Whether records have to be passed to [`Figures::record`].
     pub fn wants_records(&self) -> bool {
         !self.stopped.get()
     }
@@ -221,14 +223,14 @@
             let ms = (record.time / 1000).max(0) as u64;
             let ready = state.ready.len();
             state.push(&self.settings.format.line("latency", MetricKind::Timer, &tags, ms));
-            // A full batch goes out at once.
+            // A full batch is written at once.
             if state.ready.len() > ready {
                 let _ = self.wake.try_send(());
             }
         }
     }
 
-    /// Hands over all that was counted, and what is open now.
+    /// Formats all counters since the last flush, and the given gauges.
     pub fn flush(&self, gauges: Gauges) {
         if self.stopped.get() {
             return;
@@ -258,7 +260,7 @@
         let _ = self.wake.try_send(());
     }
 
-    /// Turns what is due into lines, as far as there is room: what is not told yet stays summed.
+    /// Formats pending counters while there is room; the others stay summed.
     fn format_due(&self, state: &mut State) {
         let none_due = state.due.is_empty();
         while state.held() + 3 * MAX_BATCH < MAX_PENDING {
@@ -279,7 +281,7 @@
         Some(batch)
     }
 
-    /// A batch is off, `lost` of them are gone.
+    /// A batch has been handled; `lost` batches were lost with it.
     pub(crate) fn done(&self, lost: u64) {
         let mut state = self.state.borrow_mut();
         state.writing = 0;
@@ -287,14 +289,14 @@
         self.format_due(&mut state);
     }
 
-    /// The target is given up, and with it all that was meant for it.
+    /// Gives up the target and drops everything that was queued for it.
     fn stop(&self) {
         self.stopped.set(true);
         let mut state = self.state.borrow_mut();
         *state = State { shutting_down: state.shutting_down, ..State::default() };
     }
 
-    /// A planned end: flushes once and gives the writer a moment.
+    /// Graceful shutdown: flushes once more and gives the writer [`SHUTDOWN_TIMEOUT`] to finish.
     pub async fn end(&self, gauges: Gauges, writer: impl std::future::Future<Output = ()>) {
         self.flush(gauges);
         self.state.borrow_mut().shutting_down = true;
@@ -305,7 +307,7 @@
         future::or(writer, timeout).await;
     }
 
-    /// Writes batches until the end is told, through `stderr` where they go there.
+    /// Writes batches until shutdown; through `stderr` if that is the target.
     pub async fn write(self: Rc<Self>, stderr: Writer) {
         let mut sink = Sink::new(self.settings.target.clone(), stderr);
         loop {
@@ -324,13 +326,14 @@
     }
 }
 
-/// The target. What may block is done on another thread, one piece at a time: lines never tear each other.
+/// Writes to the target. Blocking operations run on another thread, one at a time, so that lines never
+/// interleave.
 pub(crate) struct Sink {
     target: Target,
     stderr: Writer,
     file: Option<File>,
     udp: Option<UdpSocket>,
-    /// Lost batches told in the datagram sent last: a refusal comes with the next one.
+    /// Lost batches reported in the last datagram. Its refusal by the peer is only seen with the next send.
     last: u64,
     stopped: bool,
 }
@@ -340,11 +343,11 @@
         Sink { target, stderr, file: None, udp: None, last: 0, stopped: false }
     }
 
-    /// Writes a batch; comes back with how many are lost.
+    /// Writes a batch and returns the number of lost batches.
     pub(crate) async fn put(&mut self, batch: Batch) -> u64 {
         match self.target.clone() {
             Target::Stderr => {
-                // It may be closed, and may block for ever.
+                // Standard error may be closed or block forever.
                 self.stderr.write(batch.bytes).await;
                 0
             }
@@ -387,12 +390,12 @@
         }
     }
 
-    /// Datagrams are what it sends.
+    /// Whether the target is UDP.
     pub(crate) fn sends(&self) -> bool {
         self.udp.is_some()
     }
 
-    /// Whether the datagram sent last was refused: what was lost with it.
+    /// If the last datagram was refused by the peer: the number of batches lost with it.
     pub(crate) fn refused(&mut self) -> Option<u64> {
         let refused = self.udp.as_ref()?.take_error().ok()?.is_some();
         refused.then(|| 1 + std::mem::take(&mut self.last))
@@ -407,7 +410,7 @@
     Ok(udp)
 }
 
-/// Appends whole lines. A file that is full or was removed is an error, and no half of a line stays in it.
+/// Appends complete lines. Fails if the file is full or was removed; a partially written line is truncated.
 fn append(file: Option<File>, path: PathBuf, bytes: &[u8]) -> io::Result<File> {
     let mut file = match file {
         Some(file) => file,
--- a/src/features/file.rs
+++ b/src/features/file.rs
@@ -1,4 +1,4 @@
-//! Our own file: `name value` a line, `#` before a comment. It is read once, at the start.
+//! The feature file: lines of the form `name value`, with comments after `#`. It is read once at the start.
 
 use super::control::{self, ControlEntry, ControlList};
 use super::{addresses, figures, follower, forwarder, multiget, planner, snmp, tap};
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// The longest file that makes sense.
+/// Maximum size of the file.
 const MAX_FILE_BYTES: u64 = 1024 * 1024;
 
-/// What the file says; a feature that nothing in it turns on is `None`.
+/// The settings of the file; a feature that is not enabled is `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Features {
     pub multiget: Option<multiget::Settings>,
@@ -24,7 +24,7 @@
     /// Nodes that speak the memcached protocol.
     pub memcachednodes: Nodes,
     pub snmp: Option<snmp::Settings>,
-    /// Always at work, with or without a line of its own.
+    /// Always active, with defaults for missing settings.
     pub door: door::Settings,
     pub forwarder: Option<forwarder::Settings>,
     pub planner: Option<planner::Settings>,
@@ -33,7 +33,8 @@
 }
 
 impl Features {
-    /// Whether the site has what is named here; an error tells the setting. With this, nothing is used yet.
+    /// Checks that the site has everything that the settings refer to; the error names the setting. Has no
+    /// side effects.
     pub fn check_site(&self, site: &Site) -> Result<(), String> {
         self.memcached.as_ref().map(|settings| Desk::new(settings, site, 0)).transpose()?;
         Speakers::new(&self.memcachednodes, site)?;
@@ -41,7 +42,7 @@
     }
 }
 
-/// Reads the file; an error is one line that names the file and the line in it.
+/// Loads the file; the error is one line with the file name and line number.
 pub fn load(path: &str) -> Result<Features, String> {
     let size = std::fs::metadata(path).map_err(|e| format!("{path}: {e}"))?.len();
     if size > MAX_FILE_BYTES {
@@ -51,9 +52,9 @@
     read(&String::from_utf8_lossy(&bytes)).map_err(|(line, what)| format!("{path}:{line}: {what}"))
 }
 
-/// Name and value of a line, if it has any.
+/// Splits a line into name and value; `None` for an empty line.
 fn setting(line: &str) -> Option<(&str, &str)> {
-    // A comment stands alone or behind white space: a path may hold a `#`.
+    // A comment begins at the start of the line or after white space, since a path may contain `#`.
     let comment =
         line.match_indices('#').find(|(at, _)| !line[..*at].ends_with(|c: char| !c.is_whitespace()));
     let line = line[..comment.map_or(line.len(), |(at, _)| at)].trim();
@@ -61,15 +62,15 @@
     Some((name, value.trim())).filter(|(name, _)| !name.is_empty())
 }
 
-/// The one setting that some lines are about; none if they are about several or nothing.
+/// The setting that all of these lines are about; `None` if there is none or more than one.
 pub fn setting_name(lines: &str) -> Option<&str> {
     let mut names = lines.lines().filter_map(setting).map(|(name, _)| name);
     let first = names.next()?;
     names.all(|name| name == first).then_some(first)
 }
 
-/// A file's text with the lines about some settings, by their names, in place of its own. Lines without a value say
-/// that the file's own hold.
+/// Replaces the lines of some settings in a file's text by others. An override without a value restores the
+/// file's own lines.
 pub fn apply_overrides<'a>(text: &str, overrides: impl Iterator<Item = (&'a str, &'a str)>) -> String {
     let valued = |lines: &str| lines.lines().filter_map(setting).any(|(_, value)| !value.is_empty());
     let overrides: Vec<(&str, &str)> = overrides.filter(|(_, lines)| valued(lines)).collect();
@@ -79,7 +80,7 @@
     kept.chain(overrides.iter().flat_map(|(_, lines)| lines.lines())).flat_map(|line| [line, "\n"]).collect()
 }
 
-/// As [`load`] for a text that is at hand. An error comes with the number of its line.
+/// Parses the text of a file, as [`load`] does. The error comes with its line number.
 pub fn read(text: &str) -> Result<Features, (usize, String)> {
     let mut multiget = multiget::Settings::default();
     let mut tap = tap::Settings::default();
@@ -224,7 +225,7 @@
     addresses::network(value).map_or_else(|| expected(value, "a range like 10.20.0.0/16"), Ok)
 }
 
-/// Another planner beside those that are named already.
+/// Parses the address of a planner that is not in `named` yet.
 fn planner(value: &str, named: &[SocketAddr]) -> Result<SocketAddr, String> {
     match value.parse().ok().filter(|a: &SocketAddr| a.port() > 0) {
         None => expected(value, "an address like 127.0.0.1:7400"),
@@ -234,7 +235,7 @@
     }
 }
 
-/// Another control machine beside those that are listed already.
+/// Parses a control machine that is not in `before` yet.
 fn listed(value: &str, before: &[ControlEntry]) -> Result<ControlEntry, String> {
     let (address, at) = value.split_once(char::is_whitespace).unwrap_or((value, ""));
     let address = address.parse().ok().filter(|a: &SocketAddr| a.port() > 0);
@@ -250,7 +251,7 @@
     }
 }
 
-/// Where a machine stands.
+/// Parses the location of a machine.
 fn place(value: &str) -> Result<[String; 3], String> {
     let letter = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let parts: Vec<String> = value.split('/').map(str::to_owned).collect();
@@ -267,7 +268,7 @@
     part.map_or_else(|| expected(value, "a fraction above 0 and up to 1"), Ok)
 }
 
-/// A whole number and the unit behind it, which is one of `units`; a number alone is of the first.
+/// Parses a whole number followed by one of `units`; the default is the first unit.
 fn measure(value: &str, units: &[(&str, usize)]) -> Option<usize> {
     let at = value.find(|c: char| !c.is_ascii_digit()).unwrap_or(value.len());
     let (number, unit) = (digits(&value[..at])?, value[at..].trim());
@@ -284,7 +285,7 @@
     measure(value, &units).filter(|n| range.contains(n)).map_or_else(|| expected(value, &what()), Ok)
 }
 
-/// A port on the address of `listen`; 0 is one of the system's choice.
+/// Parses a port on the `listen` address; 0 lets the system choose one.
 fn port(value: &str) -> Result<u16, String> {
     digits(value).and_then(|n| n.try_into().ok()).map_or_else(|| expected(value, "a port"), Ok)
 }
--- a/src/features/follower.rs
+++ b/src/features/follower.rs
@@ -1,10 +1,13 @@
-//! A proxy's side of control machines: numbered changes come from them, and what of them is applied goes back. It owns
-//! the [`dissemination::Follower`] of this proxy, and what they are applied to ([`applier`]); no socket and no clock, so
-//! that virtual time can drive it too. Without `control` lines there is none.
+//! Receives numbered changes from control machines and reports back which of them are applied. This module
+//! owns the [`dissemination::Follower`] of this proxy and the target of the changes ([`applier`]). It has no
+//! sockets and no clock, so that it also runs in virtual time. It is only used if the feature file has
+//! `control` lines.
 //!
-//! Nothing is kept over a restart, since what changes are applied to is not: a proxy that starts takes all of it anew.
+//! Nothing is persisted, since the state that changes apply to is not persistent either: after a restart a
+//! proxy receives all changes again.
 //!
-//! Feed it what connections say and [`FollowerDriver::tick`] at [`FollowerDriver::next`]; carry out its [`HostAction`]es.
+//! Pass it the messages and state changes of connections, call [`FollowerDriver::tick`] at
+//! [`FollowerDriver::next`], and execute the returned [`HostAction`]s.
 
 pub mod applier;
 
@@ -20,30 +23,30 @@
 use tracing::field::display;
 use tracing::{info, warn};
 
-/// How often figures are told; lines about changes between two of them.
+/// Interval between figures in the log, and maximum number of log lines about changes within it.
 const FIGURES_INTERVAL: Micros = 10_000_000;
 const MAX_LINES: u64 = 20;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub controls: ControlList,
-    /// Where this proxy stands: region, zone, site.
+    /// Region, zone and site of this proxy.
     pub place: Option<[String; 3]>,
-    /// The text of our own file, which carried settings change.
+    /// The text of the feature file, which received settings override.
     pub text: Rc<str>,
 }
 
-/// What is to be done for it.
+/// An action for the host to execute.
 #[derive(Debug)]
 pub enum HostAction {
     /// Connect to a control machine.
     Dial(ControlId),
     Send(ControlId, Message),
-    /// Tell it why and close its connection, also one that is only being opened.
+    /// Send the reason and close the connection, also if it is not established yet.
     Close(ControlId, CloseReason),
 }
 
-/// See the file's comment.
+/// Drives the follower, see the module documentation.
 #[derive(Debug)]
 pub struct FollowerDriver {
     follower: Follower,
@@ -51,17 +54,18 @@
     addresses: Vec<SocketAddr>,
     applier: Box<dyn Applier>,
     out: Vec<Output>,
-    /// Control machines whose trouble has been told.
+    /// Control machines whose failure has been logged.
     troubled: BTreeSet<ControlId>,
     logged_lines: u64,
     last_figures: Micros,
     in_service: bool,
-    /// Changes that were not put in force, since the start.
+    /// Number of changes since the start that could not be applied.
     refused: u64,
 }
 
 impl FollowerDriver {
-    /// For a proxy of this name. An error tells what of the settings does not fit together.
+    /// Creates the driver for the proxy with this name. The error names the settings that contradict each
+    /// other.
     pub fn new(
         now: Micros,
         settings: &Settings,
@@ -92,17 +96,17 @@
         })
     }
 
-    /// Where a control machine is.
+    /// The address of a control machine.
     pub fn address(&self, control: ControlId) -> Option<SocketAddr> {
         self.addresses.get(usize::from(control.0)).copied()
     }
 
-    /// A connection is up.
+    /// A connection is established.
     pub fn up(&mut self, now: Micros, control: ControlId) {
         self.follower.up(now, control, &mut self.out);
     }
 
-    /// A connection is over, or did not come up. The first of a row is told.
+    /// A connection is closed or could not be established. Only the first of consecutive failures is logged.
     pub fn down(&mut self, now: Micros, control: ControlId, why: &str) {
         self.log_trouble(control, why);
         self.follower.down(now, control, &mut self.out);
@@ -115,7 +119,7 @@
         }
     }
 
-    /// A control machine has said something.
+    /// Handles a message from a control machine.
     pub fn handle_message(&mut self, now: Micros, control: ControlId, message: &Message) {
         let welcome = matches!(message, Message::Welcome { .. });
         match self.follower.handle_message(now, control, message, &mut self.out) {
@@ -136,17 +140,17 @@
         }
     }
 
-    /// When [`FollowerDriver::tick`] has something to do.
+    /// When [`FollowerDriver::tick`] must be called next.
     pub fn next(&self) -> Micros {
         self.follower.next_tick()
     }
 
-    /// Whether everything that was acknowledged a lease ago is applied.
+    /// Whether all changes that were acknowledged a lease ago have been applied.
     pub fn in_service(&self) -> bool {
         self.in_service
     }
 
-    /// Does what is due, and hands out what is to be done.
+    /// Runs due timers and returns the actions to execute.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<HostAction>) {
         if self.follower.next_tick() <= now {
             self.follower.tick(now, &mut self.out);
@@ -202,7 +206,7 @@
                     self.configured(of, number, result);
                 }
             }
-            // The machine applies no topic that its rules have not.
+            // The follower only delivers topics that are in its rules.
             None => {}
         }
     }
@@ -247,7 +251,7 @@
         });
     }
 
-    /// A line of which there could be many.
+    /// Logs a line of a kind that can be frequent, up to [`MAX_LINES`] per interval.
     fn log_limited(&mut self, tell: impl FnOnce()) {
         self.logged_lines += 1;
         if self.logged_lines <= MAX_LINES {
--- a/src/features/follower/applier.rs
+++ b/src/features/follower/applier.rs
@@ -1,5 +1,6 @@
-//! What changes are applied to. So far that is [`StagingApplier`], which stands in for the request path: purges go to a
-//! bounded record of what is stale, settings are checked and kept. Nothing of it is in force yet.
+//! Applies changes to the proxy. The only implementation so far is [`StagingApplier`], which stands in for
+//! the request path: purges go to a bounded set of stale keys, settings are validated and stored. None of it
+//! takes effect yet.
 
 use crate::features::file;
 use crate::settings::Site;
@@ -8,53 +9,55 @@
 use std::fmt::Debug;
 use std::rc::Rc;
 
-/// Why a change was not put in force, in one line.
+/// Why a change could not be applied, in one line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal(pub String);
 
-/// Figures, as of now.
+/// Current counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Objects known to be stale one by one.
+    /// Number of individual keys in the set of stale keys.
     pub stale: usize,
-    /// Times that everything was taken for stale, since the start.
+    /// How often everything was marked stale since the start.
     pub all_stale: u64,
-    /// StagingApplier settings that stand.
+    /// Number of valid settings received.
     pub settings: usize,
 }
 
-/// What a proxy does with changes. All of it may come again; what it refuses counts as taken all the same.
+/// Applies changes. Every change may be delivered again; a refused change counts as delivered.
 pub trait Applier: Debug {
-    /// What nodes hold under a key from before now is stale. The key is opaque: six bytes of a hash, as a rule.
+    /// Marks the copies of this key that nodes hold now as stale. The key is opaque, usually six bytes of a
+    /// hash.
     fn mark_stale(&mut self, key: &[u8]);
 
-    /// Whatever nodes hold from before now is stale.
+    /// Marks everything that nodes hold now as stale.
     fn mark_all_stale(&mut self);
 
-    /// Takes a change of settings; what it is about comes back.
+    /// Applies a change of settings and returns the name of the setting.
     ///
     /// # Errors
     ///
-    /// Why it was not put in force.
+    /// Why it could not be applied.
     fn configure(&mut self, stream: StreamId, key: u32, body: &[u8]) -> Result<String, Refusal>;
 
-    /// All settings that came in a stream are void.
+    /// Drops all settings that were received in a stream.
     fn void_stream(&mut self, stream: StreamId);
 
     fn counts(&self) -> Counts;
 }
 
-/// Keys of the record of what is stale: six minutes at 190 a second, 1.5 MB. Beyond, all is taken for stale.
+/// Maximum size of the set of stale keys: six minutes at 190 a second, 1.5 MB. Beyond that, everything is
+/// marked stale.
 pub const MAX_STALE_KEYS: usize = 65_536;
-/// The longest key.
+/// Maximum length of a key.
 pub const MAX_KEY_BYTES: usize = 64;
-/// Settings that may be carried; our own file has fewer names.
+/// Maximum number of settings; the feature file has fewer names.
 pub const MAX_SETTINGS: usize = 256;
-/// Bytes before a setting's lines: its version.
+/// Length of the version before a setting's lines.
 const VERSION_BYTES: usize = 8;
 
-/// A change of settings. The greatest version counts, wherever it was numbered, so that all proxies agree whatever the
-/// order in which two stores' changes come.
+/// A change of settings. The greatest version wins, regardless of the store that numbered it, so that all
+/// proxies agree in whatever order the changes of two stores arrive.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Setting {
     version: u64,
@@ -62,43 +65,43 @@
     lines: Rc<str>,
 }
 
-/// The body of a change of settings: a version (its submitter's Unix time, in us; big-endian) and lines of our own file
-/// that are about one setting. A name alone says that the file's own lines hold.
+/// Encodes a change of settings: a version (the submitter's Unix time in us, big-endian) and the lines of one
+/// setting. A name without a value restores the feature file's own lines.
 pub fn body(version: u64, lines: &str) -> Vec<u8> {
     [&version.to_be_bytes()[..], lines.as_bytes()].concat()
 }
 
-/// The key of a change of settings: a hash of its name.
+/// The key of a change of settings: a hash of the setting's name.
 pub fn key(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
-/// See the file's comment.
+/// Validates and stores changes without applying them, see the module documentation.
 #[derive(Debug)]
 pub struct StagingApplier {
     text: Rc<str>,
     site: Rc<Site>,
     stale: BTreeSet<Box<[u8]>>,
     all_stale: u64,
-    /// The last that each stream has of a setting.
+    /// The last change of each setting in each stream.
     held: BTreeMap<u32, BTreeMap<StreamId, Setting>>,
-    /// The last of each that fitted, and what it is about.
+    /// The last valid change of each setting, and the setting's name.
     active: BTreeMap<u32, (Setting, Rc<str>)>,
 }
 
 impl StagingApplier {
-    /// For a proxy whose own file has this text, at this site.
+    /// Creates the applier for a feature file with this text, at this site.
     pub fn new(text: Rc<str>, site: Rc<Site>) -> Self {
         let (held, active) = (BTreeMap::new(), BTreeMap::new());
         StagingApplier { text, site, stale: BTreeSet::new(), all_stale: 0, held, active }
     }
 
-    /// Whether a key stands in the record by itself.
+    /// Whether this key is in the set of stale keys.
     pub fn is_stale(&self, key: &[u8]) -> bool {
         self.stale.contains(key)
     }
 
-    /// Our own file as it would be with all that was carried and fits.
+    /// The text of the feature file with all valid changes applied.
     pub fn text(&self) -> String {
         file::apply_overrides(
             &self.text,
@@ -106,7 +109,7 @@
         )
     }
 
-    /// Puts the newest of a setting among those that stand, if our own file fits with it.
+    /// Activates the newest change of a setting if the feature file is valid with it.
     fn activate(&mut self, key: u32) -> Result<(), Refusal> {
         let Some(newest) = self.held.get(&key).and_then(|of| of.values().max()).cloned() else {
             self.active.remove(&key);
@@ -126,7 +129,7 @@
         Err(Refusal(why))
     }
 
-    /// What did not fit may do so after another change.
+    /// Retries changes that were invalid before, since another change may have made them valid.
     fn activate_rest(&mut self) {
         let newest = |of: &BTreeMap<StreamId, Setting>| of.values().max().cloned();
         loop {
@@ -165,14 +168,15 @@
         }
         let name = name.to_owned();
         if !self.held.contains_key(&key) && self.held.len() >= MAX_SETTINGS {
-            // There are not so many settings: some of these are none, and make room.
+            // There are fewer settings than this limit, so some of the stored names are unknown; one of them
+            // makes room.
             let unfit = self.held.keys().find(|key| !self.active.contains_key(key)).copied();
             let unfit = unfit.ok_or_else(|| refusal("more settings than can be carried"))?;
             self.held.remove(&unfit);
         }
         let of = self.held.entry(key).or_default();
         of.insert(stream, Setting { version, stream, lines });
-        // Another stream has a newer one: this one has been overwritten already.
+        // If another stream has a newer change, this one has already been overwritten.
         let newest = of.values().max().is_none_or(|s| s.stream == stream);
         if newest {
             self.activate(key)?;
@@ -188,7 +192,7 @@
             self.active.iter().filter(|(_, (s, _))| s.stream == stream).map(|(k, _)| *k).collect();
         for key in gone {
             self.active.remove(&key);
-            // Of what is left, what does not fit stays out.
+            // If the newest remaining change is invalid, the setting stays inactive.
             let _ = self.activate(key);
         }
         self.activate_rest();
--- a/src/features/follower/applier/tests.rs
+++ b/src/features/follower/applier/tests.rs
@@ -17,7 +17,7 @@
     to.configure(stream(store), key(name), &body(version, lines))
 }
 
-/// Lines of the text that say something.
+/// The non-empty lines of the resulting text.
 fn settings_of(of: &StagingApplier) -> Vec<String> {
     of.text().lines().map(str::trim).filter(|l| !l.is_empty()).map(str::to_owned).collect()
 }
@@ -38,7 +38,7 @@
     assert_eq!(settings_of(&to), settings_of(&applier()));
 }
 
-/// Whatever the order in which the changes of two stores come, the greatest version counts.
+/// The greatest version wins in every order in which the changes of several stores can arrive.
 #[test]
 fn proxies_agree_whatever_the_order_of_streams() {
     let all =
@@ -78,7 +78,7 @@
     let refused = change(&mut to, 0, 2, lines).expect_err("it does not fit");
     assert!(refused.0.starts_with(why), "{refused:?}");
     assert_eq!(to.text(), before);
-    // It blocks nothing.
+    // A refused change does not block later ones.
     assert_eq!(change(&mut to, 0, 3, "tapsample 0.5"), Ok("tapsample".into()));
     assert_eq!(change(&mut to, 0, 4, "tapport 7102"), Ok("tapport".into()));
 }
@@ -95,7 +95,8 @@
     assert_eq!((settings_of(&to), to.counts().settings), (settings_of(&applier()), 0));
 }
 
-/// Two settings that fit only together: the first that comes is refused, and stands once the other is there.
+/// Two settings that are only valid together: the first is refused on arrival, and becomes active with the
+/// second.
 #[test]
 fn a_setting_that_did_not_fit_stands_once_it_does() {
     let mut to = applier();
@@ -131,7 +132,7 @@
     assert_eq!(to.counts().all_stale, 3);
 }
 
-/// What is no setting takes no room from those that are.
+/// Unknown settings must not displace known ones when the limit is reached.
 #[test]
 fn settings_that_are_carried_are_bounded() {
     let mut to = applier();
--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -1,9 +1,10 @@
-//! The forwarder's side of planners: what goes on at nodes goes to them, what of their plans stands comes back
-//! as the module's event. It owns the [`plan::Forwarder`] of this proxy and the names of its nodes; no socket
-//! and no clock, so that virtual time can drive it too. Without `planner` lines there is none.
+//! Reports observations about nodes to the planners, and passes the merged plan to the decision module as an
+//! event. This module owns the [`plan::Forwarder`] of this proxy and the names of its nodes. It has no
+//! sockets and no clock, so that it also runs in virtual time. It is only used if the feature file has
+//! `planner` lines.
 //!
-//! Feed it [`NodeEvent`] and [`Record`]s, what planners' connections say, and [`ForwarderDriver::tick`] at
-//! [`ForwarderDriver::next`]; carry out its [`HostAction`]es.
+//! Pass it [`NodeEvent`]s, [`Record`]s and the messages and state changes of connections, call
+//! [`ForwarderDriver::tick`] at [`ForwarderDriver::next`], and execute the returned [`HostAction`]s.
 
 use crate::codec::discovery;
 use crate::core::{NodeEvent, Record, StreamOutcome};
@@ -22,30 +23,30 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// In the order of their lines, which is that of their slots.
+    /// In the order of their lines; the index is the planner's slot.
     pub planners: Vec<SocketAddr>,
-    /// Forwarders that may run at once; without it as many as the configuration says that there are proxies.
+    /// Maximum number of forwarders at a time; defaults to the number of proxies in the configuration.
     pub forwarders: Option<u32>,
 }
 
-/// What planners and forwarders of a site go by.
+/// The rules that the planners and forwarders of a site share.
 pub fn rules(forwarders: Option<u32>, site: &Site) -> Rules {
     Rules { forwarders: forwarders.unwrap_or(site.routers).max(1), ..Rules::default() }
 }
 
-/// What is to be done for it.
+/// An action for the host to execute.
 #[derive(Debug)]
 pub enum HostAction {
-    /// Connect to the planner of a slot.
+    /// Connect to the planner of this slot.
     Dial(usize),
     Send(usize, Message),
-    /// Close a slot's connection.
+    /// Close the connection of this slot.
     Close(usize),
-    /// Tell the module.
+    /// Pass the plan to the decision module.
     Plan(interface::Plan),
 }
 
-/// See the file's comment.
+/// Drives the forwarder, see the module documentation.
 #[derive(Debug)]
 pub struct ForwarderDriver {
     forwarder: Forwarder,
@@ -54,18 +55,18 @@
     nodes: BTreeMap<ServerId, Node>,
     origins: BTreeSet<ServerId>,
     origin_kind: Option<KindId>,
-    /// Of each class.
+    /// By class.
     target_latencies: Vec<Micros>,
     even_share: f64,
     out: Vec<Output>,
-    /// What the module was told last, and what is in force of it, for the log.
+    /// The plan that was passed to the module last, and the marks in force that were logged last.
     last_plan: interface::Plan,
     in_force: BTreeSet<MarkTarget>,
-    /// Slots whose trouble has been told.
+    /// Slots whose failure has been logged.
     troubled: BTreeSet<usize>,
 }
 
-/// A zone beyond the halls that plans tell apart is the last of them.
+/// Maps a zone to the zones that plans distinguish; zones beyond their number share the last one.
 fn zone_of(zone: interface::ZoneId) -> Zone {
     Zone(zone.0.min(u16::from(ZoneSet::MOST - 1)) as u8)
 }
@@ -78,7 +79,7 @@
         Verdict::Error => PlanVerdict::Error,
         Verdict::Full => PlanVerdict::Full,
         Verdict::Timeout => PlanVerdict::Timeout,
-        // What found no connection in all of its time: neither has the node said anything.
+        // An attempt that never got a connection also tells nothing about the node's answers.
         Verdict::ConnectFailed | Verdict::Moot => PlanVerdict::ConnectFailed,
         Verdict::Reset => PlanVerdict::Reset,
         Verdict::Cancelled => PlanVerdict::Cancelled,
@@ -86,7 +87,7 @@
 }
 
 impl ForwarderDriver {
-    /// For a proxy of this name, with the list as it is known; `seed` is new with each start.
+    /// Creates the driver for a proxy with this name and initial list. `seed` must differ with each start.
     pub fn new(
         now: Micros,
         settings: Settings,
@@ -129,12 +130,12 @@
         Ok(forwarding)
     }
 
-    /// Where the planner of a slot is.
+    /// The address of the planner of a slot.
     pub fn address(&self, slot: usize) -> Option<SocketAddr> {
         self.planners.get(slot).copied()
     }
 
-    /// Something went on at a node.
+    /// Handles an event at a node.
     pub fn handle_node_event(&mut self, now: Micros, event: NodeEvent) {
         match event {
             NodeEvent::Listed { revision, form, nodes } => self.list(now, revision, form, nodes),
@@ -175,7 +176,7 @@
         }
     }
 
-    /// A stream has ended.
+    /// Records the end of a stream.
     pub fn record(&mut self, record: &Record) {
         let (tenant, class) = (record.tenant.0 as usize, usize::from(record.class.0));
         let target = self.target_latencies.get(class).copied().unwrap_or(Micros::MAX);
@@ -210,7 +211,7 @@
         self.forwarder.list(now, revision, &listed, &mut self.out);
     }
 
-    /// A slot's connection is up.
+    /// The connection of a slot is established.
     pub fn up(&mut self, now: Micros, slot: usize) {
         self.troubled.remove(&slot);
         let address = self.address(slot).map(tracing::field::display);
@@ -218,7 +219,8 @@
         self.forwarder.up(now, slot, &mut self.out);
     }
 
-    /// A slot's connection is over, or did not come up. The first of a row is told.
+    /// The connection of a slot is closed or could not be established. Only the first of consecutive failures
+    /// is logged.
     pub fn down(&mut self, now: Micros, slot: usize, why: &str) {
         if self.troubled.insert(slot) {
             let address = self.address(slot).map(tracing::field::display);
@@ -227,7 +229,7 @@
         self.forwarder.down(now, slot);
     }
 
-    /// A planner has said something.
+    /// Handles a message from a planner.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -241,21 +243,21 @@
         }
     }
 
-    /// What planners have this proxy avoid.
+    /// The nodes and zones that this proxy avoids because of planners.
     pub fn in_force(&self) -> impl Iterator<Item = MarkTarget> + '_ {
         self.forwarder.in_force()
     }
 
-    /// When [`ForwarderDriver::tick`] has something to do.
+    /// When [`ForwarderDriver::tick`] must be called next.
     pub fn next(&self, now: Micros) -> Micros {
         self.forwarder.next(now)
     }
 
-    /// Does what is due, and hands out what is to be done.
+    /// Runs due timers and returns the actions to execute.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<HostAction>) {
         if self.forwarder.next(now) <= now {
             self.forwarder.tick(now, &mut self.out);
-            // What stands fades, whether anything came or went.
+            // Guidance decays over time, so it has changed even if no message has arrived.
             self.out.push(Output::GuidanceChanged);
         }
         let mut changed = false;
@@ -281,7 +283,7 @@
         }
     }
 
-    /// The planned end.
+    /// Says goodbye to the planners on a graceful shutdown.
     pub fn bye(&mut self, actions: &mut Vec<HostAction>) {
         let mut out = Vec::new();
         self.forwarder.bye(&mut out);
@@ -292,7 +294,7 @@
         actions.extend(out.into_iter().filter_map(send));
     }
 
-    /// What stands, in the module's words.
+    /// Converts the current guidance to the module's plan.
     fn plan(&self, now: Micros) -> interface::Plan {
         let guidance = self.forwarder.guidance(now);
         let solved = |(n, q, trust): &(Node, plan::solve::Queue, f64)| PlannedTerms {
@@ -308,14 +310,16 @@
             solved: guidance.queues.iter().filter(|q| q.2 > 0.0).map(solved).collect(),
             trust: guidance.parts_trust,
             quotas: guidance.tenants,
-            // Each proxy's own budget is its part of the traffic already; a part below the even one lowers it.
+            // Each proxy's own budget already is its share of the traffic; a share below the even one lowers
+            // it.
             cold: (guidance.cold / self.even_share).clamp(0.0, 1.0),
-            // What one proxy alone may have out, for all of them together.
+            // The limit for all proxies together is what a single proxy alone may have in flight.
             fetches: guidance.origin * origin::MAX_LIMIT,
         }
     }
 
-    /// What came into force or left it, a line each: bounded by the rules' most changes.
+    /// Logs marks that came into force or were lifted, one line each. Their number is bounded by the maximum
+    /// number of changes in the rules.
     fn log_in_force(&mut self) {
         let now: BTreeSet<MarkTarget> = self.forwarder.in_force().collect();
         for target in now.symmetric_difference(&self.in_force) {
--- a/src/features/mod.rs
+++ b/src/features/mod.rs
@@ -1,5 +1,5 @@
-//! The features that our own file turns on, a unit each. With none of them the proxy is what it is without
-//! the file; decisions stay in the module whatever is on.
+//! Features that the feature file enables, one module each. Without any of them the proxy behaves as without
+//! the file. Routing decisions always stay in the decision module.
 
 pub mod addresses;
 pub mod control;
--- a/src/features/multiget.rs
+++ b/src/features/multiget.rs
@@ -1,5 +1,5 @@
-//! multi-get: several reads in one command, on a port of their own. It is another protocol before the same
-//! core: each read is a [`NewStream`] like any other, and the answers are put together here.
+//! Multi-get: several reads in one command, on a separate port. It is a protocol on top of the same core:
+//! each read becomes a regular [`NewStream`], and the answers are combined here.
 
 use crate::codec::resp;
 use crate::core::{Answer, DownstreamId, NewStream};
@@ -9,9 +9,10 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Reads that all multi-gets together may have open or unread: each can bring a value of 64 KB.
+/// Maximum number of reads of all multi-gets that are open or whose answers are unread; each can return a
+/// value of 64 KB.
 pub const MAX_OPEN_READS: usize = 256;
-/// Bytes of the commands of one multi-get: a plain read each, and one with as much as a command may hold.
+/// Allowed size per read of a multi-get, beside one command of the maximum size.
 const READ_BYTES: usize = 1024;
 
 #[derive(Clone, Debug, PartialEq)]
@@ -26,7 +27,7 @@
     }
 }
 
-/// The reads of one multi-get among [`MAX_OPEN_READS`]; given back when dropped.
+/// The share of one multi-get in [`MAX_OPEN_READS`], returned on drop.
 #[derive(Debug)]
 struct ReadPermits(Rc<Cell<usize>>, usize);
 
@@ -36,18 +37,18 @@
     }
 }
 
-/// A multi-get whose reads are still coming.
+/// A multi-get that has not been received completely.
 #[derive(Debug)]
 struct Batch {
     wanted: usize,
     received: usize,
     bytes: usize,
     streams: Vec<NewStream>,
-    /// Why none of it will be asked; the rest is read all the same, to stay in step.
+    /// Why the multi-get is rejected. Its remaining reads are still parsed, to stay in sync with the client.
     fault: Option<String>,
 }
 
-/// The multi-gets of one downstream, one after the other.
+/// The multi-gets of one downstream, which are processed one after the other.
 #[derive(Debug)]
 pub struct MultigetProtocol {
     words: Rc<Vocabulary>,
@@ -58,7 +59,7 @@
 }
 
 impl MultigetProtocol {
-    /// `open` is the number of reads that all downstreams have open.
+    /// `open` is the number of open reads of all downstreams.
     pub fn new(settings: &Settings, words: Rc<Vocabulary>, open: Rc<Cell<usize>>) -> Self {
         MultigetProtocol { words, max_keys: settings.max_keys, open, batch: None, permits: None }
     }
@@ -73,12 +74,12 @@
         true
     }
 
-    /// A multi-get has begun and is not whole.
+    /// Whether a multi-get has been received in part.
     fn unfinished(&self) -> bool {
         self.batch.is_some()
     }
 
-    /// The answer to a multi-get is written, so that another may be read.
+    /// The answer to a multi-get has been written, so the next one may be read.
     fn written(&mut self) {
         self.permits = None;
     }
@@ -95,7 +96,7 @@
     }
 
     fn put(&self, out: &mut Vec<u8>, answers: Vec<Vec<u8>>) {
-        // A null is no value: nobody has one.
+        // A null is not a value: no node has one.
         let value = |a: &&Vec<u8>| a.starts_with(b"$") && a.as_slice() != resp::NULL;
         let (n, values) = (answers.len(), answers.iter().filter(value).count());
         let how = if values == n { "COMPLETE".to_owned() } else { format!("PARTIAL {values}/{n}") };
@@ -106,8 +107,8 @@
 }
 
 impl MultigetProtocol {
-    /// The reads of a multi-get come out together, in places from `first` on, once all of them are there and
-    /// every one is sound.
+    /// Handles one command. The reads of a multi-get are returned together, with places from `first` on, once
+    /// all of them have arrived and are valid.
     fn command(
         &mut self,
         downstream: DownstreamId,
@@ -145,12 +146,12 @@
         Parsed::Asks(batch.streams)
     }
 
-    /// What is no read of a multi-get: the beginning of one, or `PING` and `QUIT` as on the main port.
+    /// Handles a command outside a multi-get: the start of one, or `PING` and `QUIT` as on the main port.
     fn begin(&mut self, downstream: DownstreamId, place: u64, command: Vec<Vec<u8>>) -> Parsed {
         let verb = command.first().map(|w| w.to_ascii_uppercase()).unwrap_or_default();
         match (verb.as_slice(), command.get(1), command.len()) {
             (b"CACHE.MGET", Some(n), 2) => {
-                // Where no number tells how many commands follow, nothing behind it can be read.
+                // Without a valid number of commands, the rest of the connection cannot be parsed.
                 let n = crate::codec::length(n, self.max_keys).filter(|n| *n > 0);
                 let Some(wanted) = n else {
                     let most = self.max_keys;
@@ -168,13 +169,14 @@
 }
 
 impl Batch {
-    /// The first fault is told, with the number of its read.
+    /// Rejects the multi-get; only the first error is reported, with the index of its read.
     fn fail(&mut self, what: &str) {
         self.fault.get_or_insert_with(|| format!("read {}: {what}", self.received));
     }
 }
 
-/// One read. A class that the settings do not hold for safe to repeat is one of writes; its name tells nothing.
+/// Parses one read. A class that the settings do not mark as safe to repeat is a class of writes, whatever
+/// its name.
 fn read(
     words: &Vocabulary,
     downstream: DownstreamId,
--- a/src/features/planner.rs
+++ b/src/features/planner.rs
@@ -1,5 +1,6 @@
-//! A planner: takes what forwarders see, publishes plans, carries no traffic. It owns the [`plan::Planner`] and
-//! the connections of forwarders, a task each ([`crate::net::framed`]). Nothing is kept over a restart.
+//! A planner: collects the reports of forwarders and publishes plans; it carries no client traffic. This
+//! module owns the [`plan::Planner`] state machine and the connections of forwarders (one task each, see
+//! [`crate::net::framed`]). Nothing is persisted over a restart.
 
 use crate::clock::Clock;
 use crate::features::addresses::AddressLists;
@@ -21,19 +22,19 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// News that may wait, and news taken before what is due is done.
+/// Capacity of the event queue, and number of events handled before timers are checked.
 const QUEUE_CAPACITY: usize = 1024;
 const EVENTS_PER_TURN: usize = 256;
-/// Without a descriptor for a connection: how long until the next is tried.
+/// Delay before accepting is retried after an error, such as a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How often figures are told, and how many lines about peers and nodes between two of them.
+/// Interval between figures in the log, and maximum number of log lines about peers and nodes within it.
 const FIGURES_INTERVAL: Micros = 10_000_000;
 const MAX_LINES: u64 = 20;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub port: u16,
-    /// Forwarders that may run at once; without it the configuration says how many proxies there are.
+    /// Maximum number of forwarders at a time; defaults to the number of proxies in the configuration.
     pub forwarders: Option<u32>,
 }
 
@@ -41,7 +42,7 @@
     Accepted(Async<TcpStream>, SocketAddr),
     Message(PeerId, Box<Message>),
     Down(PeerId, String),
-    /// Told by the accepting task, once in a row.
+    /// Accepting has failed. Sent once per series of failures.
     AcceptFailed(String),
     End,
 }
@@ -49,7 +50,7 @@
 struct Peer {
     address: SocketAddr,
     outbox: Outbox,
-    /// Its last words are on their way: the core knows it no more.
+    /// The reason for closing is being sent; the state machine has already dropped the peer.
     closing: bool,
     _task: Task<()>,
 }
@@ -63,11 +64,11 @@
     executor: Rc<LocalExecutor<'static>>,
     logged_lines: u64,
     last_figures: Micros,
-    /// Nodes marked, for lines of the log.
+    /// Nodes that were logged as silent.
     logged_silent: BTreeSet<Node>,
 }
 
-/// Serves until SIGTERM or SIGINT. All tasks are spawned on `executor`, whose thread this has to be.
+/// Runs until SIGTERM or SIGINT. All tasks are spawned on `executor`, which must run on the current thread.
 pub async fn run(
     address: SocketAddr,
     rules: Rules,
@@ -82,7 +83,7 @@
     let now = clock.now();
     let (queue, events) = async_channel::bounded(QUEUE_CAPACITY);
     let forwarders = rules.forwarders;
-    // The clock's milliseconds as the epoch; forwarders correct one that went back.
+    // The clock's milliseconds are the epoch; forwarders correct an epoch that has gone back.
     let planner = Planner::new(now, rules, now.unsigned_abs() / 1000)?;
     let mut host = Host {
         planner,
@@ -104,7 +105,7 @@
     let _accept = executor.spawn(accept(listener, queue.clone()));
     let _signals = executor.spawn(async move {
         loop {
-            // There is nothing to read again.
+            // A planner has no configuration to reload.
             if signals.next().await == SignalRequest::End {
                 let _ = queue.send(Event::End).await;
             }
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Whether it is to end.
+    /// Handles an event. Returns whether the process must end.
     fn handle_event(&mut self, now: Micros, event: Event) -> bool {
         match event {
             Event::Accepted(socket, address) => self.accepted(now, socket, address),
@@ -217,7 +218,8 @@
         }
     }
 
-    /// Tells a peer why its connection is closed; the core knows it no more.
+    /// Sends the reason for closing to a peer and closes the connection; the state machine has already
+    /// dropped it.
     fn refuse(&mut self, peer: PeerId, why: &Refused) {
         let Some(p) = self.peers.get_mut(&peer) else { return };
         let (address, said) = (p.address, p.outbox.last(frame::refusal(why)));
@@ -262,7 +264,7 @@
         }
     }
 
-    /// A line of which there could be many.
+    /// Logs a line of a kind that can be frequent, up to [`MAX_LINES`] per interval.
     fn log_limited(&mut self, tell: impl FnOnce()) {
         self.logged_lines += 1;
         if self.logged_lines <= MAX_LINES {
@@ -270,7 +272,7 @@
         }
     }
 
-    /// Lines about nodes that are marked or no longer, and the figures.
+    /// Logs nodes that have become silent or answer again and, once per interval, the figures.
     fn log_changes(&mut self, now: Micros) {
         let marks: BTreeMap<Node, (u16, ZoneSet)> =
             self.planner.findings().silent.iter().map(|m| (m.node, (m.witnesses, m.zones))).collect();
--- a/src/features/snmp/boots.rs
+++ b/src/features/snmp/boots.rs
@@ -1,29 +1,30 @@
-//! snmpEngineBoots, which must never go back (RFC 3414, 2.2.2): a manager takes what comes with fewer boots for
-//! a replay, and what was recorded with the same ones would be good again.
+//! snmpEngineBoots, which must never decrease (RFC 3414, 2.2.2): a manager takes messages with fewer boots
+//! for a replay, and messages recorded with the same number would be valid again.
 //!
-//! It is the larger of two: one more than the file of `snmpstate` says, and the seconds from 2020 to the start.
-//! The file alone holds whatever the clock does. The clock alone, where there is no disk that lasts, holds as
-//! long as the clock is not set back over a restart; managers then refuse the agent till they are told to
-//! forget it, or till the clock is past where it was. Both together always go on from where one of them was.
+//! The value is the larger of two: one more than the value in the `snmpstate` file, and the seconds from 2020
+//! to the start. The file alone is sufficient whatever the clock does. The clock alone, where no persistent
+//! disk is available, is sufficient as long as it is not set back over a restart; managers then refuse the
+//! agent until their state is reset or the clock has passed its former value. With both, the value increases
+//! as long as one of them is intact.
 
 use std::fs;
 use std::io::Write;
 use std::path::Path;
 
-/// 2020-01-01 as Unix time: the clock's boots last till 2088.
+/// 2020-01-01 as Unix time; the boots derived from the clock last until 2088.
 const CLOCK_BASE: i64 = 1_577_836_800;
-/// More than any such file has.
+/// Larger than any valid file.
 const MAX_FILE: u64 = 1024;
 
-/// What a start is.
+/// A start of the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Start {
     pub boots: u32,
-    /// The last start, which the file tells of, had the same settings (RFC 3418, warmStart).
+    /// The previous start, according to the file, had the same settings (RFC 3418, warmStart).
     pub warm: bool,
 }
 
-/// The file's two numbers: boots, and the fingerprint of the settings.
+/// Reads the file's two numbers: the boots and the fingerprint of the settings.
 fn read(path: &Path) -> Result<Option<(u32, u64)>, String> {
     match fs::metadata(path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
@@ -39,7 +40,7 @@
     boots.zip(fingerprint).map(Some).ok_or_else(|| "not a file of ours".into())
 }
 
-/// Writes it so that it is there whole or as it was, whenever the machine stops.
+/// Writes the file atomically: after a crash it has either the old or the new content.
 fn write(path: &Path, boots: u32, fingerprint: u64) -> std::io::Result<()> {
     let new = path.with_extension("new");
     let mut file = fs::File::create(&new)?;
@@ -48,8 +49,8 @@
     fs::rename(&new, path)
 }
 
-/// Counts a start at this Unix time in seconds, with the settings of this fingerprint. What is wrong with the file
-/// comes with it: the clock goes on counting without it.
+/// Determines the boots for a start at this Unix time in seconds, with this fingerprint of the settings. An
+/// error of the file is returned beside the result, which then comes from the clock.
 pub fn count(path: Option<&Path>, unix: i64, fingerprint: u64) -> (Start, Option<String>) {
     let by_clock = u32::try_from(unix - CLOCK_BASE).unwrap_or(0).clamp(1, i32::MAX as u32);
     let Some(path) = path else { return (Start { boots: by_clock, warm: false }, None) };
--- a/src/features/snmp/mod.rs
+++ b/src/features/snmp/mod.rs
@@ -1,9 +1,9 @@
-//! SNMP: the agent's socket, the snapshot that it answers from, and the sockets of its notifications. What is
-//! said on them is the package `snmp`'s; nothing of it decides about requests.
+//! The SNMP agent: its socket, the snapshot that it answers from, and the sockets of its notifications. The
+//! protocol is implemented by the package `snmp`; the agent has no influence on requests.
 //!
-//! The thread that serves bumps counters and publishes a snapshot four times a second. The agent's task runs on
-//! the same thread, so it has a budget: the part [`SHARE`] of the thread's time and no more, whoever asks
-//! however often; what comes beyond that waits in the socket's buffer, and is lost when that is full.
+//! The serving thread increments counters and publishes a snapshot four times a second. The agent's task runs
+//! on the same thread and therefore has a budget of one part in [`CPU_DIVISOR`] of the thread's time, however
+//! many requests arrive. Excess requests wait in the socket's buffer and are lost once it is full.
 
 pub(crate) mod boots;
 mod settings;
@@ -32,26 +32,27 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// The part of the thread's time that the agent may take, one in so many, and how much of it may be saved up.
+/// The agent may use one part in this many of the thread's time; and the maximum of unused time that can be
+/// saved up.
 const CPU_DIVISOR: u32 = 20;
 const MAX_SAVED: Duration = Duration::from_millis(2);
-/// A snapshot is published no more often than this.
+/// Minimum interval between snapshots.
 const PUBLISH_INTERVAL: Micros = 200_000;
-/// A tree is built anew when somebody asks and it is older than this.
+/// A tree older than this is rebuilt at the next request.
 const TREE_MAX_AGE: Micros = 1_000_000;
-/// After an error of a socket.
+/// Delay after a socket error.
 const ERROR_DELAY: Duration = Duration::from_millis(100);
 
-/// Who the proxy is, for the agent.
+/// The identity of the proxy that the agent reports.
 #[derive(Debug)]
 pub struct Identity<'a> {
     pub name: &'a str,
     pub site: Rc<Site>,
-    /// Where initialisation vectors and request-ids begin.
+    /// Seed of the initialisation vectors and request-ids.
     pub seed: u64,
 }
 
-/// The agent of one proxy.
+/// The agent of a proxy.
 pub struct Snmp {
     settings: Settings,
     agent: RefCell<Agent>,
@@ -59,23 +60,23 @@
     watch: RefCell<Watch>,
     tally: RefCell<Tally>,
     snapshot_builder: RefCell<SnapshotBuilder>,
-    /// Swapped, never changed.
+    /// Replaced as a whole, never modified.
     published: RefCell<Rc<Snapshot>>,
-    /// What the last requests were answered from, and when it was built.
+    /// The tree that the last requests were answered from, and when it was built.
     tree: RefCell<Option<(Micros, Rc<Tree>)>>,
-    /// Something is to be sent.
+    /// Wakes the task that sends notifications.
     wake: Sender<()>,
     woken: Receiver<()>,
 }
 
-/// The agent's socket, bound on an address of the proxy's.
+/// The agent's bound socket, on an address of the proxy.
 pub struct Bound(Async<UdpSocket>);
 
 fn bind_one(address: SocketAddr) -> Result<Async<UdpSocket>, String> {
     Async::<UdpSocket>::bind(address).map_err(|e| format!("cannot listen on {address}, UDP: {e}"))
 }
 
-/// Binds the agent's port on the address of `listen`.
+/// Binds the agent's port on the `listen` address.
 pub fn bind(ip: IpAddr, settings: &Settings) -> Result<Bound, String> {
     let socket = bind_one(SocketAddr::new(ip, settings.port))?;
     let address = socket.get_ref().local_addr().map_err(|e| format!("snmp: {e}"))?;
@@ -84,7 +85,7 @@
 }
 
 impl Snmp {
-    /// `now` is Unix time at the start, as the owner's clock has it.
+    /// Creates the agent. `now` is the Unix time of the start by the owner's clock.
     pub fn new(now: Micros, settings: Settings, identity: Identity) -> Self {
         let (start, why) = boots::count(settings.state.as_deref(), now / 1_000_000, settings.fingerprint);
         if let Some((why, file)) = why.zip(settings.state.as_ref()) {
@@ -116,7 +117,7 @@
         snmp
     }
 
-    /// A stream has ended.
+    /// Records the end of a stream.
     pub fn record(&self, record: &Record) {
         let reason = match record.details.refused {
             Some(Refusal::Full) => Reason::Full,
@@ -141,22 +142,23 @@
         self.tally.borrow_mut().ended(record.at, stream);
     }
 
-    /// The configuration was read again.
+    /// Counts a reload of the configuration.
     pub fn reloaded(&self) {
         self.snapshot_builder.borrow_mut().reloads += 1;
     }
 
-    /// Whether the last snapshot is old enough for another.
+    /// Whether the last snapshot is old enough to be replaced.
     pub fn due(&self, now: Micros) -> bool {
         !(0..PUBLISH_INTERVAL).contains(&(now - self.published.borrow().at))
     }
 
-    /// Publishes what there is to see, and hands on what changed since.
+    /// Publishes a snapshot, and queues notifications about what has changed since the last one.
     pub fn publish(&self, now: Micros, survey: crate::core::status::ClusterStatus, owned: OwnerStatus) {
         let mut tally = self.tally.borrow_mut();
         let snapshot = Rc::new(self.snapshot_builder.borrow_mut().take(now, survey, &mut tally, owned));
         if owned.ready {
-            // Before that the list is as old as the configuration, and nothing was asked yet.
+            // Before the proxy is ready, the list comes from the configuration and may be outdated, and no
+            // node has been asked.
             let changes = self.watch.borrow_mut().look(now, &snapshot);
             let mut notifier = self.notifier.borrow_mut();
             changes.iter().for_each(|change| notifier.change(now, change));
@@ -167,7 +169,7 @@
         self.published.replace(snapshot);
     }
 
-    /// The instances of now, or of a moment ago.
+    /// The object instances as of now, or of at most [`TREE_MAX_AGE`] ago.
     fn tree(&self, now: Micros) -> Rc<Tree> {
         let mut kept = self.tree.borrow_mut();
         if let Some((_, tree)) = kept.as_ref().filter(|(at, _)| (0..TREE_MAX_AGE).contains(&(now - at))) {
@@ -189,10 +191,10 @@
         tree
     }
 
-    /// Answers datagrams, for ever; `clock` is the owner's.
+    /// Answers requests forever; `clock` is the owner's clock.
     pub async fn answer(self: Rc<Self>, bound: Bound, clock: impl Fn() -> Micros) {
         let socket = bound.0;
-        // A byte more than is read: what fills it was longer.
+        // One byte more than the maximum size, to detect longer datagrams.
         let mut buffer = vec![0; DATAGRAM + 1];
         let mut budget = Budget::new(Instant::now());
         loop {
@@ -205,7 +207,7 @@
             let tree = self.tree(now);
             let answer = self.agent.borrow_mut().answer(now, from.ip(), &buffer[..n], &tree);
             if let Some(answer) = answer {
-                // What the socket does not take is lost, as any datagram may be.
+                // If the socket does not accept the answer it is lost, as any datagram may be.
                 let _ = socket.get_ref().send_to(&answer, from);
             }
             let ended = Instant::now();
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Sends notifications, for ever.
+    /// Sends notifications forever.
     pub async fn notify(self: Rc<Self>, clock: impl Fn() -> Micros) {
         let (mut four, mut six) = (None, None);
         loop {
@@ -257,12 +259,12 @@
     }
 }
 
-/// The next datagram: its length, and who sent it.
+/// Receives a datagram; returns its length and sender.
 async fn receive(socket: &Async<UdpSocket>, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
     socket.read_with(|s| uninterrupted(|| s.recv_from(buffer))).await
 }
 
-/// The next datagram that comes back, if there is a socket for any.
+/// Receives a datagram on a socket that may not exist yet.
 async fn receive_on(socket: &Option<Async<UdpSocket>>) -> io::Result<(SocketAddr, Vec<u8>)> {
     let Some(socket) = socket else { return future::pending().await };
     let mut buffer = vec![0; DATAGRAM + 1];
@@ -271,7 +273,7 @@
     Ok((from, buffer))
 }
 
-/// The time that may be spent: a part of what passes, saved up to a bound.
+/// Limits the CPU time of the agent to a share of the elapsed time; unused time is saved up to a bound.
 struct Budget {
     saved: Duration,
     owed: Duration,
@@ -283,7 +285,7 @@
         Budget { saved: MAX_SAVED, owed: Duration::ZERO, at }
     }
 
-    /// Spends; comes back with how long to rest, if more was spent than there was.
+    /// Accounts for spent time. Returns how long to pause if it exceeds the budget.
     fn spend(&mut self, now: Instant, spent: Duration) -> Option<Duration> {
         let gained = (now - self.at) / CPU_DIVISOR;
         self.at = now;
--- a/src/features/snmp/settings.rs
+++ b/src/features/snmp/settings.rs
@@ -1,5 +1,5 @@
-//! The lines about SNMP in our own file. Views and users are named by other lines, wherever those stand, so
-//! what they mean is settled when the whole file has been read.
+//! The SNMP settings of the feature file. Lines may refer to views and users that are defined anywhere in the
+//! file, so references are resolved after the whole file has been read.
 
 use super::super::addresses::network;
 use snmp::access::{self, Access, Community, Reader, View};
@@ -12,34 +12,36 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The longest contact, location or path.
+/// Maximum length of a contact, location or path.
 const MAX_TEXT: usize = 255;
 
-/// What the agent is to be.
+/// Settings of the agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub port: u16,
     pub enterprise: u32,
     pub access: Access,
     pub targets: Vec<Target>,
-    /// Where boots are kept.
+    /// File in which the boots are kept.
     pub state: Option<PathBuf>,
     pub contact: String,
     pub location: String,
-    /// Fewer usable nodes than this are told; 0 is half of those that are listed as serving.
+    /// A notification is sent when fewer nodes than this are usable; 0 stands for half of the nodes listed as
+    /// serving.
     pub fleet_least: u32,
-    /// A hash of all lines but their secrets: whether the agent starts with the settings that it had before.
+    /// A hash of all lines without their secrets, which tells whether the agent starts with the same settings
+    /// as before.
     pub fingerprint: u64,
 }
 
-/// A line whose words mean something only with the other lines.
+/// A line that can only be interpreted together with the others.
 #[derive(Debug)]
 struct Line {
     number: usize,
     words: Vec<String>,
 }
 
-/// The lines, as they are read.
+/// The SNMP lines while the file is read.
 #[derive(Debug, Default)]
 pub struct SettingLines {
     port: Option<u16>,
@@ -77,8 +79,8 @@
     }
 }
 
-/// The words of a line that are no secret: the fingerprint of the settings is kept in a file, and must not help anybody
-/// to guess a passphrase or a community.
+/// The words of a line that are not secret. The fingerprint of the settings is stored in a file, and must not
+/// help to guess a passphrase or community.
 fn public_words<'a>(name: &'a str, words: &'a [String]) -> impl Iterator<Item = &'a str> {
     let secret = move |at: usize| match name {
         "snmpcommunity" => at == 0,
@@ -90,12 +92,12 @@
 }
 
 impl SettingLines {
-    /// Whether a line with this name may stand more than once.
+    /// Whether lines with this name may occur more than once.
     pub fn is_repeatable(name: &str) -> bool {
         matches!(name, "snmpview" | "snmpcommunity" | "snmpuser" | "snmptrapto")
     }
 
-    /// Takes the line with this number. An error never repeats a passphrase.
+    /// Parses the line with this number. Errors never contain a passphrase.
     pub fn set(&mut self, number_of_line: usize, name: &str, value: &str) -> Result<(), String> {
         let words: Vec<String> = value.split_whitespace().map(str::to_owned).collect();
         for word in std::iter::once(name).chain(public_words(name, &words)) {
@@ -146,7 +148,7 @@
         Ok(())
     }
 
-    /// `NAME include|exclude OID`
+    /// Parses `NAME include|exclude OID`.
     fn view(&mut self, words: &[String]) -> Result<(), String> {
         let expected = || "NAME include OID or NAME exclude OID is wanted".to_owned();
         let [name, how, root] = words else { return Err(expected()) };
@@ -167,7 +169,7 @@
         Ok(())
     }
 
-    /// The view that the words behind a line's name: `view NAME`, or everything.
+    /// Resolves the optional `view NAME` at the end of a line; defaults to everything.
     fn view_named(&self, words: &[&str]) -> Result<View, String> {
         match words {
             [] => Ok(View::all()),
@@ -179,7 +181,7 @@
         }
     }
 
-    /// `NAME RANGE [view NAME]`
+    /// Parses `NAME RANGE [view NAME]`.
     fn community(&self, line: &Line) -> Result<Community, String> {
         let words: Vec<&str> = line.words.iter().map(String::as_str).collect();
         let [name, from, rest @ ..] = words.as_slice() else {
@@ -192,7 +194,7 @@
         Ok(Community { name: name.as_bytes().to_vec(), from, view: self.view_named(rest)? })
     }
 
-    /// `NAME noauth [view NAME]` or `NAME sha256 PASSPHRASE [aes PASSPHRASE] [view NAME]`
+    /// Parses `NAME noauth [view NAME]` or `NAME sha256 PASSPHRASE [aes PASSPHRASE] [view NAME]`.
     fn user(&self, line: &Line) -> Result<Reader, String> {
         let words: Vec<&str> = line.words.iter().map(String::as_str).collect();
         let (user, rest) = match words.as_slice() {
@@ -215,7 +217,7 @@
         Ok(Reader { user, view: self.view_named(rest)? })
     }
 
-    /// `trap|inform ADDRESS community NAME` or `trap|inform ADDRESS user NAME`
+    /// Parses `trap|inform ADDRESS community NAME` or `trap|inform ADDRESS user NAME`.
     fn target(line: &Line, access: &Access) -> Result<Target, String> {
         let expected = "trap or inform, ADDRESS, and community NAME or user NAME is wanted";
         let words: Vec<&str> = line.words.iter().map(String::as_str).collect();
@@ -237,7 +239,7 @@
         Ok(Target { address, informs, as_whom })
     }
 
-    /// What the lines mean together: nothing without a port. An error comes with the number of its line.
+    /// Resolves the lines to settings, or `None` without a port. The error comes with its line number.
     pub fn settle(self) -> Result<Option<Settings>, (usize, String)> {
         let error_at = |line: &Line, name: &str, what: String| (line.number, format!("{name}: {what}"));
         let mut access = Access::default();
--- a/src/features/snmp/snapshot_builder.rs
+++ b/src/features/snmp/snapshot_builder.rs
@@ -1,4 +1,4 @@
-//! What the core lets be seen, as the snapshot that the agent shows.
+//! Builds the snapshot that the agent answers from out of the core's status.
 
 use crate::core::status::{ClusterStatus, NodeStatus};
 use crate::core::Counters;
@@ -9,12 +9,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A ledger that may have fewer out than this rests between two: next to nothing goes there.
+/// An origin whose window is below this pauses between fetches: it receives next to nothing.
 const CLOSED_WINDOW: f64 = 1.0;
-/// Answers so many times slower than at their best are strain, as `limits::ledger` has it.
+/// A latency of this multiple of the best one counts as strain, as in `limits::ledger`.
 const STRAINED_LATENCY_RATIO: f64 = 2.5;
 
-/// What the owner knows beside the core.
+/// The part of the status that only the owner knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OwnerStatus {
     pub ready: bool,
@@ -29,7 +29,7 @@
     pub counters: Counters,
 }
 
-/// What stays from one snapshot to the next.
+/// State that is kept between snapshots.
 #[derive(Debug)]
 pub struct SnapshotBuilder {
     pub started: Micros,
@@ -40,7 +40,7 @@
     pub reloads: u64,
     zones: Vec<Rc<str>>,
     kinds: Vec<Rc<str>>,
-    /// Phase and state of each node when they changed last, and when that was.
+    /// The last phase and state of each node, and when they changed.
     changed: BTreeMap<Rc<str>, (snapshot::Phase, State, Micros)>,
 }
 
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The snapshot of this moment.
+    /// Takes a snapshot.
     pub fn take(
         &mut self,
         now: Micros,
@@ -147,7 +147,7 @@
         Snapshot {
             at: now,
             started: self.started,
-            // The owner's clock began at the system's.
+            // The owner's clock starts at the system's Unix time.
             started_unix: self.started,
             name: self.name.clone(),
             version: self.version.clone(),
@@ -186,7 +186,7 @@
                 changes: c.lists,
                 ended: c.watches_ended,
             },
-            // Not shown yet: the tables of planners and forwarders have no rows.
+            // Not available yet: the tables of planners and forwarders have no rows.
             ..Snapshot::default()
         }
     }
--- a/src/features/snmp/tests.rs
+++ b/src/features/snmp/tests.rs
@@ -4,7 +4,7 @@
 fn the_agent_takes_its_part_of_the_time_however_often_it_is_asked() {
     let start = Instant::now();
     let (mut budget, mut now, mut spent) = (Budget::new(start), start, Duration::ZERO);
-    // Asked again at once for ten seconds, each answer takes 80 us.
+    // Requests arrive without a pause for ten seconds; each answer takes 80 us.
     while now - start < Duration::from_secs(10) {
         let one = Duration::from_micros(80);
         (now, spent) = (now + one, spent + one);
@@ -12,7 +12,7 @@
     }
     let part = spent.as_secs_f64() / (now - start).as_secs_f64();
     assert!((0.045..=0.0505).contains(&part), "{part}");
-    // Asked now and then it never rests.
+    // With only occasional requests the agent never pauses.
     for _ in 0..100 {
         now += Duration::from_millis(10);
         assert_eq!(budget.spend(now, Duration::from_micros(80)), None);
--- a/src/features/tap.rs
+++ b/src/features/tap.rs
@@ -1,5 +1,6 @@
-//! tap: one line for each sampled request that matches a filter, on a port of its own. What a watcher does
-//! not read is held up to a bound, then the watcher is cut; nobody ever waits for one.
+//! Tap: streams one line for each sampled request that matches a filter, on a separate port. Lines that a
+//! watcher has not read yet are buffered up to a limit, beyond which the watcher is disconnected; requests
+//! never wait for a watcher.
 
 use crate::codec::discovery;
 use crate::core::Record;
@@ -14,10 +15,10 @@
 use std::net::TcpStream;
 use std::rc::Rc;
 
-/// The longest filter, and the most bytes written at once.
+/// Maximum length of a filter, and maximum size of a write.
 const MAX_FILTER: usize = 256;
 const MAX_WRITE: usize = 16 * 1024;
-/// Lines of the proxy's own.
+/// Lines that the proxy sends beside records.
 pub(crate) const CUT: &[u8] = b"# cut slow\n";
 const NO_FILTER: &str = "no filter came";
 pub(crate) const REFUSED: &str = "# refused: ";
@@ -25,9 +26,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub port: u16,
-    /// The part of all requests that is told.
+    /// The sampled fraction of all requests.
     pub sample: f64,
-    /// Bytes held for a watcher.
+    /// Size of the buffer of a watcher, in bytes.
     pub buffer: usize,
     pub watchers: usize,
 }
@@ -74,11 +75,11 @@
     }
 }
 
-/// The lines that a watcher has yet to get.
+/// The buffered lines of a watcher.
 #[derive(Debug, Default)]
 struct Lines {
     bytes: Vec<u8>,
-    /// How many of them are written.
+    /// Number of bytes that have been written.
     written: usize,
     cut_off: bool,
 }
@@ -88,7 +89,8 @@
         self.bytes.len() - self.written
     }
 
-    /// Takes a line, or cuts the watcher: a line that is half out is finished, all behind it dropped.
+    /// Appends a line. If the buffer is full, the watcher is cut off: a partially written line is completed,
+    /// the rest is dropped.
     fn push(&mut self, line: &[u8], most: usize) {
         if self.cut_off {
             return;
@@ -110,7 +112,7 @@
         if self.left() == 0 {
             *self = Lines { cut_off: self.cut_off, ..Lines::default() };
         } else if self.written > MAX_WRITE {
-            // The line that is half out stays, to tell that it is.
+            // A partially written line is kept from its start, to show that it is incomplete.
             let start = self.bytes[..self.written].iter().rposition(|b| *b == b'\n').map_or(0, |at| at + 1);
             self.bytes.drain(..start);
             self.written -= start;
@@ -123,11 +125,11 @@
 struct Watcher {
     filter: Filter,
     lines: RefCell<Lines>,
-    /// Its task has something to write.
+    /// Wakes the watcher's task.
     wake: Sender<()>,
 }
 
-/// The watchers of one proxy.
+/// The watchers of a proxy.
 #[derive(Debug)]
 pub struct Tap {
     settings: Settings,
@@ -135,7 +137,7 @@
     watchers: RefCell<Vec<Rc<Watcher>>>,
 }
 
-/// A watcher's place among the few there are; given back when dropped.
+/// A watcher's registration, which is removed on drop.
 struct Registration<'a>(&'a Tap, Rc<Watcher>);
 
 impl Drop for Registration<'_> {
@@ -149,7 +151,7 @@
         Tap { settings, site, watchers: RefCell::default() }
     }
 
-    /// Somebody watches, so that records are wanted.
+    /// Whether anybody is watching, so that records are needed.
     pub fn has_watchers(&self) -> bool {
         !self.watchers.borrow().is_empty()
     }
@@ -165,13 +167,14 @@
         Ok((Registration(self, watcher), woken))
     }
 
-    /// A request follows from its id alone into the sample: every proxy picks the same, none draws.
+    /// Whether a request is sampled. This depends only on its id, so that all proxies sample the same
+    /// requests.
     fn sampled(&self, record: &Record) -> bool {
         let part = (discovery::hash_id(&record.message.id) >> 11) as f64 / (1u64 << 53) as f64;
         part < self.settings.sample
     }
 
-    /// Hands a record to the watchers that want it; the line is built once the first does.
+    /// Passes a record to the watchers whose filter matches; the line is only formatted if there is one.
     pub fn offer(&self, record: &Record) {
         let watchers = self.watchers.borrow();
         if watchers.is_empty() || !self.sampled(record) {
@@ -185,10 +188,10 @@
         }
     }
 
-    /// `1718000000123 lookup fjardasjodur 9b1f03aa5c7e2d41 s-5be2a07c hit 14ms served`
+    /// Formats a line like `1718000000123 lookup fjardasjodur 9b1f03aa5c7e2d41 s-5be2a07c hit 14ms served`.
     fn line(&self, record: &Record) -> Vec<u8> {
         let known = |name: Option<&str>| match name.filter(|n| !n.is_empty()) {
-            // A space or a line end in a name would be another field or another line.
+            // White space or control characters in a name would break the line into more fields or lines.
             Some(name) => {
                 name.chars().map(|c| if c.is_whitespace() || c.is_control() { '_' } else { c }).collect()
             }
@@ -216,7 +219,7 @@
     Io(io::Result<usize>),
 }
 
-/// Serves a watcher until it leaves, reads too slowly or the program ends.
+/// Serves a watcher until it disconnects, reads too slowly or the proxy shuts down.
 pub async fn serve(link: Link, tap: Rc<Tap>) {
     let (link, tap) = (&link, &tap);
     let registration = filter(link, &tap.site).await.and_then(|f| tap.join(f));
@@ -233,7 +236,7 @@
                 let text = format!("tap: {} cut, it reads too slowly", link.caller);
                 tell(&link.queue, Note::new("tap_cut", text).caller(&link.caller)).await;
             }
-            // Its place is free from here on, and no line comes any more.
+            // From here on the registration is gone and no more lines are added.
             registration.1.lines.take()
         }
         Err(why) => {
@@ -241,14 +244,15 @@
             Lines { bytes: format!("{REFUSED}{why}\n").into_bytes(), ..Lines::default() }
         }
     };
-    // Sweeps see to it that this ends even if the watcher never reads: no write counts as a step.
+    // Even if the watcher never reads, this ends: writes do not count as progress, so the periodic sweep
+    // closes the connection.
     if write_all(&link.socket, &left.bytes[left.written..]).await.is_ok() {
         link.progress.set(Waits::Close);
         farewell(&link.socket).await;
     }
 }
 
-/// The filter: one line, from a peer that has not been told to finish for want of it.
+/// Reads the filter, which is one line. Fails if the peer closes, or if it is silent at shutdown.
 async fn filter(link: &Link, site: &Site) -> Result<Filter, String> {
     let mut input = link.input.take();
     loop {
@@ -276,7 +280,8 @@
     }
 }
 
-/// Passes lines on. Comes back with what is waited for while the rest is written; `None` if nobody reads it.
+/// Writes lines to a watcher. Returns the state in which to write the rest, or `None` if the connection is
+/// broken.
 async fn stream(link: &Link, registration: &Registration<'_>, woken: &Receiver<()>) -> Option<Waits> {
     let lines = &registration.1.lines;
     let mut input = Vec::new();
@@ -309,7 +314,7 @@
         match future::or(finish, future::or(more, future::or(read, write))).await {
             Wakeup::Finish => return Some(Waits::Close),
             Wakeup::More => {}
-            // Nothing that a watcher says behind its filter means anything.
+            // Input after the filter is ignored.
             Wakeup::Io(Ok(1..)) => input.clear(),
             Wakeup::Io(_) => return None,
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,14 @@
-//! Decisions of a proxy (router) that spreads keys over cache servers in front of a slow origin.
+//! Request routing for a proxy (router) that spreads keys over cache servers in front of a slow origin.
 //!
-//! The library is sans-I/O: feed [`interface::Event`]s with the time they happened to a
-//! [`choice::Balancer`], carry out the [`interface::Action`]s it answers with. It reads no clock, opens
-//! no socket and shares nothing between instances; the same events give the same actions.
+//! The decision module is sans-I/O: feed [`interface::Event`]s with their timestamps to a
+//! [`choice::Balancer`] and execute the [`interface::Action`]s it returns. It reads no clock, opens no socket
+//! and shares no state between instances; the same events always give the same actions.
 //!
-//! Round it lie the parts of the proxy: [`codec`] (bytes), [`core`] (streams, no I/O), [`net`] (sockets),
-//! [`features`] (what operators turn on), [`owner`] (the task that holds all of it) and [`commands`] (the
-//! program).
+//! The rest of the proxy is built around it: [`codec`] (encoding and decoding of bytes), [`core`] (streams,
+//! without I/O), [`net`] (sockets), [`features`] (optional features enabled by the operator), [`owner`] (the
+//! task that owns all state) and [`commands`] (the command line).
 //!
-//! A first request with two servers is in the README, whose example is tested with this crate.
+//! The README has a minimal example with two servers, which is compiled and run as a doctest of this crate.
 
 #![forbid(unsafe_code)]
 
--- a/src/log/format.rs
+++ b/src/log/format.rs
@@ -1,18 +1,20 @@
-//! A line of the log. In text it is the level and the message, which says all there is for people; in JSON an
-//! object (RFC 8259) with the fields by their names beside the message. Both are one line whatever a peer has
-//! made us say, and of bounded length.
+//! Formatting of log lines. The text format has the level and the message, which is complete for human
+//! readers; the JSON format (RFC 8259) is an object with the message and the event's fields. In both formats
+//! a record has bounded length and cannot be split or forged by data that a peer sent.
 
 use std::fmt::{self, Write};
 use std::str::FromStr;
 use tracing::field::{Field, Visit};
 use tracing::{Level, Metadata};
 
-/// Bytes of one message or field; the rest is cut off. Only what a peer sent could be as long.
+/// Maximum size in bytes of a message or field; longer ones are truncated. Only data from peers can be that
+/// long.
 const MAX_TEXT: usize = 4096;
-/// Where a message of several lines goes on, so that none of them looks like a line of its own.
+/// Indentation of the continuation lines of a multi-line message, so that none of them looks like a separate
+/// record.
 const INDENT: &str = "    ";
 
-/// The form of a line.
+/// Output format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
     #[default]
@@ -20,7 +22,7 @@
     Json,
 }
 
-/// A form of lines that there is not.
+/// The name of a format is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownFormat;
 
@@ -45,7 +47,7 @@
 }
 
 impl Format {
-    /// The line that tells of `n` lost ones.
+    /// A record that reports how many lines were lost.
     pub(super) fn lost(self, at_ms: u64, n: u64) -> Vec<u8> {
         let text = format!("{n} lines of the log lost: nobody read them in time");
         let mut line = Line::begin(self, at_ms, &Level::WARN, module_path!());
@@ -55,7 +57,7 @@
         line.end()
     }
 
-    /// The line of a program that cannot go on. In text it is what any command says that fails.
+    /// The record of a fatal error. In text format it has the same form as the error of any subcommand.
     pub(super) fn fatal(self, at_ms: u64, reason: &str) -> Vec<u8> {
         let text = format!("martenweir: {reason}");
         if self == Format::Text {
@@ -69,7 +71,7 @@
     }
 }
 
-/// A line under way.
+/// A log record under construction.
 pub(super) struct Line {
     format: Format,
     text: String,
@@ -103,14 +105,14 @@
         }
     }
 
-    /// A field that is text.
+    /// Adds a string field.
     fn text_field(&mut self, name: &str, value: &str) {
         if self.format == Format::Json {
             let _ = write!(self.text, ",\"{name}\":{}", serde_json::Value::from(truncate(value)));
         }
     }
 
-    /// A field that JSON writes as we do: a number, or `true` and `false`.
+    /// Adds a field whose `Display` form is valid JSON: a number, `true` or `false`.
     fn raw_field(&mut self, name: &str, value: impl fmt::Display) {
         if self.format == Format::Json {
             let _ = write!(self.text, ",\"{name}\":{value}");
@@ -152,7 +154,7 @@
     }
 
     fn record_f64(&mut self, field: &Field, value: f64) {
-        // What is no number in JSON is none here either.
+        // JSON has no representation for infinities and NaN.
         match value.is_finite() {
             true => self.raw_field(field.name(), value),
             false => self.raw_field(field.name(), "null"),
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -1,13 +1,12 @@
-//! The log: `tracing` events as lines on standard error.
+//! Logging: writes `tracing` events as lines to standard error.
 //!
-//! Owns the one writer of standard error ([`writer::Writer`]), which the figures share where they go there
-//! too, and the subscriber that turns events into lines. Code that has something to say uses `tracing`'s
-//! macros and needs nothing of this; an event is a message for people and fields for programs, with `event`
-//! as the one word that names it for good. There are no spans: nothing is logged per stream, and there is one
-//! thread of work.
+//! This module owns the only writer of standard error ([`writer::Writer`]), which the figures share when
+//! their target is standard error, and the subscriber that formats events. Other code only uses `tracing`'s
+//! macros. An event has a message for human readers and fields for programs; the field `event` is its stable
+//! name. Spans are not used: nothing is logged per stream, and all work runs on one thread.
 //!
-//! [`start`] is for a process whose standard error is the proxy's. A subcommand that talks to a person writes
-//! its lines itself.
+//! [`start`] is for processes that log to standard error for their whole life. Interactive subcommands write
+//! to standard error directly.
 
 mod filter;
 mod format;
@@ -24,19 +23,18 @@
 use tracing::{level_filters::LevelFilter, warn, Event, Metadata};
 use writer::Writer;
 
-/// How long the end waits for the last lines.
+/// How long shutdown waits for the last lines to be written.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The log at work. Dropped, it waits a moment for what is still to be written.
+/// The running log. Dropping it waits up to [`SHUTDOWN_TIMEOUT`] for queued lines to be written.
 #[derive(Debug)]
 pub struct Log {
     format: Format,
     writer: Writer,
 }
 
-/// Starts the log of this process. `filter` is what `RUST_LOG` says, [`Filter`] has its form; without it,
-/// lines of level `info` and above are told. An error is a thread that cannot be started, or a log that is
-/// there already.
+/// Starts the log of this process. `filter` is the value of `RUST_LOG` in the syntax of [`Filter`]; without
+/// it, the level is `info`. Fails if the writer thread cannot be started or a log is already installed.
 pub fn start(format: Format, filter: Option<&str>) -> Result<Log, String> {
     let (filter, invalid) = Filter::new(filter.unwrap_or("info"));
     let writer = Writer::start(io::stderr(), move |n| format.lost(unix_ms(), n))
@@ -52,18 +50,19 @@
     Ok(Log { format, writer })
 }
 
-/// What turns events into lines for a writer; [`start`] makes it that of the process.
+/// Creates the subscriber that formats events for a writer. [`start`] installs it globally.
 pub fn lines(format: Format, filter: Filter, writer: Writer) -> impl Subscriber {
     Lines { format, filter, writer }
 }
 
 impl Log {
-    /// The writer of standard error, for whoever writes there between the lines.
+    /// The writer of standard error, for code that writes other complete lines there.
     pub fn writer(&self) -> Writer {
         self.writer.clone()
     }
 
-    /// Why the program ends, for which it has no other words: in text the line of a command that fails.
+    /// Logs the error that ends the program. In text format it has the same form as the error of any
+    /// subcommand.
     pub fn fatal(&self, message: &str) {
         self.writer.push(self.format.fatal(unix_ms(), message));
     }
@@ -75,12 +74,12 @@
     }
 }
 
-/// Unix time, for lines that bear it.
+/// Unix time in milliseconds, for the timestamps of records.
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The subscriber: an event becomes one line, which is queued whole or counted as lost.
+/// The subscriber. Each event becomes one line, which is either queued whole or counted as lost.
 struct Lines {
     format: Format,
     filter: Filter,
@@ -89,7 +88,7 @@
 
 impl Subscriber for Lines {
     fn register_callsite(&self, metadata: &'static Metadata<'static>) -> Interest {
-        // What a call says of itself never changes, so that one look is enough.
+        // The metadata of a call site never changes, so the filter is evaluated only once per call site.
         match self.enabled(metadata) {
             true => Interest::always(),
             false => Interest::never(),
--- a/src/log/writer.rs
+++ b/src/log/writer.rs
@@ -1,10 +1,10 @@
-//! The one writer of standard error. Whoever has something for it hands it over and goes on: a thread of its
-//! own does the writing, so that a reader who does not read stalls nobody, and whole pieces are written one
-//! after the other, so that none tears another. What is held is bounded; lines beyond that are lost, counted,
-//! and told of.
+//! The only writer of standard error. Callers queue their data and continue; a separate thread writes it, so
+//! that a reader that has stopped reading blocks no caller. Queued pieces are written whole and one after the
+//! other, so they never interleave. The queue is bounded: lines beyond the bound are dropped, counted and
+//! reported.
 //!
-//! For lines and batches of lines. It is no way to write a file: errors are ignored, since there is nobody
-//! left to tell them to.
+//! For lines and batches of lines only, not for files: write errors are ignored, since there is nowhere left
+//! to report them.
 
 use async_channel::Sender;
 use std::collections::VecDeque;
@@ -13,14 +13,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// Bytes of lines that may wait.
+/// Maximum number of bytes of queued lines.
 const MAX_PENDING: usize = 64 * 1024;
-/// A target that says "not now" is asked again after this.
+/// Delay before a write is retried after `WouldBlock`.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Enough for the thread's few frames.
+/// Stack size of the writer thread, which has a shallow call stack.
 const STACK_BYTES: usize = 128 * 1024;
 
-/// What waits to be written, and whom to tell that it is.
+/// A queued piece of output, and the channel that is notified once it has been written.
 struct Piece {
     bytes: Vec<u8>,
     written: Option<Sender<()>>,
@@ -29,11 +29,12 @@
 #[derive(Default)]
 struct State {
     pieces: VecDeque<Piece>,
-    /// Bytes of the lines among them. A batch waits by leave of who handed it over.
+    /// Bytes of the queued lines. Batches are not counted: their callers wait for the write and hold only one
+    /// at a time.
     held: usize,
-    /// Lines lost and not told of.
+    /// Number of lost lines that have not been reported yet.
     lost: u64,
-    /// The thread is at it.
+    /// Whether the writer thread is writing.
     writing: bool,
     closed: bool,
 }
@@ -52,14 +53,15 @@
 }
 
 impl Shared {
-    /// Held for a few instructions and never over a write, so that waiting for it is no blocking. Nothing
-    /// that is done under it can leave the state half changed.
+    /// The lock is held for a few instructions only and never during a write, so waiting for it does not
+    /// block in practice. No operation under the lock can leave the state inconsistent, so a poisoned lock
+    /// is still usable.
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A handle to the writer; all clones are the same one.
+/// A handle to the writer; all clones share the same queue.
 #[derive(Clone)]
 pub struct Writer {
     shared: Arc<Shared>,
@@ -73,7 +75,8 @@
 }
 
 impl Writer {
-    /// Starts the thread that writes to `to`; `lost` makes the line that tells of so many lost ones.
+    /// Starts the thread that writes to `to`. `lost` formats the line that reports the given number of lost
+    /// lines.
     pub fn start(
         to: impl Write + Send + 'static,
         lost: impl Fn(u64) -> Vec<u8> + Send + 'static,
@@ -81,22 +84,23 @@
         let shared = Arc::new(Shared::default());
         let worker_shared = shared.clone();
         let thread = thread::Builder::new().name("stderr".into()).stack_size(STACK_BYTES);
-        // It ends with `finish` or with the process.
+        // The thread ends after `finish`, or with the process.
         thread.spawn(move || run(&worker_shared, to, lost))?;
         Ok(Writer { shared })
     }
 
-    /// Hands over a whole line; it is counted as lost where no more may wait.
+    /// Queues a complete line, or counts it as lost if the queue is full.
     pub fn push(&self, line: Vec<u8>) {
         self.enqueue(Piece { bytes: line, written: None });
     }
 
-    /// Writes a batch of whole lines behind what waits, and comes back once it is out. Whoever gives up
-    /// waiting leaves the batch to be written all the same, so it is for one batch at a time.
+    /// Writes a batch of complete lines after what is already queued and returns once it has been written. If
+    /// the caller is cancelled, the batch is written nevertheless, so a caller must not have more than one
+    /// batch in flight.
     pub async fn write(&self, bytes: Vec<u8>) {
         let (written, completion) = async_channel::bounded(1);
         self.enqueue(Piece { bytes, written: Some(written) });
-        // An end without a word: it is dropped, since nothing is taken any more.
+        // An error means that the writer has been closed and the batch was dropped.
         let _ = completion.recv().await;
     }
 
@@ -117,8 +121,8 @@
         self.shared.work_available.notify_one();
     }
 
-    /// Takes no more, and waits this long at the most for what is still to be written; whether all of it was.
-    /// It blocks its thread, so it is for the end of the program.
+    /// Closes the queue and waits up to `timeout` for the rest to be written; returns whether everything was.
+    /// It blocks its thread and is meant for the end of the program.
     pub fn finish(&self, timeout: Duration) -> bool {
         let mut state = self.shared.lock();
         state.closed = true;
@@ -149,7 +153,7 @@
                 let _ = written.try_send(());
             }
         }
-        // They were lost because all of these waited.
+        // Reported after these pieces, because they filled the queue when the lines were lost.
         if n > 0 {
             write_whole(&mut to, &lost(n));
         }
@@ -158,7 +162,8 @@
     }
 }
 
-/// Writes all of it, whoever else has made the target one that does not wait. A closed one gets nothing.
+/// Writes all bytes, also if another process has set the target to non-blocking mode. Stops on other errors,
+/// such as a closed target.
 fn write_whole(to: &mut impl Write, mut bytes: &[u8]) {
     while !bytes.is_empty() {
         match to.write(bytes) {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! The proxy. All of it is in the library, so that other programs of the workspace can run it too.
+//! Entry point of the proxy. The code is in the library, so that other programs of the workspace can run it
+//! too.
 
 #![forbid(unsafe_code)]
 
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line from outside: its words, exit statuses and messages, and the two forms of its log.
+//! End-to-end tests of the command line: arguments, exit statuses, messages, and both log formats.
 
 use rstest::rstest;
 use serde_json::Value;
@@ -14,7 +14,7 @@
 const CONF: &str = "examples/martenweir.conf";
 const FINE: &str = "the configuration is fine\n";
 const USAGE: &str = "usage: martenweir [--check] [--conf FILE]";
-/// Nobody listens there.
+/// An address without a listener.
 const NOBODY: &str = "127.0.0.1:1";
 
 fn program() -> Command {
@@ -52,7 +52,7 @@
     assert!(out.starts_with(answer), "{words:?}: {out}");
 }
 
-/// What `snmp` reads for all it does.
+/// The options and arguments that all `snmp` subcommands accept.
 const SNMP: [&str; 9] = [
     "--community <NAME>",
     "--user <NAME>",
@@ -65,9 +65,9 @@
     "<ADDRESS>",
 ];
 
-/// The names that a help lists, each with its words.
+/// The entries of a help text, each with its description.
 fn listed(help: &str) -> Vec<(&str, &str)> {
-    // Behind the usage and the about.
+    // Skips the usage and the description of the command.
     let lists = help.splitn(3, "\n\n").nth(2).unwrap_or_default();
     let lines = lists.lines().filter(|line| line.starts_with("  ")).map(str::trim);
     lines.map(|line| line.split_once("  ").unwrap_or((line, ""))).collect()
@@ -77,7 +77,8 @@
     listed(help).into_iter().filter(|(_, words)| words.is_empty()).map(|(name, _)| name).collect()
 }
 
-/// What the subcommand reads by its help, which has words for each; adds the subcommands that it lists.
+/// The options and arguments in the help of a subcommand, each of which must have a description; its own
+/// subcommands are added to `below`.
 fn read_by(words: &str, below: &mut Vec<String>) -> BTreeSet<String> {
     let end = program().args(words.split_whitespace()).arg("--help").output().expect("it runs");
     let (out, err) = said(&end);
@@ -126,7 +127,7 @@
     assert_eq!(found, BTreeMap::from(all));
 }
 
-/// An option without words does not pass for one that has some.
+/// Guards the check above: an option without a description must be found.
 #[test]
 fn an_option_without_words_is_seen_in_its_help() {
     let count = clap::Arg::new("count").long("count");
@@ -227,7 +228,8 @@
     assert_eq!(end.status.code(), Some(status), "{:?}", said(&end));
 }
 
-/// A file of its own for each `name`: a configuration that listens there, with a discovery that nobody answers.
+/// Writes a configuration with this listen address, and a discovery address without a listener, to a file of
+/// its own for each `name`.
 fn configuration(name: &str, listen: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("martenweir-{}-{name}.json", std::process::id()));
     let text = std::fs::read_to_string(CONFIG).expect("the configuration");
@@ -238,7 +240,7 @@
     path
 }
 
-/// The lines of a proxy that nobody talks to, from its start to a planned end.
+/// The log lines of a proxy without clients, from its start to a graceful shutdown.
 fn lines(words: &[&str], filter: &str) -> Vec<String> {
     let path = configuration(&format!("{}-{filter}", words.join("-")), "127.0.0.1:0");
     let mut command = program();
@@ -258,7 +260,7 @@
     lines
 }
 
-/// What stands for any number in a line.
+/// Replaces each number in a line by `#`.
 fn masked(line: &str) -> String {
     line.split(|c: char| c.is_ascii_digit()).filter(|part| !part.is_empty()).collect::<Vec<_>>().join("#")
 }
@@ -341,7 +343,7 @@
     assert_eq!(lines.iter().any(|l| l.contains("\"martenweir=loud\" is ignored")), told, "{lines:?}");
 }
 
-/// A notification is told in one line, an inform is acknowledged.
+/// A notification is printed as one line, and an inform is acknowledged.
 #[test]
 fn snmp_listen_tells_what_comes_and_acknowledges_it() {
     let mut listen = program();
@@ -367,7 +369,7 @@
         let message = Community { community: community.into(), pdu: pdu.clone() };
         socket.send_to(&message.bytes(), address).expect("sent");
     };
-    // Of another community it hears nothing.
+    // A message with another community is ignored.
     send("other", &pdu);
     send("ops", &pdu);
     let mut back = [0; 1500];
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log without a program: what its writer promises to those who write, its filter, its lines.
+//! Tests of the log without a process: the guarantees of its writer, its filter, and its line formats.
 
 use martenweir::log::writer::Writer;
 use martenweir::log::{lines, Filter, Format, InvalidDirective};
@@ -9,10 +9,10 @@
 use std::time::Duration;
 use tracing::Level;
 
-/// Generous: it is not waited for where all goes well.
+/// Generous, since no successful test waits this long.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A target in a test's hand: it says when it begins a write, and goes on when it is let.
+/// A target that reports the start of each write and blocks until the test lets it continue.
 struct Gate {
     begun: Sender<()>,
     open: Receiver<()>,
@@ -22,7 +22,7 @@
 impl Write for Gate {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.begun.send(());
-        // Whoever drops the other end lets everything through.
+        // Once the other end is dropped, writes no longer block.
         let _ = self.open.recv();
         self.written.lock().expect("no panic").extend_from_slice(bytes);
         Ok(bytes.len())
@@ -44,7 +44,7 @@
     let writer = Writer::start(Gate { begun, open, written: written.clone() }, lost).expect("a thread");
     writer.push(b"first\n".to_vec());
     begins.recv_timeout(PATIENCE).expect("a write");
-    // Far more than is held; were one of these to wait, the test would never end.
+    // Far more lines than the queue holds; if one of these calls blocked, the test would never end.
     let lines: Vec<String> = (0..20_000).map(|i| format!("line {i}\n")).collect();
     lines.iter().for_each(|line| writer.push(line.clone().into_bytes()));
     assert!(!writer.finish(Duration::ZERO), "nothing could be written yet");
@@ -61,7 +61,7 @@
     assert!(kept > 1000 && kept < lines.len(), "{kept} lines were held");
 }
 
-/// A target that takes little at a time, is interrupted, and says "not now".
+/// A target that accepts few bytes at a time, and sometimes fails with `Interrupted` or `WouldBlock`.
 struct Fitful(Arc<Mutex<Vec<u8>>>, usize);
 
 impl Write for Fitful {
@@ -127,7 +127,7 @@
     assert!(filter.admits("b", &Level::WARN));
 }
 
-/// What an event comes to in a form.
+/// Formats one event in the given format.
 fn line(format: Format, tell: impl FnOnce()) -> String {
     let written = Arc::new(Mutex::new(Vec::new()));
     let writer = Writer::start(Fitful(written.clone(), 0), lost).expect("a thread");
--- a/tests/planners.rs
+++ b/tests/planners.rs
@@ -1,5 +1,6 @@
-//! Planners and forwarders as processes on loopback: what planners find silent, what they refuse, how they end.
-//! The test is the nodes, discovery and the clients; every wait is for an event, with a generous bound.
+//! Tests of planners and forwarders as processes on loopback: which nodes planners find silent, which peers
+//! they refuse, and how they shut down. The test plays the nodes, discovery and the clients. It only waits
+//! for events, with a generous timeout.
 
 use lab::fleet::log::{Line, Log, Mark, Wanted};
 use lab::fleet::processes::{Processes, Spec};
@@ -19,27 +20,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// No step waits longer; far more than any needs.
+/// Timeout of every step, far longer than any of them needs.
 const PATIENCE: Duration = Duration::from_secs(40);
 const FORWARDERS: usize = 3;
 const NODES: usize = 4;
 
-/// The program itself: no process of it outlives this test, however that ends.
+/// The program under test, started through a guard so that no process outlives the test.
 fn program() -> Program {
     Program::of_test(Path::new(env!("CARGO_BIN_EXE_martenweir")), "guard").expect("the program")
 }
 
-/// Not a test of its own: what the processes are started by.
+/// Not a test itself: the guard process that starts the others.
 #[test]
 #[ignore = "the guard of the other tests' processes"]
 fn guard() {
     in_a_test();
 }
 
-/// Planners and forwarders.
+/// The running planners and forwarders.
 struct Fleet {
     processes: Processes,
-    /// Behind what was waited for last, by process.
+    /// The position in each process's log up to which lines have been waited for.
     heard: BTreeMap<String, Mark>,
 }
 
@@ -52,7 +53,7 @@
     fn start(&mut self, name: &str, words: &[&OsStr], event: &str) -> SocketAddr {
         let spec = Spec::new(name, &program()).variable("RUST_LOG", "info").arg("--log-format").arg("json");
         let spec = match event {
-            // A subcommand's options come behind it.
+            // The options of a subcommand follow its name.
             "planning" => Spec { arguments: vec!["planner".into()], ..spec }.arg("--log-format").arg("json"),
             _ => spec,
         };
@@ -67,14 +68,14 @@
         self.start(name, &["--conf".as_ref(), conf.as_ref()], "planning")
     }
 
-    /// What a process is configured with.
+    /// Writes a configuration file of a process.
     fn file(&self, process: &str, name: &str, text: &str) -> PathBuf {
         let path = self.processes.settings(process).expect("a folder").join(name);
         std::fs::write(&path, text).expect("a file");
         path
     }
 
-    /// Waits for a line of a process, behind those that were waited for before.
+    /// Waits for a log line of a process after the last one that was waited for.
     fn hear(&mut self, name: &str, wanted: Wanted) -> Arc<Line> {
         let since = self.heard.entry(name.to_owned()).or_default();
         let line = self.processes.hear(name, *since, &wanted, PATIENCE);
@@ -96,7 +97,7 @@
     (from.read_line(&mut line).ok()? > 0).then(|| line.trim_end().to_owned())
 }
 
-/// Serves each connection on a thread of its own.
+/// Serves each connection on its own thread.
 fn serve(each: impl Fn(TcpStream) + Clone + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -109,7 +110,7 @@
     address
 }
 
-/// Answers everything with a hit while it is not silent.
+/// A node that answers every request with a hit, unless it is silent.
 fn node(socket: TcpStream, silent: &AtomicBool) {
     let mut from = BufReader::new(socket.try_clone().expect("a socket"));
     let mut to = socket;
@@ -131,7 +132,7 @@
     }
 }
 
-/// Reads of many keys, some at a time, until it is over; counts the values that come.
+/// Sends reads of many keys, 8 at a time, until `over` is set; counts the returned values.
 fn client(address: SocketAddr, served: &AtomicUsize, over: &AtomicBool) {
     let mut to = TcpStream::connect(address).expect("a connection");
     let mut from = BufReader::new(to.try_clone().expect("a socket"));
@@ -218,12 +219,12 @@
     let table = String::from_utf8(show(planners[0], &[]).stdout).expect("text");
     assert!(table.contains("witnesses\n") && table.contains(" all "), "{table}");
 
-    // The first to try the node hears it, and planners vouch for it to the others.
+    // The first forwarder that probes the node gets an answer, and the planners pass that on to the others.
     fleet.terminate("p1");
     silent.store(false, Ordering::SeqCst);
     names.iter().for_each(|name| drop(fleet.hear(name, what("plan_returns"))));
 
-    // Without any planner they go on.
+    // The forwarders keep serving without any planner.
     fleet.terminate("p0");
     let before = served.load(Ordering::SeqCst);
     let until = Instant::now() + PATIENCE;
@@ -236,7 +237,7 @@
     names.iter().for_each(|name| fleet.terminate(name));
 }
 
-/// What a planner tells a peer before it closes.
+/// The reason that a planner sends before it closes a connection.
 fn last_words(mut socket: TcpStream) -> Refused {
     socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
     let (mut reader, mut bytes) = (Reader::default(), [0; 4096]);
