--- a/src/commands/change.rs
+++ b/src/commands/change.rs
@@ -304,7 +304,7 @@
                 Message::Busy { .. } => Some(None),
                 _ => None,
             });
-            answer?.ok_or_else(|| "too many ask at once".to_owned())
+            answer?.ok_or_else(|| "too many status queries at once".to_owned())
         };
         let mut report = match ask(FollowerId(0)) {
             Ok(report) => report,
--- a/src/commands/figurestest.rs
+++ b/src/commands/figurestest.rs
@@ -69,6 +69,6 @@
     match async_io::block_on(future::or(all, timeout)) {
         Some(0) => Ok(()),
         Some(lost) => Err(format!("figurestest: {lost} batches lost")),
-        None => Err("figurestest: the target does not take them".into()),
+        None => Err("figurestest: the target did not accept all batches in time".into()),
     }
 }
--- a/src/commands/mget.rs
+++ b/src/commands/mget.rs
@@ -90,14 +90,14 @@
     from.by_ref().take(MAX_LINE).read_until(b'\n', &mut bytes)?;
     match bytes.strip_suffix(b"\r\n") {
         Some(text) => Ok(String::from_utf8_lossy(text).into_owned()),
-        None => Err(io::Error::new(ErrorKind::UnexpectedEof, "closed without a whole answer")),
+        None => Err(io::Error::new(ErrorKind::UnexpectedEof, "closed before the answer was complete")),
     }
 }
 
 fn element(from: &mut impl BufRead) -> io::Result<String> {
     let head = line(from)?;
     let Some(digits) = head.strip_prefix('$') else { return Ok(head) };
-    let invalid = || io::Error::new(ErrorKind::InvalidData, "an answer that is no multi-get's");
+    let invalid = || io::Error::new(ErrorKind::InvalidData, "not an answer to a multi-get");
     let n = length(digits.as_bytes(), resp::MAX_VALUE).ok_or_else(invalid)?;
     let mut value = vec![0; n + 2];
     from.read_exact(&mut value)?;
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -38,18 +38,18 @@
        martenweir snmp get|walk [WHO] ADDRESS [NAME ...]
        martenweir snmp listen [WHO] ADDRESS";
 /// Explanation that follows the usage in usage errors.
-const DESCRIPTION: &str = "CONFIG is a JSON file; without it NODE_CONFIG names it. FILE turns features on, docs/features.md lists its
-settings. --check reads both and exits. --log-format is text if not given.
-mget: asks the multi-get port at ADDRESS for all these reads at once; fails unless each brings its value.
-tap: prints a line for each sampled request that matches, as the tap port at ADDRESS tells them.
-checkaddr: prints allow or deny, as FILE has it for a caller at ADDRESS.
-figurestest: sends one of each figure where FILE says, or to standard error.
-planner: tells proxies what all of them see, on the plannerport of FILE; docs/planners.md says how.
-plan show: prints the plan as the planner at ADDRESS has it.
-control: carries changes to proxies, on the controlport of FILE; docs/dissemination.md says how.
-change: gives a change to the control machines at ADDRESS..., or tells which proxies have it. WHAT is --purge KEY ... or
---setting LINE ... or --reset NAME; CHANGE is as submit prints it.
-snmp: asks the agent at ADDRESS for objects, or prints notifications that come to ADDRESS. WHO is --community NAME,
+const DESCRIPTION: &str = "CONFIG is a JSON file; without it NODE_CONFIG names it. FILE enables features, docs/features.md lists its
+settings. --check validates both files and exits. --log-format defaults to text.
+mget: sends all these reads to the multi-get port at ADDRESS as one command; fails unless each returns a value.
+tap: prints a line for each sampled request that matches, as received from the tap port at ADDRESS.
+checkaddr: prints whether the lists of FILE allow or deny a client at ADDRESS.
+figurestest: sends one sample of each figure to the target named in FILE, or to standard error.
+planner: publishes plans computed from the reports of all proxies, on the plannerport of FILE; see docs/planners.md.
+plan show: prints the current plan of the planner at ADDRESS.
+control: distributes changes to proxies, on the controlport of FILE; see docs/dissemination.md.
+change: submits a change to the control machines at ADDRESS..., or shows which proxies have it. WHAT is --purge KEY ... or
+--setting LINE ... or --reset NAME; CHANGE is as printed by submit.
+snmp: queries the agent at ADDRESS, or prints notifications that are sent to ADDRESS. WHO is --community NAME,
 or --user NAME with --conf FILE or --auth sha256 --auth-pass WORDS [--priv-pass WORDS].";
 /// Template of all help texts, with the usage in the same form as in usage errors.
 const HELP: &str = "usage: {usage}\n\n{about-with-newline}\n{all-args}";
@@ -165,7 +165,7 @@
             _ => unknown(value),
         },
         ErrorKind::TooManyValues => unknown(&format!("{option}={value}")),
-        ErrorKind::InvalidUtf8 => "an argument is no text".into(),
+        ErrorKind::InvalidUtf8 => "an argument is not valid UTF-8".into(),
         // No other kind of error can occur with this command line.
         _ => format!("usage: {USAGE}\n{DESCRIPTION}"),
     }
--- a/src/commands/plan.rs
+++ b/src/commands/plan.rs
@@ -74,7 +74,7 @@
         let mut input = bytes.get(..n).unwrap_or_default();
         match reader.read(&mut input).map_err(|e| e.to_string())? {
             Some(Message::Shown(shown)) => return Ok(shown),
-            Some(_) => return Err("an answer that is no plan".into()),
+            Some(_) => return Err("the answer is not a plan".into()),
             None => {}
         }
     }
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -27,7 +27,7 @@
 /// Rejects a lone dash, which has never meant standard input here.
 fn name(text: &str) -> Result<String, &'static str> {
     if text == "-" {
-        return Err("a file is wanted");
+        return Err("a file name is expected");
     }
     Ok(text.to_owned())
 }
--- a/src/commands/snmp.rs
+++ b/src/commands/snmp.rs
@@ -212,12 +212,12 @@
 /// The meaning of the counter in a report PDU.
 fn reason(counter: &Oid) -> String {
     let known = [
-        ("1.3.6.1.6.3.15.1.1.1.0", "not the level of safety that this user has"),
+        ("1.3.6.1.6.3.15.1.1.1.0", "the user has another security level"),
         ("1.3.6.1.6.3.15.1.1.2.0", "not within the time window"),
         ("1.3.6.1.6.3.15.1.1.3.0", "no such user"),
-        ("1.3.6.1.6.3.15.1.1.4.0", "another engine"),
-        ("1.3.6.1.6.3.15.1.1.5.0", "a wrong digest: another passphrase or another way to authenticate"),
-        ("1.3.6.1.6.3.15.1.1.6.0", "it cannot be decrypted: another passphrase for privacy"),
+        ("1.3.6.1.6.3.15.1.1.4.0", "unknown engine ID"),
+        ("1.3.6.1.6.3.15.1.1.5.0", "wrong digest, check the passphrase and the authentication protocol"),
+        ("1.3.6.1.6.3.15.1.1.6.0", "decryption failed, check the privacy passphrase"),
     ];
     let counter = counter.to_string();
     known.iter().find(|(oid, _)| *oid == counter).map_or(counter, |(_, why)| (*why).to_owned())
@@ -267,7 +267,7 @@
             let answer = agent.ask(|request| walk.next(request).unwrap_or_else(|| empty_request(request)))?;
             let part = walk.take(answer).map_err(|broken| match broken {
                 Broken::Status(status) => format!("snmp: error {status} from {}", ask.address),
-                Broken::Order(name) => format!("snmp: {} tells {name} out of order", ask.address),
+                Broken::Order(name) => format!("snmp: {} returned {name} out of order", ask.address),
             })?;
             for (name, value) in &part {
                 if !println(&ask.who.show(&mib, name, value)) {
--- a/src/features/control.rs
+++ b/src/features/control.rs
@@ -199,7 +199,7 @@
             event = "torn",
             file,
             bytes = torn,
-            "{file}: a last record of {torn} bytes was torn and is gone"
+            "{file}: dropped an incomplete record of {torn} bytes at the end"
         );
     }
     if let Some(older) = older {
@@ -371,7 +371,7 @@
     fn carry_out(&mut self, now: Micros, out: Vec<Output>) {
         self.pending_outputs.extend(out);
         if self.pending_outputs.len() > MAX_PENDING_OUTPUTS {
-            self.fatal_error = Some(self.disk_failed("it does not keep up"));
+            self.fatal_error = Some(self.disk_failed("writing does not keep up with the changes"));
             return;
         }
         // The last encoded message, which is reused because batches to many followers share it.
@@ -389,7 +389,9 @@
                             Ok(bytes) => bytes.into(),
                             Err(why) => {
                                 let why = why.to_string();
-                                self.log_limited(|| warn!(event = "not_told", why, "not told: {why}"));
+                                self.log_limited(|| {
+                                    warn!(event = "not_told", why, "message not sent: {why}")
+                                });
                                 continue;
                             }
                         },
@@ -410,7 +412,7 @@
         self.control.down(now, peer, &mut out);
         self.pending_outputs.extend(out);
         self.log_limited(
-            || warn!(event = "peer_cut", client = %address, "{address} cut, it reads too slowly"),
+            || warn!(event = "peer_cut", client = %address, "{address} disconnected, it reads too slowly"),
         );
     }
 
@@ -458,7 +460,7 @@
 
     fn watch_disk(&mut self, now: Micros) {
         if matches!(self.disk, Disk::Writes { since, .. } if now - since > WRITE_TIMEOUT) {
-            self.fatal_error = Some(self.disk_failed("it hangs"));
+            self.fatal_error = Some(self.disk_failed("a write takes too long, the disk hangs"));
         }
     }
 
@@ -476,7 +478,9 @@
                 info!(event = "reloaded", followers, "reloaded: {followers} followers");
                 self.control.set_roster(names.into_keys().collect());
             }
-            Err(why) => warn!(event = "not_reloaded", why, "not reloaded, the old list stays: {why}"),
+            Err(why) => {
+                warn!(event = "not_reloaded", why, "not reloaded, keeping the old list of followers: {why}")
+            }
         }
     }
 
@@ -497,16 +501,16 @@
         let stats = self.control.stats(now);
         if stats.accepting != std::mem::replace(&mut self.accepting, stats.accepting) {
             match stats.accepting {
-                true => info!(event = "takes", "takes submissions"),
-                false => warn!(event = "takes_none", "takes no submissions"),
+                true => info!(event = "takes", "accepting submissions"),
+                false => warn!(event = "takes_none", "not accepting submissions"),
             }
         }
         // 2 s is well within the lease; without a fresh instant this machine is of no use to followers.
         let fresh = stats.fresh.is_some_and(|at| now - at < 2_000_000);
         if fresh != std::mem::replace(&mut self.fresh, fresh) {
             match fresh {
-                true => info!(event = "fresh", "hears a majority of the stores"),
-                false => warn!(event = "not_fresh", "hears no majority of the stores"),
+                true => info!(event = "fresh", "in contact with a majority of the stores"),
+                false => warn!(event = "not_fresh", "not in contact with a majority of the stores"),
             }
         }
         for of in stats.conflicts.iter().filter(|s| !self.conflicts.contains(s)).copied().collect::<Vec<_>>()
@@ -516,7 +520,7 @@
                 warn!(
                     event = "conflict",
                     stream = name,
-                    "stream {name}: another control machine has another history; see docs/dissemination.md"
+                    "stream {name}: another control machine has a conflicting history; see docs/dissemination.md"
                 );
             });
         }
@@ -530,7 +534,7 @@
                     event = "change_refused",
                     stream = name,
                     number,
-                    "change {name}.{number} could not be put in force at a follower"
+                    "a follower could not apply change {name}.{number}"
                 );
             });
         }
@@ -588,7 +592,7 @@
         );
         let left = std::mem::take(&mut self.logged_lines).saturating_sub(MAX_LINES);
         if left > 0 {
-            warn!(event = "left_out", lines = left, "{left} more lines left out");
+            warn!(event = "left_out", lines = left, "{left} more log lines suppressed");
         }
     }
 }
--- a/src/features/control/store.rs
+++ b/src/features/control/store.rs
@@ -60,7 +60,7 @@
 fn frame(value: &impl Serialize, to: &mut Vec<u8>) -> io::Result<()> {
     let body = postcard::to_allocvec(value).map_err(io::Error::other)?;
     if body.len() > MAX_BODY {
-        return Err(io::Error::other("a record beyond its bounds"));
+        return Err(io::Error::other("a record exceeds the size limit"));
     }
     let length = (body.len() as u32).to_le_bytes();
     to.extend(length);
@@ -114,7 +114,7 @@
 fn decode<'a, T: Deserialize<'a>>(body: &'a [u8]) -> Result<T, &'static str> {
     match postcard::take_from_bytes(body) {
         Ok((value, [])) => Ok(value),
-        _ => Err("a record that cannot be read"),
+        _ => Err("a record cannot be decoded"),
     }
 }
 
@@ -223,7 +223,7 @@
 fn read(bytes: &[u8]) -> Result<Contents, (usize, &'static str)> {
     let mut at = MAGIC.len();
     if bytes.get(..at) != Some(MAGIC) {
-        return Err((0, "no store's file, or of another version"));
+        return Err((0, "not a store file, or one of another version"));
     }
     let (mut head, mut records) = (None, Vec::new());
     while at < bytes.len() {
--- a/src/features/control/store/tests.rs
+++ b/src/features/control/store/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_was_appended_is_there_at_the_next_start_and_goes_on() {
+fn appended_records_are_loaded_at_the_next_start() {
     let folder = TempDir::new();
     let (mut records, _) = written(&folder, 8);
     let mut loaded = open(&folder.file()).expect("the file");
@@ -67,7 +67,7 @@
 /// A file may be cut off at any byte, if the machine stops during a write. Complete records before the cut
 /// are loaded, the size of the rest is reported, and the file can be appended to.
 #[test]
-fn a_last_record_that_was_torn_goes_and_those_before_it_stay() {
+fn an_incomplete_last_record_is_dropped_and_those_before_it_stay() {
     let folder = TempDir::new();
     let (records, bytes) = written(&folder, 6);
     let ends: Vec<usize> = {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn zeros_at_the_end_are_a_torn_record() {
+fn zeros_at_the_end_are_an_incomplete_record() {
     let folder = TempDir::new();
     let (records, mut bytes) = written(&folder, 4);
     bytes.extend([0; 300]);
@@ -106,7 +106,7 @@
 
 /// Every flipped bit is detected, also in the last record.
 #[test]
-fn a_damaged_file_is_refused_with_its_name_and_the_place() {
+fn a_damaged_file_is_refused_with_its_name_and_the_position() {
     let folder = TempDir::new();
     let (_, bytes) = written(&folder, 5);
     for at in 0..bytes.len() {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_file_of_another_machine_or_of_a_later_epoch_is_refused_and_of_an_earlier_one_is_taken() {
+fn a_file_of_another_machine_or_later_epoch_is_refused_and_of_an_earlier_epoch_accepted() {
     let folder = TempDir::new();
     let (records, _) = written(&folder, 4);
     let other = Store::open(&folder.file(), ControlId(3), 1).map(drop);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_file_that_is_written_anew_has_what_it_was_given_and_goes_on() {
+fn a_rewritten_file_has_the_given_records_and_can_be_appended_to() {
     let folder = TempDir::new();
     let (records, bytes) = written(&folder, 8);
     let loaded = open(&folder.file()).expect("the file");
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_file_that_has_grown_far_beyond_what_it_needs_is_to_be_written_anew() {
+fn a_file_that_has_grown_far_beyond_its_needed_size_needs_a_rewrite() {
     let folder = TempDir::new();
     let mut store = open(&folder.file()).expect("a new file").store;
     let stream = StreamId { topic: 1, store: ME };
--- a/src/features/follower.rs
+++ b/src/features/follower.rs
@@ -133,7 +133,7 @@
                     event = "control_up",
                     number,
                     control = address,
-                    "control machine {number} is within reach again"
+                    "control machine {number} is reachable again"
                 );
             }
             Ok(()) => {}
@@ -169,12 +169,12 @@
                 Output::Stale(of) => self.reset_stream(of),
                 Output::OutOfService => {
                     self.in_service = false;
-                    let lease = "no control machine has said for the lease that nothing lacks";
+                    let lease = "no control machine has confirmed within the lease that no change is missing";
                     warn!(event = "out_of_service", "out of service: {lease}");
                 }
                 Output::InService => {
                     self.in_service = true;
-                    info!(event = "in_service", "in service: all that was acknowledged is here");
+                    info!(event = "in_service", "in service: all acknowledged changes have been received");
                 }
             }
         }
@@ -195,7 +195,7 @@
                         event = "mark",
                         stream = name,
                         upto,
-                        "{name}: all up to change {upto} is taken for stale"
+                        "{name}: everything up to change {upto} is treated as stale"
                     );
                 });
             }
@@ -220,7 +220,7 @@
                     stream = name,
                     number,
                     setting,
-                    "change {name}.{number}: {setting} is carried, not yet in force"
+                    "change {name}.{number}: {setting} is stored, it does not take effect yet"
                 );
             }),
             Err(Refusal(why)) => {
@@ -232,7 +232,7 @@
                         stream = name,
                         number,
                         why,
-                        "change {name}.{number} is refused, the last good settings stay: {why}"
+                        "change {name}.{number} is refused, keeping the last valid settings: {why}"
                     );
                 });
             }
@@ -247,7 +247,11 @@
         }
         let name = stream_name(of);
         self.log_limited(|| {
-            warn!(event = "begun_anew", stream = name, "{name}: what was held is void, it comes anew")
+            warn!(
+                event = "begun_anew",
+                stream = name,
+                "{name}: state discarded, it will be received again from the start"
+            )
         });
     }
 
@@ -301,7 +305,7 @@
         );
         let left = std::mem::take(&mut self.logged_lines).saturating_sub(MAX_LINES);
         if left > 0 {
-            warn!(event = "left_out", lines = left, "{left} more lines about changes left out");
+            warn!(event = "left_out", lines = left, "{left} more log lines about changes suppressed");
         }
     }
 }
--- a/src/features/follower/applier.rs
+++ b/src/features/follower/applier.rs
@@ -160,7 +160,7 @@
         let refusal = |why: &str| Refusal(why.to_owned());
         let (version, lines) = body.split_at_checked(VERSION_BYTES).ok_or_else(|| refusal("no version"))?;
         let version = u64::from_be_bytes(version.try_into().map_err(|_| refusal("no version"))?);
-        let lines: Rc<str> = std::str::from_utf8(lines).map_err(|_| refusal("no text"))?.into();
+        let lines: Rc<str> = std::str::from_utf8(lines).map_err(|_| refusal("not valid UTF-8"))?.into();
         let name =
             file::setting_name(&lines).ok_or_else(|| refusal("lines that are not about one setting"))?;
         if self::key(name) != key {
@@ -171,7 +171,7 @@
             // There are fewer settings than this limit, so some of the stored names are unknown; one of them
             // makes room.
             let unfit = self.held.keys().find(|key| !self.active.contains_key(key)).copied();
-            let unfit = unfit.ok_or_else(|| refusal("more settings than can be carried"))?;
+            let unfit = unfit.ok_or_else(|| refusal("too many settings"))?;
             self.held.remove(&unfit);
         }
         let of = self.held.entry(key).or_default();
--- a/src/features/follower/applier/tests.rs
+++ b/src/features/follower/applier/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_carried_setting_takes_the_place_of_the_files_own_until_it_is_reset() {
+fn a_received_setting_overrides_the_file_until_it_is_reset() {
     let mut to = applier();
     assert_eq!(change(&mut to, 0, 1, "deny 10.9.0.0/16\ndeny 10.8.0.0/16"), Ok("deny".into()));
     assert_eq!(change(&mut to, 0, 2, "tapsample 0.25"), Ok("tapsample".into()));
@@ -40,7 +40,7 @@
 
 /// The greatest version wins in every order in which the changes of several stores can arrive.
 #[test]
-fn proxies_agree_whatever_the_order_of_streams() {
+fn the_result_does_not_depend_on_the_order_of_streams() {
     let all =
         [(0, 5, "tapsample 0.1"), (1, 7, "tapsample 0.2"), (2, 6, "tapsample 0.3"), (3, 7, "tapsample 0.4")];
     let mut orders = vec![vec![]];
@@ -71,7 +71,7 @@
 #[case::unknown("tapsamples 1", "tapsamples: unknown setting")]
 #[case::twice("tapsample 0.1\ntapsample 0.2", "tapsample: set twice")]
 #[case::site("memcachenodes kind nonesuch", "memcachenodes: ")]
-fn what_does_not_fit_is_refused_whole_and_the_last_good_stays(#[case] lines: &str, #[case] why: &str) {
+fn an_invalid_setting_is_refused_and_the_last_valid_one_stays(#[case] lines: &str, #[case] why: &str) {
     let mut to = applier();
     assert_eq!(change(&mut to, 0, 1, "tapsample 0.25"), Ok("tapsample".into()));
     let before = to.text();
@@ -85,11 +85,11 @@
 
 #[rstest]
 #[case::short(key("tapport"), b"1234567".to_vec(), "no version")]
-#[case::no_text(key("tapport"), body(1, "tapport 1").into_iter().chain([0xff]).collect(), "no text")]
+#[case::no_text(key("tapport"), body(1, "tapport 1").into_iter().chain([0xff]).collect(), "not valid UTF-8")]
 #[case::nothing(key("tapport"), body(1, " # "), "lines that are not about one setting")]
 #[case::two(key("tapport"), body(1, "tapport 1\ntapsample 1"), "lines that are not about one setting")]
 #[case::other(key("tapport"), body(1, "tapsample 1"), "lines that are not about the change's key")]
-fn what_is_no_change_of_settings_is_refused(#[case] key: u32, #[case] body: Vec<u8>, #[case] why: &str) {
+fn a_malformed_change_of_settings_is_refused(#[case] key: u32, #[case] body: Vec<u8>, #[case] why: &str) {
     let mut to = applier();
     assert_eq!(to.configure(stream(0), key, &body), Err(Refusal(why.into())));
     assert_eq!((settings_of(&to), to.counts().settings), (settings_of(&applier()), 0));
@@ -98,7 +98,7 @@
 /// Two settings that are only valid together: the first is refused on arrival, and becomes active with the
 /// second.
 #[test]
-fn a_setting_that_did_not_fit_stands_once_it_does() {
+fn a_refused_setting_becomes_active_once_it_is_valid() {
     let mut to = applier();
     let why = change(&mut to, 0, 1, "snmpuser ops sha256 passphrase view w").expect_err("no such view");
     assert_eq!((why.0.as_str(), to.counts().settings), ("snmpuser: no snmpview is called \"w\"", 0));
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_came_in_a_stream_that_is_void_is_gone_and_the_rest_stands() {
+fn a_voided_stream_loses_its_settings_and_the_others_stay() {
     let mut to = applier();
     assert!(change(&mut to, 0, 1, "tapsample 0.1").is_ok());
     assert!(change(&mut to, 1, 2, "tapsample 0.2").is_ok());
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_record_of_what_is_stale_is_bounded_and_forgets_nothing() {
+fn the_set_of_stale_keys_is_bounded_and_overflow_marks_everything_stale() {
     let mut to = applier();
     (0..MAX_STALE_KEYS as u64).for_each(|n| to.mark_stale(&n.to_be_bytes()));
     to.mark_stale(&0u64.to_be_bytes());
@@ -134,7 +134,7 @@
 
 /// Unknown settings must not displace known ones when the limit is reached.
 #[test]
-fn settings_that_are_carried_are_bounded() {
+fn the_number_of_received_settings_is_bounded() {
     let mut to = applier();
     for n in 0..2 * MAX_SETTINGS {
         assert!(change(&mut to, 0, 1, &format!("nonesuch{n} 1")).is_err());
--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -224,7 +224,7 @@
     pub fn down(&mut self, now: Micros, slot: usize, why: &str) {
         if self.troubled.insert(slot) {
             let address = self.address(slot).map(tracing::field::display);
-            warn!(event = "planner_down", planner = address, why, "planner {slot} is out of reach: {why}");
+            warn!(event = "planner_down", planner = address, why, "planner {slot} is unreachable: {why}");
         }
         self.forwarder.down(now, slot);
     }
@@ -269,7 +269,7 @@
                 Output::Refused(slot, why) => {
                     let planner = self.address(slot).map(tracing::field::display);
                     let why = why.to_string();
-                    warn!(event = "plan_refused", planner, why, "a plan of planner {slot} is refused: {why}");
+                    warn!(event = "plan_refused", planner, why, "rejected a plan of planner {slot}: {why}");
                 }
             }
         }
@@ -331,7 +331,7 @@
                 MarkTarget::Zone(h) => format!("hall {}", h.0),
             };
             match now.contains(target) {
-                true => warn!(event = "plan_avoids", what, "{what} is avoided, as planners say"),
+                true => warn!(event = "plan_avoids", what, "{what} is avoided, as the planners advise"),
                 false => info!(event = "plan_returns", what, "{what} is no longer avoided"),
             }
         }
--- a/src/features/planner.rs
+++ b/src/features/planner.rs
@@ -245,8 +245,9 @@
         let frame: Rc<[u8]> = match frame::encode(message) {
             Ok(bytes) => bytes.into(),
             Err(why) => {
-                return self
-                    .log_limited(|| warn!(event = "not_told", why = why.to_string(), "not told: {why}"))
+                return self.log_limited(|| {
+                    warn!(event = "not_told", why = why.to_string(), "message not sent: {why}")
+                })
             }
         };
         for peer in peers {
@@ -258,7 +259,7 @@
                 self.planner.down(*peer);
                 let address = p.address;
                 self.log_limited(
-                    || warn!(event = "peer_cut", client = %address, "{address} cut, it reads too slowly"),
+                    || warn!(event = "peer_cut", client = %address, "{address} disconnected, it reads too slowly"),
                 );
             }
         }
@@ -292,7 +293,7 @@
         for node in self.logged_silent.iter().filter(|n| !marks.contains_key(n)).copied().collect::<Vec<_>>()
         {
             let id = node.id;
-            self.log_limited(|| info!(event = "lives", node = id, "node {id:016x} is silent no more"));
+            self.log_limited(|| info!(event = "lives", node = id, "node {id:016x} is no longer silent"));
         }
         self.logged_silent = marks.into_keys().collect();
         if now - self.last_figures < FIGURES_INTERVAL {
@@ -318,7 +319,7 @@
         );
         let left = std::mem::take(&mut self.logged_lines).saturating_sub(MAX_LINES);
         if left > 0 {
-            warn!(event = "left_out", lines = left, "{left} more lines left out");
+            warn!(event = "left_out", lines = left, "{left} more log lines suppressed");
         }
     }
 }
--- a/src/features/snmp/boots.rs
+++ b/src/features/snmp/boots.rs
@@ -29,7 +29,7 @@
     match fs::metadata(path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
         Err(e) => return Err(e.to_string()),
-        Ok(about) if about.len() > MAX_FILE => return Err("not a file of ours".into()),
+        Ok(about) if about.len() > MAX_FILE => return Err("not a valid snmpstate file".into()),
         Ok(_) => {}
     }
     let text = fs::read_to_string(path).map_err(|e| e.to_string())?;
@@ -37,7 +37,7 @@
     let mut line = |name: &str| lines.next().and_then(|l| l.strip_prefix(name)).map(str::to_owned);
     let boots = line("boots ").and_then(|n| n.parse().ok());
     let fingerprint = line("settings ").and_then(|n| u64::from_str_radix(&n, 16).ok());
-    boots.zip(fingerprint).map(Some).ok_or_else(|| "not a file of ours".into())
+    boots.zip(fingerprint).map(Some).ok_or_else(|| "not a valid snmpstate file".into())
 }
 
 /// Writes the file atomically: after a crash it has either the old or the new content.
--- a/src/features/snmp/boots/tests.rs
+++ b/src/features/snmp/boots/tests.rs
@@ -3,7 +3,7 @@
 const NOW: i64 = CLOCK_BASE + 1000;
 
 #[test]
-fn boots_never_go_back_whatever_the_clock_and_the_file_do() {
+fn boots_never_decrease_when_the_clock_is_set_back_or_the_file_is_damaged() {
     let dir = std::env::temp_dir().join(format!("martenweir-boots-{}", std::process::id()));
     fs::create_dir_all(&dir).expect("a folder");
     let path = dir.join("state");
--- a/src/features/snmp/mod.rs
+++ b/src/features/snmp/mod.rs
@@ -90,7 +90,10 @@
         let (start, why) = boots::count(settings.state.as_deref(), now / 1_000_000, settings.fingerprint);
         if let Some((why, file)) = why.zip(settings.state.as_ref()) {
             let file = file.display().to_string();
-            warn!(event = "snmp_state", file, why, "snmp: {file}: {why}; boots go by the clock");
+            warn!(
+                event = "snmp_state",
+                file, why, "snmp: {file}: {why}; snmpEngineBoots is derived from the clock"
+            );
         }
         let engine = Engine::new(Engine::id_of(settings.enterprise, identity.name), start.boots, now);
         let enterprise = settings.enterprise;
--- a/src/features/snmp/settings/tests.rs
+++ b/src/features/snmp/settings/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn the_mark_of_the_settings_tells_nothing_of_their_secrets() {
+fn the_fingerprint_does_not_depend_on_secrets() {
     let same = [
         ("snmpcommunity one 10.0.0.0/8 view v", "snmpcommunity other 10.0.0.0/8 view v"),
         ("snmpuser u sha256 passphrase aes passphrase", "snmpuser u sha256 12345678 aes 87654321"),
--- a/src/features/snmp/tests.rs
+++ b/src/features/snmp/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_agent_takes_its_part_of_the_time_however_often_it_is_asked() {
+fn the_agent_stays_within_its_cpu_share_under_constant_load() {
     let start = Instant::now();
     let (mut budget, mut now, mut spent) = (Budget::new(start), start, Duration::ZERO);
     // Requests arrive without a pause for ten seconds; each answer takes 80 us.
--- a/src/log/format.rs
+++ b/src/log/format.rs
@@ -30,7 +30,7 @@
 
 impl fmt::Display for UnknownFormat {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("no form of the log, text and json are")
+        f.write_str("unknown log format, expected text or json")
     }
 }
 
@@ -49,7 +49,7 @@
 impl Format {
     /// A record that reports how many lines were lost.
     pub(super) fn lost(self, at_ms: u64, n: u64) -> Vec<u8> {
-        let text = format!("{n} lines of the log lost: nobody read them in time");
+        let text = format!("{n} log lines lost: standard error was not read in time");
         let mut line = Line::begin(self, at_ms, &Level::WARN, module_path!());
         line.message(&text);
         line.text_field("event", "lines_lost");
--- a/src/log/mod.rs
+++ b/src/log/mod.rs
@@ -40,11 +40,11 @@
     let writer = Writer::start(io::stderr(), move |n| format.lost(unix_ms(), n))
         .map_err(|e| format!("the log cannot be started: {e}"))?;
     set_global_default(lines(format, filter, writer.clone()))
-        .map_err(|_| "the log is started already".to_owned())?;
+        .map_err(|_| "a log is installed already".to_owned())?;
     for InvalidDirective(directive) in invalid {
         warn!(
             event = "invalid_filter",
-            directive, "RUST_LOG: {directive:?} is ignored, no level or module=level"
+            directive, "RUST_LOG: {directive:?} is ignored, expected a level or module=level"
         );
     }
     Ok(Log { format, writer })
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -23,7 +23,7 @@
     command
 }
 
-fn said(end: &Output) -> (String, String) {
+fn output_text(end: &Output) -> (String, String) {
     (String::from_utf8_lossy(&end.stdout).into_owned(), String::from_utf8_lossy(&end.stderr).into_owned())
 }
 
@@ -45,9 +45,9 @@
 #[case::the_form_of_the_log(&["--log-format", "json", "--check", CONFIG], FINE)]
 #[case::checkaddr(&["checkaddr", "deploy/martenweir.conf", "203.0.113.7"], "allow\n")]
 #[case::checkaddr_denies(&["checkaddr", "deploy/martenweir.conf", "198.51.100.7"], "deny\n")]
-fn what_is_asked_rightly_is_answered_on_standard_output(#[case] words: &[&str], #[case] answer: &str) {
+fn valid_commands_answer_on_standard_output_with_status_0(#[case] words: &[&str], #[case] answer: &str) {
     let end = program().args(words).output().expect("it runs");
-    let (out, err) = said(&end);
+    let (out, err) = output_text(&end);
     assert_eq!((end.status.code(), err.as_str()), (Some(0), ""), "{words:?}");
     assert!(out.starts_with(answer), "{words:?}: {out}");
 }
@@ -66,27 +66,27 @@
 ];
 
 /// The entries of a help text, each with its description.
-fn listed(help: &str) -> Vec<(&str, &str)> {
+fn help_entries(help: &str) -> Vec<(&str, &str)> {
     // Skips the usage and the description of the command.
     let lists = help.splitn(3, "\n\n").nth(2).unwrap_or_default();
     let lines = lists.lines().filter(|line| line.starts_with("  ")).map(str::trim);
     lines.map(|line| line.split_once("  ").unwrap_or((line, ""))).collect()
 }
 
-fn wordless(help: &str) -> Vec<&str> {
-    listed(help).into_iter().filter(|(_, words)| words.is_empty()).map(|(name, _)| name).collect()
+fn undescribed(help: &str) -> Vec<&str> {
+    help_entries(help).into_iter().filter(|(_, words)| words.is_empty()).map(|(name, _)| name).collect()
 }
 
 /// The options and arguments in the help of a subcommand, each of which must have a description; its own
 /// subcommands are added to `below`.
-fn read_by(words: &str, below: &mut Vec<String>) -> BTreeSet<String> {
+fn accepted_arguments(words: &str, below: &mut Vec<String>) -> BTreeSet<String> {
     let end = program().args(words.split_whitespace()).arg("--help").output().expect("it runs");
-    let (out, err) = said(&end);
+    let (out, err) = output_text(&end);
     assert_eq!((end.status.code(), err.as_str()), (Some(0), ""), "{words}");
     let usage = format!("usage: martenweir {}", words.split(' ').next().unwrap_or_default());
     assert!(out.starts_with(&usage), "{words}: {out}");
-    assert_eq!(wordless(&out), [""; 0], "{words}: {out}");
-    let names = listed(&out).into_iter().map(|(name, _)| name);
+    assert_eq!(undescribed(&out), [""; 0], "{words}: {out}");
+    let names = help_entries(&out).into_iter().map(|(name, _)| name);
     let (commands, read): (Vec<_>, Vec<_>) = names.partition(|name| name.starts_with(char::is_lowercase));
     below.extend(commands.iter().filter(|name| **name != "help").map(|name| format!("{words} {name}")));
     read.into_iter()
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn help_of_each_subcommand_is_on_standard_output_and_says_what_all_that_it_reads_does() {
+fn help_of_each_subcommand_describes_all_of_its_arguments() {
     let snmp = |more: &[&'static str]| [&SNMP, more].concat();
     let all = [
         ("", vec!["--check", "--conf <FILE>", "--log-format <FORMAT>", "[CONFIG]..."]),
@@ -120,7 +120,7 @@
     let mut left = vec![String::new()];
     let mut found = BTreeMap::new();
     while let Some(words) = left.pop() {
-        let read = read_by(words.trim(), &mut left);
+        let read = accepted_arguments(words.trim(), &mut left);
         found.insert(words.trim().to_owned(), read);
     }
     let all = all.map(|(words, names)| (words.to_owned(), names.into_iter().map(str::to_owned).collect()));
@@ -129,14 +129,14 @@
 
 /// Guards the check above: an option without a description must be found.
 #[test]
-fn an_option_without_words_is_seen_in_its_help() {
+fn an_option_without_a_description_is_detected() {
     let count = clap::Arg::new("count").long("count");
     let help = |count: clap::Arg| {
         let program = clap::Command::new("planted").help_template("usage\n\nabout\n\n{all-args}");
         program.arg(count).arg(clap::Arg::new("file").help("The file")).render_help().to_string()
     };
-    assert_eq!(wordless(&help(count.clone())), ["--count <count>"]);
-    assert_eq!(wordless(&help(count.help("Ends after so many"))), [""; 0]);
+    assert_eq!(undescribed(&help(count.clone())), ["--count <count>"]);
+    assert_eq!(undescribed(&help(count.help("Ends after so many"))), [""; 0]);
 }
 
 #[rstest]
@@ -212,9 +212,9 @@
     "martenweir: change: /none: No such file"
 )]
 #[case::figurestest_of_no_file(&["figurestest", "/none"], "martenweir: /none: No such file")]
-fn what_is_asked_wrongly_is_told_on_standard_error_with_status_1(#[case] words: &[&str], #[case] told: &str) {
+fn invalid_commands_are_reported_on_standard_error_with_status_1(#[case] words: &[&str], #[case] told: &str) {
     let end = program().args(words).output().expect("it runs");
-    let (out, err) = said(&end);
+    let (out, err) = output_text(&end);
     assert_eq!((end.status.code(), out.as_str()), (Some(1), ""), "{words:?}: {err}");
     assert!(err.starts_with(told), "{words:?}: {err}");
 }
@@ -223,9 +223,9 @@
 #[case::alone(&["--check"], 0)]
 #[case::but_a_word_wins(&["--check", "/none.json"], 1)]
 #[case::beside_a_subcommand(&["checkaddr", "deploy/martenweir.conf", "192.0.2.1"], 0)]
-fn node_config_stands_in_for_the_configuration(#[case] words: &[&str], #[case] status: i32) {
+fn node_config_replaces_the_configuration_argument(#[case] words: &[&str], #[case] status: i32) {
     let end = program().args(words).env("NODE_CONFIG", CONFIG).output().expect("it runs");
-    assert_eq!(end.status.code(), Some(status), "{:?}", said(&end));
+    assert_eq!(end.status.code(), Some(status), "{:?}", output_text(&end));
 }
 
 /// Writes a configuration with this listen address, and a discovery address without a listener, to a file of
@@ -261,12 +261,12 @@
 }
 
 /// Replaces each number in a line by `#`.
-fn masked(line: &str) -> String {
+fn mask_numbers(line: &str) -> String {
     line.split(|c: char| c.is_ascii_digit()).filter(|part| !part.is_empty()).collect::<Vec<_>>().join("#")
 }
 
 #[test]
-fn json_lines_parse_name_their_fields_and_say_what_text_says() {
+fn json_lines_have_named_fields_and_the_same_messages_as_text() {
     let objects: Vec<Value> = lines(&["--log-format", "json"], "info")
         .iter()
         .map(|line| serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}")))
@@ -290,15 +290,16 @@
     let in_text = |o: &Value| {
         assert!(o["at_ms"].is_u64() && o["module"].as_str().is_some_and(|m| m.starts_with("martenweir::")));
         let (level, message) = (o["level"].as_str().expect("a level"), o["message"].as_str().expect("words"));
-        masked(&format!("[{level:<5}] {message}"))
+        mask_numbers(&format!("[{level:<5}] {message}"))
     };
     let told: BTreeSet<String> = objects.iter().map(in_text).collect();
-    let text: BTreeSet<String> = lines(&["--log-format", "text"], "info").iter().map(|l| masked(l)).collect();
+    let text: BTreeSet<String> =
+        lines(&["--log-format", "text"], "info").iter().map(|l| mask_numbers(l)).collect();
     assert_eq!(told, text);
 }
 
 #[test]
-fn text_lines_are_those_of_the_on_call_page() {
+fn text_lines_have_the_documented_form() {
     let lines = lines(&[], "info");
     let first = "[INFO ] n0: listening on 127.0.0.1:";
     assert!(lines[0].starts_with(first) && lines[0].ends_with(", 3 nodes known"), "{lines:?}");
@@ -315,12 +316,12 @@
 #[rstest]
 #[case::text("text")]
 #[case::json("json")]
-fn a_proxy_that_cannot_serve_says_why_in_the_form_of_its_log(#[case] form: &str) {
+fn a_fatal_error_is_reported_in_the_format_of_the_log(#[case] form: &str) {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address").to_string();
     let path = configuration(&format!("taken-{form}"), &address);
     let end = program().args(["--log-format", form]).arg(&path).output().expect("it runs");
-    let (_, err) = said(&end);
+    let (_, err) = output_text(&end);
     let message = match form {
         "json" => {
             let object: Value = serde_json::from_str(&err).expect("one object");
@@ -337,7 +338,7 @@
 #[rstest]
 #[case::by_module("warn,martenweir::owner=info", true, false)]
 #[case::nonsense_is_told("info,martenweir=loud", true, true)]
-fn rust_log_sets_level_and_module(#[case] filter: &str, #[case] listening: bool, #[case] told: bool) {
+fn rust_log_filters_by_level_and_module(#[case] filter: &str, #[case] listening: bool, #[case] told: bool) {
     let lines = lines(&[], filter);
     assert_eq!(lines.iter().any(|l| l.contains("listening on")), listening, "{lines:?}");
     assert_eq!(lines.iter().any(|l| l.contains("\"martenweir=loud\" is ignored")), told, "{lines:?}");
@@ -345,7 +346,7 @@
 
 /// A notification is printed as one line, and an inform is acknowledged.
 #[test]
-fn snmp_listen_tells_what_comes_and_acknowledges_it() {
+fn snmp_listen_prints_a_notification_and_acknowledges_an_inform() {
     let mut listen = program();
     let listen = listen.args(["snmp", "listen", "--community", "ops", "--count", "1", "127.0.0.1:0"]);
     let mut child = listen.stdout(Stdio::piped()).spawn().expect("it runs");
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -10,7 +10,7 @@
 use tracing::Level;
 
 /// Generous, since no successful test waits this long.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A target that reports the start of each write and blocks until the test lets it continue.
 struct Gate {
@@ -38,18 +38,18 @@
 }
 
 #[test]
-fn a_target_that_blocks_stalls_nobody_and_what_is_lost_is_counted() {
+fn a_blocked_target_blocks_no_caller_and_lost_lines_are_counted() {
     let ((begun, begins), (opens, open)) = (mpsc::channel(), mpsc::channel());
     let written = Arc::new(Mutex::new(Vec::new()));
     let writer = Writer::start(Gate { begun, open, written: written.clone() }, lost).expect("a thread");
     writer.push(b"first\n".to_vec());
-    begins.recv_timeout(PATIENCE).expect("a write");
+    begins.recv_timeout(TIMEOUT).expect("a write");
     // Far more lines than the queue holds; if one of these calls blocked, the test would never end.
     let lines: Vec<String> = (0..20_000).map(|i| format!("line {i}\n")).collect();
     lines.iter().for_each(|line| writer.push(line.clone().into_bytes()));
     assert!(!writer.finish(Duration::ZERO), "nothing could be written yet");
     drop(opens);
-    assert!(writer.finish(PATIENCE));
+    assert!(writer.finish(TIMEOUT));
     let text = String::from_utf8(written.lock().expect("no panic").clone()).expect("text");
     let told: Vec<&str> = text.split_inclusive('\n').collect();
     let kept = told.len() - 2;
@@ -62,9 +62,9 @@
 }
 
 /// A target that accepts few bytes at a time, and sometimes fails with `Interrupted` or `WouldBlock`.
-struct Fitful(Arc<Mutex<Vec<u8>>>, usize);
+struct PartialWriter(Arc<Mutex<Vec<u8>>>, usize);
 
-impl Write for Fitful {
+impl Write for PartialWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.1 += 1;
         match self.1 % 4 {
@@ -84,14 +84,14 @@
 }
 
 #[test]
-fn lines_and_batches_are_whole_and_in_order_whatever_the_target_takes_at_once() {
+fn partial_writes_keep_lines_and_batches_whole_and_in_order() {
     let written = Arc::new(Mutex::new(Vec::new()));
-    let writer = Writer::start(Fitful(written.clone(), 0), lost).expect("a thread");
+    let writer = Writer::start(PartialWriter(written.clone(), 0), lost).expect("a thread");
     writer.push(b"a line of the log\n".to_vec());
     async_io::block_on(writer.write(b"two lines\nof figures\n".to_vec()));
     let out = String::from_utf8(written.lock().expect("no panic").clone()).expect("text");
     assert_eq!(out, "a line of the log\ntwo lines\nof figures\n");
-    assert!(writer.finish(PATIENCE));
+    assert!(writer.finish(TIMEOUT));
     writer.push(b"too late\n".to_vec());
     async_io::block_on(writer.write(b"too late\n".to_vec()));
     assert_eq!(written.lock().expect("no panic").len(), out.len());
@@ -110,7 +110,7 @@
 #[case::the_last_of_two("a=error,a=trace", "a", Level::TRACE, true)]
 #[case::a_module_alone("a", "a::b", Level::TRACE, true)]
 #[case::only_that("a", "b", Level::ERROR, false)]
-fn the_longest_module_decides(
+fn the_longest_matching_module_wins(
     #[case] text: &str,
     #[case] module: &str,
     #[case] level: Level,
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn what_is_no_directive_comes_back_and_the_rest_holds() {
+fn invalid_directives_are_returned_and_the_others_apply() {
     let (filter, invalid) = Filter::new("a=loud, info/text,=,warn");
     assert_eq!(invalid, ["a=loud", "info/text"].map(|d| InvalidDirective(d.into())));
     assert!(filter.admits("b", &Level::WARN));
@@ -130,16 +130,16 @@
 /// Formats one event in the given format.
 fn line(format: Format, tell: impl FnOnce()) -> String {
     let written = Arc::new(Mutex::new(Vec::new()));
-    let writer = Writer::start(Fitful(written.clone(), 0), lost).expect("a thread");
+    let writer = Writer::start(PartialWriter(written.clone(), 0), lost).expect("a thread");
     let (filter, _) = Filter::new("info");
     tracing::subscriber::with_default(lines(format, filter, writer.clone()), tell);
-    assert!(writer.finish(PATIENCE));
+    assert!(writer.finish(TIMEOUT));
     let line = written.lock().expect("no panic").clone();
     String::from_utf8(line).expect("text")
 }
 
 #[test]
-fn nothing_that_a_peer_sent_makes_a_line_of_its_own_or_one_without_end() {
+fn data_from_peers_cannot_forge_lines_or_make_them_unbounded() {
     let forged = "bad \"word\"\n[INFO ] ready";
     let why = "x".repeat(100_000);
     let tell = || tracing::warn!(event = "test", why, "{forged}");
--- a/tests/planners.rs
+++ b/tests/planners.rs
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant};
 
 /// Timeout of every step, far longer than any of them needs.
-const PATIENCE: Duration = Duration::from_secs(40);
+const TIMEOUT: Duration = Duration::from_secs(40);
 const FORWARDERS: usize = 3;
 const NODES: usize = 4;
 
@@ -41,13 +41,13 @@
 struct Fleet {
     processes: Processes,
     /// The position in each process's log up to which lines have been waited for.
-    heard: BTreeMap<String, Mark>,
+    log_marks: BTreeMap<String, Mark>,
 }
 
 impl Fleet {
     fn new() -> Self {
         let processes = Processes::in_temporary(&Log::new(Clock::start(0))).expect("a fleet");
-        Fleet { processes, heard: BTreeMap::new() }
+        Fleet { processes, log_marks: BTreeMap::new() }
     }
 
     fn start(&mut self, name: &str, words: &[&OsStr], event: &str) -> SocketAddr {
@@ -59,7 +59,7 @@
         };
         let spec = words.iter().fold(spec, |spec, word| spec.arg(word));
         self.processes.start(spec).expect("it starts");
-        self.hear(name, Wanted::event(event)).address().expect("an address")
+        self.wait_for_line(name, Wanted::event(event)).address().expect("an address")
     }
 
     fn planner(&mut self, name: &str, forwarders: usize) -> SocketAddr {
@@ -76,9 +76,9 @@
     }
 
     /// Waits for a log line of a process after the last one that was waited for.
-    fn hear(&mut self, name: &str, wanted: Wanted) -> Arc<Line> {
-        let since = self.heard.entry(name.to_owned()).or_default();
-        let line = self.processes.hear(name, *since, &wanted, PATIENCE);
+    fn wait_for_line(&mut self, name: &str, wanted: Wanted) -> Arc<Line> {
+        let since = self.log_marks.entry(name.to_owned()).or_default();
+        let line = self.processes.hear(name, *since, &wanted, TIMEOUT);
         let line = line.unwrap_or_else(|why| panic!("{why}"));
         *since = line.mark();
         line
@@ -86,8 +86,8 @@
 
     fn terminate(&mut self, name: &str) {
         self.processes.terminate(name).expect("it runs");
-        self.hear(name, Wanted::event("ended"));
-        let status = self.processes.wait(name, PATIENCE).expect("an end");
+        self.wait_for_line(name, Wanted::event("ended"));
+        let status = self.processes.wait(name, TIMEOUT).expect("an end");
         assert!(status.success(), "{name}: {status}");
     }
 }
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_node_that_goes_silent_is_avoided_by_all_until_it_answers_again() {
+fn all_forwarders_avoid_a_silent_node_until_it_answers_again() {
     let (silent, over) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
     let nodes: Vec<SocketAddr> = (0..NODES)
         .map(|at| {
@@ -201,7 +201,7 @@
         let (served, over) = (served.clone(), over.clone());
         clients.push(thread::spawn(move || client(address, &served, &over)));
     }
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let shown = loop {
         let shown: Value = serde_json::from_slice(&show(planners[0], &["--json"]).stdout).expect("JSON");
         if shown["warm"] == true && shown["terms"].as_array().is_some_and(|t| t.len() == NODES) {
@@ -215,19 +215,19 @@
 
     silent.store(true, Ordering::SeqCst);
     let what = |event| Wanted::event(event).when(|l| l.text("what") == Some("node s-0"));
-    names.iter().for_each(|name| drop(fleet.hear(name, what("plan_avoids"))));
+    names.iter().for_each(|name| drop(fleet.wait_for_line(name, what("plan_avoids"))));
     let table = String::from_utf8(show(planners[0], &[]).stdout).expect("text");
     assert!(table.contains("witnesses\n") && table.contains(" all "), "{table}");
 
     // The first forwarder that probes the node gets an answer, and the planners pass that on to the others.
     fleet.terminate("p1");
     silent.store(false, Ordering::SeqCst);
-    names.iter().for_each(|name| drop(fleet.hear(name, what("plan_returns"))));
+    names.iter().for_each(|name| drop(fleet.wait_for_line(name, what("plan_returns"))));
 
     // The forwarders keep serving without any planner.
     fleet.terminate("p0");
     let before = served.load(Ordering::SeqCst);
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while served.load(Ordering::SeqCst) < before + 200 {
         assert!(Instant::now() < until, "nothing is served");
         thread::sleep(Duration::from_millis(20));
@@ -238,8 +238,8 @@
 }
 
 /// The reason that a planner sends before it closes a connection.
-fn last_words(mut socket: TcpStream) -> Refused {
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+fn close_reason(mut socket: TcpStream) -> Refused {
+    socket.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
     let (mut reader, mut bytes) = (Reader::default(), [0; 4096]);
     loop {
         let n = match socket.read(&mut bytes) {
@@ -259,13 +259,13 @@
 }
 
 #[test]
-fn a_peer_that_breaks_the_rules_is_told_why_and_cut_while_others_are_served() {
+fn a_peer_that_violates_the_protocol_is_closed_with_a_reason_and_others_are_served() {
     let mut fleet = Fleet::new();
     let planner = fleet.planner("p0", 1);
     let connect = || TcpStream::connect(planner).expect("a connection");
     let mut stranger = connect();
     stranger.write_all(&[0, 0, 0, 2, 9, 0]).expect("it is written");
-    let why = last_words(stranger);
+    let why = close_reason(stranger);
     assert_eq!(why, Refused::ByPeer("version 9 is not spoken here, 1 is".into()));
 
     let mut flood = connect();
@@ -282,7 +282,7 @@
         bytes.extend(frame::encode(&report).expect("a frame"));
     }
     flood.write_all(&bytes).expect("it is written");
-    assert_eq!(last_words(flood), Refused::ByPeer("more messages than a peer may send".into()));
+    assert_eq!(close_reason(flood), Refused::ByPeer("more messages than a peer may send".into()));
 
     let shown = show(planner, &["--json"]);
     assert!(shown.status.success(), "{shown:?}");
