--- a/crates/dissemination/tests/frame.rs
+++ b/crates/dissemination/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: every message comes back, garbage is refused, and nothing is held beyond bounds.
+//! Frames: every message round-trips, garbage is refused, and nothing beyond the bounds is buffered.
 
 use dissemination::change::{self, Content, Entry, Fit, Head, Piece, Position};
 use dissemination::frame::{encode, refusal, size, CloseReason, Reader, VERSION};
@@ -76,7 +76,7 @@
     );
     let beat = (any::<u32>(), any::<Option<u32>>(), gains())
         .prop_map(|(echo, age, gains)| Message::Beat(Beat { echo, age, gains }));
-    let told = (any::<u32>(), any::<(bool, bool)>(), names(), names(), vec(0..64u8, 0..9)).prop_map(
+    let status = (any::<u32>(), any::<(bool, bool)>(), names(), names(), vec(0..64u8, 0..9)).prop_map(
         |(n, (committed, lapsed), missing, refused, unheard)| {
             let unheard = unheard.into_iter().map(ControlId).collect();
             Message::Told(StatusReport {
@@ -98,7 +98,7 @@
         hello,
         ack,
         beat,
-        told,
+        status,
         (any::<u32>(), 0..64u8).prop_map(|(epoch, c)| Message::Welcome { epoch, control: ControlId(c) }),
         (stream(), number()).prop_map(|(stream, after)| Message::Pull { stream, after }),
         (stream(), number()).prop_map(|(stream, number)| Message::Differs { stream, number }),
@@ -133,7 +133,10 @@
 
 proptest! {
     #[test]
-    fn what_goes_in_comes_out_however_it_is_cut(messages in vec(message(), 1..5), cuts in vec(1..40usize, 1..9)) {
+    fn messages_round_trip_however_the_bytes_are_split(
+        messages in vec(message(), 1..5),
+        cuts in vec(1..40usize, 1..9)
+    ) {
         let frames: Vec<Vec<u8>> = messages.iter().map(|m| encode(m).expect("within bounds")).collect();
         for (m, f) in messages.iter().zip(&frames) {
             prop_assert_eq!(size(m), f.len());
@@ -143,7 +146,7 @@
         for cut in cuts.iter().cycle() {
             let mut part = &stream[at..(at + cut).min(stream.len())];
             at += part.len();
-            while let Some(message) = reader.read(&mut part).expect("sound frames") {
+            while let Some(message) = reader.read(&mut part).expect("valid frames") {
                 read.push(message);
             }
             prop_assert!(part.is_empty());
@@ -152,7 +155,7 @@
             }
         }
         prop_assert_eq!(read, messages);
-        prop_assert_eq!(reader.held(), 0);
+        prop_assert_eq!(reader.buffered(), 0);
     }
 
     #[test]
@@ -162,25 +165,32 @@
             match reader.read(&mut rest) {
                 Ok(Some(message)) => prop_assert_eq!(message.check(), Ok(())),
                 Ok(None) => break,
-                Err(why) => {
-                    prop_assert_eq!(reader.read(&mut rest), Err(why), "broken for good");
-                    prop_assert_eq!(reader.held(), 0);
+                Err(reason) => {
+                    prop_assert_eq!(reader.read(&mut rest), Err(reason), "the error is permanent");
+                    prop_assert_eq!(reader.buffered(), 0);
                     break;
                 }
             }
-            prop_assert!(reader.held() <= bytes.len());
+            prop_assert!(reader.buffered() <= bytes.len());
         }
     }
 
     #[test]
-    fn a_wrong_byte_is_no_panic(message in message(), at in any::<prop::sample::Index>(), to in any::<u8>()) {
+    fn a_wrong_byte_does_not_panic(
+        message in message(),
+        at in any::<prop::sample::Index>(),
+        to in any::<u8>()
+    ) {
         let mut bytes = encode(&message).expect("within bounds");
         let at = at.index(bytes.len());
         bytes[at] = to;
         if let Ok(Some(Message::Batch(pieces))) = Reader::default().read(&mut &bytes[..]) {
             for piece in pieces {
                 let head = Head { number: piece.after.saturating_add(1), digest: 1 };
-                let fits = matches!(piece.continue_from(head), Fit::Continues(p, h) if p.upto() <= piece.upto() && h.number == p.upto());
+                let fits = matches!(
+                    piece.continue_from(head),
+                    Fit::Continues(p, h) if p.upto() <= piece.upto() && h.number == p.upto()
+                );
                 prop_assert!(fits || !matches!(piece.continue_from(head), Fit::Continues(..)));
                 prop_assert!(piece.changes().count() <= bounds::MAX_CHANGES);
             }
@@ -188,7 +198,11 @@
     }
 
     #[test]
-    fn a_piece_that_overlaps_is_cut_to_what_is_new(widths in vec(1..9usize, 1..12), skip in 0..12usize, register: bool) {
+    fn an_overlapping_piece_is_reduced_to_its_new_changes(
+        widths in vec(1..9usize, 1..12),
+        skip in 0..12usize,
+        register: bool
+    ) {
         let bodies: Vec<Rc<[u8]>> = widths.iter().map(|w| Rc::from(vec![*w as u8; *w])).collect();
         let heads: Vec<Head> = bodies.iter().enumerate().scan(Head { number: 7, digest: 3 }, |at, (i, b)| {
             *at = at.advance(if register { i as u32 } else { 0 }, b);
@@ -203,7 +217,7 @@
         } else {
             Content::Bodies(bodies.clone())
         };
-        let last = *heads.last().expect("one at least");
+        let last = *heads.last().expect("at least one");
         let piece = Piece { stream: StreamId::from(3), after: 7, digest: last.digest, content };
         prop_assert_eq!(piece.check(), Ok(()));
         let skip = skip.min(bodies.len());
@@ -225,13 +239,13 @@
 }
 
 #[test]
-fn headers_are_small_and_lengths_as_short_as_they_can_be() {
+fn headers_are_small_and_lengths_use_the_shortest_encoding() {
     let beat =
         encode(&Message::Beat(Beat { echo: 9, age: Some(300), gains: vec![] })).expect("within bounds");
     assert_eq!(beat.len(), 2 + 1 + 1 + 3 + 1);
     assert_eq!(beat[0], beat.len() as u8 - 1);
     assert_eq!(beat[1], VERSION);
-    // The same length in two bytes is none.
+    // The same length encoded in two bytes is invalid.
     let mut long = vec![beat[0] | 0x80, 0];
     long.extend(&beat[1..]);
     assert_eq!(Reader::default().read(&mut &long[..]), Err(CloseReason::Length(u32::from(beat[0]))));
@@ -243,10 +257,10 @@
 }
 
 #[test]
-fn a_refusal_is_understood_and_other_versions_are_not() {
+fn a_refusal_is_decoded_and_other_versions_are_refused() {
     let bytes = refusal(&CloseReason::NoCapacity);
-    let why = Reader::default().read(&mut &bytes[..]);
-    assert_eq!(why, Err(CloseReason::ByPeer(CloseReason::NoCapacity.to_string())));
+    let reason = Reader::default().read(&mut &bytes[..]);
+    assert_eq!(reason, Err(CloseReason::ByPeer(CloseReason::NoCapacity.to_string())));
     let long = refusal(&CloseReason::ByPeer("é".repeat(4000)));
     assert!(long.len() <= bounds::MAX_REASON_BYTES + 4);
     assert!(matches!(Reader::default().read(&mut &long[..]), Err(CloseReason::ByPeer(_))));
--- a/src/features/snmp/mod.rs
+++ b/src/features/snmp/mod.rs
@@ -19,9 +19,9 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use snapshot_builder::{OwnerStatus, SnapshotBuilder};
-use snmp::reader::DATAGRAM;
+use snmp::reader::MAX_DATAGRAM;
 use snmp::tally::{self, Reason, Stream, Tally};
-use snmp::tree::Own;
+use snmp::tree::AgentInfo;
 use snmp::usm::Engine;
 use snmp::watch::Watch;
 use snmp::{Agent, Notifier, Snapshot, Tree};
@@ -128,21 +128,21 @@
             Some(Refusal::Origin) => Reason::Ledger,
             Some(Refusal::Attempts) | None => Reason::Attempts,
         };
-        let ended = match record.ended {
-            StreamOutcome::Served => tally::Ended::Served,
-            StreamOutcome::Refused => tally::Ended::Refused(reason),
-            StreamOutcome::Failed => tally::Ended::Failed,
-            StreamOutcome::Left => tally::Ended::Left,
+        let outcome = match record.ended {
+            StreamOutcome::Served => tally::Outcome::Served,
+            StreamOutcome::Refused => tally::Outcome::Refused(reason),
+            StreamOutcome::Failed => tally::Outcome::Failed,
+            StreamOutcome::Left => tally::Outcome::Left,
         };
         let stream = Stream {
             class: usize::from(record.class.0),
             tenant: record.tenant.0 as usize,
-            ended,
+            outcome,
             time: record.time,
             retried: record.details.retried,
             joined: record.details.joined,
         };
-        self.tally.borrow_mut().ended(record.at, stream);
+        self.tally.borrow_mut().record(record.at, stream);
     }
 
     /// Counts a reload of the configuration.
@@ -162,7 +162,7 @@
         if owned.ready {
             // Before the proxy is ready, the list comes from the configuration and may be outdated, and no
             // node has been asked.
-            let changes = self.watch.borrow_mut().look(now, &snapshot);
+            let changes = self.watch.borrow_mut().update(now, &snapshot);
             let mut notifier = self.notifier.borrow_mut();
             changes.iter().for_each(|change| notifier.change(now, change));
             if !changes.is_empty() {
@@ -180,10 +180,10 @@
         }
         let agent = self.agent.borrow();
         let (boots, time) = agent.engine().clock(now);
-        let own = Own {
+        let own = AgentInfo {
             enterprise: self.settings.enterprise,
             engine: (agent.engine().id.clone(), boots, time),
-            most: DATAGRAM as u32,
+            max_message_size: MAX_DATAGRAM as u32,
             contact: self.settings.contact.clone(),
             location: self.settings.location.clone(),
             stats: agent.stats(),
@@ -198,7 +198,7 @@
     pub async fn answer(self: Rc<Self>, bound: Bound, clock: impl Fn() -> Micros) {
         let socket = bound.0;
         // One byte more than the maximum size, to detect longer datagrams.
-        let mut buffer = vec![0; DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM + 1];
         let mut budget = Budget::new(Instant::now());
         loop {
             let Ok((n, from)) = receive(&socket, &mut buffer).await else {
@@ -254,7 +254,7 @@
             };
             let received = future::or(receive_on(&four), receive_on(&six));
             match future::or(future::or(woken, due), async { Some(received.await) }).await {
-                Some(Ok((from, datagram))) => self.notifier.borrow_mut().heard(clock(), from, &datagram),
+                Some(Ok((from, datagram))) => self.notifier.borrow_mut().receive(clock(), from, &datagram),
                 Some(Err(_)) => drop(Timer::after(ERROR_DELAY).await),
                 None => {}
             }
@@ -270,7 +270,7 @@
 /// Receives a datagram on a socket that may not exist yet.
 async fn receive_on(socket: &Option<Async<UdpSocket>>) -> io::Result<(SocketAddr, Vec<u8>)> {
     let Some(socket) = socket else { return future::pending().await };
-    let mut buffer = vec![0; DATAGRAM + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM + 1];
     let (n, from) = receive(socket, &mut buffer).await?;
     buffer.truncate(n);
     Ok((from, buffer))
--- a/src/features/snmp/settings.rs
+++ b/src/features/snmp/settings.rs
@@ -3,8 +3,8 @@
 
 use super::super::addresses::network;
 use snmp::access::{self, Access, Community, Reader, View};
-use snmp::manager::As;
-use snmp::notify::{Target, RECEIVERS};
+use snmp::manager::Credentials;
+use snmp::notify::{Target, MAX_RECEIVERS};
 use snmp::tree::ENTERPRISE;
 use snmp::usm::{Auth, Level, User};
 use snmp::Oid;
@@ -132,15 +132,15 @@
             }
             "snmpview" => self.view(&line.words)?,
             "snmpcommunity" => {
-                check_count(&self.communities, access::MOST)?;
+                check_count(&self.communities, access::MAX_ENTRIES)?;
                 self.communities.push(line);
             }
             "snmpuser" => {
-                check_count(&self.users, access::MOST)?;
+                check_count(&self.users, access::MAX_ENTRIES)?;
                 self.users.push(line);
             }
             "snmptrapto" => {
-                check_count(&self.targets, RECEIVERS)?;
+                check_count(&self.targets, MAX_RECEIVERS)?;
                 self.targets.push(line);
             }
             _ => return Err("unknown setting".to_owned()),
@@ -158,12 +158,12 @@
             _ => return Err(expected()),
         };
         let root = Oid::parse(root).ok_or_else(expected)?;
-        if !self.views.contains_key(name) && self.views.len() >= access::MOST {
-            return Err(format!("more than {} views", access::MOST));
+        if !self.views.contains_key(name) && self.views.len() >= access::MAX_ENTRIES {
+            return Err(format!("more than {} views", access::MAX_ENTRIES));
         }
         let view = self.views.entry(name.clone()).or_default();
-        if view.subtrees.len() >= access::MOST {
-            return Err(format!("more than {} subtrees in a view", access::MOST));
+        if view.subtrees.len() >= access::MAX_ENTRIES {
+            return Err(format!("more than {} subtrees in a view", access::MAX_ENTRIES));
         }
         view.subtrees.push((root, included));
         Ok(())
@@ -187,8 +187,8 @@
         let [name, from, rest @ ..] = words.as_slice() else {
             return Err("NAME RANGE [view NAME] is wanted".into());
         };
-        if name.len() > access::NAME {
-            return Err(format!("a name of up to {} bytes is wanted", access::NAME));
+        if name.len() > access::MAX_COMMUNITY_NAME {
+            return Err(format!("a name of up to {} bytes is wanted", access::MAX_COMMUNITY_NAME));
         }
         let from = network(from).ok_or("a range like 10.20.0.0/16 is wanted behind the name")?;
         Ok(Community { name: name.as_bytes().to_vec(), from, view: self.view_named(rest)? })
@@ -228,15 +228,17 @@
             _ => return Err(expected.into()),
         };
         let address: SocketAddr = address.parse().map_err(|_| "an address like 10.0.0.9:162 is wanted")?;
-        let as_whom = match *sort {
-            "community" => As::Community(name.as_bytes().to_vec()),
+        let credentials = match *sort {
+            "community" => Credentials::Community(name.as_bytes().to_vec()),
             "user" => {
                 let reader = access.reader(name.as_bytes()).map(|(_, r)| r.user.clone());
-                As::User(reader.ok_or_else(|| format!("no snmpuser is called \"{}\"", escape(name)))?)
+                Credentials::User(
+                    reader.ok_or_else(|| format!("no snmpuser is called \"{}\"", escape(name)))?,
+                )
             }
             _ => return Err(expected.into()),
         };
-        Ok(Target { address, informs, as_whom })
+        Ok(Target { address, informs, credentials })
     }
 
     /// Resolves the lines to settings, or `None` without a port. The error comes with its line number.
--- a/src/features/snmp/snapshot_builder.rs
+++ b/src/features/snmp/snapshot_builder.rs
@@ -53,7 +53,7 @@
 }
 
 fn state(node: &NodeStatus) -> State {
-    match node.sight.map(|s| s.health) {
+    match node.server_status.map(|s| s.health) {
         None => State::Gone,
         Some(Health::Serving) => State::Serving,
         Some(Health::Cold) => State::Cold,
@@ -72,15 +72,15 @@
     } else {
         LedgerState::Open
     };
-    let (out, window, waiting) = (origin.out, origin.window, origin.waiting);
+    let (outstanding, window, waiting) = (origin.out, origin.window, origin.waiting);
     Ledger {
         state,
-        out,
+        outstanding,
         window,
         waiting,
-        pace: origin.mean_latency,
-        strain: origin.latency_ratio,
-        slow: origin.failure_ratio,
+        mean_latency: origin.mean_latency,
+        latency_ratio: origin.latency_ratio,
+        failure_ratio: origin.failure_ratio,
     }
 }
 
@@ -115,13 +115,13 @@
             ledger: node.origin,
             phase,
             state,
-            out: node.sight.map_or(0, |s| s.out),
+            outstanding: node.server_status.map_or(0, |s| s.out),
             connections: node.connections,
-            utilisation: node.sight.and_then(|s| s.rho),
-            served: node.ends.served,
-            missed: node.ends.missed,
-            refused: node.ends.refused,
-            failed: node.ends.failed,
+            utilisation: node.server_status.and_then(|s| s.rho),
+            served: node.outcomes.served,
+            missed: node.outcomes.missed,
+            refused: node.outcomes.refused,
+            failed: node.outcomes.failed,
             changed,
             since: node.since,
             name: node.name,
