--- a/src/commands/figurestest.rs
+++ b/src/commands/figurestest.rs
@@ -1,5 +1,5 @@
-//! `martenweir figurestest [FILE]`: sends one of each figure, as the file says or in statsd to standard
-//! error. It fails where a batch is lost or the target does not take it.
+//! `martenweir figurestest [FILE]`: sends one sample of each figure, as configured in the file or in statsd
+//! format to standard error. Fails if a batch is lost or the target does not accept it in time.
 
 use crate::core::{Record, StreamDetails, StreamOutcome};
 use crate::features::figures::{Figures, Gauges, Settings, Sink};
@@ -14,15 +14,15 @@
 use std::time::Duration;
 
 pub(super) const USAGE: &str = "martenweir figurestest [FILE]";
-/// A collector's refusal has come by then; a target that takes longer than the other is given up.
-const REFUSAL: Duration = Duration::from_millis(100);
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long to wait for an ICMP refusal by a UDP collector, and the timeout for all of the writes.
+const REFUSAL_WAIT: Duration = Duration::from_millis(100);
+const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sends one of each figure where FILE says, or to standard error
+/// Sends one sample of each figure to the target named in FILE, or to standard error
 #[derive(Debug, clap::Args)]
 #[command(override_usage = USAGE, help_template = super::HELP)]
 pub(super) struct Options {
-    /// The file of features with the figures' target and form [default: statsd to standard error]
+    /// The feature file with target and format of the figures [default: statsd to standard error]
     #[arg(allow_hyphen_values = true)]
     file: Option<String>,
 }
@@ -40,8 +40,10 @@
         ..Site::default()
     };
     let figures = Figures::new(settings, Rc::new(site));
-    let ends = [StreamOutcome::Served, StreamOutcome::Refused, StreamOutcome::Failed, StreamOutcome::Left];
-    for (class, ended, note) in ends.into_iter().enumerate().map(|(i, e)| (i as u16 % 2, e, 1 + i as u32 % 3))
+    let outcomes =
+        [StreamOutcome::Served, StreamOutcome::Refused, StreamOutcome::Failed, StreamOutcome::Left];
+    for (class, ended, note) in
+        outcomes.into_iter().enumerate().map(|(i, e)| (i as u16 % 2, e, 1 + i as u32 % 3))
     {
         let note = if class == 0 { note } else { 0 };
         let (tenant, message, node) = (TenantId(0), Rc::default(), None);
@@ -55,18 +57,18 @@
             lost += sink.put(batch).await;
             figures.done(0);
         }
-        if sink.sends() {
-            Timer::after(REFUSAL).await;
+        if sink.is_udp() {
+            Timer::after(REFUSAL_WAIT).await;
         }
         Some(lost + sink.refused().unwrap_or(0))
     };
-    let late = async {
-        Timer::after(PATIENCE).await;
+    let timeout = async {
+        Timer::after(TIMEOUT).await;
         None
     };
-    match async_io::block_on(future::or(all, late)) {
+    match async_io::block_on(future::or(all, timeout)) {
         Some(0) => Ok(()),
         Some(lost) => Err(format!("figurestest: {lost} batches lost")),
-        None => Err("figurestest: the target does not take them".into()),
+        None => Err("figurestest: the target did not accept all batches in time".into()),
     }
 }
--- a/src/commands/snmp.rs
+++ b/src/commands/snmp.rs
@@ -1,5 +1,5 @@
-//! `martenweir snmp get|walk|listen`: a small manager, for tests, demonstrations and staff without another one.
-//! It shows names and values as the MIB has them.
+//! `martenweir snmp get|walk|listen`: a minimal SNMP manager for tests, demonstrations and operators without
+//! another one. Names and values are printed as the MIB defines them.
 
 use crate::features::file;
 use crate::features::snmp::boots;
@@ -18,15 +18,15 @@
 
 pub(super) const USAGE: &str =
     "martenweir snmp get|walk [WHO] ADDRESS [NAME ...], martenweir snmp listen [WHO] ADDRESS";
-/// How long an answer is waited for, and how often it is asked for.
-const PATIENCE: Duration = Duration::from_secs(1);
-const TRIES: usize = 4;
-/// What a session may learn of the other engine before an answer comes.
-const LESSONS: usize = 4;
-/// Instances that are asked for at a time.
-const REPETITIONS: u32 = 30;
+/// Timeout of a request, and the number of times it is sent.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_TRIES: usize = 4;
+/// Maximum number of extra rounds for learning the agent's engine ID, boots and time.
+const MAX_SYNCS: usize = 4;
+/// Maximum number of instances per request of a walk (max-repetitions).
+const MAX_REPETITIONS: u32 = 30;
 
-/// Asks the agent at ADDRESS for objects, or prints notifications that come to ADDRESS
+/// Queries the agent at ADDRESS, or prints notifications that are sent to ADDRESS
 #[derive(Debug, clap::Args)]
 #[command(override_usage = USAGE, help_template = super::HELP)]
 pub(super) struct Options {
@@ -36,30 +36,30 @@
 
 #[derive(Debug, clap::Subcommand)]
 enum Command {
-    /// Asks for the objects of these names; fails unless all are there
+    /// Gets the objects with these names; fails unless all of them exist
     #[command(override_usage = USAGE, help_template = super::HELP)]
-    Get(Ask),
-    /// Asks for all objects below these names, or for the whole MIB
+    Get(Query),
+    /// Walks all objects below these names, or the whole MIB
     #[command(override_usage = USAGE, help_template = super::HELP)]
-    Walk(Ask),
-    /// Prints a line for each notification that comes, and acknowledges informs
+    Walk(Query),
+    /// Prints a line for each notification received, and acknowledges informs
     #[command(override_usage = USAGE, help_template = super::HELP)]
     Listen(Listen),
 }
 
-// As whom; what is told on the command line is seen by all users of the machine, what stands in a file is not.
+// Credentials. Command line arguments are visible to all users of the machine, the content of a file is not.
 #[derive(Debug, clap::Args)]
-struct Who {
-    /// WHO in SNMPv2c: a community [default: public]
+struct Identity {
+    /// The community for SNMPv2c (WHO) [default: public]
     #[arg(long, value_name = "NAME")]
     community: Option<String>,
-    /// WHO in SNMPv3: a user, in place of a community
+    /// The user for SNMPv3 (WHO), instead of a community
     #[arg(long, value_name = "NAME", conflicts_with = "community")]
     user: Option<String>,
-    /// The file of features whose snmpuser line has the user's passphrases, out of other users' sight
+    /// The feature file whose snmpuser line has the user's passphrases, which keeps them off the command line
     #[arg(long, value_name = "FILE")]
     conf: Option<String>,
-    /// How the user is authenticated: sha224, sha256, sha384 or sha512
+    /// Authentication protocol of the user: sha224, sha256, sha384 or sha512
     #[arg(long, value_name = "HOW", default_value = "sha256")]
     auth: String,
     /// The user's passphrase for authentication, 8 bytes or more [default: none, no authentication]
@@ -68,31 +68,31 @@
     /// The user's passphrase for privacy, 8 bytes or more [default: none, no privacy]
     #[arg(long, value_name = "WORDS", allow_hyphen_values = true)]
     priv_pass: Option<String>,
-    /// The enterprise number that the agent has the MIB under
+    /// The enterprise number under which the agent serves the MIB
     #[arg(long, value_name = "NUMBER", default_value_t = ENTERPRISE)]
     enterprise: u32,
-    /// Shows names as numbers
+    /// Prints names as numbers
     #[arg(long)]
     numeric: bool,
 }
 
 #[derive(Debug, clap::Args)]
-struct Ask {
+struct Query {
     #[command(flatten)]
-    who: Who,
+    who: Identity,
     /// IP address and UDP port of the agent
     address: SocketAddr,
-    /// Names of the MIB or numbers, as mwReady or 1.3.6.1.2.1.1.3.0 [default for walk: mwObjects]
+    /// Names from the MIB or numbers, like mwReady or 1.3.6.1.2.1.1.3.0 [default for walk: mwObjects]
     names: Vec<String>,
 }
 
 #[derive(Debug, clap::Args)]
 struct Listen {
     #[command(flatten)]
-    who: Who,
+    who: Identity,
     /// IP address and UDP port to listen on
     address: SocketAddr,
-    /// Ends after so many notifications [default: none, it goes on]
+    /// Exits after this number of notifications [default: none, runs until it is stopped]
     #[arg(long, value_name = "NUMBER")]
     count: Option<u64>,
 }
@@ -105,8 +105,8 @@
     }
 }
 
-impl Who {
-    fn as_whom(&self) -> Result<Credentials, String> {
+impl Identity {
+    fn credentials(&self) -> Result<Credentials, String> {
         let Some(name) = &self.user else {
             return Ok(Credentials::Community(
                 self.community.as_deref().unwrap_or("public").as_bytes().to_vec(),
@@ -124,7 +124,7 @@
         User::new(name, auth, self.priv_pass.as_deref()).map(Credentials::User).map_err(str::to_owned)
     }
 
-    /// The MIB, under the agent's enterprise number.
+    /// The MIB, with the agent's enterprise number.
     fn mib(&self) -> Mib {
         Mib::read(
             &TEXT.replace(&format!("enterprises {ENTERPRISE}"), &format!("enterprises {}", self.enterprise)),
@@ -139,18 +139,18 @@
     }
 }
 
-fn unix() -> Micros {
+fn unix_micros() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_micros() as Micros)
 }
 
-/// Prints a line; `false` where whoever read this has gone.
+/// Prints a line; returns `false` if standard output is closed.
 fn println(line: &str) -> bool {
     let mut out = io::stdout().lock();
     writeln!(out, "{line}").and_then(|()| out.flush()).is_ok()
 }
 
-/// The way to an agent: a socket, and what is known of the other side.
-struct Way {
+/// A connection to an agent: the socket and the session state.
+struct AgentConnection {
     socket: UdpSocket,
     address: SocketAddr,
     session: Session,
@@ -158,38 +158,39 @@
     since: Instant,
 }
 
-impl Way {
-    fn new(ask: &Ask) -> Result<Way, String> {
+impl AgentConnection {
+    fn new(ask: &Query) -> Result<AgentConnection, String> {
         let any = match ask.address {
             SocketAddr::V4(_) => IpAddr::V4(Ipv4Addr::UNSPECIFIED),
             SocketAddr::V6(_) => IpAddr::V6(Ipv6Addr::UNSPECIFIED),
         };
-        let told = |e: io::Error| format!("snmp: {}: {e}", ask.address);
-        let socket = UdpSocket::bind((any, 0)).map_err(told)?;
-        socket.connect(ask.address).map_err(told)?;
-        // Two managers of one machine must not take each other's answers for theirs; ports tell them apart.
-        let seed = (unix() as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let session = Session::new(ask.who.as_whom()?, None, seed);
+        let failed = |e: io::Error| format!("snmp: {}: {e}", ask.address);
+        let socket = UdpSocket::bind((any, 0)).map_err(failed)?;
+        socket.connect(ask.address).map_err(failed)?;
+        // Several managers on one machine cannot receive each other's responses, since their ports differ.
+        let seed = (unix_micros() as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let session = Session::new(ask.who.credentials()?, None, seed);
         let request = (seed >> 40) as i32;
-        Ok(Way { socket, address: ask.address, session, request, since: Instant::now() })
+        Ok(AgentConnection { socket, address: ask.address, session, request, since: Instant::now() })
     }
 
     fn now(&self) -> Micros {
         self.since.elapsed().as_micros() as Micros
     }
 
-    /// Asks until there is an answer, or none is to be expected.
+    /// Sends a request until it is answered, refused, or all tries have timed out.
     fn ask(&mut self, pdu: impl Fn(i32) -> Pdu) -> Result<Pdu, String> {
         self.request = self.request.wrapping_add(1) & i32::MAX;
         let pdu = pdu(self.request);
-        let (mut tries, mut lessons) = (0, 0);
+        let (mut tries, mut syncs) = (0, 0);
         let mut buffer = vec![0; MAX_DATAGRAM + 1];
-        while tries < TRIES && lessons <= LESSONS {
+        while tries < MAX_TRIES && syncs <= MAX_SYNCS {
             let out = self.session.request(self.now(), &pdu);
-            // Nobody there may be told at the next send or receive: the tries end it.
+            // An unreachable agent is reported as an error of a later send or receive; it is ignored, and the
+            // tries run out.
             let _ = self.socket.send(&out);
-            let until = Instant::now() + PATIENCE;
-            let learnt = loop {
+            let until = Instant::now() + ANSWER_TIMEOUT;
+            let synchronized = loop {
                 let left = until.saturating_duration_since(Instant::now());
                 if left.is_zero() {
                     break false;
@@ -206,31 +207,31 @@
                     Received::Ignored => {}
                 }
             };
-            (tries, lessons) = (tries + usize::from(!learnt), lessons + usize::from(learnt));
+            (tries, syncs) = (tries + usize::from(!synchronized), syncs + usize::from(synchronized));
         }
         Err(format!("snmp: no answer from {}", self.address))
     }
 }
 
-/// What a report's counter says.
+/// The meaning of the counter in a report PDU.
 fn reason(counter: &Oid) -> String {
-    let told = [
-        ("1.3.6.1.6.3.15.1.1.1.0", "not the level of safety that this user has"),
+    let known = [
+        ("1.3.6.1.6.3.15.1.1.1.0", "the user has another security level"),
         ("1.3.6.1.6.3.15.1.1.2.0", "not within the time window"),
         ("1.3.6.1.6.3.15.1.1.3.0", "no such user"),
-        ("1.3.6.1.6.3.15.1.1.4.0", "another engine"),
-        ("1.3.6.1.6.3.15.1.1.5.0", "a wrong digest: another passphrase or another way to authenticate"),
-        ("1.3.6.1.6.3.15.1.1.6.0", "it cannot be decrypted: another passphrase for privacy"),
+        ("1.3.6.1.6.3.15.1.1.4.0", "unknown engine ID"),
+        ("1.3.6.1.6.3.15.1.1.5.0", "wrong digest, check the passphrase and the authentication protocol"),
+        ("1.3.6.1.6.3.15.1.1.6.0", "decryption failed, check the privacy passphrase"),
     ];
     let counter = counter.to_string();
-    told.iter().find(|(oid, _)| *oid == counter).map_or(counter, |(_, why)| (*why).to_owned())
+    known.iter().find(|(oid, _)| *oid == counter).map_or(counter, |(_, why)| (*why).to_owned())
 }
 
-fn get(ask: &Ask) -> Result<(), String> {
+fn get(ask: &Query) -> Result<(), String> {
     let mib = ask.who.mib();
     let names = ask.names.iter().map(|name| {
         let oid = mib.resolve(name).ok_or_else(|| format!("snmp: no object is called {name:?}"))?;
-        // A scalar's instance is meant by its name.
+        // The name of a scalar stands for its only instance.
         let scalar = mib.of(&oid).is_some_and(|o| o.oid == oid && o.kind == snmp::mib::ObjectKind::Scalar);
         Ok((if scalar { oid.child(&[0]) } else { oid }, Value::Unspecified))
     });
@@ -239,7 +240,7 @@
         return Err(format!("usage: {USAGE}"));
     }
     let pdu = |request| Pdu { kind: Kind::Get, request, status: 0, index: 0, bindings: bindings.clone() };
-    let answer = Way::new(ask)?.ask(pdu)?;
+    let answer = AgentConnection::new(ask)?.ask(pdu)?;
     if answer.status != 0 {
         return Err(format!("snmp: error {} from {}", answer.status, ask.address));
     }
@@ -256,21 +257,21 @@
     }
 }
 
-fn walk(ask: &Ask) -> Result<(), String> {
+fn walk(ask: &Query) -> Result<(), String> {
     let mib = ask.who.mib();
     let names: Vec<&str> = match ask.names.is_empty() {
         true => vec!["mwObjects"],
         false => ask.names.iter().map(String::as_str).collect(),
     };
-    let mut way = Way::new(ask)?;
+    let mut agent = AgentConnection::new(ask)?;
     for name in names {
         let root = mib.resolve(name).ok_or_else(|| format!("snmp: no object is called {name:?}"))?;
-        let mut walk = Walk::new(root, REPETITIONS);
+        let mut walk = Walk::new(root, MAX_REPETITIONS);
         while walk.next(0).is_some() {
-            let answer = way.ask(|request| walk.next(request).unwrap_or_else(|| nothing(request)))?;
+            let answer = agent.ask(|request| walk.next(request).unwrap_or_else(|| empty_request(request)))?;
             let part = walk.take(answer).map_err(|broken| match broken {
                 WalkError::Status(status) => format!("snmp: error {status} from {}", ask.address),
-                WalkError::OutOfOrder(name) => format!("snmp: {} tells {name} out of order", ask.address),
+                WalkError::OutOfOrder(name) => format!("snmp: {} returned {name} out of order", ask.address),
             })?;
             for (name, value) in &part {
                 if !println(&ask.who.show(&mib, name, value)) {
@@ -282,31 +283,31 @@
     Ok(())
 }
 
-fn nothing(request: i32) -> Pdu {
+fn empty_request(request: i32) -> Pdu {
     Pdu { kind: Kind::GetNext, request, status: 0, index: 0, bindings: Vec::new() }
 }
 
 fn listen(options: &Listen) -> Result<(), String> {
     let mib = options.who.mib();
-    let told = |e: io::Error| format!("snmp: {}: {e}", options.address);
-    let socket = UdpSocket::bind(options.address).map_err(told)?;
-    let address = socket.local_addr().map_err(told)?;
+    let failed = |e: io::Error| format!("snmp: {}: {e}", options.address);
+    let socket = UdpSocket::bind(options.address).map_err(failed)?;
+    let address = socket.local_addr().map_err(failed)?;
     let mut access = Access::default();
     let any = ["0.0.0.0/0", "::/0"].into_iter().filter_map(|range| range.parse().ok());
-    match options.who.as_whom()? {
+    match options.who.credentials()? {
         Credentials::Community(name) => {
             access.communities =
                 any.map(|from| Community { name: name.clone(), from, view: View::all() }).collect();
         }
         Credentials::User(user) => access.readers = vec![Reader { user, view: View::all() }],
     }
-    let (now, since) = (unix(), Instant::now());
+    let (now, since) = (unix_micros(), Instant::now());
     let boots = boots::count(None, now / 1_000_000, 0).0.boots;
     let engine = Engine::new(Engine::id_of(options.who.enterprise, &address.to_string()), boots, 0);
     let mut listener = Listener::new(0, engine, access, now as u64);
     println(&format!("listening on {address}"));
-    let (mut buffer, mut heard) = (vec![0; MAX_DATAGRAM + 1], 0);
-    while options.count.is_none_or(|count| heard < count) {
+    let (mut buffer, mut received) = (vec![0; MAX_DATAGRAM + 1], 0);
+    while options.count.is_none_or(|count| received < count) {
         let Ok((n, from)) = socket.recv_from(&mut buffer) else { continue };
         let now = since.elapsed().as_micros() as Micros;
         let (back, pdu) = listener.receive(now, from, &buffer[..n]);
@@ -314,7 +315,7 @@
             let _ = socket.send_to(&back, from);
         }
         let Some(pdu) = pdu else { continue };
-        heard += 1;
+        received += 1;
         if !println(&line(&options.who, &mib, from, &pdu)) {
             return Ok(());
         }
@@ -322,16 +323,16 @@
     Ok(())
 }
 
-/// A notification in one line: when it came, from where, its name, and what it carries.
-fn line(who: &Who, mib: &Mib, from: SocketAddr, pdu: &Pdu) -> String {
+/// Formats a notification as one line: time, source address, kind, name and variable bindings.
+fn line(who: &Identity, mib: &Mib, from: SocketAddr, pdu: &Pdu) -> String {
     let how = if pdu.kind == Kind::Inform { "inform" } else { "trap" };
     let name = pdu.bindings.iter().find_map(|(_, value)| match value {
         Value::Oid(oid) => Some(mib.show(oid)),
         _ => None,
     });
-    // sysUpTime and the name come first (RFC 3416, 4.2.6).
+    // The first two bindings are sysUpTime and the notification's name (RFC 3416, 4.2.6).
     let carried = pdu.bindings.iter().skip(2).map(|(name, value)| who.show(mib, name, value));
     let carried: Vec<String> = carried.collect();
     let name = name.unwrap_or_else(|| "nameless".to_owned());
-    format!("{} {} {how} {name} {}", unix() / 1000, from.ip(), carried.join(" ")).trim_end().to_owned()
+    format!("{} {} {how} {name} {}", unix_micros() / 1000, from.ip(), carried.join(" ")).trim_end().to_owned()
 }
--- a/src/features/control/store/tests.rs
+++ b/src/features/control/store/tests.rs
@@ -4,16 +4,16 @@
 
 const ME: ControlId = ControlId(2);
 
-/// A folder of its own for each, gone with it.
-struct Folder(PathBuf);
+/// A directory of its own for each test, removed on drop.
+struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     fn new() -> Self {
         static COUNT: AtomicUsize = AtomicUsize::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("martenweir-{}-store-{count}", std::process::id()));
         fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        TempDir(path)
     }
 
     fn file(&self) -> PathBuf {
@@ -21,7 +21,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -44,8 +44,8 @@
     store.append(&encode(records).expect("records")).expect("it is written");
 }
 
-/// A file with so many records, and its bytes.
-fn written(folder: &Folder, count: u64) -> (Vec<Record>, Vec<u8>) {
+/// Creates a file with this number of records; returns them and the bytes of the file.
+fn written(folder: &TempDir, count: u64) -> (Vec<Record>, Vec<u8>) {
     let records: Vec<Record> = (1..=count).map(record).collect();
     let mut loaded = open(&folder.file()).expect("a new file");
     assert_eq!((loaded.records.len(), loaded.torn, loaded.older), (0, 0, None));
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn what_was_appended_is_there_at_the_next_start_and_goes_on() {
-    let folder = Folder::new();
+fn appended_records_are_loaded_at_the_next_start() {
+    let folder = TempDir::new();
     let (mut records, _) = written(&folder, 8);
     let mut loaded = open(&folder.file()).expect("the file");
     assert_eq!((&loaded.records, loaded.torn, loaded.older), (&records, 0, None));
@@ -64,14 +64,15 @@
     assert_eq!(open(&folder.file()).expect("the file").records, records);
 }
 
-/// Wherever the file ends, what stands whole before that is there, the rest is told, and more can be appended.
+/// A file may be cut off at any byte, if the machine stops during a write. Complete records before the cut
+/// are loaded, the size of the rest is reported, and the file can be appended to.
 #[test]
-fn a_last_record_that_was_torn_goes_and_those_before_it_stay() {
-    let folder = Folder::new();
+fn an_incomplete_last_record_is_dropped_and_those_before_it_stay() {
+    let folder = TempDir::new();
     let (records, bytes) = written(&folder, 6);
     let ends: Vec<usize> = {
         let mut ends = vec![MAGIC.len()];
-        while let Next::Body(body) = next(&bytes[ends[ends.len() - 1]..]) {
+        while let Frame::Body(body) = next_frame(&bytes[ends[ends.len() - 1]..]) {
             ends.push(ends[ends.len() - 1] + HEADER_BYTES + body.len());
         }
         ends
@@ -81,7 +82,7 @@
         fs::write(folder.file(), &bytes[..cut]).expect("the file");
         let mut loaded = open(&folder.file()).expect("the file");
         let whole = ends.iter().rposition(|end| *end <= cut).expect("the first");
-        // The head is the first frame.
+        // The first frame is the head.
         let kept = &records[..whole.saturating_sub(1)];
         assert_eq!((&loaded.records[..], loaded.torn), (kept, (cut - ends[whole]) as u64), "cut at {cut}");
         append(&mut loaded.store, &[record(99)]);
@@ -94,8 +95,8 @@
 }
 
 #[test]
-fn zeros_at_the_end_are_a_torn_record() {
-    let folder = Folder::new();
+fn zeros_at_the_end_are_an_incomplete_record() {
+    let folder = TempDir::new();
     let (records, mut bytes) = written(&folder, 4);
     bytes.extend([0; 300]);
     fs::write(folder.file(), &bytes).expect("the file");
@@ -103,10 +104,10 @@
     assert_eq!((loaded.records, loaded.torn), (records, 300));
 }
 
-/// No changed bit anywhere goes unseen, in the last record neither.
+/// Every flipped bit is detected, also in the last record.
 #[test]
-fn a_damaged_file_is_refused_with_its_name_and_the_place() {
-    let folder = Folder::new();
+fn a_damaged_file_is_refused_with_its_name_and_the_position() {
+    let folder = TempDir::new();
     let (_, bytes) = written(&folder, 5);
     for at in 0..bytes.len() {
         for bit in 0..8 {
@@ -121,8 +122,8 @@
 }
 
 #[test]
-fn a_file_of_another_machine_or_of_a_later_epoch_is_refused_and_of_an_earlier_one_is_taken() {
-    let folder = Folder::new();
+fn a_file_of_another_machine_or_later_epoch_is_refused_and_of_an_earlier_epoch_accepted() {
+    let folder = TempDir::new();
     let (records, _) = written(&folder, 4);
     let other = Store::open(&folder.file(), ControlId(3), 1).map(drop);
     assert!(other.expect_err("another's").ends_with(": written by control machine 2, this is 3"));
@@ -134,12 +135,12 @@
 }
 
 #[test]
-fn a_file_that_is_written_anew_has_what_it_was_given_and_goes_on() {
-    let folder = Folder::new();
+fn a_rewritten_file_has_the_given_records_and_can_be_appended_to() {
+    let folder = TempDir::new();
     let (records, bytes) = written(&folder, 8);
     let loaded = open(&folder.file()).expect("the file");
     assert!(!loaded.store.needs_rewrite());
-    let mut store = loaded.store.rewrite(&encode(&records[6..]).expect("records")).expect("written anew");
+    let mut store = loaded.store.rewrite(&encode(&records[6..]).expect("records")).expect("rewritten");
     assert!(fs::read(folder.file()).expect("the file").len() < bytes.len());
     append(&mut store, &[record(9)]);
     let expected = [&records[6..], &[record(9)]].concat();
@@ -147,8 +148,8 @@
 }
 
 #[test]
-fn a_file_that_has_grown_far_beyond_what_it_needs_is_to_be_written_anew() {
-    let folder = Folder::new();
+fn a_file_that_has_grown_far_beyond_its_needed_size_needs_a_rewrite() {
+    let folder = TempDir::new();
     let mut store = open(&folder.file()).expect("a new file").store;
     let stream = StreamId { topic: 1, store: ME };
     let large = |number| Record::Change(Change { stream, number, key: 1, body: vec![7; 4096].into() }, 1);
@@ -160,5 +161,5 @@
         assert!(times < 10, "{} bytes", store.bytes);
     }
     assert!(store.bytes > REWRITE_THRESHOLD);
-    assert!(!store.rewrite(&encode(&some).expect("records")).expect("written anew").needs_rewrite());
+    assert!(!store.rewrite(&encode(&some).expect("records")).expect("rewritten").needs_rewrite());
 }
--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -1,9 +1,10 @@
-//! The forwarder's side of planners: what goes on at nodes goes to them, what of their plans stands comes back
-//! as the module's event. It owns the [`plan::Forwarder`] of this proxy and the names of its nodes; no socket
-//! and no clock, so that virtual time can drive it too. Without `planner` lines there is none.
+//! Reports observations about nodes to the planners, and passes the merged plan to the decision module as an
+//! event. This module owns the [`plan::Forwarder`] of this proxy and the names of its nodes. It has no
+//! sockets and no clock, so that it also runs in virtual time. It is only used if the feature file has
+//! `planner` lines.
 //!
-//! Feed it [`NodeEvent`] and [`Record`]s, what planners' connections say, and [`ForwarderDriver::tick`] at
-//! [`ForwarderDriver::next`]; carry out its [`HostAction`]es.
+//! Pass it [`NodeEvent`]s, [`Record`]s and the messages and state changes of connections, call
+//! [`ForwarderDriver::tick`] at [`ForwarderDriver::next`], and execute the returned [`HostAction`]s.
 
 use crate::codec::discovery;
 use crate::core::{NodeEvent, Record, StreamOutcome};
@@ -22,71 +23,71 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// In the order of their lines, which is that of their slots.
+    /// In the order of their lines; the index is the planner's slot.
     pub planners: Vec<SocketAddr>,
-    /// Forwarders that may run at once; without it as many as the configuration says that there are proxies.
+    /// Maximum number of forwarders at a time; defaults to the number of proxies in the configuration.
     pub forwarders: Option<u32>,
 }
 
-/// What planners and forwarders of a site go by.
+/// The rules that the planners and forwarders of a site share.
 pub fn rules(forwarders: Option<u32>, site: &Site) -> Rules {
     Rules { forwarders: forwarders.unwrap_or(site.routers).max(1), ..Rules::default() }
 }
 
-/// What is to be done for it.
+/// An action for the host to execute.
 #[derive(Debug)]
 pub enum HostAction {
-    /// Connect to the planner of a slot.
+    /// Connect to the planner of this slot.
     Dial(usize),
     Send(usize, Message),
-    /// Close a slot's connection.
+    /// Close the connection of this slot.
     Close(usize),
-    /// Tell the module.
+    /// Pass the plan to the decision module.
     Plan(interface::Plan),
 }
 
-/// See the file's comment.
+/// Drives the forwarder, see the module documentation.
 #[derive(Debug)]
 pub struct ForwarderDriver {
-    machine: Forwarder,
+    forwarder: Forwarder,
     planners: Vec<SocketAddr>,
     members: BTreeMap<ServerId, (Member, Rc<str>)>,
     nodes: BTreeMap<ServerId, Node>,
     origins: BTreeSet<ServerId>,
     origin_kind: Option<KindId>,
-    /// Of each class.
-    aims: Vec<Micros>,
-    even: f64,
+    /// By class.
+    target_latencies: Vec<Micros>,
+    even_share: f64,
     out: Vec<Output>,
-    /// What the module was told last, and what is in force of it, for the log.
-    said: interface::Plan,
+    /// The plan that was passed to the module last, and the marks in force that were logged last.
+    last_plan: interface::Plan,
     in_force: BTreeSet<MarkTarget>,
-    /// Slots whose trouble has been told.
-    troubled: BTreeSet<usize>,
+    /// Slots whose failure has been logged.
+    unreachable: BTreeSet<usize>,
 }
 
-/// A zone beyond the halls that plans tell apart is the last of them.
-fn hall(zone: interface::ZoneId) -> Zone {
+/// Maps a zone to the zones that plans distinguish; zones beyond their number share the last one.
+fn zone_of(zone: interface::ZoneId) -> Zone {
     Zone(zone.0.min(u16::from(ZoneSet::MOST - 1)) as u8)
 }
 
 fn verdict(verdict: Verdict) -> plan::message::Verdict {
-    use plan::message::Verdict as Told;
+    use plan::message::Verdict as PlanVerdict;
     match verdict {
-        Verdict::Served => Told::Served,
-        Verdict::Miss => Told::Miss,
-        Verdict::Error => Told::Error,
-        Verdict::Full => Told::Full,
-        Verdict::Timeout => Told::Timeout,
-        // What found no connection in all of its time: neither has the node said anything.
-        Verdict::ConnectFailed | Verdict::Moot => Told::ConnectFailed,
-        Verdict::Reset => Told::Reset,
-        Verdict::Cancelled => Told::Cancelled,
+        Verdict::Served => PlanVerdict::Served,
+        Verdict::Miss => PlanVerdict::Miss,
+        Verdict::Error => PlanVerdict::Error,
+        Verdict::Full => PlanVerdict::Full,
+        Verdict::Timeout => PlanVerdict::Timeout,
+        // An attempt that never got a connection also tells nothing about the node's answers.
+        Verdict::ConnectFailed | Verdict::Moot => PlanVerdict::ConnectFailed,
+        Verdict::Reset => PlanVerdict::Reset,
+        Verdict::Cancelled => PlanVerdict::Cancelled,
     }
 }
 
 impl ForwarderDriver {
-    /// For a proxy of this name, with the list as it is known; `seed` is new with each start.
+    /// Creates the driver for a proxy with this name and initial list. `seed` must differ with each start.
     pub fn new(
         now: Micros,
         settings: Settings,
@@ -96,11 +97,11 @@
         seed: u64,
     ) -> Result<Self, &'static str> {
         let rules = rules(settings.forwarders, site);
-        let even = rules.even_part();
+        let even_share = rules.even_part();
         let config = Config {
             id: ForwarderId(discovery::hash_id(name.as_bytes())),
             life: now.unsigned_abs(),
-            zone: hall(site.zone),
+            zone: zone_of(site.zone),
             tenants: site.quotas.len(),
             classes: site.classes.len(),
             planners: settings.planners.len(),
@@ -111,77 +112,79 @@
             event = "forwarder",
             planners, forwarders, "forwarder {id:016x} of {forwarders}, {planners} planners"
         );
-        let mut forwarding = ForwarderDriver {
-            machine: Forwarder::new(now, rules, config)?,
+        let mut driver = ForwarderDriver {
+            forwarder: Forwarder::new(now, rules, config)?,
             planners: settings.planners,
             members: BTreeMap::new(),
             nodes: BTreeMap::new(),
             origins: BTreeSet::new(),
             origin_kind: site.origin_kind,
-            aims: site.classes.iter().map(|c| c.target_latency).collect(),
-            even,
+            target_latencies: site.classes.iter().map(|c| c.target_latency).collect(),
+            even_share,
             out: Vec::new(),
-            said: interface::Plan::default(),
+            last_plan: interface::Plan::default(),
             in_force: BTreeSet::new(),
-            troubled: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
         };
-        forwarding.list(now, known.0, ListForm::Cached, known.1);
-        Ok(forwarding)
+        driver.list(now, known.0, ListForm::Cached, known.1);
+        Ok(driver)
     }
 
-    /// Where the planner of a slot is.
+    /// The address of the planner of a slot.
     pub fn address(&self, slot: usize) -> Option<SocketAddr> {
         self.planners.get(slot).copied()
     }
 
-    /// Something went on at a node.
-    pub fn handle_node_event(&mut self, now: Micros, seen: NodeEvent) {
-        match seen {
+    /// Handles an event at a node.
+    pub fn handle_node_event(&mut self, now: Micros, event: NodeEvent) {
+        match event {
             NodeEvent::Listed { revision, form, nodes } => self.list(now, revision, form, nodes),
             NodeEvent::StreamTaken { class, tenant, write } => {
-                self.machine.observations().request_received(tenant.0 as usize, usize::from(class.0));
+                self.forwarder.observations().request_received(tenant.0 as usize, usize::from(class.0));
                 if write && self.origin_kind.is_some() {
-                    self.machine.observations().origin_needed();
+                    self.forwarder.observations().origin_needed();
                 }
             }
             NodeEvent::Sent(server) if self.origins.contains(&server) => {
-                self.machine.observations().fetched()
+                self.forwarder.observations().fetched()
             }
             NodeEvent::Sent(server) => {
                 if let Some(node) = self.nodes.get(&server) {
-                    self.machine.observations().sent(now, *node);
+                    self.forwarder.observations().sent(now, *node);
                 }
             }
             NodeEvent::Ended { server, verdict, elapsed, .. } if self.origins.contains(&server) => {
                 let answered = matches!(verdict, Verdict::Served | Verdict::Miss).then_some(elapsed);
-                self.machine.observations().fetch_ended(answered);
+                self.forwarder.observations().fetch_ended(answered);
             }
             NodeEvent::Ended { server, verdict: end, elapsed, load } => {
                 let Some(node) = self.nodes.get(&server).copied() else { return };
-                let eyes = self.machine.observations();
-                eyes.ended(now, node, verdict(end), elapsed);
+                let observations = self.forwarder.observations();
+                observations.ended(now, node, verdict(end), elapsed);
                 if load.is_some() {
-                    eyes.load(now, node, load);
+                    observations.load(now, node, load);
                 }
                 if end == Verdict::Miss && self.origin_kind.is_some() {
-                    eyes.origin_needed();
+                    observations.origin_needed();
                 }
             }
             NodeEvent::LateAnswer(server) => {
                 if let Some(node) = self.nodes.get(&server) {
-                    self.machine.observations().load(now, *node, None);
+                    self.forwarder.observations().load(now, *node, None);
                 }
             }
         }
     }
 
-    /// A stream has ended.
+    /// Records the end of a stream.
     pub fn record(&mut self, record: &Record) {
         let (tenant, class) = (record.tenant.0 as usize, usize::from(record.class.0));
-        let aim = self.aims.get(class).copied().unwrap_or(Micros::MAX);
+        let target = self.target_latencies.get(class).copied().unwrap_or(Micros::MAX);
         match record.ended {
-            StreamOutcome::Served if record.time <= aim => self.machine.observations().served(tenant, class),
-            StreamOutcome::Refused => self.machine.observations().refused(tenant, class),
+            StreamOutcome::Served if record.time <= target => {
+                self.forwarder.observations().served(tenant, class)
+            }
+            StreamOutcome::Refused => self.forwarder.observations().refused(tenant, class),
             _ => {}
         }
     }
@@ -203,96 +206,97 @@
             }
             let node = Node { id: id.0, life: m.started.map_or(0, |t| t.unsigned_abs()) };
             self.nodes.insert(*id, node);
-            listed.push(Listed { node, zone: hall(m.zone), ready: m.phase == Phase::Ready });
+            listed.push(Listed { node, zone: zone_of(m.zone), ready: m.phase == Phase::Ready });
         }
-        self.machine.list(now, revision, &listed, &mut self.out);
+        self.forwarder.list(now, revision, &listed, &mut self.out);
     }
 
-    /// A slot's connection is up.
+    /// The connection of a slot is established.
     pub fn up(&mut self, now: Micros, slot: usize) {
-        self.troubled.remove(&slot);
+        self.unreachable.remove(&slot);
         let address = self.address(slot).map(tracing::field::display);
         info!(event = "planner_up", planner = address, "planner {slot} is connected");
-        self.machine.up(now, slot, &mut self.out);
+        self.forwarder.up(now, slot, &mut self.out);
     }
 
-    /// A slot's connection is over, or did not come up. The first of a row is told.
+    /// The connection of a slot is closed or could not be established. Only the first of consecutive failures
+    /// is logged.
     pub fn down(&mut self, now: Micros, slot: usize, why: &str) {
-        if self.troubled.insert(slot) {
+        if self.unreachable.insert(slot) {
             let address = self.address(slot).map(tracing::field::display);
-            warn!(event = "planner_down", planner = address, why, "planner {slot} is out of reach: {why}");
+            warn!(event = "planner_down", planner = address, why, "planner {slot} is unreachable: {why}");
         }
-        self.machine.down(now, slot);
+        self.forwarder.down(now, slot);
     }
 
-    /// A planner has said something.
+    /// Handles a message from a planner.
     pub fn handle_message(
         &mut self,
         now: Micros,
         slot: usize,
         message: &Message,
-        wishes: &mut Vec<HostAction>,
+        actions: &mut Vec<HostAction>,
     ) {
-        if let Err(why) = self.machine.message(now, slot, message, &mut self.out) {
-            wishes.push(HostAction::Close(slot));
+        if let Err(why) = self.forwarder.message(now, slot, message, &mut self.out) {
+            actions.push(HostAction::Close(slot));
             self.down(now, slot, &why.to_string());
         }
     }
 
-    /// What planners have this proxy avoid.
+    /// The nodes and zones that this proxy avoids because of planners.
     pub fn in_force(&self) -> impl Iterator<Item = MarkTarget> + '_ {
-        self.machine.in_force()
+        self.forwarder.in_force()
     }
 
-    /// When [`ForwarderDriver::tick`] has something to do.
+    /// When [`ForwarderDriver::tick`] must be called next.
     pub fn next(&self, now: Micros) -> Micros {
-        self.machine.next(now)
+        self.forwarder.next(now)
     }
 
-    /// Does what is due, and hands out what is to be done.
-    pub fn tick(&mut self, now: Micros, wishes: &mut Vec<HostAction>) {
-        if self.machine.next(now) <= now {
-            self.machine.tick(now, &mut self.out);
-            // What stands fades, whether anything came or went.
+    /// Runs due timers and returns the actions to execute.
+    pub fn tick(&mut self, now: Micros, actions: &mut Vec<HostAction>) {
+        if self.forwarder.next(now) <= now {
+            self.forwarder.tick(now, &mut self.out);
+            // Guidance decays over time, so it has changed even if no message has arrived.
             self.out.push(Output::GuidanceChanged);
         }
-        let mut stands = false;
+        let mut changed = false;
         for output in std::mem::take(&mut self.out) {
             match output {
-                Output::Dial(slot) => wishes.push(HostAction::Dial(slot)),
-                Output::Send(slot, message) => wishes.push(HostAction::Send(slot, message)),
-                Output::GuidanceChanged => stands = true,
+                Output::Dial(slot) => actions.push(HostAction::Dial(slot)),
+                Output::Send(slot, message) => actions.push(HostAction::Send(slot, message)),
+                Output::GuidanceChanged => changed = true,
                 Output::Refused(slot, why) => {
                     let planner = self.address(slot).map(tracing::field::display);
                     let why = why.to_string();
-                    warn!(event = "plan_refused", planner, why, "a plan of planner {slot} is refused: {why}");
+                    warn!(event = "plan_refused", planner, why, "rejected a plan of planner {slot}: {why}");
                 }
             }
         }
-        if stands {
-            self.tell_force();
+        if changed {
+            self.log_in_force();
             let plan = self.plan(now);
-            if plan != self.said {
-                self.said = plan.clone();
-                wishes.push(HostAction::Plan(plan));
+            if plan != self.last_plan {
+                self.last_plan = plan.clone();
+                actions.push(HostAction::Plan(plan));
             }
         }
     }
 
-    /// The planned end.
-    pub fn bye(&mut self, wishes: &mut Vec<HostAction>) {
+    /// Says goodbye to the planners on a graceful shutdown.
+    pub fn bye(&mut self, actions: &mut Vec<HostAction>) {
         let mut out = Vec::new();
-        self.machine.bye(&mut out);
+        self.forwarder.bye(&mut out);
         let send = |o| match o {
             Output::Send(slot, message) => Some(HostAction::Send(slot, message)),
             _ => None,
         };
-        wishes.extend(out.into_iter().filter_map(send));
+        actions.extend(out.into_iter().filter_map(send));
     }
 
-    /// What stands, in the module's words.
+    /// Converts the current guidance to the module's plan.
     fn plan(&self, now: Micros) -> interface::Plan {
-        let standing = self.machine.guidance(now);
+        let guidance = self.forwarder.guidance(now);
         let solved = |(n, q, trust): &(Node, plan::solve::Queue, f64)| PlannedTerms {
             server: ServerId(n.id),
             rho: q.rho,
@@ -302,30 +306,32 @@
             trust: *trust,
         };
         interface::Plan {
-            key_fractions: standing.takes.iter().map(|(n, part)| (ServerId(n.id), *part)).collect(),
-            solved: standing.queues.iter().filter(|q| q.2 > 0.0).map(solved).collect(),
-            trust: standing.parts_trust,
-            quotas: standing.tenants,
-            // Each proxy's own budget is its part of the traffic already; a part below the even one lowers it.
-            cold: (standing.cold / self.even).clamp(0.0, 1.0),
-            // What one proxy alone may have out, for all of them together.
-            fetches: standing.origin * origin::MAX_LIMIT,
+            key_fractions: guidance.takes.iter().map(|(n, part)| (ServerId(n.id), *part)).collect(),
+            solved: guidance.queues.iter().filter(|q| q.2 > 0.0).map(solved).collect(),
+            trust: guidance.parts_trust,
+            quotas: guidance.tenants,
+            // Each proxy's own budget already is its share of the traffic; a share below the even one lowers
+            // it.
+            cold: (guidance.cold / self.even_share).clamp(0.0, 1.0),
+            // The limit for all proxies together is what a single proxy alone may have in flight.
+            fetches: guidance.origin * origin::MAX_LIMIT,
         }
     }
 
-    /// What came into force or left it, a line each: bounded by the rules' most changes.
-    fn tell_force(&mut self) {
-        let now: BTreeSet<MarkTarget> = self.machine.in_force().collect();
-        for matter in now.symmetric_difference(&self.in_force) {
-            let what = match matter {
+    /// Logs marks that came into force or were lifted, one line each. Their number is bounded by the maximum
+    /// number of changes in the rules.
+    fn log_in_force(&mut self) {
+        let now: BTreeSet<MarkTarget> = self.forwarder.in_force().collect();
+        for target in now.symmetric_difference(&self.in_force) {
+            let what = match target {
                 MarkTarget::Node(n) => {
                     let name = self.members.get(&ServerId(n.id)).map(|(_, name)| name.as_ref());
                     format!("node {}", name.unwrap_or("that is gone"))
                 }
                 MarkTarget::Zone(h) => format!("hall {}", h.0),
             };
-            match now.contains(matter) {
-                true => warn!(event = "plan_avoids", what, "{what} is avoided, as planners say"),
+            match now.contains(target) {
+                true => warn!(event = "plan_avoids", what, "{what} is avoided, as the planners advise"),
                 false => info!(event = "plan_returns", what, "{what} is no longer avoided"),
             }
         }
--- a/src/features/planner.rs
+++ b/src/features/planner.rs
@@ -1,5 +1,6 @@
-//! A planner: takes what forwarders see, publishes plans, carries no traffic. It owns the [`plan::Planner`] and
-//! the connections of forwarders, a task each ([`crate::net::framed`]). Nothing is kept over a restart.
+//! A planner: collects the reports of forwarders and publishes plans; it carries no client traffic. This
+//! module owns the [`plan::Planner`] state machine and the connections of forwarders (one task each, see
+//! [`crate::net::framed`]). Nothing is persisted over a restart.
 
 use crate::clock::Clock;
 use crate::features::addresses::AddressLists;
@@ -21,35 +22,35 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// News that may wait, and news taken before what is due is done.
-const QUEUE: usize = 1024;
-const AT_ONCE: usize = 256;
-/// Without a descriptor for a connection: how long until the next is tried.
-const CROWDED: Duration = Duration::from_millis(200);
-/// How often figures are told, and how many lines about peers and nodes between two of them.
-const FIGURES: Micros = 10_000_000;
-const LINES: u64 = 20;
+/// Capacity of the event queue, and number of events handled before timers are checked.
+const QUEUE_CAPACITY: usize = 1024;
+const EVENTS_PER_TURN: usize = 256;
+/// Delay before accepting is retried after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Interval between figures in the log, and maximum number of log lines about peers and nodes within it.
+const FIGURES_INTERVAL: Micros = 10_000_000;
+const MAX_LINES: u64 = 20;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     pub port: u16,
-    /// Forwarders that may run at once; without it the configuration says how many proxies there are.
+    /// Maximum number of forwarders at a time; defaults to the number of proxies in the configuration.
     pub forwarders: Option<u32>,
 }
 
-enum News {
+enum Event {
     Accepted(Async<TcpStream>, SocketAddr),
-    Said(PeerId, Box<Message>),
+    Message(PeerId, Box<Message>),
     Down(PeerId, String),
-    /// Told by the accepting task, once in a row.
-    Crowded(String),
+    /// Accepting has failed. Sent once per series of failures.
+    AcceptFailed(String),
     End,
 }
 
 struct Peer {
     address: SocketAddr,
     outbox: Outbox,
-    /// Its last words are on their way: the core knows it no more.
+    /// The reason for closing is being sent; the state machine has already dropped the peer.
     closing: bool,
     _task: Task<()>,
 }
@@ -57,17 +58,17 @@
 struct Host {
     planner: Planner,
     peers: BTreeMap<PeerId, Peer>,
-    last: PeerId,
+    last_peer: PeerId,
     lists: AddressLists,
-    queue: Sender<News>,
+    queue: Sender<Event>,
     executor: Rc<LocalExecutor<'static>>,
-    lines: u64,
-    told: Micros,
-    /// Nodes marked, for lines of the log.
-    silent: BTreeSet<Node>,
+    logged_lines: u64,
+    last_figures: Micros,
+    /// Nodes that were logged as silent.
+    logged_silent: BTreeSet<Node>,
 }
 
-/// Serves until SIGTERM or SIGINT. All tasks are spawned on `executor`, whose thread this has to be.
+/// Runs until SIGTERM or SIGINT. All tasks are spawned on `executor`, which must run on the current thread.
 pub async fn run(
     address: SocketAddr,
     rules: Rules,
@@ -80,20 +81,20 @@
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     let clock = Clock::new();
     let now = clock.now();
-    let (queue, news) = async_channel::bounded(QUEUE);
+    let (queue, events) = async_channel::bounded(QUEUE_CAPACITY);
     let forwarders = rules.forwarders;
-    // The clock's milliseconds as the epoch; forwarders correct one that went back.
+    // The clock's milliseconds are the epoch; forwarders correct an epoch that has gone back.
     let planner = Planner::new(now, rules, now.unsigned_abs() / 1000)?;
     let mut host = Host {
         planner,
         peers: BTreeMap::new(),
-        last: 0,
+        last_peer: 0,
         lists,
         queue: queue.clone(),
         executor: executor.clone(),
-        lines: 0,
-        told: now,
-        silent: BTreeSet::new(),
+        logged_lines: 0,
+        last_figures: now,
+        logged_silent: BTreeSet::new(),
     };
     info!(
         event = "planning",
@@ -104,43 +105,43 @@
     let _accept = executor.spawn(accept(listener, queue.clone()));
     let _signals = executor.spawn(async move {
         loop {
-            // There is nothing to read again.
+            // A planner has no configuration to reload.
             if signals.next().await == SignalRequest::End {
-                let _ = queue.send(News::End).await;
+                let _ = queue.send(Event::End).await;
             }
         }
     });
-    host.work(&clock, &news).await;
+    host.run_loop(&clock, &events).await;
     info!(event = "ended", "ended");
     Ok(())
 }
 
-async fn accept(listener: Async<TcpListener>, queue: Sender<News>) {
-    let mut crowded = false;
+async fn accept(listener: Async<TcpListener>, queue: Sender<Event>) {
+    let mut failing = false;
     loop {
         match listener.accept().await {
             Ok((socket, peer)) => {
-                crowded = false;
-                let _ = queue.send(News::Accepted(socket, canonical_address(peer))).await;
+                failing = false;
+                let _ = queue.send(Event::Accepted(socket, canonical_address(peer))).await;
             }
             Err(why) => {
-                if !std::mem::replace(&mut crowded, true) {
-                    let _ = queue.send(News::Crowded(why.to_string())).await;
+                if !std::mem::replace(&mut failing, true) {
+                    let _ = queue.send(Event::AcceptFailed(why.to_string())).await;
                 }
-                Timer::after(CROWDED).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 impl Host {
-    async fn work(&mut self, clock: &Clock, news: &Receiver<News>) {
+    async fn run_loop(&mut self, clock: &Clock, events: &Receiver<Event>) {
         let mut timer = Timer::at(Instant::now());
         loop {
             let now = clock.now();
-            for _ in 0..AT_ONCE {
-                let Ok(one) = news.try_recv() else { break };
-                if self.hear(now, one) {
+            for _ in 0..EVENTS_PER_TURN {
+                let Ok(event) = events.try_recv() else { break };
+                if self.handle_event(now, event) {
                     return;
                 }
             }
@@ -148,9 +149,9 @@
                 let mut out = Vec::new();
                 self.planner.tick(now, &mut out);
                 self.carry_out(out);
-                self.tell(now);
+                self.log_changes(now);
             }
-            if !news.is_empty() {
+            if !events.is_empty() {
                 future::yield_now().await;
                 continue;
             }
@@ -159,19 +160,19 @@
                 (&mut timer).await;
                 None
             };
-            if let Some(one) = future::or(async { news.recv().await.ok() }, tick).await {
-                if self.hear(clock.now(), one) {
+            if let Some(event) = future::or(async { events.recv().await.ok() }, tick).await {
+                if self.handle_event(clock.now(), event) {
                     return;
                 }
             }
         }
     }
 
-    /// Whether it is to end.
-    fn hear(&mut self, now: Micros, news: News) -> bool {
-        match news {
-            News::Accepted(socket, address) => self.accepted(now, socket, address),
-            News::Said(peer, message) => {
+    /// Handles an event. Returns whether the process must end.
+    fn handle_event(&mut self, now: Micros, event: Event) -> bool {
+        match event {
+            Event::Accepted(socket, address) => self.accepted(now, socket, address),
+            Event::Message(peer, message) => {
                 let mut out = Vec::new();
                 let known = self.peers.get(&peer).is_some_and(|p| !p.closing);
                 if known {
@@ -182,33 +183,35 @@
                 }
                 self.carry_out(out);
             }
-            News::Down(peer, why) => {
+            Event::Down(peer, why) => {
                 self.planner.down(peer);
                 if let Some(p) = self.peers.remove(&peer).filter(|p| !p.closing) {
                     let address = p.address;
-                    self.line(|| info!(event = "peer_left", client = %address, why, "{address} left: {why}"));
+                    self.log_limited(
+                        || info!(event = "peer_left", client = %address, why, "{address} left: {why}"),
+                    );
                 }
             }
-            News::Crowded(why) => warn!(event = "accept_failed", why, "accept failed: {why}"),
-            News::End => return true,
+            Event::AcceptFailed(why) => warn!(event = "accept_failed", why, "accept failed: {why}"),
+            Event::End => return true,
         }
         false
     }
 
     fn accepted(&mut self, now: Micros, socket: Async<TcpStream>, address: SocketAddr) {
         if !self.lists.admits(address.ip()) {
-            return self.line(
+            return self.log_limited(
                 || warn!(event = "refused", client = %address, "{address} refused by the address lists"),
             );
         }
         let _ = socket.get_ref().set_nodelay(true);
-        self.last += 1;
-        let (peer, (outbox, inbox), queue) = (self.last, framed::outbox(), self.queue.clone());
+        self.last_peer += 1;
+        let (peer, (outbox, inbox), queue) = (self.last_peer, framed::outbox(), self.queue.clone());
         let task = self.executor.spawn(async move {
             let why =
-                framed::run_connection(&socket, inbox, &queue, |message| News::Said(peer, message)).await;
+                framed::run_connection(&socket, inbox, &queue, |message| Event::Message(peer, message)).await;
             drop(socket);
-            let _ = queue.send(News::Down(peer, why)).await;
+            let _ = queue.send(Event::Down(peer, why)).await;
         });
         self.peers.insert(peer, Peer { address, outbox, closing: false, _task: task });
         if let Err(why) = self.planner.up(now, peer) {
@@ -216,16 +219,17 @@
         }
     }
 
-    /// Tells a peer why its connection is closed; the core knows it no more.
+    /// Sends the reason for closing to a peer and closes the connection; the state machine has already
+    /// dropped it.
     fn refuse(&mut self, peer: PeerId, why: &Refused) {
         let Some(p) = self.peers.get_mut(&peer) else { return };
-        let (address, said) = (p.address, p.outbox.last(frame::refusal(why)));
+        let (address, sent) = (p.address, p.outbox.last(frame::refusal(why)));
         p.closing = true;
-        if !said {
+        if !sent {
             self.peers.remove(&peer);
         }
         let why = why.to_string();
-        self.line(|| warn!(event = "peer_refused", client = %address, why, "{address} closed: {why}"));
+        self.log_limited(|| warn!(event = "peer_refused", client = %address, why, "{address} closed: {why}"));
     }
 
     fn carry_out(&mut self, out: Vec<Output>) {
@@ -242,7 +246,9 @@
         let frame: Rc<[u8]> = match frame::encode(message) {
             Ok(bytes) => bytes.into(),
             Err(why) => {
-                return self.line(|| warn!(event = "not_told", why = why.to_string(), "not told: {why}"))
+                return self.log_limited(|| {
+                    warn!(event = "not_told", why = why.to_string(), "message not sent: {why}")
+                })
             }
         };
         for peer in peers {
@@ -253,30 +259,30 @@
             if let Some(p) = self.peers.remove(peer) {
                 self.planner.down(*peer);
                 let address = p.address;
-                self.line(
-                    || warn!(event = "peer_cut", client = %address, "{address} cut, it reads too slowly"),
+                self.log_limited(
+                    || warn!(event = "peer_cut", client = %address, "{address} disconnected, it reads too slowly"),
                 );
             }
         }
     }
 
-    /// A line of which there could be many.
-    fn line(&mut self, tell: impl FnOnce()) {
-        self.lines += 1;
-        if self.lines <= LINES {
-            tell();
+    /// Logs a line of a kind that can be frequent, up to [`MAX_LINES`] per interval.
+    fn log_limited(&mut self, log: impl FnOnce()) {
+        self.logged_lines += 1;
+        if self.logged_lines <= MAX_LINES {
+            log();
         }
     }
 
-    /// Lines about nodes that are marked or no longer, and the figures.
-    fn tell(&mut self, now: Micros) {
+    /// Logs nodes that have become silent or answer again and, once per interval, the figures.
+    fn log_changes(&mut self, now: Micros) {
         let marks: BTreeMap<Node, (u16, ZoneSet)> =
             self.planner.findings().silent.iter().map(|m| (m.node, (m.witnesses, m.zones))).collect();
-        for node in marks.keys().filter(|n| !self.silent.contains(n)).copied().collect::<Vec<_>>() {
+        for node in marks.keys().filter(|n| !self.logged_silent.contains(n)).copied().collect::<Vec<_>>() {
             let (witnesses, halls) = marks.get(&node).copied().unwrap_or_default();
             let for_all = if halls == ZoneSet::ALL { "all" } else { "some halls" };
             let id = node.id;
-            self.line(|| {
+            self.log_limited(|| {
                 warn!(
                     event = "silent",
                     node = id,
@@ -285,15 +291,16 @@
                 );
             });
         }
-        for node in self.silent.iter().filter(|n| !marks.contains_key(n)).copied().collect::<Vec<_>>() {
+        for node in self.logged_silent.iter().filter(|n| !marks.contains_key(n)).copied().collect::<Vec<_>>()
+        {
             let id = node.id;
-            self.line(|| info!(event = "lives", node = id, "node {id:016x} is silent no more"));
+            self.log_limited(|| info!(event = "lives", node = id, "node {id:016x} is no longer silent"));
         }
-        self.silent = marks.into_keys().collect();
-        if now - self.told < FIGURES {
+        self.logged_silent = marks.into_keys().collect();
+        if now - self.last_figures < FIGURES_INTERVAL {
             return;
         }
-        self.told = now;
+        self.last_figures = now;
         let shown = self.planner.shown(now);
         let (plan, peers) = (&shown.plan, self.peers.len());
         let number = format!("{}.{}", plan.number.epoch, plan.number.count);
@@ -311,9 +318,9 @@
             "plan {number} warm {warm} forwarders {forwarders} witnesses {witnesses} silent {silent} \
              cuts {cuts}; open: peers {peers}"
         );
-        let left = std::mem::take(&mut self.lines).saturating_sub(LINES);
+        let left = std::mem::take(&mut self.logged_lines).saturating_sub(MAX_LINES);
         if left > 0 {
-            warn!(event = "left_out", lines = left, "{left} more lines left out");
+            warn!(event = "left_out", lines = left, "{left} more log lines suppressed");
         }
     }
 }
--- a/src/features/snmp/snapshot_builder.rs
+++ b/src/features/snmp/snapshot_builder.rs
@@ -1,4 +1,4 @@
-//! What the core lets be seen, as the snapshot that the agent shows.
+//! Builds the snapshot that the agent answers from out of the core's status.
 
 use crate::core::status::{ClusterStatus, NodeStatus};
 use crate::core::Counters;
@@ -9,12 +9,12 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A ledger that may have fewer out than this rests between two: next to nothing goes there.
-const CLOSED: f64 = 1.0;
-/// Answers so many times slower than at their best are strain, as `limits::ledger` has it.
-const STRAINED: f64 = 2.5;
+/// An origin whose window is below this pauses between fetches: it receives next to nothing.
+const CLOSED_WINDOW: f64 = 1.0;
+/// A latency of this multiple of the best one counts as strain, as in `limits::ledger`.
+const STRAINED_LATENCY_RATIO: f64 = 2.5;
 
-/// What the owner knows beside the core.
+/// The part of the status that only the owner knows.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OwnerStatus {
     pub ready: bool,
@@ -29,7 +29,7 @@
     pub counters: Counters,
 }
 
-/// What stays from one snapshot to the next.
+/// State that is kept between snapshots.
 #[derive(Debug)]
 pub struct SnapshotBuilder {
     pub started: Micros,
@@ -40,7 +40,7 @@
     pub reloads: u64,
     zones: Vec<Rc<str>>,
     kinds: Vec<Rc<str>>,
-    /// Phase and state of each node when they changed last, and when that was.
+    /// The last phase and state of each node, and when they changed.
     changed: BTreeMap<Rc<str>, (snapshot::Phase, State, Micros)>,
 }
 
@@ -52,8 +52,8 @@
     }
 }
 
-fn state(seen: &NodeStatus) -> State {
-    match seen.server_status.map(|s| s.health) {
+fn state(node: &NodeStatus) -> State {
+    match node.server_status.map(|s| s.health) {
         None => State::Gone,
         Some(Health::Serving) => State::Serving,
         Some(Health::Cold) => State::Cold,
@@ -63,11 +63,11 @@
     }
 }
 
-fn origin(survey: &ClusterStatus) -> Origin {
-    let Some(origin) = survey.origin else { return Origin::default() };
-    let state = if !origin.available || origin.window < CLOSED {
+fn origin(status: &ClusterStatus) -> Origin {
+    let Some(origin) = status.origin else { return Origin::default() };
+    let state = if !origin.available || origin.window < CLOSED_WINDOW {
         OriginState::Closed
-    } else if origin.latency_ratio >= STRAINED {
+    } else if origin.latency_ratio >= STRAINED_LATENCY_RATIO {
         OriginState::Strained
     } else {
         OriginState::Open
@@ -100,77 +100,77 @@
         }
     }
 
-    fn node(&mut self, now: Micros, seen: NodeStatus) -> Node {
-        let (phase, state) = (phase(seen.phase), state(&seen));
-        let last = self.changed.entry(seen.name.clone()).or_insert((phase, state, seen.since));
+    fn node(&mut self, now: Micros, node: NodeStatus) -> Node {
+        let (phase, state) = (phase(node.phase), state(&node));
+        let last = self.changed.entry(node.name.clone()).or_insert((phase, state, node.since));
         if (last.0, last.1) != (phase, state) {
             *last = (phase, state, now);
         }
         let changed = last.2;
         let named = |names: &[Rc<str>], at: u16| names.get(usize::from(at)).cloned().unwrap_or_default();
         Node {
-            address: seen.address.to_string(),
-            zone: named(&self.zones, seen.zone.0),
-            kind: named(&self.kinds, seen.kind.0),
-            origin: seen.origin,
+            address: node.address.to_string(),
+            zone: named(&self.zones, node.zone.0),
+            kind: named(&self.kinds, node.kind.0),
+            origin: node.origin,
             phase,
             state,
-            outstanding: seen.server_status.map_or(0, |s| s.out),
-            connections: seen.connections,
-            utilisation: seen.server_status.and_then(|s| s.rho),
-            served: seen.outcomes.served,
-            missed: seen.outcomes.missed,
-            refused: seen.outcomes.refused,
-            failed: seen.outcomes.failed,
+            outstanding: node.server_status.map_or(0, |s| s.out),
+            connections: node.connections,
+            utilisation: node.server_status.and_then(|s| s.rho),
+            served: node.outcomes.served,
+            missed: node.outcomes.missed,
+            refused: node.outcomes.refused,
+            failed: node.outcomes.failed,
             changed,
-            since: seen.since,
-            name: seen.name,
+            since: node.since,
+            name: node.name,
         }
     }
 
-    /// The snapshot of this moment.
+    /// Takes a snapshot.
     pub fn take(
         &mut self,
         now: Micros,
-        survey: ClusterStatus,
+        status: ClusterStatus,
         tally: &mut Tally,
-        o: OwnerStatus,
+        owned: OwnerStatus,
     ) -> Snapshot {
-        let origin = origin(&survey);
-        let ClusterStatus { nodes, revision, heard, told, .. } = survey;
-        let nodes: Vec<Node> = nodes.into_iter().map(|seen| self.node(now, seen)).collect();
+        let origin = origin(&status);
+        let ClusterStatus { nodes, revision, heard, told, .. } = status;
+        let nodes: Vec<Node> = nodes.into_iter().map(|node| self.node(now, node)).collect();
         if self.changed.len() > nodes.len() {
             self.changed.retain(|name, _| nodes.binary_search_by(|n| n.name.cmp(name)).is_ok());
         }
-        let c = o.counters;
+        let c = owned.counters;
         let zone = self.zones.get(usize::from(self.site.settings.zone.0)).cloned().unwrap_or_default();
         Snapshot {
             at: now,
             started: self.started,
-            // The owner's clock began at the system's.
+            // The owner's clock starts at the system's Unix time.
             started_unix: self.started,
             name: self.name.clone(),
             version: self.version.clone(),
             zone,
-            ready: o.ready,
+            ready: owned.ready,
             reloads: self.reloads,
             nodes,
             bound: self.fleet_least,
             requests: tally.requests(),
             refusals: tally.refusals(),
             taken: c.taken,
-            streams: o.streams as u64,
+            streams: owned.streams as u64,
             streams_limit: u64::from(self.site.settings.max_open),
             overdue: c.overdue,
             times: tally.times(now),
             connections: Connections {
-                downstreams: o.downstreams as u64,
-                downstreams_limit: o.downstreams_limit as u64,
-                downstreams_refused: o.downstreams_refused,
-                downstreams_silent: o.downstreams_silent,
-                downstreams_made_room: o.downstreams_made_room,
-                upstreams: o.upstreams as u64,
-                upstreams_limit: o.upstreams_limit as u64,
+                downstreams: owned.downstreams as u64,
+                downstreams_limit: owned.downstreams_limit as u64,
+                downstreams_refused: owned.downstreams_refused,
+                downstreams_silent: owned.downstreams_silent,
+                downstreams_made_room: owned.downstreams_made_room,
+                upstreams: owned.upstreams as u64,
+                upstreams_limit: owned.upstreams_limit as u64,
                 dials: c.dials,
                 unconnected: c.unconnected,
                 resets: c.resets,
@@ -186,7 +186,7 @@
                 changes: c.lists,
                 ended: c.watches_ended,
             },
-            // Not shown yet: the tables of planners and forwarders have no rows.
+            // Not available yet: the tables of planners and forwarders have no rows.
             ..Snapshot::default()
         }
     }
--- a/tests/commands.rs
+++ b/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line from outside: its words, exit statuses and messages, and the two forms of its log.
+//! End-to-end tests of the command line: arguments, exit statuses, messages, and both log formats.
 
 use rstest::rstest;
 use serde_json::Value;
@@ -14,7 +14,7 @@
 const CONF: &str = "examples/martenweir.conf";
 const FINE: &str = "the configuration is fine\n";
 const USAGE: &str = "usage: martenweir [--check] [--conf FILE]";
-/// Nobody listens there.
+/// An address without a listener.
 const NOBODY: &str = "127.0.0.1:1";
 
 fn program() -> Command {
@@ -23,7 +23,7 @@
     command
 }
 
-fn said(end: &Output) -> (String, String) {
+fn output_text(end: &Output) -> (String, String) {
     (String::from_utf8_lossy(&end.stdout).into_owned(), String::from_utf8_lossy(&end.stderr).into_owned())
 }
 
@@ -45,14 +45,14 @@
 #[case::the_form_of_the_log(&["--log-format", "json", "--check", CONFIG], FINE)]
 #[case::checkaddr(&["checkaddr", "deploy/martenweir.conf", "203.0.113.7"], "allow\n")]
 #[case::checkaddr_denies(&["checkaddr", "deploy/martenweir.conf", "198.51.100.7"], "deny\n")]
-fn what_is_asked_rightly_is_answered_on_standard_output(#[case] words: &[&str], #[case] answer: &str) {
+fn valid_commands_answer_on_standard_output_with_status_0(#[case] words: &[&str], #[case] answer: &str) {
     let end = program().args(words).output().expect("it runs");
-    let (out, err) = said(&end);
+    let (out, err) = output_text(&end);
     assert_eq!((end.status.code(), err.as_str()), (Some(0), ""), "{words:?}");
     assert!(out.starts_with(answer), "{words:?}: {out}");
 }
 
-/// What `snmp` reads for all it does.
+/// The options and arguments that all `snmp` subcommands accept.
 const SNMP: [&str; 9] = [
     "--community <NAME>",
     "--user <NAME>",
@@ -65,27 +65,28 @@
     "<ADDRESS>",
 ];
 
-/// The names that a help lists, each with its words.
-fn listed(help: &str) -> Vec<(&str, &str)> {
-    // Behind the usage and the about.
+/// The entries of a help text, each with its description.
+fn help_entries(help: &str) -> Vec<(&str, &str)> {
+    // Skips the usage and the description of the command.
     let lists = help.splitn(3, "\n\n").nth(2).unwrap_or_default();
     let lines = lists.lines().filter(|line| line.starts_with("  ")).map(str::trim);
     lines.map(|line| line.split_once("  ").unwrap_or((line, ""))).collect()
 }
 
-fn wordless(help: &str) -> Vec<&str> {
-    listed(help).into_iter().filter(|(_, words)| words.is_empty()).map(|(name, _)| name).collect()
+fn undescribed(help: &str) -> Vec<&str> {
+    help_entries(help).into_iter().filter(|(_, words)| words.is_empty()).map(|(name, _)| name).collect()
 }
 
-/// What the subcommand reads by its help, which has words for each; adds the subcommands that it lists.
-fn read_by(words: &str, below: &mut Vec<String>) -> BTreeSet<String> {
+/// The options and arguments in the help of a subcommand, each of which must have a description; its own
+/// subcommands are added to `below`.
+fn accepted_arguments(words: &str, below: &mut Vec<String>) -> BTreeSet<String> {
     let end = program().args(words.split_whitespace()).arg("--help").output().expect("it runs");
-    let (out, err) = said(&end);
+    let (out, err) = output_text(&end);
     assert_eq!((end.status.code(), err.as_str()), (Some(0), ""), "{words}");
     let usage = format!("usage: martenweir {}", words.split(' ').next().unwrap_or_default());
     assert!(out.starts_with(&usage), "{words}: {out}");
-    assert_eq!(wordless(&out), [""; 0], "{words}: {out}");
-    let names = listed(&out).into_iter().map(|(name, _)| name);
+    assert_eq!(undescribed(&out), [""; 0], "{words}: {out}");
+    let names = help_entries(&out).into_iter().map(|(name, _)| name);
     let (commands, read): (Vec<_>, Vec<_>) = names.partition(|name| name.starts_with(char::is_lowercase));
     below.extend(commands.iter().filter(|name| **name != "help").map(|name| format!("{words} {name}")));
     read.into_iter()
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn help_of_each_subcommand_is_on_standard_output_and_says_what_all_that_it_reads_does() {
+fn help_of_each_subcommand_describes_all_of_its_arguments() {
     let snmp = |more: &[&'static str]| [&SNMP, more].concat();
     let all = [
         ("", vec!["--check", "--conf <FILE>", "--log-format <FORMAT>", "[CONFIG]..."]),
@@ -119,23 +120,23 @@
     let mut left = vec![String::new()];
     let mut found = BTreeMap::new();
     while let Some(words) = left.pop() {
-        let read = read_by(words.trim(), &mut left);
+        let read = accepted_arguments(words.trim(), &mut left);
         found.insert(words.trim().to_owned(), read);
     }
     let all = all.map(|(words, names)| (words.to_owned(), names.into_iter().map(str::to_owned).collect()));
     assert_eq!(found, BTreeMap::from(all));
 }
 
-/// An option without words does not pass for one that has some.
+/// Guards the check above: an option without a description must be found.
 #[test]
-fn an_option_without_words_is_seen_in_its_help() {
+fn an_option_without_a_description_is_detected() {
     let count = clap::Arg::new("count").long("count");
     let help = |count: clap::Arg| {
         let program = clap::Command::new("planted").help_template("usage\n\nabout\n\n{all-args}");
         program.arg(count).arg(clap::Arg::new("file").help("The file")).render_help().to_string()
     };
-    assert_eq!(wordless(&help(count.clone())), ["--count <count>"]);
-    assert_eq!(wordless(&help(count.help("Ends after so many"))), [""; 0]);
+    assert_eq!(undescribed(&help(count.clone())), ["--count <count>"]);
+    assert_eq!(undescribed(&help(count.help("Ends after so many"))), [""; 0]);
 }
 
 #[rstest]
@@ -211,23 +212,27 @@
     "martenweir: change: /none: No such file"
 )]
 #[case::figurestest_of_no_file(&["figurestest", "/none"], "martenweir: /none: No such file")]
-fn what_is_asked_wrongly_is_told_on_standard_error_with_status_1(#[case] words: &[&str], #[case] told: &str) {
+fn invalid_commands_are_reported_on_standard_error_with_status_1(
+    #[case] words: &[&str],
+    #[case] message: &str,
+) {
     let end = program().args(words).output().expect("it runs");
-    let (out, err) = said(&end);
+    let (out, err) = output_text(&end);
     assert_eq!((end.status.code(), out.as_str()), (Some(1), ""), "{words:?}: {err}");
-    assert!(err.starts_with(told), "{words:?}: {err}");
+    assert!(err.starts_with(message), "{words:?}: {err}");
 }
 
 #[rstest]
 #[case::alone(&["--check"], 0)]
 #[case::but_a_word_wins(&["--check", "/none.json"], 1)]
 #[case::beside_a_subcommand(&["checkaddr", "deploy/martenweir.conf", "192.0.2.1"], 0)]
-fn node_config_stands_in_for_the_configuration(#[case] words: &[&str], #[case] status: i32) {
+fn node_config_replaces_the_configuration_argument(#[case] words: &[&str], #[case] status: i32) {
     let end = program().args(words).env("NODE_CONFIG", CONFIG).output().expect("it runs");
-    assert_eq!(end.status.code(), Some(status), "{:?}", said(&end));
+    assert_eq!(end.status.code(), Some(status), "{:?}", output_text(&end));
 }
 
-/// A file of its own for each `name`: a configuration that listens there, with a discovery that nobody answers.
+/// Writes a configuration with this listen address, and a discovery address without a listener, to a file of
+/// its own for each `name`.
 fn configuration(name: &str, listen: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("martenweir-{}-{name}.json", std::process::id()));
     let text = std::fs::read_to_string(CONFIG).expect("the configuration");
@@ -238,7 +243,7 @@
     path
 }
 
-/// The lines of a proxy that nobody talks to, from its start to a planned end.
+/// The log lines of a proxy without clients, from its start to a graceful shutdown.
 fn lines(words: &[&str], filter: &str) -> Vec<String> {
     let path = configuration(&format!("{}-{filter}", words.join("-")), "127.0.0.1:0");
     let mut command = program();
@@ -258,13 +263,13 @@
     lines
 }
 
-/// What stands for any number in a line.
-fn masked(line: &str) -> String {
+/// Replaces each number in a line by `#`.
+fn mask_numbers(line: &str) -> String {
     line.split(|c: char| c.is_ascii_digit()).filter(|part| !part.is_empty()).collect::<Vec<_>>().join("#")
 }
 
 #[test]
-fn json_lines_parse_name_their_fields_and_say_what_text_says() {
+fn json_lines_have_named_fields_and_the_same_messages_as_text() {
     let objects: Vec<Value> = lines(&["--log-format", "json"], "info")
         .iter()
         .map(|line| serde_json::from_str(line).unwrap_or_else(|e| panic!("{line}: {e}")))
@@ -288,15 +293,16 @@
     let in_text = |o: &Value| {
         assert!(o["at_ms"].is_u64() && o["module"].as_str().is_some_and(|m| m.starts_with("martenweir::")));
         let (level, message) = (o["level"].as_str().expect("a level"), o["message"].as_str().expect("words"));
-        masked(&format!("[{level:<5}] {message}"))
+        mask_numbers(&format!("[{level:<5}] {message}"))
     };
-    let told: BTreeSet<String> = objects.iter().map(in_text).collect();
-    let text: BTreeSet<String> = lines(&["--log-format", "text"], "info").iter().map(|l| masked(l)).collect();
-    assert_eq!(told, text);
+    let json: BTreeSet<String> = objects.iter().map(in_text).collect();
+    let text: BTreeSet<String> =
+        lines(&["--log-format", "text"], "info").iter().map(|l| mask_numbers(l)).collect();
+    assert_eq!(json, text);
 }
 
 #[test]
-fn text_lines_are_those_of_the_on_call_page() {
+fn text_lines_have_the_documented_form() {
     let lines = lines(&[], "info");
     let first = "[INFO ] n0: listening on 127.0.0.1:";
     assert!(lines[0].starts_with(first) && lines[0].ends_with(", 3 nodes known"), "{lines:?}");
@@ -313,12 +319,12 @@
 #[rstest]
 #[case::text("text")]
 #[case::json("json")]
-fn a_proxy_that_cannot_serve_says_why_in_the_form_of_its_log(#[case] form: &str) {
+fn a_fatal_error_is_reported_in_the_format_of_the_log(#[case] form: &str) {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address").to_string();
     let path = configuration(&format!("taken-{form}"), &address);
     let end = program().args(["--log-format", form]).arg(&path).output().expect("it runs");
-    let (_, err) = said(&end);
+    let (_, err) = output_text(&end);
     let message = match form {
         "json" => {
             let object: Value = serde_json::from_str(&err).expect("one object");
@@ -335,15 +341,19 @@
 #[rstest]
 #[case::by_module("warn,martenweir::owner=info", true, false)]
 #[case::nonsense_is_told("info,martenweir=loud", true, true)]
-fn rust_log_sets_level_and_module(#[case] filter: &str, #[case] listening: bool, #[case] told: bool) {
+fn rust_log_filters_by_level_and_module(
+    #[case] filter: &str,
+    #[case] listening: bool,
+    #[case] reported: bool,
+) {
     let lines = lines(&[], filter);
     assert_eq!(lines.iter().any(|l| l.contains("listening on")), listening, "{lines:?}");
-    assert_eq!(lines.iter().any(|l| l.contains("\"martenweir=loud\" is ignored")), told, "{lines:?}");
+    assert_eq!(lines.iter().any(|l| l.contains("\"martenweir=loud\" is ignored")), reported, "{lines:?}");
 }
 
-/// A notification is told in one line, an inform is acknowledged.
+/// A notification is printed as one line, and an inform is acknowledged.
 #[test]
-fn snmp_listen_tells_what_comes_and_acknowledges_it() {
+fn snmp_listen_prints_a_notification_and_acknowledges_an_inform() {
     let mut listen = program();
     let listen = listen.args(["snmp", "listen", "--community", "ops", "--count", "1", "127.0.0.1:0"]);
     let mut child = listen.stdout(Stdio::piped()).spawn().expect("it runs");
@@ -367,15 +377,15 @@
         let message = Community { community: community.into(), pdu: pdu.clone() };
         socket.send_to(&message.bytes(), address).expect("sent");
     };
-    // Of another community it hears nothing.
+    // A message with another community is ignored.
     send("other", &pdu);
     send("ops", &pdu);
     let mut back = [0; 1500];
     let n = socket.recv(&mut back).expect("an acknowledgement");
     let back = Community::read(&back[..n]).expect("a message").pdu;
     assert_eq!((back.kind, back.request, back.status), (Kind::Response, 9, 0));
-    let told = line();
-    let told = told.split_once(' ').expect("when, and the rest").1;
-    assert_eq!(told, "127.0.0.1 inform mwLedgerClosed mwLedgerState = closed(4)");
+    let notification = line();
+    let notification = notification.split_once(' ').expect("when, and the rest").1;
+    assert_eq!(notification, "127.0.0.1 inform mwLedgerClosed mwLedgerState = closed(4)");
     assert!(child.wait().expect("an end").success());
 }
