--- a/src/features/multiget.rs
+++ b/src/features/multiget.rs
@@ -163,6 +163,10 @@
                 self.batch = Some(Batch { wanted, received: 0, bytes: 0, streams, fault: None });
                 Parsed::Incomplete
             }
+            (b"CACHE.MGET", ..) => Parsed::Close(resp_error("ERR wrong number of arguments")),
+            (b"CACHE.GET" | b"CACHE.SET", ..) => {
+                Parsed::Local(resp_error("ERR only CACHE.MGET is taken here"))
+            }
             _ => self.words.parse(downstream, place, command),
         }
     }
