--- a/src/features/snmp/snapshot_builder.rs
+++ b/src/features/snmp/snapshot_builder.rs
@@ -11,7 +11,7 @@
 
 /// An origin whose window is below this pauses between fetches: it receives next to nothing.
 const CLOSED_WINDOW: f64 = 1.0;
-/// A latency of this multiple of the best one counts as strain, as in `limits::ledger`.
+/// A latency of this multiple of the best one counts as strain, as in `limits::origin`.
 const STRAINED_LATENCY_RATIO: f64 = 2.5;
 
 /// The part of the status that only the owner knows.
