--- a/crates/world/src/node/mod.rs
+++ b/crates/world/src/node/mod.rs
@@ -1,11 +1,11 @@
-//! A cache node: cores and slots, a waiting room, a store, connections, pauses, a cold start, load reports, and
-//! what can go wrong with it.
+//! A cache node: cores and slots, a queue, a store, connections, pauses, cold start, load reports, and
+//! injected faults.
 //!
-//! It owns what is between the last byte of a command and its answer. Delays, bytes and sockets are the host's:
-//! it hands in [`NodeRequest`]s with the time, calls [`Node::advance`] when [`Node::next`] says so, and carries the
-//! [`Event`]s that come out to wherever they belong. Jobs and connections have numbers that the host gives; a
-//! number is free again once its job was answered or its connection closed. A node that ended has forgotten all of
-//! them: the host breaks the connections itself.
+//! The model covers the time between the last byte of a request and its answer. Delays, bytes and sockets
+//! belong to the host: it passes in [`NodeRequest`]s with the time, calls [`Node::advance`] when
+//! [`Node::next`] says so, and delivers the resulting [`Event`]s. The host assigns the numbers of jobs and
+//! connections; a number can be reused once its job is answered or its connection closed. A node that ended
+//! has forgotten all of them: the host itself breaks the connections.
 
 mod machine;
 mod reports;
@@ -29,13 +29,13 @@
 use std::collections::VecDeque;
 use warmth::Warmth;
 
-/// A command that has reached a node whole.
+/// A request that has been fully received by a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NodeRequest {
-    /// The host's number for it.
+    /// The number that the host assigned to it.
     pub job: u64,
     pub connection: u64,
-    /// Whose try it is.
+    /// The try it belongs to.
     pub of: TryNo,
     pub class: ClassNo,
     pub key: u64,
@@ -44,14 +44,14 @@
     pub work: f64,
     /// Size of the value.
     pub bytes: u64,
-    /// An idempotency key, and how long a repeat of it is dropped.
+    /// The idempotency key, and for how long repeats of it are dropped.
     pub repeat: Option<(u64, Micros)>,
-    /// When whoever sent it gives up, as it said.
+    /// The time at which the sender gives up, as it stated.
     pub expires: Micros,
 }
 
 impl NodeRequest {
-    /// One that asks for nothing, to start from.
+    /// An empty request, as a base for struct update syntax.
     pub fn nothing(job: u64, connection: u64) -> Self {
         NodeRequest {
             job,
@@ -68,45 +68,45 @@
     }
 }
 
-/// What nodes, and the ledger, have in shared.
+/// State shared by the nodes and the origin.
 #[derive(Clone, Debug)]
 pub struct SharedState {
     pub initial_contents: InitialContents,
-    /// Keyed requests that one of them has run of late: all of them drop repeats.
+    /// Keyed requests that any of them executed recently: all of them drop repeats.
     pub dedup: DedupTable,
 }
 
 impl Default for SharedState {
-    /// Nodes that begin empty.
+    /// For nodes that start empty.
     fn default() -> Self {
         SharedState { initial_contents: InitialContents::none(), dedup: DedupTable::default() }
     }
 }
 
-/// What a node or the ledger answers.
+/// An answer of a node or the origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     /// The value of a read or the receipt of a write.
     Value,
-    /// The node lacks the key; `pending` if it has told another request of late to fetch it.
+    /// The node does not have the key. `pending` is set if another request was recently told to fetch it.
     Miss { pending: bool },
-    /// It failed, and may have run.
+    /// It failed and may have been executed.
     Error,
-    /// Turned away unseen.
+    /// Rejected without being executed.
     Busy,
-    /// Something that cannot be read, after which the connection ends.
-    Spoilt,
-    /// The connection is closed in place of an answer.
+    /// An unreadable answer, after which the connection ends.
+    Corrupted,
+    /// The connection is closed instead of an answer.
     Reset,
-    /// A probe's.
+    /// The answer to a probe.
     Report(Report),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EventKind {
-    /// Work on a job began. `key` is its idempotency key. `effect` tells whether it really ran: not for a miss, nor
-    /// for a repeat that was dropped; `made` whether something comes of it that can be served: not of a miss.
-    /// `writes` names what it changes.
+    /// Execution of a job began. `key` is its idempotency key. `effect` tells whether it was really executed,
+    /// which is false for a miss and for a dropped repeat; `made` whether it produces something that can be
+    /// served, which is false for a miss. `writes` is the key that it changes.
     Began {
         job: u64,
         of: TryNo,
@@ -116,11 +116,11 @@
         made: bool,
         writes: Option<u64>,
     },
-    /// `work` was done for it, in microseconds of a standard core.
+    /// A job was answered; `work` was done for it, in microseconds of a standard core.
     Answered { job: u64, answer: Answer, work: f64 },
-    /// It fell over, cold as it was, and stays down.
+    /// The cold node crashed from too much work, and stays down.
     OverloadCrash,
-    /// The ledger has been sent too much since then; whether it has stopped for it.
+    /// The origin has received too much since then; `stopped` tells whether it has stopped because of that.
     Overloaded { since: Micros, stopped: bool },
 }
 
@@ -130,24 +130,24 @@
     pub kind: EventKind,
 }
 
-/// How a connection that somebody opens fares.
+/// The result of opening a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialOutcome {
     Accepted,
-    /// Nobody listens, or the table is full.
+    /// No process listens, or the connection table is full.
     Refused,
-    /// Nothing comes back.
+    /// No reply arrives.
     Silent,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Its machine may be there, no process is.
+    /// No process runs; the machine may still be there.
     Down,
-    /// Nothing comes from there at all.
+    /// The machine is gone and sends nothing.
     Vanished,
     Up,
-    /// Turns away what is new.
+    /// Rejects new requests.
     Draining,
 }
 
@@ -164,12 +164,12 @@
     work: f64,
 }
 
-/// While a node is cold its speed is counted anew this often.
-const WARMING: Micros = 50_000;
-/// How long a miss makes later ones of its key `pending`, and keys that are remembered for it.
-const LEASE: Micros = 400_000;
+/// Interval at which the speed of a cold node is updated.
+const WARM_UP_STEP: Micros = 50_000;
+/// How long a miss makes later misses of its key `pending`, and the number of keys remembered for that.
+const LEASE_TIME: Micros = 400_000;
 const MAX_LEASES: usize = 4096;
-/// Jobs that a node which hangs takes in, each on a connection of its own.
+/// Requests that a hung node accepts, each on a connection of its own.
 const MAX_HELD: usize = 4096;
 
 #[derive(Clone, Debug)]
@@ -186,23 +186,24 @@
     window_sum: WindowSum,
     reports: Reports,
     leases: Map<u64, Micros>,
-    /// Taken in while it hangs.
+    /// Requests accepted while hung; the flag marks probes.
     hung: bool,
     held: Vec<(NodeRequest, bool)>,
-    /// Answers that come at their time whatever the station does: of probes and scripts, by time and order.
-    planned: Vec<(Micros, u64, Answer)>,
+    /// Answers scheduled for a fixed time, independent of the station: those of probes and scripts, with time
+    /// and job.
+    scheduled: Vec<(Micros, u64, Answer)>,
     probes: usize,
     script: Option<Script>,
-    /// Work that probes and handshakes have taken from what runs next.
-    debt: f64,
-    /// The end of the pause it is in, and when the next one begins.
+    /// Work of probes and handshakes, added to the next job that starts.
+    pending_overhead: f64,
+    /// End of the current pause, and start of the next one.
     paused: Option<Micros>,
     pause_at: Micros,
     speed_update_at: Micros,
-    slower: f64,
-    errors: f64,
-    spoils: f64,
-    /// Work done when its load was last asked for, and when that was.
+    slowdown: f64,
+    extra_error_rate: f64,
+    corruption_rate: f64,
+    /// When the load was last measured, and the work done until then.
     measured: (Micros, f64),
 }
 
@@ -225,16 +226,16 @@
             leases: Map::default(),
             hung: false,
             held: Vec::new(),
-            planned: Vec::new(),
+            scheduled: Vec::new(),
             probes: 0,
             script: None,
-            debt: 0.0,
+            pending_overhead: 0.0,
             paused: None,
             pause_at: if m.pause > 0.0 { first_pause } else { Micros::MAX },
             speed_update_at: Micros::MAX,
-            slower: 1.0,
-            errors: 0.0,
-            spoils: 0.0,
+            slowdown: 1.0,
+            extra_error_rate: 0.0,
+            corruption_rate: 0.0,
             measured: (0, 0.0),
             rng,
             machine,
@@ -245,7 +246,7 @@
         &self.machine
     }
 
-    /// Work a microsecond when warm, in microseconds of a standard core.
+    /// Work per microsecond when warm, in microseconds of a standard core.
     pub fn capacity(&self) -> f64 {
         f64::from(self.machine.cores) * self.machine.speed
     }
@@ -254,7 +255,7 @@
         matches!(self.state, State::Up | State::Draining)
     }
 
-    /// Listed as ready and running: what takes part in faults drawn by part.
+    /// Running and listed as ready. Faults that affect a part of the nodes choose among these.
     pub fn serves(&self) -> bool {
         self.state == State::Up
     }
@@ -272,7 +273,7 @@
         self.connections.len()
     }
 
-    /// Requests held: in work and waiting.
+    /// Requests being executed, waiting, or held while hung.
     pub fn held(&self) -> usize {
         self.station.running() + self.waiting.len() + self.held.len()
     }
@@ -281,9 +282,9 @@
         &self.store
     }
 
-    // ---- its life
+    // ---- lifecycle
 
-    /// Its process starts: warm as one that has run for long, or cold and empty.
+    /// Starts the process: warm as if it had run for a long time, or cold and empty.
     pub fn start(&mut self, now: Micros, cold: bool) {
         self.end(now);
         self.state = State::Up;
@@ -296,7 +297,7 @@
         self.update_speed(now);
     }
 
-    /// Its process is gone, and with it all that it had.
+    /// The process ends and loses all of its state.
     pub fn end(&mut self, now: Micros) {
         self.state = State::Down;
         self.station.clear(now);
@@ -306,25 +307,25 @@
         self.connections.clear();
         self.leases.clear();
         self.held.clear();
-        self.planned.clear();
-        (self.probes, self.debt, self.paused) = (0, 0.0, None);
+        self.scheduled.clear();
+        (self.probes, self.pending_overhead, self.paused) = (0, 0.0, None);
         self.speed_update_at = Micros::MAX;
     }
 
-    /// Its machine is gone without a word.
+    /// The machine disappears without notice.
     pub fn vanish(&mut self, now: Micros) {
         self.end(now);
         self.state = State::Vanished;
     }
 
-    /// It completes what it has and turns away what is new.
+    /// It completes what it has accepted and rejects new requests.
     pub fn drain(&mut self) {
         if self.state == State::Up {
             self.state = State::Draining;
         }
     }
 
-    /// It takes work and answers nothing until told to go on; then it answers what it took.
+    /// While hung it accepts requests and answers nothing; when released it processes what it accepted.
     pub fn set_hung(&mut self, now: Micros, hangs: bool, shared: &mut SharedState, out: &mut Vec<Event>) {
         self.advance(now, shared, out);
         self.hung = hangs;
@@ -339,30 +340,31 @@
         }
     }
 
-    /// It runs this many times slower.
+    /// Runs this many times slower than normal.
     pub fn set_slowdown(&mut self, now: Micros, times: f64, shared: &mut SharedState, out: &mut Vec<Event>) {
         self.advance(now, shared, out);
-        self.slower = times.max(0.001);
+        self.slowdown = times.max(0.001);
         self.update_speed(now);
     }
 
-    /// The part of its answers that are errors, beside its usual ones; and the part that cannot be read.
-    pub fn set_failure_rates(&mut self, errors: f64, spoils: f64) {
-        (self.errors, self.spoils) = (errors, spoils);
+    /// Sets the part of the answers that are errors, in addition to the machine's error rate, and the part
+    /// that is unreadable.
+    pub fn set_failure_rates(&mut self, extra_error_rate: f64, corruption_rate: f64) {
+        (self.extra_error_rate, self.corruption_rate) = (extra_error_rate, corruption_rate);
     }
 
-    /// It loses all that it keeps.
+    /// Drops everything in its store.
     pub fn forget(&mut self) {
         self.store.clear();
         self.leases.clear();
     }
 
-    /// From now on it answers as it is told, and does no work.
+    /// From now on it answers by the script and executes nothing.
     pub fn set_script(&mut self, script: Script) {
         self.script = Some(script);
     }
 
-    // ---- what reaches it
+    // ---- requests
 
     pub fn connect(&mut self, now: Micros, connection: u64) -> DialOutcome {
         match self.state {
@@ -376,7 +378,8 @@
         }
     }
 
-    /// The other side has closed. What waits for nobody is dropped, where the machine does that.
+    /// The peer has closed the connection. Its waiting requests are dropped if the machine is configured to
+    /// do so.
     pub fn disconnect(&mut self, connection: u64) {
         if self.connections.remove(&connection).is_none() || !self.machine.drops_cancelled {
             return;
@@ -392,7 +395,7 @@
         });
     }
 
-    /// A whole command has come.
+    /// A complete request has arrived.
     pub fn arrive(
         &mut self,
         now: Micros,
@@ -404,20 +407,20 @@
         let Some(connection) =
             self.connections.get_mut(&request.connection).filter(|_| self.state != State::Down)
         else {
-            return tell(out, now, request.job, Answer::Reset);
+            return push_answer(out, now, request.job, Answer::Reset);
         };
         if now - connection.used >= self.machine.idle_close {
             self.connections.remove(&request.connection);
-            return tell(out, now, request.job, Answer::Reset);
+            return push_answer(out, now, request.job, Answer::Reset);
         }
         connection.used = now;
         if std::mem::take(&mut connection.fresh) {
-            self.debt += self.machine.handshake;
+            self.pending_overhead += self.machine.handshake;
         }
         if let Some(step) = self.script.as_mut().map(Script::take) {
-            return self.scripted(now, request, step, out);
+            return self.answer_by_script(now, request, step, out);
         }
-        if self.overrun(now, request.work) {
+        if self.exceeds_overload_limit(now, request.work) {
             self.end(now);
             return out.push(Event { at: now, kind: EventKind::OverloadCrash });
         }
@@ -429,16 +432,16 @@
         }
         let room = self.waiting.len() < self.machine.waiting || self.station.is_free();
         if self.state == State::Draining || !room {
-            self.debt += self.machine.turn_away;
-            return tell(out, now, request.job, Answer::Busy);
+            self.pending_overhead += self.machine.reject_work;
+            return push_answer(out, now, request.job, Answer::Busy);
         }
         let job = self.jobs.insert(Job { request, answer: Answer::Value, work: 0.0 });
         self.waiting.push_back(job);
-        self.fill(now, shared, out);
+        self.start_waiting(now, shared, out);
         self.update_speed(now);
     }
 
-    /// Somebody asks for its load.
+    /// A request for the current load.
     pub fn probe(
         &mut self,
         now: Micros,
@@ -449,11 +452,11 @@
     ) {
         self.advance(now, shared, out);
         let Some(c) = self.connections.get_mut(&connection) else {
-            return tell(out, now, job, Answer::Reset);
+            return push_answer(out, now, job, Answer::Reset);
         };
         c.used = now;
         if std::mem::take(&mut c.fresh) {
-            self.debt += self.machine.handshake;
+            self.pending_overhead += self.machine.handshake;
         }
         if self.hung {
             if self.held.len() < MAX_HELD {
@@ -462,19 +465,19 @@
             }
             return;
         }
-        if self.probes >= self.machine.most_probes {
-            return tell(out, now, job, Answer::Busy);
+        if self.probes >= self.machine.max_probes {
+            return push_answer(out, now, job, Answer::Busy);
         }
-        // Answered beside the queue: its work is taken from what runs next.
-        self.debt += self.machine.probe;
+        // Probes bypass the queue: their work is added to the next job.
+        self.pending_overhead += self.machine.probe;
         self.probes += 1;
         self.reports.sample(now, self.station.spent().0, &mut self.rng);
         let report = Answer::Report(self.reports.latest(now));
         let after = (self.machine.probe / self.machine.speed) as Micros;
-        self.plan(self.paused.unwrap_or(now).max(now) + after.max(1), job, report);
+        self.schedule_answer(self.paused.unwrap_or(now).max(now) + after.max(1), job, report);
     }
 
-    /// What the ledger answered is kept where it was missed, if it still wants to be.
+    /// Stores a value that the origin returned after a miss here.
     pub fn store_value(&mut self, now: Micros, key: u64, bytes: u64) {
         if self.is_up() && self.script.is_none() {
             self.leases.remove(&key);
@@ -482,36 +485,36 @@
         }
     }
 
-    /// A key has changed at the ledger.
+    /// A key was written at the origin: drops the copy.
     pub fn invalidate(&mut self, key: u64) {
         self.store.remove(key);
     }
 
     // ---- time
 
-    /// When it wants to be moved along next.
+    /// When it needs to be advanced next.
     pub fn next(&self) -> Option<Micros> {
         if !self.is_up() {
             return None;
         }
-        let planned = self.planned.iter().map(|p| p.0).min();
+        let scheduled = self.scheduled.iter().map(|p| p.0).min();
         let pause = self.paused.unwrap_or(self.pause_at);
         let own = self.speed_update_at.min(pause);
-        let next = own.min(self.station.next().unwrap_or(Micros::MAX)).min(planned.unwrap_or(Micros::MAX));
+        let next = own.min(self.station.next().unwrap_or(Micros::MAX)).min(scheduled.unwrap_or(Micros::MAX));
         (next < Micros::MAX).then_some(next)
     }
 
-    /// Carries out all that is due by now.
+    /// Processes everything due by now.
     pub fn advance(&mut self, now: Micros, shared: &mut SharedState, out: &mut Vec<Event>) {
         while let Some(at) = self.next().filter(|at| *at <= now) {
             if let Some((at, job)) = self.station.end(at) {
                 self.finish(at, job as usize, out);
-                self.fill(at, shared, out);
+                self.start_waiting(at, shared, out);
                 self.update_speed(at);
-            } else if let Some(i) = self.first_planned().filter(|i| self.planned[*i].0 <= at) {
-                let (at, job, answer) = self.planned.remove(i);
+            } else if let Some(i) = self.first_scheduled().filter(|i| self.scheduled[*i].0 <= at) {
+                let (at, job, answer) = self.scheduled.remove(i);
                 self.probes -= usize::from(matches!(answer, Answer::Report(_)));
-                tell(out, at, job, answer);
+                push_answer(out, at, job, answer);
             } else if self.speed_update_at <= at {
                 self.update_speed(at);
             } else {
@@ -521,12 +524,12 @@
         self.reports.sample(now, self.station.spent().0, &mut self.rng);
     }
 
-    fn first_planned(&self) -> Option<usize> {
-        (0..self.planned.len()).min_by_key(|i| self.planned[*i].0)
+    fn first_scheduled(&self) -> Option<usize> {
+        (0..self.scheduled.len()).min_by_key(|i| self.scheduled[*i].0)
     }
 
-    fn plan(&mut self, at: Micros, job: u64, answer: Answer) {
-        self.planned.push((at, job, answer));
+    fn schedule_answer(&mut self, at: Micros, job: u64, answer: Answer) {
+        self.scheduled.push((at, job, answer));
     }
 
     fn pause(&mut self, at: Micros) {
@@ -543,49 +546,51 @@
         self.update_speed(at);
     }
 
-    /// Its speed, from all that bears on it.
+    /// Updates the speed from warmth, load, connections, pauses and injected slowness.
     fn update_speed(&mut self, now: Micros) {
         self.station.catch_up(now);
         let m = &self.machine;
         let spent = self.station.spent().1;
         let warmth = self.warmth.at(now, spent);
-        self.speed_update_at = if warmth < 1.0 { now + WARMING } else { Micros::MAX };
+        self.speed_update_at = if warmth < 1.0 { now + WARM_UP_STEP } else { Micros::MAX };
         let held = (self.station.running() + self.waiting.len()) as f64;
-        let crowd = 1.0 + m.crowd_loss * (held / f64::from(m.cores) - m.crowd_from).max(0.0);
-        let table = 1.0 - m.full_table_loss * self.connections.len() as f64 / m.connections as f64;
+        let crowding = 1.0 + m.crowd_loss * (held / f64::from(m.cores) - m.crowd_from).max(0.0);
+        let table_factor = 1.0 - m.full_table_loss * self.connections.len() as f64 / m.connections as f64;
         let still = self.hung || self.paused.is_some();
-        let speed = if still { 0.0 } else { m.speed * warmth * table.max(0.05) / crowd / self.slower };
+        let speed =
+            if still { 0.0 } else { m.speed * warmth * table_factor.max(0.05) / crowding / self.slowdown };
         self.station.set_speed(now, speed);
     }
 
-    /// Starts what waits while slots are free.
-    fn fill(&mut self, now: Micros, shared: &mut SharedState, out: &mut Vec<Event>) {
+    /// Starts waiting requests while slots are free.
+    fn start_waiting(&mut self, now: Micros, shared: &mut SharedState, out: &mut Vec<Event>) {
         while self.station.is_free() {
             let Some(i) = self.waiting.pop_front() else { return };
             let Some(request) = self.jobs.get(i).map(|j| j.request) else { continue };
             if self.machine.drops_expired && request.expires <= now {
                 self.jobs.remove(i);
-                tell(out, now, request.job, Answer::Busy);
+                push_answer(out, now, request.job, Answer::Busy);
                 continue;
             }
             let answer = self.decide(now, &request, shared);
             let part = if matches!(answer, Answer::Miss { .. }) { self.machine.miss_work } else { 1.0 };
-            let work = request.work * part + std::mem::take(&mut self.debt);
-            // A repeat of what this or another node has run of late is known, and has no effect.
+            let work = request.work * part + std::mem::take(&mut self.pending_overhead);
+            // A repeat of something that this or another node executed recently is detected and has no
+            // effect.
             let runs = !matches!(answer, Answer::Miss { .. });
             let known = request.repeat.filter(|_| runs);
             let dropped = known.is_some_and(|(key, window)| shared.dedup.seen(now, key, window));
-            begin(out, now, &request, runs && !dropped, runs);
+            push_began(out, now, &request, runs && !dropped, runs);
             self.jobs[i] = Job { request, answer, work };
             self.station.start(now, i as u64, work);
         }
     }
 
     fn decide(&mut self, now: Micros, request: &NodeRequest, shared: &mut SharedState) -> Answer {
-        if chance(self.machine.error_rate + self.errors, &mut self.rng) {
+        if chance(self.machine.error_rate + self.extra_error_rate, &mut self.rng) {
             return Answer::Error;
         }
-        // Writes belong to the ledger.
+        // Writes are executed by the origin.
         if request.write {
             return Answer::Miss { pending: false };
         }
@@ -602,57 +607,57 @@
         }
         let pending = self.leases.get(&request.key).is_some_and(|until| *until > now);
         if !pending && self.leases.len() < MAX_LEASES {
-            self.leases.insert(request.key, now + LEASE);
+            self.leases.insert(request.key, now + LEASE_TIME);
         }
         Answer::Miss { pending }
     }
 
     fn finish(&mut self, at: Micros, job: usize, out: &mut Vec<Event>) {
         let Some(Job { request, answer, work }) = self.jobs.try_remove(job) else { return };
-        let answer = if chance(self.spoils, &mut self.rng) { Answer::Spoilt } else { answer };
+        let answer = if chance(self.corruption_rate, &mut self.rng) { Answer::Corrupted } else { answer };
         if answer == Answer::Error {
             self.reports.error();
         }
         out.push(Event { at, kind: EventKind::Answered { job: request.job, answer, work } });
     }
 
-    fn scripted(&mut self, now: Micros, request: NodeRequest, step: Step, out: &mut Vec<Event>) {
+    fn answer_by_script(&mut self, now: Micros, request: NodeRequest, step: Step, out: &mut Vec<Event>) {
         let Some(answer) = step.answer else { return };
         let effect = matches!(answer, Answer::Value | Answer::Error);
         if effect || matches!(answer, Answer::Miss { .. }) {
-            begin(out, now, &request, effect, effect);
+            push_began(out, now, &request, effect, effect);
         }
-        self.plan(now + step.after.max(0), request.job, answer);
+        self.schedule_answer(now + step.after.max(0), request.job, answer);
     }
 
-    /// Counts what has come while cold; whether it was too much.
-    fn overrun(&mut self, now: Micros, work: f64) -> bool {
+    /// Adds work that arrived while cold; returns whether it was too much.
+    fn exceeds_overload_limit(&mut self, now: Micros, work: f64) -> bool {
         let warmth = self.warmth(now);
         if warmth >= 1.0 {
             return false;
         }
         let limits = &self.machine.limits;
         let sent = self.window_sum.add(now, limits.counted(work));
-        let able = self.capacity() * warmth * limits.fall_for as f64;
-        sent > limits.overload(able)
+        let capacity_in_window = self.capacity() * warmth * limits.fall_for as f64;
+        sent > limits.overload(capacity_in_window)
     }
 
-    /// The part of its warm capacity that it used since this was last asked.
+    /// The part of its warm capacity that it used since the last call.
     pub fn load(&mut self, now: Micros) -> f64 {
         self.station.catch_up(now.min(self.station.next().unwrap_or(now)));
         let (since, before) = std::mem::replace(&mut self.measured, (now, self.station.spent().1));
-        let able = self.capacity() * (now - since).max(1) as f64;
-        (self.station.spent().1 - before) / able
+        let capacity_in_window = self.capacity() * (now - since).max(1) as f64;
+        (self.station.spent().1 - before) / capacity_in_window
     }
 }
 
-pub(crate) fn begin(out: &mut Vec<Event>, at: Micros, request: &NodeRequest, effect: bool, made: bool) {
+pub(crate) fn push_began(out: &mut Vec<Event>, at: Micros, request: &NodeRequest, effect: bool, made: bool) {
     let NodeRequest { job, of, class, .. } = *request;
     let key = request.repeat.map(|(key, _)| key);
     let writes = Some(request.key).filter(|_| request.write && effect);
     out.push(Event { at, kind: EventKind::Began { job, of, class, key, effect, made, writes } });
 }
 
-fn tell(out: &mut Vec<Event>, at: Micros, job: u64, answer: Answer) {
+fn push_answer(out: &mut Vec<Event>, at: Micros, job: u64, answer: Answer) {
     out.push(Event { at, kind: EventKind::Answered { job, answer, work: 0.0 } });
 }
--- a/crates/world/src/recorder.rs
+++ b/crates/world/src/recorder.rs
@@ -1,14 +1,14 @@
-//! Counts what comes of requests into a [`Tally`] and a timeline: the same book-keeping for every host.
+//! Counts the results of requests into a [`Tally`] and a timeline; the same bookkeeping for every host.
 
 use crate::clients::{Request, TryEnd};
-use crate::ledger;
+use crate::origin;
 use crate::outcome::{ClassTally, Second, Tally, Work};
 use crate::random::ms;
 use crate::scenario::Scenario;
 use crate::Micros;
 
 const SECOND: Micros = 1_000_000;
-/// A timeline is no longer than a day and a little, whatever a clock says.
+/// Bounds the timeline to a little more than a day, whatever times are passed in.
 const MAX_SECONDS: usize = 100_000;
 
 #[derive(Clone, Debug)]
@@ -16,10 +16,10 @@
     aims: Vec<Micros>,
     tally: Tally,
     timeline: Vec<Second>,
-    /// The second that is under way, and its latencies by class.
+    /// The current second, and its latencies by class.
     second: usize,
     latencies: Vec<Vec<u32>>,
-    ledger: ledger::Counted,
+    origin: origin::Counters,
 }
 
 impl Recorder {
@@ -32,7 +32,7 @@
             timeline: Vec::new(),
             second: 0,
             latencies: vec![Vec::new(); s.clients.classes.len()],
-            ledger: ledger::Counted::default(),
+            origin: origin::Counters::default(),
         }
     }
 
@@ -44,7 +44,7 @@
         &mut self.timeline[i]
     }
 
-    /// A request that is to be sent now.
+    /// A request whose first try is to be sent.
     pub fn asked(&mut self, r: &Request) {
         self.at(r.at).worth_asked += r.worth;
         if let Some(class) = self.tally.classes.get_mut(usize::from(r.class.0)) {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A request is over, by the end of its last try.
+    /// A request is finished, by the end of its last try.
     pub fn over(&mut self, at: Micros, r: &Request, end: TryEnd) {
         let i = usize::from(r.class.0);
         let latency = at - r.at;
@@ -96,13 +96,13 @@
         }
         if end == TryEnd::Served {
             class.latency_us.add(latency);
-            self.pass(at);
+            self.close_seconds(at);
             self.latencies[i].push(latency.clamp(0, Micros::from(u32::MAX)) as u32);
         }
     }
 
-    /// Closes the seconds before this moment.
-    fn pass(&mut self, at: Micros) {
+    /// Completes the seconds before this moment.
+    fn close_seconds(&mut self, at: Micros) {
         let now = ((at.max(0) / SECOND) as usize).min(MAX_SECONDS);
         if now <= self.second {
             return;
@@ -124,9 +124,9 @@
         self.second = now;
     }
 
-    /// At the end of each second: the load of each node, and what the ledger has counted by now.
-    pub fn sampled(&mut self, at: Micros, node_load: Vec<f32>, out: usize, counted: ledger::Counted) {
-        let before = std::mem::replace(&mut self.ledger, counted);
+    /// Called at the end of each second with the load of each node and the origin's counters.
+    pub fn sampled(&mut self, at: Micros, node_load: Vec<f32>, out: usize, counted: origin::Counters) {
+        let before = std::mem::replace(&mut self.origin, counted);
         let second = self.at(at - 1);
         second.node_load = node_load;
         second.ledger_out = out as u32;
@@ -139,16 +139,16 @@
     }
 
     pub fn finish(mut self, at: Micros) -> (Tally, Vec<Second>) {
-        self.pass(at + SECOND);
+        self.close_seconds(at + SECOND);
         let classes = self.tally.classes.len();
         for second in &mut self.timeline {
             second.p50_us.resize(classes, None);
             second.p99_us.resize(classes, None);
         }
-        self.tally.ledger_reads = self.ledger.reads;
-        self.tally.ledger_writes = self.ledger.writes;
-        self.tally.ledger_refused = self.ledger.refused;
-        self.tally.ledger_stops = self.ledger.stops;
+        self.tally.ledger_reads = self.origin.reads;
+        self.tally.ledger_writes = self.origin.writes;
+        self.tally.ledger_refused = self.origin.refused;
+        self.tally.ledger_stops = self.origin.stops;
         (self.tally, self.timeline)
     }
 }
--- a/crates/world/src/rules/fail_back.rs
+++ b/crates/world/src/rules/fail_back.rs
@@ -1,18 +1,19 @@
-//! No cold node is pushed over, and no ledger stopped by misses at cold nodes.
+//! No cold node crashes from overload, and the origin is not stopped by misses at cold nodes.
 //!
-//! A budget over any window: what reaches a cold node stays under a multiple of what it can do now, times the
-//! window, and what chance adds to so many requests of mean work. A single request counts for five of them at most:
-//! a proxy chooses how many it sends, not how long each takes. It is the proxies' doing where two thirds of it came
-//! from such as had been told of the start. At the ledger, a spell of too much is theirs where misses at cold nodes (from when the
-//! proxy was told) made more than a part of it, and clearly more than the reads due to those nodes by their weight,
-//! cut by the warm-up that proxies are told of.
+//! The rule is a budget over a sliding window: the work that reaches a cold node must stay below a multiple
+//! of what the node can do now, times the window, plus a margin for random variation of that many requests of
+//! mean work. A single request counts for five of them at most: a proxy controls how many requests it sends,
+//! not how long each takes. The proxies are responsible if two thirds of the work came from proxies that had
+//! been told of the start. Overload of the origin is attributed to the proxies if misses at cold nodes (since
+//! the proxy was told) made up more than a part of it, and clearly more than the reads due to those nodes by
+//! their weight, reduced by the warm-up that proxies are told of.
 //!
-//! Beside the work, calls are counted: within any window no more than those that the settings allow a node by then, by
-//! the ramp that proxies are told of, and what chance adds to so many ([`chance_margin`]). Here no call counts for more than
-//! another, whatever it draws.
+//! In addition to the work, calls are counted: within any window no more than the settings allow a node by
+//! then, according to the ramp that proxies are told of, plus a margin for random variation of that many
+//! ([`chance_margin`]). Here every call counts the same, whatever its work.
 
 use super::Findings;
-use crate::facts::{Fact, NodeNo, ProxyNo, Status, LEDGER};
+use crate::facts::{Fact, NodeNo, ProxyNo, Status, ORIGIN};
 use crate::node::{chance_margin, MAX_COUNTED_REQUESTS};
 use crate::outcome::Rule;
 use crate::random::{ms, seconds, Map};
@@ -21,25 +22,25 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// The part of the pressure that comes from proxies which knew.
-const KNEW: f64 = 2.0 / 3.0;
-/// How often the reads due to cold nodes are worked out anew.
-const SHARES: Micros = 100_000;
+/// The part of the load that must come from proxies that had been told of the start.
+const INFORMED_PART: f64 = 2.0 / 3.0;
+/// Interval at which the reads due to cold nodes are recomputed.
+const SHARE_INTERVAL: Micros = 100_000;
 
 #[derive(Clone, Debug)]
 struct Node {
     weight: f64,
     capacity: f64,
-    /// `None` since ever.
+    /// `None` if it was warm from the beginning.
     started: Option<Micros>,
     sent: WindowSum,
-    knowing: WindowSum,
-    /// Said once a start.
-    broken: bool,
+    sent_informed: WindowSum,
+    /// Reported once per start.
+    work_reported: bool,
     calls: WindowSum,
-    knowing_calls: WindowSum,
-    /// Said once a start.
-    overloaded: bool,
+    calls_informed: WindowSum,
+    /// Reported once per start.
+    calls_reported: bool,
 }
 
 impl Node {
@@ -50,11 +51,11 @@
             capacity,
             started,
             sent: none.clone(),
-            knowing: none.clone(),
-            broken: false,
+            sent_informed: none.clone(),
+            work_reported: false,
             calls: none.clone(),
-            knowing_calls: none,
-            overloaded: false,
+            calls_informed: none,
+            calls_reported: false,
         }
     }
 }
@@ -70,24 +71,24 @@
     miss_part: f64,
     miss_multiple: f64,
     nodes: BTreeMap<NodeNo, Node>,
-    /// The start of each node as its proxies were told of it; `None` is long ago.
-    told: Map<(ProxyNo, NodeNo), Option<Micros>>,
-    /// At the ledger, over its own window: all that was asked, what came of misses at cold nodes, and reads due to
-    /// such nodes.
+    /// The start of each node's process as its proxies were told; `None` means long ago.
+    starts_reported: Map<(ProxyNo, NodeNo), Option<Micros>>,
+    /// At the origin, over its own window: all reads and writes, misses at cold nodes, and reads due to such
+    /// nodes.
     asked: WindowSum,
     misses: WindowSum,
     due: WindowSum,
-    /// Classes that read.
+    /// Whether each class reads.
     reads: Vec<bool>,
-    /// The part of the reads that is due to cold nodes, and when it was worked out.
+    /// The part of the reads due to cold nodes, and when it was computed.
     share: f64,
-    shared: Micros,
+    share_at: Micros,
 }
 
 impl FailBack {
     pub fn new(s: &Scenario) -> Self {
         let r = &s.rules;
-        let ledger = WindowSum::new(ms(s.ledger.fall_for_ms));
+        let origin = WindowSum::new(ms(s.ledger.fall_for_ms));
         FailBack {
             multiple: r.fall_multiple,
             window: ms(r.fall_for_ms),
@@ -98,33 +99,33 @@
             miss_part: r.cold_miss_part,
             miss_multiple: r.cold_miss_multiple,
             nodes: BTreeMap::new(),
-            told: Map::default(),
-            asked: ledger.clone(),
-            misses: ledger.clone(),
-            due: ledger,
+            starts_reported: Map::default(),
+            asked: origin.clone(),
+            misses: origin.clone(),
+            due: origin,
             reads: s.clients.classes.iter().map(|c| !c.write).collect(),
             share: 0.0,
-            shared: Micros::MIN,
+            share_at: Micros::MIN,
         }
     }
 
-    /// Whether a proxy was told of this start of a node. An entry of an earlier start that a new proxy finds in its first
-    /// list is later than this start and yet says nothing of it.
-    fn knows(&self, proxy: ProxyNo, node: NodeNo) -> bool {
+    /// Whether a proxy was told of this start of a node. A new proxy may find an entry of an earlier start in
+    /// its first list; it is received after this start but says nothing about it.
+    fn is_informed(&self, proxy: ProxyNo, node: NodeNo) -> bool {
         let Some(started) = self.nodes.get(&node).and_then(|n| n.started) else { return false };
-        let told = self.told.get(&(proxy, node)).copied().flatten();
-        told.is_some_and(|told| told >= started)
+        let reported = self.starts_reported.get(&(proxy, node)).copied().flatten();
+        reported.is_some_and(|reported| reported >= started)
     }
 
-    /// Cold by what proxies are told: for so long after its start.
+    /// Cold according to what proxies are told: for a fixed time after its start.
     fn is_cold(&self, at: Micros, node: NodeNo) -> bool {
         let started = self.nodes.get(&node).and_then(|n| n.started);
         started.is_some_and(|started| at < started + self.cold_for)
     }
 
-    /// The part of the reads due to cold nodes, by weights cut by the stated warm-up.
+    /// The part of the reads due to cold nodes, by weights reduced by the stated warm-up.
     fn cold_share(&mut self, at: Micros) -> f64 {
-        if at < self.shared.saturating_add(SHARES) {
+        if at < self.share_at.saturating_add(SHARE_INTERVAL) {
             return self.share;
         }
         let (mut all, mut cold) = (0.0, 0.0);
@@ -135,7 +136,7 @@
             all += weight;
             cold += if age < self.cold_for { weight } else { 0.0 };
         }
-        (self.share, self.shared) = (if all > 0.0 { cold / all } else { 0.0 }, at);
+        (self.share, self.share_at) = (if all > 0.0 { cold / all } else { 0.0 }, at);
         self.share
     }
 
@@ -144,19 +145,19 @@
             Fact::Started { node, weight, capacity, warm } => {
                 let started = (!warm).then_some(at);
                 self.nodes.insert(node, Node::new(weight, capacity, started, self.window));
-                self.shared = Micros::MIN;
+                self.share_at = Micros::MIN;
             }
             Fact::Ended { node } | Fact::OverloadCrash { node } => {
                 self.nodes.remove(&node);
-                self.shared = Micros::MIN;
+                self.share_at = Micros::MIN;
             }
             Fact::Listed { proxy, node, status: Status::Ready, started } => {
-                self.told.insert((proxy, node), started);
+                self.starts_reported.insert((proxy, node), started);
             }
-            Fact::Listed { proxy, node, .. } => drop(self.told.remove(&(proxy, node))),
-            Fact::ProxyEnded { proxy, .. } => self.told.retain(|(p, _), _| *p != proxy),
+            Fact::Listed { proxy, node, .. } => drop(self.starts_reported.remove(&(proxy, node))),
+            Fact::ProxyEnded { proxy, .. } => self.starts_reported.retain(|(p, _), _| *p != proxy),
             Fact::Arrived { proxy, node, work, warmth } => {
-                self.arrived(at, proxy, node, work as f64, warmth, findings)
+                self.check_work(at, proxy, node, work as f64, warmth, findings)
             }
             Fact::Taken { class, .. } if self.reads.get(usize::from(class.0)).is_some_and(|r| *r) => {
                 let share = self.cold_share(at);
@@ -164,14 +165,14 @@
                     self.due.add(at, share);
                 }
             }
-            Fact::LedgerAsked { proxy, after, .. } => {
+            Fact::OriginAsked { proxy, after, .. } => {
                 self.asked.add(at, 1.0);
-                let cold = after.is_some_and(|n| self.is_cold(at, n) && self.knows(proxy, n));
+                let cold = after.is_some_and(|n| self.is_cold(at, n) && self.is_informed(proxy, n));
                 if cold {
                     self.misses.add(at, 1.0);
                 }
             }
-            Fact::LedgerOverloaded { stopped, .. } => {
+            Fact::OriginOverloaded { stopped, .. } => {
                 let (asked, misses, due) = (self.asked.sum(at), self.misses.sum(at), self.due.sum(at));
                 if misses > self.miss_part * asked && misses > self.miss_multiple * due {
                     findings.add(Rule::FailBack, at, || {
@@ -187,7 +188,7 @@
         }
     }
 
-    fn arrived(
+    fn check_work(
         &mut self,
         at: Micros,
         proxy: ProxyNo,
@@ -196,22 +197,22 @@
         warmth: f64,
         findings: &mut Findings,
     ) {
-        if node == LEDGER {
+        if node == ORIGIN {
             return;
         }
-        self.called(at, proxy, node, findings);
+        self.check_calls(at, proxy, node, findings);
         if warmth >= 1.0 {
             return;
         }
-        let knows = self.knows(proxy, node);
+        let is_informed = self.is_informed(proxy, node);
         let Some(n) = self.nodes.get_mut(&node).filter(|n| n.started.is_some()) else { return };
         let work = work.min(self.slack);
         let sent = n.sent.add(at, work);
-        let knowing = n.knowing.add(at, if knows { work } else { 0.0 });
+        let sent_informed = n.sent_informed.add(at, if is_informed { work } else { 0.0 });
         let allowed = self.multiple * n.capacity / 1e6 * warmth * self.window as f64;
         let able = allowed + chance_margin(allowed / self.mean_work) * self.mean_work;
-        if sent > able && knowing >= KNEW * sent && !n.broken {
-            n.broken = true;
+        if sent > able && sent_informed >= INFORMED_PART * sent && !n.work_reported {
+            n.work_reported = true;
             findings.add(Rule::FailBack, at, || {
                 let (sent, able) = (sent / 1e3, able / 1e3);
                 format!(
@@ -222,17 +223,17 @@
         }
     }
 
-    /// The ramp that proxies are told of: the part of its capacity that a node has at this age at the least.
+    /// The ramp that proxies are told of: the minimum part of its capacity that a node has at this age.
     fn ramp(&self, age: Micros) -> f64 {
         let along = age.max(0) as f64 / self.cold_for.max(1) as f64;
         (self.cold_from + (1.0 - self.cold_from) * along).min(1.0)
     }
 
-    fn called(&mut self, at: Micros, proxy: ProxyNo, node: NodeNo, findings: &mut Findings) {
+    fn check_calls(&mut self, at: Micros, proxy: ProxyNo, node: NodeNo, findings: &mut Findings) {
         if !self.is_cold(at, node) {
             return;
         }
-        let knows = self.knows(proxy, node);
+        let is_informed = self.is_informed(proxy, node);
         let Some(started) = self.nodes.get(&node).and_then(|n| n.started) else { return };
         let ramp = self.ramp(at - started);
         let window = self.window as f64 / 1e6;
@@ -240,9 +241,9 @@
         let allowed = self.multiple * n.capacity * ramp * window / self.mean_work;
         let most = allowed + chance_margin(allowed);
         let calls = n.calls.add(at, 1.0);
-        let knowing = n.knowing_calls.add(at, if knows { 1.0 } else { 0.0 });
-        if calls > most && knowing >= KNEW * calls && !n.overloaded {
-            n.overloaded = true;
+        let sent_informed = n.calls_informed.add(at, if is_informed { 1.0 } else { 0.0 });
+        if calls > most && sent_informed >= INFORMED_PART * calls && !n.calls_reported {
+            n.calls_reported = true;
             findings.add(Rule::SlowStart, at, || {
                 let age = (at - started) as f64 / 1e6;
                 format!(
--- a/src/features/control.rs
+++ b/src/features/control.rs
@@ -16,8 +16,8 @@
 use crate::clock::Clock;
 use crate::features::addresses::AddressLists;
 use crate::interface::Micros;
-use crate::net::framed::{self, Outbox, Word};
-use crate::net::unmapped;
+use crate::net::canonical_address;
+use crate::net::framed::{self, ConnectionEvent, Outbox};
 use crate::signals::{SignalRequest, Signals};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -51,7 +51,7 @@
 
 enum Event {
     Accepted(Async<TcpStream>, SocketAddr),
-    Peer(PeerId, Word<Message>),
+    Peer(PeerId, ConnectionEvent<Message>),
     /// The records have been written, or the file has been rewritten.
     Written(Result<Box<Store>, String>),
     /// Accepting has failed. Sent once per series of failures.
@@ -217,7 +217,7 @@
         match listener.accept().await {
             Ok((socket, peer)) => {
                 failing = false;
-                let _ = queue.send(Event::Accepted(socket, unmapped(peer))).await;
+                let _ = queue.send(Event::Accepted(socket, canonical_address(peer))).await;
             }
             Err(why) => {
                 if !std::mem::replace(&mut failing, true) {
@@ -285,22 +285,22 @@
         false
     }
 
-    fn peer(&mut self, now: Micros, peer: PeerId, word: Word<Message>, out: &mut Vec<Output>) {
+    fn peer(&mut self, now: Micros, peer: PeerId, word: ConnectionEvent<Message>, out: &mut Vec<Output>) {
         let Some(p) = self.peers.get_mut(&peer) else { return };
         match word {
-            Word::Up => {
+            ConnectionEvent::Up => {
                 p.up = true;
                 if let Some(control) = p.dialled {
                     self.control.up(now, peer, ConnectionKind::Control(control), out);
                 }
             }
-            Word::Said(_) if p.closing => {}
-            Word::Said(message) => {
+            ConnectionEvent::Message(_) if p.closing => {}
+            ConnectionEvent::Message(message) => {
                 if let Err(why) = self.control.handle_message(now, peer, &message, out) {
                     self.refuse(peer, &why);
                 }
             }
-            Word::Down(why) => {
+            ConnectionEvent::Down(why) => {
                 let (address, dialled, known) = (p.address, p.dialled, p.up && !p.closing);
                 self.peers.remove(&peer);
                 if known {
@@ -330,12 +330,12 @@
         let _ = socket.get_ref().set_nodelay(true);
         self.last_peer += 1;
         let (peer, (outbox, inbox), queue) =
-            (self.last_peer, framed::outbox_of::<Message>(), self.queue.clone());
+            (self.last_peer, framed::outbox_for::<Message>(), self.queue.clone());
         let task = self.executor.spawn(async move {
-            let on_message = |message| Event::Peer(peer, Word::Said(message));
-            let why = framed::carry(&socket, inbox, &queue, on_message).await;
+            let on_message = |message| Event::Peer(peer, ConnectionEvent::Message(message));
+            let why = framed::run_connection(&socket, inbox, &queue, on_message).await;
             drop(socket);
-            let _ = queue.send(Event::Peer(peer, Word::Down(why))).await;
+            let _ = queue.send(Event::Peer(peer, ConnectionEvent::Down(why))).await;
         });
         let new = Peer { address, dialled: None, up: true, outbox, closing: false, _task: task };
         self.peers.insert(peer, new);
@@ -348,7 +348,7 @@
         let address = listed.address;
         self.peers.retain(|_, p| p.up || p.dialled != Some(control));
         self.last_peer += 1;
-        let (peer, (outbox, inbox)) = (self.last_peer, framed::outbox_of::<Message>());
+        let (peer, (outbox, inbox)) = (self.last_peer, framed::outbox_for::<Message>());
         let word = move |word| Event::Peer(peer, word);
         let task = self.executor.spawn(framed::dial(address, inbox, self.queue.clone(), word));
         let new = Peer { address, dialled: Some(control), up: false, outbox, closing: false, _task: task };
--- a/src/features/planner.rs
+++ b/src/features/planner.rs
@@ -5,8 +5,8 @@
 use crate::clock::Clock;
 use crate::features::addresses::AddressLists;
 use crate::interface::Micros;
+use crate::net::canonical_address;
 use crate::net::framed::{self, Outbox};
-use crate::net::unmapped;
 use crate::signals::{SignalRequest, Signals};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -122,7 +122,7 @@
         match listener.accept().await {
             Ok((socket, peer)) => {
                 failing = false;
-                let _ = queue.send(Event::Accepted(socket, unmapped(peer))).await;
+                let _ = queue.send(Event::Accepted(socket, canonical_address(peer))).await;
             }
             Err(why) => {
                 if !std::mem::replace(&mut failing, true) {
@@ -208,7 +208,8 @@
         self.last_peer += 1;
         let (peer, (outbox, inbox), queue) = (self.last_peer, framed::outbox(), self.queue.clone());
         let task = self.executor.spawn(async move {
-            let why = framed::carry(&socket, inbox, &queue, |message| Event::Message(peer, message)).await;
+            let why =
+                framed::run_connection(&socket, inbox, &queue, |message| Event::Message(peer, message)).await;
             drop(socket);
             let _ = queue.send(Event::Down(peer, why)).await;
         });
--- a/src/features/tap.rs
+++ b/src/features/tap.rs
@@ -5,8 +5,8 @@
 use crate::codec::discovery;
 use crate::core::Record;
 use crate::interface::{ClassId, TenantId};
-use crate::net::downstream::{farewell, Link, Order, Waits};
-use crate::net::{read, tell, uninterrupted, write_all, Note};
+use crate::net::downstream::{farewell, Link, TaskMessage, WaitingFor};
+use crate::net::{read, send_event, uninterrupted, write_all, LogEntry};
 use crate::settings::Site;
 use async_channel::{Receiver, Sender};
 use futures_lite::future;
@@ -225,29 +225,30 @@
     let registration = filter(link, &tap.site).await.and_then(|f| tap.join(f));
     let left = match registration {
         Ok((registration, woken)) => {
-            let note = Note::new("tap_watches", format!("tap: {} watches", link.caller)).caller(&link.caller);
-            tell(&link.queue, note).await;
-            link.progress.set(Waits::Answer);
+            let note =
+                LogEntry::new("tap_watches", format!("tap: {} watches", link.caller)).caller(&link.caller);
+            send_event(&link.queue, note).await;
+            link.progress.set_waiting_for(WaitingFor::Answer);
             match stream(link, &registration, &woken).await {
-                Some(waits) => link.progress.set(waits),
+                Some(waits) => link.progress.set_waiting_for(waits),
                 None => return,
             }
             if registration.1.lines.borrow().cut_off {
                 let text = format!("tap: {} cut, it reads too slowly", link.caller);
-                tell(&link.queue, Note::new("tap_cut", text).caller(&link.caller)).await;
+                send_event(&link.queue, LogEntry::new("tap_cut", text).caller(&link.caller)).await;
             }
             // From here on the registration is gone and no more lines are added.
             registration.1.lines.take()
         }
         Err(why) => {
-            link.progress.set(Waits::Close);
+            link.progress.set_waiting_for(WaitingFor::Close);
             Lines { bytes: format!("{REFUSED}{why}\n").into_bytes(), ..Lines::default() }
         }
     };
     // Even if the watcher never reads, this ends: writes do not count as progress, so the periodic sweep
     // closes the connection.
     if write_all(&link.socket, &left.bytes[left.written..]).await.is_ok() {
-        link.progress.set(Waits::Close);
+        link.progress.set_waiting_for(WaitingFor::Close);
         farewell(&link.socket).await;
     }
 }
@@ -256,7 +257,7 @@
 async fn filter(link: &Link, site: &Site) -> Result<Filter, String> {
     let mut input = link.input.take();
     loop {
-        if link.finishing && link.socket.is_quiet() {
+        if link.finishing && link.socket.has_nothing_unread() {
             return Err(NO_FILTER.into());
         }
         let line = input.iter().position(|b| *b == b'\n');
@@ -266,10 +267,10 @@
         if let Some(end) = line {
             return Filter::parse(&input[..end], site);
         }
-        link.progress.show(|shown| shown.part = input.len());
+        link.progress.update(|shown| shown.partial_bytes = input.len());
         let order = async {
-            while let Ok(Order::Look) = link.orders.recv().await {
-                link.progress.looked();
+            while let Ok(TaskMessage::Refresh) = link.orders.recv().await {
+                link.progress.refreshed();
             }
             Ok(0)
         };
@@ -282,22 +283,22 @@
 
 /// Writes lines to a watcher. Returns the state in which to write the rest, or `None` if the connection is
 /// broken.
-async fn stream(link: &Link, registration: &Registration<'_>, woken: &Receiver<()>) -> Option<Waits> {
+async fn stream(link: &Link, registration: &Registration<'_>, woken: &Receiver<()>) -> Option<WaitingFor> {
     let lines = &registration.1.lines;
     let mut input = Vec::new();
     loop {
         let (left, cut_off) = (lines.borrow().left(), lines.borrow().cut_off);
         if cut_off {
-            return Some(Waits::Peer);
+            return Some(WaitingFor::Peer);
         }
         let finish = async {
             match link.orders.recv().await {
-                Ok(Order::Look) => {
-                    link.progress.looked();
+                Ok(TaskMessage::Refresh) => {
+                    link.progress.refreshed();
                     Wakeup::More
                 }
-                Ok(Order::Answer(..)) => Wakeup::More,
-                Ok(Order::Finish | Order::Leave) | Err(_) => Wakeup::Finish,
+                Ok(TaskMessage::Answer(..)) => Wakeup::More,
+                Ok(TaskMessage::Finish | TaskMessage::FinishNow) | Err(_) => Wakeup::Finish,
             }
         };
         let more = async {
@@ -312,7 +313,7 @@
         };
         let read = async { Wakeup::Io(read(&link.socket, &mut input).await) };
         match future::or(finish, future::or(more, future::or(read, write))).await {
-            Wakeup::Finish => return Some(Waits::Close),
+            Wakeup::Finish => return Some(WaitingFor::Close),
             Wakeup::More => {}
             // Input after the filter is ignored.
             Wakeup::Io(Ok(1..)) => input.clear(),
--- a/src/owner/discovery.rs
+++ b/src/owner/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::config;
 use crate::core::Input;
-use crate::net::{cluster, Heard, Queue};
+use crate::net::{cluster, EventSender, WatchEvent};
 use crate::settings::Site;
 use async_executor::{LocalExecutor, Task};
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
         &mut self,
         after: Option<u64>,
         executor: &LocalExecutor<'static>,
-        queue: &Queue,
+        queue: &EventSender,
         site: &Rc<Site>,
     ) {
         if std::mem::take(&mut self.active) {
@@ -48,17 +48,17 @@
 
     /// Converts an event of a watch into an input for the core. An earlier watch says nothing about the state
     /// of the present one, but its lists are used until the present one has sent something.
-    pub(super) fn handle(&mut self, number: u64, heard: Heard) -> Option<Input> {
+    pub(super) fn handle(&mut self, number: u64, heard: WatchEvent) -> Option<Input> {
         let current = number == self.opened;
-        if current && matches!(heard, Heard::Told(_)) {
+        if current && matches!(heard, WatchEvent::Update(_)) {
             (self.active, self.previous) = (true, None);
         }
         match heard {
-            Heard::Answered if current => Some(Input::Cluster(None)),
-            Heard::Told(list) if current => Some(Input::Cluster(list)),
-            Heard::Ended if current => Some(Input::WatchEnded),
-            Heard::Told(Some(list)) if !self.active => Some(Input::PreviousWatch(list)),
-            Heard::Answered | Heard::Told(_) | Heard::Ended => None,
+            WatchEvent::Answered if current => Some(Input::Cluster(None)),
+            WatchEvent::Update(list) if current => Some(Input::Cluster(list)),
+            WatchEvent::Ended if current => Some(Input::WatchEnded),
+            WatchEvent::Update(Some(list)) if !self.active => Some(Input::PreviousWatch(list)),
+            WatchEvent::Answered | WatchEvent::Update(_) | WatchEvent::Ended => None,
         }
     }
 
--- a/src/owner/side.rs
+++ b/src/owner/side.rs
@@ -10,13 +10,13 @@
 use crate::features::snmp::{Identity, Snmp};
 use crate::features::tap::{self, Tap};
 use crate::interface::{KindId, Micros, ServerId};
-use crate::net::downstream::{self, Link, Waits};
-use crate::net::memcached::front::Front;
-use crate::net::memcached::stats::Published;
-use crate::net::memcached::{Desk, Speakers};
+use crate::net::command::{CommandParser, MainProtocol};
+use crate::net::downstream::{self, Link, WaitingFor};
+use crate::net::memcached::gateway::GatewayConnection;
+use crate::net::memcached::stats::PublishedStats;
+use crate::net::memcached::{MemcachedNodes, PortState};
 use crate::net::protocol::Protocol;
-use crate::net::upstream::Dialect;
-use crate::net::vocabulary::{Plain, Vocabulary};
+use crate::net::upstream::UpstreamProtocol;
 use std::cell::Cell;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -34,9 +34,9 @@
     tap: Option<Rc<Tap>>,
     addresses: Option<Rc<AddressFilter>>,
     figures: Option<Rc<Figures>>,
-    memcached: Option<Rc<Desk>>,
+    memcached: Option<Rc<PortState>>,
     /// Nodes that speak the memcached protocol.
-    speakers: Speakers,
+    speakers: MemcachedNodes,
     /// When refused logins were last logged.
     logins_logged: Micros,
     snmp: Option<Rc<Snmp>>,
@@ -48,10 +48,11 @@
     /// The error says which feature setting does not fit the site.
     pub(super) fn new(now: Micros, features: Features, identity: Identity) -> Result<Self, String> {
         let (site, seed) = (&identity.site.clone(), identity.seed);
-        let memcached = features.memcached.map(|settings| Desk::new(&settings, site, seed)).transpose()?;
+        let memcached =
+            features.memcached.map(|settings| PortState::new(&settings, site, seed)).transpose()?;
         Ok(Side {
             memcached: memcached.map(Rc::new),
-            speakers: Speakers::new(&features.memcachednodes, site)?,
+            speakers: MemcachedNodes::new(&features.memcachednodes, site)?,
             logins_logged: now,
             multiget: features.multiget,
             reads: Rc::default(),
@@ -64,16 +65,18 @@
     }
 
     /// The protocol a node speaks. A node that is no longer known is sent nothing.
-    pub(super) fn dialect(&self, origin: bool, node: Option<(ServerId, KindId)>) -> Dialect {
+    pub(super) fn dialect(&self, origin: bool, node: Option<(ServerId, KindId)>) -> UpstreamProtocol {
         match origin {
-            true => Dialect::Origin,
-            false if node.is_some_and(|(server, kind)| self.speakers.has(server, kind)) => Dialect::Memcached,
-            false => Dialect::Cache,
+            true => UpstreamProtocol::Origin,
+            false if node.is_some_and(|(server, kind)| self.speakers.contains(server, kind)) => {
+                UpstreamProtocol::Memcached
+            }
+            false => UpstreamProtocol::Cache,
         }
     }
 
     /// Publishes the figures that the memcached port returns.
-    pub(super) fn publish(&self, published: impl FnOnce() -> Published) {
+    pub(super) fn publish(&self, published: impl FnOnce() -> PublishedStats) {
         if let Some(desk) = &self.memcached {
             desk.stats.published.set(published());
         }
@@ -83,7 +86,7 @@
     pub(super) fn log_logins(&mut self, now: Micros, ending: bool) {
         let desk =
             self.memcached.as_ref().filter(|_| ending || now - self.logins_logged >= LOGIN_LOG_INTERVAL);
-        let Some((n, last)) = desk.and_then(|desk| desk.refused()) else { return };
+        let Some((n, last)) = desk.and_then(|desk| desk.take_refused()) else { return };
         self.logins_logged = now;
         let user = last.as_deref().unwrap_or("nobody known");
         warn!(
@@ -114,21 +117,23 @@
     }
 
     /// What a connection from `peer` has to send first.
-    pub(super) fn first(&self, peer: SocketAddr) -> Waits {
+    pub(super) fn first(&self, peer: SocketAddr) -> WaitingFor {
         match self.addresses.as_ref().is_some_and(|lists| lists.trusts(peer)) {
-            true => Waits::Header,
-            false => Waits::default(),
+            true => WaitingFor::Header,
+            false => WaitingFor::default(),
         }
     }
 
     /// The protocol of a port. For a tap only its handling of orders is used.
-    pub(super) fn protocol(&self, service: Service, vocabulary: &Rc<Vocabulary>) -> Box<dyn Protocol> {
+    pub(super) fn protocol(&self, service: Service, vocabulary: &Rc<CommandParser>) -> Box<dyn Protocol> {
         match (service, &self.multiget, &self.memcached) {
             (Service::Multiget, Some(settings), _) => {
                 Box::new(MultigetProtocol::new(settings, vocabulary.clone(), self.reads.clone()))
             }
-            (Service::Memcached, _, Some(desk)) => Box::new(Front::new(desk.clone(), vocabulary.clone())),
-            _ => Box::new(Plain(vocabulary.clone())),
+            (Service::Memcached, _, Some(desk)) => {
+                Box::new(GatewayConnection::new(desk.clone(), vocabulary.clone()))
+            }
+            _ => Box::new(MainProtocol(vocabulary.clone())),
         }
     }
 
