--- a/src/features/control.rs
+++ b/src/features/control.rs
@@ -1,10 +1,12 @@
-//! A control machine: carries numbered changes to every proxy, and knows which have them; carries no traffic. It owns
-//! the [`Control`], the connections of followers, of other control machines and of whoever submits, a task each
-//! ([`crate::net::framed`]), and a store's file ([`store`]).
+//! A control machine: distributes numbered changes to all proxies and tracks which proxies have them; it
+//! carries no client traffic. This module owns the [`Control`] state machine, the connections of followers,
+//! other control machines and submitters (one task each, see [`crate::net::framed`]) and a store's file
+//! ([`store`]).
 //!
-//! What the machine wants done is done in its order. A store's changes are written off this thread; until they last,
-//! all that is to be done after them waits, and what else is to be written by then goes with the next write: one
-//! fdatasync for many changes. A disk that fails or hangs ends the process, as if the machine had died: others go on.
+//! Outputs of the state machine are executed in order. A store's changes are written on another thread; until
+//! they are durable, all later outputs wait, and records that have to be written meanwhile are combined into
+//! the next write, so that one fdatasync covers many changes. A failing or hanging disk ends the process, as
+//! if the machine had failed; the other machines take over.
 
 pub mod settings;
 pub mod store;
@@ -31,47 +33,48 @@
 use store::{Loaded, Store};
 use tracing::{info, warn};
 
-/// News that may wait, and news taken before what is due is done.
-const QUEUE: usize = 1024;
-const AT_ONCE: usize = 256;
-/// What may wait for the disk, in things to be done. Past that it does not keep up.
-const WAITING: usize = 64 * 1024;
-/// How long a write may take, in us: far more than the lease, after which nobody waits for this machine.
-const WRITE: Micros = 10_000_000;
-/// Without a descriptor for a connection: how long until the next is tried.
-const CROWDED: Duration = Duration::from_millis(200);
-/// How often figures are told, and how many lines about peers between two of them; how often it is looked whether there
-/// is something else to tell.
-const FIGURES: Micros = 10_000_000;
-const LINES: u64 = 20;
-const LOOK: Micros = 200_000;
+/// Capacity of the event queue, and number of events handled before timers are checked.
+const QUEUE_CAPACITY: usize = 1024;
+const EVENTS_PER_TURN: usize = 256;
+/// Maximum number of outputs that wait for the disk; beyond that, the disk is too slow.
+const MAX_PENDING_OUTPUTS: usize = 64 * 1024;
+/// Maximum duration of a write in us. It is far longer than the lease, after which no other machine waits for
+/// this one.
+const WRITE_TIMEOUT: Micros = 10_000_000;
+/// Delay before accepting is retried after an error, such as a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Interval between figures in the log, maximum number of log lines about peers within it, and interval
+/// between checks for state changes to log.
+const FIGURES_INTERVAL: Micros = 10_000_000;
+const MAX_LINES: u64 = 20;
+const CHECK_INTERVAL: Micros = 200_000;
 
-enum News {
+enum Event {
     Accepted(Async<TcpStream>, SocketAddr),
     Peer(PeerId, ConnectionEvent<Message>),
-    /// The disk has the records, or the file anew.
+    /// The records have been written, or the file has been rewritten.
     Written(Result<Box<Store>, String>),
-    /// Told by the accepting task, once in a row.
-    Crowded(String),
-    /// The list of followers is to be read again.
+    /// Accepting has failed. Sent once per series of failures.
+    AcceptFailed(String),
+    /// The list of followers must be read again.
     Reload,
     End,
 }
 
 struct Peer {
     address: SocketAddr,
-    /// A control machine that we dialled.
+    /// The control machine that this connection was opened to, if it is an outgoing one.
     dialled: Option<ControlId>,
     up: bool,
     outbox: Outbox,
-    /// Its last words are on their way: the core knows it no more.
+    /// The reason for closing is being sent; the state machine has already dropped the peer.
     closing: bool,
     _task: Task<()>,
 }
 
-/// A store's disk.
+/// State of the store's disk.
 enum Disk {
-    /// It is no store.
+    /// This machine is not a store.
     None,
     Idle(Box<Store>),
     Writes {
@@ -84,39 +87,39 @@
     control: Control,
     settings: Settings,
     peers: BTreeMap<PeerId, Peer>,
-    last: PeerId,
+    last_peer: PeerId,
     lists: AddressLists,
-    queue: Sender<News>,
+    queue: Sender<Event>,
     executor: Rc<LocalExecutor<'static>>,
     disk: Disk,
-    /// What is to be done, in order. While the disk writes nothing of it is.
-    todo: VecDeque<Output>,
-    /// Why it cannot go on.
-    failed: Option<String>,
-    lines: u64,
-    told: Micros,
-    looked: Micros,
-    /// What was told of last.
-    takes: bool,
+    /// Outputs that have not been executed yet, in order. They all wait while the disk is written.
+    pending_outputs: VecDeque<Output>,
+    /// Why the process must end.
+    fatal_error: Option<String>,
+    logged_lines: u64,
+    last_figures: Micros,
+    last_check: Micros,
+    /// The state that was logged last.
+    accepting: bool,
     fresh: bool,
     conflicts: BTreeSet<StreamId>,
     refused: BTreeSet<(StreamId, u64)>,
 }
 
-/// What a control machine starts with.
+/// Initial state of a control machine.
 #[derive(Debug)]
 pub struct Start {
     pub address: SocketAddr,
     pub settings: Settings,
     pub lists: AddressLists,
-    /// The followers that there are, by their names' numbers.
+    /// The known followers, with their names by id.
     pub roster: BTreeMap<FollowerId, String>,
-    /// A store's file as it was found.
+    /// The content of the store's file.
     pub loaded: Option<Loaded>,
 }
 
-/// Serves until SIGTERM or SIGINT; SIGHUP has it read the list of followers again. All tasks are spawned on
-/// `executor`, whose thread this has to be. An error says why it cannot serve.
+/// Runs until SIGTERM or SIGINT; SIGHUP reloads the list of followers. All tasks are spawned on `executor`,
+/// which must run on the current thread. The error says why the machine cannot continue.
 pub async fn run(start: Start, executor: Rc<LocalExecutor<'static>>) -> Result<(), String> {
     let Start { address, settings, lists, roster, loaded } = start;
     let failed = |e| format!("cannot listen on {address}: {e}");
@@ -125,13 +128,13 @@
     let signals = Signals::new().map_err(|e| format!("signals: {e}"))?;
     let clock = Clock::new();
     let now = clock.now();
-    let (queue, news) = async_channel::bounded(QUEUE);
+    let (queue, events) = async_channel::bounded(QUEUE_CAPACITY);
     let (me, rules) = (settings.me(), settings.controls.rules()?);
     let (stores, followers) = (rules.stores, roster.len());
     let (records, disk) = match loaded {
         None => (Vec::new(), Disk::None),
         Some(Loaded { store, records, torn, older }) => {
-            tell_loaded(&settings, records.len(), torn, older);
+            log_loaded(&settings, records.len(), torn, older);
             (records, Disk::Idle(Box::new(store)))
         }
     };
@@ -154,17 +157,17 @@
         control,
         settings,
         peers: BTreeMap::new(),
-        last: 0,
+        last_peer: 0,
         lists,
         queue: queue.clone(),
         executor: executor.clone(),
         disk,
-        todo: VecDeque::new(),
-        failed: None,
-        lines: 0,
-        told: now,
-        looked: now,
-        takes: false,
+        pending_outputs: VecDeque::new(),
+        fatal_error: None,
+        logged_lines: 0,
+        last_figures: now,
+        last_check: now,
+        accepting: false,
         fresh: false,
         conflicts: BTreeSet::new(),
         refused: BTreeSet::new(),
@@ -172,23 +175,23 @@
     let _accept = executor.spawn(accept(listener, queue.clone()));
     let _signals = executor.spawn(async move {
         loop {
-            let news = match signals.next().await {
-                SignalRequest::Reload => News::Reload,
-                SignalRequest::End => News::End,
+            let event = match signals.next().await {
+                SignalRequest::Reload => Event::Reload,
+                SignalRequest::End => Event::End,
             };
-            let _ = queue.send(news).await;
+            let _ = queue.send(event).await;
         }
     });
-    host.work(&clock, &news).await;
-    if let Some(why) = host.failed {
+    host.run_loop(&clock, &events).await;
+    if let Some(why) = host.fatal_error {
         return Err(why);
     }
     info!(event = "ended", "ended");
     Ok(())
 }
 
-/// What was found in a store's file.
-fn tell_loaded(settings: &Settings, records: usize, torn: u64, older: Option<u32>) {
+/// Logs what was found in the store's file.
+fn log_loaded(settings: &Settings, records: usize, torn: u64, older: Option<u32>) {
     let file = settings.store.as_ref().map(|p| p.display().to_string()).unwrap_or_default();
     info!(event = "loaded", file, records, "{file}: {records} records");
     if torn > 0 {
@@ -196,7 +199,7 @@
             event = "torn",
             file,
             bytes = torn,
-            "{file}: a last record of {torn} bytes was torn and is gone"
+            "{file}: dropped an incomplete record of {torn} bytes at the end"
         );
     }
     if let Some(older) = older {
@@ -208,37 +211,37 @@
     }
 }
 
-async fn accept(listener: Async<TcpListener>, queue: Sender<News>) {
-    let mut crowded = false;
+async fn accept(listener: Async<TcpListener>, queue: Sender<Event>) {
+    let mut failing = false;
     loop {
         match listener.accept().await {
             Ok((socket, peer)) => {
-                crowded = false;
-                let _ = queue.send(News::Accepted(socket, canonical_address(peer))).await;
+                failing = false;
+                let _ = queue.send(Event::Accepted(socket, canonical_address(peer))).await;
             }
             Err(why) => {
-                if !std::mem::replace(&mut crowded, true) {
-                    let _ = queue.send(News::Crowded(why.to_string())).await;
+                if !std::mem::replace(&mut failing, true) {
+                    let _ = queue.send(Event::AcceptFailed(why.to_string())).await;
                 }
-                Timer::after(CROWDED).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// A stream as lines name it: its topic and the store that numbers it.
+/// The name of a stream in log lines: its topic and the store that numbers it.
 pub fn stream_name(of: StreamId) -> String {
     format!("{}.{}", of.topic, of.store.0)
 }
 
 impl Host {
-    async fn work(&mut self, clock: &Clock, news: &Receiver<News>) {
+    async fn run_loop(&mut self, clock: &Clock, events: &Receiver<Event>) {
         let mut timer = Timer::at(Instant::now());
-        while self.failed.is_none() {
+        while self.fatal_error.is_none() {
             let now = clock.now();
-            for _ in 0..AT_ONCE {
-                let Ok(one) = news.try_recv() else { break };
-                if self.hear(now, one) {
+            for _ in 0..EVENTS_PER_TURN {
+                let Ok(event) = events.try_recv() else { break };
+                if self.handle_event(now, event) {
                     return;
                 }
             }
@@ -248,35 +251,35 @@
                 self.carry_out(now, out);
             }
             self.watch_disk(now);
-            self.tell(now);
-            if !news.is_empty() {
+            self.log_changes(now);
+            if !events.is_empty() {
                 future::yield_now().await;
                 continue;
             }
-            timer.set_at(clock.instant(self.control.next_tick().min(now + LOOK)));
+            timer.set_at(clock.instant(self.control.next_tick().min(now + CHECK_INTERVAL)));
             let tick = async {
                 (&mut timer).await;
                 None
             };
-            if let Some(one) = future::or(async { news.recv().await.ok() }, tick).await {
-                if self.hear(clock.now(), one) {
+            if let Some(event) = future::or(async { events.recv().await.ok() }, tick).await {
+                if self.handle_event(clock.now(), event) {
                     return;
                 }
             }
         }
     }
 
-    /// Whether it is to end.
-    fn hear(&mut self, now: Micros, news: News) -> bool {
+    /// Handles an event. Returns whether the process must end.
+    fn handle_event(&mut self, now: Micros, event: Event) -> bool {
         let mut out = Vec::new();
-        match news {
-            News::Accepted(socket, address) => self.accepted(now, socket, address, &mut out),
-            News::Peer(peer, word) => self.peer(now, peer, word, &mut out),
-            News::Written(Ok(store)) => self.disk = Disk::Idle(store),
-            News::Written(Err(why)) => self.failed = Some(why),
-            News::Crowded(why) => warn!(event = "accept_failed", why, "accept failed: {why}"),
-            News::Reload => self.reload(),
-            News::End => return true,
+        match event {
+            Event::Accepted(socket, address) => self.accepted(now, socket, address, &mut out),
+            Event::Peer(peer, word) => self.peer(now, peer, word, &mut out),
+            Event::Written(Ok(store)) => self.disk = Disk::Idle(store),
+            Event::Written(Err(why)) => self.fatal_error = Some(why),
+            Event::AcceptFailed(why) => warn!(event = "accept_failed", why, "accept failed: {why}"),
+            Event::Reload => self.reload(),
+            Event::End => return true,
         }
         self.carry_out(now, out);
         false
@@ -304,7 +307,9 @@
                     self.control.down(now, peer, out);
                 }
                 if known || dialled.is_some() {
-                    self.line(|| info!(event = "peer_left", client = %address, why, "{address} left: {why}"));
+                    self.log_limited(
+                        || info!(event = "peer_left", client = %address, why, "{address} left: {why}"),
+                    );
                 }
             }
         }
@@ -318,60 +323,62 @@
         out: &mut Vec<Output>,
     ) {
         if !self.lists.admits(address.ip()) {
-            return self.line(
+            return self.log_limited(
                 || warn!(event = "refused", client = %address, "{address} refused by the address lists"),
             );
         }
         let _ = socket.get_ref().set_nodelay(true);
-        self.last += 1;
-        let (peer, (outbox, inbox), queue) = (self.last, framed::outbox_for::<Message>(), self.queue.clone());
+        self.last_peer += 1;
+        let (peer, (outbox, inbox), queue) =
+            (self.last_peer, framed::outbox_for::<Message>(), self.queue.clone());
         let task = self.executor.spawn(async move {
-            let said = |message| News::Peer(peer, ConnectionEvent::Message(message));
-            let why = framed::run_connection(&socket, inbox, &queue, said).await;
+            let on_message = |message| Event::Peer(peer, ConnectionEvent::Message(message));
+            let why = framed::run_connection(&socket, inbox, &queue, on_message).await;
             drop(socket);
-            let _ = queue.send(News::Peer(peer, ConnectionEvent::Down(why))).await;
+            let _ = queue.send(Event::Peer(peer, ConnectionEvent::Down(why))).await;
         });
         let new = Peer { address, dialled: None, up: true, outbox, closing: false, _task: task };
         self.peers.insert(peer, new);
         self.control.up(now, peer, ConnectionKind::Accepted, out);
     }
 
-    /// Opens a connection to another control machine; one that is only being opened there gives way.
+    /// Connects to another control machine. A connection to it that is not established yet is dropped.
     fn dial(&mut self, control: ControlId) {
         let Some(listed) = self.settings.controls.listed.get(usize::from(control.0)) else { return };
         let address = listed.address;
         self.peers.retain(|_, p| p.up || p.dialled != Some(control));
-        self.last += 1;
-        let (peer, (outbox, inbox)) = (self.last, framed::outbox_for::<Message>());
-        let word = move |word| News::Peer(peer, word);
+        self.last_peer += 1;
+        let (peer, (outbox, inbox)) = (self.last_peer, framed::outbox_for::<Message>());
+        let word = move |word| Event::Peer(peer, word);
         let task = self.executor.spawn(framed::dial(address, inbox, self.queue.clone(), word));
         let new = Peer { address, dialled: Some(control), up: false, outbox, closing: false, _task: task };
         self.peers.insert(peer, new);
     }
 
-    /// Tells a peer why its connection is closed; the core knows it no more.
+    /// Sends the reason for closing to a peer and closes the connection; the state machine has already
+    /// dropped it.
     fn refuse(&mut self, peer: PeerId, why: &CloseReason) {
         let Some(p) = self.peers.get_mut(&peer) else { return };
-        let (address, said) = (p.address, p.outbox.last(frame::refusal(why)));
+        let (address, sent) = (p.address, p.outbox.last(frame::refusal(why)));
         p.closing = true;
-        if !said {
+        if !sent {
             self.peers.remove(&peer);
         }
         let why = why.to_string();
-        self.line(|| warn!(event = "peer_refused", client = %address, why, "{address} closed: {why}"));
+        self.log_limited(|| warn!(event = "peer_refused", client = %address, why, "{address} closed: {why}"));
     }
 
-    /// Does what is to be done, as far as the disk lets it.
+    /// Executes outputs, except those that have to wait for the disk.
     fn carry_out(&mut self, now: Micros, out: Vec<Output>) {
-        self.todo.extend(out);
-        if self.todo.len() > WAITING {
-            self.failed = Some(self.disk_failed("it does not keep up"));
+        self.pending_outputs.extend(out);
+        if self.pending_outputs.len() > MAX_PENDING_OUTPUTS {
+            self.fatal_error = Some(self.disk_failed("writing does not keep up with the changes"));
             return;
         }
-        // What was encoded last: batches to many followers are the same message.
+        // The last encoded message, which is reused because batches to many followers share it.
         let mut last: Option<(Rc<Message>, Rc<[u8]>)> = None;
         while !matches!(self.disk, Disk::Writes { .. }) {
-            match self.todo.pop_front() {
+            match self.pending_outputs.pop_front() {
                 None => return self.rewrite(now),
                 Some(Output::Persist(records)) => self.persist(now, records),
                 Some(Output::Dial(control)) => self.dial(control),
@@ -383,7 +390,9 @@
                             Ok(bytes) => bytes.into(),
                             Err(why) => {
                                 let why = why.to_string();
-                                self.line(|| warn!(event = "not_told", why, "not told: {why}"));
+                                self.log_limited(|| {
+                                    warn!(event = "not_told", why, "message not sent: {why}")
+                                });
                                 continue;
                             }
                         },
@@ -402,13 +411,16 @@
         self.peers.remove(&peer);
         let mut out = Vec::new();
         self.control.down(now, peer, &mut out);
-        self.todo.extend(out);
-        self.line(|| warn!(event = "peer_cut", client = %address, "{address} cut, it reads too slowly"));
+        self.pending_outputs.extend(out);
+        self.log_limited(
+            || warn!(event = "peer_cut", client = %address, "{address} disconnected, it reads too slowly"),
+        );
     }
 
-    /// Writes these records and all others that wait to be written: earlier than they need.
+    /// Writes these records together with all others that are waiting to be written, earlier than they have
+    /// to be.
     fn persist(&mut self, now: Micros, mut records: Vec<Record>) {
-        for output in &mut self.todo {
+        for output in &mut self.pending_outputs {
             if let Output::Persist(more) = output {
                 records.append(more);
             }
@@ -417,20 +429,20 @@
             return;
         }
         let Disk::Idle(mut store) = std::mem::replace(&mut self.disk, Disk::None) else {
-            // Only stores have something to write, and none starts without a file.
-            self.failed = Some("control: a store without a controlstore".into());
+            // Only stores write records, and a store does not start without a file.
+            self.fatal_error = Some("control: a store without a controlstore".into());
             return;
         };
         let (queue, failed, bytes) = (self.queue.clone(), self.disk_failed(""), store::encode(&records));
         let task = self.executor.spawn(async move {
             let write = move || bytes.and_then(|bytes| store.append(&bytes)).map(|()| store);
             let written = blocking::unblock(write).await;
-            let _ = queue.send(News::Written(written.map_err(|e| format!("{failed}{e}")))).await;
+            let _ = queue.send(Event::Written(written.map_err(|e| format!("{failed}{e}")))).await;
         });
         self.disk = Disk::Writes { since: now, _task: task };
     }
 
-    /// Has the file written anew if it has grown. All that the machine holds lasts by now.
+    /// Rewrites the file if it has grown too much. At this point everything the machine holds is durable.
     fn rewrite(&mut self, now: Micros) {
         let Disk::Idle(store) = &self.disk else { return };
         if !store.needs_rewrite() {
@@ -442,14 +454,14 @@
         let task = self.executor.spawn(async move {
             let written = blocking::unblock(move || bytes.and_then(|bytes| store.rewrite(&bytes))).await;
             let written = written.map(Box::new).map_err(|e| format!("{failed}{e}"));
-            let _ = queue.send(News::Written(written)).await;
+            let _ = queue.send(Event::Written(written)).await;
         });
         self.disk = Disk::Writes { since: now, _task: task };
     }
 
     fn watch_disk(&mut self, now: Micros) {
-        if matches!(self.disk, Disk::Writes { since, .. } if now - since > WRITE) {
-            self.failed = Some(self.disk_failed("it hangs"));
+        if matches!(self.disk, Disk::Writes { since, .. } if now - since > WRITE_TIMEOUT) {
+            self.fatal_error = Some(self.disk_failed("a write takes too long, the disk hangs"));
         }
     }
 
@@ -458,7 +470,7 @@
         format!("control: {}: {why}", file.unwrap_or_default())
     }
 
-    /// Reads the list of followers again.
+    /// Reloads the list of followers.
     fn reload(&mut self) {
         let Some(path) = self.settings.followers.clone() else { return };
         match settings::roster(&path) {
@@ -467,47 +479,49 @@
                 info!(event = "reloaded", followers, "reloaded: {followers} followers");
                 self.control.set_roster(names.into_keys().collect());
             }
-            Err(why) => warn!(event = "not_reloaded", why, "not reloaded, the old list stays: {why}"),
+            Err(why) => {
+                warn!(event = "not_reloaded", why, "not reloaded, keeping the old list of followers: {why}")
+            }
         }
     }
 
-    /// A line of which there could be many.
-    fn line(&mut self, tell: impl FnOnce()) {
-        self.lines += 1;
-        if self.lines <= LINES {
-            tell();
+    /// Logs a line of a kind that can be frequent, up to [`MAX_LINES`] per interval.
+    fn log_limited(&mut self, log: impl FnOnce()) {
+        self.logged_lines += 1;
+        if self.logged_lines <= MAX_LINES {
+            log();
         }
     }
 
-    /// Lines about what has changed, and the figures.
-    fn tell(&mut self, now: Micros) {
-        if now - self.looked < LOOK {
+    /// Logs state changes and, once per interval, the figures.
+    fn log_changes(&mut self, now: Micros) {
+        if now - self.last_check < CHECK_INTERVAL {
             return;
         }
-        self.looked = now;
+        self.last_check = now;
         let stats = self.control.stats(now);
-        if stats.accepting != std::mem::replace(&mut self.takes, stats.accepting) {
+        if stats.accepting != std::mem::replace(&mut self.accepting, stats.accepting) {
             match stats.accepting {
-                true => info!(event = "takes", "takes submissions"),
-                false => warn!(event = "takes_none", "takes no submissions"),
+                true => info!(event = "takes", "accepting submissions"),
+                false => warn!(event = "takes_none", "not accepting submissions"),
             }
         }
-        // Known within the lease: who has no fresh instant is of no use to followers.
+        // 2 s is well within the lease; without a fresh instant this machine is of no use to followers.
         let fresh = stats.fresh.is_some_and(|at| now - at < 2_000_000);
         if fresh != std::mem::replace(&mut self.fresh, fresh) {
             match fresh {
-                true => info!(event = "fresh", "hears a majority of the stores"),
-                false => warn!(event = "not_fresh", "hears no majority of the stores"),
+                true => info!(event = "fresh", "in contact with a majority of the stores"),
+                false => warn!(event = "not_fresh", "not in contact with a majority of the stores"),
             }
         }
         for of in stats.conflicts.iter().filter(|s| !self.conflicts.contains(s)).copied().collect::<Vec<_>>()
         {
             let name = stream_name(of);
-            self.line(|| {
+            self.log_limited(|| {
                 warn!(
                     event = "conflict",
                     stream = name,
-                    "stream {name}: another control machine has another history; see docs/dissemination.md"
+                    "stream {name}: another control machine has a conflicting history; see docs/dissemination.md"
                 );
             });
         }
@@ -516,20 +530,20 @@
             stats.refused.iter().map(|(stream, number, _)| (*stream, *number)).collect();
         for (of, number) in refused.difference(&self.refused).copied().collect::<Vec<_>>() {
             let name = stream_name(of);
-            self.line(|| {
+            self.log_limited(|| {
                 warn!(
                     event = "change_refused",
                     stream = name,
                     number,
-                    "change {name}.{number} could not be put in force at a follower"
+                    "a follower could not apply change {name}.{number}"
                 );
             });
         }
         self.refused = refused;
-        if now - self.told < FIGURES {
+        if now - self.last_figures < FIGURES_INTERVAL {
             return;
         }
-        self.told = now;
+        self.last_figures = now;
         self.figures(now);
     }
 
@@ -577,18 +591,18 @@
             s.clients,
             s.unidentified,
         );
-        let left = std::mem::take(&mut self.lines).saturating_sub(LINES);
+        let left = std::mem::take(&mut self.logged_lines).saturating_sub(MAX_LINES);
         if left > 0 {
-            warn!(event = "left_out", lines = left, "{left} more lines left out");
+            warn!(event = "left_out", lines = left, "{left} more log lines suppressed");
         }
     }
 }
 
-/// Opens a store's file, for one that is a store.
+/// Opens the store's file, if this machine is a store.
 ///
 /// # Errors
 ///
-/// One line: a store without a file, a file that cannot be used.
+/// A one-line message if no file is configured or the file cannot be used.
 pub fn load(settings: &Settings) -> Result<Option<Loaded>, String> {
     let rules = settings.controls.rules()?;
     if !rules.is_store(settings.me()) {
