--- a/crates/history/examples/scale.rs
+++ b/crates/history/examples/scale.rs
@@ -3,7 +3,7 @@
 #[path = "../tests/simulated/mod.rs"]
 mod simulated;
 
-use history::register::{judge, Effort};
+use history::register::{check, Effort};
 use history::Verdict;
 use simulated::{Planted, Shape};
 use std::time::Instant;
@@ -23,7 +23,7 @@
             let shape = Shape { clients, operations, keys, values: 0, refused: 2, unknown, planted };
             let history = simulated::history(shape, 7);
             let from = Instant::now();
-            let verdict = judge(&history, &Effort::default());
+            let verdict = check(&history, &Effort::default());
             let ms = from.elapsed().as_millis();
             let (word, states, core) = match &verdict {
                 Verdict::Held(held) => ("held", held.states, 0),
--- a/crates/history/src/converge.rs
+++ b/crates/history/src/converge.rs
@@ -4,7 +4,7 @@
 //! host that knows the truth hands it in as one more observer's view. An observer that died or left says so by a sample
 //! without a view, and takes part again with its next one.
 
-use crate::{Listed, Micros, Verdict, Why, MOST};
+use crate::{Listed, Micros, UndecidedReason, Verdict, MAX_ITEMS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -44,7 +44,7 @@
 
 /// Where not.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Apart {
+pub struct Divergence {
     /// Since when they differed.
     pub from_us: Micros,
     /// Until when; none if to the end.
@@ -68,12 +68,12 @@
 type Now<'a> = BTreeMap<&'a str, Option<Option<&'a View>>>;
 
 /// Judges samples in the order of time; `observers` are those that must have a view, besides all that have samples.
-pub fn judge(samples: &[Sample], observers: &[&str], bound: &Bound) -> Verdict<Converged, Apart> {
-    if samples.len() > MOST || observers.len() > MOST {
-        return Verdict::NotDecided(Why::TooMany);
+pub fn check(samples: &[Sample], observers: &[&str], bound: &Bound) -> Verdict<Converged, Divergence> {
+    if samples.len() > MAX_ITEMS || observers.len() > MAX_ITEMS {
+        return Verdict::NotDecided(UndecidedReason::TooMany);
     }
     if let Some(two) = samples.windows(2).find(|two| two[0].at_us > two[1].at_us) {
-        return Verdict::NotDecided(Why::OutOfOrder(two[1].at_us));
+        return Verdict::NotDecided(UndecidedReason::OutOfOrder(two[1].at_us));
     }
     let mut now: Now = observers.iter().map(|o| (*o, None)).collect();
     now.extend(samples.iter().map(|s| (s.observer.as_str(), None)));
@@ -108,7 +108,7 @@
                     return Verdict::Broken(evidence(samples, observers, since, to, bound.within_us));
                 }
                 if !agreed {
-                    return Verdict::NotDecided(Why::EndsTooSoon);
+                    return Verdict::NotDecided(UndecidedReason::EndsTooSoon);
                 }
                 converged.longest_us = converged.longest_us.max(at - since);
                 apart = None;
@@ -126,7 +126,7 @@
     }
     match first {
         Some(first_us) if apart.is_none() => Verdict::Held(Converged { first_us, ..converged }),
-        _ => Verdict::NotDecided(Why::EndsTooSoon),
+        _ => Verdict::NotDecided(UndecidedReason::EndsTooSoon),
     }
 }
 
@@ -137,14 +137,14 @@
     from: Micros,
     to: Option<Micros>,
     within: Micros,
-) -> Apart {
+) -> Divergence {
     let mut now: Now = observers.iter().map(|o| (*o, None)).collect();
     now.extend(samples.iter().map(|s| (s.observer.as_str(), None)));
     for sample in samples.iter().take_while(|s| s.at_us <= from.saturating_add(within)) {
         now.insert(&sample.observer, Some(sample.view.as_ref()));
     }
     let mut apart =
-        Apart { from_us: from, to_us: to, silent: Listed::default(), subjects: Listed::default() };
+        Divergence { from_us: from, to_us: to, silent: Listed::default(), subjects: Listed::default() };
     let mut subjects: BTreeMap<&str, BTreeMap<Option<&str>, Vec<String>>> = BTreeMap::new();
     for (observer, view) in &now {
         match view {
--- a/crates/history/src/counter.rs
+++ b/crates/history/src/counter.rs
@@ -12,7 +12,7 @@
 
 /// Where all held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Adds {
+pub struct CounterStats {
     /// Counters.
     pub counters: u64,
     /// Totals that were compared.
@@ -21,7 +21,7 @@
 
 /// A total that cannot be.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Off {
+pub struct WrongTotal {
     /// The counter.
     pub key: String,
     /// When the total was asked for.
@@ -69,7 +69,7 @@
 }
 
 /// Judges all totals of a history; other operations are none of its business.
-pub fn judge(history: &History) -> Verdict<Adds, Listed<Off>> {
+pub fn check(history: &History) -> Verdict<CounterStats, Listed<WrongTotal>> {
     if let Err(wrong) = history.check() {
         return Verdict::NotDecided(wrong.into());
     }
@@ -90,7 +90,7 @@
             _ => {}
         }
     }
-    let (mut adds, mut found) = (Adds::default(), Listed::default());
+    let (mut adds, mut found) = (CounterStats::default(), Listed::default());
     for (key, mut counter) in counters {
         adds.counters += 1;
         counter.surely.sum_up();
@@ -101,7 +101,7 @@
             let maybe = counter.maybe.up_to(|at| at <= returned);
             let (least, most) = (surely.0 + maybe.1, surely.1 + maybe.0);
             if !(least..=most).contains(&i128::from(told)) {
-                found.add(Off { key: key.into(), invoked_us, told, least, most });
+                found.add(WrongTotal { key: key.into(), invoked_us, told, least, most });
             }
         }
     }
--- a/crates/history/src/finals.rs
+++ b/crates/history/src/finals.rs
@@ -4,7 +4,7 @@
 //! It owns nothing but the count of one pass; events come in the order of time. What a client left behind, or a killed
 //! process took with it, is released by whoever knows that: it is owed nothing, and may still get its one answer.
 
-use crate::{Listed, Micros, Verdict, Why, MOST};
+use crate::{Listed, Micros, UndecidedReason, Verdict, MAX_ITEMS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -38,7 +38,7 @@
 
 /// Where all held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Finals {
+pub struct AnswerStats {
     /// Requests that were taken.
     pub taken: u64,
     /// Of those, answered.
@@ -54,9 +54,9 @@
 }
 
 /// Judges events up to the end of a run. `until` is that end; what was taken then or later is not yet lost.
-pub fn judge(events: &[Event], until: Micros) -> Verdict<Finals, Listed<Fault>> {
-    if events.len() > MOST {
-        return Verdict::NotDecided(Why::TooMany);
+pub fn check(events: &[Event], until: Micros) -> Verdict<AnswerStats, Listed<Fault>> {
+    if events.len() > MAX_ITEMS {
+        return Verdict::NotDecided(UndecidedReason::TooMany);
     }
     let mut requests: BTreeMap<u64, Request> = BTreeMap::new();
     let mut found = Listed::default();
@@ -65,7 +65,7 @@
         let (Event::Taken { id, at_us } | Event::Answered { id, at_us, .. } | Event::Released { id, at_us }) =
             *event;
         if at_us < now {
-            return Verdict::NotDecided(Why::OutOfOrder(at_us));
+            return Verdict::NotDecided(UndecidedReason::OutOfOrder(at_us));
         }
         now = at_us;
         match (*event, requests.get_mut(&id)) {
@@ -82,7 +82,7 @@
             },
         }
     }
-    let mut sum = Finals::default();
+    let mut sum = AnswerStats::default();
     for (id, request) in &requests {
         sum.taken += 1;
         match request.answered {
--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -15,12 +15,12 @@
 //! | [`converge`] | views agree within a bound once the network is whole |
 //! | [`marks`] | no flapping, no wrong failures, how soon a kill is known |
 //!
-//! Arrows point up in this table. Bounds: [`MOST`] of whatever is handed in, [`LISTED`] pieces of evidence, and what a
+//! Arrows point up in this table. Bounds: [`MAX_ITEMS`] of whatever is handed in, [`MAX_LISTED`] pieces of evidence, and what a
 //! search may visit ([`register::Effort`]). Past them a judge says [`Verdict::NotDecided`].
 //!
 //! ```
 //! use history::operation::{Client, History, Kind, Operation, Outcome};
-//! use history::register::{judge, Effort};
+//! use history::register::{check, Effort};
 //!
 //! let mut seen = History::default();
 //! let write = |value: &str| Kind::Write { value: value.into() };
@@ -28,7 +28,7 @@
 //! seen.push(Operation::invoked(Client(1), "k", write("b"), 20).returned(30, Outcome::Done))?;
 //! // Client 2 asks after both were acknowledged, and is told the first.
 //! seen.push(Operation::invoked(Client(2), "k", Kind::Read, 40).returned(50, Outcome::Value("a".into())))?;
-//! let verdict = judge(&seen, &Effort::default());
+//! let verdict = check(&seen, &Effort::default());
 //! assert_eq!(verdict.broken().expect("a stale read").first[0].core.len(), 3);
 //! # Ok::<(), history::operation::Malformed>(())
 //! ```
@@ -50,10 +50,10 @@
 pub type Micros = i64;
 
 /// The most of anything that a judge takes: operations, events, samples, changes, elements.
-pub const MOST: usize = 1 << 20;
+pub const MAX_ITEMS: usize = 1 << 20;
 
 /// The most pieces of evidence of one kind that are listed; all are counted.
-pub const LISTED: usize = 16;
+pub const MAX_LISTED: usize = 16;
 
 /// What a judge says. `H` tells what was measured where all held, `B` is the evidence where not.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -64,7 +64,7 @@
     /// Something was broken.
     Broken(B),
     /// Neither can be said: never to be taken for [`Verdict::Held`].
-    NotDecided(Why),
+    NotDecided(UndecidedReason),
 }
 
 impl<H, B> Verdict<H, B> {
@@ -90,18 +90,18 @@
     }
 }
 
-/// Why a judge could not decide.
+/// UndecidedReason a judge could not decide.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum UndecidedReason {
     /// A search gave up at its bound, for these keys; all others held.
     #[error("gave up on {} keys", .0.count)]
     GaveUp(Listed<String>),
     /// The history is none.
     #[error("the history is malformed: {0}")]
     Malformed(#[from] Malformed),
-    /// More than [`MOST`] was handed in.
-    #[error("more than {MOST} were handed in")]
+    /// More than [`MAX_ITEMS`] was handed in.
+    #[error("more than {MAX_ITEMS} were handed in")]
     TooMany,
     /// Times go back where they must not.
     #[error("times go back at {0} us")]
@@ -116,7 +116,7 @@
 pub struct Listed<T> {
     /// Of all.
     pub count: u64,
-    /// The first [`LISTED`].
+    /// The first [`MAX_LISTED`].
     pub first: Vec<T>,
 }
 
@@ -130,7 +130,7 @@
     /// One more.
     pub fn add(&mut self, one: T) {
         self.count += 1;
-        if self.first.len() < LISTED {
+        if self.first.len() < MAX_LISTED {
             self.first.push(one);
         }
     }
--- a/crates/history/src/marks.rs
+++ b/crates/history/src/marks.rs
@@ -4,7 +4,7 @@
 //! It owns three judges over one list of [`Change`]s and the [`Truth`] of a run as the host made it. What the words mean
 //! (`avoided`, `failed`) is the caller's: it names those that take a subject out.
 
-use crate::{Listed, Micros, Verdict, Why, MOST};
+use crate::{Listed, Micros, UndecidedReason, Verdict, MAX_ITEMS};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -66,12 +66,12 @@
 }
 
 /// The changes by pair, without those that say the same again.
-fn by_pair(changes: &[Change]) -> Result<Said<'_>, Why> {
-    if changes.len() > MOST {
-        return Err(Why::TooMany);
+fn by_pair(changes: &[Change]) -> Result<Said<'_>, UndecidedReason> {
+    if changes.len() > MAX_ITEMS {
+        return Err(UndecidedReason::TooMany);
     }
     if let Some(two) = changes.windows(2).find(|two| two[0].at_us > two[1].at_us) {
-        return Err(Why::OutOfOrder(two[1].at_us));
+        return Err(UndecidedReason::OutOfOrder(two[1].at_us));
     }
     let mut pairs = Said::new();
     for change in changes {
@@ -264,7 +264,7 @@
     times.median_us = all.get(all.len() / 2).copied().unwrap_or(0);
     times.worst_us = all.last().copied().unwrap_or(0);
     match times.kills {
-        0 if times.cut_short > 0 => Verdict::NotDecided(Why::EndsTooSoon),
+        0 if times.cut_short > 0 => Verdict::NotDecided(UndecidedReason::EndsTooSoon),
         _ => Verdict::Held(times),
     }
 }
--- a/crates/history/src/operation.rs
+++ b/crates/history/src/operation.rs
@@ -5,14 +5,14 @@
 //! a client has one at a time. An operation whose outcome nobody was told may take effect at any time after its
 //! invocation, or never.
 //!
-//! Bounds: [`MOST`] operations a history, [`MOST_BYTES`] a key or a value.
+//! Bounds: [`MAX_ITEMS`] operations a history, [`MAX_BYTES`] a key or a value.
 
-use crate::{Fate, Micros, MOST};
+use crate::{Fate, Micros, MAX_ITEMS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// The longest key or value, in bytes; of what is longer, write down a digest.
-pub const MOST_BYTES: usize = 4096;
+pub const MAX_BYTES: usize = 4096;
 
 /// Who asks, one operation at a time. A client that starts anew without an answer to its last is another one, unless
 /// that last has a return of outcome [`Outcome::Unknown`] (it waited no longer).
@@ -119,7 +119,7 @@
             Kind::Write { value } | Kind::Insert { value } => value.len(),
             _ => 0,
         };
-        if self.key.len().max(value).max(asked) > MOST_BYTES {
+        if self.key.len().max(value).max(asked) > MAX_BYTES {
             return Err(Malformed::TooLong { client: self.client, invoked_us: self.invoked_us });
         }
         let fits = matches!(
@@ -145,16 +145,16 @@
     }
 }
 
-/// Why a list of operations is no history.
+/// UndecidedReason a list of operations is no history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)] // the fields are named alike all through, and for what they are
 pub enum Malformed {
     /// No room.
-    #[error("a history has {MOST} operations at most")]
+    #[error("a history has {MAX_ITEMS} operations at most")]
     Full,
     /// A key or a value is too long.
-    #[error("client {}'s operation of {invoked_us} us has a key or value longer than {MOST_BYTES} bytes", client.0)]
+    #[error("client {}'s operation of {invoked_us} us has a key or value longer than {MAX_BYTES} bytes", client.0)]
     TooLong { client: Client, invoked_us: Micros },
     /// No operation of this kind ends so.
     #[error("client {}'s operation of {invoked_us} us has an outcome of another kind", client.0)]
@@ -187,7 +187,7 @@
     type Error = Malformed;
 
     fn try_from(operations: Vec<Operation>) -> Result<Self, Malformed> {
-        if operations.len() > MOST {
+        if operations.len() > MAX_ITEMS {
             return Err(Malformed::Full);
         }
         Ok(History { operations })
@@ -201,9 +201,9 @@
 }
 
 impl History {
-    /// One more. Fails when there are [`MOST`].
+    /// One more. Fails when there are [`MAX_ITEMS`].
     pub fn push(&mut self, operation: Operation) -> Result<(), Malformed> {
-        if self.operations.len() >= MOST {
+        if self.operations.len() >= MAX_ITEMS {
             return Err(Malformed::Full);
         }
         self.operations.push(operation);
@@ -258,7 +258,7 @@
         if self.out.contains_key(&client) {
             return Err(Malformed::TwoAtOnce { client, invoked_us: at });
         }
-        if self.out.len() + self.history.operations.len() >= MOST {
+        if self.out.len() + self.history.operations.len() >= MAX_ITEMS {
             return Err(Malformed::Full);
         }
         self.out.insert(client, Operation::invoked(client, key, kind, at));
--- a/crates/history/src/register/mod.rs
+++ b/crates/history/src/register/mod.rs
@@ -15,7 +15,7 @@
 mod shrink;
 
 use crate::operation::{History, Kind, Operation, Outcome};
-use crate::{Listed, Micros, Verdict, Why};
+use crate::{Listed, Micros, UndecidedReason, Verdict};
 use search::{Found, Problem};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -59,7 +59,7 @@
 }
 
 /// Judges all registers of a history, in the order of their keys. A broken key outweighs one that was given up.
-pub fn judge(history: &History, effort: &Effort) -> Verdict<Linearizable, Listed<Broken>> {
+pub fn check(history: &History, effort: &Effort) -> Verdict<Linearizable, Listed<Broken>> {
     if let Err(wrong) = history.check() {
         return Verdict::NotDecided(wrong.into());
     }
@@ -79,7 +79,7 @@
             Found::Order => {}
             Found::GaveUp => given_up.add(key.to_owned()),
             // What is not listed need not be made small.
-            Found::None if broken.first.len() >= crate::LISTED => broken.count += 1,
+            Found::None if broken.first.len() >= crate::MAX_LISTED => broken.count += 1,
             Found::None => {
                 let (core, minimal) = shrink::shrink(operations, effort, states);
                 broken.add(Broken { key: key.into(), core: core.into_iter().cloned().collect(), minimal });
@@ -88,7 +88,7 @@
     }
     match () {
         () if !broken.is_empty() => Verdict::Broken(broken),
-        () if !given_up.is_empty() => Verdict::NotDecided(Why::GaveUp(given_up)),
+        () if !given_up.is_empty() => Verdict::NotDecided(UndecidedReason::GaveUp(given_up)),
         () => Verdict::Held(sum),
     }
 }
--- a/crates/history/src/set.rs
+++ b/crates/history/src/set.rs
@@ -4,13 +4,13 @@
 //! It owns the comparison of what was tried with what was seen at the end. Elements are names: of entries that were
 //! added, of keyed writes, of receipts. To judge runs, hand in a name each time it ran, as seen where it runs.
 
-use crate::{Fate, Listed, Verdict, Why, MOST};
+use crate::{Fate, Listed, UndecidedReason, Verdict, MAX_ITEMS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// Where all held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Whole {
+pub struct SetStats {
     /// Elements that were acknowledged, all there.
     pub acknowledged: u64,
     /// Elements that are there though nobody was told.
@@ -21,7 +21,7 @@
 
 /// Where not.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Differs {
+pub struct SetMismatch {
     /// Acknowledged, and not there.
     pub lost: Listed<String>,
     /// There, and never tried.
@@ -34,14 +34,14 @@
 
 /// Judges what was `seen` at the end by what was `tried`. Of several tries of one element, an acknowledged one says
 /// most, then an unknown one.
-pub fn judge<'a>(
+pub fn check<'a>(
     tried: impl IntoIterator<Item = (&'a str, Fate)>,
     seen: impl IntoIterator<Item = &'a str>,
-) -> Verdict<Whole, Differs> {
+) -> Verdict<SetStats, SetMismatch> {
     let mut elements: BTreeMap<&str, (Option<Fate>, u64)> = BTreeMap::new();
     for (n, (name, fate)) in tried.into_iter().enumerate() {
-        if n >= MOST {
-            return Verdict::NotDecided(Why::TooMany);
+        if n >= MAX_ITEMS {
+            return Verdict::NotDecided(UndecidedReason::TooMany);
         }
         let known = &mut elements.entry(name).or_default().0;
         *known = match (*known, fate) {
@@ -51,12 +51,12 @@
         };
     }
     for (n, name) in seen.into_iter().enumerate() {
-        if n >= MOST {
-            return Verdict::NotDecided(Why::TooMany);
+        if n >= MAX_ITEMS {
+            return Verdict::NotDecided(UndecidedReason::TooMany);
         }
         elements.entry(name).or_default().1 += 1;
     }
-    let (mut whole, mut differs) = (Whole::default(), Differs::default());
+    let (mut whole, mut differs) = (SetStats::default(), SetMismatch::default());
     for (name, (fate, times)) in elements {
         match (fate, times) {
             (Some(Fate::Acknowledged), 0) => differs.lost.add(name.into()),
@@ -71,7 +71,7 @@
             differs.again.add((name.into(), times));
         }
     }
-    match differs == Differs::default() {
+    match differs == SetMismatch::default() {
         true => Verdict::Held(whole),
         false => Verdict::Broken(differs),
     }
--- a/crates/history/tests/judges.rs
+++ b/crates/history/tests/judges.rs
@@ -4,7 +4,7 @@
 use history::finals::{self, Event, Fault};
 use history::marks::{detection, flapping, wrong_failures, Change, Cut, Down, Truth};
 use history::operation::{Client, History, Kind, Malformed, Operation, Outcome, Recorder};
-use history::{counter, register, set, Fate, Verdict, Why};
+use history::{counter, register, set, Fate, UndecidedReason, Verdict};
 use rstest::rstest;
 
 fn taken(id: u64, at_us: i64) -> Event {
@@ -27,7 +27,7 @@
 #[case::unasked(&[answered(4, 2, true)], Some(Fault::Unasked { id: 4, at_us: 2 }))]
 #[case::taken_twice(&[taken(1, 0), taken(1, 1), answered(1, 2, true)], Some(Fault::TakenTwice { id: 1, at_us: 1 }))]
 fn one_final_outcome(#[case] events: &[Event], #[case] fault: Option<Fault>) {
-    let verdict = finals::judge(events, 100);
+    let verdict = finals::check(events, 100);
     assert_eq!(verdict.broken().map(|found| found.first.clone()), fault.map(|f| vec![f]));
     assert_eq!(verdict.is_held(), fault.is_none());
 }
@@ -48,7 +48,7 @@
         ("u", Fate::Unknown),
         ("r", Fate::Refused),
     ];
-    let verdict = set::judge(tried, seen.iter().copied());
+    let verdict = set::check(tried, seen.iter().copied());
     let mut found = Vec::new();
     if let Some(d) = verdict.broken() {
         let of = [("lost", &d.lost), ("phantom", &d.phantom), ("refused", &d.refused)];
@@ -59,7 +59,7 @@
     assert_eq!(verdict.is_held(), wrong.is_empty());
 }
 
-/// Adds 5 (acknowledged by 10), 2 (unknown), -1 (unknown), 100 (refused), 7 (from 50 to 60), then asks.
+/// CounterStats 5 (acknowledged by 10), 2 (unknown), -1 (unknown), 100 (refused), 7 (from 50 to 60), then asks.
 fn adds(from: i64, to: i64, told: i64) -> History {
     let add = |who, at, amount| Operation::invoked(Client(who), "n", Kind::Add { amount }, at);
     let all = vec![
@@ -80,7 +80,7 @@
 #[case::at_once(0, 1, -1..=7)]
 fn counters_add_up(#[case] from: i64, #[case] to: i64, #[case] right: std::ops::RangeInclusive<i64>) {
     for told in -5..120 {
-        let verdict = counter::judge(&adds(from, to, told));
+        let verdict = counter::check(&adds(from, to, told));
         assert_eq!(verdict.is_held(), right.contains(&told), "{told}: {verdict:?}");
         if let Some(found) = verdict.broken() {
             assert_eq!(
@@ -113,7 +113,7 @@
 #[case::says_nothing("0 a x=up", None)]
 fn views_converge(#[case] text: &str, #[case] held: Option<(i64, i64)>) {
     let bound = Bound { whole_us: 100, within_us: 10, until_us: 200 };
-    let verdict = converge::judge(&samples(text), &["a", "b"], &bound);
+    let verdict = converge::check(&samples(text), &["a", "b"], &bound);
     assert_eq!(verdict.held().map(|c| (c.first_us, c.longest_us)), held);
     assert_eq!(verdict.broken().is_some(), held.is_none());
 }
@@ -122,15 +122,15 @@
 fn views_that_differ_are_told_by_who_says_what() {
     let bound = Bound { whole_us: 100, within_us: 10, until_us: 200 };
     let text = "0 a x=up,y=up; 0 b x=down,y=up; 0 c x=up,y=up; 0 d y=up; 150 b x=up,y=up";
-    let verdict = converge::judge(&samples(text), &["e"], &bound);
+    let verdict = converge::check(&samples(text), &["e"], &bound);
     let apart = verdict.broken().expect("apart");
     assert_eq!((apart.from_us, apart.to_us, &*apart.silent.first), (100, None, &["e".to_owned()][..]));
     let says = [(None, vec!["d"]), (Some("down"), vec!["b"]), (Some("up"), vec!["a", "c"])]
         .map(|(w, who)| (w.map(str::to_owned), who.into_iter().map(str::to_owned).collect::<Vec<_>>()));
     assert_eq!((apart.subjects.count, &apart.subjects.first[0].says[..]), (1, &says[..]));
     // Watched for too short a time, nothing can be said.
-    let verdict = converge::judge(&samples(text), &[], &Bound { until_us: 105, ..bound });
-    assert_eq!(verdict, Verdict::NotDecided(Why::EndsTooSoon));
+    let verdict = converge::check(&samples(text), &[], &Bound { until_us: 105, ..bound });
+    assert_eq!(verdict, Verdict::NotDecided(UndecidedReason::EndsTooSoon));
 }
 
 fn changes(text: &str) -> Vec<Change> {
@@ -201,7 +201,7 @@
     // What was watched for less than the bound says nothing.
     let times = *of(never, 130).held().expect("one");
     assert_eq!((times.kills, times.cut_short), (1, 1));
-    assert_eq!(of("0 a b up", 60), Verdict::NotDecided(Why::EndsTooSoon));
+    assert_eq!(of("0 a b up", 60), Verdict::NotDecided(UndecidedReason::EndsTooSoon));
 }
 
 #[test]
@@ -210,8 +210,8 @@
     let check = |all: Vec<Operation>| {
         let history = History::try_from(all).expect("few");
         let wrong = history.check();
-        let verdict = register::judge(&history, &register::Effort::default());
-        assert_eq!(matches!(verdict, Verdict::NotDecided(Why::Malformed(_))), wrong.is_err());
+        let verdict = register::check(&history, &register::Effort::default());
+        assert_eq!(matches!(verdict, Verdict::NotDecided(UndecidedReason::Malformed(_))), wrong.is_err());
         wrong
     };
     let client = Client(1);
@@ -274,14 +274,14 @@
     let reads = History::try_from(vec![
         Operation::invoked(Client(1), "k", Kind::Read, 0).returned(1, Outcome::Value("v".into()))
     ]);
-    let verdict = register::judge(&reads.expect("few"), &register::Effort::default());
+    let verdict = register::check(&reads.expect("few"), &register::Effort::default());
     let text = serde_json::to_string(&verdict).expect("text");
     assert!(verdict.broken().is_some());
     assert_eq!(
         serde_json::from_str::<Verdict<register::Linearizable, _>>(&text).expect("a verdict"),
         verdict
     );
-    let apart = converge::judge(
+    let apart = converge::check(
         &samples("0 a x=up; 0 b y=up"),
         &[],
         &Bound { whole_us: 0, within_us: 1, until_us: 9 },
--- a/crates/history/tests/register.rs
+++ b/crates/history/tests/register.rs
@@ -3,8 +3,8 @@
 mod simulated;
 
 use history::operation::{Client, History, Kind, Operation, Outcome};
-use history::register::{judge, Effort};
-use history::{Verdict, Why};
+use history::register::{check, Effort};
+use history::{UndecidedReason, Verdict};
 use rstest::rstest;
 use simulated::{Draw, Planted, Shape};
 
@@ -74,7 +74,7 @@
 /// Judged as brute force does; what is broken has a core that is broken by itself, from which nothing can be left out
 /// that changes nothing.
 fn compare(history: &History) -> bool {
-    match judge(history, &Effort::default()) {
+    match check(history, &Effort::default()) {
         Verdict::Held(_) => assert!(ordered(history), "{history:?}"),
         Verdict::Broken(found) => {
             assert!(!ordered(history), "{history:?}");
@@ -122,10 +122,10 @@
 ) {
     let shape = Shape { clients: 10, operations: 10_000, keys, values, refused: 5, unknown, planted: None };
     for seed in 0..3 {
-        let verdict = judge(&simulated::history(shape, seed), &Effort::default());
+        let verdict = check(&simulated::history(shape, seed), &Effort::default());
         assert!(verdict.held().is_some_and(|h| h.keys == keys), "{verdict:?}");
         let shape = Shape { planted: Some(Planted::Stale), ..shape };
-        let verdict = judge(&simulated::history(shape, seed), &Effort::default());
+        let verdict = check(&simulated::history(shape, seed), &Effort::default());
         let broken = &verdict.broken().expect("stale reads").first[0];
         assert!(broken.core.iter().all(|o| o.key == broken.key));
         assert!(broken.core.len() < 20, "{} in the core", broken.core.len());
@@ -137,14 +137,17 @@
     let shape =
         Shape { clients: 30, operations: 400, keys: 1, values: 0, refused: 0, unknown: 0, planted: None };
     let few = Effort { states: 20, ..Effort::default() };
-    let verdict = judge(&simulated::history(shape, 1), &few);
+    let verdict = check(&simulated::history(shape, 1), &few);
     assert!(
-        matches!(&verdict, Verdict::NotDecided(Why::GaveUp(keys)) if keys.first == ["k0"]),
+        matches!(&verdict, Verdict::NotDecided(UndecidedReason::GaveUp(keys)) if keys.first == ["k0"]),
         "{verdict:?}"
     );
     let little = Effort { bytes: 2_000, ..Effort::default() };
-    assert!(matches!(judge(&simulated::history(shape, 1), &little), Verdict::NotDecided(Why::GaveUp(_))));
-    assert!(judge(&simulated::history(shape, 1), &Effort::default()).is_held());
+    assert!(matches!(
+        check(&simulated::history(shape, 1), &little),
+        Verdict::NotDecided(UndecidedReason::GaveUp(_))
+    ));
+    assert!(check(&simulated::history(shape, 1), &Effort::default()).is_held());
 }
 
 /// `WHO KEY KIND FROM..TO OUTCOME` by line: `w1 r2 i3 d`, `x` has no value, `?` unknown, `!` refused, `-` no return.
@@ -197,6 +200,6 @@
 fn planted(#[case] text: &str, #[case] core: Option<usize>) {
     let history = read(text);
     compare(&history);
-    let verdict = judge(&history, &Effort::default());
+    let verdict = check(&history, &Effort::default());
     assert_eq!(verdict.broken().map(|found| found.first[0].core.len()), core, "{verdict:?}");
 }
--- a/crates/lab/src/dissemination/network.rs
+++ b/crates/lab/src/dissemination/network.rs
@@ -5,7 +5,7 @@
 //! to come up. Nothing here knows what is carried.
 
 use super::Node;
-use world::fleet::link::{RETRANSMISSION_US, SEGMENT};
+use world::fleet::link::{RETRANSMISSION_US, SEGMENT_BYTES};
 use world::geography::Spot;
 use world::random::{chance, exponential, Random};
 use world::Micros;
@@ -107,7 +107,7 @@
             return if way.waiting > WAITING { Sent::Full } else { Sent::Held };
         }
         let mut at = now + delay(way_us, rng);
-        for _ in 0..bytes.div_ceil(SEGMENT) {
+        for _ in 0..bytes.div_ceil(SEGMENT_BYTES) {
             let mut wait = RETRANSMISSION_US + 2 * way_us;
             while chance(loss, rng) {
                 at += wait;
--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -202,7 +202,7 @@
         let end = self.met.last().map_or(0, |m| match m {
             Met::Asked { at, .. } | Met::Ended { at, .. } | Met::Stray { at, .. } => *at,
         });
-        match finals::judge(&events, end) {
+        match finals::check(&events, end) {
             Verdict::Held(_) => {}
             Verdict::Broken(found) => {
                 let who = |id: &u64| {
@@ -281,7 +281,7 @@
             until_us: self.until,
         };
         let at_s = s(self.plan.over + bound.within_us);
-        match converge::judge(&samples, &names, &bound) {
+        match converge::check(&samples, &names, &bound) {
             Verdict::Held(held) => {
                 // Views may be right and wrong again within the bound: for good is from the last change on.
                 let last = samples.iter().filter(|s| s.view.as_ref().is_some_and(|v| !v.is_empty()));
@@ -366,7 +366,7 @@
         let forwarders = self.forwarders();
         for node in self.nodes() {
             let name = self.plan.name(node);
-            let doubtful = truth.doubtful_to_any(node);
+            let doubtful = truth.maybe_silent_to_any(node);
             // How many avoid it, from each moment on.
             let mut steps: Vec<(Micros, i64)> = Vec::new();
             for f in &forwarders {
@@ -429,7 +429,7 @@
     fn kept(&self, truth: &Truth, breaches: &mut Vec<Breach>) {
         for f in self.forwarders() {
             let Some(track) = self.track(f) else { continue };
-            let unguided = truth.unguided(f);
+            let unguided = truth.maybe_without_planner(f);
             for node in self.nodes() {
                 let silent = truth.silent(node, f);
                 for (_, until, _) in track.avoided(self.plan.name(node)) {
@@ -474,8 +474,8 @@
                     None => figures.never_avoided += 1,
                 }
                 let Some(bound) = bound.filter(|b| from + b <= until) else { continue };
-                let disturbed =
-                    self.disturbed(f, *from, from + bound) || truth.unguided(f).touch(*from, from + bound);
+                let disturbed = self.disturbed(f, *from, from + bound)
+                    || truth.maybe_without_planner(f).touch(*from, from + bound);
                 if !disturbed && after.is_none_or(|a| a > bound) {
                     let names: Vec<&str> = group.iter().map(|(n, _)| self.plan.name(*n)).collect();
                     let who = self.plan.name(f);
--- a/crates/lab/src/fleet/links/owner.rs
+++ b/crates/lab/src/fleet/links/owner.rs
@@ -254,7 +254,7 @@
         let (id, tell) = (self.count, self.tell.clone());
         let (there, back) = (relay.there.clone(), relay.back.clone());
         // Known now: the link may be healed before the task has its first turn.
-        let held = there.holds_all() || back.holds_all();
+        let held = there.blocks_all() || back.blocks_all();
         let work = tcp::connection(socket, held, relay.target.clone(), there, back, self.room.clone());
         let task = self.executor.spawn(async move {
             work.await;
--- a/crates/lab/src/fleet/links/tcp.rs
+++ b/crates/lab/src/fleet/links/tcp.rs
@@ -98,7 +98,7 @@
 /// A handshake needs both directions. Whether it is done; not if the opener has left while it was held.
 async fn comes_up(near: &Async<TcpStream>, mut held: bool, there: &Way, back: &Way, room: &Room) -> bool {
     loop {
-        if there.holds_all() || back.holds_all() {
+        if there.blocks_all() || back.blocks_all() {
             held = true;
             let look = room.until(Some(room.now() + LOOK_US));
             future::or(future::or(there.changes(), back.changes()), look).await;
@@ -115,7 +115,7 @@
             back.changes().await;
             false
         };
-        if future::or(passed, cut).await && !there.holds_all() && !back.holds_all() {
+        if future::or(passed, cut).await && !there.blocks_all() && !back.blocks_all() {
             return !held || !has_left(near.get_ref());
         }
     }
@@ -251,7 +251,7 @@
         }
         let room = self.room;
         let mut scratch = room.scratch.borrow_mut();
-        let most = self.way.most_at_once(READ).min(BUFFERED - self.waiting);
+        let most = self.way.max_chunk_len(READ).min(BUFFERED - self.waiting);
         let what = match self.from.socket.get_ref().read(&mut scratch[..most]) {
             Ok(0) if self.from.dead.get() => What::Reset,
             Ok(0) => What::End,
--- a/crates/lab/src/fleet/links/udp.rs
+++ b/crates/lab/src/fleet/links/udp.rs
@@ -48,7 +48,7 @@
         loop {
             if version != self.way.version() {
                 version = self.way.version();
-                if self.way.holds_all() {
+                if self.way.blocks_all() {
                     self.way.count(|t| t.lost += flight.all.len() as u64);
                     flight = Flight::default();
                 }
--- a/crates/lab/src/fleet/links/way.rs
+++ b/crates/lab/src/fleet/links/way.rs
@@ -71,16 +71,16 @@
         self.changed.listen().await;
     }
 
-    pub fn holds_all(&self) -> bool {
-        self.condition.borrow().holds_all()
+    pub fn blocks_all(&self) -> bool {
+        self.condition.borrow().blocks_all()
     }
 
     pub fn refuses(&self) -> bool {
         self.condition.borrow().refuse
     }
 
-    pub fn most_at_once(&self, most: usize) -> usize {
-        self.condition.borrow().most_at_once(most)
+    pub fn max_chunk_len(&self, most: usize) -> usize {
+        self.condition.borrow().max_chunk_len(most)
     }
 
     pub fn chunk(&self, now_us: Micros, len: usize, behind_us: Micros) -> ChunkFate {
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -28,7 +28,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use world::fleet::fault::Role;
-use world::fleet::schedule::{Act, Action, Folder, NodeAct, Plan, Schedule, Step};
+use world::fleet::schedule::{Action, Folder, NodeAction, Plan, ProcessAction, Schedule, Step};
 use world::random::{seconds, seed_of};
 use world::Micros;
 
@@ -358,9 +358,9 @@
                 let first = plan.of(Role::Node).next().unwrap_or(0);
                 self.stage.node(who - first, *what);
                 let word = match what {
-                    NodeAct::Hang => "hangs",
-                    NodeAct::Crash => "crashes",
-                    NodeAct::Serve => "serves",
+                    NodeAction::Hang => "hangs",
+                    NodeAction::Crash => "crashes",
+                    NodeAction::Serve => "serves",
                 };
                 self.log.tell(&Arc::from(plan.name(*who)), 1, "lab_node", word.to_owned());
             }
@@ -374,7 +374,7 @@
     }
 
     /// What another fault has undone already, or a process that is gone, is no error of the run: it is in the log.
-    fn act(&self, name: &str, what: Act) -> Result<(), super::processes::ProcessError> {
+    fn act(&self, name: &str, what: ProcessAction) -> Result<(), super::processes::ProcessError> {
         let p = &self.processes;
         let spec = |limit: bool| {
             let (mut spec, newer) = self.specs.get(name).cloned()?;
@@ -387,15 +387,15 @@
             Some(spec)
         };
         match what {
-            Act::Terminate => p.terminate(name),
-            Act::Kill => p.kill(name),
-            Act::Stop => p.stop(name),
-            Act::Resume => p.resume(name),
-            Act::Start { folder: Folder::Empty } => {
+            ProcessAction::Terminate => p.terminate(name),
+            ProcessAction::Kill => p.kill(name),
+            ProcessAction::Stop => p.stop(name),
+            ProcessAction::Resume => p.resume(name),
+            ProcessAction::Start { folder: Folder::Empty } => {
                 let how = Restart { folder: super::processes::Folder::Empty, ..Restart::default() };
                 p.restart(name, how)
             }
-            Act::Start { folder: Folder::Kept } => {
+            ProcessAction::Start { folder: Folder::Kept } => {
                 let Some(spec) = spec(false) else { return Ok(()) };
                 if matches!(p.state(name)?, State::Ended(_)) {
                     return p.start(spec).map(drop);
@@ -403,13 +403,13 @@
                 self.start_once_ended(spec);
                 Ok(())
             }
-            Act::StartLimited => {
+            ProcessAction::StartLimited => {
                 let _ = p.wait(name, KILLED);
                 spec(true).map_or(Ok(()), |spec| p.start(spec).map(drop))
             }
-            Act::Twin => p.twin(name, None, Twin::SameFolder).map(drop),
-            Act::EndTwin => p.kill(&format!("{name}~2")),
-            Act::Damage { rot, seed } => {
+            ProcessAction::Twin => p.twin(name, None, Twin::SameFolder).map(drop),
+            ProcessAction::EndTwin => p.kill(&format!("{name}~2")),
+            ProcessAction::Damage { rot, seed } => {
                 let _ = p.wait(name, KILLED);
                 let seed = seed.into();
                 p.damage(
--- a/crates/lab/src/fleet/report.rs
+++ b/crates/lab/src/fleet/report.rs
@@ -10,7 +10,7 @@
 use crate::report::table::Table;
 use serde::Serialize;
 use std::fmt::Write as _;
-use world::fleet::fault::{Role, Strikes};
+use world::fleet::fault::{FaultTarget, Role};
 use world::fleet::schedule::Schedule;
 use world::outcome::FaultMark;
 use world::Micros;
@@ -172,7 +172,7 @@
     fn marks(&self) -> Vec<FaultMark> {
         let mark = |f: &world::fleet::fault::Fault| {
             let whom = match f.kind.reads().strikes {
-                Strikes::Links => f.between.as_ref().map(|b| b.to_string()).or_else(|| {
+                FaultTarget::Links => f.between.as_ref().map(|b| b.to_string()).or_else(|| {
                     let word = |s: &Option<world::fleet::fault::Select>| s.as_ref().map(ToString::to_string);
                     let way = if f.both { "<>" } else { ">" };
                     Some(format!("{} {way} {}", word(&f.from)?, word(&f.to)?))
--- a/crates/lab/src/fleet/search.rs
+++ b/crates/lab/src/fleet/search.rs
@@ -8,7 +8,7 @@
 use super::play::{play, Played, Setting};
 use crate::host::{HostError, Silent};
 use crate::loopback::children::Program;
-use crate::search::shrink::{shrink, Search, Shrink, Timed};
+use crate::search::shrink::{shrink, Search, Shrink, ShrinkableFault};
 use crate::search::token::Token;
 use world::fleet::draw::{draw, is_fair, Bounds};
 use world::fleet::fault::Fault;
@@ -124,7 +124,7 @@
     (Token { scenario: schedule, ..failure.token.clone() }, how)
 }
 
-impl Timed for Fault {
+impl ShrinkableFault for Fault {
     fn at_s(&mut self) -> &mut f64 {
         &mut self.at_s
     }
@@ -155,7 +155,7 @@
     type Fault = Fault;
 
     /// A run takes its time to start and to settle, however short.
-    const SOONER: bool = false;
+    const SHORTER_RUNS_FASTER: bool = false;
 
     fn seconds(&mut self) -> &mut f64 {
         &mut self.seconds
--- a/crates/lab/src/fleet/stage.rs
+++ b/crates/lab/src/fleet/stage.rs
@@ -20,7 +20,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use world::facts::TryNo;
-use world::fleet::schedule::NodeAct;
+use world::fleet::schedule::NodeAction;
 use world::random::{exponential, stream};
 use world::Micros;
 
@@ -30,7 +30,7 @@
 /// Requests of one forwarder's clients that are out at a time; more are not sent.
 const MOST_OUT: usize = 64;
 /// Events that are kept.
-const MOST_MET: usize = history::MOST;
+const MOST_MET: usize = history::MAX_ITEMS;
 /// Bytes of a value.
 const VALUE: u32 = 64;
 const KEYS: u32 = 100_000;
@@ -84,7 +84,7 @@
 }
 
 enum Order {
-    Node(usize, NodeAct),
+    Node(usize, NodeAction),
     /// Where a forwarder listens now.
     At(usize, Option<SocketAddr>),
     Begin,
@@ -144,7 +144,7 @@
     }
 
     /// What a node does from now on.
-    pub fn node(&self, node: usize, act: NodeAct) {
+    pub fn node(&self, node: usize, act: NodeAction) {
         self.order(Order::Node(node, act));
     }
 
@@ -183,7 +183,7 @@
     setting: Setting,
     addresses: Vec<SocketAddr>,
     executor: Rc<LocalExecutor<'static>>,
-    acts: Vec<Cell<NodeAct>>,
+    acts: Vec<Cell<NodeAction>>,
     /// Of each node: who listens, and its connections.
     doors: RefCell<Vec<Option<Task<()>>>>,
     visitors: RefCell<Vec<Vec<Task<()>>>>,
@@ -207,7 +207,7 @@
             setting,
             addresses,
             executor,
-            acts: (0..setting.nodes).map(|_| Cell::new(NodeAct::Serve)).collect(),
+            acts: (0..setting.nodes).map(|_| Cell::new(NodeAction::Serve)).collect(),
             doors: RefCell::new((0..setting.nodes).map(|_| None).collect()),
             visitors: RefCell::new((0..setting.nodes).map(|_| Vec::new()).collect()),
             forwarders: RefCell::new(vec![None; setting.forwarders]),
@@ -272,14 +272,14 @@
         }
     }
 
-    async fn act(self: &Rc<Self>, node: usize, act: NodeAct) {
+    async fn act(self: &Rc<Self>, node: usize, act: NodeAction) {
         let (Some(now), Some(address)) = (self.acts.get(node), self.addresses.get(node)) else { return };
         let before = now.replace(act);
-        if act == NodeAct::Crash {
+        if act == NodeAction::Crash {
             let door = self.doors.borrow_mut().get_mut(node).and_then(Option::take);
             let visitors = self.visitors.borrow_mut().get_mut(node).map(std::mem::take);
             drop((door, visitors));
-        } else if before == NodeAct::Crash {
+        } else if before == NodeAction::Crash {
             for _ in 0..TRIES {
                 if let Ok(listener) = listen(*address) {
                     return self.open(node, listener);
@@ -307,7 +307,7 @@
     /// Serves a connection to a node until it ends.
     async fn visit(self: Rc<Self>, node: usize, socket: Async<TcpStream>) {
         let (mut socket, mut input, mut bytes) = (socket, Vec::new(), [0; 4096]);
-        let hangs = || self.acts.get(node).is_some_and(|a| a.get() == NodeAct::Hang);
+        let hangs = || self.acts.get(node).is_some_and(|a| a.get() == NodeAction::Hang);
         loop {
             while let Some((command, taken)) = Dialect::Cache.command(&input) {
                 input.drain(..taken);
--- a/crates/lab/src/input/file.rs
+++ b/crates/lab/src/input/file.rs
@@ -9,7 +9,7 @@
 use world::scenario::{Problem, Scenario};
 
 /// The largest file that is read: scenarios are a few kilobytes.
-const LARGEST: u64 = 1 << 20;
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Why there is no scenario, as one line.
 #[derive(Debug, thiserror::Error)]
@@ -23,14 +23,14 @@
 }
 
 /// What a file can hold.
-pub trait Checked: DeserializeOwned {
+pub trait InputFile: DeserializeOwned {
     /// What types cannot say of it.
     fn check(&self) -> Result<(), Problem>;
 
     fn name(&mut self) -> &mut String;
 }
 
-impl Checked for Scenario {
+impl InputFile for Scenario {
     fn check(&self) -> Result<(), Problem> {
         self.validate()
     }
@@ -40,7 +40,7 @@
     }
 }
 
-impl Checked for Schedule {
+impl InputFile for Schedule {
     fn check(&self) -> Result<(), Problem> {
         self.validate()
     }
@@ -51,13 +51,13 @@
 }
 
 /// Reads and checks a file; what has no name gets the file's.
-pub fn read<T: Checked>(path: &Path) -> Result<T, FileError> {
+pub fn read<T: InputFile>(path: &Path) -> Result<T, FileError> {
     let file = path.display().to_string();
     let unreadable = |wanted: String| FileError::Unreadable { file: file.clone(), wanted };
     let size = std::fs::metadata(path).map_err(|e| unreadable(e.to_string()))?.len();
-    if size > LARGEST {
+    if size > MAX_FILE_BYTES {
         return Err(unreadable(format!(
-            "{size} bytes are too many for a scenario, {LARGEST} at most are read"
+            "{size} bytes are too many for a scenario, {MAX_FILE_BYTES} at most are read"
         )));
     }
     let text = std::fs::read_to_string(path).map_err(|e| unreadable(e.to_string()))?;
@@ -86,7 +86,7 @@
 }
 
 /// What a text says, or the line and what is wanted there.
-pub fn parse<T: Checked>(text: &str, name: &str) -> Result<T, (usize, String)> {
+pub fn parse<T: InputFile>(text: &str, name: &str) -> Result<T, (usize, String)> {
     let places = Places::of(text);
     let mut whole: T = match toml::from_str(text) {
         Ok(whole) => whole,
--- a/crates/lab/src/search/shrink.rs
+++ b/crates/lab/src/search/shrink.rs
@@ -11,10 +11,10 @@
 
 /// What can be made smaller: faults over some time, and a world that they strike.
 pub trait Shrink: Clone + PartialEq {
-    type Fault: Timed;
+    type Fault: ShrinkableFault;
 
     /// Whether a shorter one is played sooner, so that it pays to cut the time before anything else.
-    const SOONER: bool;
+    const SHORTER_RUNS_FASTER: bool;
 
     fn seconds(&mut self) -> &mut f64;
 
@@ -28,7 +28,7 @@
 }
 
 /// A fault, as far as it can be moved, shortened and softened.
-pub trait Timed {
+pub trait ShrinkableFault {
     fn at_s(&mut self) -> &mut f64;
 
     /// Left alone where it is 0.
@@ -57,7 +57,7 @@
     let longest = *best.seconds();
     let mut search = Search { best, longest, left: calls, fails: &mut fails };
     // What is dropped first saves the most time for what follows.
-    if S::SOONER {
+    if S::SHORTER_RUNS_FASTER {
         search.shorten(ends_s);
     }
     loop {
@@ -196,8 +196,8 @@
                     *f.at_s() = tenths(*f.at_s() + cut);
                 })
             }) {}
-            self.halve(i, Timed::down_s);
-            self.halve(i, Timed::every_s);
+            self.halve(i, ShrinkableFault::down_s);
+            self.halve(i, ShrinkableFault::every_s);
             while self.with(|s| fault(s, &|f| f.part().map_or((), |p| *p = tenths(*p / 2.0)))) {}
             self.with(|s| fault(s, &|f| f.struck().map_or((), |n| *n = 1)));
             while self.with(|s| fault(s, &|f| f.struck().map_or((), |n| *n = n.div_ceil(2)))) {}
@@ -213,7 +213,7 @@
     }
 }
 
-impl Timed for Fault {
+impl ShrinkableFault for Fault {
     fn at_s(&mut self) -> &mut f64 {
         &mut self.at_s
     }
@@ -246,7 +246,7 @@
 impl Shrink for Scenario {
     type Fault = Fault;
 
-    const SOONER: bool = true;
+    const SHORTER_RUNS_FASTER: bool = true;
 
     fn seconds(&mut self) -> &mut f64 {
         &mut self.seconds
--- a/crates/lab/src/search/token.rs
+++ b/crates/lab/src/search/token.rs
@@ -16,9 +16,9 @@
 use world::scenario::Scenario;
 
 /// Longest content of a token once inflated; a scenario is a few kilobytes.
-const LONGEST: usize = 256 * 1024;
+const MAX_CONTENT_LEN: usize = 256 * 1024;
 /// Elements of a list in a token at most; scenarios bound theirs further down.
-const MOST_ELEMENTS: u64 = 10_000;
+const MAX_ELEMENTS: u64 = 10_000;
 
 static BASE32: LazyLock<Encoding> = LazyLock::new(|| {
     let mut spec = Specification::new();
@@ -29,16 +29,16 @@
 });
 
 /// What a token can hold.
-pub trait Sealed: Default + Serialize + DeserializeOwned {
+pub trait TokenSubject: Default + Serialize + DeserializeOwned {
     /// Its beginning: letters, then the version.
     const PREFIX: &'static str;
 }
 
-impl Sealed for Scenario {
+impl TokenSubject for Scenario {
     const PREFIX: &'static str = "lab1";
 }
 
-impl Sealed for Schedule {
+impl TokenSubject for Schedule {
     const PREFIX: &'static str = "fleet1";
 }
 
@@ -80,7 +80,7 @@
     crc32fast::hash(defaults.to_string().as_bytes())
 }
 
-impl<S: Sealed> Token<S> {
+impl<S: TokenSubject> Token<S> {
     /// The token as a word.
     pub fn write(&self) -> String {
         let defaults = tree(&S::default());
@@ -111,7 +111,7 @@
         if crc32fast::hash(packed) != u32::from_le_bytes(*sum) {
             return Err(damaged("its checksum is wrong"));
         }
-        let plain = miniz_oxide::inflate::decompress_to_vec_with_limit(packed, LONGEST)
+        let plain = miniz_oxide::inflate::decompress_to_vec_with_limit(packed, MAX_CONTENT_LEN)
             .map_err(|_| damaged("it cannot be unpacked"))?;
         let content: Content = postcard::from_bytes(&plain).map_err(|_| damaged("it cannot be read"))?;
         let mut whole = tree(&S::default());
@@ -178,7 +178,7 @@
             }
         }
         (Value::Array(list), Value::Object(mut patch)) => {
-            let length = patch.get("length").and_then(Value::as_u64).unwrap_or(0).min(MOST_ELEMENTS);
+            let length = patch.get("length").and_then(Value::as_u64).unwrap_or(0).min(MAX_ELEMENTS);
             let last = list.last().cloned().unwrap_or(Value::Null);
             list.resize(length as usize, last);
             for (i, element) in list.iter_mut().enumerate() {
--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -19,7 +19,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use world::fleet::fault::Role;
 use world::fleet::link::{ChunkFate, Condition, Line};
-use world::fleet::schedule::{Act, Action, Plan as Faults};
+use world::fleet::schedule::{Action, Plan as Faults, ProcessAction};
 use world::random::seconds;
 use world::scenario::{FaultKind, Scenario};
 
@@ -205,8 +205,8 @@
                 Action::Process { who, what } => {
                     let Some(p) = place(*who, Role::Planner) else { continue };
                     match what {
-                        Act::Kill | Act::Terminate => hub.lives.push((step.at, p, false)),
-                        Act::Start { .. } => hub.lives.push((step.at, p, true)),
+                        ProcessAction::Kill | ProcessAction::Terminate => hub.lives.push((step.at, p, false)),
+                        ProcessAction::Start { .. } => hub.lives.push((step.at, p, true)),
                         _ => {}
                     }
                 }
@@ -261,7 +261,7 @@
         let condition = |up| self.ways.get(&(proxy, slot, up)).map(|w| w.condition(now)).unwrap_or_default();
         let (out, back) = (condition(true), condition(false));
         let runs = self.planners.get(slot).is_some_and(Option::is_some);
-        runs && !out.refuse && !out.holds_all() && !back.holds_all()
+        runs && !out.refuse && !out.blocks_all() && !back.blocks_all()
     }
 
     /// A planner ends, and all that it knew with it; or another one starts in its place.
--- a/crates/lab/tests/fleet_links.rs
+++ b/crates/lab/tests/fleet_links.rs
@@ -556,7 +556,7 @@
     const COUNT: u8 = 40;
     let posts = Posts::new();
     let (condition, expected) = fault;
-    let all_lost = condition.holds_all();
+    let all_lost = condition.blocks_all();
     let nothing = |way| assert_eq!(seen(&posts.exchange(way, COUNT), COUNT), Seen::default());
     nothing(way);
     posts.set(way, condition);
--- a/crates/world/src/fleet/draw.rs
+++ b/crates/world/src/fleet/draw.rs
@@ -4,7 +4,7 @@
 //! of runs. Times are multiples of a tenth of a second and the seeds of runs are 32 bits, for short tokens. Every
 //! schedule must be one that a right fleet can survive: see [`is_fair`].
 
-use super::fault::{Fault, Kind, Strikes};
+use super::fault::{Fault, FaultTarget, Kind};
 use super::schedule::Schedule;
 use crate::random::{seconds, stream, Random};
 use rand::RngExt;
@@ -61,7 +61,7 @@
         f.between.is_none() && (names.contains(&"role:planner") || names.iter().all(|n| n.starts_with('p')))
     });
     let mut away = Vec::new();
-    for f in schedule.faults.iter().filter(|f| f.kind.reads().strikes != Strikes::Links) {
+    for f in schedule.faults.iter().filter(|f| f.kind.reads().strikes != FaultTarget::Links) {
         let who = schedule.struck(&members, f);
         let (from, until) = (seconds(f.at_s), seconds(f.ends_s(who.len())) + 1_000_000);
         let until = if f.kind == Kind::Kill { i64::MAX } else { until };
@@ -116,7 +116,7 @@
     };
     let mut fault = Fault::new(kind, at_s, for_s);
     match reads.strikes {
-        Strikes::Links if kind != Kind::Garble && rng.random_bool(0.4) => {
+        FaultTarget::Links if kind != Kind::Garble && rng.random_bool(0.4) => {
             let one = match rng.random_bool(0.5) && base.fleet.planners > 0 {
                 true => format!("p{}", rng.random_range(0..base.fleet.planners)),
                 false => format!("f{}", rng.random_range(0..base.fleet.forwarders.max(1))),
@@ -129,7 +129,7 @@
                 _ => "pairs:0.33".parse().ok(),
             };
         }
-        Strikes::Links => {
+        FaultTarget::Links => {
             let planners = if rng.random_bool(0.5) && base.fleet.planners > 0 {
                 format!("p{}", rng.random_range(0..base.fleet.planners))
             } else {
@@ -144,7 +144,7 @@
             (fault.from, fault.to) = (from.parse().ok(), to.parse().ok());
             fault.both = rng.random_bool(0.4);
         }
-        strikes => fault.who = who(strikes == Strikes::Nodes, base, rng).parse().ok(),
+        strikes => fault.who = who(strikes == FaultTarget::Nodes, base, rng).parse().ok(),
     }
     if reads.rate {
         let most = if kind == Kind::Garble { 0.05 } else { 0.4 };
--- a/crates/world/src/fleet/fault.rs
+++ b/crates/world/src/fleet/fault.rs
@@ -179,7 +179,7 @@
 
 /// What a kind strikes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Strikes {
+pub enum FaultTarget {
     Links,
     Processes,
     Nodes,
@@ -188,7 +188,7 @@
 /// What a kind reads of a fault's fields, and needs of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reads {
-    pub strikes: Strikes,
+    pub strikes: FaultTarget,
     pub rate: bool,
     /// `ms`, `jitter_ms`, `tail_one_in`, `tail_ms`.
     pub delay: bool,
@@ -229,7 +229,7 @@
 
     pub fn reads(self) -> Reads {
         let none = Reads {
-            strikes: Strikes::Links,
+            strikes: FaultTarget::Links,
             rate: false,
             delay: false,
             bytes_per_s: false,
@@ -237,7 +237,7 @@
             every_s: false,
             lasts: true,
         };
-        let process = Reads { strikes: Strikes::Processes, lasts: false, ..none };
+        let process = Reads { strikes: FaultTarget::Processes, lasts: false, ..none };
         let down = Reads { down_s: true, ..process };
         match self {
             Kind::Cut | Kind::Stall | Kind::Refuse => none,
@@ -251,7 +251,7 @@
             Kind::DiskCut | Kind::DiskRot => down,
             Kind::Roll => Reads { every_s: true, ..down },
             Kind::DiskFull => Reads { lasts: true, ..process },
-            Kind::Hang | Kind::Crash => Reads { strikes: Strikes::Nodes, ..none },
+            Kind::Hang | Kind::Crash => Reads { strikes: FaultTarget::Nodes, ..none },
         }
     }
 
@@ -341,10 +341,10 @@
 }
 
 /// The longest word that selects.
-const LONGEST: usize = 200;
-const SELECT: &str =
+const MAX_WORD_LEN: usize = 200;
+const SELECT_USAGE: &str =
     "all, a name like f3, role:planner, role:forwarder, role:node, hall:NAME or share:0.1 is wanted";
-const PATTERN: &str = "halls, pairs:0.33, ring, bridge:NAME or alone:NAME is wanted";
+const PATTERN_USAGE: &str = "halls, pairs:0.33, ring, bridge:NAME or alone:NAME is wanted";
 
 fn plain(name: &str) -> bool {
     !name.is_empty() && name.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c))
@@ -399,11 +399,11 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let right = text.len() <= LONGEST && text.split('+').all(|word| part(word).is_some());
+        let right = text.len() <= MAX_WORD_LEN && text.split('+').all(|word| part(word).is_some());
         if right {
             Ok(Select(text.to_owned()))
         } else {
-            Err(SELECT)
+            Err(SELECT_USAGE)
         }
     }
 }
@@ -412,11 +412,11 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let pattern = Pattern(text.chars().take(LONGEST).collect());
+        let pattern = Pattern(text.chars().take(MAX_WORD_LEN).collect());
         if pattern.shape().is_some() {
             Ok(pattern)
         } else {
-            Err(PATTERN)
+            Err(PATTERN_USAGE)
         }
     }
 }
--- a/crates/world/src/fleet/fault/tests.rs
+++ b/crates/world/src/fleet/fault/tests.rs
@@ -7,13 +7,13 @@
         assert!(right.parse::<Select>().is_ok(), "{right}");
     }
     for wrong in ["", "role:king", "share:0", "share:1.5", "share:x", "hall:", "f1+", "a b", "x:y"] {
-        assert_eq!(wrong.parse::<Select>(), Err(SELECT), "{wrong}");
+        assert_eq!(wrong.parse::<Select>(), Err(SELECT_USAGE), "{wrong}");
     }
     for right in ["halls", "pairs:0.33", "ring", "bridge:p0", "alone:f1"] {
         assert!(right.parse::<Pattern>().is_ok(), "{right}");
     }
     for wrong in ["", "hall", "pairs:2", "bridge:", "alone"] {
-        assert_eq!(wrong.parse::<Pattern>(), Err(PATTERN), "{wrong}");
+        assert_eq!(wrong.parse::<Pattern>(), Err(PATTERN_USAGE), "{wrong}");
     }
 }
 
--- a/crates/world/src/fleet/link.rs
+++ b/crates/world/src/fleet/link.rs
@@ -17,17 +17,17 @@
 /// Times in a row that a segment is lost at most: 200 ms * (2^6 - 1) is 12.6 s.
 const RETRANSMISSIONS: u32 = 6;
 /// Bytes of a segment, as over an Ethernet of 1500 bytes.
-pub const SEGMENT: usize = 1448;
+pub const SEGMENT_BYTES: usize = 1448;
 /// How long a datagram that others are to overtake is held back beyond its time.
-pub const HELD_BACK_US: Micros = 20_000;
+pub const REORDER_DELAY_US: Micros = 20_000;
 /// A datagram that would wait longer than this for a limited line is lost: the queue before it is full.
-pub const QUEUE_US: Micros = 1_000_000;
+pub const MAX_QUEUE_DELAY_US: Micros = 1_000_000;
 /// How long a chunk of a connection takes over a limited line at most, so that bytes trickle.
 const TRICKLE_PER_S: u64 = 50;
 /// Coefficient of variation of the heavy tail.
 const TAIL_CV: f64 = 2.0;
 /// No delay is set beyond an hour.
-const LONGEST_MS: f64 = 3_600_000.0;
+const MAX_DELAY_MS: f64 = 3_600_000.0;
 
 /// What a message of one direction is delayed by. Milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -87,7 +87,7 @@
 
 /// A condition that makes no sense.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum BadCondition {
+pub enum InvalidCondition {
     #[error("{0} is a part: from 0 to 1")]
     Part(&'static str),
     #[error("{0} is in milliseconds: from 0 to 3600000")]
@@ -111,19 +111,19 @@
         Condition { delay: Delay::fixed(ms), ..Condition::default() }
     }
 
-    pub fn is_whole(&self) -> bool {
+    pub fn is_unimpaired(&self) -> bool {
         *self == Condition::default()
     }
 
     /// Whether nothing at all passes, for as long as this lasts.
-    pub fn holds_all(&self) -> bool {
+    pub fn blocks_all(&self) -> bool {
         self.cut || self.stall || self.lose >= 1.0
     }
 
     /// # Errors
     ///
     /// The first field that is out of its range.
-    pub fn check(&self) -> Result<(), BadCondition> {
+    pub fn check(&self) -> Result<(), InvalidCondition> {
         let parts = [
             ("lose", self.lose),
             ("duplicate", self.duplicate),
@@ -131,18 +131,18 @@
             ("garble", self.garble),
         ];
         if let Some((name, _)) = parts.iter().find(|(_, x)| !(0.0..=1.0).contains(x)) {
-            return Err(BadCondition::Part(name));
+            return Err(InvalidCondition::Part(name));
         }
         let spans = [
             ("fixed_ms", self.delay.fixed_ms),
             ("jitter_ms", self.delay.jitter_ms),
             ("tail_ms", self.delay.tail_ms),
         ];
-        if let Some((name, _)) = spans.iter().find(|(_, x)| !(0.0..=LONGEST_MS).contains(x)) {
-            return Err(BadCondition::Span(name));
+        if let Some((name, _)) = spans.iter().find(|(_, x)| !(0.0..=MAX_DELAY_MS).contains(x)) {
+            return Err(InvalidCondition::Span(name));
         }
         if self.bytes_per_s == Some(0) {
-            return Err(BadCondition::Rate);
+            return Err(InvalidCondition::Rate);
         }
         Ok(())
     }
@@ -177,7 +177,7 @@
 
     /// Bytes of a connection that a host should hand to [`Line::chunk`] at once, at most: so that a limited line
     /// trickles.
-    pub fn most_at_once(&self, most: usize) -> usize {
+    pub fn max_chunk_len(&self, most: usize) -> usize {
         match self.bytes_per_s {
             Some(rate) => usize::try_from(rate / TRICKLE_PER_S).unwrap_or(most).clamp(1, most.max(1)),
             None => most,
@@ -250,16 +250,16 @@
     }
 
     pub fn datagram(&mut self, now_us: Micros, len: usize, condition: &Condition) -> Deliveries {
-        if condition.holds_all() || chance(condition.lose, &mut self.rng) {
+        if condition.blocks_all() || chance(condition.lose, &mut self.rng) {
             return Deliveries::default();
         }
         let free = self.free_us.max(now_us);
-        if condition.bytes_per_s.is_some() && free - now_us > QUEUE_US {
+        if condition.bytes_per_s.is_some() && free - now_us > MAX_QUEUE_DELAY_US {
             return Deliveries::default();
         }
         let sent = self.carry(now_us, len, condition);
         self.held_back = !self.held_back && chance(condition.reorder, &mut self.rng);
-        let back = if self.held_back { HELD_BACK_US } else { 0 };
+        let back = if self.held_back { REORDER_DELAY_US } else { 0 };
         let first = self.deliver(sent + back, len, condition);
         let again = chance(condition.duplicate, &mut self.rng).then(|| self.deliver(sent, len, condition));
         Deliveries { first: Some(first), again }
@@ -274,12 +274,12 @@
         condition: &Condition,
         behind_us: Micros,
     ) -> ChunkFate {
-        if condition.holds_all() {
+        if condition.blocks_all() {
             return ChunkFate::Held;
         }
         let sent = self.carry(now_us, len, condition);
         let mut delivery = self.deliver(sent, len, condition);
-        let segments = len.div_ceil(SEGMENT).max(1);
+        let segments = len.div_ceil(SEGMENT_BYTES).max(1);
         // Segments go side by side, and what comes behind a lost one waits for it: the worst of them counts.
         let worst = (0..segments).map(|_| self.lost_in_a_row(condition.lose)).max().unwrap_or(0);
         delivery.at_us = (delivery.at_us + RETRANSMISSION_US * ((1 << worst) - 1)).max(behind_us);
--- a/crates/world/src/fleet/link/tests.rs
+++ b/crates/world/src/fleet/link/tests.rs
@@ -37,7 +37,7 @@
 #[case(Condition { duplicate: 0.3, ..Condition::default() }, |w: &Vec<Delivery>| w.len() == 2)]
 #[case(Condition { garble: 0.3, ..Condition::default() }, |w: &Vec<Delivery>| w[0].garbled.is_some_and(|at| at < LEN))]
 // One of 1 / 0.3 that may be held back, and then one that may not.
-#[case(Condition { reorder: 0.75, ..Condition::default() }, |w: &Vec<Delivery>| w[0].at_us == HELD_BACK_US)]
+#[case(Condition { reorder: 0.75, ..Condition::default() }, |w: &Vec<Delivery>| w[0].at_us == REORDER_DELAY_US)]
 fn a_part_of_datagrams_is_struck(#[case] condition: Condition, #[case] is: fn(&Vec<Delivery>) -> bool) {
     let expected = if condition.reorder > 0.0 { 0.75 / 1.75 } else { 0.3 };
     let struck = part(&ways(&condition, 20_000), is);
@@ -68,8 +68,8 @@
     assert_eq!(sent, expected);
     line.changed();
     assert_eq!(line.chunk(0, LEN, &slow, 0), due(100_000), "what waited for the limit before is forgotten");
-    assert_eq!(slow.most_at_once(4096), 20);
-    assert_eq!(Condition::default().most_at_once(4096), 4096);
+    assert_eq!(slow.max_chunk_len(4096), 20);
+    assert_eq!(Condition::default().max_chunk_len(4096), 4096);
 }
 
 #[rstest]
@@ -117,9 +117,9 @@
     let a = from("lose = 0.5\nbytes_per_s = 9\n[delay]\nfixed_ms = 2\ntail_one_in = 8").expect("a condition");
     assert_eq!(a.check(), Ok(()));
     assert!(from("loose = 0.5").is_err());
-    assert_eq!(Condition { lose: 1.5, ..a.clone() }.check(), Err(BadCondition::Part("lose")));
-    assert_eq!(Condition::delayed(f64::NAN).check(), Err(BadCondition::Span("fixed_ms")));
-    assert_eq!(Condition { bytes_per_s: Some(0), ..a.clone() }.check(), Err(BadCondition::Rate));
+    assert_eq!(Condition { lose: 1.5, ..a.clone() }.check(), Err(InvalidCondition::Part("lose")));
+    assert_eq!(Condition::delayed(f64::NAN).check(), Err(InvalidCondition::Span("fixed_ms")));
+    assert_eq!(Condition { bytes_per_s: Some(0), ..a.clone() }.check(), Err(InvalidCondition::Rate));
     let both = a.with(&Condition { lose: 0.5, cut: true, ..Condition::delayed(3.0) });
     assert_eq!((both.lose, both.cut, both.delay.fixed_ms, both.bytes_per_s), (0.75, true, 5.0, Some(9)));
     assert_eq!(both.delay.tail_one_in, 8);
--- a/crates/world/src/fleet/schedule.rs
+++ b/crates/world/src/fleet/schedule.rs
@@ -5,7 +5,7 @@
 //! anything starts: what is left is a list of moments, each with a link's direction and its condition, or a process
 //! and what is done to it. Whoever carries it out decides nothing.
 
-use super::fault::{Fault, Kind, Part, Pattern, Role, Select, Shape, Strikes};
+use super::fault::{Fault, FaultTarget, Kind, Part, Pattern, Role, Select, Shape};
 use super::link::Condition;
 use crate::random::{seconds, seed_of, stream};
 use crate::scenario::validate::{named, within, wrong, Check};
@@ -100,21 +100,21 @@
 }
 
 /// Bounds that keep a run of any schedule finite.
-const MOST_SECONDS: f64 = 3_600.0;
-const MOST_PLANNERS: u32 = 9;
-const MOST_FORWARDERS: u32 = 60;
-const MOST_NODES: u32 = 40;
-const MOST_FAULTS: usize = 50;
-const MOST_MS: f64 = 60_000.0;
+const MAX_SECONDS: f64 = 3_600.0;
+const MAX_PLANNERS: u32 = 9;
+const MAX_FORWARDERS: u32 = 60;
+const MAX_NODES: u32 = 40;
+const MAX_FAULTS: usize = 50;
+const MAX_MS: f64 = 60_000.0;
 
 impl Schedule {
     /// The first value that is wrong.
     pub fn validate(&self) -> Check {
-        within("seconds", self.seconds, 0.1, MOST_SECONDS)?;
+        within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
         let f = &self.fleet;
-        within("fleet.planners", f.planners.into(), 0.0, MOST_PLANNERS.into())?;
-        within("fleet.forwarders", f.forwarders.into(), 1.0, MOST_FORWARDERS.into())?;
-        within("fleet.nodes", f.nodes.into(), 1.0, MOST_NODES.into())?;
+        within("fleet.planners", f.planners.into(), 0.0, MAX_PLANNERS.into())?;
+        within("fleet.forwarders", f.forwarders.into(), 1.0, MAX_FORWARDERS.into())?;
+        within("fleet.nodes", f.nodes.into(), 1.0, MAX_NODES.into())?;
         within("fleet.service_ms", f.service_ms, 0.0, 1_000.0)?;
         within("fleet.rate_per_s", f.rate_per_s, 0.1, 1_000.0)?;
         if !(1..=8).contains(&f.halls.len()) {
@@ -129,12 +129,12 @@
         let members = self.members();
         let selects = |path: String, select: &Select| self.selects(&members, path, select);
         f.old.as_ref().map_or(Ok(()), |old| selects("fleet.old".into(), old))?;
-        within("expect.converge_s", self.expect.converge_s, 0.1, MOST_SECONDS)?;
-        within("expect.wrong_s", self.expect.wrong_s, 0.0, MOST_SECONDS)?;
-        self.expect.avoid_s.map_or(Ok(()), |x| within("expect.avoid_s", x, 0.1, MOST_SECONDS))?;
+        within("expect.converge_s", self.expect.converge_s, 0.1, MAX_SECONDS)?;
+        within("expect.wrong_s", self.expect.wrong_s, 0.0, MAX_SECONDS)?;
+        self.expect.avoid_s.map_or(Ok(()), |x| within("expect.avoid_s", x, 0.1, MAX_SECONDS))?;
         self.expect.lost.map_or(Ok(()), |x| within("expect.lost", x, 0.0, 1.0))?;
-        if self.faults.len() > MOST_FAULTS {
-            return wrong("faults", format!("at most {MOST_FAULTS} faults are wanted"));
+        if self.faults.len() > MAX_FAULTS {
+            return wrong("faults", format!("at most {MAX_FAULTS} faults are wanted"));
         }
         for (i, fault) in self.faults.iter().enumerate() {
             self.validate_fault(&members, &format!("faults[{i}]"), fault)?;
@@ -163,12 +163,12 @@
     fn validate_fault(&self, members: &[Member], path: &str, f: &Fault) -> Check {
         let at = |field: &str| format!("{path}.{field}");
         let (kind, reads) = (f.kind.name(), f.kind.reads());
-        within(at("at_s"), f.at_s, 0.0, MOST_SECONDS)?;
-        within(at("for_s"), f.for_s, if reads.lasts { 0.001 } else { 0.0 }, MOST_SECONDS)?;
+        within(at("at_s"), f.at_s, 0.0, MAX_SECONDS)?;
+        within(at("for_s"), f.for_s, if reads.lasts { 0.001 } else { 0.0 }, MAX_SECONDS)?;
         if !reads.lasts && f.for_s > 0.0 {
             return wrong(at("for_s"), format!("{kind} happens once and has no for_s"));
         }
-        let links = reads.strikes == Strikes::Links;
+        let links = reads.strikes == FaultTarget::Links;
         let known = [
             ("from", f.from.is_some(), links),
             ("to", f.to.is_some(), links),
@@ -213,12 +213,12 @@
         }
         f.rate.map_or(Ok(()), |x| within(at("rate"), x, 0.0, 1.0))?;
         for (field, ms) in [("ms", f.ms), ("jitter_ms", f.jitter_ms), ("tail_ms", f.tail_ms)] {
-            ms.map_or(Ok(()), |x| within(at(field), x, 0.0, MOST_MS))?;
+            ms.map_or(Ok(()), |x| within(at(field), x, 0.0, MAX_MS))?;
         }
         f.tail_one_in.map_or(Ok(()), |x| within(at("tail_one_in"), x.into(), 1.0, 1e6))?;
         f.bytes_per_s.map_or(Ok(()), |x| within(at("bytes_per_s"), x as f64, 1.0, 1e10))?;
-        f.down_s.map_or(Ok(()), |x| within(at("down_s"), x, 0.0, MOST_SECONDS))?;
-        f.every_s.map_or(Ok(()), |x| within(at("every_s"), x, 0.0, MOST_SECONDS))?;
+        f.down_s.map_or(Ok(()), |x| within(at("down_s"), x, 0.0, MAX_SECONDS))?;
+        f.every_s.map_or(Ok(()), |x| within(at("every_s"), x, 0.0, MAX_SECONDS))?;
         let struck = if links { self.struck_links(members, f).len() } else { self.struck(members, f).len() };
         if struck == 0 {
             return wrong(path, format!("{kind} strikes nothing of this fleet"));
@@ -231,9 +231,9 @@
         let f = &self.fleet;
         let halls = f.halls.len().max(1) as u32;
         let all = [
-            ('p', Role::Planner, f.planners.min(MOST_PLANNERS)),
-            ('f', Role::Forwarder, f.forwarders.min(MOST_FORWARDERS)),
-            ('s', Role::Node, f.nodes.min(MOST_NODES)),
+            ('p', Role::Planner, f.planners.min(MAX_PLANNERS)),
+            ('f', Role::Forwarder, f.forwarders.min(MAX_FORWARDERS)),
+            ('s', Role::Node, f.nodes.min(MAX_NODES)),
         ];
         let each = |(letter, role, count): (char, Role, u32)| {
             (0..count).map(move |i| Member { name: format!("{letter}{i}"), role, hall: (i % halls) as u16 })
@@ -279,7 +279,7 @@
 
     /// The processes or nodes that a fault strikes, in their order.
     pub(super) fn struck(&self, members: &[Member], f: &Fault) -> Vec<usize> {
-        let nodes = f.kind.reads().strikes == Strikes::Nodes;
+        let nodes = f.kind.reads().strikes == FaultTarget::Nodes;
         let among = move |m: &Member| (m.role == Role::Node) == nodes;
         f.who.as_ref().map(|w| self.select(members, w, &among).into_iter().collect()).unwrap_or_default()
     }
@@ -364,7 +364,7 @@
         for (i, fault) in drawn.faults.iter().enumerate() {
             let (from, until) = (seconds(fault.at_s), seconds(fault.at_s + fault.for_s));
             match fault.kind.reads().strikes {
-                Strikes::Links => {
+                FaultTarget::Links => {
                     let links = drawn.struck_links(&members, fault);
                     struck.push(links.len());
                     for (a, b) in links {
@@ -375,18 +375,18 @@
                         }
                     }
                 }
-                Strikes::Processes => {
+                FaultTarget::Processes => {
                     let who = drawn.struck(&members, fault);
                     struck.push(who.len());
                     drawn.process_steps(fault, &who, &mut steps);
                 }
-                Strikes::Nodes => {
+                FaultTarget::Nodes => {
                     let who = drawn.struck(&members, fault);
                     struck.push(who.len());
-                    let what = if fault.kind == Kind::Hang { NodeAct::Hang } else { NodeAct::Crash };
+                    let what = if fault.kind == Kind::Hang { NodeAction::Hang } else { NodeAction::Crash };
                     for who in who {
                         steps.push(Step { at: from, action: Action::Node { who, what } });
-                        steps.push(Step { at: until, action: Action::Node { who, what: NodeAct::Serve } });
+                        steps.push(Step { at: until, action: Action::Node { who, what: NodeAction::Serve } });
                     }
                 }
             }
@@ -413,51 +413,52 @@
         let every = seconds(fault.every_s.unwrap_or(0.0));
         let mut random = stream(seed_of(self.seed, fault.kind.name(), 0), "within a second", 0);
         for (n, who) in who.iter().copied().enumerate() {
-            let mut step =
-                |at: Micros, what: Act| steps.push(Step { at, action: Action::Process { who, what } });
-            let kept = Act::Start { folder: Folder::Kept };
-            let empty = Act::Start { folder: Folder::Empty };
+            let mut step = |at: Micros, what: ProcessAction| {
+                steps.push(Step { at, action: Action::Process { who, what } })
+            };
+            let kept = ProcessAction::Start { folder: Folder::Kept };
+            let empty = ProcessAction::Start { folder: Folder::Empty };
             match fault.kind {
                 Kind::Terminate => {
-                    step(from, Act::Terminate);
+                    step(from, ProcessAction::Terminate);
                     step(down, kept);
                 }
-                Kind::Kill => step(from, Act::Kill),
+                Kind::Kill => step(from, ProcessAction::Kill),
                 Kind::Pause => {
-                    step(from, Act::Stop);
-                    step(until, Act::Resume);
+                    step(from, ProcessAction::Stop);
+                    step(until, ProcessAction::Resume);
                 }
                 Kind::Restart => {
-                    step(from, Act::Kill);
+                    step(from, ProcessAction::Kill);
                     step(down, kept);
                 }
                 Kind::LoseMachine | Kind::Empty => {
-                    step(from, Act::Kill);
+                    step(from, ProcessAction::Kill);
                     step(down, empty);
                 }
                 Kind::Twin => {
-                    step(from, Act::Twin);
-                    step(until, Act::EndTwin);
+                    step(from, ProcessAction::Twin);
+                    step(until, ProcessAction::EndTwin);
                 }
                 Kind::StartHalf => {
-                    step(from, Act::Kill);
+                    step(from, ProcessAction::Kill);
                     step(down + random.random_range(0..spread(fault.kind).max(1)), kept);
                 }
                 Kind::Roll => {
                     let late = every * n as Micros;
-                    step(from + late, Act::Terminate);
+                    step(from + late, ProcessAction::Terminate);
                     step(down + late, kept);
                 }
                 Kind::DiskFull => {
-                    step(from, Act::Kill);
-                    step(from, Act::StartLimited);
-                    step(until, Act::Kill);
+                    step(from, ProcessAction::Kill);
+                    step(from, ProcessAction::StartLimited);
+                    step(until, ProcessAction::Kill);
                     step(until, kept);
                 }
                 Kind::DiskCut | Kind::DiskRot => {
-                    step(from, Act::Kill);
+                    step(from, ProcessAction::Kill);
                     let rot = fault.kind == Kind::DiskRot;
-                    step(from, Act::Damage { rot, seed: random.random() });
+                    step(from, ProcessAction::Damage { rot, seed: random.random() });
                     step(down, kept);
                 }
                 _ => {}
@@ -523,7 +524,7 @@
 
 /// What is done to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum ProcessAction {
     Terminate,
     Kill,
     Stop,
@@ -552,7 +553,7 @@
 
 /// What a stand-in node does from now on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NodeAct {
+pub enum NodeAction {
     Hang,
     Crash,
     Serve,
@@ -573,11 +574,11 @@
     },
     Process {
         who: usize,
-        what: Act,
+        what: ProcessAction,
     },
     Node {
         who: usize,
-        what: NodeAct,
+        what: NodeAction,
     },
 }
 
@@ -647,7 +648,7 @@
             for step in now {
                 match &step.action {
                     Action::Link { from, to, condition } => {
-                        let word = if condition.is_whole() { "whole".into() } else { told(condition) };
+                        let word = if condition.is_unimpaired() { "whole".into() } else { told(condition) };
                         links.entry(word).or_default().entry(*from).or_default().insert(*to);
                     }
                     Action::Reset { from, to } => {
@@ -680,20 +681,20 @@
     }
 }
 
-impl fmt::Display for Act {
+impl fmt::Display for ProcessAction {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Act::Terminate => "terminate",
-            Act::Kill => "kill",
-            Act::Stop => "stop",
-            Act::Resume => "resume",
-            Act::Start { folder: Folder::Kept } => "start",
-            Act::Start { folder: Folder::Empty } => "start with an empty folder",
-            Act::StartLimited => "start with files that cannot grow",
-            Act::Twin => "start a twin",
-            Act::EndTwin => "end the twin",
-            Act::Damage { rot: false, .. } => "cut a file short",
-            Act::Damage { rot: true, .. } => "change a byte of a file",
+            ProcessAction::Terminate => "terminate",
+            ProcessAction::Kill => "kill",
+            ProcessAction::Stop => "stop",
+            ProcessAction::Resume => "resume",
+            ProcessAction::Start { folder: Folder::Kept } => "start",
+            ProcessAction::Start { folder: Folder::Empty } => "start with an empty folder",
+            ProcessAction::StartLimited => "start with files that cannot grow",
+            ProcessAction::Twin => "start a twin",
+            ProcessAction::EndTwin => "end the twin",
+            ProcessAction::Damage { rot: false, .. } => "cut a file short",
+            ProcessAction::Damage { rot: true, .. } => "change a byte of a file",
         })
     }
 }
--- a/crates/world/src/fleet/schedule/tests.rs
+++ b/crates/world/src/fleet/schedule/tests.rs
@@ -77,7 +77,7 @@
     let struck = |s: &Schedule, seed| -> Vec<usize> {
         let steps = s.plan(seed).steps;
         let hangs = steps.iter().filter(|s| s.at == 3_000_000).filter_map(|s| match s.action {
-            Action::Node { who, what: NodeAct::Hang } => Some(who),
+            Action::Node { who, what: NodeAction::Hang } => Some(who),
             _ => None,
         });
         hangs.collect()
--- a/crates/world/src/fleet/truth.rs
+++ b/crates/world/src/fleet/truth.rs
@@ -6,7 +6,7 @@
 
 use super::fault::Role;
 use super::link::Condition;
-use super::schedule::{Act, Action, NodeAct, Plan, Step};
+use super::schedule::{Action, NodeAction, Plan, ProcessAction, Step};
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -116,18 +116,20 @@
                     }
                 }
                 Action::Process { who, what } => match what {
-                    Act::Terminate | Act::Kill => {
+                    ProcessAction::Terminate | ProcessAction::Kill => {
                         // What is killed stands still no more.
                         still(&mut truth, *who, true, step.at, false);
                         still(&mut truth, *who, false, step.at, true);
                     }
-                    Act::Start { .. } | Act::StartLimited => still(&mut truth, *who, false, step.at, false),
-                    Act::Stop => still(&mut truth, *who, true, step.at, true),
-                    Act::Resume => still(&mut truth, *who, true, step.at, false),
-                    Act::Twin | Act::EndTwin | Act::Damage { .. } => {}
+                    ProcessAction::Start { .. } | ProcessAction::StartLimited => {
+                        still(&mut truth, *who, false, step.at, false)
+                    }
+                    ProcessAction::Stop => still(&mut truth, *who, true, step.at, true),
+                    ProcessAction::Resume => still(&mut truth, *who, true, step.at, false),
+                    ProcessAction::Twin | ProcessAction::EndTwin | ProcessAction::Damage { .. } => {}
                 },
                 Action::Node { who, what } => {
-                    still(&mut truth, *who, false, step.at, *what != NodeAct::Serve);
+                    still(&mut truth, *who, false, step.at, *what != NodeAction::Serve);
                 }
                 Action::Reset { .. } => {}
             }
@@ -142,10 +144,10 @@
     }
 
     fn condition(&mut self, direction: (usize, usize), from: Micros, until: Micros, c: &Condition) {
-        if c.holds_all() {
+        if c.blocks_all() {
             self.shut.entry(direction).or_default().add(from, until);
         }
-        if !c.is_whole() {
+        if !c.is_unimpaired() {
             self.troubled.entry(direction).or_default().add(from, until);
         }
     }
@@ -166,7 +168,7 @@
     }
 
     /// When something may keep a forwarder from hearing a node.
-    pub fn doubtful(&self, node: usize, forwarder: usize) -> Spans {
+    pub fn maybe_silent(&self, node: usize, forwarder: usize) -> Spans {
         self.away(node).or(&self.either_way(&self.troubled, forwarder, node)).or(&self.away(forwarder))
     }
 
@@ -178,24 +180,24 @@
     }
 
     /// When something may keep some forwarder from hearing a node.
-    pub fn doubtful_to_any(&self, node: usize) -> Spans {
-        self.forwarders.iter().fold(Spans::default(), |all, f| all.or(&self.doubtful(node, *f)))
+    pub fn maybe_silent_to_any(&self, node: usize) -> Spans {
+        self.forwarders.iter().fold(Spans::default(), |all, f| all.or(&self.maybe_silent(node, *f)))
     }
 
     /// When a forwarder and a planner certainly do not hear each other, or one of them does not run.
-    pub fn apart(&self, planner: usize, forwarder: usize) -> Spans {
+    pub fn disconnected(&self, planner: usize, forwarder: usize) -> Spans {
         let shut = self.either_way(&self.shut, planner, forwarder);
         shut.or(&self.away(planner)).or(&self.away(forwarder))
     }
 
     /// When something may keep a forwarder and a planner from hearing each other.
-    pub fn unsure(&self, planner: usize, forwarder: usize) -> Spans {
-        self.apart(planner, forwarder).or(&self.either_way(&self.troubled, planner, forwarder))
+    pub fn maybe_disconnected(&self, planner: usize, forwarder: usize) -> Spans {
+        self.disconnected(planner, forwarder).or(&self.either_way(&self.troubled, planner, forwarder))
     }
 
     /// When a forwarder may hear no planner in time.
-    pub fn unguided(&self, forwarder: usize) -> Spans {
-        let mut all = self.planners.iter().map(|p| self.unsure(*p, forwarder));
+    pub fn maybe_without_planner(&self, forwarder: usize) -> Spans {
+        let mut all = self.planners.iter().map(|p| self.maybe_disconnected(*p, forwarder));
         match all.next() {
             None => Spans(vec![(Micros::MIN, Micros::MAX)]),
             Some(first) => all.fold(first, |a, b| a.and(&b)),
@@ -203,8 +205,8 @@
     }
 
     /// When a forwarder certainly hears no planner.
-    pub fn alone(&self, forwarder: usize) -> Spans {
-        let mut all = self.planners.iter().map(|p| self.apart(*p, forwarder));
+    pub fn without_planner(&self, forwarder: usize) -> Spans {
+        let mut all = self.planners.iter().map(|p| self.disconnected(*p, forwarder));
         match all.next() {
             None => Spans(vec![(Micros::MIN, Micros::MAX)]),
             Some(first) => all.fold(first, |a, b| a.and(&b)),
--- a/crates/world/src/fleet/truth/tests.rs
+++ b/crates/world/src/fleet/truth/tests.rs
@@ -28,7 +28,7 @@
     assert_eq!(spans(&truth.silent(s0, f0)), [(1.0, 3.0)]);
     assert_eq!(spans(&truth.silent(s0, f1)), [(1.0, 6.0)]);
     assert_eq!(spans(&truth.silent_to_all(s0)), [(1.0, 3.0)]);
-    assert_eq!(spans(&truth.doubtful_to_any(s0)), [(1.0, 6.0)]);
+    assert_eq!(spans(&truth.maybe_silent_to_any(s0)), [(1.0, 6.0)]);
     assert!(truth.silent_to_all(place(&plan, "s1")).is_empty());
 }
 
@@ -39,7 +39,7 @@
     let (from, to) = ("f0".parse().ok(), "p2".parse().ok());
     let cut = Fault { from, to, ..Fault::new(Kind::Cut, 0.0, 4.0) };
     let (plan, truth) = truth(vec![kill, pause, cut]);
-    assert_eq!(spans(&truth.alone(place(&plan, "f0"))), [(2.0, 4.0)]);
-    assert!(truth.alone(place(&plan, "f1")).is_empty());
+    assert_eq!(spans(&truth.without_planner(place(&plan, "f0"))), [(2.0, 4.0)]);
+    assert!(truth.without_planner(place(&plan, "f1")).is_empty());
     assert!(truth.away(place(&plan, "p0")).hold(1_000_000, Micros::MAX - 1));
 }
