--- a/crates/lab/src/fleet/report.rs
+++ b/crates/lab/src/fleet/report.rs
@@ -1,5 +1,5 @@
-//! What users get to see of a run: a summary for the terminal, `result.json`, and a page with the faults and each
-//! process's own view over time in one picture.
+//! What users get to see of a run: a summary for the terminal, `result.json`, and a page with the faults and
+//! each process's own view over time in one picture.
 
 use super::judge::{Breach, Figures};
 use super::links::Lateness;
@@ -171,7 +171,7 @@
 
     fn marks(&self) -> Vec<FaultMark> {
         let mark = |f: &world::fleet::fault::Fault| {
-            let whom = match f.kind.reads().strikes {
+            let whom = match f.kind.reads().target {
                 FaultTarget::Links => f.between.as_ref().map(|b| b.to_string()).or_else(|| {
                     let word = |s: &Option<world::fleet::fault::Select>| s.as_ref().map(ToString::to_string);
                     let way = if f.both { "<>" } else { ">" };
--- a/crates/world/src/fleet/draw/tests.rs
+++ b/crates/world/src/fleet/draw/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn whatever_is_drawn_is_a_valid_and_fair_schedule_and_each_usual_kind_comes_up() {
-    let mut seen = std::collections::BTreeSet::new();
+fn every_draw_is_valid_and_fair_and_all_default_kinds_are_drawn() {
+    let mut kinds_seen = std::collections::BTreeSet::new();
     let mut small = Schedule { seconds: 4.0, ..Schedule::default() };
     small.fleet.halls.truncate(1);
     (small.fleet.planners, small.fleet.forwarders, small.fleet.nodes) = (0, 1, 1);
@@ -14,15 +14,15 @@
             assert!(schedule.faults.len() <= 3 && is_fair(&schedule));
             assert!(schedule.plan(seed).over <= seconds(base.seconds * 3.0));
             drawn += usize::from(!schedule.faults.is_empty());
-            seen.extend(schedule.faults.iter().map(|f| f.kind));
+            kinds_seen.extend(schedule.faults.iter().map(|f| f.kind));
         }
     }
-    assert_eq!(seen.len(), Bounds::default().kinds.len(), "{seen:?}");
+    assert_eq!(kinds_seen.len(), Bounds::default().kinds.len(), "{kinds_seen:?}");
     assert!(drawn > 900, "{drawn}");
 }
 
 #[test]
-fn a_draw_depends_on_its_seed_and_position_alone() {
+fn a_draw_depends_only_on_its_seed_and_position() {
     let (base, bounds) = (Schedule::default(), Bounds::default());
     assert_eq!(draw(&base, &bounds, 1, 5), draw(&base, &bounds, 1, 5));
     assert_ne!(draw(&base, &bounds, 1, 5), draw(&base, &bounds, 1, 6));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_would_undo_another_fault_or_change_a_value_is_not_fair() {
+fn overlapping_process_faults_and_garbled_values_are_unfair() {
     let who = |word: &str, f: Fault| Fault { who: word.parse().ok(), ..f };
     let with = |faults: Vec<Fault>| Schedule { faults, ..Schedule::default() };
     let pause = who("f0", Fault::new(Kind::Pause, 1.0, 3.0));
--- a/crates/world/src/fleet/fault.rs
+++ b/crates/world/src/fleet/fault.rs
@@ -1,45 +1,45 @@
-//! What goes wrong in a fleet, and when. Every fault has the same few fields, so that tools can move, shorten or drop
-//! one without knowing its kind; [`Kind::reads`] says which of the others a kind uses. It is what
-//! [`crate::scenario::Fault`] is to a world of stand-ins.
+//! Faults of a fleet and their times. All kinds of fault share one struct, so that tools can move, shorten or
+//! drop a fault without knowing its kind; [`Kind::reads`] lists the optional fields that a kind uses.
+//! [`crate::scenario::Fault`] is the counterpart for simulated worlds.
 //!
-//! Faults of one link add up: what one of them drops, another cannot let through.
+//! Faults on the same link are combined: a message dropped by one of them is not delivered by another.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// A fault of a schedule. Fields that its kind does not read must be absent.
+/// A fault of a schedule. Fields that its kind does not use must be absent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     pub kind: Kind,
-    /// From when all processes are ready and clients have begun.
+    /// Start, counted from when all processes are ready and clients have started.
     pub at_s: f64,
-    /// How long it lasts.
+    /// Duration.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub for_s: f64,
-    /// Of links: messages from these to those. With `both` those that come back too.
+    /// For links: the senders; `to` selects the receivers. `both` adds the opposite direction.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub from: Option<Select>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub to: Option<Select>,
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub both: bool,
-    /// Of links: a pattern in place of `from` and `to`, always both ways.
+    /// For links: a pattern used instead of `from` and `to`; always in both directions.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub between: Option<Pattern>,
-    /// Of processes and nodes.
+    /// For processes and nodes: the members affected.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub who: Option<Select>,
-    /// The part of messages that it strikes, 0 to 1.
+    /// Fraction of messages affected, from 0 to 1.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub rate: Option<f64>,
-    /// A delay, and what is drawn on top of it, evenly.
+    /// Fixed delay; `jitter_ms` is the upper bound of an additional, uniformly distributed delay.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ms: Option<f64>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub jitter_ms: Option<f64>,
-    /// One message in so many takes this much longer.
+    /// One message in `tail_one_in` is delayed by a further `tail_ms`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tail_one_in: Option<u32>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -49,7 +49,7 @@
     /// How long a process stays down before it is started again.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub down_s: Option<f64>,
-    /// From one process to the next, where they are struck one after the other.
+    /// Interval between processes that are affected one after the other.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub every_s: Option<f64>,
 }
@@ -80,17 +80,17 @@
         }
     }
 
-    /// How long after the start of the run it is all over, with so many members struck.
-    pub fn ends_s(&self, struck: usize) -> f64 {
+    /// Seconds from the start of the run to the end of the fault, given the number of affected members.
+    pub fn ends_s(&self, affected: usize) -> f64 {
         let reads = self.kind.reads();
         let each = if reads.every_s { self.every_s.unwrap_or(0.0) } else { 0.0 };
-        let last = each * struck.saturating_sub(1) as f64;
+        let last = each * affected.saturating_sub(1) as f64;
         let down = if reads.down_s { self.down_s.unwrap_or(0.0) } else { 0.0 };
         self.at_s + self.for_s + last + down
     }
 }
 
-/// "cut at 3.2 s for 1.5 s (from=role:planner, to=all)".
+/// Formats a fault as in `cut at 3.2 s for 1.5 s (from=role:planner, to=all)`.
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} at {} s", self.kind.name(), self.at_s)?;
@@ -126,58 +126,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Nothing comes through; connections stay open and silent.
+    /// Nothing is delivered; connections stay open but idle.
     Cut,
-    /// A part `rate` of packets is lost: datagrams for good, a connection's are sent again later.
+    /// A fraction `rate` of packets is lost: datagrams for good, segments of a connection are retransmitted.
     Lose,
-    /// What goes takes `ms` longer, and up to `jitter_ms` more; one in `tail_one_in` takes `tail_ms` on top.
+    /// Messages are delayed by `ms` plus up to `jitter_ms`; one in `tail_one_in` by a further `tail_ms`.
     Delay,
-    /// A part `rate` of datagrams comes twice.
+    /// A fraction `rate` of datagrams is delivered twice.
     Duplicate,
-    /// A part `rate` of datagrams is overtaken.
+    /// A fraction `rate` of datagrams is overtaken by later ones.
     Reorder,
-    /// No more than `bytes_per_s` come through.
+    /// The link carries at most `bytes_per_s`.
     Limit,
-    /// Connections stay up, nobody reads: buffers fill.
+    /// Connections stay open but nobody reads from them, so buffers fill up.
     Stall,
     /// Established connections are reset, once.
     Reset,
     /// New connections are refused.
     Refuse,
-    /// A part `rate` of messages has a byte changed.
+    /// One byte is changed in a fraction `rate` of messages.
     Garble,
-    /// Processes are told to end (SIGTERM), and started again after `down_s`.
+    /// Processes are terminated (SIGTERM) and started again after `down_s`.
     Terminate,
-    /// Processes are killed (SIGKILL) and stay away.
+    /// Processes are killed (SIGKILL) and not started again.
     Kill,
-    /// Processes stand still (SIGSTOP) for `for_s`.
+    /// Processes are paused (SIGSTOP) for `for_s`.
     Pause,
-    /// Processes are killed and started again after `down_s` with the folder that they left.
+    /// Processes are killed and started again after `down_s` with their data directory intact.
     Restart,
-    /// Machines are lost with their disks; after `down_s` others of the same names start with empty folders.
+    /// Machines are lost with their disks; after `down_s` replacements with the same names start with empty
+    /// directories.
     LoseMachine,
-    /// Processes are killed and at once started again with empty folders.
+    /// Processes are killed and immediately started again with empty directories.
     Empty,
-    /// A second process of the same name runs beside the first for `for_s`.
+    /// A second process with the same name runs beside the first for `for_s`.
     Twin,
     /// Processes are killed and all started again after `down_s`, within a second of each other.
     StartHalf,
-    /// Processes end as planned and are started again after `down_s`, one every `every_s`. Those that ran the older
-    /// program come back with the newer one.
+    /// Rolling restart: processes are terminated in turn, one every `every_s`, and started again after
+    /// `down_s`. Those that ran the older version come back with the newer one.
     Roll,
-    /// Files of processes can grow no more; they are started again with that limit, and once more without it.
+    /// Processes are restarted with a limit that keeps files from growing, and later restarted without it.
     DiskFull,
-    /// A file of each process is cut short while it is down for `down_s`.
+    /// A file of each process is truncated while the process is down for `down_s`.
     DiskCut,
-    /// A byte of a file of each process is changed while it is down for `down_s`.
+    /// A byte in a file of each process is changed while the process is down for `down_s`.
     DiskRot,
-    /// Stand-in nodes take requests and answer nothing for `for_s`.
+    /// Simulated nodes accept requests but do not answer for `for_s`.
     Hang,
-    /// Stand-in nodes close their connections and refuse new ones for `for_s`.
+    /// Simulated nodes close their connections and refuse new ones for `for_s`.
     Crash,
 }
 
-/// What a kind strikes.
+/// What a kind of fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultTarget {
     Links,
@@ -185,17 +186,17 @@
     Nodes,
 }
 
-/// What a kind reads of a fault's fields, and needs of them.
+/// The optional fields of a fault that a kind uses and requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reads {
-    pub strikes: FaultTarget,
+    pub target: FaultTarget,
     pub rate: bool,
     /// `ms`, `jitter_ms`, `tail_one_in`, `tail_ms`.
     pub delay: bool,
     pub bytes_per_s: bool,
     pub down_s: bool,
     pub every_s: bool,
-    /// It lasts: `for_s` must be more than 0. Else it must be 0.
+    /// Whether the fault has a duration: if so, `for_s` must be greater than 0, otherwise it must be 0.
     pub lasts: bool,
 }
 
@@ -229,7 +230,7 @@
 
     pub fn reads(self) -> Reads {
         let none = Reads {
-            strikes: FaultTarget::Links,
+            target: FaultTarget::Links,
             rate: false,
             delay: false,
             bytes_per_s: false,
@@ -237,7 +238,7 @@
             every_s: false,
             lasts: true,
         };
-        let process = Reads { strikes: FaultTarget::Processes, lasts: false, ..none };
+        let process = Reads { target: FaultTarget::Processes, lasts: false, ..none };
         let down = Reads { down_s: true, ..process };
         match self {
             Kind::Cut | Kind::Stall | Kind::Refuse => none,
@@ -251,11 +252,11 @@
             Kind::DiskCut | Kind::DiskRot => down,
             Kind::Roll => Reads { every_s: true, ..down },
             Kind::DiskFull => Reads { lasts: true, ..process },
-            Kind::Hang | Kind::Crash => Reads { strikes: FaultTarget::Nodes, ..none },
+            Kind::Hang | Kind::Crash => Reads { target: FaultTarget::Nodes, ..none },
         }
     }
 
-    /// As a schedule writes it.
+    /// The name used in schedule files.
     pub fn name(self) -> &'static str {
         match self {
             Kind::Cut => "cut",
@@ -286,23 +287,24 @@
     }
 }
 
-/// Some of the members of a fleet, as a word: `all`, a name such as `f3`, `role:planner`, `hall:hofdi`, or
-/// `share:0.1`, a part that is drawn (one at least). Several are joined by `+`; `share:` is of those before it:
-/// `role:forwarder+share:0.5` is half of the forwarders.
+/// Selector for members of a fleet: `all`, a name such as `f3`, `role:planner`, `hall:hofdi`, or `share:0.1`,
+/// a random fraction (at least one member). Terms are joined by `+`; `share:` applies to the terms before it:
+/// `role:forwarder+share:0.5` selects half of the forwarders.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Select(String);
 
-/// Pairs of members between which links are struck, as a word. `halls`: whatever goes from one hall to another.
-/// `pairs:0.33`: a third of the pairs, drawn. `ring`: all but those of neighbours, by name, in a ring.
-/// `bridge:p0`: between two halves that share this member. `alone:f1`: between this member and all others.
+/// Pattern of affected links. `halls`: all links between different halls. `pairs:0.33`: a random third of the
+/// pairs. `ring`: all links except those between neighbours when members are arranged in a ring by name.
+/// `bridge:p0`: links between two halves that share only this member. `alone:f1`: links between this member
+/// and all others.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Pattern(String);
 
-/// One part of a [`Select`].
+/// One term of a [`Select`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Part<'a> {
+pub(super) enum Term<'a> {
     All,
     Name(&'a str),
     Role(Role),
@@ -310,7 +312,7 @@
     Share(f64),
 }
 
-/// A [`Pattern`], read.
+/// A parsed [`Pattern`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Shape<'a> {
     Halls,
@@ -320,13 +322,13 @@
     Alone(&'a str),
 }
 
-/// What a member of a fleet is.
+/// The role of a member of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
     Planner,
     Forwarder,
-    /// A stand-in cache node: no process of its own.
+    /// A simulated cache node, which has no process of its own.
     Node,
 }
 
@@ -340,36 +342,36 @@
     }
 }
 
-/// The longest word that selects.
-const MAX_WORD_LEN: usize = 200;
+/// Maximum length of a selector or pattern, in bytes or characters respectively.
+const MAX_SELECTOR_LEN: usize = 200;
 const SELECT_USAGE: &str =
-    "all, a name like f3, role:planner, role:forwarder, role:node, hall:NAME or share:0.1 is wanted";
-const PATTERN_USAGE: &str = "halls, pairs:0.33, ring, bridge:NAME or alone:NAME is wanted";
+    "expected all, a name like f3, role:planner, role:forwarder, role:node, hall:NAME or share:0.1";
+const PATTERN_USAGE: &str = "expected halls, pairs:0.33, ring, bridge:NAME or alone:NAME";
 
-fn plain(name: &str) -> bool {
+fn is_plain_name(name: &str) -> bool {
     !name.is_empty() && name.chars().all(|c| c.is_ascii_alphanumeric() || "-_.".contains(c))
 }
 
-fn share(text: &str) -> Option<f64> {
+fn parse_share(text: &str) -> Option<f64> {
     text.parse::<f64>().ok().filter(|x| *x > 0.0 && *x <= 1.0)
 }
 
-fn part(word: &str) -> Option<Part<'_>> {
-    match word.split_once(':') {
-        None if word == "all" => Some(Part::All),
-        None => plain(word).then_some(Part::Name(word)),
-        Some(("role", "planner")) => Some(Part::Role(Role::Planner)),
-        Some(("role", "forwarder")) => Some(Part::Role(Role::Forwarder)),
-        Some(("role", "node")) => Some(Part::Role(Role::Node)),
-        Some(("hall", name)) => plain(name).then_some(Part::Hall(name)),
-        Some(("share", x)) => share(x).map(Part::Share),
+fn parse_term(term: &str) -> Option<Term<'_>> {
+    match term.split_once(':') {
+        None if term == "all" => Some(Term::All),
+        None => is_plain_name(term).then_some(Term::Name(term)),
+        Some(("role", "planner")) => Some(Term::Role(Role::Planner)),
+        Some(("role", "forwarder")) => Some(Term::Role(Role::Forwarder)),
+        Some(("role", "node")) => Some(Term::Role(Role::Node)),
+        Some(("hall", name)) => is_plain_name(name).then_some(Term::Hall(name)),
+        Some(("share", x)) => parse_share(x).map(Term::Share),
         Some(_) => None,
     }
 }
 
 impl Select {
-    pub(super) fn parts(&self) -> impl Iterator<Item = Part<'_>> {
-        self.0.split('+').filter_map(part)
+    pub(super) fn parts(&self) -> impl Iterator<Item = Term<'_>> {
+        self.0.split('+').filter_map(parse_term)
     }
 
     pub fn as_str(&self) -> &str {
@@ -383,9 +385,9 @@
             None if self.0 == "halls" => Some(Shape::Halls),
             None if self.0 == "ring" => Some(Shape::Ring),
             None => None,
-            Some(("pairs", x)) => share(x).map(Shape::Pairs),
-            Some(("bridge", name)) => plain(name).then_some(Shape::Bridge(name)),
-            Some(("alone", name)) => plain(name).then_some(Shape::Alone(name)),
+            Some(("pairs", x)) => parse_share(x).map(Shape::Pairs),
+            Some(("bridge", name)) => is_plain_name(name).then_some(Shape::Bridge(name)),
+            Some(("alone", name)) => is_plain_name(name).then_some(Shape::Alone(name)),
             Some(_) => None,
         }
     }
@@ -399,8 +401,9 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let right = text.len() <= MAX_WORD_LEN && text.split('+').all(|word| part(word).is_some());
-        if right {
+        let is_valid =
+            text.len() <= MAX_SELECTOR_LEN && text.split('+').all(|term| parse_term(term).is_some());
+        if is_valid {
             Ok(Select(text.to_owned()))
         } else {
             Err(SELECT_USAGE)
@@ -412,7 +415,7 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let pattern = Pattern(text.chars().take(MAX_WORD_LEN).collect());
+        let pattern = Pattern(text.chars().take(MAX_SELECTOR_LEN).collect());
         if pattern.shape().is_some() {
             Ok(pattern)
         } else {
@@ -421,7 +424,7 @@
     }
 }
 
-macro_rules! word {
+macro_rules! impl_string_conversions {
     ($type:ty) => {
         impl TryFrom<String> for $type {
             type Error = &'static str;
@@ -432,8 +435,8 @@
         }
 
         impl From<$type> for String {
-            fn from(word: $type) -> String {
-                word.0
+            fn from(term: $type) -> String {
+                term.0
             }
         }
 
@@ -445,8 +448,8 @@
     };
 }
 
-word!(Select);
-word!(Pattern);
+impl_string_conversions!(Select);
+impl_string_conversions!(Pattern);
 
 #[cfg(test)]
 mod tests;
--- a/crates/world/src/fleet/link.rs
+++ b/crates/world/src/fleet/link.rs
@@ -1,9 +1,9 @@
-//! One direction of a link between two processes: what befalls it ([`Condition`]) and the model that draws what
-//! becomes of each message ([`Line`]).
+//! One direction of a link between two processes: its current impairments ([`Condition`]) and the random
+//! model that decides the fate of each message ([`Line`]).
 //!
-//! It owns the rules of loss, delay, order and rate, for datagrams and for the bytes of a TCP connection, and a
-//! generator from a seed. It holds no bytes and knows no sockets: hosts hold what is on its way, and carry out what
-//! is told. Not for delays between halls as scenarios have them, which are in [`crate::network`].
+//! The model covers loss, delay, reordering and rate limits, for datagrams and for the bytes of a TCP
+//! connection, and has its own seeded generator. It stores no payload and uses no sockets: the host holds the
+//! data in flight and applies the decisions. The delays between halls in scenarios are in [`crate::network`].
 
 use crate::random::{chance, stream, within, Random};
 use crate::scenario::Spread;
@@ -11,35 +11,36 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 
-/// What a segment that is lost costs a connection at first; twice as much each time that it is lost again (the least
-/// retransmission time-out of Linux, `TCP_RTO_MIN`; RFC 6298 asks for a second).
+/// Delay of a connection for the first loss of a segment, doubled for each further loss. This is the minimum
+/// retransmission timeout of Linux, `TCP_RTO_MIN`; RFC 6298 asks for a second.
 pub const RETRANSMISSION_US: Micros = 200_000;
-/// Times in a row that a segment is lost at most: 200 ms * (2^6 - 1) is 12.6 s.
+/// Maximum consecutive losses of a segment: 200 ms * (2^6 - 1) is 12.6 s.
 const RETRANSMISSIONS: u32 = 6;
-/// Bytes of a segment, as over an Ethernet of 1500 bytes.
+/// Payload of a TCP segment on Ethernet with an MTU of 1500 bytes.
 pub const SEGMENT_BYTES: usize = 1448;
-/// How long a datagram that others are to overtake is held back beyond its time.
+/// Additional delay of a datagram that later ones are to overtake.
 pub const REORDER_DELAY_US: Micros = 20_000;
-/// A datagram that would wait longer than this for a limited line is lost: the queue before it is full.
+/// Maximum queueing delay on a rate-limited link. A datagram that would wait longer is lost, as with a full
+/// queue.
 pub const MAX_QUEUE_DELAY_US: Micros = 1_000_000;
-/// How long a chunk of a connection takes over a limited line at most, so that bytes trickle.
+/// Chunks per second into which a rate-limited connection is split at least, so that bytes arrive gradually.
 const TRICKLE_PER_S: u64 = 50;
 /// Coefficient of variation of the heavy tail.
 const TAIL_CV: f64 = 2.0;
-/// No delay is set beyond an hour.
+/// Maximum configurable delay: one hour.
 const MAX_DELAY_MS: f64 = 3_600_000.0;
 
-/// What a message of one direction is delayed by. Milliseconds.
+/// Delay of the messages of one direction, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Delay {
-    /// Each message.
+    /// Applied to every message.
     pub fixed_ms: f64,
-    /// Beyond that, evenly between 0 and this.
+    /// Additional delay, uniformly distributed between 0 and this.
     pub jitter_ms: f64,
-    /// One message in so many, drawn, is delayed by the tail too; 0 for none.
+    /// One message in this many, chosen at random, is also delayed by the tail; 0 for none.
     pub tail_one_in: u32,
-    /// The mean of the tail, which is a Pareto one and ends at 40 times its mean.
+    /// Mean of the tail, which is Pareto-distributed and truncated at 40 times its mean.
     pub tail_ms: f64,
 }
 
@@ -60,49 +61,49 @@
     }
 }
 
-/// What befalls one direction of a link. The default is a whole link.
+/// Impairments of one direction of a link. The default has none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Condition {
-    /// Nothing passes. Datagrams are lost; bytes of a connection are held back and come once it is over, in order.
-    /// No connection comes up across it, in whichever direction it lies.
+    /// Nothing passes. Datagrams are lost; bytes of a connection are held back and delivered in order once
+    /// the cut is over. No connection can be established across it, whichever side initiates it.
     pub cut: bool,
-    /// The part of messages that is lost. A connection loses none of its bytes: a lost segment comes later by
-    /// [`RETRANSMISSION_US`], doubled each time that it is lost again. 1 is a cut.
+    /// Fraction of messages lost. A connection loses no bytes: a lost segment is delayed by
+    /// [`RETRANSMISSION_US`], doubled for each further loss. 1 is equivalent to a cut.
     pub lose: f64,
     pub delay: Delay,
-    /// The part of datagrams that comes twice.
+    /// Fraction of datagrams delivered twice.
     pub duplicate: f64,
-    /// The part of datagrams that later ones overtake; never two in a row.
+    /// Fraction of datagrams overtaken by later ones; never two in a row.
     pub reorder: f64,
-    /// What the line carries: all connections and datagrams of the direction together.
+    /// Bandwidth shared by all connections and datagrams of the direction.
     pub bytes_per_s: Option<u64>,
-    /// Connections stay up and nothing moves on them. Datagrams are lost.
+    /// Connections stay open but transfer nothing. Datagrams are lost.
     pub stall: bool,
-    /// New connections from the sender of this direction to its receiver are refused; those that are up stay up.
+    /// New connections from the sender of this direction to its receiver are refused; open ones stay open.
     pub refuse: bool,
-    /// The part of datagrams, and of chunks of a connection as a host reads them, in which one byte is changed.
+    /// Fraction of datagrams, and of connection chunks as read by the host, in which one byte is changed.
     pub garble: f64,
 }
 
-/// A condition that makes no sense.
+/// Why a condition is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidCondition {
-    #[error("{0} is a part: from 0 to 1")]
+    #[error("{0} is a fraction and must be from 0 to 1")]
     Part(&'static str),
-    #[error("{0} is in milliseconds: from 0 to 3600000")]
+    #[error("{0} is in milliseconds and must be from 0 to 3600000")]
     Span(&'static str),
     #[error("bytes_per_s must be at least 1")]
     Rate,
 }
 
 impl Condition {
-    /// Nothing passes.
+    /// A condition under which nothing passes.
     pub fn cut() -> Self {
         Condition { cut: true, ..Condition::default() }
     }
 
-    /// Connections stay up and nothing moves.
+    /// A condition under which connections stay open but transfer nothing.
     pub fn stall() -> Self {
         Condition { stall: true, ..Condition::default() }
     }
@@ -115,14 +116,14 @@
         *self == Condition::default()
     }
 
-    /// Whether nothing at all passes, for as long as this lasts.
+    /// Whether nothing passes while this condition lasts.
     pub fn blocks_all(&self) -> bool {
         self.cut || self.stall || self.lose >= 1.0
     }
 
     /// # Errors
     ///
-    /// The first field that is out of its range.
+    /// Returns the first field that is out of range.
     pub fn check(&self) -> Result<(), InvalidCondition> {
         let parts = [
             ("lose", self.lose),
@@ -147,8 +148,8 @@
         Ok(())
     }
 
-    /// Both at once, as where two faults overlap: parts as if drawn apart, delays one after the other (the rarer of
-    /// two tails goes), the lower rate.
+    /// Combines two conditions that apply at once, as when faults overlap: fractions as independent
+    /// probabilities, delays added (the more frequent of the two tails is kept), and the lower bandwidth.
     pub fn with(&self, other: &Condition) -> Condition {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         let (a, b) = (&self.delay, &other.delay);
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Bytes of a connection that a host should hand to [`Line::chunk`] at once, at most: so that a limited line
-    /// trickles.
+    /// Maximum number of connection bytes that a host should pass to [`Line::chunk`] at once, so that data
+    /// arrives gradually on a rate-limited link.
     pub fn max_chunk_len(&self, most: usize) -> usize {
         match self.bytes_per_s {
             Some(rate) => usize::try_from(rate / TRICKLE_PER_S).unwrap_or(most).clamp(1, most.max(1)),
@@ -185,16 +186,16 @@
     }
 }
 
-/// A datagram that arrives.
+/// The arrival of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Delivery {
-    /// When; not before the moment that was told.
+    /// Arrival time; never before the send time passed in.
     pub at_us: Micros,
-    /// Which of its bytes is changed, by [`garble`].
+    /// Index of the byte to be changed with [`garble`], if any.
     pub garbled: Option<usize>,
 }
 
-/// What becomes of a datagram: it arrives never, once or twice.
+/// Arrivals of a datagram: none, one or two.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Deliveries {
     pub first: Option<Delivery>,
@@ -211,39 +212,39 @@
     }
 }
 
-/// What becomes of a chunk of a connection's bytes.
+/// The outcome for a chunk of a connection's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChunkFate {
-    /// It waits for as long as the condition lasts. Ask again under the next one.
+    /// The chunk waits while the condition lasts. Ask again under the next condition.
     Held,
     Due(Delivery),
 }
 
-/// Changes a byte of a message, as [`Delivery::garbled`] says. Done twice, it is undone.
+/// Changes the byte at [`Delivery::garbled`]. Applying it twice restores the message.
 pub fn garble(bytes: &mut [u8], at: usize) {
     if let Some(byte) = bytes.get_mut(at) {
         *byte ^= 0x55;
     }
 }
 
-/// One direction of a link. Times are the host's and do not go back.
+/// State of one direction of a link. Times are supplied by the host and must not decrease.
 #[derive(Clone, Debug)]
 pub struct Line {
     rng: Random,
-    /// When a limited line has carried all that came before.
+    /// When a rate-limited link has sent everything queued so far.
     free_us: Micros,
-    /// Whether the datagram before this one was held back.
+    /// Whether the previous datagram was held back.
     held_back: bool,
 }
 
 impl Line {
-    /// The line from one to another; each has a generator of its own.
+    /// Creates the link from one process to another; each has its own generator.
     pub fn new(seed: u64, from: &str, to: &str) -> Self {
         Line { rng: stream(seed, &format!("line {from} {to}"), 0), free_us: Micros::MIN, held_back: false }
     }
 
-    /// Another condition begins: what waits for the limit of the one before is forgotten. Hosts then ask again for
-    /// each chunk that has not arrived.
+    /// Resets the queue when the condition changes: data waiting for the previous rate limit is forgotten.
+    /// The host then asks again for each chunk that has not arrived.
     pub fn changed(&mut self) {
         self.free_us = Micros::MIN;
         self.held_back = false;
@@ -257,7 +258,7 @@
         if condition.bytes_per_s.is_some() && free - now_us > MAX_QUEUE_DELAY_US {
             return Deliveries::default();
         }
-        let sent = self.carry(now_us, len, condition);
+        let sent = self.transmit(now_us, len, condition);
         self.held_back = !self.held_back && chance(condition.reorder, &mut self.rng);
         let back = if self.held_back { REORDER_DELAY_US } else { 0 };
         let first = self.deliver(sent + back, len, condition);
@@ -265,8 +266,8 @@
         Deliveries { first: Some(first), again }
     }
 
-    /// `behind_us` is when the chunk before it on the same connection is due: this one does not overtake it. A length
-    /// of 0 is a handshake or an end, which take their way as data does.
+    /// `behind_us` is when the previous chunk on the same connection is due; this one does not overtake it. A
+    /// length of 0 stands for a handshake or an end of stream, which travel as data does.
     pub fn chunk(
         &mut self,
         now_us: Micros,
@@ -277,10 +278,10 @@
         if condition.blocks_all() {
             return ChunkFate::Held;
         }
-        let sent = self.carry(now_us, len, condition);
+        let sent = self.transmit(now_us, len, condition);
         let mut delivery = self.deliver(sent, len, condition);
         let segments = len.div_ceil(SEGMENT_BYTES).max(1);
-        // Segments go side by side, and what comes behind a lost one waits for it: the worst of them counts.
+        // Segments travel in parallel and data behind a lost one waits for it, so the worst segment counts.
         let worst = (0..segments).map(|_| self.lost_in_a_row(condition.lose)).max().unwrap_or(0);
         delivery.at_us = (delivery.at_us + RETRANSMISSION_US * ((1 << worst) - 1)).max(behind_us);
         ChunkFate::Due(delivery)
@@ -290,11 +291,11 @@
         (0..RETRANSMISSIONS).take_while(|_| chance(lose, &mut self.rng)).count() as u32
     }
 
-    /// When the line has sent the last of so many bytes.
-    fn carry(&mut self, now_us: Micros, len: usize, condition: &Condition) -> Micros {
+    /// Returns when the link has sent the last of `len` bytes.
+    fn transmit(&mut self, now_us: Micros, len: usize, condition: &Condition) -> Micros {
         let Some(rate) = condition.bytes_per_s else { return now_us };
-        let takes = (len as f64 * 1e6 / rate.max(1) as f64).round() as Micros;
-        self.free_us = self.free_us.max(now_us) + takes;
+        let duration = (len as f64 * 1e6 / rate.max(1) as f64).round() as Micros;
+        self.free_us = self.free_us.max(now_us) + duration;
         self.free_us
     }
 
--- a/crates/world/src/fleet/link/tests.rs
+++ b/crates/world/src/fleet/link/tests.rs
@@ -7,8 +7,8 @@
     Line::new(7, "a", "b")
 }
 
-/// When each of so many datagrams arrives that set out a second apart, after it set out.
-fn ways(condition: &Condition, count: i64) -> Vec<Vec<Delivery>> {
+/// Arrival times, relative to sending, of `count` datagrams sent one second apart.
+fn arrivals(condition: &Condition, count: i64) -> Vec<Vec<Delivery>> {
     let mut line = line();
     let of = |n: i64, d: Delivery| Delivery { at_us: d.at_us - n * 1_000_000, ..d };
     let one = |n: i64, line: &mut Line| {
@@ -17,14 +17,14 @@
     (0..count).map(|n| one(n, &mut line)).collect()
 }
 
-fn part(ways: &[Vec<Delivery>], is: impl Fn(&Vec<Delivery>) -> bool) -> f64 {
-    ways.iter().filter(|w| is(w)).count() as f64 / ways.len() as f64
+fn fraction(arrivals: &[Vec<Delivery>], is: impl Fn(&Vec<Delivery>) -> bool) -> f64 {
+    arrivals.iter().filter(|w| is(w)).count() as f64 / arrivals.len() as f64
 }
 
 #[test]
-fn a_whole_line_delivers_each_message_once_at_once_and_unchanged() {
+fn an_unimpaired_link_delivers_each_message_once_immediately_and_unchanged() {
     let at_once = Delivery { at_us: 0, garbled: None };
-    assert!(ways(&Condition::default(), 1000).iter().all(|w| *w == [at_once]));
+    assert!(arrivals(&Condition::default(), 1000).iter().all(|w| *w == [at_once]));
     assert_eq!(line().chunk(5, 64_000, &Condition::default(), 0), due(5));
 }
 
@@ -36,22 +36,25 @@
 #[case(Condition { lose: 0.3, ..Condition::default() }, |w: &Vec<Delivery>| w.is_empty())]
 #[case(Condition { duplicate: 0.3, ..Condition::default() }, |w: &Vec<Delivery>| w.len() == 2)]
 #[case(Condition { garble: 0.3, ..Condition::default() }, |w: &Vec<Delivery>| w[0].garbled.is_some_and(|at| at < LEN))]
-// One of 1 / 0.3 that may be held back, and then one that may not.
+// A datagram after one that was held back is never held back: 0.75 / 1.75 of them are.
 #[case(Condition { reorder: 0.75, ..Condition::default() }, |w: &Vec<Delivery>| w[0].at_us == REORDER_DELAY_US)]
-fn a_part_of_datagrams_is_struck(#[case] condition: Condition, #[case] is: fn(&Vec<Delivery>) -> bool) {
+fn the_configured_fraction_of_datagrams_is_affected(
+    #[case] condition: Condition,
+    #[case] is: fn(&Vec<Delivery>) -> bool,
+) {
     let expected = if condition.reorder > 0.0 { 0.75 / 1.75 } else { 0.3 };
-    let struck = part(&ways(&condition, 20_000), is);
-    assert!((struck - expected).abs() < 0.02, "{struck}");
-    assert_eq!(part(&ways(&Condition::default(), 1000), is), 0.0);
+    let affected = fraction(&arrivals(&condition, 20_000), is);
+    assert!((affected - expected).abs() < 0.02, "{affected}");
+    assert_eq!(fraction(&arrivals(&Condition::default(), 1000), is), 0.0);
 }
 
 #[test]
-fn delays_are_fixed_spread_and_at_times_long() {
+fn delays_have_a_fixed_part_jitter_and_a_tail() {
     let delay = Delay { fixed_ms: 10.0, jitter_ms: 4.0, tail_one_in: 10, tail_ms: 100.0 };
-    let ways = ways(&Condition { delay, ..Condition::default() }, 20_000);
-    let late: Vec<f64> = ways.iter().map(|w| w[0].at_us as f64 / 1e3).collect();
+    let arrivals = arrivals(&Condition { delay, ..Condition::default() }, 20_000);
+    let late: Vec<f64> = arrivals.iter().map(|w| w[0].at_us as f64 / 1e3).collect();
     assert!(late.iter().all(|ms| (10.0..=14.0 + 40.0 * 100.0).contains(ms)));
-    // A Pareto tail of mean 100 and this spread begins at 53.
+    // A Pareto tail with mean 100 and this coefficient of variation starts at 53.
     let tail = late.iter().filter(|ms| **ms > 30.0).count() as f64 / late.len() as f64;
     assert!((tail - 0.1).abs() < 0.01, "{tail}");
     let mean = late.iter().sum::<f64>() / late.len() as f64;
@@ -59,15 +62,19 @@
 }
 
 #[test]
-fn a_limited_line_sends_one_after_the_other_and_its_queue_ends() {
+fn a_rate_limited_link_serializes_datagrams_and_drops_when_its_queue_is_full() {
     let slow = Condition { bytes_per_s: Some(1000), ..Condition::default() };
     let mut line = line();
     let sent: Vec<_> = (0..20).map(|_| line.datagram(0, LEN, &slow).first.map(|d| d.at_us)).collect();
-    // 100 bytes take 100 ms; the line takes a second's worth and the one under way.
+    // 100 bytes take 100 ms; the queue holds one second of data plus the datagram in transmission.
     let expected: Vec<_> = (1..=20).map(|n| (n <= 11).then_some(n * 100_000)).collect();
     assert_eq!(sent, expected);
     line.changed();
-    assert_eq!(line.chunk(0, LEN, &slow, 0), due(100_000), "what waited for the limit before is forgotten");
+    assert_eq!(
+        line.chunk(0, LEN, &slow, 0),
+        due(100_000),
+        "data queued under the previous limit is forgotten"
+    );
     assert_eq!(slow.max_chunk_len(4096), 20);
     assert_eq!(Condition::default().max_chunk_len(4096), 4096);
 }
@@ -76,19 +83,19 @@
 #[case(Condition::cut())]
 #[case(Condition::stall())]
 #[case(Condition { lose: 1.0, ..Condition::default() })]
-fn nothing_passes_a_line_that_holds_all(#[case] condition: Condition) {
+fn nothing_passes_a_blocked_link(#[case] condition: Condition) {
     assert!(line().datagram(0, LEN, &condition).is_lost());
     assert_eq!(line().chunk(0, LEN, &condition, 0), ChunkFate::Held);
 }
 
 #[test]
-fn a_connection_pays_for_lost_segments_with_time_and_keeps_its_order() {
+fn lost_segments_delay_a_connection_and_keep_its_order() {
     let lossy = Condition { lose: 0.5, ..Condition::default() };
     let mut line = line();
     let (mut behind, mut costs) = (0, Vec::new());
     for now in (0..200_000).map(|n| n * 60_000_000) {
         let ChunkFate::Due(d) = line.chunk(now, LEN, &lossy, behind) else { panic!("held") };
-        assert!(d.at_us >= behind, "it overtook");
+        assert!(d.at_us >= behind, "the chunk overtook the previous one");
         behind = d.at_us;
         costs.push(d.at_us - now);
     }
@@ -97,11 +104,11 @@
         assert!((seen - 0.5f64.powi(lost + 1)).abs() < 0.01, "{lost} lost: {seen}");
     }
     assert_eq!(costs.iter().max(), Some(&12_600_000));
-    assert_eq!(line.chunk(0, LEN, &Condition::default(), 900), due(900), "not before the one ahead of it");
+    assert_eq!(line.chunk(0, LEN, &Condition::default(), 900), due(900), "not before the previous chunk");
 }
 
 #[test]
-fn lines_of_one_seed_draw_alike_and_each_direction_for_itself() {
+fn draws_depend_on_the_seed_and_the_direction() {
     let odd = Condition { lose: 0.5, ..Condition::delayed(1.0) };
     let drawn = |from, to| {
         let mut line = Line::new(3, from, to);
@@ -112,7 +119,7 @@
 }
 
 #[test]
-fn conditions_are_checked_read_and_put_together() {
+fn conditions_are_parsed_checked_and_combined() {
     let from = |text: &str| toml::from_str::<Condition>(text);
     let a = from("lose = 0.5\nbytes_per_s = 9\n[delay]\nfixed_ms = 2\ntail_one_in = 8").expect("a condition");
     assert_eq!(a.check(), Ok(()));
@@ -127,7 +134,7 @@
 }
 
 #[test]
-fn garbling_changes_one_byte_and_twice_is_none() {
+fn garbling_changes_one_byte_and_is_its_own_inverse() {
     let mut bytes = *b"weir";
     garble(&mut bytes, 2);
     assert_eq!(bytes.iter().zip(b"weir").filter(|(a, b)| a != b).count(), 1);
--- a/crates/world/src/fleet/mod.rs
+++ b/crates/world/src/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! A fleet of processes and what befalls it: words, plans and models, for whichever host plays them. `lab::fleet`
-//! plays them on loopback with real processes.
+//! Fault schedules for a fleet of processes: the file format, the plan derived from a seed, and the link
+//! model. They are independent of the host that executes them; `lab::fleet` runs them on loopback with real
+//! processes.
 //!
-//! No I/O, no clock and no randomness but from seeds.
+//! This module does no I/O and reads no clock; all randomness comes from seeds.
 
 pub mod draw;
 pub mod fault;
--- a/crates/world/src/fleet/schedule.rs
+++ b/crates/world/src/fleet/schedule.rs
@@ -1,11 +1,12 @@
-//! A schedule: a fleet, what befalls it, and what must hold; and the plan that one seed makes of it.
+//! A schedule describes a fleet, its faults and the expected behaviour; a plan is derived from it with a
+//! seed.
 //!
-//! The types are those of a TOML file, in the way of [`crate::scenario`]: a unit is in each name, unknown fields are
-//! errors, [`Schedule::validate`] finds what types cannot. [`Schedule::plan`] draws all that is to be drawn before
-//! anything starts: what is left is a list of moments, each with a link's direction and its condition, or a process
-//! and what is done to it. Whoever carries it out decides nothing.
+//! The types mirror a TOML file, as in [`crate::scenario`]: names include units, unknown fields are errors,
+//! and [`Schedule::validate`] checks what the types cannot express. [`Schedule::plan`] makes all random
+//! choices before anything starts. The result is a list of timed steps, each with a link direction and its
+//! condition, or a process and an action on it; whoever executes the plan makes no decisions.
 
-use super::fault::{Fault, FaultTarget, Kind, Part, Pattern, Role, Select, Shape};
+use super::fault::{Fault, FaultTarget, Kind, Pattern, Role, Select, Shape, Term};
 use super::link::Condition;
 use crate::random::{seconds, seed_of, stream};
 use crate::scenario::validate::{named, within, wrong, Check};
@@ -20,9 +21,10 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Schedule {
     pub name: String,
-    /// What it is for, for people.
+    /// Purpose of the schedule, for readers.
     pub about: String,
-    /// How long faults may come and clients ask. A run goes on until all views have converged, or should have.
+    /// How long faults may start and clients send requests. A run continues until all views have converged or
+    /// the time limit for that has passed.
     pub seconds: f64,
     pub seed: u64,
     pub fleet: Fleet,
@@ -44,20 +46,20 @@
     }
 }
 
-/// The processes and the stand-in nodes, each kind spread over the halls in turn. They are called `p0`, `f0`, `s0`
-/// and so on.
+/// The processes and simulated nodes, each kind assigned to the halls round-robin. They are named `p0`, `f0`,
+/// `s0` and so on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fleet {
     pub planners: u32,
     pub forwarders: u32,
-    /// Stand-in cache nodes, which answer after `service_ms`.
+    /// Number of simulated cache nodes, which answer after `service_ms`.
     pub nodes: u32,
     pub halls: Vec<String>,
     pub service_ms: f64,
-    /// Requests a second to each forwarder.
+    /// Requests per second to each forwarder.
     pub rate_per_s: f64,
-    /// Those that run an older program, which the command line names.
+    /// Members that run an older version of the program, given on the command line.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub old: Option<Select>,
 }
@@ -76,19 +78,19 @@
     }
 }
 
-/// What must hold besides what always must (one outcome for each request, no flapping).
+/// Expectations in addition to those that always apply (one outcome for each request, no flapping).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Expect {
-    /// So long after the last fault has ended, each forwarder avoids what is silent and nothing else, and hears all
-    /// planners that run.
+    /// Time limit, counted from the end of the last fault, after which each forwarder avoids exactly the
+    /// silent nodes and hears all running planners.
     pub converge_s: f64,
-    /// Most forwarders may avoid a node that answers them all for no longer than this.
+    /// Maximum time for which most forwarders may avoid a node that answers all of them.
     pub wrong_s: f64,
-    /// All forwarders avoid a node that is silent to all of them within this time; absent: any.
+    /// Time limit for all forwarders to avoid a node that is silent to all of them; no limit if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub avoid_s: Option<f64>,
-    /// Requests without a value, as a part of all; absent: any.
+    /// Maximum fraction of requests without a value; no limit if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lost: Option<f64>,
 }
@@ -99,7 +101,7 @@
     }
 }
 
-/// Bounds that keep a run of any schedule finite.
+/// Limits that keep the run of any schedule finite.
 const MAX_SECONDS: f64 = 3_600.0;
 const MAX_PLANNERS: u32 = 9;
 const MAX_FORWARDERS: u32 = 60;
@@ -108,7 +110,7 @@
 const MAX_MS: f64 = 60_000.0;
 
 impl Schedule {
-    /// The first value that is wrong.
+    /// Checks all values and returns the first error.
     pub fn validate(&self) -> Check {
         within("seconds", self.seconds, 0.1, MAX_SECONDS)?;
         let f = &self.fleet;
@@ -118,23 +120,24 @@
         within("fleet.service_ms", f.service_ms, 0.0, 1_000.0)?;
         within("fleet.rate_per_s", f.rate_per_s, 0.1, 1_000.0)?;
         if !(1..=8).contains(&f.halls.len()) {
-            return wrong("fleet.halls", "1 to 8 halls are wanted");
+            return wrong("fleet.halls", "expected 1 to 8 halls");
         }
         for (i, hall) in f.halls.iter().enumerate() {
             named(&format!("fleet.halls[{i}]"), hall)?;
             if f.halls.iter().take(i).any(|h| h == hall) {
-                return wrong(format!("fleet.halls[{i}]"), format!("{hall} is there already"));
+                return wrong(format!("fleet.halls[{i}]"), format!("hall {hall} is listed more than once"));
             }
         }
         let members = self.members();
-        let selects = |path: String, select: &Select| self.selects(&members, path, select);
-        f.old.as_ref().map_or(Ok(()), |old| selects("fleet.old".into(), old))?;
+        let validate_selector =
+            |path: String, select: &Select| self.validate_selector(&members, path, select);
+        f.old.as_ref().map_or(Ok(()), |old| validate_selector("fleet.old".into(), old))?;
         within("expect.converge_s", self.expect.converge_s, 0.1, MAX_SECONDS)?;
         within("expect.wrong_s", self.expect.wrong_s, 0.0, MAX_SECONDS)?;
         self.expect.avoid_s.map_or(Ok(()), |x| within("expect.avoid_s", x, 0.1, MAX_SECONDS))?;
         self.expect.lost.map_or(Ok(()), |x| within("expect.lost", x, 0.0, 1.0))?;
         if self.faults.len() > MAX_FAULTS {
-            return wrong("faults", format!("at most {MAX_FAULTS} faults are wanted"));
+            return wrong("faults", format!("expected at most {MAX_FAULTS} faults"));
         }
         for (i, fault) in self.faults.iter().enumerate() {
             self.validate_fault(&members, &format!("faults[{i}]"), fault)?;
@@ -142,13 +145,13 @@
         Ok(())
     }
 
-    fn selects(&self, members: &[Member], path: String, select: &Select) -> Check {
+    fn validate_selector(&self, members: &[Member], path: String, select: &Select) -> Check {
         for part in select.parts() {
             match part {
-                Part::Name(name) if !members.iter().any(|m| m.name == name) => {
+                Term::Name(name) if !members.iter().any(|m| m.name == name) => {
                     return wrong(path, format!("there is no {name} in this fleet"));
                 }
-                Part::Hall(name) if !self.fleet.halls.iter().any(|h| h == name) => {
+                Term::Hall(name) if !self.fleet.halls.iter().any(|h| h == name) => {
                     return wrong(
                         path,
                         format!("one of the halls {} is wanted", self.fleet.halls.join(", ")),
@@ -168,8 +171,8 @@
         if !reads.lasts && f.for_s > 0.0 {
             return wrong(at("for_s"), format!("{kind} happens once and has no for_s"));
         }
-        let links = reads.strikes == FaultTarget::Links;
-        let known = [
+        let links = reads.target == FaultTarget::Links;
+        let allowed = [
             ("from", f.from.is_some(), links),
             ("to", f.to.is_some(), links),
             ("between", f.between.is_some(), links),
@@ -184,27 +187,27 @@
             ("down_s", f.down_s.is_some(), reads.down_s),
             ("every_s", f.every_s.is_some(), reads.every_s),
         ];
-        if let Some((field, ..)) = known.iter().find(|(_, given, read)| *given && !read) {
+        if let Some((field, ..)) = allowed.iter().find(|(_, given, read)| *given && !read) {
             return wrong(at(field), format!("{kind} has no {field}"));
         }
-        let wants = [
+        let required = [
             ("who", !links, f.who.is_some()),
             ("rate", reads.rate, f.rate.is_some()),
             ("ms, jitter_ms or tail_ms", reads.delay, f.ms.or(f.jitter_ms).or(f.tail_ms).is_some()),
             ("bytes_per_s", reads.bytes_per_s, f.bytes_per_s.is_some()),
             ("from and to, or between", links, f.between.is_some() || (f.from.is_some() && f.to.is_some())),
         ];
-        if let Some((field, ..)) = wants.iter().find(|(_, read, given)| *read && !given) {
+        if let Some((field, ..)) = required.iter().find(|(_, read, given)| *read && !given) {
             return wrong(path, format!("{kind} wants {field}"));
         }
         if f.between.is_some() && (f.from.is_some() || f.to.is_some() || f.both) {
-            return wrong(at("between"), "it stands alone, without from, to and both");
+            return wrong(at("between"), "cannot be combined with from, to or both");
         }
         if f.tail_one_in.is_some() != f.tail_ms.is_some() {
-            return wrong(path, "tail_one_in and tail_ms are wanted together");
+            return wrong(path, "tail_one_in and tail_ms must be given together");
         }
         for (field, select) in [("from", &f.from), ("to", &f.to), ("who", &f.who)] {
-            select.as_ref().map_or(Ok(()), |s| self.selects(members, at(field), s))?;
+            select.as_ref().map_or(Ok(()), |s| self.validate_selector(members, at(field), s))?;
         }
         if let Some(Shape::Bridge(name) | Shape::Alone(name)) = f.between.as_ref().and_then(Pattern::shape) {
             if !members.iter().any(|m| m.name == name) {
@@ -219,14 +222,15 @@
         f.bytes_per_s.map_or(Ok(()), |x| within(at("bytes_per_s"), x as f64, 1.0, 1e10))?;
         f.down_s.map_or(Ok(()), |x| within(at("down_s"), x, 0.0, MAX_SECONDS))?;
         f.every_s.map_or(Ok(()), |x| within(at("every_s"), x, 0.0, MAX_SECONDS))?;
-        let struck = if links { self.struck_links(members, f).len() } else { self.struck(members, f).len() };
-        if struck == 0 {
+        let affected =
+            if links { self.affected_links(members, f).len() } else { self.affected(members, f).len() };
+        if affected == 0 {
             return wrong(path, format!("{kind} strikes nothing of this fleet"));
         }
         Ok(())
     }
 
-    /// All members: planners, forwarders, then nodes.
+    /// All members: planners, then forwarders, then nodes.
     pub fn members(&self) -> Vec<Member> {
         let f = &self.fleet;
         let halls = f.halls.len().max(1) as u32;
@@ -241,26 +245,27 @@
         all.into_iter().flat_map(each).collect()
     }
 
-    /// What a word selects of these members, as their places; a share is drawn from what the words before it select.
+    /// Indices of the members that match a selector; a share is drawn from the members selected by the terms
+    /// before it.
     fn select(
         &self,
         members: &[Member],
         select: &Select,
-        among: &dyn Fn(&Member) -> bool,
+        eligible: &dyn Fn(&Member) -> bool,
     ) -> BTreeSet<usize> {
         let hall = |name: &str| self.fleet.halls.iter().position(|h| h == name);
         let mut chosen: Option<BTreeSet<usize>> = None;
         for part in select.parts() {
-            let those = |f: &dyn Fn(&Member) -> bool| -> BTreeSet<usize> {
-                members.iter().enumerate().filter(|(_, m)| among(m) && f(m)).map(|(i, _)| i).collect()
+            let matching = |f: &dyn Fn(&Member) -> bool| -> BTreeSet<usize> {
+                members.iter().enumerate().filter(|(_, m)| eligible(m) && f(m)).map(|(i, _)| i).collect()
             };
             let more = match part {
-                Part::All => those(&|_| true),
-                Part::Name(name) => those(&|m| m.name == name),
-                Part::Role(role) => those(&|m| m.role == role),
-                Part::Hall(name) => those(&|m| hall(name) == Some(usize::from(m.hall))),
-                Part::Share(part) => {
-                    let all = chosen.take().unwrap_or_else(|| those(&|_| true));
+                Term::All => matching(&|_| true),
+                Term::Name(name) => matching(&|m| m.name == name),
+                Term::Role(role) => matching(&|m| m.role == role),
+                Term::Hall(name) => matching(&|m| hall(name) == Some(usize::from(m.hall))),
+                Term::Share(part) => {
+                    let all = chosen.take().unwrap_or_else(|| matching(&|_| true));
                     self.share(all.into_iter().collect(), part, select.as_str()).into_iter().collect()
                 }
             };
@@ -269,23 +274,23 @@
         chosen.unwrap_or_default()
     }
 
-    /// A part of these, one at least. Which, the seed and the word say: a fault keeps its victims where others come
-    /// and go, or where it is moved.
+    /// Draws a fraction of the items, at least one. The choice depends only on the seed and the selector, so
+    /// a fault keeps its targets when other faults are added or removed, or when it is moved in time.
     fn share<T>(&self, mut all: Vec<T>, part: f64, word: &str) -> Vec<T> {
         all.shuffle(&mut stream(self.seed, word, 0));
         all.truncate(((all.len() as f64 * part).round() as usize).max(1));
         all
     }
 
-    /// The processes or nodes that a fault strikes, in their order.
-    pub(super) fn struck(&self, members: &[Member], f: &Fault) -> Vec<usize> {
-        let nodes = f.kind.reads().strikes == FaultTarget::Nodes;
-        let among = move |m: &Member| (m.role == Role::Node) == nodes;
-        f.who.as_ref().map(|w| self.select(members, w, &among).into_iter().collect()).unwrap_or_default()
+    /// The processes or nodes affected by a fault, in order.
+    pub(super) fn affected(&self, members: &[Member], f: &Fault) -> Vec<usize> {
+        let nodes = f.kind.reads().target == FaultTarget::Nodes;
+        let eligible = move |m: &Member| (m.role == Role::Node) == nodes;
+        f.who.as_ref().map(|w| self.select(members, w, &eligible).into_iter().collect()).unwrap_or_default()
     }
 
-    /// The directions of links that a fault strikes.
-    fn struck_links(&self, members: &[Member], f: &Fault) -> BTreeSet<(usize, usize)> {
+    /// The link directions affected by a fault.
+    fn affected_links(&self, members: &[Member], f: &Fault) -> BTreeSet<(usize, usize)> {
         let all = directions(members);
         if let Some(pattern) = &f.between {
             return self.pattern(members, pattern, &all);
@@ -302,18 +307,19 @@
         pattern: &Pattern,
         all: &BTreeSet<(usize, usize)>,
     ) -> BTreeSet<(usize, usize)> {
-        let place = |name: &str| members.iter().position(|m| m.name == name);
+        let index_of = |name: &str| members.iter().position(|m| m.name == name);
         let hall = |i: &usize| members.get(*i).map(|m| m.hall);
-        let keep =
+        let filter_links =
             |f: &dyn Fn(usize, usize) -> bool| all.iter().copied().filter(|(a, b)| f(*a, *b)).collect();
         match pattern.shape() {
-            Some(Shape::Halls) => keep(&|a, b| hall(&a) != hall(&b)),
+            Some(Shape::Halls) => filter_links(&|a, b| hall(&a) != hall(&b)),
             Some(Shape::Pairs(part)) => {
                 let pairs: Vec<(usize, usize)> = all.iter().copied().filter(|(a, b)| a < b).collect();
                 let chosen: BTreeSet<_> = self.share(pairs, part, pattern.as_str()).into_iter().collect();
-                keep(&|a, b| chosen.contains(&(a.min(b), a.max(b))))
+                filter_links(&|a, b| chosen.contains(&(a.min(b), a.max(b))))
             }
-            // Among those that have links with each other the ring goes by turns: planner, forwarder, planner, ...
+            // Only planners and forwarders are linked, so the ring alternates: planner, forwarder, planner,
+            // ...
             Some(Shape::Ring) => {
                 let of = |role: Role| members.iter().enumerate().filter(move |(_, m)| m.role == role);
                 let planners: Vec<usize> = of(Role::Planner).map(|(i, _)| i).collect();
@@ -325,11 +331,11 @@
                     })
                     .collect();
                 let node = |i: usize| members.get(i).is_some_and(|m| m.role == Role::Node);
-                keep(&|a, b| !near.contains(&(a, b)) && !node(a) && !node(b))
+                filter_links(&|a, b| !near.contains(&(a, b)) && !node(a) && !node(b))
             }
             Some(Shape::Bridge(name)) => {
-                let bridge = place(name);
-                // By turns within each role, so that both halves have some of each.
+                let bridge = index_of(name);
+                // Alternate within each role, so that both halves contain members of each role.
                 let mut counts = BTreeMap::<Role, usize>::new();
                 let mut half = BTreeMap::new();
                 for (i, m) in members.iter().enumerate().filter(|(i, _)| Some(*i) != bridge) {
@@ -337,36 +343,36 @@
                     half.insert(i, *n % 2);
                     *n += 1;
                 }
-                keep(&|a, b| half.get(&a).zip(half.get(&b)).is_some_and(|(x, y)| x != y))
+                filter_links(&|a, b| half.get(&a).zip(half.get(&b)).is_some_and(|(x, y)| x != y))
             }
             Some(Shape::Alone(name)) => {
-                let one = place(name);
-                keep(&|a, b| Some(a) == one || Some(b) == one)
+                let one = index_of(name);
+                filter_links(&|a, b| Some(a) == one || Some(b) == one)
             }
             None => BTreeSet::new(),
         }
     }
 
-    /// Those that run the older program.
+    /// The members that run the older version.
     pub fn older(&self) -> BTreeSet<usize> {
         let members = self.members();
         let process = |m: &Member| m.role != Role::Node;
         self.fleet.old.as_ref().map(|old| self.select(&members, old, &process)).unwrap_or_default()
     }
 
-    /// All that this seed makes of it, in the order of time.
+    /// Derives the plan for a seed, with its steps in chronological order.
     pub fn plan(&self, seed: u64) -> Plan {
         let drawn = Schedule { seed, ..self.clone() };
         let members = drawn.members();
         let mut steps = Vec::new();
-        let mut struck = Vec::new();
+        let mut affected = Vec::new();
         let mut conditions = BTreeMap::<(usize, usize), Vec<(Micros, Micros, usize)>>::new();
         for (i, fault) in drawn.faults.iter().enumerate() {
             let (from, until) = (seconds(fault.at_s), seconds(fault.at_s + fault.for_s));
-            match fault.kind.reads().strikes {
+            match fault.kind.reads().target {
                 FaultTarget::Links => {
-                    let links = drawn.struck_links(&members, fault);
-                    struck.push(links.len());
+                    let links = drawn.affected_links(&members, fault);
+                    affected.push(links.len());
                     for (a, b) in links {
                         if fault.kind == Kind::Reset {
                             steps.push(Step { at: from, action: Action::Reset { from: a, to: b } });
@@ -376,13 +382,13 @@
                     }
                 }
                 FaultTarget::Processes => {
-                    let who = drawn.struck(&members, fault);
-                    struck.push(who.len());
+                    let who = drawn.affected(&members, fault);
+                    affected.push(who.len());
                     drawn.process_steps(fault, &who, &mut steps);
                 }
                 FaultTarget::Nodes => {
-                    let who = drawn.struck(&members, fault);
-                    struck.push(who.len());
+                    let who = drawn.affected(&members, fault);
+                    affected.push(who.len());
                     let what = if fault.kind == Kind::Hang { NodeAction::Hang } else { NodeAction::Crash };
                     for who in who {
                         steps.push(Step { at: from, action: Action::Node { who, what } });
@@ -401,8 +407,8 @@
             }
         }
         steps.sort_by_key(|s| s.at);
-        let ends = |(f, n): (&Fault, &usize)| seconds(f.ends_s(*n)) + spread(f.kind);
-        let over = drawn.faults.iter().zip(&struck).map(ends).max().unwrap_or(0);
+        let ends = |(f, n): (&Fault, &usize)| seconds(f.ends_s(*n)) + start_spread(f.kind);
+        let over = drawn.faults.iter().zip(&affected).map(ends).max().unwrap_or(0);
         let over = steps.iter().map(|s| s.at).fold(over, Micros::max);
         Plan { members, steps, over }
     }
@@ -442,7 +448,7 @@
                 }
                 Kind::StartHalf => {
                     step(from, ProcessAction::Kill);
-                    step(down + random.random_range(0..spread(fault.kind).max(1)), kept);
+                    step(down + random.random_range(0..start_spread(fault.kind).max(1)), kept);
                 }
                 Kind::Roll => {
                     let late = every * n as Micros;
@@ -467,8 +473,8 @@
     }
 }
 
-/// Within this time all of a half are started.
-fn spread(kind: Kind) -> Micros {
+/// Time within which all processes of a `start_half` fault are started.
+fn start_spread(kind: Kind) -> Micros {
     if kind == Kind::StartHalf {
         1_000_000
     } else {
@@ -476,7 +482,7 @@
     }
 }
 
-/// The directions of all links: planners and forwarders, forwarders and nodes.
+/// The directions of all links: between planners and forwarders, and between forwarders and nodes.
 fn directions(members: &[Member]) -> BTreeSet<(usize, usize)> {
     let mut all = BTreeSet::new();
     for (i, a) in members.iter().enumerate() {
@@ -489,7 +495,7 @@
     all
 }
 
-/// What a fault makes of a direction.
+/// The link condition caused by a fault.
 fn condition_of(fault: &Fault) -> Condition {
     let mut c = Condition::default();
     let rate = fault.rate.unwrap_or(0.0);
@@ -513,45 +519,47 @@
     c
 }
 
-/// A process or a stand-in node.
+/// A process or a simulated node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     pub name: String,
     pub role: Role,
-    /// Its place in [`Fleet::halls`].
+    /// Index in [`Fleet::halls`].
     pub hall: u16,
 }
 
-/// What is done to a process.
+/// An action on a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessAction {
     Terminate,
     Kill,
     Stop,
     Resume,
-    /// Nothing where it runs. One that runs the older program comes back with the newer one.
+    /// Starts the process; has no effect if it is running. One that ran the older version comes back with the
+    /// newer one.
     Start {
         folder: Folder,
     },
-    /// With files that cannot grow.
+    /// Starts the process with a limit that keeps its files from growing.
     StartLimited,
     Twin,
     EndTwin,
-    /// A file of its folder, which this seed draws, is cut short, or has a byte changed.
+    /// Truncates a file of its data directory, or changes a byte in it if `rot` is set; the seed selects the
+    /// file.
     Damage {
         rot: bool,
         seed: u32,
     },
 }
 
-/// What a process finds when it is started again.
+/// State of the data directory when a process is started again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Folder {
     Kept,
     Empty,
 }
 
-/// What a stand-in node does from now on.
+/// Behaviour of a simulated node from this step on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeAction {
     Hang,
@@ -559,10 +567,10 @@
     Serve,
 }
 
-/// Numbers are places in [`Plan::members`].
+/// An action of a step; members are given as indices in [`Plan::members`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Messages from one to another meet this from now on.
+    /// Sets the condition of a link direction from this step on.
     Link {
         from: usize,
         to: usize,
@@ -582,19 +590,19 @@
     },
 }
 
-/// One thing to be done.
+/// A timed step of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Since the fleet is ready.
+    /// Time since the fleet became ready.
     pub at: Micros,
     pub action: Action,
 }
 
-/// A schedule with all drawn.
+/// A schedule with all random choices made.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub members: Vec<Member>,
-    /// In the order of time; those of one moment in the order in which they are to be done.
+    /// In chronological order; steps with the same time are executed in this order.
     pub steps: Vec<Step>,
     /// When the last fault has ended.
     pub over: Micros,
@@ -605,7 +613,7 @@
         self.members.get(member).map_or("?", |m| m.name.as_str())
     }
 
-    /// The places of those of a role.
+    /// Indices of the members with a role.
     pub fn of(&self, role: Role) -> impl Iterator<Item = usize> + '_ {
         self.members.iter().enumerate().filter(move |(_, m)| m.role == role).map(|(i, _)| i)
     }
@@ -615,7 +623,7 @@
         directions(&self.members)
     }
 
-    /// `f0 f1 f2 s7`, with runs of one letter as `f0-f2`.
+    /// Formats member names as in `f0 f1 f2 s7`, with longer runs within a role as `f0-f2`.
     fn names(&self, set: &BTreeSet<usize>) -> String {
         let mut runs: Vec<(usize, usize)> = Vec::new();
         for i in set {
@@ -634,7 +642,7 @@
     }
 }
 
-/// A line for each moment and each thing that is done then, whoever it is done to.
+/// Prints one line per time and kind of action, with all affected members.
 impl fmt::Display for Plan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut rest = &self.steps[..];
@@ -642,32 +650,33 @@
             let same = rest.iter().take_while(|s| s.at == first.at).count();
             let (now, later) = rest.split_at(same);
             rest = later;
-            // What is done, by its words; to whom, or from whom to whom.
-            let mut singles = BTreeMap::<String, BTreeSet<usize>>::new();
+            // Description of the action -> affected members, or senders and receivers.
+            let mut by_action = BTreeMap::<String, BTreeSet<usize>>::new();
             let mut links = BTreeMap::<String, BTreeMap<usize, BTreeSet<usize>>>::new();
             for step in now {
                 match &step.action {
                     Action::Link { from, to, condition } => {
-                        let word = if condition.is_unimpaired() { "whole".into() } else { told(condition) };
+                        let word =
+                            if condition.is_unimpaired() { "whole".into() } else { describe(condition) };
                         links.entry(word).or_default().entry(*from).or_default().insert(*to);
                     }
                     Action::Reset { from, to } => {
                         links.entry("reset".into()).or_default().entry(*from).or_default().insert(*to);
                     }
                     Action::Process { who, what } => {
-                        singles.entry(what.to_string()).or_default().insert(*who);
+                        by_action.entry(what.to_string()).or_default().insert(*who);
                     }
                     Action::Node { who, what } => {
-                        singles.entry(format!("{what:?}").to_lowercase()).or_default().insert(*who);
+                        by_action.entry(format!("{what:?}").to_lowercase()).or_default().insert(*who);
                     }
                 }
             }
             let at = first.at as f64 / 1e6;
-            for (word, who) in singles {
+            for (word, who) in by_action {
                 writeln!(f, "{at:>8.3} s  {word}: {}", self.names(&who))?;
             }
             for (word, by_from) in links {
-                // Those that are cut from the same others stand together.
+                // Group the senders that share the same receivers.
                 let mut groups = BTreeMap::<&BTreeSet<usize>, BTreeSet<usize>>::new();
                 for (from, to) in &by_from {
                     groups.entry(to).or_default().insert(*from);
@@ -699,19 +708,19 @@
     }
 }
 
-/// A condition in a few words.
-fn told(c: &Condition) -> String {
+/// Describes a condition briefly.
+fn describe(c: &Condition) -> String {
     let whole = Condition::default();
     let mut words = Vec::new();
-    let mut say = |is: bool, word: String| words.extend(is.then_some(word));
-    say(c.cut, "cut".into());
-    say(c.stall, "stall".into());
-    say(c.refuse, "refuse".into());
-    say(c.lose > 0.0, format!("lose {:.0} %", c.lose * 100.0));
-    say(c.duplicate > 0.0, format!("duplicate {:.0} %", c.duplicate * 100.0));
-    say(c.reorder > 0.0, format!("reorder {:.0} %", c.reorder * 100.0));
-    say(c.garble > 0.0, format!("garble {:.0} %", c.garble * 100.0));
-    say(c.bytes_per_s.is_some(), format!("{} bytes a second", c.bytes_per_s.unwrap_or(0)));
+    let mut add = |is: bool, word: String| words.extend(is.then_some(word));
+    add(c.cut, "cut".into());
+    add(c.stall, "stall".into());
+    add(c.refuse, "refuse".into());
+    add(c.lose > 0.0, format!("lose {:.0} %", c.lose * 100.0));
+    add(c.duplicate > 0.0, format!("duplicate {:.0} %", c.duplicate * 100.0));
+    add(c.reorder > 0.0, format!("reorder {:.0} %", c.reorder * 100.0));
+    add(c.garble > 0.0, format!("garble {:.0} %", c.garble * 100.0));
+    add(c.bytes_per_s.is_some(), format!("{} bytes a second", c.bytes_per_s.unwrap_or(0)));
     if c.delay != whole.delay {
         let d = &c.delay;
         let tail = if d.tail_one_in > 0 {
--- a/crates/world/src/fleet/truth.rs
+++ b/crates/world/src/fleet/truth.rs
@@ -1,8 +1,8 @@
-//! What a plan makes true: when a link lets nothing through, a process does not run, a node answers nobody. Views of
-//! processes are held against it.
+//! Ground truth derived from a plan: when a link delivers nothing, a process does not run, or a node does not
+//! answer. The views reported by processes are compared with it.
 //!
-//! Only what is certain is told: a link that loses a third of its packets still carries a word, and a node behind it
-//! may or may not be found silent.
+//! Certain and possible states are kept apart: a link that loses a third of its packets still delivers some
+//! messages, so the node behind it may or may not be found silent.
 
 use super::fault::Role;
 use super::link::Condition;
@@ -10,7 +10,7 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Spans of time, apart and in order: from, and until, which is [`Micros::MAX`] where it never ends.
+/// Disjoint time spans in ascending order, each as start and end; the end is [`Micros::MAX`] if it is open.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Spans(Vec<(Micros, Micros)>);
 
@@ -18,11 +18,11 @@
     fn add(&mut self, from: Micros, until: Micros) {
         if from < until {
             self.0.push((from, until));
-            self.settle();
+            self.normalize();
         }
     }
 
-    fn settle(&mut self) {
+    fn normalize(&mut self) {
         self.0.sort_unstable();
         let mut apart: Vec<(Micros, Micros)> = Vec::with_capacity(self.0.len());
         for (from, until) in self.0.drain(..) {
@@ -34,35 +34,35 @@
         self.0 = apart;
     }
 
-    /// What is in either.
+    /// Union.
     pub fn or(mut self, other: &Spans) -> Spans {
         self.0.extend(&other.0);
-        self.settle();
+        self.normalize();
         self
     }
 
-    /// What is in both.
+    /// Intersection.
     pub fn and(&self, other: &Spans) -> Spans {
         let mut both = Spans::default();
         for (a, b) in &self.0 {
             let meet = other.0.iter().map(|(c, d)| (*a.max(c), *b.min(d))).filter(|(x, y)| x < y);
             both.0.extend(meet);
         }
-        both.settle();
+        both.normalize();
         both
     }
 
-    /// Whether all of this time is in it.
+    /// Whether the whole interval is covered.
     pub fn hold(&self, from: Micros, until: Micros) -> bool {
         self.0.iter().any(|(a, b)| *a <= from && until <= *b)
     }
 
-    /// Whether some of this time is.
+    /// Whether any part of the interval is covered.
     pub fn touch(&self, from: Micros, until: Micros) -> bool {
         self.0.iter().any(|(a, b)| *a <= until && from < *b)
     }
 
-    /// How much of this time is in it.
+    /// How much of the interval is covered.
     pub fn within(&self, from: Micros, until: Micros) -> Micros {
         self.0.iter().map(|(a, b)| (*b.min(&until) - *a.max(&from)).max(0)).sum()
     }
@@ -76,13 +76,13 @@
     }
 }
 
-/// What is true of a plan.
+/// Ground truth of a plan.
 #[derive(Clone, Debug, Default)]
 pub struct Truth {
-    /// Of directions: nothing comes through; and something is wrong.
-    shut: BTreeMap<(usize, usize), Spans>,
-    troubled: BTreeMap<(usize, usize), Spans>,
-    /// Of processes: they do not run, or stand still. Of nodes: they answer nobody.
+    /// Per direction: when nothing is delivered (`blocked`), and when there is any impairment (`impaired`).
+    blocked: BTreeMap<(usize, usize), Spans>,
+    impaired: BTreeMap<(usize, usize), Spans>,
+    /// Per process: when it is not running or is paused. Per node: when it answers nobody.
     away: BTreeMap<usize, Spans>,
     forwarders: Vec<usize>,
     planners: Vec<usize>,
@@ -96,18 +96,19 @@
             ..Truth::default()
         };
         let mut conditions = BTreeMap::<(usize, usize), (Micros, Condition)>::new();
-        // Since when a process is away, in two ways that may overlap: killed, and stopped.
-        let mut gone = BTreeMap::<(usize, bool), Micros>::new();
-        let mut still = |truth: &mut Truth, who: usize, stopped: bool, at: Micros, away: bool| match away {
-            true => drop(gone.entry((who, stopped)).or_insert(at)),
+        // Since when a process is unavailable, for two reasons that may overlap: killed and paused.
+        let mut unavailable_since = BTreeMap::<(usize, bool), Micros>::new();
+        let mut set_state = |truth: &mut Truth, who: usize, stopped: bool, at: Micros, away: bool| match away
+        {
+            true => drop(unavailable_since.entry((who, stopped)).or_insert(at)),
             false => {
-                if let Some(from) = gone.remove(&(who, stopped)) {
+                if let Some(from) = unavailable_since.remove(&(who, stopped)) {
                     truth.away.entry(who).or_default().add(from, at);
                 }
             }
         };
-        let never = |at| Step { at, action: Action::Reset { from: usize::MAX, to: usize::MAX } };
-        for step in plan.steps.iter().chain(std::iter::once(&never(Micros::MAX))) {
+        let end_marker = |at| Step { at, action: Action::Reset { from: usize::MAX, to: usize::MAX } };
+        for step in plan.steps.iter().chain(std::iter::once(&end_marker(Micros::MAX))) {
             match &step.action {
                 Action::Link { from, to, condition } => {
                     let before = conditions.insert((*from, *to), (step.at, condition.clone()));
@@ -117,19 +118,19 @@
                 }
                 Action::Process { who, what } => match what {
                     ProcessAction::Terminate | ProcessAction::Kill => {
-                        // What is killed stands still no more.
-                        still(&mut truth, *who, true, step.at, false);
-                        still(&mut truth, *who, false, step.at, true);
+                        // A killed process is no longer paused.
+                        set_state(&mut truth, *who, true, step.at, false);
+                        set_state(&mut truth, *who, false, step.at, true);
                     }
                     ProcessAction::Start { .. } | ProcessAction::StartLimited => {
-                        still(&mut truth, *who, false, step.at, false)
+                        set_state(&mut truth, *who, false, step.at, false)
                     }
-                    ProcessAction::Stop => still(&mut truth, *who, true, step.at, true),
-                    ProcessAction::Resume => still(&mut truth, *who, true, step.at, false),
+                    ProcessAction::Stop => set_state(&mut truth, *who, true, step.at, true),
+                    ProcessAction::Resume => set_state(&mut truth, *who, true, step.at, false),
                     ProcessAction::Twin | ProcessAction::EndTwin | ProcessAction::Damage { .. } => {}
                 },
                 Action::Node { who, what } => {
-                    still(&mut truth, *who, false, step.at, *what != NodeAction::Serve);
+                    set_state(&mut truth, *who, false, step.at, *what != NodeAction::Serve);
                 }
                 Action::Reset { .. } => {}
             }
@@ -137,7 +138,7 @@
         for (direction, (since, condition)) in conditions {
             truth.condition(direction, since, Micros::MAX, &condition);
         }
-        for ((who, _), from) in gone {
+        for ((who, _), from) in unavailable_since {
             truth.away.entry(who).or_default().add(from, Micros::MAX);
         }
         truth
@@ -145,57 +146,57 @@
 
     fn condition(&mut self, direction: (usize, usize), from: Micros, until: Micros, c: &Condition) {
         if c.blocks_all() {
-            self.shut.entry(direction).or_default().add(from, until);
+            self.blocked.entry(direction).or_default().add(from, until);
         }
         if !c.is_unimpaired() {
-            self.troubled.entry(direction).or_default().add(from, until);
+            self.impaired.entry(direction).or_default().add(from, until);
         }
     }
 
-    /// When a process does not run or stands still, or a node answers nobody.
+    /// When a process is not running or is paused, or a node answers nobody.
     pub fn away(&self, who: usize) -> Spans {
         self.away.get(&who).cloned().unwrap_or_default()
     }
 
-    fn either_way(&self, of: &BTreeMap<(usize, usize), Spans>, a: usize, b: usize) -> Spans {
+    fn either_direction(&self, of: &BTreeMap<(usize, usize), Spans>, a: usize, b: usize) -> Spans {
         let one = |x, y| of.get(&(x, y)).cloned().unwrap_or_default();
         one(a, b).or(&one(b, a))
     }
 
-    /// When a forwarder certainly hears nothing of a node.
+    /// When a forwarder certainly hears nothing from a node.
     pub fn silent(&self, node: usize, forwarder: usize) -> Spans {
-        self.away(node).or(&self.either_way(&self.shut, forwarder, node))
+        self.away(node).or(&self.either_direction(&self.blocked, forwarder, node))
     }
 
-    /// When something may keep a forwarder from hearing a node.
+    /// When a forwarder may hear nothing from a node.
     pub fn maybe_silent(&self, node: usize, forwarder: usize) -> Spans {
-        self.away(node).or(&self.either_way(&self.troubled, forwarder, node)).or(&self.away(forwarder))
+        self.away(node).or(&self.either_direction(&self.impaired, forwarder, node)).or(&self.away(forwarder))
     }
 
-    /// When a node is silent to all forwarders.
+    /// When a node is certainly silent to all forwarders.
     pub fn silent_to_all(&self, node: usize) -> Spans {
         let mut all = self.forwarders.iter().map(|f| self.silent(node, *f));
         let first = all.next().unwrap_or_default();
         all.fold(first, |a, b| a.and(&b))
     }
 
-    /// When something may keep some forwarder from hearing a node.
+    /// When any forwarder may hear nothing from a node.
     pub fn maybe_silent_to_any(&self, node: usize) -> Spans {
         self.forwarders.iter().fold(Spans::default(), |all, f| all.or(&self.maybe_silent(node, *f)))
     }
 
-    /// When a forwarder and a planner certainly do not hear each other, or one of them does not run.
+    /// When a forwarder and a planner certainly cannot communicate, or one of them is not running.
     pub fn disconnected(&self, planner: usize, forwarder: usize) -> Spans {
-        let shut = self.either_way(&self.shut, planner, forwarder);
-        shut.or(&self.away(planner)).or(&self.away(forwarder))
+        let blocked = self.either_direction(&self.blocked, planner, forwarder);
+        blocked.or(&self.away(planner)).or(&self.away(forwarder))
     }
 
-    /// When something may keep a forwarder and a planner from hearing each other.
+    /// When a forwarder and a planner may be unable to communicate.
     pub fn maybe_disconnected(&self, planner: usize, forwarder: usize) -> Spans {
-        self.disconnected(planner, forwarder).or(&self.either_way(&self.troubled, planner, forwarder))
+        self.disconnected(planner, forwarder).or(&self.either_direction(&self.impaired, planner, forwarder))
     }
 
-    /// When a forwarder may hear no planner in time.
+    /// When a forwarder may be without contact to any planner.
     pub fn maybe_without_planner(&self, forwarder: usize) -> Spans {
         let mut all = self.planners.iter().map(|p| self.maybe_disconnected(*p, forwarder));
         match all.next() {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// When a forwarder certainly hears no planner.
+    /// When a forwarder is certainly without contact to any planner.
     pub fn without_planner(&self, forwarder: usize) -> Spans {
         let mut all = self.planners.iter().map(|p| self.disconnected(*p, forwarder));
         match all.next() {
--- a/crates/world/src/fleet/truth/tests.rs
+++ b/crates/world/src/fleet/truth/tests.rs
@@ -10,7 +10,7 @@
     (plan, truth)
 }
 
-fn place(plan: &Plan, name: &str) -> usize {
+fn member_index(plan: &Plan, name: &str) -> usize {
     plan.members.iter().position(|m| m.name == name).expect("a member")
 }
 
@@ -19,27 +19,27 @@
 }
 
 #[test]
-fn a_node_is_silent_while_it_hangs_or_its_link_is_cut_one_way_or_the_other() {
+fn a_node_is_silent_while_it_hangs_or_its_link_is_cut_in_either_direction() {
     let hang = Fault { who: "s0".parse().ok(), ..Fault::new(Kind::Hang, 1.0, 2.0) };
     let (from, to) = ("s0".parse().ok(), "f1".parse().ok());
     let cut = Fault { from, to, ..Fault::new(Kind::Cut, 2.0, 4.0) };
     let (plan, truth) = truth(vec![hang, cut]);
-    let (s0, f0, f1) = (place(&plan, "s0"), place(&plan, "f0"), place(&plan, "f1"));
+    let (s0, f0, f1) = (member_index(&plan, "s0"), member_index(&plan, "f0"), member_index(&plan, "f1"));
     assert_eq!(spans(&truth.silent(s0, f0)), [(1.0, 3.0)]);
     assert_eq!(spans(&truth.silent(s0, f1)), [(1.0, 6.0)]);
     assert_eq!(spans(&truth.silent_to_all(s0)), [(1.0, 3.0)]);
     assert_eq!(spans(&truth.maybe_silent_to_any(s0)), [(1.0, 6.0)]);
-    assert!(truth.silent_to_all(place(&plan, "s1")).is_empty());
+    assert!(truth.silent_to_all(member_index(&plan, "s1")).is_empty());
 }
 
 #[test]
-fn a_forwarder_is_alone_while_no_planner_runs_or_reaches_it() {
+fn a_forwarder_is_without_planner_while_none_runs_or_reaches_it() {
     let kill = Fault { who: "p0".parse().ok(), ..Fault::new(Kind::Kill, 1.0, 0.0) };
     let pause = Fault { who: "p1".parse().ok(), ..Fault::new(Kind::Pause, 2.0, 3.0) };
     let (from, to) = ("f0".parse().ok(), "p2".parse().ok());
     let cut = Fault { from, to, ..Fault::new(Kind::Cut, 0.0, 4.0) };
     let (plan, truth) = truth(vec![kill, pause, cut]);
-    assert_eq!(spans(&truth.without_planner(place(&plan, "f0"))), [(2.0, 4.0)]);
-    assert!(truth.without_planner(place(&plan, "f1")).is_empty());
-    assert!(truth.away(place(&plan, "p0")).hold(1_000_000, Micros::MAX - 1));
+    assert_eq!(spans(&truth.without_planner(member_index(&plan, "f0"))), [(2.0, 4.0)]);
+    assert!(truth.without_planner(member_index(&plan, "f1")).is_empty());
+    assert!(truth.away(member_index(&plan, "p0")).hold(1_000_000, Micros::MAX - 1));
 }
