--- a/crates/lab/src/fleet/search.rs
+++ b/crates/lab/src/fleet/search.rs
@@ -142,7 +142,7 @@
     }
 
     /// Whom it strikes is a word.
-    fn struck(&mut self) -> Option<&mut u32> {
+    fn target_count(&mut self) -> Option<&mut u32> {
         None
     }
 
@@ -165,15 +165,15 @@
         &mut self.faults
     }
 
-    fn is_right(&self) -> bool {
+    fn may_run(&self) -> bool {
         self.validate().is_ok() && is_fair(self)
     }
 
     /// Fewer processes. The last of them go first; a fault that names one of these keeps it.
-    fn smaller(search: &mut Search<'_, Self>) {
-        while search.with(|s| s.fleet.forwarders = (s.fleet.forwarders / 2).max(1)) {}
-        while search.with(|s| s.fleet.nodes = (s.fleet.nodes / 2).max(1)) {}
-        while search.with(|s| s.fleet.planners = s.fleet.planners.saturating_sub(1).max(1)) {}
+    fn shrink_rest(search: &mut Search<'_, Self>) {
+        while search.try_change(|s| s.fleet.forwarders = (s.fleet.forwarders / 2).max(1)) {}
+        while search.try_change(|s| s.fleet.nodes = (s.fleet.nodes / 2).max(1)) {}
+        while search.try_change(|s| s.fleet.planners = s.fleet.planners.saturating_sub(1).max(1)) {}
     }
 }
 
--- a/crates/lab/src/fleet/search/tests.rs
+++ b/crates/lab/src/fleet/search/tests.rs
@@ -25,7 +25,7 @@
         ],
         ..Schedule::default()
     };
-    assert!(fails(&schedule) && schedule.is_right());
+    assert!(fails(&schedule) && schedule.may_run());
     let mut calls = 0;
     let small = shrink(&schedule, schedule.seconds, 400, |s| {
         calls += 1;
--- a/crates/lab/src/input/file/tests.rs
+++ b/crates/lab/src/input/file/tests.rs
@@ -13,20 +13,24 @@
 #[case("\nseconds = = 5\n", 2, "")]
 #[case("seconds = 5\n\n[[nodes]]\ncount = 3\ncores = 0\n", 5, "nodes[0].cores: ")]
 #[case("[[faults]]\nat_s = 1\nfor_s = 2\nkind = \"hang\"\n", 1, "faults[0]: hang wants one of")]
-fn an_error_names_its_line_and_what_is_wanted(#[case] text: &str, #[case] line: usize, #[case] wanted: &str) {
+fn an_error_gives_its_line_and_what_was_expected(
+    #[case] text: &str,
+    #[case] line: usize,
+    #[case] expected: &str,
+) {
     let (at, message) = parse::<Scenario>(text, "x").unwrap_err();
     assert_eq!(at, line, "{message}");
-    assert!(message.starts_with(wanted) && !message.contains('\n'), "{message}");
+    assert!(message.starts_with(expected) && !message.contains('\n'), "{message}");
 }
 
 #[test]
-fn a_scenario_without_a_name_gets_the_files() {
+fn a_scenario_without_a_name_gets_the_file_name() {
     assert_eq!(parse::<Scenario>("seconds = 5", "calm").unwrap().name, "calm");
     assert_eq!(parse::<Scenario>("name = \"quiet\"", "calm").unwrap().name, "quiet");
 }
 
 #[test]
-fn a_change_that_the_checks_turn_down_is_named() {
+fn an_error_names_the_change_that_fails_validation() {
     let scenario = Scenario::default();
     let settings: Vec<Setting> =
         ["nodes.0.cores=0", "seconds=5"].iter().map(|s| s.parse().unwrap()).collect();
--- a/crates/lab/src/input/mod.rs
+++ b/crates/lab/src/input/mod.rs
@@ -1,7 +1,7 @@
-//! What a user hands in: scenario files, and changes to a scenario from the command line.
+//! User input: scenario files, and changes to a scenario from the command line.
 //!
-//! It owns the way from text to a checked [`world::scenario::Scenario`], and every message about it: one line
-//! that says where and what is wanted. It plays nothing.
+//! Converts text to a validated [`world::scenario::Scenario`]. Every error is a single line that says where
+//! the error is and what was expected. Nothing is run here.
 
 pub mod file;
 pub mod place;
--- a/crates/lab/src/input/place/tests.rs
+++ b/crates/lab/src/input/place/tests.rs
@@ -4,16 +4,16 @@
                         kind = \"drain\"\nat_s = 4\n";
 
 #[test]
-fn a_path_has_the_line_of_its_key_or_of_what_holds_it() {
+fn a_path_has_the_line_of_its_key_or_of_its_parent() {
     let places = Places::of(TEXT);
     assert_eq!(places.line_of("clients.rate_per_s"), 4);
     assert_eq!(places.line_of("faults.1.at_s"), 11);
-    assert_eq!(places.line_of("faults.1.for_s"), 9, "absent: the table that lacks it");
-    assert_eq!(places.line_of("ledger.slots"), 1, "nothing of it is there");
+    assert_eq!(places.line_of("faults.1.for_s"), 9, "an absent key has the line of its table");
+    assert_eq!(places.line_of("ledger.slots"), 1, "no prefix of the path occurs");
 }
 
 #[test]
-fn a_byte_has_the_innermost_path_round_it() {
+fn a_byte_has_the_innermost_path_containing_it() {
     let places = Places::of(TEXT);
     let byte = TEXT.find("\"drain\"").unwrap();
     assert_eq!(places.path_at(byte), "faults.1.kind");
@@ -21,6 +21,6 @@
 }
 
 #[test]
-fn what_is_no_toml_has_no_places() {
+fn invalid_toml_has_no_positions() {
     assert_eq!(Places::of("a = = 3").line_of("a"), 1);
 }
--- a/crates/lab/src/input/setting.rs
+++ b/crates/lab/src/input/setting.rs
@@ -1,10 +1,10 @@
 //! Changes to a scenario from the command line: `path=value`, and `path=v1,v2,…` for sweeps.
 //!
-//! A path is the names from the root down, joined by points; elements of a list go by their number from 0, or
-//! by their `name` or `kind` where just one element has it (`faults.hang.for_s`). It runs through the whole
-//! scenario, so a value that the file leaves to its default can be set too. A value is written as in TOML;
-//! what is not TOML is a text, so `faults.0.kind=hang` needs no quotes. Nothing behind the `=` takes the value
-//! away, so that its default holds again.
+//! A path consists of names from the root down, joined by dots. List elements are addressed by their index
+//! from 0, or by their `name` or `kind` if exactly one element has it (`faults.hang.for_s`). Paths apply to
+//! the complete scenario, so a value that the file leaves at its default can be set too. Values use TOML
+//! syntax; anything that is not valid TOML is taken as a string, so `faults.0.kind=hang` needs no quotes. An
+//! empty value removes the setting, which restores the default.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -12,12 +12,12 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// One change.
+/// A change of one value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Setting {
     pub path: String,
     pub value: Value,
-    /// The value as it was written, for messages and tables.
+    /// The value as entered, for messages and tables.
     pub written: String,
 }
 
@@ -39,16 +39,17 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let (path, written) = split(text)?;
-        Ok(Setting { path, value: value(written), written: written.to_owned() })
+        let (path, written) = split_assignment(text)?;
+        Ok(Setting { path, value: parse_value(written), written: written.to_owned() })
     }
 }
 
-/// What is to vary: a path with its values, or several that go together (`a=1,2&b=10,20` is a=1 b=10, then a=2 b=20).
+/// An axis of a sweep: a path with its values, or several paths varied together (`a=1,2&b=10,20` is a=1 b=10,
+/// then a=2 b=20).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Axis {
     pub paths: Vec<String>,
-    /// For each point, a setting for each path.
+    /// The points of the axis, each with one setting per path.
     pub points: Vec<Vec<Setting>>,
 }
 
@@ -57,9 +58,9 @@
 
     fn from_str(text: &str) -> Result<Self, String> {
         let mut axis = Axis { paths: Vec::new(), points: Vec::new() };
-        for part in pieces(text, '&') {
-            let (path, list) = split(part)?;
-            let values = pieces(list, ',');
+        for part in split_outside_quotes(text, '&') {
+            let (path, list) = split_assignment(part)?;
+            let values = split_outside_quotes(list, ',');
             if axis.paths.is_empty() {
                 axis.points.resize(values.len(), Vec::new());
             }
@@ -73,7 +74,7 @@
                 }
                 point.push(Setting {
                     path: path.clone(),
-                    value: value(written),
+                    value: parse_value(written),
                     written: written.to_owned(),
                 });
             }
@@ -83,8 +84,8 @@
     }
 }
 
-/// The pieces between separators that stand outside of brackets and quotes.
-fn pieces(text: &str, separator: char) -> Vec<&str> {
+/// Splits a text at separators that are outside brackets and quotes.
+fn split_outside_quotes(text: &str, separator: char) -> Vec<&str> {
     let (mut depth, mut quoted, mut from, mut found) = (0_usize, None, 0, Vec::new());
     for (i, c) in text.char_indices() {
         match (quoted, c) {
@@ -104,17 +105,19 @@
     found
 }
 
-fn split(text: &str) -> Result<(String, &str), String> {
+fn split_assignment(text: &str) -> Result<(String, &str), String> {
     let (path, written) = text.split_once('=').ok_or_else(|| "wanted: path=value".to_owned())?;
     let (path, written) = (path.trim(), written.trim());
     if path.split('.').any(str::is_empty) {
-        return Err(format!("'{path}' is no path; wanted: names joined by points, as in clients.rate_per_s"));
+        return Err(format!(
+            "'{path}' is not a path; wanted: names joined by dots, as in clients.rate_per_s"
+        ));
     }
     Ok((path.to_owned(), written))
 }
 
-/// A value as TOML writes it, or else a text.
-fn value(written: &str) -> Value {
+/// Parses a value as TOML, or takes it as a string.
+fn parse_value(written: &str) -> Value {
     #[derive(serde::Deserialize)]
     struct Line {
         v: toml::Value,
@@ -123,34 +126,34 @@
     parsed.and_then(|line| serde_json::to_value(line.v).ok()).unwrap_or_else(|| written.into())
 }
 
-/// `whole` with the changes made, in their order.
+/// Returns `whole` with the changes applied in order.
 ///
 /// # Errors
 ///
-/// The change whose path leads nowhere, or what the type wants of the changed whole; that one is laid to the
-/// last change, since the others are made by then.
+/// Returns the change whose path does not exist, or whose value does not fit the type. The latter is
+/// attributed to the change just applied, because those before it have already been accepted.
 pub fn apply<T: Serialize + DeserializeOwned>(whole: &T, settings: &[Setting]) -> Result<T, SettingError> {
-    let broken = |setting: &Setting, wanted: String| SettingError { setting: setting.to_string(), wanted };
-    let mut tree = match serde_json::to_value(whole) {
-        Ok(tree) => tree,
+    let error = |setting: &Setting, wanted: String| SettingError { setting: setting.to_string(), wanted };
+    let mut root = match serde_json::to_value(whole) {
+        Ok(root) => root,
         Err(e) => return Err(SettingError { setting: "the scenario".into(), wanted: e.to_string() }),
     };
     let mut changed = None;
     for setting in settings {
-        place(&mut tree, setting).map_err(|wanted| broken(setting, wanted))?;
-        changed = Some(T::deserialize(&tree).map_err(|e| broken(setting, e.to_string()))?);
+        set_value(&mut root, setting).map_err(|wanted| error(setting, wanted))?;
+        changed = Some(T::deserialize(&root).map_err(|e| error(setting, e.to_string()))?);
     }
     match changed {
         Some(changed) => Ok(changed),
-        None => T::deserialize(&tree)
+        None => T::deserialize(&root)
             .map_err(|e| SettingError { setting: "the scenario".into(), wanted: e.to_string() }),
     }
 }
 
-/// Puts the value of a change where its path leads.
-fn place(tree: &mut Value, setting: &Setting) -> Result<(), String> {
-    let mut at = tree;
-    let mut gone = String::new();
+/// Sets the value at the path of a change.
+fn set_value(root: &mut Value, setting: &Setting) -> Result<(), String> {
+    let mut at = root;
+    let mut visited = String::new();
     let mut steps = setting.path.split('.').peekable();
     while let Some(step) = steps.next() {
         let last = steps.peek().is_none();
@@ -161,31 +164,35 @@
                     return Ok(());
                 }
                 if last {
-                    // It may be absent so far; whether there is such a field, the type knows.
+                    // The field may be absent; whether it exists is checked when the type is deserialized.
                     fields.entry(step).or_insert(Value::Null)
                 } else {
                     let known = fields.keys().map(String::as_str).collect::<Vec<_>>().join(", ");
                     let field = fields.get_mut(step);
-                    field.ok_or_else(|| format!("no '{step}' in {}; wanted: {known}", here(&gone)))?
+                    field.ok_or_else(|| {
+                        format!("no '{step}' in {}; wanted: {known}", path_or_root(&visited))
+                    })?
                 }
             }
             Value::Array(elements) => {
                 let count = elements.len();
                 let element = position(elements, step).and_then(|i| elements.get_mut(i));
-                element.ok_or_else(|| format!("no element '{step}' in {}, which has {count}", here(&gone)))?
+                element.ok_or_else(|| {
+                    format!("no element '{step}' in {}, which has {count}", path_or_root(&visited))
+                })?
             }
-            _ => return Err(format!("{} has no parts, so no '{step}'", here(&gone))),
+            _ => return Err(format!("{} has no parts, so no '{step}'", path_or_root(&visited))),
         };
-        if !gone.is_empty() {
-            gone.push('.');
+        if !visited.is_empty() {
+            visited.push('.');
         }
-        gone.push_str(step);
+        visited.push_str(step);
     }
     *at = setting.value.clone();
     Ok(())
 }
 
-fn here(path: &str) -> &str {
+fn path_or_root(path: &str) -> &str {
     if path.is_empty() {
         "the scenario"
     } else {
@@ -193,14 +200,15 @@
     }
 }
 
-/// The position that a step means: a number within the list, or the only element of that `name` or `kind`.
+/// The index that a path step refers to: a number within the list, or the only element with that `name` or
+/// `kind`.
 fn position(elements: &[Value], step: &str) -> Option<usize> {
     if let Ok(i) = step.parse::<usize>() {
         return (i < elements.len()).then_some(i);
     }
-    let called =
+    let has_name =
         |v: &Value| ["name", "kind"].iter().any(|key| v.get(key).and_then(Value::as_str) == Some(step));
-    let mut found = elements.iter().enumerate().filter(|(_, v)| called(v)).map(|(i, _)| i);
+    let mut found = elements.iter().enumerate().filter(|(_, v)| has_name(v)).map(|(i, _)| i);
     let first = found.next()?;
     found.next().is_none().then_some(first)
 }
--- a/crates/lab/src/input/setting/tests.rs
+++ b/crates/lab/src/input/setting/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn nothing_behind_the_sign_takes_a_value_away() {
+fn an_empty_value_removes_a_setting() {
     assert_eq!(set(&["note=x", "note="]).unwrap().note, None);
 }
 
@@ -47,20 +47,20 @@
 #[case("rate.x=1", "rate has no parts, so no 'x'")]
 #[case("rate=fast", "invalid type: string \"fast\", expected f64")]
 #[case("parts.0.count=-1", "invalid value: integer `-1`, expected u32")]
-fn a_change_that_cannot_be_made_says_what_is_wanted(#[case] text: &str, #[case] wanted: &str) {
-    assert_eq!(set(&[text]).unwrap_err(), format!("{text}: {wanted}"));
+fn an_impossible_change_says_what_was_expected(#[case] text: &str, #[case] expected: &str) {
+    assert_eq!(set(&[text]).unwrap_err(), format!("{text}: {expected}"));
 }
 
 #[rstest]
 #[case("rate")]
 #[case("=4")]
 #[case("a..b=4")]
-fn a_text_without_a_path_is_turned_away(#[case] text: &str) {
+fn a_text_without_a_path_is_rejected(#[case] text: &str) {
     assert!(text.parse::<Setting>().is_err());
 }
 
 #[test]
-fn an_axis_has_a_setting_for_each_value_and_lists_stay_whole() {
+fn an_axis_has_a_setting_for_each_value_and_keeps_lists_intact() {
     let axis: Axis = "rate = 1, 2.5,x,[1,2], \"a,b\"".parse().unwrap();
     let values: Vec<Value> = axis.points.iter().map(|p| p[0].value.clone()).collect();
     assert_eq!(values, [1.into(), 2.5.into(), "x".into(), vec![1, 2].into(), Value::from("a,b")]);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn paths_that_go_together_have_as_many_values_each() {
+fn paths_varied_together_need_equally_many_values() {
     let axis: Axis = "nodes=1,2&rate=10,20".parse().unwrap();
     assert_eq!(axis.paths, ["nodes", "rate"]);
     let texts: Vec<String> =
--- a/crates/lab/src/search/mod.rs
+++ b/crates/lab/src/search/mod.rs
@@ -1,8 +1,9 @@
-//! Looking for runs that break a rule: schedules of faults drawn by seed, failures shrunk and put into tokens.
+//! Searches for runs that break a rule: draws fault schedules from a seed, shrinks failures and encodes them
+//! as replay tokens.
 //!
-//! A failure is a broken rule or a crash of what is under test. The host must be one that plays the same
-//! scenario and seed the same each time, since shrinking asks whether a smaller scenario still fails; it is not
-//! for loopback. To judge one scenario by many seeds, a sweep tells more.
+//! A failure is a broken rule or a crash of the system under test. The host must be deterministic, because
+//! shrinking asks whether a smaller scenario still fails; the loopback host is not suitable. To evaluate one
+//! scenario with many seeds, use a sweep.
 
 pub mod draw;
 pub mod shrink;
@@ -16,14 +17,14 @@
 use world::outcome::{Breach, Rule};
 use world::scenario::Scenario;
 
-/// What is looked for, and how hard.
+/// Parameters of a search.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Of the draws.
+    /// Seed of the draws.
     pub seed: u64,
     pub runs: u64,
     pub bounds: Bounds,
-    /// The first so many failures are shrunk, each with at most so many runs.
+    /// Number of failures to shrink, in order of discovery, and the maximum number of runs for each.
     pub shrunk: usize,
     pub shrink_runs: usize,
     pub threads: NonZeroUsize,
@@ -34,12 +35,12 @@
 pub enum Cause {
     /// A rule was broken: the first breach.
     Rule(Breach),
-    /// What is under test crashed.
+    /// The system under test crashed.
     Crash(String),
 }
 
 impl Cause {
-    /// Whether another failure is of the same kind, so that one may stand in for the other.
+    /// Whether another failure is of the same kind, so that one can represent the other.
     fn is_like(&self, other: &Cause) -> bool {
         match (self, other) {
             (Cause::Rule(a), Cause::Rule(b)) => a.rule == b.rule,
@@ -68,19 +69,19 @@
 /// A run that failed.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// Which draw it was.
+    /// Position of the draw.
     pub position: u64,
     pub how: Cause,
     pub token: Token,
-    /// The smallest one found that fails in the same way, and how.
+    /// The smallest scenario found that fails in the same way, and its failure.
     pub small: Option<(Token, Cause)>,
 }
 
-/// Plays one scenario; `None` if it did not fail.
+/// Runs one scenario; returns `None` if it did not fail.
 ///
 /// # Errors
 ///
-/// Where the host has no run to speak of.
+/// Fails if the host cannot run a scenario.
 pub fn try_one(host: &dyn Host, scenario: &Scenario, seed: u64) -> Result<Option<Cause>, HostError> {
     match host.run(scenario, seed, &Silent) {
         Ok(run) => Ok(run.rules_broken.into_iter().next().map(Cause::Rule)),
@@ -89,12 +90,13 @@
     }
 }
 
-/// Draws and plays `plan.runs` scenarios round `base`, and shrinks the first that fail. `plant` names the fault
-/// that was planted in what `host` plays, if any, for the tokens. `done` hears of each run that is over.
+/// Draws and runs `plan.runs` scenarios based on `base`, and shrinks the first failures. `plant` names the
+/// fault planted in the system run by `host`, if any, and is stored in the tokens. `done` is called after
+/// each run.
 ///
 /// # Errors
 ///
-/// Where the host has no run to speak of.
+/// Fails if the host cannot run a scenario.
 pub fn search(
     host: &dyn Host,
     base: &Scenario,
@@ -103,7 +105,7 @@
     done: &(dyn Fn() + Sync),
 ) -> Result<Vec<Failure>, HostError> {
     let positions: Vec<u64> = (0..plan.runs).collect();
-    let played = parallel::map(plan.threads, &positions, |_, position| {
+    let results = parallel::map(plan.threads, &positions, |_, position| {
         let (scenario, seed) = draw::draw(base, &plan.bounds, plan.seed, *position);
         let how = try_one(host, &scenario, seed);
         done();
@@ -112,17 +114,18 @@
             Failure { position: *position, how, token, small: None }
         }))
     });
-    let played: Result<Vec<Option<Failure>>, HostError> = played.into_iter().collect();
-    let mut failures: Vec<Failure> = played?.into_iter().flatten().collect();
+    let results: Result<Vec<Option<Failure>>, HostError> = results.into_iter().collect();
+    let mut failures: Vec<Failure> = results?.into_iter().flatten().collect();
     let first = &failures[..failures.len().min(plan.shrunk)];
-    let small = parallel::map(plan.threads, first, |_, failure| smallest(host, failure, plan.shrink_runs));
+    let small =
+        parallel::map(plan.threads, first, |_, failure| shrink_failure(host, failure, plan.shrink_runs));
     for (failure, small) in failures.iter_mut().zip(small) {
         failure.small = Some(small);
     }
     Ok(failures)
 }
 
-fn smallest(host: &dyn Host, failure: &Failure, runs: usize) -> (Token, Cause) {
+fn shrink_failure(host: &dyn Host, failure: &Failure, runs: usize) -> (Token, Cause) {
     let mut how = failure.how.clone();
     let ends_s = match &failure.how {
         Cause::Rule(breach) => breach.at_us as f64 / 1e6,
@@ -130,7 +133,7 @@
     };
     let seed = failure.token.seed;
     let scenario = shrink::shrink(&failure.token.scenario, ends_s, runs, |smaller| {
-        // A host that cannot play the smaller one has not shown that it fails.
+        // If the host cannot run the smaller scenario, it has not shown that it fails.
         match try_one(host, smaller, seed) {
             Ok(Some(other)) if other.is_like(&failure.how) => {
                 how = other;
--- a/crates/lab/src/search/tests.rs
+++ b/crates/lab/src/search/tests.rs
@@ -3,10 +3,10 @@
 use world::outcome::Run;
 use world::scenario::FaultKind;
 
-/// Crashes where nodes hang, and cannot play a payday.
-struct Brittle;
+/// A host that crashes when nodes hang, and cannot run a `payday` fault.
+struct CrashesOnHang;
 
-impl Host for Brittle {
+impl Host for CrashesOnHang {
     fn run(&self, scenario: &Scenario, _: u64, _: &dyn Progress) -> Result<Run, HostError> {
         let has = |kind| scenario.faults.iter().any(|f| f.kind == kind);
         if has(FaultKind::Payday) {
@@ -28,7 +28,7 @@
         shrink_runs: 200,
         threads: parallel::cores(),
     };
-    search(&Brittle, &Scenario::default(), &plan, None, &|| ())
+    search(&CrashesOnHang, &Scenario::default(), &plan, None, &|| ())
 }
 
 #[test]
@@ -44,6 +44,6 @@
 }
 
 #[test]
-fn a_host_that_cannot_play_ends_the_search() {
+fn a_host_that_cannot_run_a_scenario_ends_the_search() {
     assert!(matches!(with(&[FaultKind::Payday]), Err(HostError::Unplayable(_))));
 }
--- a/crates/lab/src/search/token.rs
+++ b/crates/lab/src/search/token.rs
@@ -1,11 +1,12 @@
-//! Tokens: a failing run as one word to copy, with all that is needed to play it again.
+//! Replay tokens: a failing run encoded as a single word that contains everything needed to run it again.
 //!
-//! A token is `lab` (`fleet` for a schedule of a fleet) and its version, then in base32 (RFC 4648, small letters) the deflated (RFC 1951) content and
-//! its CRC-32. The content holds the seed and how the scenario differs from the default one, as a JSON merge
-//! patch (RFC 7396, but for lists of tables, which go by element: those past the end of the default list differ
-//! from its last one). Only differences, so that a token fits in a line; in return it holds a checksum of the
-//! defaults, and a token from a lab with other defaults is turned away instead of playing something else. Keep
-//! the scenario file that `lab search --out` writes where a failure has to outlive such a change.
+//! A token is `lab` (`fleet` for a fleet schedule) and its version, followed by the deflated (RFC 1951)
+//! content and its CRC-32 in base32 (RFC 4648, lower case). The content holds the seed and the difference
+//! between the scenario and the default one as a JSON merge patch (RFC 7396, except that lists of tables are
+//! patched by element: elements past the end of the default list are compared with its last one). Only
+//! differences are stored, so that a token fits in a line. It therefore includes a checksum of the defaults,
+//! and a token made with other defaults is rejected instead of replaying a different scenario. Keep the
+//! scenario file that `lab search --out` writes if a failure must remain reproducible after such a change.
 
 use data_encoding::{Encoding, Specification};
 use serde::de::DeserializeOwned;
@@ -15,9 +16,9 @@
 use world::fleet::schedule::Schedule;
 use world::scenario::Scenario;
 
-/// Longest content of a token once inflated; a scenario is a few kilobytes.
+/// Maximum size of the decompressed content; a scenario has a few kilobytes.
 const MAX_CONTENT_LEN: usize = 256 * 1024;
-/// Elements of a list in a token at most; scenarios bound theirs further down.
+/// Maximum number of list elements in a token; scenario validation sets lower limits.
 const MAX_ELEMENTS: u64 = 10_000;
 
 static BASE32: LazyLock<Encoding> = LazyLock::new(|| {
@@ -28,9 +29,9 @@
     spec.encoding().unwrap_or(data_encoding::BASE32_NOPAD)
 });
 
-/// What a token can hold.
+/// A type that can be stored in a token.
 pub trait TokenSubject: Default + Serialize + DeserializeOwned {
-    /// Its beginning: letters, then the version.
+    /// Prefix of the token: letters, then the version.
     const PREFIX: &'static str;
 }
 
@@ -42,25 +43,25 @@
     const PREFIX: &'static str = "fleet1";
 }
 
-/// A run to play again.
+/// A run that can be replayed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Token<S = Scenario> {
     pub scenario: S,
     pub seed: u64,
-    /// The planted fault that the proxies carried, by its name.
+    /// Name of the fault that was planted in the proxies.
     pub plant: Option<String>,
 }
 
-/// What is wrong with a token.
+/// Why a token cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TokenError {
     #[error("not a token: it should begin with {0}")]
     Foreign(&'static str),
-    #[error("a token of another version of the lab: {0}, this one reads {1}")]
+    #[error("a token of another version of the lab: {0}, this lab reads {1}")]
     Version(String, &'static str),
     #[error("a damaged token: {0}")]
     Damaged(&'static str),
-    #[error("a token of a lab with other defaults for scenarios; play the scenario file instead")]
+    #[error("the token was made by a lab with other scenario defaults; run the scenario file instead")]
     OtherDefaults,
 }
 
@@ -72,7 +73,7 @@
     patch: String,
 }
 
-fn tree(scenario: &impl Serialize) -> Value {
+fn to_json(scenario: &impl Serialize) -> Value {
     serde_json::to_value(scenario).unwrap_or(Value::Null)
 }
 
@@ -81,10 +82,11 @@
 }
 
 impl<S: TokenSubject> Token<S> {
-    /// The token as a word.
+    /// Encodes the token as a word.
     pub fn write(&self) -> String {
-        let defaults = tree(&S::default());
-        let patch = difference(&defaults, &tree(&self.scenario)).unwrap_or(Value::Object(Default::default()));
+        let defaults = to_json(&S::default());
+        let patch =
+            difference(&defaults, &to_json(&self.scenario)).unwrap_or(Value::Object(Default::default()));
         let content = Content {
             defaults: checksum(&defaults),
             seed: self.seed,
@@ -94,15 +96,15 @@
         seal(S::PREFIX, &content)
     }
 
-    /// The run that a word stands for. White space round it, and capitals, do no harm.
+    /// Decodes a word. Surrounding white space and upper case are accepted.
     pub fn read(word: &str) -> Result<Self, TokenError> {
         let word = word.trim();
-        let foreign = || TokenError::Foreign(S::PREFIX);
-        let head = word.get(..S::PREFIX.len()).ok_or_else(foreign)?.to_ascii_lowercase();
+        let not_a_token = || TokenError::Foreign(S::PREFIX);
+        let head = word.get(..S::PREFIX.len()).ok_or_else(not_a_token)?.to_ascii_lowercase();
         if head != S::PREFIX {
             let letters = S::PREFIX.trim_end_matches(|c: char| c.is_ascii_digit());
             let other = head.starts_with(letters) && head.ends_with(|c: char| c.is_ascii_digit());
-            return Err(if other { TokenError::Version(head, S::PREFIX) } else { foreign() });
+            return Err(if other { TokenError::Version(head, S::PREFIX) } else { not_a_token() });
         }
         let damaged = TokenError::Damaged;
         let bytes = BASE32.decode(&word.as_bytes()[S::PREFIX.len()..]);
@@ -114,7 +116,7 @@
         let plain = miniz_oxide::inflate::decompress_to_vec_with_limit(packed, MAX_CONTENT_LEN)
             .map_err(|_| damaged("it cannot be unpacked"))?;
         let content: Content = postcard::from_bytes(&plain).map_err(|_| damaged("it cannot be read"))?;
-        let mut whole = tree(&S::default());
+        let mut whole = to_json(&S::default());
         if checksum(&whole) != content.defaults {
             return Err(TokenError::OtherDefaults);
         }
@@ -127,7 +129,8 @@
 }
 
 fn seal(prefix: &str, content: &Content) -> String {
-    // Writing to a vector has no way to fail; an empty content would be a damaged token, not a wrong one.
+    // Encoding into a vector cannot fail; if it did, empty content would give a damaged token, not a
+    // different run.
     let plain = postcard::to_allocvec(content).unwrap_or_default();
     let mut bytes = miniz_oxide::deflate::compress_to_vec(&plain, 9);
     let sum = crc32fast::hash(&bytes);
@@ -135,7 +138,7 @@
     format!("{prefix}{}", BASE32.encode(&bytes))
 }
 
-/// The patch that turns `from` into `to`, `None` where they are alike.
+/// Returns the patch that turns `from` into `to`, or `None` if they are equal.
 fn difference(from: &Value, to: &Value) -> Option<Value> {
     if from == to {
         return None;
@@ -149,7 +152,7 @@
             });
             Some(Value::Object(gone.chain(changed).collect()))
         }
-        (Value::Array(a), Value::Array(b)) if of_tables(a) && of_tables(b) => {
+        (Value::Array(a), Value::Array(b)) if is_list_of_tables(a) && is_list_of_tables(b) => {
             let changed = b.iter().enumerate().filter_map(|(i, v)| {
                 let patch = difference(a.get(i).or(a.last())?, v);
                 patch.map(|patch| (i.to_string(), patch))
@@ -161,11 +164,11 @@
     }
 }
 
-fn of_tables(list: &[Value]) -> bool {
+fn is_list_of_tables(list: &[Value]) -> bool {
     !list.is_empty() && list.iter().all(Value::is_object)
 }
 
-/// Carries out a patch.
+/// Applies a patch.
 fn merge(target: &mut Value, patch: Value) {
     match (target, patch) {
         (Value::Object(fields), Value::Object(patch)) => {
--- a/crates/lab/src/search/token/tests.rs
+++ b/crates/lab/src/search/token/tests.rs
@@ -17,15 +17,15 @@
 }
 
 #[test]
-fn a_token_is_read_as_it_was_written_also_in_capitals() {
+fn a_token_round_trips_also_in_upper_case() {
     let word = token().write();
     assert_eq!(read(&word), Ok(token()));
     assert_eq!(read(&format!(" {}\n", word.to_ascii_uppercase())), Ok(token()));
-    assert!(word.len() < 400, "fits in a few lines of a terminal: {}", word.len());
+    assert!(word.len() < 400, "a token should fit in a few terminal lines, length {}", word.len());
 }
 
 #[test]
-fn a_token_with_any_letter_changed_or_lost_is_turned_away() {
+fn a_token_with_any_letter_changed_or_missing_is_rejected() {
     let word = token().write();
     for i in PREFIX.len()..word.len() {
         let mut other = word.clone().into_bytes();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_is_no_token_is_told_apart_from_one_of_another_version() {
+fn a_word_that_is_no_token_differs_from_an_unsupported_version() {
     for word in ["", "lab", "la\u{e9}x", "hello there", "LABXabc"] {
         assert_eq!(read(word), Err(TokenError::Foreign(PREFIX)), "{word}");
     }
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn a_token_from_other_defaults_is_turned_away() {
+fn a_token_made_with_other_defaults_is_rejected() {
     let content = Content { defaults: 0xdead_beef, seed: 1, plant: None, patch: "{}".into() };
     let word = seal(PREFIX, &content);
     assert_eq!(read(&word), Err(TokenError::OtherDefaults));
 }
 
 #[test]
-fn a_patch_takes_away_adds_and_goes_into_lists_of_tables() {
+fn a_patch_removes_adds_and_descends_into_lists_of_tables() {
     let whole =
         serde_json::json!({"a": 1, "b": {"c": 2, "d": 3}, "l": [{"x": 1, "y": [1, 2]}], "m": [{"z": 1}]});
     let wanted = serde_json::json!(
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_schedule_of_a_fleet_has_tokens_of_its_own() {
+fn fleet_schedules_have_their_own_token_prefix() {
     let schedule = Schedule { name: "cut".into(), seconds: 4.2, ..Schedule::default() };
     let token = Token { scenario: schedule, seed: 7, plant: None };
     let word = token.write();
