--- a/crates/history/src/converge.rs
+++ b/crates/history/src/converge.rs
@@ -1,73 +1,76 @@
-//! Views converge: once the network is whole, observers may differ for no longer than a bound.
+//! Checks that views converge: once the network has recovered, observers may disagree for no longer than a
+//! time limit.
 //!
-//! It owns one pass over samples. A view is what an observer says of each subject, in words that are equal or not. A
-//! host that knows the truth hands it in as one more observer's view. An observer that died or left says so by a sample
-//! without a view, and takes part again with its next one.
+//! A single pass over samples. A view maps each subject to the status that an observer reports; statuses are
+//! only compared for equality. A host that knows the ground truth adds it as the view of another observer. An
+//! observer that has stopped is represented by a sample without a view, and takes part again with its next
+//! one.
 
 use crate::{Listed, Micros, UndecidedReason, Verdict, MAX_ITEMS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What an observer says, by subject.
+/// The status that an observer reports, by subject.
 pub type View = BTreeMap<String, String>;
 
-/// What an observer says from a moment on.
+/// The view of an observer from some time on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sample {
-    /// From when on.
+    /// Time from which the view applies.
     pub at_us: Micros,
-    /// Who says it.
+    /// Name of the observer.
     pub observer: String,
-    /// What it says; none: it is gone.
+    /// The view; `None` if the observer is gone.
     pub view: Option<View>,
 }
 
-/// What is asked.
+/// Parameters of the check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bound {
     /// When the last fault had ended.
     pub whole_us: Micros,
-    /// How long observers may differ at a time, from then on.
+    /// Maximum time for which observers may disagree without interruption from then on.
     pub within_us: Micros,
-    /// When watching ended.
+    /// When the recording ended.
     pub until_us: Micros,
 }
 
-/// Where views converged.
+/// Convergence times, if the views converged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Converged {
-    /// How long after the network was whole they first agreed.
+    /// Time from the recovery of the network to the first agreement.
     pub first_us: Micros,
-    /// The longest time for which they differed, from then on too.
+    /// The longest disagreement after the recovery of the network.
     pub longest_us: Micros,
 }
 
-/// Where not.
+/// Evidence of views that did not converge in time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Divergence {
-    /// Since when they differed.
+    /// Start of the disagreement.
     pub from_us: Micros,
-    /// Until when; none if to the end.
+    /// End of the disagreement; `None` if it lasted to the end.
     pub to_us: Option<Micros>,
-    /// Who had no view when the bound had run out, though not gone.
+    /// Observers that were not gone but had no view when the time limit passed.
     pub silent: Listed<String>,
-    /// Of which subjects who said what when the bound had run out.
+    /// Subjects that observers disagreed about when the time limit passed.
     pub subjects: Listed<Split>,
 }
 
-/// A subject of which observers differ.
+/// A subject that observers disagree about.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Split {
     /// The subject.
     pub subject: String,
-    /// What is said of it (none: it is not in the view), and by whom.
+    /// Each reported status (`None`: not in the view) with the observers that report it.
     pub says: Vec<(Option<String>, Vec<String>)>,
 }
 
-/// What all say by now: none yet, gone, or a view.
+/// Current state by observer: no sample yet, gone, or a view.
 type Now<'a> = BTreeMap<&'a str, Option<Option<&'a View>>>;
 
-/// Judges samples in the order of time; `observers` are those that must have a view, besides all that have samples.
+/// Checks samples in chronological order. All observers with samples must have a view, and those in
+/// `observers` too.
 pub fn check(samples: &[Sample], observers: &[&str], bound: &Bound) -> Verdict<Converged, Divergence> {
     if samples.len() > MAX_ITEMS || observers.len() > MAX_ITEMS {
         return Verdict::NotDecided(UndecidedReason::TooMany);
@@ -77,30 +80,30 @@
     }
     let mut now: Now = observers.iter().map(|o| (*o, None)).collect();
     now.extend(samples.iter().map(|s| (s.observer.as_str(), None)));
-    // Observers by view; those without one yet are not in it, those that are gone neither.
-    let mut camps: BTreeMap<&View, u64> = BTreeMap::new();
+    // Number of observers by view; observers without a view yet and those that are gone are not counted.
+    let mut view_counts: BTreeMap<&View, u64> = BTreeMap::new();
     let mut silent = now.len();
     let mut apart: Option<Micros> = None;
     let mut converged = Converged::default();
     let mut first = None;
-    let mut seen = 0;
+    let mut consumed = 0;
     let mut at = bound.whole_us;
     loop {
-        while let Some(sample) = samples.get(seen).filter(|s| s.at_us <= at) {
+        while let Some(sample) = samples.get(consumed).filter(|s| s.at_us <= at) {
             match now.insert(&sample.observer, Some(sample.view.as_ref())) {
-                Some(Some(Some(old))) => match camps.get_mut(old) {
+                Some(Some(Some(old))) => match view_counts.get_mut(old) {
                     Some(n) if *n > 1 => *n -= 1,
-                    _ => drop(camps.remove(old)),
+                    _ => drop(view_counts.remove(old)),
                 },
                 Some(Some(None)) => {}
                 _ => silent -= 1,
             }
             if let Some(view) = &sample.view {
-                *camps.entry(view).or_default() += 1;
+                *view_counts.entry(view).or_default() += 1;
             }
-            seen += 1;
+            consumed += 1;
         }
-        let agreed = silent == 0 && camps.len() <= 1;
+        let agreed = silent == 0 && view_counts.len() <= 1;
         match apart {
             Some(since) if agreed || at >= bound.until_us => {
                 if at - since > bound.within_us {
@@ -122,7 +125,7 @@
         if at >= bound.until_us {
             break;
         }
-        at = samples.get(seen).map_or(bound.until_us, |s| s.at_us.min(bound.until_us));
+        at = samples.get(consumed).map_or(bound.until_us, |s| s.at_us.min(bound.until_us));
     }
     match first {
         Some(first_us) if apart.is_none() => Verdict::Held(Converged { first_us, ..converged }),
@@ -130,7 +133,7 @@
     }
 }
 
-/// Who said what when the bound had run out.
+/// Collects the views of all observers at the time when the limit passed.
 fn evidence(
     samples: &[Sample],
     observers: &[&str],
--- a/crates/history/src/counter.rs
+++ b/crates/history/src/counter.rs
@@ -1,40 +1,40 @@
-//! Counters add up: whoever asks for a total is told all that was acknowledged before, and at most what was asked for
-//! by then.
+//! Checks counters: a total must include all additions acknowledged before it was requested, and no more than
+//! those requested before it returned.
 //!
-//! It owns the sums of one pass over [`Kind::Add`] and [`Kind::Total`]. A total may count any part of what was out
-//! meanwhile or of what nobody was told about. That is less than linearizability: two totals at once need not agree.
-//! A total asked for at the end judges the whole.
+//! A single pass over [`Kind::Add`] and [`Kind::Total`]. A total may include any subset of the additions that
+//! were concurrent or whose outcome is unknown. This is weaker than linearizability: two concurrent totals
+//! need not agree. A total requested at the end checks the whole history.
 
 use crate::operation::{History, Kind, Outcome};
 use crate::{Fate, Listed, Micros, Verdict};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Where all held.
+/// Statistics of a run without violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CounterStats {
-    /// Counters.
+    /// Number of counters.
     pub counters: u64,
-    /// Totals that were compared.
+    /// Number of totals checked.
     pub totals: u64,
 }
 
-/// A total that cannot be.
+/// A total outside the possible range.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WrongTotal {
     /// The counter.
     pub key: String,
-    /// When the total was asked for.
+    /// When the total was requested.
     pub invoked_us: Micros,
-    /// What was told.
+    /// The total that was returned.
     pub told: i64,
-    /// What it must be at least.
+    /// Minimum possible total.
     pub least: i128,
-    /// And at most.
+    /// Maximum possible total.
     pub most: i128,
 }
 
-/// Sums of what was gained and lost up to each moment, by the moment.
+/// Time, cumulative positive and cumulative negative amounts, ordered by time.
 #[derive(Default)]
 struct Sums(Vec<(Micros, i128, i128)>);
 
@@ -43,13 +43,13 @@
         self.0.push((at, i128::from(amount.max(0)), i128::from(amount.min(0))));
     }
 
-    fn sum_up(&mut self) {
+    fn accumulate(&mut self) {
         self.0.sort_unstable_by_key(|s| s.0);
-        let (mut gained, mut lost) = (0, 0);
+        let (mut positive, mut negative) = (0, 0);
         for s in &mut self.0 {
-            gained += s.1;
-            lost += s.2;
-            (s.1, s.2) = (gained, lost);
+            positive += s.1;
+            negative += s.2;
+            (s.1, s.2) = (positive, negative);
         }
     }
 
@@ -61,26 +61,26 @@
 
 #[derive(Default)]
 struct Counter {
-    /// By when it was acknowledged.
-    surely: Sums,
-    /// By when it was asked for, unless it was refused.
-    maybe: Sums,
+    /// Acknowledged additions, by time of acknowledgement.
+    acknowledged: Sums,
+    /// Additions that were not refused, by time of request.
+    requested: Sums,
     totals: Vec<(Micros, Micros, i64)>,
 }
 
-/// Judges all totals of a history; other operations are none of its business.
+/// Checks all totals of a history; other kinds of operation are ignored.
 pub fn check(history: &History) -> Verdict<CounterStats, Listed<WrongTotal>> {
-    if let Err(wrong) = history.check() {
-        return Verdict::NotDecided(wrong.into());
+    if let Err(malformed) = history.check() {
+        return Verdict::NotDecided(malformed.into());
     }
     let mut counters: BTreeMap<&str, Counter> = BTreeMap::new();
     for operation in history.operations() {
         match (&operation.kind, &operation.outcome, operation.returned_us) {
             (Kind::Add { amount }, _, returned) if operation.fate() != Fate::Refused => {
                 let counter = counters.entry(&operation.key).or_default();
-                counter.maybe.add(operation.invoked_us, *amount);
+                counter.requested.add(operation.invoked_us, *amount);
                 if let (Fate::Acknowledged, Some(at)) = (operation.fate(), returned) {
-                    counter.surely.add(at, *amount);
+                    counter.acknowledged.add(at, *amount);
                 }
             }
             (Kind::Total, Outcome::Total(told), Some(at)) => {
@@ -90,23 +90,23 @@
             _ => {}
         }
     }
-    let (mut adds, mut found) = (CounterStats::default(), Listed::default());
+    let (mut stats, mut found) = (CounterStats::default(), Listed::default());
     for (key, mut counter) in counters {
-        adds.counters += 1;
-        counter.surely.sum_up();
-        counter.maybe.sum_up();
+        stats.counters += 1;
+        counter.acknowledged.accumulate();
+        counter.requested.accumulate();
         for &(invoked_us, returned, told) in &counter.totals {
-            adds.totals += 1;
-            let surely = counter.surely.up_to(|at| at < invoked_us);
-            let maybe = counter.maybe.up_to(|at| at <= returned);
-            let (least, most) = (surely.0 + maybe.1, surely.1 + maybe.0);
+            stats.totals += 1;
+            let acknowledged = counter.acknowledged.up_to(|at| at < invoked_us);
+            let requested = counter.requested.up_to(|at| at <= returned);
+            let (least, most) = (acknowledged.0 + requested.1, acknowledged.1 + requested.0);
             if !(least..=most).contains(&i128::from(told)) {
                 found.add(WrongTotal { key: key.into(), invoked_us, told, least, most });
             }
         }
     }
     match found.is_empty() {
-        true => Verdict::Held(adds),
+        true => Verdict::Held(stats),
         false => Verdict::Broken(found),
     }
 }
--- a/crates/history/src/finals.rs
+++ b/crates/history/src/finals.rs
@@ -1,49 +1,49 @@
-//! One final outcome: each request that was taken gets exactly one final answer, nothing comes after it, and at the end
-//! none is without one.
+//! Checks that each accepted request gets exactly one final answer, that nothing follows it, and that at the
+//! end no request is without one.
 //!
-//! It owns nothing but the count of one pass; events come in the order of time. What a client left behind, or a killed
-//! process took with it, is released by whoever knows that: it is owed nothing, and may still get its one answer.
+//! A single pass over events in chronological order. If a client gave up on a request, or a process was
+//! killed with it, the host releases the request: no answer is required any more, but one is still allowed.
 
 use crate::{Listed, Micros, UndecidedReason, Verdict, MAX_ITEMS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What happened to a request.
+/// An event of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-#[allow(missing_docs)] // the fields are named alike all through, and for what they are
+#[allow(missing_docs)] // the field names are uniform and self-explanatory
 pub enum Event {
-    /// It was taken: an answer is owed.
+    /// The request was accepted: an answer is required.
     Taken { id: u64, at_us: Micros },
-    /// It was answered; `last` unless more is to come.
+    /// The request was answered; `last` unless more parts follow.
     Answered { id: u64, at_us: Micros, last: bool },
-    /// Nothing is owed any more.
+    /// No answer is required any more.
     Released { id: u64, at_us: Micros },
 }
 
-/// What was wrong with a request.
+/// A violation for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)] // as above
 pub enum Fault {
-    /// An answer to what nobody asked.
+    /// An answer without a request.
     Unasked { id: u64, at_us: Micros },
-    /// An id was taken a second time.
+    /// A request id was accepted twice.
     TakenTwice { id: u64, at_us: Micros },
-    /// Something came after the final answer; `last`: another final one.
+    /// An answer after the final one; `last` if it is final too.
     AfterFinal { id: u64, final_us: Micros, at_us: Micros, last: bool },
     /// No final answer by the end.
     Lost { id: u64, taken_us: Micros },
 }
 
-/// Where all held.
+/// Statistics of a run without violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerStats {
-    /// Requests that were taken.
+    /// Accepted requests.
     pub taken: u64,
-    /// Of those, answered.
+    /// Accepted requests that were answered.
     pub answered: u64,
-    /// Of those, neither answered nor owed an answer.
+    /// Accepted requests that were released without an answer.
     pub released: u64,
 }
 
@@ -53,7 +53,8 @@
     released: bool,
 }
 
-/// Judges events up to the end of a run. `until` is that end; what was taken then or later is not yet lost.
+/// Checks events up to `until`, the end of the run; requests accepted at that time or later do not count as
+/// lost.
 pub fn check(events: &[Event], until: Micros) -> Verdict<AnswerStats, Listed<Fault>> {
     if events.len() > MAX_ITEMS {
         return Verdict::NotDecided(UndecidedReason::TooMany);
--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -1,22 +1,24 @@
-//! Judges of what was seen. Each takes data that a host wrote down from outside and says what held, what was broken
-//! (with evidence that a person can read), or that it could not decide.
+//! Checkers for recorded histories. Each takes data that a host recorded from outside and reports that a
+//! property held, that it was violated (with readable evidence), or that it could not be decided.
 //!
-//! No I/O, no clock, no random source: hosts write histories down by one clock, and read and write files themselves
-//! (every type here is serde's). No judge knows the code under test, nor how faults were made. A judge that no planted
-//! history can make fail is worthless: the tests of each plant some.
+//! There is no I/O, no clock and no random source here: hosts record histories with one clock, and read and
+//! write files themselves (all types implement the serde traits). No checker knows the code under test or how
+//! faults were injected. A checker that cannot fail is worthless, so the tests of each one include histories
+//! with planted violations.
 //!
-//! | file | judges |
+//! | module | checks |
 //! | --- | --- |
-//! | [`operation`] | nothing: client operations as data, and whether a history of them is well-formed |
+//! | [`operation`] | client operations as data; whether a history of them is well-formed |
 //! | [`finals`] | exactly one final answer to each request |
 //! | [`register`] | a register by key is linearizable |
-//! | [`set`] | all that was acknowledged is there, and nothing else; of runs: none twice |
+//! | [`set`] | all acknowledged elements are present and nothing else; no job ran twice |
 //! | [`counter`] | counters add up |
 //! | [`converge`] | views agree within a bound once the network is whole |
-//! | [`marks`] | no flapping, no wrong failures, how soon a kill is known |
+//! | [`marks`] | failure detection: no flapping, no false positives, detection time |
 //!
-//! Arrows point up in this table. Bounds: [`MAX_ITEMS`] of whatever is handed in, [`MAX_LISTED`] pieces of evidence, and what a
-//! search may visit ([`register::Effort`]). Past them a judge says [`Verdict::NotDecided`].
+//! Modules depend only on those above them in this table. Bounds: [`MAX_ITEMS`] input items, [`MAX_LISTED`]
+//! pieces of evidence, and what a search may visit ([`register::Effort`]). Beyond these a checker returns
+//! [`Verdict::NotDecided`].
 //!
 //! ```
 //! use history::operation::{Client, History, Kind, Operation, Outcome};
@@ -26,7 +28,7 @@
 //! let write = |value: &str| Kind::Write { value: value.into() };
 //! seen.push(Operation::invoked(Client(1), "k", write("a"), 0).returned(10, Outcome::Done))?;
 //! seen.push(Operation::invoked(Client(1), "k", write("b"), 20).returned(30, Outcome::Done))?;
-//! // Client 2 asks after both were acknowledged, and is told the first.
+//! // Client 2 reads after both writes were acknowledged, and gets the first value.
 //! seen.push(Operation::invoked(Client(2), "k", Kind::Read, 40).returned(50, Outcome::Value("a".into())))?;
 //! let verdict = check(&seen, &Effort::default());
 //! assert_eq!(verdict.broken().expect("a stale read").first[0].core.len(), 3);
@@ -46,34 +48,34 @@
 use operation::Malformed;
 use serde::{Deserialize, Serialize};
 
-/// A moment or a span, in microseconds. The zero of the clock has no meaning; all of a history is by one clock.
+/// A time or duration in microseconds. The zero point is arbitrary; a history uses a single clock.
 pub type Micros = i64;
 
-/// The most of anything that a judge takes: operations, events, samples, changes, elements.
+/// Maximum number of items that a checker accepts: operations, events, samples, changes or elements.
 pub const MAX_ITEMS: usize = 1 << 20;
 
-/// The most pieces of evidence of one kind that are listed; all are counted.
+/// Maximum number of listed pieces of evidence of one kind; all of them are counted.
 pub const MAX_LISTED: usize = 16;
 
-/// What a judge says. `H` tells what was measured where all held, `B` is the evidence where not.
+/// The result of a check. `H` holds measurements if the property held, `B` the evidence if it was violated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict<H, B> {
-    /// All held.
+    /// The property held.
     Held(H),
-    /// Something was broken.
+    /// The property was violated.
     Broken(B),
-    /// Neither can be said: never to be taken for [`Verdict::Held`].
+    /// No decision was possible. Must not be treated as [`Verdict::Held`].
     NotDecided(UndecidedReason),
 }
 
 impl<H, B> Verdict<H, B> {
-    /// Whether all held.
+    /// Whether the property held.
     pub fn is_held(&self) -> bool {
         matches!(self, Verdict::Held(_))
     }
 
-    /// What was measured, where all held.
+    /// The measurements, if the property held.
     pub fn held(&self) -> Option<&H> {
         match self {
             Verdict::Held(held) => Some(held),
@@ -81,7 +83,7 @@
         }
     }
 
-    /// The evidence, where something was broken.
+    /// The evidence, if the property was violated.
     pub fn broken(&self) -> Option<&B> {
         match self {
             Verdict::Broken(evidence) => Some(evidence),
@@ -94,29 +96,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum UndecidedReason {
-    /// A search gave up at its bound, for these keys; all others held.
-    #[error("gave up on {} keys", .0.count)]
+    /// The search reached its limit for these keys; the property held for all others.
+    #[error("the search reached its limit for {} keys", .0.count)]
     GaveUp(Listed<String>),
-    /// The history is none.
+    /// The history is malformed.
     #[error("the history is malformed: {0}")]
     Malformed(#[from] Malformed),
-    /// More than [`MAX_ITEMS`] was handed in.
-    #[error("more than {MAX_ITEMS} were handed in")]
+    /// The input has more than [`MAX_ITEMS`] items.
+    #[error("the input has more than {MAX_ITEMS} items")]
     TooMany,
-    /// Times go back where they must not.
-    #[error("times go back at {0} us")]
+    /// Times decrease where they must not.
+    #[error("times decrease at {0} us")]
     OutOfOrder(Micros),
-    /// What was seen ends before the bound has run out.
-    #[error("what was seen ends too soon")]
+    /// The recording ends before the time limit has passed.
+    #[error("the recording ends before the time limit has passed")]
     EndsTooSoon,
 }
 
-/// The first few of a kind, and how many there were.
+/// The first few items of a kind, and their total number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed<T> {
-    /// Of all.
+    /// Total number of items.
     pub count: u64,
-    /// The first [`MAX_LISTED`].
+    /// The first [`MAX_LISTED`] items.
     pub first: Vec<T>,
 }
 
@@ -127,7 +129,7 @@
 }
 
 impl<T> Listed<T> {
-    /// One more.
+    /// Adds an item.
     pub fn add(&mut self, one: T) {
         self.count += 1;
         if self.first.len() < MAX_LISTED {
@@ -135,20 +137,20 @@
         }
     }
 
-    /// Whether there was none.
+    /// Whether there are no items.
     pub fn is_empty(&self) -> bool {
         self.count == 0
     }
 }
 
-/// What is known of whether something that was asked for happened.
+/// What is known about whether a requested operation took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fate {
-    /// It was acknowledged: it happened.
+    /// Acknowledged: it took effect.
     Acknowledged,
-    /// It was refused: it surely did not happen, and never will.
+    /// Refused: it did not take effect and never will.
     Refused,
-    /// Nobody was told: it may have happened, may yet, or never.
+    /// No response: it may have taken effect, may still do so, or never.
     Unknown,
 }
--- a/crates/history/src/set.rs
+++ b/crates/history/src/set.rs
@@ -1,39 +1,40 @@
-//! A set holds all that was acknowledged and nothing that nobody asked for; and of things that run: each that was
-//! acknowledged ran, none ran twice.
+//! Checks that a set contains all acknowledged elements and nothing that was never requested; for jobs, that
+//! each acknowledged one ran and none ran twice.
 //!
-//! It owns the comparison of what was tried with what was seen at the end. Elements are names: of entries that were
-//! added, of keyed writes, of receipts. To judge runs, hand in a name each time it ran, as seen where it runs.
+//! Compares what was attempted with what was observed at the end. Elements are identified by name: of added
+//! entries, of keyed writes, of receipts. To check jobs, pass a name once per execution, as observed where
+//! the job runs.
 
 use crate::{Fate, Listed, UndecidedReason, Verdict, MAX_ITEMS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Where all held.
+/// Statistics of a run without violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SetStats {
-    /// Elements that were acknowledged, all there.
+    /// Acknowledged elements, all present.
     pub acknowledged: u64,
-    /// Elements that are there though nobody was told.
+    /// Elements of unknown outcome that are present.
     pub unknown_there: u64,
-    /// Elements that are not there, and nobody was told.
+    /// Elements of unknown outcome that are absent.
     pub unknown_gone: u64,
 }
 
-/// Where not.
+/// Differences between the expected and the observed set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SetMismatch {
-    /// Acknowledged, and not there.
+    /// Acknowledged but absent.
     pub lost: Listed<String>,
-    /// There, and never tried.
+    /// Present but never attempted.
     pub phantom: Listed<String>,
-    /// There, though each try was refused.
+    /// Present although every attempt was refused.
     pub refused: Listed<String>,
-    /// There more than once, with how often.
+    /// Present more than once, with the number of occurrences.
     pub again: Listed<(String, u64)>,
 }
 
-/// Judges what was `seen` at the end by what was `tried`. Of several tries of one element, an acknowledged one says
-/// most, then an unknown one.
+/// Compares what was `seen` at the end with what was `tried`. Of several attempts at one element, an
+/// acknowledged one takes precedence, then one of unknown outcome.
 pub fn check<'a>(
     tried: impl IntoIterator<Item = (&'a str, Fate)>,
     seen: impl IntoIterator<Item = &'a str>,
@@ -56,23 +57,23 @@
         }
         elements.entry(name).or_default().1 += 1;
     }
-    let (mut whole, mut differs) = (SetStats::default(), SetMismatch::default());
+    let (mut stats, mut mismatch) = (SetStats::default(), SetMismatch::default());
     for (name, (fate, times)) in elements {
         match (fate, times) {
-            (Some(Fate::Acknowledged), 0) => differs.lost.add(name.into()),
-            (Some(Fate::Acknowledged), _) => whole.acknowledged += 1,
-            (Some(Fate::Unknown), 0) => whole.unknown_gone += 1,
-            (Some(Fate::Unknown), _) => whole.unknown_there += 1,
+            (Some(Fate::Acknowledged), 0) => mismatch.lost.add(name.into()),
+            (Some(Fate::Acknowledged), _) => stats.acknowledged += 1,
+            (Some(Fate::Unknown), 0) => stats.unknown_gone += 1,
+            (Some(Fate::Unknown), _) => stats.unknown_there += 1,
             (Some(Fate::Refused), 0) => {}
-            (Some(Fate::Refused), _) => differs.refused.add(name.into()),
-            (None, _) => differs.phantom.add(name.into()),
+            (Some(Fate::Refused), _) => mismatch.refused.add(name.into()),
+            (None, _) => mismatch.phantom.add(name.into()),
         }
         if times > 1 {
-            differs.again.add((name.into(), times));
+            mismatch.again.add((name.into(), times));
         }
     }
-    match differs == SetMismatch::default() {
-        true => Verdict::Held(whole),
-        false => Verdict::Broken(differs),
+    match mismatch == SetMismatch::default() {
+        true => Verdict::Held(stats),
+        false => Verdict::Broken(mismatch),
     }
 }
