--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// UndecidedReason a judge could not decide.
+/// Why a checker could not decide.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
 pub enum UndecidedReason {
--- a/crates/history/src/marks.rs
+++ b/crates/history/src/marks.rs
@@ -1,71 +1,71 @@
-//! What observers say of subjects over time: that it does not flap, that none is called failed who is alive and
-//! reachable, and how soon a kill is known.
+//! Checks failure detection by observers: reported statuses do not flap, no subject that is alive and
+//! reachable is reported as failed, and kills are detected in time.
 //!
-//! It owns three judges over one list of [`Change`]s and the [`Truth`] of a run as the host made it. What the words mean
-//! (`avoided`, `failed`) is the caller's: it names those that take a subject out.
+//! Three checks over one list of [`Change`]s and the [`Truth`] of a run, recorded by the host. The meaning of
+//! statuses (`avoided`, `failed`) is defined by the caller, who names those that exclude a subject.
 
 use crate::{Listed, Micros, UndecidedReason, Verdict, MAX_ITEMS};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// An observer says something of a subject from a moment on. Saying the same again is no change.
+/// An observer reports a status of a subject from some time on. Repeating the same status is not a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// From when on.
+    /// Time from which the status applies.
     pub at_us: Micros,
-    /// Who says it.
+    /// Name of the observer.
     pub observer: String,
-    /// Of whom.
+    /// Name of the subject.
     pub subject: String,
-    /// What.
+    /// The status.
     pub says: String,
 }
 
-/// What befell processes and the ways between them, as the host made it.
+/// Ground truth about processes and the links between them, as produced by the host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Truth {
-    /// When processes were not there (killed; paused too, if to be called failed is right then).
+    /// When processes were down (killed; also paused, if reporting them as failed is then correct).
     pub down: Vec<Down>,
-    /// When messages from one to another did not come.
+    /// When messages from one process to another were not delivered.
     pub cut: Vec<Cut>,
 }
 
-/// A process was not there.
+/// A period for which a process was down.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Down {
-    /// Which.
+    /// Name of the process.
     pub who: String,
-    /// From when on.
+    /// Start.
     pub from_us: Micros,
-    /// Until when; none if for good.
+    /// End; `None` if permanent.
     pub to_us: Option<Micros>,
 }
 
-/// One direction between two was cut.
+/// A period for which one direction between two processes was cut.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cut {
-    /// Messages from this one
+    /// Sender of the messages that were not delivered.
     pub from: String,
-    /// did not come to this one.
+    /// Receiver of the messages that were not delivered.
     pub to: String,
-    /// From when on.
+    /// Start.
     pub from_us: Micros,
-    /// Until when; none if for good.
+    /// End; `None` if permanent.
     pub to_us: Option<Micros>,
 }
 
-/// An observer, a subject.
+/// Observer and subject.
 type Pair<'a> = (&'a str, &'a str);
 
-/// What each observer said of each subject, from when on.
+/// Statuses reported by each observer for each subject, with their start times.
 type Said<'a> = BTreeMap<Pair<'a>, Vec<(Micros, &'a str)>>;
 
-/// Whether two spans share a moment; an open end has none.
-fn meet(from: Micros, to: Option<Micros>, since: Micros, until: Micros) -> bool {
+/// Whether two closed intervals overlap; without `to` the first one never ends.
+fn overlaps(from: Micros, to: Option<Micros>, since: Micros, until: Micros) -> bool {
     from <= until && to.is_none_or(|to| to >= since)
 }
 
-/// The changes by pair, without those that say the same again.
+/// Groups the changes by pair and removes those that repeat a status.
 fn by_pair(changes: &[Change]) -> Result<Said<'_>, UndecidedReason> {
     if changes.len() > MAX_ITEMS {
         return Err(UndecidedReason::TooMany);
@@ -75,47 +75,48 @@
     }
     let mut pairs = Said::new();
     for change in changes {
-        let said = pairs.entry((&change.observer, &change.subject)).or_default();
-        if said.last().is_none_or(|(_, last)| *last != change.says) {
-            said.push((change.at_us, &change.says));
+        let statuses = pairs.entry((&change.observer, &change.subject)).or_default();
+        if statuses.last().is_none_or(|(_, last)| *last != change.says) {
+            statuses.push((change.at_us, &change.says));
         }
     }
     Ok(pairs)
 }
 
-/// The busiest window of a pair.
+/// The window with the most changes of a pair.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Flapping {
-    /// Who changed its mind.
+    /// The observer that changed its report.
     pub observer: String,
-    /// Of whom.
+    /// Name of the subject.
     pub subject: String,
-    /// How often within the window.
+    /// Number of changes within the window.
     pub changes: usize,
-    /// When the window began.
+    /// Start of the window.
     pub from_us: Micros,
 }
 
-/// Whether no observer changes what it says of a subject more than `most` times in any window, both ends of which
-/// count. What it says first is a change. Tells the busiest window of all where that held.
+/// Checks that no observer changes its status of a subject more than `most` times in any window, including
+/// both ends. The first report counts as a change. If the property held, returns the window with the most
+/// changes.
 pub fn flapping(changes: &[Change], window_us: Micros, most: usize) -> Verdict<Flapping, Listed<Flapping>> {
     let pairs = match by_pair(changes) {
         Ok(pairs) => pairs,
         Err(why) => return Verdict::NotDecided(why),
     };
     let (mut busiest, mut found) = (Flapping::default(), Listed::default());
-    for ((observer, subject), said) in pairs {
-        let (mut recent, mut most_of_it) = (VecDeque::new(), (0, 0));
-        for (at, _) in said {
+    for ((observer, subject), statuses) in pairs {
+        let (mut recent, mut max_window) = (VecDeque::new(), (0, 0));
+        for (at, _) in statuses {
             recent.push_back(at);
             while recent.front().is_some_and(|first| at - first > window_us) {
                 recent.pop_front();
             }
-            if recent.len() > most_of_it.0 {
-                most_of_it = (recent.len(), recent[0]);
+            if recent.len() > max_window.0 {
+                max_window = (recent.len(), recent[0]);
             }
         }
-        let (changes, from_us) = most_of_it;
+        let (changes, from_us) = max_window;
         let flap = Flapping { observer: observer.into(), subject: subject.into(), changes, from_us };
         if changes > busiest.changes {
             busiest = flap.clone();
@@ -130,20 +131,20 @@
     }
 }
 
-/// A subject was called failed while it was alive and reachable both ways.
+/// A subject was reported as failed while it was alive and reachable in both directions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wrong {
-    /// When.
+    /// Time of the report.
     pub at_us: Micros,
-    /// By whom.
+    /// The observer that reported it.
     pub observer: String,
-    /// Who.
+    /// The subject.
     pub subject: String,
 }
 
-/// Whether at most `most` times a subject was taken out (by a word of `out`) by an observer, though it had been alive
-/// all the last `grace_us` and every message between the two could come, both ways. An observer that was away itself
-/// has no excuse. Either way it tells the wrong ones.
+/// Checks that observers excluded a subject (reported a status in `out`) at most `most` times although it had
+/// been alive for the last `grace_us` and messages could be delivered in both directions. An observer that
+/// was down itself is not exempt. Returns the false positives in either case.
 pub fn wrong_failures(
     changes: &[Change],
     truth: &Truth,
@@ -156,21 +157,21 @@
         Err(why) => return Verdict::NotDecided(why),
     };
     let mut found = Listed::default();
-    for ((observer, subject), said) in pairs {
-        let right = |at: Micros| {
+    for ((observer, subject), statuses) in pairs {
+        let is_justified = |at: Micros| {
             let since = at.saturating_sub(grace_us);
-            let down = |d: &Down| d.who == subject && meet(d.from_us, d.to_us, since, at);
+            let down = |d: &Down| d.who == subject && overlaps(d.from_us, d.to_us, since, at);
             let cut = |c: &Cut| {
                 let between =
                     (&*c.from, &*c.to) == (observer, subject) || (&*c.from, &*c.to) == (subject, observer);
-                between && meet(c.from_us, c.to_us, since, at)
+                between && overlaps(c.from_us, c.to_us, since, at)
             };
             truth.down.iter().any(down) || truth.cut.iter().any(cut)
         };
         let mut was_out = false;
-        for (at_us, word) in said {
+        for (at_us, word) in statuses {
             let is_out = out.contains(&word);
-            if is_out && !was_out && !right(at_us) {
+            if is_out && !was_out && !is_justified(at_us) {
                 found.add(Wrong { at_us, observer: observer.into(), subject: subject.into() });
             }
             was_out = is_out;
@@ -182,34 +183,34 @@
     }
 }
 
-/// How soon kills were known.
+/// Detection times of kills.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Times {
-    /// Kills that all who watched knew of.
+    /// Kills detected by all observers.
     pub kills: usize,
-    /// Kills that ended, or that watching ended after, before the bound and before all knew.
+    /// Kills whose outage or recording ended before the time limit and before all observers detected them.
     pub cut_short: usize,
-    /// From a kill till all knew, the middle one (of two, the later).
+    /// Median time from a kill until all observers detected it (of two middle values, the larger).
     pub median_us: Micros,
-    /// And the longest.
+    /// Maximum time from a kill until all observers detected it.
     pub worst_us: Micros,
 }
 
-/// An observer did not know in time.
+/// An observer that did not detect a kill in time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Late {
-    /// Who was killed.
+    /// The process that was killed.
     pub subject: String,
-    /// When.
+    /// Time of the kill.
     pub killed_us: Micros,
-    /// Who did not know.
+    /// The observer that did not detect it.
     pub observer: String,
-    /// How long after the kill it knew; none if never.
+    /// Time from the kill to its detection; `None` if it was never detected.
     pub after_us: Option<Micros>,
 }
 
-/// Whether each kill of [`Truth::down`] is known (by a word of `out`) within a bound to all `observers` that are there
-/// all the while, and how long that took.
+/// Checks that each kill in [`Truth::down`] is detected (a status in `out` is reported) within a time limit
+/// by all `observers` that run throughout, and measures how long that took.
 pub fn detection(
     changes: &[Change],
     truth: &Truth,
@@ -222,27 +223,27 @@
         Ok(pairs) => pairs,
         Err(why) => return Verdict::NotDecided(why),
     };
-    let (mut times, mut all, mut found) = (Times::default(), Vec::new(), Listed::default());
+    let (mut times, mut detection_times, mut found) = (Times::default(), Vec::new(), Listed::default());
     for kill in truth.down.iter().filter(|k| k.from_us < until_us) {
         let end = kill.to_us.map_or(until_us, |to| to.min(until_us));
         let watches = |o: &&&str| {
-            let away = |d: &Down| d.who == **o && meet(d.from_us, d.to_us, kill.from_us, end);
+            let away = |d: &Down| d.who == **o && overlaps(d.from_us, d.to_us, kill.from_us, end);
             **o != kill.who && !truth.down.iter().any(away)
         };
-        let (mut slowest, mut short) = (0, false);
+        let (mut slowest, mut was_cut_short) = (0, false);
         for observer in observers.iter().filter(watches) {
-            let said = pairs.get(&(*observer, kill.who.as_str())).map_or(&[][..], Vec::as_slice);
-            let before = said.iter().take_while(|(at, _)| *at <= kill.from_us).last();
+            let statuses = pairs.get(&(*observer, kill.who.as_str())).map_or(&[][..], Vec::as_slice);
+            let before = statuses.iter().take_while(|(at, _)| *at <= kill.from_us).last();
             let after = match before {
                 Some((_, word)) if out.contains(word) => Some(0),
                 _ => {
-                    let mut later = said.iter().filter(|(at, _)| *at > kill.from_us && *at <= end);
+                    let mut later = statuses.iter().filter(|(at, _)| *at > kill.from_us && *at <= end);
                     later.find(|(_, word)| out.contains(word)).map(|(at, _)| at - kill.from_us)
                 }
             };
             match after {
                 Some(after) if after <= within_us => slowest = slowest.max(after),
-                None if end - kill.from_us < within_us => short = true,
+                None if end - kill.from_us < within_us => was_cut_short = true,
                 _ => found.add(Late {
                     subject: kill.who.clone(),
                     killed_us: kill.from_us,
@@ -251,18 +252,18 @@
                 }),
             }
         }
-        match short {
+        match was_cut_short {
             true => times.cut_short += 1,
-            false => all.push(slowest),
+            false => detection_times.push(slowest),
         }
     }
     if !found.is_empty() {
         return Verdict::Broken(found);
     }
-    all.sort_unstable();
-    times.kills = all.len();
-    times.median_us = all.get(all.len() / 2).copied().unwrap_or(0);
-    times.worst_us = all.last().copied().unwrap_or(0);
+    detection_times.sort_unstable();
+    times.kills = detection_times.len();
+    times.median_us = detection_times.get(detection_times.len() / 2).copied().unwrap_or(0);
+    times.worst_us = detection_times.last().copied().unwrap_or(0);
     match times.kills {
         0 if times.cut_short > 0 => Verdict::NotDecided(UndecidedReason::EndsTooSoon),
         _ => Verdict::Held(times),
--- a/crates/history/src/operation.rs
+++ b/crates/history/src/operation.rs
@@ -1,101 +1,102 @@
 //! Client operations as data, and whether a history of them is well-formed.
 //!
-//! It owns the words that hosts write histories in and what a history must be for any judge to read it. It judges
-//! nothing else. The model is Herlihy and Wing's (ACM TOPLAS 12 (1990)): an operation is its invocation and its return,
-//! a client has one at a time. An operation whose outcome nobody was told may take effect at any time after its
-//! invocation, or never.
+//! Defines the format in which hosts record histories, and the conditions that a history must meet for a
+//! checker to read it. The model is that of Herlihy and Wing (ACM TOPLAS 12 (1990)): an operation consists of
+//! its invocation and its return, and a client has one operation at a time. An operation of unknown outcome
+//! may take effect at any time after its invocation, or never.
 //!
-//! Bounds: [`MAX_ITEMS`] operations a history, [`MAX_BYTES`] a key or a value.
+//! Limits: [`MAX_ITEMS`] operations per history, [`MAX_BYTES`] bytes per key or value.
 
 use crate::{Fate, Micros, MAX_ITEMS};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The longest key or value, in bytes; of what is longer, write down a digest.
+/// Maximum length of a key or value in bytes; record a digest of anything longer.
 pub const MAX_BYTES: usize = 4096;
 
-/// Who asks, one operation at a time. A client that starts anew without an answer to its last is another one, unless
-/// that last has a return of outcome [`Outcome::Unknown`] (it waited no longer).
+/// A client, which has one operation at a time. A client that continues without an answer to its last
+/// operation needs a new id, unless that operation has returned with [`Outcome::Unknown`] (the client stopped
+/// waiting).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Client(pub u32);
 
-/// What is asked for.
+/// The kind of operation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The value of a register.
+    /// Reads a register.
     Read,
-    /// A register's new value, whatever it was.
+    /// Sets a register, whatever its value.
     Write {
         /// The new value.
         value: String,
     },
-    /// A register is to have no value.
+    /// Removes the value of a register.
     Delete,
-    /// A register's value if it has none; else what is there stays (a receipt).
+    /// Sets a register only if it has no value (a receipt).
     Insert {
-        /// The value, if there was none.
+        /// The value to set if there is none.
         value: String,
     },
-    /// A counter is to move.
+    /// Adds to a counter.
     Add {
-        /// By so much; may be negative.
+        /// The amount; may be negative.
         amount: i64,
     },
-    /// Where a counter stands.
+    /// Reads a counter.
     Total,
 }
 
-/// What came of it.
+/// The outcome of an operation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// A write, a deletion, an insertion or an addition took place.
+    /// A write, deletion, insertion or addition took effect.
     Done,
-    /// A read found this.
+    /// A read returned this value.
     Value(String),
     /// A read found no value.
     Absent,
-    /// An insertion found a value and changed nothing; the value, if it was told.
+    /// An insertion found a value and changed nothing; contains the value if it was returned.
     Found(Option<String>),
-    /// A counter stood there.
+    /// The value of a counter.
     Total(i64),
-    /// It surely did not happen and never will.
+    /// It did not take effect and never will.
     Refused,
-    /// Nobody was told.
+    /// No response was received.
     Unknown,
 }
 
 /// One operation of one client.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Operation {
-    /// Who asked.
+    /// The client that invoked it.
     pub client: Client,
-    /// Of which register or counter.
+    /// The register or counter.
     pub key: String,
-    /// What was asked for.
+    /// The kind of operation.
     pub kind: Kind,
-    /// When it was asked.
+    /// Time of the invocation.
     pub invoked_us: Micros,
-    /// When the client stopped waiting; none if it never did.
+    /// Time of the return, or when the client stopped waiting; `None` if it never did.
     pub returned_us: Option<Micros>,
-    /// What it was told.
+    /// The outcome known to the client.
     pub outcome: Outcome,
 }
 
 impl Operation {
-    /// An operation that has not returned.
+    /// Creates an operation that has not returned.
     pub fn invoked(client: Client, key: impl Into<String>, kind: Kind, at: Micros) -> Self {
         let key = key.into();
         Operation { client, key, kind, invoked_us: at, returned_us: None, outcome: Outcome::Unknown }
     }
 
-    /// The same, returned.
+    /// Records the return of the operation.
     pub fn returned(self, at: Micros, outcome: Outcome) -> Self {
         Operation { returned_us: Some(at), outcome, ..self }
     }
 
-    /// What is known of whether it happened.
+    /// What is known about whether it took effect.
     pub fn fate(&self) -> Fate {
         match self.outcome {
             Outcome::Refused => Fate::Refused,
@@ -104,25 +105,25 @@
         }
     }
 
-    fn counts(&self) -> bool {
+    fn is_counter_operation(&self) -> bool {
         matches!(self.kind, Kind::Add { .. } | Kind::Total)
     }
 
-    /// What is wrong with it alone.
+    /// Checks this operation by itself.
     fn check(&self) -> Result<(), Malformed> {
-        let value = match (&self.kind, &self.outcome) {
+        let value_len = match (&self.kind, &self.outcome) {
             (_, Outcome::Value(value) | Outcome::Found(Some(value))) => value.len(),
             (Kind::Write { value } | Kind::Insert { value }, _) => value.len(),
             _ => 0,
         };
-        let asked = match &self.kind {
+        let requested_len = match &self.kind {
             Kind::Write { value } | Kind::Insert { value } => value.len(),
             _ => 0,
         };
-        if self.key.len().max(value).max(asked) > MAX_BYTES {
+        if self.key.len().max(value_len).max(requested_len) > MAX_BYTES {
             return Err(Malformed::TooLong { client: self.client, invoked_us: self.invoked_us });
         }
-        let fits = matches!(
+        let outcome_matches = matches!(
             (&self.kind, &self.outcome),
             (_, Outcome::Unknown | Outcome::Refused)
                 | (Kind::Read, Outcome::Value(_) | Outcome::Absent)
@@ -130,7 +131,7 @@
                 | (Kind::Insert { .. }, Outcome::Done | Outcome::Found(_))
                 | (Kind::Total, Outcome::Total(_))
         );
-        if !fits {
+        if !outcome_matches {
             return Err(Malformed::Unfit { client: self.client, invoked_us: self.invoked_us });
         }
         match self.returned_us {
@@ -145,33 +146,33 @@
     }
 }
 
-/// UndecidedReason a list of operations is no history.
+/// Why a list of operations is not a well-formed history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[serde(rename_all = "snake_case")]
-#[allow(missing_docs)] // the fields are named alike all through, and for what they are
+#[allow(missing_docs)] // the field names are uniform and self-explanatory
 pub enum Malformed {
-    /// No room.
+    /// The history is full.
     #[error("a history has {MAX_ITEMS} operations at most")]
     Full,
     /// A key or a value is too long.
     #[error("client {}'s operation of {invoked_us} us has a key or value longer than {MAX_BYTES} bytes", client.0)]
     TooLong { client: Client, invoked_us: Micros },
-    /// No operation of this kind ends so.
-    #[error("client {}'s operation of {invoked_us} us has an outcome of another kind", client.0)]
+    /// The outcome does not match the kind of operation.
+    #[error("client {}'s operation of {invoked_us} us has an outcome that does not match its kind", client.0)]
     Unfit { client: Client, invoked_us: Micros },
     /// It returned before it was invoked.
     #[error("client {}'s operation of {invoked_us} us returned before it was invoked", client.0)]
     ReturnsBefore { client: Client, invoked_us: Micros },
-    /// Its outcome is known, though it never returned.
+    /// Its outcome is known although it never returned.
     #[error("client {}'s operation of {invoked_us} us has an outcome but never returned", client.0)]
     NeverReturned { client: Client, invoked_us: Micros },
-    /// A client has two operations at a time.
-    #[error("client {} asked at {invoked_us} us while another operation of its was out", client.0)]
+    /// A client has two operations at the same time.
+    #[error("client {} invoked an operation at {invoked_us} us while another one was pending", client.0)]
     TwoAtOnce { client: Client, invoked_us: Micros },
     /// A return without an invocation, or a second return.
-    #[error("client {} returned at {at_us} us from nothing", client.0)]
+    #[error("client {} returned at {at_us} us without a pending operation", client.0)]
     NothingOut { client: Client, at_us: Micros },
-    /// A key is a register's and a counter's.
+    /// A key is used for a register and for a counter.
     #[error("key {key} is used as a register and as a counter")]
     TwoUses { key: String },
 }
@@ -201,7 +202,7 @@
 }
 
 impl History {
-    /// One more. Fails when there are [`MAX_ITEMS`].
+    /// Adds an operation. Fails if there are [`MAX_ITEMS`] already.
     pub fn push(&mut self, operation: Operation) -> Result<(), Malformed> {
         if self.operations.len() >= MAX_ITEMS {
             return Err(Malformed::Full);
@@ -210,24 +211,26 @@
         Ok(())
     }
 
-    /// All, in the order in which they came.
+    /// All operations, in the order in which they were added.
     pub fn operations(&self) -> &[Operation] {
         &self.operations
     }
 
-    /// Whether it is well-formed: each operation returns once, after its invocation and with an outcome of its kind; a
-    /// client has one at a time; a key is a register's or a counter's. A client may ask in the microsecond in which its
-    /// last operation returned.
+    /// Checks that the history is well-formed: each operation returns at most once, after its invocation and
+    /// with an outcome of its kind; a client has one operation at a time; a key is either a register or a
+    /// counter. A client may invoke an operation in the same microsecond in which its last one returned.
     pub fn check(&self) -> Result<(), Malformed> {
         let mut keys: BTreeMap<&str, bool> = BTreeMap::new();
         let mut by_client: Vec<&Operation> = self.operations.iter().collect();
         for operation in &self.operations {
             operation.check()?;
-            if *keys.entry(&operation.key).or_insert(operation.counts()) != operation.counts() {
+            if *keys.entry(&operation.key).or_insert(operation.is_counter_operation())
+                != operation.is_counter_operation()
+            {
                 return Err(Malformed::TwoUses { key: operation.key.clone() });
             }
         }
-        // What returned in no time comes before what was asked in the same microsecond and took longer.
+        // An operation that returned immediately precedes a longer one invoked in the same microsecond.
         by_client.sort_by_key(|o| (o.client, o.invoked_us, o.returned_us.unwrap_or(Micros::MAX)));
         for two in by_client.windows(2) {
             let (first, next) = (two[0], two[1]);
@@ -239,15 +242,15 @@
     }
 }
 
-/// Makes a history of invocations and returns as they are seen, told in the order of time.
+/// Builds a history from invocations and returns reported in chronological order.
 #[derive(Clone, Debug, Default)]
 pub struct Recorder {
-    out: BTreeMap<Client, Operation>,
+    pending: BTreeMap<Client, Operation>,
     history: History,
 }
 
 impl Recorder {
-    /// A client asks. Fails while an operation of its is out, or when the history is full.
+    /// Records an invocation. Fails if the client has a pending operation, or if the history is full.
     pub fn invoke(
         &mut self,
         at: Micros,
@@ -255,24 +258,25 @@
         key: impl Into<String>,
         kind: Kind,
     ) -> Result<(), Malformed> {
-        if self.out.contains_key(&client) {
+        if self.pending.contains_key(&client) {
             return Err(Malformed::TwoAtOnce { client, invoked_us: at });
         }
-        if self.out.len() + self.history.operations.len() >= MAX_ITEMS {
+        if self.pending.len() + self.history.operations.len() >= MAX_ITEMS {
             return Err(Malformed::Full);
         }
-        self.out.insert(client, Operation::invoked(client, key, kind, at));
+        self.pending.insert(client, Operation::invoked(client, key, kind, at));
         Ok(())
     }
 
-    /// A client is told, or waits no longer. Fails when nothing of its is out, or if the outcome does not fit.
+    /// Records a return, or that the client stopped waiting. Fails if it has no pending operation, or if the
+    /// outcome does not match.
     pub fn returned(
         &mut self,
         at: Micros,
         client: Client,
         outcome: Outcome,
     ) -> Result<&Operation, Malformed> {
-        let Some(operation) = self.out.remove(&client) else {
+        let Some(operation) = self.pending.remove(&client) else {
             return Err(Malformed::NothingOut { client, at_us: at });
         };
         let operation = operation.returned(at, outcome);
@@ -282,9 +286,9 @@
         Ok(&self.history.operations[last])
     }
 
-    /// The history; what is still out never returned.
+    /// Returns the history; operations still pending are recorded as never returned.
     pub fn finish(mut self) -> History {
-        self.history.operations.extend(self.out.into_values());
+        self.history.operations.extend(self.pending.into_values());
         self.history
     }
 }
