--- a/crates/history/examples/scale.rs
+++ b/crates/history/examples/scale.rs
@@ -1,4 +1,5 @@
-//! How long histories of a correct register, and of one that serves stale reads, take to be judged.
+//! Measures how long it takes to check histories of a correct register, and of registers with planted faults
+//! such as stale reads.
 
 #[path = "../tests/simulated/mod.rs"]
 mod simulated;
@@ -22,16 +23,16 @@
         for planted in [None, Some(Planted::Stale), Some(Planted::Forgets)] {
             let shape = Shape { clients, operations, keys, values: 0, refused: 2, unknown, planted };
             let history = simulated::history(shape, 7);
-            let from = Instant::now();
+            let start = Instant::now();
             let verdict = check(&history, &Effort::default());
-            let ms = from.elapsed().as_millis();
-            let (word, states, core) = match &verdict {
+            let ms = start.elapsed().as_millis();
+            let (result, states, core) = match &verdict {
                 Verdict::Held(held) => ("held", held.states, 0),
                 Verdict::Broken(found) => ("broken", 0, found.first[0].core.len()),
                 Verdict::NotDecided(_) => ("not decided", 0, 0),
             };
             let planted = planted.map_or("none".into(), |p| format!("{p:?}"));
-            println!("{operations:10} {clients:7} {keys:4} {unknown:8} {planted:8} {word:12} {states:7} {core:5} {ms:5}");
+            println!("{operations:10} {clients:7} {keys:4} {unknown:8} {planted:8} {result:12} {states:7} {core:5} {ms:5}");
         }
     }
 }
--- a/crates/history/src/register/mod.rs
+++ b/crates/history/src/register/mod.rs
@@ -1,15 +1,16 @@
-//! A register by key is linearizable.
+//! Checks that the register of each key is linearizable.
 //!
-//! It owns the way from a history to a verdict: operations are parted by key, since a history is linearizable exactly
-//! if it is for each object alone (Herlihy and Wing, ACM TOPLAS 12 (1990)); each key is searched (`search`), and what
-//! fails is made small (`shrink`). It never looks at another judge's operations ([`Kind::Add`], [`Kind::Total`]).
+//! Operations are partitioned by key, since a history is linearizable exactly if its projection on each
+//! object is (Herlihy and Wing, ACM TOPLAS 12 (1990)). Each key is searched separately (`search`), and
+//! failing histories are reduced (`shrink`). Operations of counters ([`Kind::Add`], [`Kind::Total`]) are
+//! ignored.
 //!
-//! Of the registry's checkers, `todc-utils` 0.1 has Wing, Gong and Lowe's search, but no unknown outcomes and no bound, and
-//! it keeps a set as long as the whole history by visited state; `lincheck` 0.2 is for threads that it runs itself. Neither
-//! tells why a history fails.
+//! Existing crates were not sufficient: `todc-utils` 0.1 implements the search of Wing, Gong and Lowe, but
+//! supports neither unknown outcomes nor a limit, and stores a set as long as the whole history per visited
+//! state; `lincheck` 0.2 only checks threads that it runs itself. Neither explains why a history fails.
 //!
-//! A register has no value before its first operation; one that had is told by a write before all others. Times that
-//! are equal overlap: the clock cannot tell which was first.
+//! A register has no value before its first operation; represent an initial value by a write before all
+//! others. Operations with equal times count as concurrent: the clock cannot tell which was first.
 
 mod search;
 mod shrink;
@@ -20,12 +21,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a search of one key may take. The time it takes is about that of its visited states: a million in some seconds.
+/// Limits on the search of one key. Its running time is roughly proportional to the visited states: a million
+/// take some seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effort {
-    /// States that it may visit.
+    /// Maximum number of visited states.
     pub states: usize,
-    /// Memory that these may take, in bytes, about.
+    /// Approximate maximum memory for visited states, in bytes.
     pub bytes: usize,
 }
 
@@ -35,12 +37,12 @@
     }
 }
 
-/// Where all keys are linearizable.
+/// Statistics of a history in which all keys are linearizable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Linearizable {
-    /// Registers.
+    /// Number of registers.
     pub keys: u64,
-    /// Operations of theirs.
+    /// Number of operations on them.
     pub operations: u64,
     /// Visited states of all searches.
     pub states: u64,
@@ -49,19 +51,20 @@
 /// A register that is not linearizable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Broken {
-    /// Which.
+    /// The key of the register.
     pub key: String,
-    /// A few of its operations, as they were, in the order of their invocations: alone they are not linearizable either,
-    /// and whatever else its clients did cannot mend that.
+    /// A subset of its operations, unchanged and in order of invocation, that is not linearizable by itself;
+    /// no other operations of the clients can change that.
     pub core: Vec<Operation>,
-    /// Whether no operation can be left out of the core. Else shrinking gave up.
+    /// Whether no operation can be removed from the core. Otherwise shrinking reached its limit.
     pub minimal: bool,
 }
 
-/// Judges all registers of a history, in the order of their keys. A broken key outweighs one that was given up.
+/// Checks all registers of a history, in order of their keys. A violation takes precedence over a search that
+/// reached its limit.
 pub fn check(history: &History, effort: &Effort) -> Verdict<Linearizable, Listed<Broken>> {
-    if let Err(wrong) = history.check() {
-        return Verdict::NotDecided(wrong.into());
+    if let Err(malformed) = history.check() {
+        return Verdict::NotDecided(malformed.into());
     }
     let mut by_key: BTreeMap<&str, Vec<&Operation>> = BTreeMap::new();
     for operation in history.operations() {
@@ -69,16 +72,17 @@
             by_key.entry(&operation.key).or_default().push(operation);
         }
     }
-    let (mut sum, mut broken, mut given_up) = (Linearizable::default(), Listed::default(), Listed::default());
+    let (mut stats, mut broken, mut undecided) =
+        (Linearizable::default(), Listed::default(), Listed::default());
     for (key, operations) in by_key {
-        sum.keys += 1;
-        sum.operations += operations.len() as u64;
+        stats.keys += 1;
+        stats.operations += operations.len() as u64;
         let (found, states) = search::search(&Problem::new(&operations, Micros::MAX), effort);
-        sum.states += states as u64;
+        stats.states += states as u64;
         match found {
             Found::Order => {}
-            Found::GaveUp => given_up.add(key.to_owned()),
-            // What is not listed need not be made small.
+            Found::GaveUp => undecided.add(key.to_owned()),
+            // Evidence that is not listed need not be shrunk.
             Found::None if broken.first.len() >= crate::MAX_LISTED => broken.count += 1,
             Found::None => {
                 let (core, minimal) = shrink::shrink(operations, effort, states);
@@ -88,32 +92,33 @@
     }
     match () {
         () if !broken.is_empty() => Verdict::Broken(broken),
-        () if !given_up.is_empty() => Verdict::NotDecided(UndecidedReason::GaveUp(given_up)),
-        () => Verdict::Held(sum),
+        () if !undecided.is_empty() => Verdict::NotDecided(UndecidedReason::GaveUp(undecided)),
+        () => Verdict::Held(stats),
     }
 }
 
-/// What an operation asks of the register's value, by what came of it.
+/// The condition that the outcome of an operation imposes on the register's value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Need<V> {
-    /// Nothing.
+    /// No condition.
     Any,
-    /// To be this.
+    /// The register has this value.
     Is(V),
-    /// To be there.
+    /// The register has some value.
     Present,
 }
 
-/// What an operation that may matter asks of the value, and what it leaves there; none where it changes nothing.
+/// The precondition of a relevant operation and the value that it sets; `put` is `None` if it changes
+/// nothing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Meaning<'a> {
+struct Semantics<'a> {
     need: Need<Option<&'a str>>,
     put: Option<Option<&'a str>>,
 }
 
-/// What an operation means; `told`: whether its outcome counts as known. What was refused, and what changes nothing and
-/// tells nobody anything, means nothing.
-fn meaning(operation: &Operation, told: bool) -> Option<Meaning<'_>> {
+/// Returns the semantics of an operation; `outcome_known` says whether its outcome counts as known. Refused
+/// operations, and those that change nothing and have no known outcome, are irrelevant.
+fn semantics(operation: &Operation, outcome_known: bool) -> Option<Semantics<'_>> {
     let (need, put) = match (&operation.kind, &operation.outcome) {
         (_, Outcome::Refused) => return None,
         (Kind::Write { value }, _) => (Need::Any, Some(Some(value.as_str()))),
@@ -128,5 +133,5 @@
         (_, Outcome::Found(None)) => (Need::Present, None),
         _ => return None,
     };
-    (told || put.is_some()).then_some(Meaning { need, put })
+    (outcome_known || put.is_some()).then_some(Semantics { need, put })
 }
--- a/crates/history/src/register/search.rs
+++ b/crates/history/src/register/search.rs
@@ -1,47 +1,52 @@
-//! The search for an order in which one register's operations may have taken effect.
+//! Searches for an order in which the operations on one register may have taken effect.
 //!
-//! It owns one key's search and nothing of how it came to it. It is Wing and Gong's (J. Parallel and Distributed
-//! Computing 17 (1993)): among the operations that no other must precede, take one that fits the value, go on, take it
-//! back if that leads nowhere. With Lowe's memory (Concurrency and Computation: Practice and Experience 29 (2017)): a
-//! state, which is what has been ordered and the value, is entered once. More things keep states few; in each, any order
-//! that is there can be rearranged into one that is found:
+//! The algorithm is that of Wing and Gong (J. Parallel and Distributed Computing 17 (1993)): among the
+//! operations that no other one must precede, choose one that fits the current value, continue, and backtrack
+//! if that fails. Following Lowe (Concurrency and Computation: Practice and Experience 29 (2017)), visited
+//! states are cached: a state consists of the ordered operations and the value, and is entered only once.
+//! Further rules reduce the number of states; each preserves completeness, because any valid order can be
+//! rearranged into one that obeys it:
 //!
-//! - What changes nothing and fits is taken at once, never instead of something else.
-//! - A write whose value nobody needs any more is taken just before another one that needs nothing.
-//! - What nobody was told of is taken just before an operation that needs it, and only then: elsewhere it could be moved
-//!   on to one, or left out. At most two at once, a deletion and an insertion. Of equal ones, the earliest.
-//! - A value that is still needed is not left while nothing could bring it back.
-//! - In a state as it is remembered, values that nobody needs any more are one. A state is not entered again with more
-//!   taken of what nobody was told of, as far as that is still needed; steps that take none of that come first.
+//! - An operation that changes nothing and fits is ordered immediately, without trying alternatives.
+//! - A write whose value no operation needs any more is ordered just before another operation without a
+//!   precondition.
+//! - An operation of unknown outcome is ordered only just before an operation that needs it: anywhere else
+//!   it could be moved forward to such an operation, or omitted. At most two are taken at once, a deletion
+//!   and an insertion. Among equal ones, the earliest is taken.
+//! - A value that is still needed is not overwritten if nothing could restore it.
+//! - In cached states, all values that are no longer needed count as equal. A state is not entered again if
+//!   more of the still useful operations of unknown outcome have been used; steps that use none of them are
+//!   tried first.
 //!
-//! A state is kept as the first operation that is not ordered and a set of those after it that are, so that it is as
-//! long as operations overlap, not as the history.
+//! A state is stored as the index of the first operation that is not ordered and a bit set of the ordered
+//! ones after it, so its size depends on the number of overlapping operations, not on the length of the
+//! history.
 
-use super::{meaning, Effort, Meaning, Need};
+use super::{semantics, Effort, Need, Semantics};
 use crate::operation::Operation;
 use crate::{Fate, Micros};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashMap};
 use std::hash::BuildHasherDefault;
 
-/// What a search comes to.
+/// Result of a search.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Found {
-    /// There is an order.
+    /// A valid order exists.
     Order,
-    /// There is none.
+    /// No valid order exists.
     None,
-    /// Not known: the effort was not enough.
+    /// Unknown: the limits were reached.
     GaveUp,
 }
 
-/// A register's value: a number by value, and [`ABSENT`].
+/// The value of a register: a number per distinct value, or [`ABSENT`].
 type State = u32;
 const ABSENT: State = 0;
-/// Any value that nobody needs, in a remembered state.
-const FORGOTTEN: u32 = u32::MAX;
-/// What a visited state takes besides its words, about: the place in the table and the allocation.
-const OVERHEAD: usize = 64;
+/// Represents, in a cached state, any value that is no longer needed.
+const UNNEEDED: u32 = u32::MAX;
+/// Approximate memory per visited state besides its words: the table entry and the allocation.
+const STATE_OVERHEAD_BYTES: usize = 64;
 
 /// An operation whose outcome is known.
 #[derive(Clone, Copy, Debug)]
@@ -49,32 +54,33 @@
     invoked: Micros,
     returned: Micros,
     need: Need<State>,
-    /// The value that it leaves; none if it changes nothing.
+    /// The value that it sets; `None` if it changes nothing.
     put: Option<State>,
 }
 
-/// Operations that nobody was told of, of equal effect.
+/// Operations of unknown outcome with the same effect.
 #[derive(Clone, Debug)]
-struct Maybe {
+struct Unknown {
     put: State,
-    /// It has an effect only where there is no value.
+    /// Whether it takes effect only if there is no value.
     insert: bool,
     invoked: Vec<Micros>,
 }
 
-/// One register's operations, ready to be searched.
+/// The operations on one register, prepared for the search.
 #[derive(Clone, Debug)]
 pub(super) struct Problem {
     known: Vec<Known>,
-    maybe: Vec<Maybe>,
-    /// By value, which of `maybe` leave it.
-    makers: Vec<Vec<usize>>,
-    /// Of `maybe`, the deletion.
+    unknown: Vec<Unknown>,
+    /// For each value, the indices in `unknown` of the operations that set it.
+    setters: Vec<Vec<usize>>,
+    /// Index of the deletion in `unknown`.
     deletion: Option<usize>,
 }
 
 impl Problem {
-    /// Of what was seen up to a moment: what had not returned by then is what nobody was told of.
+    /// Builds the problem for the history up to `until`; operations that had not returned by then have an
+    /// unknown outcome.
     pub(super) fn new<'a>(operations: &[&'a Operation], until: Micros) -> Self {
         let mut values: BTreeMap<&str, State> = BTreeMap::new();
         let mut number = |value: Option<&'a str>| {
@@ -86,10 +92,12 @@
         let (mut known, mut kinds) = (Vec::new(), BTreeMap::<(State, bool), Vec<Micros>>::new());
         for operation in operations.iter().filter(|o| o.invoked_us <= until) {
             let returned = operation.returned_us.filter(|at| *at <= until);
-            let told = returned.filter(|_| operation.fate() == Fate::Acknowledged);
-            let Some(Meaning { need, put }) = meaning(operation, told.is_some()) else { continue };
+            let known_return = returned.filter(|_| operation.fate() == Fate::Acknowledged);
+            let Some(Semantics { need, put }) = semantics(operation, known_return.is_some()) else {
+                continue;
+            };
             let put = put.map(&mut number);
-            match (told, put) {
+            match (known_return, put) {
                 (Some(returned), _) => {
                     let need = match need {
                         Need::Any => Need::Any,
@@ -107,44 +115,45 @@
         known.sort_by_key(|k| (k.invoked, k.returned));
         let states = values.len() + 1;
         let mut problem =
-            Problem { known, maybe: Vec::new(), makers: vec![Vec::new(); states], deletion: None };
-        let wants = Wants::new(&problem.known, states);
-        // What leaves a value that nobody needs matters to nobody; deletions also serve insertions.
-        kinds.retain(|(put, _), _| *put == ABSENT || !wants.idle(*put));
+            Problem { known, unknown: Vec::new(), setters: vec![Vec::new(); states], deletion: None };
+        let needs = Needs::new(&problem.known, states);
+        // Operations that set a value which is never needed are irrelevant; deletions can also enable
+        // insertions.
+        kinds.retain(|(put, _), _| *put == ABSENT || !needs.is_unneeded(*put));
         let inserts = kinds.keys().any(|(_, insert)| *insert);
-        kinds.retain(|(put, _), _| *put != ABSENT || inserts || !wants.idle(ABSENT));
+        kinds.retain(|(put, _), _| *put != ABSENT || inserts || !needs.is_unneeded(ABSENT));
         for ((put, insert), mut invoked) in kinds {
             invoked.sort_unstable();
-            problem.makers[put as usize].push(problem.maybe.len());
+            problem.setters[put as usize].push(problem.unknown.len());
             if put == ABSENT {
-                problem.deletion = Some(problem.maybe.len());
+                problem.deletion = Some(problem.unknown.len());
             }
-            problem.maybe.push(Maybe { put, insert, invoked });
+            problem.unknown.push(Unknown { put, insert, invoked });
         }
         problem
     }
 
-    /// How many operations it is about.
+    /// Number of operations.
     pub(super) fn len(&self) -> usize {
-        self.known.len() + self.maybe.iter().map(|m| m.invoked.len()).sum::<usize>()
+        self.known.len() + self.unknown.iter().map(|m| m.invoked.len()).sum::<usize>()
     }
 }
 
-/// How many operations that are not ordered need each value.
+/// Number of unordered operations that need each value.
 #[derive(Clone, Debug)]
-struct Wants {
+struct Needs {
     of: Vec<u32>,
     present: u32,
     any: u32,
-    /// An insertion that nobody was told of needs that there is no value.
+    /// Whether there are insertions of unknown outcome, which need the register to have no value.
     inserts: bool,
 }
 
-impl Wants {
+impl Needs {
     fn new(known: &[Known], states: usize) -> Self {
-        let mut wants = Wants { of: vec![0; states], present: 0, any: 0, inserts: false };
-        known.iter().for_each(|k| *wants.count(k.need) += 1);
-        wants
+        let mut needs = Needs { of: vec![0; states], present: 0, any: 0, inserts: false };
+        known.iter().for_each(|k| *needs.count(k.need) += 1);
+        needs
     }
 
     fn count(&mut self, need: Need<State>) -> &mut u32 {
@@ -155,77 +164,79 @@
         }
     }
 
-    /// Whether nobody needs a value.
-    fn idle(&self, state: State) -> bool {
+    /// Whether no operation needs a value.
+    fn is_unneeded(&self, state: State) -> bool {
         let whatever = if state == ABSENT { self.inserts } else { self.present > 0 };
         self.of[state as usize] == 0 && !whatever
     }
 }
 
-/// What a step takes: up to two that nobody was told of, then a known one.
+/// A step orders up to two operations of unknown outcome, then a known one.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     before: [Option<usize>; 2],
     known: usize,
 }
 
-/// What is taken back.
+/// An entry of the backtracking trail.
 #[derive(Clone, Copy, Debug)]
-enum Taken {
+enum Ordered {
     Known(usize),
-    Maybe(usize),
+    Unknown(usize),
 }
 
-/// A state on the way, and the next step to be tried from it: an operation, and which of the ways to it.
+/// A state on the search stack and the next step to try from it: an operation and the alternative that
+/// enables it.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Frame {
     trail: usize,
     low: usize,
     state: State,
-    /// Steps that take nothing that nobody was told of.
-    lean: bool,
+    /// Whether steps without operations of unknown outcome are being tried; they come first.
+    known_only: bool,
     known: usize,
-    way: usize,
+    alternative: usize,
 }
 
-/// By state, what was taken of `maybe` as it was entered. The hasher has no seed: equal searches go alike.
+/// For each state, the numbers of `unknown` operations used when it was entered. The hasher is unseeded, so
+/// that searches are reproducible.
 type Visited = HashMap<Box<[u32]>, Vec<Box<[u32]>>, BuildHasherDefault<DefaultHasher>>;
 
 struct Search<'a> {
     problem: &'a Problem,
     ordered: Vec<bool>,
-    /// Of `maybe`, how many were taken.
-    taken: Vec<usize>,
+    /// How many operations of each entry in `unknown` were used.
+    used: Vec<usize>,
     /// The first known operation that is not ordered.
     low: usize,
     left: usize,
     state: State,
-    wants: Wants,
-    trail: Vec<Taken>,
-    /// By value, how many that leave it were not taken.
-    makers: Vec<usize>,
+    needs: Needs,
+    trail: Vec<Ordered>,
+    /// For each value, the number of unused operations that set it.
+    setters: Vec<usize>,
     visited: Visited,
     states: usize,
     bytes: usize,
 }
 
-/// Whether there is an order, and how many states were visited.
+/// Returns whether a valid order exists, and the number of visited states.
 pub(super) fn search(problem: &Problem, effort: &Effort) -> (Found, usize) {
-    let mut wants = Wants::new(&problem.known, problem.makers.len());
-    wants.inserts = problem.maybe.iter().any(|m| m.insert);
-    let mut makers = vec![0; problem.makers.len()];
-    problem.known.iter().filter_map(|k| k.put).for_each(|put| makers[put as usize] += 1);
-    problem.maybe.iter().for_each(|m| makers[m.put as usize] += m.invoked.len());
+    let mut needs = Needs::new(&problem.known, problem.setters.len());
+    needs.inserts = problem.unknown.iter().any(|m| m.insert);
+    let mut setters = vec![0; problem.setters.len()];
+    problem.known.iter().filter_map(|k| k.put).for_each(|put| setters[put as usize] += 1);
+    problem.unknown.iter().for_each(|m| setters[m.put as usize] += m.invoked.len());
     let mut search = Search {
         problem,
         ordered: vec![false; problem.known.len()],
-        taken: vec![0; problem.maybe.len()],
+        used: vec![0; problem.unknown.len()],
         low: 0,
         left: problem.known.len(),
         state: ABSENT,
-        wants,
+        needs,
         trail: Vec::new(),
-        makers,
+        setters,
         visited: HashMap::default(),
         states: 0,
         bytes: 0,
@@ -236,59 +247,59 @@
 
 impl Search<'_> {
     fn run(&mut self, effort: &Effort) -> Found {
-        self.settle();
-        let mut places = vec![self.place()];
+        self.order_quiet_operations();
+        let mut frames = vec![self.frame()];
         while self.left > 0 {
-            let Some(mut place) = places.pop() else { return Found::None };
-            self.back_to(&place);
-            let Some(step) = self.next(&mut place) else { continue };
-            places.push(place);
-            if !self.take(step) {
+            let Some(mut frame) = frames.pop() else { return Found::None };
+            self.backtrack_to(&frame);
+            let Some(step) = self.next(&mut frame) else { continue };
+            frames.push(frame);
+            if !self.perform(step) {
                 continue;
             }
-            self.settle();
-            if self.enter() {
+            self.order_quiet_operations();
+            if self.cache_state() {
                 if self.states > effort.states || self.bytes > effort.bytes {
                     return Found::GaveUp;
                 }
-                places.push(self.place());
+                frames.push(self.frame());
             }
         }
         Found::Order
     }
 
-    fn place(&self) -> Place {
-        Place {
+    fn frame(&self) -> Frame {
+        Frame {
             trail: self.trail.len(),
             low: self.low,
             state: self.state,
-            lean: true,
+            known_only: true,
             known: self.low,
-            way: 0,
+            alternative: 0,
         }
     }
 
-    fn back_to(&mut self, place: &Place) {
-        for taken in self.trail.drain(place.trail..) {
-            match taken {
-                Taken::Known(k) => {
+    fn backtrack_to(&mut self, frame: &Frame) {
+        for ordered in self.trail.drain(frame.trail..) {
+            match ordered {
+                Ordered::Known(k) => {
                     self.ordered[k] = false;
                     self.left += 1;
                     let known = &self.problem.known[k];
-                    *self.wants.count(known.need) += 1;
-                    known.put.into_iter().for_each(|put| self.makers[put as usize] += 1);
+                    *self.needs.count(known.need) += 1;
+                    known.put.into_iter().for_each(|put| self.setters[put as usize] += 1);
                 }
-                Taken::Maybe(m) => {
-                    self.taken[m] -= 1;
-                    self.makers[self.problem.maybe[m].put as usize] += 1;
+                Ordered::Unknown(m) => {
+                    self.used[m] -= 1;
+                    self.setters[self.problem.unknown[m].put as usize] += 1;
                 }
             }
         }
-        (self.low, self.state) = (place.low, place.state);
+        (self.low, self.state) = (frame.low, frame.state);
     }
 
-    /// Known operations that are not ordered and that no other one must precede.
-    fn open(&self) -> impl Iterator<Item = usize> + '_ {
+    /// Known, unordered operations that no other one must precede.
+    fn candidates(&self) -> impl Iterator<Item = usize> + '_ {
         let horizon = self.horizon();
         let known = &self.problem.known;
         (self.low..known.len())
@@ -296,7 +307,7 @@
             .filter(|k| !self.ordered[*k])
     }
 
-    /// The first return of what is not ordered: what was invoked later comes later.
+    /// Earliest return among the unordered operations: those invoked after it must come later.
     fn horizon(&self) -> Micros {
         let mut first = Micros::MAX;
         for k in self.low..self.ordered.len() {
@@ -319,134 +330,135 @@
         }
     }
 
-    /// The next step from a place that was not tried yet.
-    fn next(&self, place: &mut Place) -> Option<Step> {
+    /// The next step from a frame that has not been tried.
+    fn next(&self, frame: &mut Frame) -> Option<Step> {
         let horizon = self.horizon();
         let known = &self.problem.known;
         loop {
-            let Some(next) = known.get(place.known).filter(|k| k.invoked <= horizon) else {
-                if !place.lean || self.problem.maybe.is_empty() {
+            let Some(next) = known.get(frame.known).filter(|k| k.invoked <= horizon) else {
+                if !frame.known_only || self.problem.unknown.is_empty() {
                     return None;
                 }
-                (place.lean, place.known, place.way) = (false, self.low, 0);
+                (frame.known_only, frame.known, frame.alternative) = (false, self.low, 0);
                 continue;
             };
-            if !self.ordered[place.known] && self.fits(next.need) == place.lean {
-                let (k, way) = (place.known, place.way);
-                place.way += 1;
-                match self.way(next.need, way, horizon) {
-                    Way::Free(before) => return Some(Step { before, known: k }),
-                    Way::Barred => continue,
-                    Way::Over => {}
+            if !self.ordered[frame.known] && self.fits(next.need) == frame.known_only {
+                let (k, alternative) = (frame.known, frame.alternative);
+                frame.alternative += 1;
+                match self.alternative(next.need, alternative, horizon) {
+                    Alternative::Possible(before) => return Some(Step { before, known: k }),
+                    Alternative::Blocked => continue,
+                    Alternative::Exhausted => {}
                 }
             }
-            (place.known, place.way) = (place.known + 1, 0);
+            (frame.known, frame.alternative) = (frame.known + 1, 0);
         }
     }
 
-    fn way(&self, need: Need<State>, way: usize, horizon: Micros) -> Way {
+    fn alternative(&self, need: Need<State>, alternative: usize, horizon: Micros) -> Alternative {
         if self.fits(need) {
-            return if way == 0 { Way::Free([None; 2]) } else { Way::Over };
+            return if alternative == 0 { Alternative::Possible([None; 2]) } else { Alternative::Exhausted };
         }
-        let maker = match need {
-            Need::Is(state) => self.problem.makers[state as usize].get(way).copied(),
-            _ => Some(way).filter(|m| *m < self.problem.maybe.len()),
+        let setter = match need {
+            Need::Is(state) => self.problem.setters[state as usize].get(alternative).copied(),
+            _ => Some(alternative).filter(|m| *m < self.problem.unknown.len()),
         };
-        let Some(m) = maker else { return Way::Over };
-        let free = |m: usize| {
-            self.problem.maybe[m].invoked.get(self.taken[m]).is_some_and(|invoked| *invoked <= horizon)
+        let Some(m) = setter else { return Alternative::Exhausted };
+        let is_available = |m: usize| {
+            self.problem.unknown[m].invoked.get(self.used[m]).is_some_and(|invoked| *invoked <= horizon)
         };
-        let maybe = &self.problem.maybe[m];
-        if !free(m) || (need == Need::Present && maybe.put == ABSENT) {
-            return Way::Barred;
+        let unknown = &self.problem.unknown[m];
+        if !is_available(m) || (need == Need::Present && unknown.put == ABSENT) {
+            return Alternative::Blocked;
         }
         match self.problem.deletion {
-            _ if !maybe.insert || self.state == ABSENT => Way::Free([None, Some(m)]),
-            Some(d) if free(d) => Way::Free([Some(d), Some(m)]),
-            _ => Way::Barred,
+            _ if !unknown.insert || self.state == ABSENT => Alternative::Possible([None, Some(m)]),
+            Some(d) if is_available(d) => Alternative::Possible([Some(d), Some(m)]),
+            _ => Alternative::Blocked,
         }
     }
 
-    /// Takes a step; false where a value is left that is needed and cannot come back.
-    fn take(&mut self, step: Step) -> bool {
+    /// Performs a step; returns false if it overwrites a value that is still needed and cannot be restored.
+    fn perform(&mut self, step: Step) -> bool {
         let mut left = [Some(self.state), None, None];
         let known = &self.problem.known;
         let overwrites = match step.before.iter().flatten().next() {
-            Some(m) => !self.problem.maybe[*m].insert,
+            Some(m) => !self.problem.unknown[*m].insert,
             None => known[step.known].need == Need::Any,
         };
-        while let Some(k) = self.unread(step.known).filter(|_| overwrites) {
+        while let Some(k) = self.unneeded_write(step.known).filter(|_| overwrites) {
             self.order(k);
         }
         for (n, m) in step.before.into_iter().flatten().enumerate() {
-            self.taken[m] += 1;
-            self.trail.push(Taken::Maybe(m));
-            self.state = self.problem.maybe[m].put;
-            self.makers[self.state as usize] -= 1;
+            self.used[m] += 1;
+            self.trail.push(Ordered::Unknown(m));
+            self.state = self.problem.unknown[m].put;
+            self.setters[self.state as usize] -= 1;
             left[n + 1] = Some(self.state);
         }
         self.order(step.known);
         self.state = known[step.known].put.unwrap_or(self.state);
         left.into_iter().flatten().all(|state| {
-            let (wanted, gone) = (self.wants.of[state as usize] > 0, self.makers[state as usize] == 0);
-            state == self.state || !wanted || !gone
+            let (needed, gone) = (self.needs.of[state as usize] > 0, self.setters[state as usize] == 0);
+            state == self.state || !needed || !gone
         })
     }
 
-    /// A write that may come next, other than one, whose value nobody needs.
-    fn unread(&self, other: usize) -> Option<usize> {
+    /// A write other than `other` that may come next and whose value no operation needs.
+    fn unneeded_write(&self, other: usize) -> Option<usize> {
         let known = &self.problem.known;
-        let idle = |k: &usize| known[*k].put.is_some_and(|put| self.wants.idle(put));
-        self.open().find(|k| *k != other && known[*k].need == Need::Any && idle(k))
+        let is_unneeded = |k: &usize| known[*k].put.is_some_and(|put| self.needs.is_unneeded(put));
+        self.candidates().find(|k| *k != other && known[*k].need == Need::Any && is_unneeded(k))
     }
 
     fn order(&mut self, k: usize) {
         self.ordered[k] = true;
         self.left -= 1;
         let known = &self.problem.known[k];
-        *self.wants.count(known.need) -= 1;
-        known.put.into_iter().for_each(|put| self.makers[put as usize] -= 1);
-        self.trail.push(Taken::Known(k));
+        *self.needs.count(known.need) -= 1;
+        known.put.into_iter().for_each(|put| self.setters[put as usize] -= 1);
+        self.trail.push(Ordered::Known(k));
         while self.ordered.get(self.low) == Some(&true) {
             self.low += 1;
         }
     }
 
-    /// Takes what changes nothing and fits.
-    fn settle(&mut self) {
+    /// Orders all operations that change nothing and fit the value.
+    fn order_quiet_operations(&mut self) {
         let known = &self.problem.known;
         loop {
-            let quiet = |k: &usize| known[*k].put.is_none() && self.fits(known[*k].need);
-            let Some(k) = self.open().find(quiet) else { return };
+            let changes_nothing = |k: &usize| known[*k].put.is_none() && self.fits(known[*k].need);
+            let Some(k) = self.candidates().find(changes_nothing) else { return };
             self.order(k);
         }
     }
 
-    /// Remembers the state; false where it was entered with no more taken.
-    fn enter(&mut self) -> bool {
-        let words = self.words();
-        let mut taken = Vec::new();
-        for (m, maybe) in self.problem.maybe.iter().enumerate() {
-            if self.taken[m] > 0 && !self.wants.idle(maybe.put) {
-                taken.extend([m as u32, self.taken[m] as u32]);
+    /// Caches the state; returns false if it was entered before with no more operations of unknown outcome
+    /// used.
+    fn cache_state(&mut self) -> bool {
+        let cache_key = self.cache_key();
+        let mut used = Vec::new();
+        for (m, unknown) in self.problem.unknown.iter().enumerate() {
+            if self.used[m] > 0 && !self.needs.is_unneeded(unknown.put) {
+                used.extend([m as u32, self.used[m] as u32]);
             }
         }
-        let bytes = OVERHEAD + (words.len() + taken.len()) * size_of::<u32>();
-        let before = self.visited.entry(words).or_default();
-        if before.iter().any(|b| no_more(b, &taken)) {
+        let bytes = STATE_OVERHEAD_BYTES + (cache_key.len() + used.len()) * size_of::<u32>();
+        let before = self.visited.entry(cache_key).or_default();
+        if before.iter().any(|b| uses_no_more(b, &used)) {
             return false;
         }
-        before.push(taken.into());
+        before.push(used.into());
         self.states += 1;
         self.bytes += bytes;
         true
     }
 
-    /// The state as it is remembered, without what was taken of what nobody was told of.
-    fn words(&self) -> Box<[u32]> {
-        let forget = |state: State| if self.wants.idle(state) { FORGOTTEN } else { state };
-        let mut words = vec![self.low as u32, forget(self.state)];
-        // What is ordered after `low` was invoked before that returned.
+    /// The cached form of the state, without the operations of unknown outcome that were used.
+    fn cache_key(&self) -> Box<[u32]> {
+        let normalize = |state: State| if self.needs.is_unneeded(state) { UNNEEDED } else { state };
+        let mut cache_key = vec![self.low as u32, normalize(self.state)];
+        // Ordered operations after `low` were invoked before `low` returned.
         let last = self.problem.known.get(self.low).map_or(Micros::MIN, |k| k.returned);
         let (mut word, mut bits) = (0, 0);
         for k in self.low..self.ordered.len() {
@@ -456,27 +468,27 @@
             word |= u32::from(self.ordered[k]) << bits;
             bits += 1;
             if bits == u32::BITS {
-                words.push(word);
+                cache_key.push(word);
                 (word, bits) = (0, 0);
             }
         }
-        words.push(word);
-        words.into()
+        cache_key.push(word);
+        cache_key.into()
     }
 }
 
-/// A way to an operation.
-enum Way {
-    /// By way of these.
-    Free([Option<usize>; 2]),
-    /// Not this one, but there may be others.
-    Barred,
-    /// There are no more.
-    Over,
+/// An alternative to enable an operation.
+enum Alternative {
+    /// Order these operations first.
+    Possible([Option<usize>; 2]),
+    /// Not possible, but there may be other alternatives.
+    Blocked,
+    /// No more alternatives.
+    Exhausted,
 }
 
-/// Whether of each kind no more is in one list of kinds and numbers than in another; both by kind.
-fn no_more(one: &[u32], other: &[u32]) -> bool {
+/// Whether every count in `one` is at most that in `other`; both are lists of kind and count, sorted by kind.
+fn uses_no_more(one: &[u32], other: &[u32]) -> bool {
     let mut others = other.chunks_exact(2);
     one.chunks_exact(2)
         .all(|a| others.by_ref().find(|b| b[0] >= a[0]).is_some_and(|b| b[0] == a[0] && b[1] >= a[1]))
--- a/crates/history/src/register/shrink.rs
+++ b/crates/history/src/register/shrink.rs
@@ -1,52 +1,54 @@
-//! Makes a history of one register that is not linearizable small.
+//! Reduces a history of one register that is not linearizable.
 //!
-//! It owns what may be left out so that the rest, if it is not linearizable, shows that the whole is not: whatever comes
-//! after a moment; what changes nothing; and what leaves a value that none of the rest needs. (A write that is read may
-//! not: without it any history would fail.) Chunks are left out as in Zeller and Hildebrandt's delta debugging (IEEE
-//! Transactions on Software Engineering 28 (2002)), halved down to single operations.
+//! Only operations may be removed whose absence cannot make a linearizable history fail: everything after
+//! some time, operations that change nothing, and operations that set a value which none of the others needs.
+//! (A write that is read must stay: without it any history would fail.) Chunks are removed as in the delta
+//! debugging of Zeller and Hildebrandt (IEEE Transactions on Software Engineering 28 (2002)), halved down to
+//! single operations.
 
 use super::search::{search, Found, Problem};
-use super::{meaning, Effort, Meaning, Need};
+use super::{semantics, Effort, Need, Semantics};
 use crate::operation::Operation;
 use crate::{Fate, Micros};
 use std::collections::BTreeSet;
 
-/// Of the states that a search may visit, one on the way to a core may visit this part, or as many as showed the whole
-/// to be broken. All on the way together may visit as many as the one.
-const PART: usize = 16;
+/// A search during shrinking may visit 1/`SHRINK_DIVISOR` of the states allowed for a full search, or as many
+/// as the full search visited if that is more. All searches of one shrink together may visit as many as one
+/// full search.
+const SHRINK_DIVISOR: usize = 16;
 
 struct Shrink {
-    /// Of one search.
+    /// Limits of one search.
     effort: Effort,
-    /// States that may yet be visited; each search counts as one by operation at least.
-    left: usize,
+    /// States that may still be visited; each search counts for at least one per operation.
+    states_left: usize,
 }
 
-/// The operations that are left, in the order of their invocations, and whether none more can be left out. `visited`
-/// states showed the whole to be broken.
+/// Returns the remaining operations in order of invocation, and whether none of them can be removed.
+/// `visited` is the number of states visited by the full search.
 pub(super) fn shrink<'a>(
     mut all: Vec<&'a Operation>,
     effort: &Effort,
     visited: usize,
 ) -> (Vec<&'a Operation>, bool) {
-    let states = (effort.states / PART).max(visited);
-    let mut shrink = Shrink { effort: Effort { states, ..*effort }, left: effort.states };
-    all.retain(|o| means(o).is_some());
+    let states = (effort.states / SHRINK_DIVISOR).max(visited);
+    let mut shrink = Shrink { effort: Effort { states, ..*effort }, states_left: effort.states };
+    all.retain(|o| known_semantics(o).is_some());
     all.sort_by_key(|o| (o.invoked_us, o.returned_us));
-    let until = shrink.first_moment(&all);
+    let until = shrink.first_failure_time(&all);
     all.retain(|o| o.invoked_us <= until);
 
     let mut chunk = all.len().div_ceil(2).max(1);
     loop {
         let (mut from, mut changed) = (0, false);
         while from < all.len() {
-            let rest = without(&all, from, chunk);
+            let rest = without_removable(&all, from, chunk);
             if rest.len() < all.len() && shrink.fails(&rest, Micros::MAX) {
                 (all, changed) = (rest, true);
             } else {
                 from += chunk;
             }
-            if shrink.left == 0 {
+            if shrink.states_left == 0 {
                 return (all, false);
             }
         }
@@ -59,17 +61,18 @@
 }
 
 impl Shrink {
-    /// Whether these are surely not linearizable.
+    /// Whether these operations are certainly not linearizable.
     fn fails(&mut self, operations: &[&Operation], until: Micros) -> bool {
         let problem = Problem::new(operations, until);
-        let states = self.effort.states.min(self.left);
+        let states = self.effort.states.min(self.states_left);
         let (found, visited) = search(&problem, &Effort { states, ..self.effort });
-        self.left = self.left.saturating_sub(visited.max(problem.len()).max(1));
+        self.states_left = self.states_left.saturating_sub(visited.max(problem.len()).max(1));
         found == Found::None
     }
 
-    /// The first moment by which there was no order any more: what is linearizable is so up to each moment.
-    fn first_moment(&mut self, all: &[&Operation]) -> Micros {
+    /// Finds the earliest time at which no order exists by binary search: every prefix of a linearizable
+    /// history is linearizable.
+    fn first_failure_time(&mut self, all: &[&Operation]) -> Micros {
         let mut moments: Vec<Micros> = all.iter().filter_map(|o| o.returned_us).collect();
         moments.sort_unstable();
         moments.dedup();
@@ -85,32 +88,33 @@
     }
 }
 
-fn means(operation: &Operation) -> Option<Meaning<'_>> {
-    meaning(operation, operation.fate() == Fate::Acknowledged)
+fn known_semantics(operation: &Operation) -> Option<Semantics<'_>> {
+    semantics(operation, operation.fate() == Fate::Acknowledged)
 }
 
-/// The operations without what may be left out of a chunk.
-fn without<'a>(all: &[&'a Operation], from: usize, chunk: usize) -> Vec<&'a Operation> {
+/// Returns the operations without those that may be removed from a chunk.
+fn without_removable<'a>(all: &[&'a Operation], from: usize, chunk: usize) -> Vec<&'a Operation> {
     let inside = |at: usize| at >= from && at - from < chunk;
-    // What the rest needs: of known operations all, of unknown ones that there is no value.
+    // Values needed by the rest: all conditions of known operations, and absence for insertions of unknown
+    // outcome.
     let mut needs: BTreeSet<Option<&str>> = BTreeSet::new();
     let mut present = false;
-    let quiet = |m: &Meaning| m.put.is_none();
+    let changes_nothing = |m: &Semantics| m.put.is_none();
     for (at, operation) in all.iter().enumerate() {
-        match means(operation) {
-            Some(m) if inside(at) && quiet(&m) => {}
-            Some(Meaning { need: Need::Is(value), .. }) => {
+        match known_semantics(operation) {
+            Some(m) if inside(at) && changes_nothing(&m) => {}
+            Some(Semantics { need: Need::Is(value), .. }) => {
                 needs.insert(value);
             }
-            Some(Meaning { need: Need::Present, .. }) => present = true,
+            Some(Semantics { need: Need::Present, .. }) => present = true,
             _ => {}
         }
     }
     let mut rest = Vec::with_capacity(all.len());
     for (at, operation) in all.iter().enumerate() {
-        let idle = |put| !needs.contains(&put) && (put.is_none() || !present);
-        let leave_out = inside(at) && means(operation).is_none_or(|m| m.put.is_none_or(idle));
-        if !leave_out {
+        let is_unneeded = |put| !needs.contains(&put) && (put.is_none() || !present);
+        let remove = inside(at) && known_semantics(operation).is_none_or(|m| m.put.is_none_or(is_unneeded));
+        if !remove {
             rest.push(*operation);
         }
     }
--- a/crates/history/tests/judges.rs
+++ b/crates/history/tests/judges.rs
@@ -1,4 +1,5 @@
-//! Each other judge: it passes what is right and fails what is planted; and the words read back as they were written.
+//! Tests of the checkers other than that for registers: they accept correct histories and reject planted
+//! violations. Also checks that the serialized types survive a round trip.
 
 use history::converge::{self, Bound, Sample};
 use history::finals::{self, Event, Fault};
@@ -22,11 +23,11 @@
 #[case::lost(&[taken(1, 5), answered(1, 6, false)], Some(Fault::Lost { id: 1, taken_us: 5 }))]
 #[case::two_answers(&[taken(1, 0), answered(1, 2, true), answered(1, 3, true)],
     Some(Fault::AfterFinal { id: 1, final_us: 2, at_us: 3, last: true }))]
-#[case::a_word_after(&[taken(1, 0), answered(1, 2, true), answered(1, 3, false)],
+#[case::an_answer_after(&[taken(1, 0), answered(1, 2, true), answered(1, 3, false)],
     Some(Fault::AfterFinal { id: 1, final_us: 2, at_us: 3, last: false }))]
 #[case::unasked(&[answered(4, 2, true)], Some(Fault::Unasked { id: 4, at_us: 2 }))]
 #[case::taken_twice(&[taken(1, 0), taken(1, 1), answered(1, 2, true)], Some(Fault::TakenTwice { id: 1, at_us: 1 }))]
-fn one_final_outcome(#[case] events: &[Event], #[case] fault: Option<Fault>) {
+fn each_request_has_one_final_answer(#[case] events: &[Event], #[case] fault: Option<Fault>) {
     let verdict = finals::check(events, 100);
     assert_eq!(verdict.broken().map(|found| found.first.clone()), fault.map(|f| vec![f]));
     assert_eq!(verdict.is_held(), fault.is_none());
@@ -40,7 +41,7 @@
 #[case::refused(&["a", "r"], "refused r")]
 #[case::ran_twice(&["a", "a"], "again a")]
 #[case::unknown_ran_twice(&["a", "u", "u"], "again u")]
-fn a_set_holds_what_was_acknowledged(#[case] seen: &[&str], #[case] wrong: &str) {
+fn a_set_contains_what_was_acknowledged(#[case] seen: &[&str], #[case] wrong: &str) {
     let tried = [
         ("a", Fate::Unknown),
         ("a", Fate::Acknowledged),
@@ -59,7 +60,9 @@
     assert_eq!(verdict.is_held(), wrong.is_empty());
 }
 
-/// CounterStats 5 (acknowledged by 10), 2 (unknown), -1 (unknown), 100 (refused), 7 (from 50 to 60), then asks.
+/// A history that adds 5 (acknowledged by 10), 2 (unknown), -1 (unknown), 100 (refused) and 7 (from 50 to
+/// 60), then reads the total.
+/// asks.
 fn adds(from: i64, to: i64, told: i64) -> History {
     let add = |who, at, amount| Operation::invoked(Client(who), "n", Kind::Add { amount }, at);
     let all = vec![
@@ -119,7 +122,7 @@
 }
 
 #[test]
-fn views_that_differ_are_told_by_who_says_what() {
+fn diverging_views_are_reported_by_subject_and_observer() {
     let bound = Bound { whole_us: 100, within_us: 10, until_us: 200 };
     let text = "0 a x=up,y=up; 0 b x=down,y=up; 0 c x=up,y=up; 0 d y=up; 150 b x=up,y=up";
     let verdict = converge::check(&samples(text), &["e"], &bound);
@@ -128,7 +131,7 @@
     let says = [(None, vec!["d"]), (Some("down"), vec!["b"]), (Some("up"), vec!["a", "c"])]
         .map(|(w, who)| (w.map(str::to_owned), who.into_iter().map(str::to_owned).collect::<Vec<_>>()));
     assert_eq!((apart.subjects.count, &apart.subjects.first[0].says[..]), (1, &says[..]));
-    // Watched for too short a time, nothing can be said.
+    // If the recording is too short, no decision is possible.
     let verdict = converge::check(&samples(text), &[], &Bound { until_us: 105, ..bound });
     assert_eq!(verdict, Verdict::NotDecided(UndecidedReason::EndsTooSoon));
 }
@@ -149,7 +152,7 @@
 #[case::the_same_again("0 a x up; 1 a x up; 2 a x up; 3 a x up", 1, true)]
 #[case::others_do_not_count("0 a x up; 1 b x up; 2 a y up; 3 b y up", 1, true)]
 #[case::both_ends_count("0 a x up; 10 a x failed; 20 a x up", 3, false)]
-#[case::late_in_the_day("0 a x up; 90 a x failed; 95 a x up; 99 a x failed", 3, false)]
+#[case::late_in_the_history("0 a x up; 90 a x failed; 95 a x up; 99 a x failed", 3, false)]
 fn no_flapping(#[case] text: &str, #[case] busiest: usize, #[case] held: bool) {
     match flapping(&changes(text), 20, 2) {
         Verdict::Held(flap) => assert!(held && flap.changes == busiest, "{flap:?}"),
@@ -178,7 +181,7 @@
 #[case::long_back("211 a x failed; 220 a x up; 230 a x failed", 2)]
 #[case::cut_from_another("350 d y failed", 1)]
 #[case::an_observer_away("60 c x failed", 1)]
-fn wrong_failures_are_told(#[case] text: &str, #[case] wrong: u64) {
+fn false_positives_are_reported(#[case] text: &str, #[case] wrong: u64) {
     let of = |most| wrong_failures(&changes(text), &truth(), &["failed", "gone"], 10, most);
     assert_eq!(of(wrong).held().map(|w| w.count), Some(wrong));
     if wrong > 0 {
@@ -187,9 +190,9 @@
 }
 
 #[test]
-fn detection_is_timed_and_what_is_late_or_never_known_is_told() {
+fn detection_is_timed_and_late_or_missing_detections_are_reported() {
     let of = |text, until| detection(&changes(text), &truth(), &["a", "b", "x"], &["failed"], 40, until);
-    // x is away while c is known to be dead, and watches nothing then.
+    // x is down while c is down, so it is not an observer of that kill.
     let known = "60 a c failed; 70 b c failed; 110 a x failed; 139 b x failed";
     let times = *of(known, 500).held().expect("known");
     assert_eq!((times.kills, times.median_us, times.worst_us), (2, 39, 39));
@@ -198,14 +201,14 @@
     assert_eq!((found.len(), &*found[0].observer, found[0].after_us), (1, "b", Some(41)));
     let never = "60 a c failed; 70 b c failed; 110 a x failed; 110 b x suspect";
     assert_eq!(of(never, 500).broken().expect("never known").first[0].after_us, None);
-    // What was watched for less than the bound says nothing.
+    // A kill recorded for less than the time limit is inconclusive.
     let times = *of(never, 130).held().expect("one");
     assert_eq!((times.kills, times.cut_short), (1, 1));
     assert_eq!(of("0 a b up", 60), Verdict::NotDecided(UndecidedReason::EndsTooSoon));
 }
 
 #[test]
-fn a_malformed_history_is_none() {
+fn a_malformed_history_is_rejected() {
     let read = |at| Operation::invoked(Client(1), "k", Kind::Read, at);
     let check = |all: Vec<Operation>| {
         let history = History::try_from(all).expect("few");
@@ -239,7 +242,7 @@
 }
 
 #[test]
-fn a_recorder_makes_a_history_and_refuses_what_cannot_be() {
+fn a_recorder_builds_a_history_and_rejects_invalid_events() {
     let mut recorder = Recorder::default();
     let (one, two) = (Client(1), Client(2));
     recorder.invoke(0, one, "k", Kind::Read).expect("first");
@@ -259,7 +262,7 @@
 }
 
 #[test]
-fn words_read_back_as_they_were_written() {
+fn serialized_types_survive_a_round_trip() {
     let line = r#"{"client":3,"key":"k","kind":{"write":{"value":"a"}},"invoked_us":1,"returned_us":2,"outcome":"done"}"#;
     let operation: Operation = serde_json::from_str(line).expect("a line");
     assert_eq!(serde_json::to_string(&operation).expect("a line"), line);
--- a/crates/history/tests/register.rs
+++ b/crates/history/tests/register.rs
@@ -1,4 +1,5 @@
-//! The judge of registers beside a brute-force one, on planted histories, and on those of a simulated register.
+//! Tests of the linearizability checker: comparison with a brute-force checker, hand-written histories, and
+//! histories of a simulated register with planted faults.
 
 mod simulated;
 
@@ -8,7 +9,7 @@
 use rstest::rstest;
 use simulated::{Draw, Planted, Shape};
 
-/// Whether there is an order, by trying all: no memory, nothing rearranged, written for itself.
+/// Reference implementation: whether a valid order exists, by trying all orders without caching or reduction.
 fn brute(left: &[&Operation], value: Option<&str>) -> bool {
     let known = |o: &&&Operation| !matches!(o.outcome, Outcome::Unknown | Outcome::Refused);
     if left.iter().filter(known).count() == 0 {
@@ -35,8 +36,8 @@
     })
 }
 
-/// A few operations with whatever outcome: some have an order, some not.
-fn anything(seed: u64) -> History {
+/// A few operations with random outcomes; some of the histories are linearizable, some are not.
+fn random_history(seed: u64) -> History {
     let mut draw = Draw(seed);
     let (clients, values) = (2 + draw.below(3), 1 + draw.below(3));
     let mut history = History::default();
@@ -67,17 +68,17 @@
     history
 }
 
-fn ordered(history: &History) -> bool {
+fn is_linearizable(history: &History) -> bool {
     brute(&history.operations().iter().collect::<Vec<_>>(), None)
 }
 
-/// Judged as brute force does; what is broken has a core that is broken by itself, from which nothing can be left out
-/// that changes nothing.
-fn compare(history: &History) -> bool {
+/// Compares the checker with brute force. The core of a violation must not be linearizable by itself, and
+/// removing any read from it must make it linearizable.
+fn compare_with_brute_force(history: &History) -> bool {
     match check(history, &Effort::default()) {
-        Verdict::Held(_) => assert!(ordered(history), "{history:?}"),
+        Verdict::Held(_) => assert!(is_linearizable(history), "{history:?}"),
         Verdict::Broken(found) => {
-            assert!(!ordered(history), "{history:?}");
+            assert!(!is_linearizable(history), "{history:?}");
             let broken = &found.first[0];
             assert!(broken.minimal && broken.core.iter().all(|o| history.operations().contains(o)));
             let core: Vec<&Operation> = broken.core.iter().collect();
@@ -89,13 +90,16 @@
         }
         Verdict::NotDecided(why) => panic!("{why}"),
     }
-    ordered(history)
+    is_linearizable(history)
 }
 
 #[test]
-fn as_brute_force_on_anything() {
-    let held = (0..20_000).filter(|seed| compare(&anything(*seed))).count();
-    assert!((4_000..16_000).contains(&held), "{held} of 20000 held: too few of a kind to tell");
+fn agrees_with_brute_force_on_random_histories() {
+    let held = (0..20_000).filter(|seed| compare_with_brute_force(&random_history(*seed))).count();
+    assert!(
+        (4_000..16_000).contains(&held),
+        "{held} of 20000 held: too few of one result for a meaningful comparison"
+    );
 }
 
 #[rstest]
@@ -104,9 +108,10 @@
 #[case(Some(Planted::Forgets))]
 #[case(Some(Planted::InsertsTwice))]
 #[case(Some(Planted::RefusesAndDoes))]
-fn as_brute_force_on_small_simulated_registers(#[case] planted: Option<Planted>) {
+fn agrees_with_brute_force_on_small_simulated_registers(#[case] planted: Option<Planted>) {
     let shape = Shape { clients: 3, operations: 8, keys: 1, values: 3, refused: 12, unknown: 25, planted };
-    let broken = (0..2_000).filter(|seed| !compare(&simulated::history(shape, *seed))).count();
+    let broken =
+        (0..2_000).filter(|seed| !compare_with_brute_force(&simulated::history(shape, *seed))).count();
     assert_eq!(broken == 0, planted.is_none(), "{broken}");
 }
 
@@ -115,7 +120,7 @@
 #[case(3, 0, 2)]
 #[case(40, 0, 30)]
 #[case(3, 4, 10)]
-fn a_correct_register_holds_and_a_planted_one_is_told_with_a_small_core(
+fn a_correct_register_passes_and_a_planted_fault_is_reported_with_a_small_core(
     #[case] keys: u64,
     #[case] values: u64,
     #[case] unknown: u64,
@@ -133,7 +138,7 @@
 }
 
 #[test]
-fn gives_up_at_its_bound_and_says_so() {
+fn reports_when_the_search_limit_is_reached() {
     let shape =
         Shape { clients: 30, operations: 400, keys: 1, values: 0, refused: 0, unknown: 0, planted: None };
     let few = Effort { states: 20, ..Effort::default() };
@@ -150,8 +155,9 @@
     assert!(check(&simulated::history(shape, 1), &Effort::default()).is_held());
 }
 
-/// `WHO KEY KIND FROM..TO OUTCOME` by line: `w1 r2 i3 d`, `x` has no value, `?` unknown, `!` refused, `-` no return.
-fn read(text: &str) -> History {
+/// Parses operations of the form `CLIENT KIND FROM..TO OUTCOME`, separated by `;`: `w1 r2 i3 d`, `x` means no
+/// value, `?` unknown, `!` refused, `-` no return.
+fn parse_history(text: &str) -> History {
     let mut history = History::default();
     for line in text.split(';') {
         let words: Vec<&str> = line.split_whitespace().collect();
@@ -197,9 +203,9 @@
 #[case::ran_twice("1 i1 0..1 ok; 2 i2 2..3 ok; 3 r 4..5 2", Some(2))]
 #[case::inserted_over_a_write("1 w1 0..5 ok; 2 i2 0..- ?; 3 r 2..3 2; 3 r 6..7 2", Some(3))]
 #[case::two_receipts("1 i1 0..- ?; 2 i2 0..- ?; 3 i3 1..2 1; 3 i4 3..4 2", Some(4))]
-fn planted(#[case] text: &str, #[case] core: Option<usize>) {
-    let history = read(text);
-    compare(&history);
+fn hand_written_histories(#[case] text: &str, #[case] core: Option<usize>) {
+    let history = parse_history(text);
+    compare_with_brute_force(&history);
     let verdict = check(&history, &Effort::default());
     assert_eq!(verdict.broken().map(|found| found.first[0].core.len()), core, "{verdict:?}");
 }
--- a/crates/history/tests/simulated/mod.rs
+++ b/crates/history/tests/simulated/mod.rs
@@ -1,9 +1,10 @@
-//! A register by key that many clients use at once through faults, correct unless a fault of its own is planted.
+//! Simulates a keyed register used by concurrent clients with refused and lost requests. It is correct unless
+//! a fault is planted.
 
 use history::operation::{Client, History, Kind, Operation, Outcome};
 use std::collections::BTreeMap;
 
-/// SplitMix64.
+/// SplitMix64 pseudo-random number generator.
 pub struct Draw(pub u64);
 
 impl Draw {
@@ -18,13 +19,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[allow(dead_code)]
 pub enum Planted {
-    /// A read is served from what was there a while ago.
+    /// A read returns an old value.
     Stale,
-    /// An acknowledged change is not kept.
+    /// An acknowledged change is lost.
     Forgets,
-    /// An insertion takes place though there is a value.
+    /// An insertion takes effect although there is a value.
     InsertsTwice,
-    /// What was refused takes effect all the same.
+    /// A refused operation takes effect.
     RefusesAndDoes,
 }
 
@@ -33,9 +34,9 @@
     pub clients: u64,
     pub operations: u64,
     pub keys: u64,
-    /// Values that are drawn from; 0: each is written once.
+    /// Number of distinct values to draw from; 0: each value is written once.
     pub values: u64,
-    /// Of a hundred operations: refused, and of unknown outcome.
+    /// Percentage of operations that are refused; `unknown` is that of unknown outcome.
     pub refused: u64,
     pub unknown: u64,
     pub planted: Option<Planted>,
@@ -44,8 +45,8 @@
 pub fn history(shape: Shape, seed: u64) -> History {
     let mut draw = Draw(seed);
     let mut free: Vec<(u32, i64)> = (0..shape.clients).map(|c| (c as u32, 0)).collect();
-    let mut names = shape.clients as u32;
-    // When each takes effect, if it does.
+    let mut next_client = shape.clients as u32;
+    // Time of effect and index of the operations that take effect.
     let mut effects: Vec<(i64, usize)> = Vec::new();
     let mut all: Vec<Operation> = Vec::new();
     for n in 0..shape.operations {
@@ -72,7 +73,7 @@
             }
             all.push(operation.returned(returns, Outcome::Refused));
         } else if fate < shape.refused + shape.unknown {
-            // The request was lost, or its answer; it may take effect when its client waits no longer.
+            // The request or its answer was lost; it may take effect after the client stopped waiting.
             if draw.below(2) == 0 {
                 effects.push((invoked + draw.below(5 * took as u64) as i64, all.len()));
             }
@@ -80,8 +81,8 @@
                 all.push(operation.returned(returns, Outcome::Unknown));
             } else {
                 all.push(operation);
-                free[who].0 = names;
-                names += 1;
+                free[who].0 = next_client;
+                next_client += 1;
             }
         } else {
             effects.push((effect, all.len()));
@@ -92,14 +93,14 @@
     let mut registers: BTreeMap<String, Vec<Option<String>>> = BTreeMap::new();
     for (_, at) in effects {
         let operation = &mut all[at];
-        let past = registers.entry(operation.key.clone()).or_insert_with(|| vec![None]);
-        let plant = |planted| shape.planted == Some(planted) && at % 7 == 0;
-        let back = if plant(Planted::Stale) { 4 } else { 1 };
-        let now = past[past.len().saturating_sub(back)].clone();
+        let versions = registers.entry(operation.key.clone()).or_insert_with(|| vec![None]);
+        let is_planted = |planted| shape.planted == Some(planted) && at % 7 == 0;
+        let age = if is_planted(Planted::Stale) { 4 } else { 1 };
+        let now = versions[versions.len().saturating_sub(age)].clone();
         let change = match &operation.kind {
             Kind::Write { value } => Some(Some(value.clone())),
             Kind::Delete => Some(None),
-            Kind::Insert { value } if now.is_none() || plant(Planted::InsertsTwice) => {
+            Kind::Insert { value } if now.is_none() || is_planted(Planted::InsertsTwice) => {
                 Some(Some(value.clone()))
             }
             _ => None,
@@ -112,8 +113,8 @@
                 _ => Outcome::Done,
             };
         }
-        if let Some(change) = change.filter(|_| !plant(Planted::Forgets)) {
-            past.push(change);
+        if let Some(change) = change.filter(|_| !is_planted(Planted::Forgets)) {
+            versions.push(change);
         }
     }
     History::try_from(all).expect("few enough")
