--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -14,7 +14,7 @@
 //! | [`set`] | all acknowledged elements are present and nothing else; no job ran twice |
 //! | [`counter`] | counters add up |
 //! | [`converge`] | views agree within a bound once the network is whole |
-//! | [`marks`] | failure detection: no flapping, no false positives, detection time |
+//! | [`failure_detection`] | failure detection: no flapping, no false positives, detection time |
 //!
 //! Modules depend only on those above them in this table. Bounds: [`MAX_ITEMS`] input items, [`MAX_LISTED`]
 //! pieces of evidence, and what a search may visit ([`register::Effort`]). Beyond these a checker returns
@@ -39,8 +39,8 @@
 
 pub mod converge;
 pub mod counter;
+pub mod failure_detection;
 pub mod finals;
-pub mod marks;
 pub mod operation;
 pub mod register;
 pub mod set;
--- a/crates/history/tests/judges.rs
+++ b/crates/history/tests/checkers.rs
@@ -2,8 +2,8 @@
 //! violations. Also checks that the serialized types survive a round trip.
 
 use history::converge::{self, Bound, Sample};
+use history::failure_detection::{detection, flapping, wrong_failures, Change, Cut, Down, Truth};
 use history::finals::{self, Event, Fault};
-use history::marks::{detection, flapping, wrong_failures, Change, Cut, Down, Truth};
 use history::operation::{Client, History, Kind, Malformed, Operation, Outcome, Recorder};
 use history::{counter, register, set, Fate, UndecidedReason, Verdict};
 use rstest::rstest;
