--- a/crates/snmp/src/message.rs
+++ b/crates/snmp/src/message.rs
@@ -1,5 +1,6 @@
-//! Messages and PDUs, to and from bytes: SNMPv2c (RFC 1901), SNMPv3 (RFC 3412, 6, and 3414, 2.4) and the PDUs
-//! of RFC 3416, 3. The encoding is the crate `rasn-snmp`'s; what reaches it has passed [`reader::check`].
+//! Encoding and decoding of messages and PDUs: SNMPv2c (RFC 1901), SNMPv3 (RFC 3412, 6, and 3414, 2.4) and
+//! the PDUs of RFC 3416, 3. The BER encoding is done by the crate `rasn-snmp`, which only receives input that
+//! has passed [`reader::check`].
 
 use crate::reader::{self, Malformed};
 use crate::{Oid, Value};
@@ -7,7 +8,7 @@
 use rasn_snmp::v2::{self, VarBind, VarBindValue};
 use rasn_snmp::v3;
 
-/// What a PDU is for.
+/// Type of a PDU.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(missing_docs)]
 pub enum Kind {
@@ -22,13 +23,13 @@
 }
 
 impl Kind {
-    /// Whether a response is wanted: the confirmed class of RFC 3411, 2.8.
+    /// Whether the PDU expects a response: the confirmed class of RFC 3411, 2.8.
     pub fn confirmed(self) -> bool {
         !matches!(self, Kind::Response | Kind::Trap | Kind::Report)
     }
 }
 
-/// The error-status of a response (RFC 3416, 3), as far as this agent makes any.
+/// Values of the error-status (RFC 3416, 3) that this agent returns.
 pub mod status {
     /// noError.
     pub const NONE: u32 = 0;
@@ -36,14 +37,14 @@
     pub const TOO_BIG: u32 = 1;
     /// genErr.
     pub const GENERAL: u32 = 5;
-    /// noAccess: what a SET gets where nothing may be written.
+    /// noAccess: the response to a SET, since nothing is writable.
     pub const NO_ACCESS: u32 = 6;
 }
 
 /// A PDU.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pdu {
-    /// What it is for.
+    /// The type.
     pub kind: Kind,
     /// request-id.
     pub request: i32,
@@ -51,16 +52,16 @@
     pub status: u32,
     /// error-index, or max-repetitions in a GetBulk.
     pub index: u32,
-    /// The names asked for, or told, with their values.
+    /// The variable bindings: requested or reported names with their values.
     pub bindings: Vec<(Oid, Value)>,
 }
 
 /// A message of SNMPv2c.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Community {
-    /// The community's name.
+    /// The community name.
     pub community: Vec<u8>,
-    /// What it asks or tells.
+    /// The PDU.
     pub pdu: Pdu,
 }
 
@@ -69,7 +70,7 @@
 pub struct Header {
     /// msgID.
     pub id: i32,
-    /// msgMaxSize: the longest message that its sender can read.
+    /// msgMaxSize: the longest message that the sender accepts.
     pub max_size: u32,
     /// msgFlags.
     pub flags: Flags,
@@ -77,76 +78,76 @@
     pub model: u32,
 }
 
-/// The security model that is spoken here.
+/// The only supported security model.
 pub const USM: u32 = 3;
 
 /// msgFlags (RFC 3412, 6.4).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flags {
-    /// It is authenticated.
+    /// The message is authenticated.
     pub auth: bool,
-    /// Its PDU is encrypted.
+    /// The PDU is encrypted.
     pub privacy: bool,
-    /// A report may be sent where it cannot be processed.
+    /// A report may be sent if the message cannot be processed.
     pub reportable: bool,
 }
 
 /// msgSecurityParameters of USM (RFC 3414, 2.4).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Security {
-    /// The authoritative engine: the one that answers, or the one that sends a trap.
+    /// Id of the authoritative engine: the receiver of a request or inform, or the sender of a trap.
     pub engine: Vec<u8>,
     /// Its snmpEngineBoots.
     pub boots: u32,
     /// Its snmpEngineTime.
     pub time: u32,
-    /// The user's name.
+    /// The user name.
     pub user: Vec<u8>,
-    /// The digest, or as many zeros.
+    /// The digest, or zeros of the same length.
     pub auth: Vec<u8>,
-    /// What makes an initialisation vector.
+    /// The salt of the initialisation vector.
     pub privacy: Vec<u8>,
 }
 
 /// The PDU of an SNMPv3 message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Data {
-    /// As it is.
+    /// Unencrypted.
     Plain(Scoped),
     /// Encrypted.
     Encrypted(Vec<u8>),
 }
 
-/// A PDU and where it belongs (RFC 3412, 6.8).
+/// A PDU with its context (RFC 3412, 6.8).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Scoped {
     /// contextEngineID.
     pub engine: Vec<u8>,
-    /// contextName; this agent has the one without a name.
+    /// contextName. The agent has only the default context, whose name is empty.
     pub context: Vec<u8>,
-    /// What it asks or tells.
+    /// The PDU.
     pub pdu: Pdu,
 }
 
 /// A message of SNMPv3.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Secured {
-    /// Its header.
+    /// The header.
     pub header: Header,
-    /// What the security model needs.
+    /// The security parameters.
     pub security: Security,
-    /// What is said.
+    /// The scoped PDU, possibly encrypted.
     pub data: Data,
 }
 
-const BAD: Malformed = Malformed("no message of this version");
+const INVALID: Malformed = Malformed("not a valid message of this version");
 
-/// Flags that are reserved, or more or less than a byte of them (RFC 3412, 7.2, 5d).
-pub(crate) const FLAGS: Malformed = Malformed("no flags of a message");
+/// Reserved combinations of flags, or flags that are not exactly one byte long (RFC 3412, 7.2, 5d).
+pub(crate) const INVALID_FLAGS: Malformed = Malformed("invalid message flags");
 
-fn word(n: &Integer) -> Result<u32, Malformed> {
-    // RFC 3412 and 3414 bound all of them by 2^31 - 1.
-    i32::try_from(n).ok().and_then(|n| u32::try_from(n).ok()).ok_or(BAD)
+fn bounded_u32(n: &Integer) -> Result<u32, Malformed> {
+    // RFC 3412 and 3414 limit all of these numbers to 2^31 - 1.
+    i32::try_from(n).ok().and_then(|n| u32::try_from(n).ok()).ok_or(INVALID)
 }
 
 fn value(v: VarBindValue) -> Result<Value, Malformed> {
@@ -157,34 +158,34 @@
         VarBindValue::NoSuchInstance => Value::NoSuchInstance,
         VarBindValue::EndOfMibView => Value::EndOfMibView,
         VarBindValue::Value(Syntax::Simple(simple)) => match simple {
-            Simple::Integer(n) => Value::Integer(i32::try_from(&n).map_err(|_| BAD)?),
+            Simple::Integer(n) => Value::Integer(i32::try_from(&n).map_err(|_| INVALID)?),
             Simple::String(s) => Value::Octets(s.to_vec()),
-            Simple::ObjectId(o) => Value::Oid(Oid::new(&o).ok_or(BAD)?),
+            Simple::ObjectId(o) => Value::Oid(Oid::new(&o).ok_or(INVALID)?),
         },
         VarBindValue::Value(Syntax::ApplicationWide(app)) => match app {
-            App::Address(a) => Value::Address(a.0.as_ref().try_into().map_err(|_| BAD)?),
+            App::Address(a) => Value::Address(a.0.as_ref().try_into().map_err(|_| INVALID)?),
             App::Counter(n) => Value::Counter(n.0),
             App::Ticks(n) => Value::Ticks(n.0),
-            // Kept by the standard for the sake of old agents (RFC 2578, 7.1.9); the reader lets none pass.
-            App::Arbitrary(_) => return Err(BAD),
+            // Opaque exists only for old agents (RFC 2578, 7.1.9); the reader rejects it.
+            App::Arbitrary(_) => return Err(INVALID),
             App::BigCounter(n) => Value::Counter64(n.0),
             App::Unsigned(n) => Value::Gauge(n.0),
         },
     })
 }
 
-fn name(oid: &Oid) -> ObjectIdentifier {
+fn object_identifier(oid: &Oid) -> ObjectIdentifier {
     ObjectIdentifier::new_unchecked(oid.arcs().to_vec().into())
 }
 
-fn wire(v: &Value) -> VarBindValue {
+fn to_wire(v: &Value) -> VarBindValue {
     use smi::{ApplicationSyntax as App, ObjectSyntax as Syntax, SimpleSyntax as Simple};
     let simple = |s| VarBindValue::Value(Syntax::Simple(s));
     let app = |a| VarBindValue::Value(Syntax::ApplicationWide(a));
     match v {
         Value::Integer(n) => simple(Simple::Integer((*n).into())),
         Value::Octets(o) => simple(Simple::String(OctetString::from(o.clone()))),
-        Value::Oid(o) => simple(Simple::ObjectId(name(o))),
+        Value::Oid(o) => simple(Simple::ObjectId(object_identifier(o))),
         Value::Address(a) => app(App::Address(smi::IpAddress((*a).into()))),
         Value::Counter(n) => app(App::Counter(smi::Counter(*n))),
         Value::Gauge(n) => app(App::Unsigned(smi::Gauge(*n))),
@@ -197,14 +198,14 @@
     }
 }
 
-/// The names of SMIv2's types, which the crate has at two places.
+/// The types of SMIv2, which `rasn-smi` defines in two modules.
 mod smi {
     pub use rasn_smi::v1::{Counter, Gauge, IpAddress, TimeTicks};
     pub use rasn_smi::v2::{ApplicationSyntax, Counter64, ObjectSyntax, SimpleSyntax};
 }
 
 fn bindings(all: Vec<VarBind>) -> Result<Vec<(Oid, Value)>, Malformed> {
-    all.into_iter().map(|b| Ok((Oid::new(&b.name).ok_or(BAD)?, value(b.value)?))).collect()
+    all.into_iter().map(|b| Ok((Oid::new(&b.name).ok_or(INVALID)?, value(b.value)?))).collect()
 }
 
 fn pdu(from: v2::Pdus) -> Result<Pdu, Malformed> {
@@ -227,7 +228,7 @@
 }
 
 fn pdus(from: &Pdu) -> v2::Pdus {
-    let bind = |(n, v): &(Oid, Value)| VarBind { name: name(n), value: wire(v) };
+    let bind = |(n, v): &(Oid, Value)| VarBind { name: object_identifier(n), value: to_wire(v) };
     let variable_bindings: Vec<VarBind> = from.bindings.iter().map(bind).collect();
     let (request_id, error_status, error_index) = (from.request, from.status, from.index);
     if from.kind == Kind::GetBulk {
@@ -247,23 +248,23 @@
     }
 }
 
-/// What is too strange to be encoded does not go out; nothing this package makes is.
+/// Encodes a value; empty if it cannot be encoded, which no value built by this package causes.
 fn encode<T: rasn::Encode>(what: &T) -> Vec<u8> {
     rasn::ber::encode(what).unwrap_or_default()
 }
 
 fn decode<T: rasn::Decode>(bytes: &[u8]) -> Result<T, Malformed> {
-    rasn::ber::decode(bytes).map_err(|_| BAD)
+    rasn::ber::decode(bytes).map_err(|_| INVALID)
 }
 
 impl Community {
-    /// Reads a message that has passed [`reader::check`].
+    /// Decodes a message that has passed [`reader::check`].
     pub fn read(bytes: &[u8]) -> Result<Community, Malformed> {
         let message: rasn_snmp::v2c::Message<v2::Pdus> = decode(bytes)?;
         Ok(Community { community: message.community.to_vec(), pdu: pdu(message.data)? })
     }
 
-    /// Its bytes.
+    /// Encodes the message.
     pub fn bytes(&self) -> Vec<u8> {
         let community = OctetString::from(self.community.clone());
         encode(&rasn_snmp::v2c::Message { version: 1.into(), community, data: pdus(&self.pdu) })
@@ -272,10 +273,10 @@
 
 impl Flags {
     fn read(octets: &[u8]) -> Result<Flags, Malformed> {
-        let [bits] = octets else { return Err(FLAGS) };
+        let [bits] = octets else { return Err(INVALID_FLAGS) };
         let flags = Flags { auth: bits & 1 != 0, privacy: bits & 2 != 0, reportable: bits & 4 != 0 };
         // Privacy without authentication is reserved (RFC 3412, 7.2, 5d).
-        Some(flags).filter(|f| f.auth || !f.privacy).ok_or(FLAGS)
+        Some(flags).filter(|f| f.auth || !f.privacy).ok_or(INVALID_FLAGS)
     }
 
     fn bits(self) -> u8 {
@@ -284,58 +285,60 @@
 }
 
 impl Scoped {
-    /// Reads the bytes of a scoped PDU; what was decrypted is checked here, whatever came before it.
+    /// Decodes a scoped PDU. Its bytes are validated here, since decrypted bytes have not passed the check of
+    /// the datagram.
     pub fn read(bytes: &[u8]) -> Result<Scoped, Malformed> {
         reader::check(bytes)?;
-        Scoped::of(decode(bytes)?)
+        Scoped::from_wire(decode(bytes)?)
     }
 
-    fn of(from: v3::ScopedPdu) -> Result<Scoped, Malformed> {
+    fn from_wire(from: v3::ScopedPdu) -> Result<Scoped, Malformed> {
         let (engine, context) = (from.engine_id.to_vec(), from.name.to_vec());
         Ok(Scoped { engine, context, pdu: pdu(from.data)? })
     }
 
-    fn wire(&self) -> v3::ScopedPdu {
+    fn to_wire(&self) -> v3::ScopedPdu {
         let octets = |o: &[u8]| OctetString::from(o.to_vec());
         let (engine_id, name) = (octets(&self.engine), octets(&self.context));
         v3::ScopedPdu { engine_id, name, data: pdus(&self.pdu) }
     }
 
-    /// Its bytes.
+    /// Encodes the scoped PDU.
     pub fn bytes(&self) -> Vec<u8> {
-        encode(&self.wire())
+        encode(&self.to_wire())
     }
 }
 
 impl Secured {
-    /// Reads a message that has passed [`reader::check`], and its security parameters, which are bytes in it.
+    /// Decodes a message that has passed [`reader::check`], and its security parameters, which are encoded
+    /// separately in an octet string.
     pub fn read(bytes: &[u8]) -> Result<Secured, Malformed> {
         let message: v3::Message = decode(bytes)?;
         let head = &message.global_data;
         let header = Header {
-            id: i32::try_from(&head.message_id).map_err(|_| BAD)?,
-            max_size: word(&head.max_size)?,
+            id: i32::try_from(&head.message_id).map_err(|_| INVALID)?,
+            max_size: bounded_u32(&head.max_size)?,
             flags: Flags::read(&head.flags)?,
-            model: word(&head.security_model)?,
+            model: bounded_u32(&head.security_model)?,
         };
         reader::check(&message.security_parameters)?;
         let usm: v3::USMSecurityParameters = decode(&message.security_parameters)?;
         let security = Security {
             engine: usm.authoritative_engine_id.to_vec(),
-            boots: word(&usm.authoritative_engine_boots)?,
-            time: word(&usm.authoritative_engine_time)?,
+            boots: bounded_u32(&usm.authoritative_engine_boots)?,
+            time: bounded_u32(&usm.authoritative_engine_time)?,
             user: usm.user_name.to_vec(),
             auth: usm.authentication_parameters.to_vec(),
             privacy: usm.privacy_parameters.to_vec(),
         };
         let data = match message.scoped_data {
-            v3::ScopedPduData::CleartextPdu(scoped) => Data::Plain(Scoped::of(scoped)?),
+            v3::ScopedPduData::CleartextPdu(scoped) => Data::Plain(Scoped::from_wire(scoped)?),
             v3::ScopedPduData::EncryptedPdu(octets) => Data::Encrypted(octets.to_vec()),
         };
         Ok(Secured { header, security, data })
     }
 
-    /// Its bytes.
+    /// Encodes the message.
     pub fn bytes(&self) -> Vec<u8> {
         let octets = |o: &[u8]| OctetString::from(o.to_vec());
         let s = &self.security;
@@ -354,7 +357,7 @@
             security_model: self.header.model.into(),
         };
         let scoped_data = match &self.data {
-            Data::Plain(scoped) => v3::ScopedPduData::CleartextPdu(scoped.wire()),
+            Data::Plain(scoped) => v3::ScopedPduData::CleartextPdu(scoped.to_wire()),
             Data::Encrypted(o) => v3::ScopedPduData::EncryptedPdu(octets(o)),
         };
         let security_parameters = octets(&encode(&usm));
@@ -362,7 +365,7 @@
     }
 }
 
-/// How many bytes an element with contents of this length takes.
+/// Encoded length of an element whose contents have this length.
 fn element_len(contents: usize) -> usize {
     let length = match contents {
         0..=0x7f => 1,
@@ -373,7 +376,7 @@
     1 + length + contents
 }
 
-/// How many bytes a binding takes in a message.
+/// Encoded length of a variable binding.
 pub fn binding_len(name: &Oid, value: &Value) -> usize {
     element_len(element_len(name.encoded_len()) + element_len(value.encoded_len()))
 }
--- a/crates/snmp/tests/agent.rs
+++ b/crates/snmp/tests/agent.rs
@@ -1,4 +1,4 @@
-//! The agent from outside: datagrams in, datagrams out, over SNMPv2c.
+//! Tests of the agent over SNMPv2c: datagrams in, datagrams out.
 
 mod common;
 
@@ -28,7 +28,11 @@
 #[case::the_standards_scalar("1.3.6.1.2.1.1.3.1", "public", Value::NoSuchInstance)]
 #[case::nothing("1.3.6.1.9.9", "public", Value::NoSuchObject)]
 #[case::not_in_the_view(NAME, "part", Value::NoSuchObject)]
-fn a_get_tells_the_value_or_what_is_missing(#[case] name: &str, #[case] who: &str, #[case] value: Value) {
+fn a_get_returns_the_value_or_the_matching_exception(
+    #[case] name: &str,
+    #[case] who: &str,
+    #[case] value: Value,
+) {
     let answer = ask(&mut agent(), who, &pdu(Kind::Get, 0, 0, &[name]), &tree(3)).expect("an answer");
     assert_eq!((answer.request, answer.status, answer.bindings), (77, 0, vec![(oid(name), value)]));
 }
@@ -42,7 +46,7 @@
 #[case::a_response(&community("public", &pdu(Kind::Response, 0, 0, &[NAME])))]
 #[case::garbage(b"GET / HTTP/1.1\r\n\r\n")]
 #[case::nothing(b"")]
-fn silence_is_counted(#[case] datagram: &[u8]) {
+fn unanswered_datagrams_are_counted(#[case] datagram: &[u8]) {
     let mut agent = agent();
     assert_eq!(agent.answer(NOW, HERE, datagram, &tree(1)), None);
     let s = agent.stats();
@@ -65,13 +69,13 @@
     let bulk = pdu(Kind::GetBulk, 0, 10_000, &[NODE]);
     let answer = ask(&mut agent(), "public", &bulk, &tree(200)).expect("an answer");
     assert_eq!(answer.status, 0);
-    // A row takes some 30 bytes: more than 30 of them, and the next would not have fitted.
+    // A row takes about 30 bytes: at least 30 rows fit, and the next one did not.
     assert!((30..70).contains(&answer.bindings.len()), "{}", answer.bindings.len());
     assert!(answer.bindings.windows(2).all(|w| w[0].0 < w[1].0));
 }
 
 #[test]
-fn a_bulk_repeats_only_what_is_behind_the_non_repeaters_and_ends_with_the_view() {
+fn a_bulk_repeats_only_the_repeaters_and_ends_with_the_view() {
     let bulk = pdu(Kind::GetBulk, 1, 9, &["1.3.6.1.2.1.1.1", "1.3.6.1.6.3.15.1.1.5"]);
     let answer = ask(&mut agent(), "public", &bulk, &tree(1)).expect("an answer");
     let names: Vec<String> = answer.bindings.iter().map(|(n, _)| n.to_string()).collect();
@@ -82,7 +86,7 @@
 
 #[test]
 fn a_get_whose_response_does_not_fit_is_too_big() {
-    // sysDescr is asked for so often that the names alone would fit.
+    // sysDescr is requested so often that the response does not fit, although the names alone would.
     let names = ["1.3.6.1.2.1.1.1.0"; 60];
     let answer = ask(&mut agent(), "public", &pdu(Kind::Get, 0, 0, &names), &tree(1)).expect("an answer");
     assert_eq!((answer.status, answer.index, answer.bindings.len()), (status::TOO_BIG, 0, 0));
@@ -92,15 +96,15 @@
     let (mut walk, mut names, mut step) = (Walk::new(oid("1.3"), 20), Vec::new(), 0);
     while let Some(next) = walk.next(77) {
         let answer = ask(agent, who, &next, &tree(step)).expect("an answer");
-        names.extend(walk.take(answer).expect("an order").into_iter().map(|(n, _)| n));
+        names.extend(walk.take(answer).expect("increasing names").into_iter().map(|(n, _)| n));
         step += 1;
-        assert!(step < 1000, "no end");
+        assert!(step < 1000, "the walk does not end");
     }
     names
 }
 
 #[test]
-fn a_walk_tells_all_there_is_once_and_in_order() {
+fn a_walk_returns_all_instances_of_the_view_once_and_in_order() {
     let whole = tree(40);
     let names = walk(&mut agent(), "public", |_| whole.clone());
     let all: Vec<Oid> = whole.after(&oid("0.0")).iter().map(|(n, _)| n.clone()).collect();
@@ -116,7 +120,7 @@
 }
 
 #[test]
-fn a_walk_does_not_follow_an_agent_whose_answers_do_not_grow() {
+fn a_walk_ends_if_the_names_of_an_agent_do_not_increase() {
     let mut walk = Walk::new(oid("1.3"), 2);
     let answer = |names: &[&str]| Pdu {
         bindings: names.iter().map(|n| (oid(n), Value::Integer(1))).collect(),
@@ -129,13 +133,13 @@
 }
 
 #[test]
-fn nodes_that_come_and_go_in_a_walk_make_no_loop_and_no_name_twice() {
-    // Each answer is of another fleet; node 5 is there all the time.
+fn a_walk_over_a_changing_fleet_ends_and_returns_no_name_twice() {
+    // Each response comes from a different set of nodes; only node 5 is always present.
     let names = walk(&mut agent(), "public", |step| {
         let mut snapshot = snapshot(12);
         snapshot.nodes.retain(|n| &*n.name == "s-005" || !(n.name.len() + step).is_multiple_of(3));
         snapshot.nodes.truncate(12 - step % 4);
-        Tree::build(NOW, &snapshot, &own())
+        Tree::build(NOW, &snapshot, &agent_info())
     });
     assert!(names.windows(2).all(|w| w[0] < w[1]));
     let stays = Oid::parse(&format!("{NODE}.5.115.45.48.48.53")).expect("a name");
