--- a/crates/history/tests/checkers.rs
+++ b/crates/history/tests/checkers.rs
@@ -62,7 +62,6 @@
 
 /// A history that adds 5 (acknowledged by 10), 2 (unknown), -1 (unknown), 100 (refused) and 7 (from 50 to
 /// 60), then reads the total.
-/// asks.
 fn adds(from: i64, to: i64, told: i64) -> History {
     let add = |who, at, amount| Operation::invoked(Client(who), "n", Kind::Add { amount }, at);
     let all = vec![
--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -16,7 +16,7 @@
 use super::stage::{End, Met};
 use super::view::{Now, Track, What};
 use history::converge::{self, Sample, View};
-use history::{finals, marks, Verdict};
+use history::{failure_detection, finals, Verdict};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use world::fleet::fault::Role;
@@ -142,11 +142,11 @@
     }
 
     fn forwarders(&self) -> Vec<usize> {
-        self.plan.of(Role::Forwarder).collect()
+        self.plan.with_role(Role::Forwarder).collect()
     }
 
     fn nodes(&self) -> Vec<usize> {
-        self.plan.of(Role::Node).collect()
+        self.plan.with_role(Role::Node).collect()
     }
 
     /// Whether a forwarder stood still, was away, or came up during this time, by its log.
@@ -256,8 +256,8 @@
 
     /// Planners that run in the end.
     fn last_planners(&self, truth: &Truth) -> BTreeSet<&str> {
-        let there = |p: &usize| !truth.away(*p).hold(self.plan.over + 1, self.plan.over + 2);
-        self.plan.of(Role::Planner).filter(there).map(|p| self.plan.name(p)).collect()
+        let there = |p: &usize| !truth.away(*p).covers(self.plan.over + 1, self.plan.over + 2);
+        self.plan.with_role(Role::Planner).filter(there).map(|p| self.plan.name(p)).collect()
     }
 
     fn converged(&self, truth: &Truth, figures: &mut Figures, breaches: &mut Vec<Breach>) {
@@ -321,7 +321,7 @@
                     What::Returns(m) => (m, "taken back"),
                     _ => continue,
                 };
-                changes.push(marks::Change {
+                changes.push(failure_detection::Change {
                     at_us: c.at,
                     observer: format!("{}/{}", self.plan.name(f), c.life),
                     subject: matter.clone(),
@@ -333,7 +333,7 @@
         figures.changes = changes.len() as u64;
         for window in WINDOWS {
             let most = self.rules.max_changes(window + READ);
-            match marks::flapping(&changes, window, most) {
+            match failure_detection::flapping(&changes, window, most) {
                 Verdict::Held(busiest) if window == 10_000_000 => {
                     figures.changes_in_10_s = busiest.changes as u64;
                 }
@@ -371,7 +371,7 @@
             let mut steps: Vec<(Micros, i64)> = Vec::new();
             for f in &forwarders {
                 for (from, until, _) in self.track(*f).map(|t| t.avoided(name)).unwrap_or_default() {
-                    if !doubtful.touch(from - LATELY, from) {
+                    if !doubtful.overlaps(from - LATELY, from) {
                         figures.wrong += 1;
                     }
                     steps.push((from, 1));
@@ -436,8 +436,8 @@
                     let Some(at) = until else { continue };
                     let returned =
                         track.changes.iter().any(|c| c.at == at && matches!(&c.what, What::Returns(_)));
-                    let still = silent.hold(at - SILENT, at + READ);
-                    if returned && still && unguided.within(at - FADES, at) < UNGUIDED {
+                    let still = silent.covers(at - SILENT, at + READ);
+                    if returned && still && unguided.covered_time(at - FADES, at) < UNGUIDED {
                         let (who, name) = (self.plan.name(f), self.plan.name(node));
                         let what = format!("{who} goes back to {name}, which is still silent to it");
                         breaches.push(Breach { rule: Rule::Kept, at_s: s(at), what });
@@ -475,7 +475,7 @@
                 }
                 let Some(bound) = bound.filter(|b| from + b <= until) else { continue };
                 let disturbed = self.disturbed(f, *from, from + bound)
-                    || truth.maybe_without_planner(f).touch(*from, from + bound);
+                    || truth.maybe_without_planner(f).overlaps(*from, from + bound);
                 if !disturbed && after.is_none_or(|a| a > bound) {
                     let names: Vec<&str> = group.iter().map(|(n, _)| self.plan.name(*n)).collect();
                     let who = self.plan.name(f);
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -192,7 +192,8 @@
         let log = Log::new(clock.clone());
         let processes = Processes::in_temporary(&log).map_err(failed("a folder"))?;
         let links = Arc::new(Links::start(setting.seed).map_err(failed("links"))?);
-        let names = |role: Role| -> Vec<String> { plan.of(role).map(|m| plan.name(m).to_owned()).collect() };
+        let names =
+            |role: Role| -> Vec<String> { plan.with_role(role).map(|m| plan.name(m).to_owned()).collect() };
         let (planners, forwarders, nodes) = (names(Role::Planner), names(Role::Forwarder), names(Role::Node));
         let stage = Stage::start(
             clock.clone(),
@@ -217,7 +218,7 @@
             names: planners.iter().chain(&forwarders).cloned().collect(),
             forwarders,
         };
-        let older = schedule.older();
+        let older = schedule.members_on_old_version();
         let program = |name: &str| -> (Program, Option<Program>) {
             let is_old = older.iter().any(|m| plan.name(*m) == name);
             match setting.old.as_ref().filter(|_| is_old) {
@@ -291,7 +292,7 @@
     /// Until all forwarders listen and hear all planners, and these may have opinions.
     fn wait_ready(&self, plan: &Plan) -> Result<(), HostError> {
         let begun = Instant::now();
-        let planners = plan.of(Role::Planner).count();
+        let planners = plan.with_role(Role::Planner).count();
         let (mark, until) = (Mark::default(), Instant::now() + PATIENCE);
         let mut left: BTreeSet<&String> = self.forwarders.iter().collect();
         for (i, name) in self.forwarders.iter().enumerate() {
@@ -355,7 +356,7 @@
                 let _ = self.links.reset(plan.name(*from), plan.name(*to));
             }
             Action::Node { who, what } => {
-                let first = plan.of(Role::Node).next().unwrap_or(0);
+                let first = plan.with_role(Role::Node).next().unwrap_or(0);
                 self.stage.node(who - first, *what);
                 let word = match what {
                     NodeAction::Hang => "hangs",
@@ -538,8 +539,8 @@
         json!({ "id": plan.name(m), "host_port": address.to_string(), "locality": fleet.halls.get(hall(m)),
             "flavor": "node", "cell": 0, "phase": "SERVING", "size": 1.0, "up_since_ms": 0 })
     };
-    let members: Vec<Value> = plan.of(Role::Node).zip(reached).map(member).collect();
-    let zone = plan.of(Role::Forwarder).nth(me).map_or(0, hall);
+    let members: Vec<Value> = plan.with_role(Role::Node).zip(reached).map(member).collect();
+    let zone = plan.with_role(Role::Forwarder).nth(me).map_or(0, hall);
     let limit = stage::PATIENCE.as_millis() as f64;
     let class =
         json!({ "name": "lookup", "onTimeMs": limit / 2.0, "hardLimitMs": limit, "repeat": "retryable" });
--- a/crates/lab/src/fleet/report.rs
+++ b/crates/lab/src/fleet/report.rs
@@ -1,5 +1,5 @@
-//! What users get to see of a run: a summary for the terminal, `result.json`, and a page with the faults and
-//! each process's own view over time in one picture.
+//! What users get to see of a run: a summary for the terminal, `result.json`, and a page with the faults and each
+//! process's own view over time in one picture.
 
 use super::judge::{Breach, Figures};
 use super::links::Lateness;
@@ -141,7 +141,7 @@
         let p = self.played;
         let end = p.until;
         let most = (f64::from(self.schedule.fleet.nodes) * PART).max(1.0);
-        let planners = p.plan.of(Role::Planner).count();
+        let planners = p.plan.with_role(Role::Planner).count();
         let one = |m: usize| {
             let name = p.plan.name(m);
             let hall = p.plan.members.get(m).and_then(|m| self.schedule.fleet.halls.get(usize::from(m.hall)));
@@ -165,7 +165,7 @@
             }
             lane
         };
-        let processes = p.plan.of(Role::Planner).chain(p.plan.of(Role::Forwarder));
+        let processes = p.plan.with_role(Role::Planner).chain(p.plan.with_role(Role::Forwarder));
         processes.map(one).collect()
     }
 
--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -190,7 +190,7 @@
     /// bytes and nodes are left out: those are real processes' (`lab fleet`), and the scenario's.
     pub fn struck(self, faults: &Faults, seed: u64) -> Fleet {
         let mut hub = lock(&self.hub);
-        let place = |member: usize, role: Role| faults.of(role).position(|m| m == member);
+        let place = |member: usize, role: Role| faults.with_role(role).position(|m| m == member);
         for step in &faults.steps {
             match &step.action {
                 Action::Link { from, to, condition } => {
--- a/crates/world/src/fleet/schedule.rs
+++ b/crates/world/src/fleet/schedule.rs
@@ -354,7 +354,7 @@
     }
 
     /// The members that run the older version.
-    pub fn older(&self) -> BTreeSet<usize> {
+    pub fn members_on_old_version(&self) -> BTreeSet<usize> {
         let members = self.members();
         let process = |m: &Member| m.role != Role::Node;
         self.fleet.old.as_ref().map(|old| self.select(&members, old, &process)).unwrap_or_default()
@@ -614,7 +614,7 @@
     }
 
     /// Indices of the members with a role.
-    pub fn of(&self, role: Role) -> impl Iterator<Item = usize> + '_ {
+    pub fn with_role(&self, role: Role) -> impl Iterator<Item = usize> + '_ {
         self.members.iter().enumerate().filter(move |(_, m)| m.role == role).map(|(i, _)| i)
     }
 
--- a/crates/world/src/fleet/truth.rs
+++ b/crates/world/src/fleet/truth.rs
@@ -35,14 +35,14 @@
     }
 
     /// Union.
-    pub fn or(mut self, other: &Spans) -> Spans {
+    pub fn union(mut self, other: &Spans) -> Spans {
         self.0.extend(&other.0);
         self.normalize();
         self
     }
 
     /// Intersection.
-    pub fn and(&self, other: &Spans) -> Spans {
+    pub fn intersection(&self, other: &Spans) -> Spans {
         let mut both = Spans::default();
         for (a, b) in &self.0 {
             let meet = other.0.iter().map(|(c, d)| (*a.max(c), *b.min(d))).filter(|(x, y)| x < y);
@@ -53,17 +53,17 @@
     }
 
     /// Whether the whole interval is covered.
-    pub fn hold(&self, from: Micros, until: Micros) -> bool {
+    pub fn covers(&self, from: Micros, until: Micros) -> bool {
         self.0.iter().any(|(a, b)| *a <= from && until <= *b)
     }
 
     /// Whether any part of the interval is covered.
-    pub fn touch(&self, from: Micros, until: Micros) -> bool {
+    pub fn overlaps(&self, from: Micros, until: Micros) -> bool {
         self.0.iter().any(|(a, b)| *a <= until && from < *b)
     }
 
     /// How much of the interval is covered.
-    pub fn within(&self, from: Micros, until: Micros) -> Micros {
+    pub fn covered_time(&self, from: Micros, until: Micros) -> Micros {
         self.0.iter().map(|(a, b)| (*b.min(&until) - *a.max(&from)).max(0)).sum()
     }
 
@@ -91,8 +91,8 @@
 impl Truth {
     pub fn of(plan: &Plan) -> Truth {
         let mut truth = Truth {
-            forwarders: plan.of(Role::Forwarder).collect(),
-            planners: plan.of(Role::Planner).collect(),
+            forwarders: plan.with_role(Role::Forwarder).collect(),
+            planners: plan.with_role(Role::Planner).collect(),
             ..Truth::default()
         };
         let mut conditions = BTreeMap::<(usize, usize), (Micros, Condition)>::new();
@@ -160,40 +160,46 @@
 
     fn either_direction(&self, of: &BTreeMap<(usize, usize), Spans>, a: usize, b: usize) -> Spans {
         let one = |x, y| of.get(&(x, y)).cloned().unwrap_or_default();
-        one(a, b).or(&one(b, a))
+        one(a, b).union(&one(b, a))
     }
 
     /// When a forwarder certainly hears nothing from a node.
     pub fn silent(&self, node: usize, forwarder: usize) -> Spans {
-        self.away(node).or(&self.either_direction(&self.blocked, forwarder, node))
+        self.away(node).union(&self.either_direction(&self.blocked, forwarder, node))
     }
 
     /// When a forwarder may hear nothing from a node.
     pub fn maybe_silent(&self, node: usize, forwarder: usize) -> Spans {
-        self.away(node).or(&self.either_direction(&self.impaired, forwarder, node)).or(&self.away(forwarder))
+        self.away(node)
+            .union(&self.either_direction(&self.impaired, forwarder, node))
+            .union(&self.away(forwarder))
     }
 
     /// When a node is certainly silent to all forwarders.
     pub fn silent_to_all(&self, node: usize) -> Spans {
         let mut all = self.forwarders.iter().map(|f| self.silent(node, *f));
         let first = all.next().unwrap_or_default();
-        all.fold(first, |a, b| a.and(&b))
+        all.fold(first, |a, b| a.intersection(&b))
     }
 
     /// When any forwarder may hear nothing from a node.
     pub fn maybe_silent_to_any(&self, node: usize) -> Spans {
-        self.forwarders.iter().fold(Spans::default(), |all, f| all.or(&self.maybe_silent(node, *f)))
+        self.forwarders.iter().fold(Spans::default(), |all, f| all.union(&self.maybe_silent(node, *f)))
     }
 
     /// When a forwarder and a planner certainly cannot communicate, or one of them is not running.
     pub fn disconnected(&self, planner: usize, forwarder: usize) -> Spans {
         let blocked = self.either_direction(&self.blocked, planner, forwarder);
-        blocked.or(&self.away(planner)).or(&self.away(forwarder))
+        blocked.union(&self.away(planner)).union(&self.away(forwarder))
     }
 
     /// When a forwarder and a planner may be unable to communicate.
     pub fn maybe_disconnected(&self, planner: usize, forwarder: usize) -> Spans {
-        self.disconnected(planner, forwarder).or(&self.either_direction(&self.impaired, planner, forwarder))
+        self.disconnected(planner, forwarder).union(&self.either_direction(
+            &self.impaired,
+            planner,
+            forwarder,
+        ))
     }
 
     /// When a forwarder may be without contact to any planner.
@@ -201,7 +207,7 @@
         let mut all = self.planners.iter().map(|p| self.maybe_disconnected(*p, forwarder));
         match all.next() {
             None => Spans(vec![(Micros::MIN, Micros::MAX)]),
-            Some(first) => all.fold(first, |a, b| a.and(&b)),
+            Some(first) => all.fold(first, |a, b| a.intersection(&b)),
         }
     }
 
@@ -210,7 +216,7 @@
         let mut all = self.planners.iter().map(|p| self.disconnected(*p, forwarder));
         match all.next() {
             None => Spans(vec![(Micros::MIN, Micros::MAX)]),
-            Some(first) => all.fold(first, |a, b| a.and(&b)),
+            Some(first) => all.fold(first, |a, b| a.intersection(&b)),
         }
     }
 }
--- a/crates/world/src/fleet/truth/tests.rs
+++ b/crates/world/src/fleet/truth/tests.rs
@@ -41,5 +41,5 @@
     let (plan, truth) = truth(vec![kill, pause, cut]);
     assert_eq!(spans(&truth.without_planner(member_index(&plan, "f0"))), [(2.0, 4.0)]);
     assert!(truth.without_planner(member_index(&plan, "f1")).is_empty());
-    assert!(truth.away(member_index(&plan, "p0")).hold(1_000_000, Micros::MAX - 1));
+    assert!(truth.away(member_index(&plan, "p0")).covers(1_000_000, Micros::MAX - 1));
 }
