--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -16,7 +16,7 @@
 use super::stage::{End, Met};
 use super::view::{Now, Track, What};
 use history::converge::{self, Sample, View};
-use history::{finals, marks, Verdict};
+use history::{failure_detection, finals, Verdict};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use world::fleet::fault::Role;
@@ -142,11 +142,11 @@
     }
 
     fn forwarders(&self) -> Vec<usize> {
-        self.plan.of(Role::Forwarder).collect()
+        self.plan.with_role(Role::Forwarder).collect()
     }
 
     fn nodes(&self) -> Vec<usize> {
-        self.plan.of(Role::Node).collect()
+        self.plan.with_role(Role::Node).collect()
     }
 
     /// Whether a forwarder stood still, was away, or came up during this time, by its log.
@@ -202,7 +202,7 @@
         let end = self.met.last().map_or(0, |m| match m {
             Met::Asked { at, .. } | Met::Ended { at, .. } | Met::Stray { at, .. } => *at,
         });
-        match finals::judge(&events, end) {
+        match finals::check(&events, end) {
             Verdict::Held(_) => {}
             Verdict::Broken(found) => {
                 let who = |id: &u64| {
@@ -256,8 +256,8 @@
 
     /// Planners that run in the end.
     fn last_planners(&self, truth: &Truth) -> BTreeSet<&str> {
-        let there = |p: &usize| !truth.away(*p).hold(self.plan.over + 1, self.plan.over + 2);
-        self.plan.of(Role::Planner).filter(there).map(|p| self.plan.name(p)).collect()
+        let there = |p: &usize| !truth.away(*p).covers(self.plan.over + 1, self.plan.over + 2);
+        self.plan.with_role(Role::Planner).filter(there).map(|p| self.plan.name(p)).collect()
     }
 
     fn converged(&self, truth: &Truth, figures: &mut Figures, breaches: &mut Vec<Breach>) {
@@ -281,7 +281,7 @@
             until_us: self.until,
         };
         let at_s = s(self.plan.over + bound.within_us);
-        match converge::judge(&samples, &names, &bound) {
+        match converge::check(&samples, &names, &bound) {
             Verdict::Held(held) => {
                 // Views may be right and wrong again within the bound: for good is from the last change on.
                 let last = samples.iter().filter(|s| s.view.as_ref().is_some_and(|v| !v.is_empty()));
@@ -321,7 +321,7 @@
                     What::Returns(m) => (m, "taken back"),
                     _ => continue,
                 };
-                changes.push(marks::Change {
+                changes.push(failure_detection::Change {
                     at_us: c.at,
                     observer: format!("{}/{}", self.plan.name(f), c.life),
                     subject: matter.clone(),
@@ -333,7 +333,7 @@
         figures.changes = changes.len() as u64;
         for window in WINDOWS {
             let most = self.rules.max_changes(window + READ);
-            match marks::flapping(&changes, window, most) {
+            match failure_detection::flapping(&changes, window, most) {
                 Verdict::Held(busiest) if window == 10_000_000 => {
                     figures.changes_in_10_s = busiest.changes as u64;
                 }
@@ -366,12 +366,12 @@
         let forwarders = self.forwarders();
         for node in self.nodes() {
             let name = self.plan.name(node);
-            let doubtful = truth.doubtful_to_any(node);
+            let doubtful = truth.maybe_silent_to_any(node);
             // How many avoid it, from each moment on.
             let mut steps: Vec<(Micros, i64)> = Vec::new();
             for f in &forwarders {
                 for (from, until, _) in self.track(*f).map(|t| t.avoided(name)).unwrap_or_default() {
-                    if !doubtful.touch(from - LATELY, from) {
+                    if !doubtful.overlaps(from - LATELY, from) {
                         figures.wrong += 1;
                     }
                     steps.push((from, 1));
@@ -429,15 +429,15 @@
     fn kept(&self, truth: &Truth, breaches: &mut Vec<Breach>) {
         for f in self.forwarders() {
             let Some(track) = self.track(f) else { continue };
-            let unguided = truth.unguided(f);
+            let unguided = truth.maybe_without_planner(f);
             for node in self.nodes() {
                 let silent = truth.silent(node, f);
                 for (_, until, _) in track.avoided(self.plan.name(node)) {
                     let Some(at) = until else { continue };
                     let returned =
                         track.changes.iter().any(|c| c.at == at && matches!(&c.what, What::Returns(_)));
-                    let still = silent.hold(at - SILENT, at + READ);
-                    if returned && still && unguided.within(at - FADES, at) < UNGUIDED {
+                    let still = silent.covers(at - SILENT, at + READ);
+                    if returned && still && unguided.covered_time(at - FADES, at) < UNGUIDED {
                         let (who, name) = (self.plan.name(f), self.plan.name(node));
                         let what = format!("{who} goes back to {name}, which is still silent to it");
                         breaches.push(Breach { rule: Rule::Kept, at_s: s(at), what });
@@ -474,8 +474,8 @@
                     None => figures.never_avoided += 1,
                 }
                 let Some(bound) = bound.filter(|b| from + b <= until) else { continue };
-                let disturbed =
-                    self.disturbed(f, *from, from + bound) || truth.unguided(f).touch(*from, from + bound);
+                let disturbed = self.disturbed(f, *from, from + bound)
+                    || truth.maybe_without_planner(f).overlaps(*from, from + bound);
                 if !disturbed && after.is_none_or(|a| a > bound) {
                     let names: Vec<&str> = group.iter().map(|(n, _)| self.plan.name(*n)).collect();
                     let who = self.plan.name(f);
