--- a/crates/world/src/fleet/link/tests.rs
+++ b/crates/world/src/fleet/link/tests.rs
@@ -36,7 +36,8 @@
 #[case(Condition { lose: 0.3, ..Condition::default() }, |w: &Vec<Delivery>| w.is_empty())]
 #[case(Condition { duplicate: 0.3, ..Condition::default() }, |w: &Vec<Delivery>| w.len() == 2)]
 #[case(Condition { garble: 0.3, ..Condition::default() }, |w: &Vec<Delivery>| w[0].garbled.is_some_and(|at| at < LEN))]
-// A datagram after one that was held back is never held back: 0.75 / 1.75 of them are.
+// The other cases expect 0.3. Here a datagram that follows a held-back one is never held back itself,
+// so the expected fraction is 0.75 / (1 + 0.75).
 #[case(Condition { reorder: 0.75, ..Condition::default() }, |w: &Vec<Delivery>| w[0].at_us == REORDER_DELAY_US)]
 fn the_configured_fraction_of_datagrams_is_affected(
     #[case] condition: Condition,
