--- a/crates/lab/src/loopback/fleet.rs
+++ b/crates/lab/src/loopback/fleet.rs
@@ -204,7 +204,7 @@
                 }
                 if Instant::now() >= until {
                     let what = format!(
-                        "leaks descriptors: {now} are open without connections, {at_start} were open at its start"
+                        "leaks descriptors: {now} are open without connections, {at_start} at its start"
                     );
                     return Err(running.child.error(&what));
                 }
