--- a/crates/lab/src/fleet/search.rs
+++ b/crates/lab/src/fleet/search.rs
@@ -8,7 +8,7 @@
 use super::play::{play, Played, Setting};
 use crate::host::{HostError, Silent};
 use crate::loopback::children::Program;
-use crate::search::shrink::{shrink, Search, Shrink, Timed};
+use crate::search::shrink::{shrink, Search, Shrink, ShrinkableFault};
 use crate::search::token::Token;
 use world::fleet::draw::{draw, is_fair, Bounds};
 use world::fleet::fault::Fault;
@@ -124,7 +124,7 @@
     (Token { scenario: schedule, ..failure.token.clone() }, how)
 }
 
-impl Timed for Fault {
+impl ShrinkableFault for Fault {
     fn at_s(&mut self) -> &mut f64 {
         &mut self.at_s
     }
@@ -142,7 +142,7 @@
     }
 
     /// Whom it strikes is a word.
-    fn struck(&mut self) -> Option<&mut u32> {
+    fn target_count(&mut self) -> Option<&mut u32> {
         None
     }
 
@@ -155,7 +155,7 @@
     type Fault = Fault;
 
     /// A run takes its time to start and to settle, however short.
-    const SOONER: bool = false;
+    const SHORTER_RUNS_FASTER: bool = false;
 
     fn seconds(&mut self) -> &mut f64 {
         &mut self.seconds
@@ -165,15 +165,15 @@
         &mut self.faults
     }
 
-    fn is_right(&self) -> bool {
+    fn may_run(&self) -> bool {
         self.validate().is_ok() && is_fair(self)
     }
 
     /// Fewer processes. The last of them go first; a fault that names one of these keeps it.
-    fn smaller(search: &mut Search<'_, Self>) {
-        while search.with(|s| s.fleet.forwarders = (s.fleet.forwarders / 2).max(1)) {}
-        while search.with(|s| s.fleet.nodes = (s.fleet.nodes / 2).max(1)) {}
-        while search.with(|s| s.fleet.planners = s.fleet.planners.saturating_sub(1).max(1)) {}
+    fn shrink_rest(search: &mut Search<'_, Self>) {
+        while search.try_change(|s| s.fleet.forwarders = (s.fleet.forwarders / 2).max(1)) {}
+        while search.try_change(|s| s.fleet.nodes = (s.fleet.nodes / 2).max(1)) {}
+        while search.try_change(|s| s.fleet.planners = s.fleet.planners.saturating_sub(1).max(1)) {}
     }
 }
 
