--- a/crates/lab/examples/planners.rs
+++ b/crates/lab/examples/planners.rs
@@ -8,7 +8,7 @@
 use lab::experiment::paired::{interval, CONFIDENCE};
 use lab::experiment::parallel;
 use lab::input::file;
-use lab::virtual_host::planned::{Figures, Fleet, Kept};
+use lab::virtual_host::planned::{Fleet, PlanningStats, WithheldPlanParts};
 use lab::virtual_host::{run, Real};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -20,17 +20,21 @@
 const SEEDS: u64 = 6;
 const FILES: [&str; 5] = ["calm", "hang", "hall_cut", "slow_ledger", "payday"];
 
-fn pair(scenario: &Scenario, seed: u64, kept: Kept) -> Result<(Run, Run, Figures), String> {
-    let fleet = Fleet::new(scenario, PLANNERS)?.keeping(kept);
+fn pair(
+    scenario: &Scenario,
+    seed: u64,
+    kept: WithheldPlanParts,
+) -> Result<(Run, Run, PlanningStats), String> {
+    let fleet = Fleet::new(scenario, PLANNERS)?.withholding(kept);
     let with = run(scenario, seed, &fleet, &mut |_| {}).map_err(|e| e.to_string())?;
     let without = run(scenario, seed, &Real, &mut |_| {}).map_err(|e| e.to_string())?;
-    Ok((with, without, fleet.figures()))
+    Ok((with, without, fleet.stats()))
 }
 
 /// Seconds from the first fault until each proxy avoided as much as it ever did: the median, the worst.
-fn avoided(scenario: &Scenario, all: &[Figures]) -> String {
+fn avoided(scenario: &Scenario, all: &[PlanningStats]) -> String {
     let from = scenario.faults.iter().map(|f| f.at_s).fold(f64::INFINITY, f64::min);
-    let last = all.iter().flat_map(|f| f.avoided.values()).filter_map(|t| t.last());
+    let last = all.iter().flat_map(|f| f.avoided_since.values()).filter_map(|t| t.last());
     let mut times: Vec<f64> = last.map(|t| *t as f64 / 1e6 - from).collect();
     times.sort_by(f64::total_cmp);
     match (times.get(times.len() / 2), times.last()) {
@@ -39,29 +43,30 @@
     }
 }
 
-fn play(path: &Path, seeds: u64, kept: Kept) -> Result<(), String> {
+fn play(path: &Path, seeds: u64, kept: WithheldPlanParts) -> Result<(), String> {
     let mut scenario: Scenario = file::read(path).map_err(|e| e.to_string())?;
     scenario.proxies.count = PROXIES;
     let seeds: Vec<u64> = (1..=seeds).collect();
     let threads = std::num::NonZeroUsize::new(4).unwrap_or(std::num::NonZeroUsize::MIN);
     let runs = parallel::map(threads, &seeds, |_, seed| pair(&scenario, *seed, kept));
     let runs = runs.into_iter().collect::<Result<Vec<_>, _>>()?;
-    let mean =
-        |worth: &dyn Fn(&(Run, Run, Figures)) -> f64| runs.iter().map(worth).sum::<f64>() / runs.len() as f64;
+    let mean = |worth: &dyn Fn(&(Run, Run, PlanningStats)) -> f64| {
+        runs.iter().map(worth).sum::<f64>() / runs.len() as f64
+    };
     let differences: Vec<f64> = runs.iter().map(|r| r.0.served_worth() - r.1.served_worth()).collect();
     let told = interval(&differences, CONFIDENCE)
         .map_or("one pair".into(), |i| format!("{:+.4} ({:+.4} to {:+.4})", i.mean, i.low, i.high));
-    let figures: Vec<Figures> = runs.iter().map(|r| r.2.clone()).collect();
+    let stats: Vec<PlanningStats> = runs.iter().map(|r| r.2.clone()).collect();
     let each = scenario.seconds * PLANNERS as f64 * 1024.0;
     println!(
         "| {} | {:.4} | {:.4} | {told} | {} | {:.1} | {:.0} | {:.0} | {} / {} |",
         scenario.name,
         mean(&|r| r.0.served_worth()),
         mean(&|r| r.1.served_worth()),
-        avoided(&scenario, &figures),
-        mean(&|r| r.2.changes as f64) / f64::from(PROXIES),
-        mean(&|r| r.2.heard as f64) / each,
-        mean(&|r| r.2.said as f64) / each,
+        avoided(&scenario, &stats),
+        mean(&|r| r.2.mark_changes as f64) / f64::from(PROXIES),
+        mean(&|r| r.2.bytes_to_planners as f64) / each,
+        mean(&|r| r.2.bytes_from_planners as f64) / each,
         runs.iter().map(|r| r.0.breaches).sum::<u64>(),
         runs.iter().map(|r| r.1.breaches).sum::<u64>()
     );
@@ -72,7 +77,7 @@
     let (kept, words): (Vec<String>, Vec<String>) =
         std::env::args().skip(1).partition(|w| w.starts_with("without="));
     let keeps = |what: &str| kept.iter().any(|w| w == &format!("without={what}"));
-    let kept = Kept {
+    let kept = WithheldPlanParts {
         marks: keeps("marks"),
         terms: keeps("terms"),
         quotas: keeps("quotas"),
--- a/crates/lab/src/commands/output.rs
+++ b/crates/lab/src/commands/output.rs
@@ -101,7 +101,7 @@
 }
 
 impl Progress for Bar {
-    fn part(&self, done: f64) {
+    fn set_fraction(&self, done: f64) {
         self.0.set_position((done.clamp(0.0, 1.0) * WHOLE as f64) as u64);
     }
 
--- a/crates/lab/src/commands/worlds.rs
+++ b/crates/lab/src/commands/worlds.rs
@@ -6,7 +6,7 @@
 use crate::loopback::children::Program;
 use crate::loopback::Loopback;
 use crate::report::result::World;
-use crate::virtual_host::planted::{Plant, Planted};
+use crate::virtual_host::fault_injection::{FaultyProxies, ProxyFault};
 use crate::virtual_host::{Subjects, Virtual};
 use std::num::NonZeroUsize;
 use std::path::{Path, PathBuf};
@@ -32,12 +32,13 @@
 
 impl PlantName {
     fn proxies(self) -> &'static dyn Subjects {
-        static LOST_ANSWER: Planted = Planted(Plant::LosesAnswer { one_in: 100 });
-        static SECOND_RUN: Planted = Planted(Plant::RunsAgain { one_in: 20, after: 4_200_000 });
-        static LATE_SEND: Planted = Planted(Plant::SendsAfterDrain { after: 2_600_000 });
-        static COLD_FLOOD: Planted = Planted(Plant::FloodsCold);
-        static SWAPPED_ANSWER: Planted = Planted(Plant::SwapsAnswer { one_in: 100 });
-        static TWO_AT_ONCE: Planted = Planted(Plant::LosesWhileDrainedAndFailing);
+        static LOST_ANSWER: FaultyProxies = FaultyProxies(ProxyFault::LosesAnswer { one_in: 100 });
+        static SECOND_RUN: FaultyProxies =
+            FaultyProxies(ProxyFault::RunsAgain { one_in: 20, after: 4_200_000 });
+        static LATE_SEND: FaultyProxies = FaultyProxies(ProxyFault::SendsAfterDrain { after: 2_600_000 });
+        static COLD_FLOOD: FaultyProxies = FaultyProxies(ProxyFault::FloodsCold);
+        static SWAPPED_ANSWER: FaultyProxies = FaultyProxies(ProxyFault::SwapsAnswer { one_in: 100 });
+        static TWO_AT_ONCE: FaultyProxies = FaultyProxies(ProxyFault::LosesWhileDrainedAndFailing);
         match self {
             PlantName::LostAnswer => &LOST_ANSWER,
             PlantName::SecondRun => &SECOND_RUN,
--- a/crates/lab/src/experiment/batch.rs
+++ b/crates/lab/src/experiment/batch.rs
@@ -20,7 +20,7 @@
     digest: impl Fn(&Run) -> R + Sync,
     done: &(dyn Fn() + Sync),
 ) -> Result<Vec<Vec<R>>, HostError> {
-    let threads = if host.alone() { NonZeroUsize::MIN } else { threads };
+    let threads = if host.needs_exclusive_machine() { NonZeroUsize::MIN } else { threads };
     let jobs: Vec<(&Scenario, u64)> =
         variants.iter().flat_map(|variant| seeds.iter().map(move |seed| (variant, *seed))).collect();
     let played = parallel::map(threads, &jobs, |_, (scenario, seed)| {
--- a/crates/lab/src/experiment/batch/tests.rs
+++ b/crates/lab/src/experiment/batch/tests.rs
@@ -21,7 +21,7 @@
         Ok(Run { scenario: scenario.name.clone(), seed, ..Run::default() })
     }
 
-    fn alone(&self) -> bool {
+    fn needs_exclusive_machine(&self) -> bool {
         self.alone
     }
 }
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -331,7 +331,7 @@
     fn wait_until(&self, at: Micros, whole: Micros, progress: &dyn Progress) {
         loop {
             let now = self.clock.now();
-            progress.part(now as f64 / whole.max(1) as f64);
+            progress.set_fraction(now as f64 / whole.max(1) as f64);
             if now >= at {
                 return;
             }
--- a/crates/lab/src/host.rs
+++ b/crates/lab/src/host.rs
@@ -10,7 +10,7 @@
 ///
 /// A host keeps nothing between runs: one scenario and one seed give the same [`Run`] in the virtual world,
 /// whatever was played before and on whichever thread. Runs of one host may go on at the same time unless the
-/// host says that it [is alone](Host::alone).
+/// host says that it [is alone](Host::needs_exclusive_machine).
 pub trait Host: Sync {
     /// Plays `scenario` with `seed` (which stands in for the scenario's own) and tells `progress` how far it is.
     ///
@@ -21,7 +21,7 @@
     fn run(&self, scenario: &Scenario, seed: u64, progress: &dyn Progress) -> Result<Run, HostError>;
 
     /// Whether a run wants the machine to itself, as one that measures real time does.
-    fn alone(&self) -> bool {
+    fn needs_exclusive_machine(&self) -> bool {
         false
     }
 }
@@ -29,7 +29,7 @@
 /// Hears how far a run is. Called from the thread that runs, as often as the host likes.
 pub trait Progress: Sync {
     /// The part of the run that is over, from 0 to 1.
-    fn part(&self, done: f64);
+    fn set_fraction(&self, done: f64);
 
     /// What the host is about now, in a few words ("starting 3 proxies").
     fn phase(&self, _what: &str) {}
@@ -39,7 +39,7 @@
 pub struct Silent;
 
 impl Progress for Silent {
-    fn part(&self, _done: f64) {}
+    fn set_fraction(&self, _done: f64) {}
 }
 
 /// Why there is no run.
--- a/crates/lab/src/loopback/host.rs
+++ b/crates/lab/src/loopback/host.rs
@@ -78,7 +78,7 @@
         play(world, &Proxies::Program(self.program.clone()), progress).map(|played| played.run)
     }
 
-    fn alone(&self) -> bool {
+    fn needs_exclusive_machine(&self) -> bool {
         true
     }
 }
@@ -257,7 +257,7 @@
                 if let Some(fleet) = &mut fleet {
                     fleet.look()?;
                 }
-                self.progress.part((self.clock.now() as f64 / 1e6 / self.seconds).clamp(0.0, 1.0));
+                self.progress.set_fraction((self.clock.now() as f64 / 1e6 / self.seconds).clamp(0.0, 1.0));
                 if Instant::now() >= until {
                     return Err(HostError::Unplayable("the run does not come to its end".into()));
                 }
@@ -281,7 +281,7 @@
                     }
                 }
             }
-            self.progress.part(1.0);
+            self.progress.set_fraction(1.0);
             Ok(())
         };
         future::or(interrupted, play).await
--- a/crates/lab/src/virtual_host/lobby.rs
+++ b/crates/lab/src/virtual_host/downstreams.rs
@@ -68,13 +68,13 @@
 pub enum Way {
     /// It has one.
     Taken,
-    /// It waits to be accepted: [`Lobby::step`] tells when it is.
+    /// It waits to be accepted: [`Downstreams::step`] tells when it is.
     Waits,
     /// The backlog is full.
     Full,
 }
 
-pub struct Lobby {
+pub struct Downstreams {
     crowd: Crowd,
     /// Between two guests, in microseconds.
     gap: f64,
@@ -103,7 +103,7 @@
     pub counts: ConnectionCounts,
 }
 
-impl Lobby {
+impl Downstreams {
     /// For one of `proxies`, from `now` on.
     pub fn new(
         crowd: &Crowd,
@@ -119,7 +119,7 @@
             (crowd.judge == EvictionPolicy::Door).then(|| Admission::new(&Settings::default(), limits));
         let gap = f64::from(proxies) * 1e6 / crowd.connections_per_s;
         let next_guest = after(now, gap, &mut rng);
-        Lobby {
+        Downstreams {
             crowd: crowd.clone(),
             gap,
             rng,
--- a/crates/lab/src/virtual_host/engine.rs
+++ b/crates/lab/src/virtual_host/engine.rs
@@ -1,7 +1,7 @@
 //! The engine: what happens next, and to whom.
 
+use super::downstreams::{Downstreams, Way, AGAIN};
 use super::links::{Attempt, Link, Ref, Table};
-use super::lobby::{Lobby, Way, AGAIN};
 use super::queue::Queue;
 use super::site;
 use super::subject::{Start, Subject, Subjects};
@@ -58,7 +58,7 @@
     Listed(ProxyNo, u32, Option<u64>),
     Told(Box<ListUpdate>),
     /// Something happens to a proxy's connections from clients.
-    Lobby(ProxyNo, u32),
+    Downstreams(ProxyNo, u32),
     /// The sizes of the proxies' tables are taken.
     Measure,
 }
@@ -77,7 +77,7 @@
     again: bool,
     signed: Micros,
     /// Its connections from clients, where the scenario has a crowd; and when it is looked at next.
-    lobby: Option<Lobby>,
+    downstreams: Option<Downstreams>,
     looks: Micros,
 }
 
@@ -115,7 +115,7 @@
             ending: None,
             again: false,
             signed: 0,
-            lobby: None,
+            downstreams: None,
             looks: Micros::MAX,
         });
         let proxies = proxies.collect();
@@ -182,7 +182,7 @@
                 }
             }
         }
-        (0..self.proxies.len()).for_each(|i| self.close_lobby(ProxyNo(i as u32)));
+        (0..self.proxies.len()).for_each(|i| self.close_downstreams(ProxyNo(i as u32)));
         let doorway = self.world.scenario().crowd.as_ref().map(|_| self.doorway);
         Run { doorway, sizes: self.sizes, ..self.world.finish(now, Lateness::default()) }
     }
@@ -218,7 +218,7 @@
                     self.input(at, proxy, Input::Cluster(Some(list)));
                 }
             }
-            Event::Lobby(proxy, life) => {
+            Event::Downstreams(proxy, life) => {
                 let p = &mut self.proxies[proxy.0 as usize];
                 if p.life == life && p.looks <= at {
                     p.looks = Micros::MAX;
@@ -270,8 +270,10 @@
             self.end_try(hears.min(t.until), of, TryEnd::Unreached);
             return self.desk.forget(at, of);
         }
-        let Some(lobby) = self.proxies[t.proxy.0 as usize].lobby.as_mut() else { return self.taken(at, of) };
-        let way = lobby.asks(at, of);
+        let Some(downstreams) = self.proxies[t.proxy.0 as usize].downstreams.as_mut() else {
+            return self.taken(at, of);
+        };
+        let way = downstreams.asks(at, of);
         match way {
             Way::Taken => self.taken(at, of),
             Way::Waits => {}
@@ -283,20 +285,20 @@
     /// What is due at a proxy's connections from clients happens, and is looked at again in time.
     fn look_after(&mut self, at: Micros, proxy: ProxyNo) {
         let p = &mut self.proxies[proxy.0 as usize];
-        let Some(lobby) = p.lobby.as_mut() else { return };
+        let Some(downstreams) = p.downstreams.as_mut() else { return };
         let mut taken = Vec::new();
-        lobby.step(at, p.links.len(), &mut taken);
-        let (next, life) = (lobby.next(at), p.life);
+        downstreams.step(at, p.links.len(), &mut taken);
+        let (next, life) = (downstreams.next(at), p.life);
         if next < p.looks {
             p.looks = next;
-            self.queue.plan(next, Event::Lobby(proxy, life));
+            self.queue.plan(next, Event::Downstreams(proxy, life));
         }
         taken.into_iter().for_each(|of| self.taken(at, of));
     }
 
-    fn close_lobby(&mut self, proxy: ProxyNo) {
-        if let Some(lobby) = self.proxies[proxy.0 as usize].lobby.take() {
-            self.doorway.merge(&lobby.counts);
+    fn close_downstreams(&mut self, proxy: ProxyNo) {
+        if let Some(downstreams) = self.proxies[proxy.0 as usize].downstreams.take() {
+            self.doorway.merge(&downstreams.counts);
         }
     }
 
@@ -334,8 +336,8 @@
     fn closes(&mut self, at: Micros, of: TryNo) {
         let Some(t) = self.desk.get(of).copied() else { return };
         self.desk.forget(at, of);
-        if let Some(lobby) = self.proxies[t.proxy.0 as usize].lobby.as_mut() {
-            lobby.left(of);
+        if let Some(downstreams) = self.proxies[t.proxy.0 as usize].downstreams.as_mut() {
+            downstreams.left(of);
         }
         self.world.observe(at, Fact::Left { proxy: t.proxy, of });
         self.input(at, t.proxy, Input::DownstreamClosed(DownstreamId(of.0)));
@@ -351,8 +353,8 @@
             Said::Absent | Said::Failed | Said::Late | Said::DuplicateId => (Final::Failed, TryEnd::Failed),
         };
         self.world.observe(at, Fact::Answered { proxy, of, how });
-        if let Some(lobby) = self.proxies[proxy.0 as usize].lobby.as_mut() {
-            if let Some(next) = lobby.answered(at, of) {
+        if let Some(downstreams) = self.proxies[proxy.0 as usize].downstreams.as_mut() {
+            if let Some(next) = downstreams.answered(at, of) {
                 self.taken(at, next);
             }
             self.look_after(at, proxy);
@@ -377,20 +379,20 @@
             self.world
                 .observe(at, Fact::Listed { proxy, node: e.node, status: e.status, started: e.started });
         }
-        let most_connections = site::most_connections(&self.world.scenario().proxies);
+        let max_node_connections = site::max_node_connections(&self.world.scenario().proxies);
         let p = &mut self.proxies[proxy.0 as usize];
         p.life += 1;
         let seed = seed_of(self.world.seed(), "proxy", u64::from(proxy.0) | u64::from(p.life) << 32);
         let settings = p.settings.clone();
         (p.ending, p.signed) = (None, at);
         p.subject =
-            Some(self.subjects.start(Start { proxy, now: at, settings, seed, most_connections, known }));
+            Some(self.subjects.start(Start { proxy, now: at, settings, seed, max_node_connections, known }));
         let life = p.life;
         let s = self.world.scenario();
         let (crowd, n) = (s.crowd.as_ref(), u64::from(proxy.0) | u64::from(life) << 32);
         let rng = stream(self.world.seed(), "crowd", n);
-        p.lobby =
-            crowd.map(|c| Lobby::new(c, s.proxies.count, s.proxies.sockets, s.proxies.memory_mb, rng, at));
+        p.downstreams = crowd
+            .map(|c| Downstreams::new(c, s.proxies.count, s.proxies.sockets, s.proxies.memory_mb, rng, at));
         p.looks = Micros::MAX;
         self.plan_tick(at, proxy, life);
         self.look_after(at, proxy);
@@ -437,7 +439,7 @@
         }
         p.life += 1;
         p.ending = None;
-        self.close_lobby(proxy);
+        self.close_downstreams(proxy);
         let p = &mut self.proxies[proxy.0 as usize];
         let mut links: Vec<(ConnectionId, Ref)> = p.links.drain().collect();
         links.sort_unstable();
--- a/crates/lab/src/virtual_host/planted.rs
+++ b/crates/lab/src/virtual_host/fault_injection.rs
@@ -15,7 +15,7 @@
 
 /// What is wrong with a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum ProxyFault {
     /// One answer in so many never leaves it.
     LosesAnswer { one_in: u64 },
     /// One write in so many is sent to the ledger once more, this long after the first time.
@@ -41,9 +41,9 @@
 
 /// Makes every proxy of a run with this fault.
 #[derive(Clone, Copy, Debug)]
-pub struct Planted(pub Plant);
+pub struct FaultyProxies(pub ProxyFault);
 
-impl Subjects for Planted {
+impl Subjects for FaultyProxies {
     fn start(&self, start: Start) -> Box<dyn Subject> {
         let now = start.now;
         let mut planted = Box::new(Faulty {
@@ -95,7 +95,7 @@
 }
 
 struct Faulty {
-    plant: Plant,
+    plant: ProxyFault,
     inner: Box<dyn Subject>,
     /// Effects that are the fault's, or that the core had when it was made.
     own: Vec<Effect>,
@@ -126,13 +126,13 @@
                 self.drained.push(node.address);
             }
             match self.plant {
-                Plant::SendsAfterDrain { after } if phase == Phase::Draining => {
+                ProxyFault::SendsAfterDrain { after } if phase == Phase::Draining => {
                     self.plans.push(Plan { at: now + after, address: node.address, message: None });
                 }
-                Plant::FloodsCold | Plant::FetchesForCold
+                ProxyFault::FloodsCold | ProxyFault::FetchesForCold
                     if phase == Phase::Ready && node.member.started.is_some() =>
                 {
-                    let all = if self.plant == Plant::FloodsCold { FLOODED } else { FETCHED };
+                    let all = if self.plant == ProxyFault::FloodsCold { FLOODED } else { FETCHED };
                     (0..FLOOD).for_each(|_| self.dial(node.address, None, all / FLOOD));
                 }
                 _ => {}
@@ -195,7 +195,8 @@
             }
             Effect::Write { connection, job: Job::Stream { message, patience } } => {
                 self.message = Some(message.clone());
-                if let (Plant::RunsAgain { one_in, after }, true) = (self.plant, message.value.is_some()) {
+                if let (ProxyFault::RunsAgain { one_in, after }, true) = (self.plant, message.value.is_some())
+                {
                     let address = self.addresses.get(&connection).copied();
                     if let Some((address, _)) = address.filter(|_| self.each(one_in)) {
                         self.plans.push(Plan { at: now + after, address, message: Some(message.clone()) });
@@ -210,17 +211,17 @@
     /// `own` is the value that a node would have made for this request.
     fn answer(&mut self, now: Micros, answer: Answer, own: &[u8]) -> Option<Answer> {
         match (self.plant, answer) {
-            (Plant::LosesAnswer { one_in }, answer) => (!self.each(one_in)).then_some(answer),
-            (Plant::LosesWhileDrainedAndFailing, answer) => {
+            (ProxyFault::LosesAnswer { one_in }, answer) => (!self.each(one_in)).then_some(answer),
+            (ProxyFault::LosesWhileDrainedAndFailing, answer) => {
                 let both = !self.drained.is_empty() && now - self.failed < LATELY && self.failures >= MANY;
                 (!both).then_some(answer)
             }
-            (Plant::SwapsAnswer { one_in }, Answer::Value(value)) => {
+            (ProxyFault::SwapsAnswer { one_in }, Answer::Value(value)) => {
                 let before = std::mem::replace(&mut self.before, value.clone());
                 Some(Answer::Value(if self.each(one_in) && !before.is_empty() { before } else { value }))
             }
-            (Plant::InventsAnswer, Answer::Busy(_)) => Some(Answer::Value(own.to_vec())),
-            (Plant::KeepsAnswers { one_in }, Answer::Value(value)) => {
+            (ProxyFault::InventsAnswer, Answer::Busy(_)) => Some(Answer::Value(own.to_vec())),
+            (ProxyFault::KeepsAnswers { one_in }, Answer::Value(value)) => {
                 if self.each(one_in) {
                     self.kept.push(value.clone());
                 }
@@ -253,7 +254,7 @@
         match input {
             Input::Connected(c) if c.0 & OWN != 0 => self.go_on(c),
             Input::Replied(c, reply) if c.0 & OWN != 0 => {
-                let fetched = Plant::FetchesForCold == self.plant && reply.verdict == Verdict::Miss;
+                let fetched = ProxyFault::FetchesForCold == self.plant && reply.verdict == Verdict::Miss;
                 let missed = self.connections.get(&c).and_then(|c| c.sent.clone());
                 if let (Some(address), Some(message)) = (self.ledger, missed.filter(|_| fetched)) {
                     self.dial(address, Some(message), 1);
@@ -263,7 +264,7 @@
             Input::Broken(c, _) if c.0 & OWN != 0 => {
                 self.connections.remove(&c);
             }
-            Input::Cluster(Some(mut list)) if self.plant == Plant::KeepsGone => {
+            Input::Cluster(Some(mut list)) if self.plant == ProxyFault::KeepsGone => {
                 let gone = list.nodes.iter_mut().filter(|n| n.member.phase == Phase::Gone);
                 gone.for_each(|n| n.member.phase = Phase::Draining);
                 self.inner.input(now, Input::Cluster(Some(list)));
--- a/crates/lab/src/virtual_host/mod.rs
+++ b/crates/lab/src/virtual_host/mod.rs
@@ -8,11 +8,11 @@
 //! It plays the core, not the sockets: what a codec or the owner's queue does wrong is for the loopback host to
 //! find. Nor does it count the proxy's CPU.
 
+mod downstreams;
 mod engine;
+pub mod fault_injection;
 mod links;
-mod lobby;
 pub mod planned;
-pub mod planted;
 pub mod queue;
 pub mod site;
 mod subject;
@@ -51,9 +51,11 @@
 
 impl Host for Virtual<'_> {
     fn run(&self, scenario: &Scenario, seed: u64, progress: &dyn Progress) -> Result<Run, HostError> {
-        run(scenario, seed, self.subjects, &mut |part| progress.part(part.min(1.0))).map_err(|e| match e {
-            Failure::Scenario(problem) => HostError::Unplayable(problem.to_string()),
-            Failure::Crashed(what) => HostError::Crashed(what),
+        run(scenario, seed, self.subjects, &mut |part| progress.set_fraction(part.min(1.0))).map_err(|e| {
+            match e {
+                Failure::Scenario(problem) => HostError::Unplayable(problem.to_string()),
+                Failure::Crashed(what) => HostError::Crashed(what),
+            }
         })
     }
 }
--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -2,8 +2,8 @@
 //! messages between them encoded, counted and delayed.
 //!
 //! Use it to compare a scenario with planners and without. One [`Fleet`] serves one run. The way to planners is
-//! not the world's network: messages take [`WAY`], and a cut of halls (told by the scenario) loses them, as it
-//! loses those between proxies and nodes. Beside that it takes a plan of faults of a fleet ([`Fleet::struck`]), in the
+//! not the world's network: messages take [`MESSAGE_DELAY`], and a cut of halls (told by the scenario) loses them, as it
+//! loses those between proxies and nodes. Beside that it takes a plan of faults of a fleet ([`Fleet::with_faults`]), in the
 //! same words and by the same model of links as `lab fleet` has for real processes.
 
 use super::{Start, Subject, Subjects};
@@ -24,7 +24,7 @@
 use world::scenario::{FaultKind, Scenario};
 
 /// How long a message takes.
-pub const WAY: Micros = 1_000;
+pub const MESSAGE_DELAY: Micros = 1_000;
 /// A connection on which nothing comes for so long is closed, as sockets have it.
 const SILENCE: Micros = 5_000_000;
 
@@ -47,14 +47,14 @@
 
 /// What planners heard and said, and when proxies avoided what.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
+pub struct PlanningStats {
     /// Bytes of frames.
-    pub heard: u64,
-    pub said: u64,
+    pub bytes_to_planners: u64,
+    pub bytes_from_planners: u64,
     /// When each proxy first avoided so many matters, by proxy, then by how many.
-    pub avoided: BTreeMap<u32, Vec<Micros>>,
+    pub avoided_since: BTreeMap<u32, Vec<Micros>>,
     /// Marks that came or went, over all proxies.
-    pub changes: u64,
+    pub mark_changes: u64,
 }
 
 struct Hub {
@@ -74,7 +74,7 @@
     /// When planners end and start, the next one last.
     lives: Vec<(Micros, usize, bool)>,
     rules: plan::Rules,
-    figures: Figures,
+    stats: PlanningStats,
 }
 
 /// One direction of a link.
@@ -100,7 +100,7 @@
             match self.line.chunk(at, bytes, &condition, self.last) {
                 ChunkFate::Due(delivery) => {
                     self.last = delivery.at_us;
-                    return Some(self.last.saturating_add(WAY));
+                    return Some(self.last.saturating_add(MESSAGE_DELAY));
                 }
                 ChunkFate::Held => {
                     at = self.conditions.iter().map(|(from, _)| *from).find(|from| *from > at)?;
@@ -111,9 +111,9 @@
     }
 }
 
-/// What of plans is kept from the module, to see what each is worth.
+/// What of plans is withheld from the module, to see what each is worth.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct WithheldPlanParts {
     pub marks: bool,
     pub terms: bool,
     pub quotas: bool,
@@ -121,7 +121,7 @@
     pub fetches: bool,
 }
 
-impl Kept {
+impl WithheldPlanParts {
     fn from(self, plan: &mut Plan) {
         if self.marks {
             plan.key_fractions.clear();
@@ -146,7 +146,7 @@
 pub struct Fleet {
     hub: Arc<Mutex<Hub>>,
     planners: usize,
-    kept: Kept,
+    withheld: WithheldPlanParts,
 }
 
 fn lock(hub: &Mutex<Hub>) -> MutexGuard<'_, Hub> {
@@ -180,15 +180,15 @@
             ways: BTreeMap::new(),
             lives: Vec::new(),
             rules,
-            figures: Figures::default(),
+            stats: PlanningStats::default(),
         };
-        Ok(Fleet { hub: Arc::new(Mutex::new(hub)), planners, kept: Kept::default() })
+        Ok(Fleet { hub: Arc::new(Mutex::new(hub)), planners, withheld: WithheldPlanParts::default() })
     }
 
     /// The same, under the faults of a plan between planners `p0`, `p1`, … and proxies, which it calls `f0`, `f1`, …:
     /// what befalls their links, and planners that end and start again, empty. Pauses, forwarders that end, garbled
     /// bytes and nodes are left out: those are real processes' (`lab fleet`), and the scenario's.
-    pub fn struck(self, faults: &Faults, seed: u64) -> Fleet {
+    pub fn with_faults(self, faults: &Faults, seed: u64) -> Fleet {
         let mut hub = lock(&self.hub);
         let place = |member: usize, role: Role| faults.of(role).position(|m| m == member);
         for step in &faults.steps {
@@ -218,13 +218,13 @@
         self
     }
 
-    /// The same, with some of its plans kept from the module.
-    pub fn keeping(self, kept: Kept) -> Fleet {
-        Fleet { kept, ..self }
+    /// The same, with some of its plans withheld from the module.
+    pub fn withholding(self, withheld: WithheldPlanParts) -> Fleet {
+        Fleet { withheld, ..self }
     }
 
-    pub fn figures(&self) -> Figures {
-        lock(&self.hub).figures.clone()
+    pub fn stats(&self) -> PlanningStats {
+        lock(&self.hub).stats.clone()
     }
 }
 
@@ -243,12 +243,12 @@
         // All that goes has been made by these machines: it can be encoded.
         let bytes = frame::encode(&message).map_or(0, |b| b.len() as u64);
         match to {
-            To::Planner => self.figures.heard += bytes,
-            To::Forwarder => self.figures.said += bytes,
+            To::Planner => self.stats.bytes_to_planners += bytes,
+            To::Forwarder => self.stats.bytes_from_planners += bytes,
         }
         let arrives = match self.ways.get_mut(&(proxy, slot, matches!(to, To::Planner))) {
             Some(way) => way.arrives(now, bytes as usize),
-            None => Some(now + WAY),
+            None => Some(now + MESSAGE_DELAY),
         };
         if let Some(at) = arrives.filter(|_| !self.cut(now, slot, hall)) {
             self.order += 1;
@@ -348,7 +348,7 @@
     now: Micros,
     links: BTreeMap<usize, Link>,
     wishes: Vec<HostAction>,
-    kept: Kept,
+    withheld: WithheldPlanParts,
     in_force: BTreeSet<MarkTarget>,
 }
 
@@ -361,7 +361,7 @@
         debug_assert_eq!(rules(None, &s.settings).forwarders, s.settings.routers);
         let (name, known, hall) = (format!("p{}", s.proxy.0), (s.known.revision, nodes), s.settings.zone.0);
         let made = ForwarderDriver::new(s.now.max(1), settings, &name, &s.settings, known, s.seed);
-        let mut core = Core::new(s.now, s.settings, s.seed, s.most_connections, s.known);
+        let mut core = Core::new(s.now, s.settings, s.seed, s.max_node_connections, s.known);
         let Ok(forwarding) = made else { return Box::new(core) };
         (core.wants_node_events, core.wants_records) = (true, true);
         Box::new(Planned {
@@ -373,7 +373,7 @@
             now: s.now,
             links: BTreeMap::new(),
             wishes: Vec::new(),
-            kept: self.kept,
+            withheld: self.withheld,
             in_force: BTreeSet::new(),
         })
     }
@@ -430,14 +430,14 @@
                     }
                 }
                 HostAction::Plan(mut plan) => {
-                    self.kept.from(&mut plan);
+                    self.withheld.from(&mut plan);
                     self.core.input(now, Input::Plan(plan));
                 }
             }
         }
         let in_force: BTreeSet<MarkTarget> = self.forwarding.in_force().collect();
-        hub.figures.changes += in_force.symmetric_difference(&self.in_force).count() as u64;
-        let times = hub.figures.avoided.entry(self.proxy).or_default();
+        hub.stats.mark_changes += in_force.symmetric_difference(&self.in_force).count() as u64;
+        let times = hub.stats.avoided_since.entry(self.proxy).or_default();
         times.resize(times.len().max(in_force.len()), now);
         self.in_force = in_force;
     }
--- a/crates/lab/src/virtual_host/site.rs
+++ b/crates/lab/src/virtual_host/site.rs
@@ -68,7 +68,7 @@
 }
 
 /// Connections to nodes that a proxy may hold.
-pub fn most_connections(p: &Proxies) -> usize {
+pub fn max_node_connections(p: &Proxies) -> usize {
     p.sockets.saturating_sub(RESERVE) as usize * TO_NODES.0 / TO_NODES.1
 }
 
--- a/crates/lab/src/virtual_host/subject.rs
+++ b/crates/lab/src/virtual_host/subject.rs
@@ -50,7 +50,7 @@
     pub now: Micros,
     pub settings: Settings,
     pub seed: u64,
-    pub most_connections: usize,
+    pub max_node_connections: usize,
     pub known: Cluster,
 }
 
@@ -65,7 +65,7 @@
 
 impl Subjects for Real {
     fn start(&self, s: Start) -> Box<dyn Subject> {
-        Box::new(Core::new(s.now, s.settings, s.seed, s.most_connections, s.known))
+        Box::new(Core::new(s.now, s.settings, s.seed, s.max_node_connections, s.known))
     }
 }
 
--- a/crates/lab/tests/planned.rs
+++ b/crates/lab/tests/planned.rs
@@ -1,6 +1,6 @@
 //! Proxies with planners in virtual time.
 
-use lab::virtual_host::planned::{Fleet, Kept};
+use lab::virtual_host::planned::{Fleet, WithheldPlanParts};
 use lab::virtual_host::{run, Real};
 use world::fleet::schedule::Schedule;
 use world::scenario::{Fault, FaultKind, Scenario};
@@ -14,12 +14,12 @@
 #[test]
 fn telling_planners_changes_nothing_for_proxies_that_are_told_nothing() {
     let scenario = hang();
-    let all = Kept { marks: true, terms: true, quotas: true, cold: true, fetches: true };
-    let fleet = Fleet::new(&scenario, 3).expect("sound rules").keeping(all);
+    let all = WithheldPlanParts { marks: true, terms: true, quotas: true, cold: true, fetches: true };
+    let fleet = Fleet::new(&scenario, 3).expect("sound rules").withholding(all);
     let told = run(&scenario, 4, &fleet, &mut |_| {}).expect("it runs");
     let without = run(&scenario, 4, &Real, &mut |_| {}).expect("it runs");
     assert_eq!(told, without);
-    assert!(fleet.figures().heard > 0, "planners heard of all of it");
+    assert!(fleet.stats().bytes_to_planners > 0, "planners heard of all of it");
 }
 
 #[test]
@@ -28,11 +28,11 @@
     let scenario = Scenario { seconds: 18.0, ..hang() };
     let fleet = Fleet::new(&scenario, 3).expect("sound rules");
     let run = run(&scenario, 4, &fleet, &mut |_| {}).expect("it runs");
-    let figures = fleet.figures();
-    let avoided: Vec<_> = figures.avoided.values().collect();
+    let stats = fleet.stats();
+    let avoided: Vec<_> = stats.avoided_since.values().collect();
     let in_time = |times: &&Vec<i64>| times.len() == 2 && (6_000_000..8_000_000).contains(&times[1]);
     assert_eq!(avoided.iter().filter(|t| in_time(t)).count(), scenario.proxies.count as usize, "{avoided:?}");
-    assert_eq!(figures.changes, u64::from(scenario.proxies.count) * 4, "each mark comes and goes once");
+    assert_eq!(stats.mark_changes, u64::from(scenario.proxies.count) * 4, "each mark comes and goes once");
     assert_eq!(run.breaches, 0);
 }
 
@@ -44,12 +44,12 @@
         let text = format!("seconds = 16\n[fleet]\nplanners = 3\nforwarders = 3\nnodes = 9\n{faults}");
         let schedule: Schedule = toml::from_str(&text).expect("TOML");
         assert_eq!(schedule.validate(), Ok(()));
-        let fleet = Fleet::new(&scenario, 3).expect("sound rules").struck(&schedule.plan(1), 1);
+        let fleet = Fleet::new(&scenario, 3).expect("sound rules").with_faults(&schedule.plan(1), 1);
         run(&scenario, 4, &fleet, &mut |_| {}).expect("it runs");
-        fleet.figures().avoided
+        fleet.stats().avoided_since
     };
     let of =
-        |figures: &std::collections::BTreeMap<u32, Vec<i64>>, f: u32| figures.get(&f).map_or(0, Vec::len);
+        |avoided: &std::collections::BTreeMap<u32, Vec<i64>>, f: u32| avoided.get(&f).map_or(0, Vec::len);
     let cut = |from: &str, to: &str| {
         avoided(&format!(
             "[[faults]]\nkind = \"cut\"\nat_s = 5\nfor_s = 9\nfrom = \"{from}\"\nto = \"{to}\"\n"
--- a/crates/lab/tests/shows.rs
+++ b/crates/lab/tests/shows.rs
@@ -3,7 +3,7 @@
 
 use lab::input::file;
 use lab::report::run::unmet;
-use lab::virtual_host::planted::{Plant, Planted};
+use lab::virtual_host::fault_injection::{FaultyProxies, ProxyFault};
 use lab::virtual_host::{run, Real, Start, Subject, Subjects};
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -89,7 +89,7 @@
 
 #[test]
 fn a_table_that_keeps_answers_is_found() {
-    assert_eq!(grown(&soak(), &Planted(Plant::KeepsAnswers { one_in: 10 })), ["planted.kept"]);
+    assert_eq!(grown(&soak(), &FaultyProxies(ProxyFault::KeepsAnswers { one_in: 10 })), ["planted.kept"]);
 }
 
 /// Three of nine nodes are replaced every 5 s. The rows of those that left stay for ten minutes, and the times of their
@@ -102,7 +102,7 @@
         |k| Fault { at_s: 2.0 + 5.0 * f64::from(k), nodes: Some(3), every_s: Some(0.5), ..one.clone() };
     scenario.faults = (0..16).map(again).collect();
     assert_eq!(grown(&scenario, &Real), ["core.rows", "core.starts"]);
-    let found = grown(&scenario, &Planted(Plant::KeepsGone));
+    let found = grown(&scenario, &FaultyProxies(ProxyFault::KeepsGone));
     assert!(["module.servers", "pool.nodes"].iter().all(|t| found.iter().any(|f| f == t)), "{found:?}");
 }
 
--- a/crates/lab/tests/virtual_host.rs
+++ b/crates/lab/tests/virtual_host.rs
@@ -1,6 +1,6 @@
 //! The virtual host: the same run each time, a proxy that keeps the rules, and planted faults that are found.
 
-use lab::virtual_host::planted::{Plant, Planted};
+use lab::virtual_host::fault_injection::{FaultyProxies, ProxyFault};
 use lab::virtual_host::{play, run, Real, Start, Subject, Subjects};
 use martenweir::core::{Effect, Input};
 use rstest::rstest;
@@ -79,27 +79,27 @@
 }
 
 #[rstest]
-#[case::a_lost_request(Plant::LosesAnswer { one_in: 500 }, None, Rule::OneAnswer)]
-#[case::anothers_value(Plant::SwapsAnswer { one_in: 500 }, None, Rule::OneAnswer)]
+#[case::a_lost_request(ProxyFault::LosesAnswer { one_in: 500 }, None, Rule::OneAnswer)]
+#[case::anothers_value(ProxyFault::SwapsAnswer { one_in: 500 }, None, Rule::OneAnswer)]
 #[case::an_invented_value(
-    Plant::InventsAnswer,
+    ProxyFault::InventsAnswer,
     Some(Fault::new(FaultKind::StopLedger, 2.0, 3.0)),
     Rule::OneAnswer
 )]
-#[case::a_second_run(Plant::RunsAgain { one_in: 20, after: 4_200_000 }, None, Rule::RunOnce)]
+#[case::a_second_run(ProxyFault::RunsAgain { one_in: 20, after: 4_200_000 }, None, Rule::RunOnce)]
 #[case::a_send_after_a_drain(
-    Plant::SendsAfterDrain { after: 2_600_000 },
+    ProxyFault::SendsAfterDrain { after: 2_600_000 },
     Some(Fault { nodes: Some(1), down_s: Some(8.0), ..Fault::new(FaultKind::Drain, 1.0, 0.0) }),
     Rule::Drain
 )]
 #[case::a_flood_on_a_cold_node(
-    Plant::FloodsCold,
+    ProxyFault::FloodsCold,
     Some(Fault { nodes: Some(1), ..Fault::new(FaultKind::Grow, 1.0, 0.0) }),
     Rule::FailBack
 )]
-fn a_planted_fault_is_found(#[case] plant: Plant, #[case] fault: Option<Fault>, #[case] rule: Rule) {
+fn a_planted_fault_is_found(#[case] plant: ProxyFault, #[case] fault: Option<Fault>, #[case] rule: Rule) {
     let world = |fault: &Option<Fault>| fault.iter().fold(short(), |b, f| b.fault(f.clone()));
-    let run = played(world(&fault), &Planted(plant));
+    let run = played(world(&fault), &FaultyProxies(plant));
     assert!(!run.rules_broken.is_empty(), "{plant:?} was not found");
     assert!(run.rules_broken.iter().any(|b| b.rule == rule), "{:?}", run.rules_broken);
     // A flood on a cold node is too much work in too many calls.
@@ -130,7 +130,7 @@
     let bears = |s: &mut Scenario| (s.rules.fall_multiple, s.clients.rate_per_s) = (1_000.0, 60.0);
     let grow = Fault { nodes: Some(1), ..Fault::new(FaultKind::Grow, 1.0, 0.0) };
     let world = || short().with(bears).fault(grow.clone());
-    let run = played(world(), &Planted(Plant::FetchesForCold));
+    let run = played(world(), &FaultyProxies(ProxyFault::FetchesForCold));
     assert!(!run.rules_broken.is_empty() && run.rules_broken.iter().all(|b| b.rule == Rule::FailBack));
     assert!(run.tally.ledger_stops > 0);
     assert_eq!(played(world(), &Real).rules_broken, []);
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_repeat_within_the_window_runs_once() {
-    let run = played(short(), &Planted(Plant::RunsAgain { one_in: 20, after: 3_000_000 }));
+    let run = played(short(), &FaultyProxies(ProxyFault::RunsAgain { one_in: 20, after: 3_000_000 }));
     assert_eq!(run.rules_broken, [], "the ledger drops it");
 }
 
@@ -154,7 +154,7 @@
     let errors = Fault { nodes: Some(2), rate: Some(0.5), ..Fault::new(FaultKind::Errors, 2.0, 4.0) };
     let broken = |faults: &[&Fault]| {
         let world = faults.iter().fold(short(), |b, f| b.fault((*f).clone()));
-        played(world, &Planted(Plant::LosesWhileDrainedAndFailing)).breaches
+        played(world, &FaultyProxies(ProxyFault::LosesWhileDrainedAndFailing)).breaches
     };
     assert_eq!(broken(&[&drain]), 0);
     assert_eq!(broken(&[&errors]), 0);
