--- a/crates/lab/src/virtual_host/downstreams.rs
+++ b/crates/lab/src/virtual_host/downstreams.rs
@@ -1,9 +1,11 @@
-//! The connections to one proxy: those of usual clients, who keep and reuse them, and those of a crowd.
+//! The downstream connections of one proxy: those of regular clients, which keep and reuse them, and those of
+//! a crowd.
 //!
-//! It owns the backlog and what is accepted, and asks a judge who makes room: `martenweir::admission` itself, or what
-//! it is compared with. Only for scenarios with a crowd; without one a try needs no connection here. A command is
-//! read in the moment in which its connection is accepted, and closing one never crosses a command: that takes
-//! sockets.
+//! [`Downstreams`] owns the backlog and the accepted connections. An eviction policy decides which
+//! connections are closed to make room: `martenweir::admission` itself, or one of the policies that it is
+//! compared with. Used only in scenarios with a crowd; without one, a try needs no connection here.
+//! Simplifications: a command is read at the moment when its connection is accepted, and a close by the proxy
+//! never races with a command on its way. Only a host with real sockets shows such races.
 
 use martenweir::admission::{
     Activity, Admission, Budget, Limits, MemoryAction, PortKind, Settings, WaitingFor,
@@ -17,94 +19,99 @@
 use world::random::{exponential, seconds, Map, Random};
 use world::scenario::{Crowd, CrowdBehavior, EvictionPolicy};
 
-/// As the program had them before the door: how long one is quiet before it makes room, and how often that is
-/// looked at.
-const QUIET: Micros = 250_000;
-/// Its times for who says nothing, who reads nothing, and who has nothing to do.
-const SPEECHLESS: Micros = 2_000_000;
-const UNREAD: Micros = 5_000_000;
-const IDLE: Micros = 60_000_000;
-/// Of the descriptors, one in so many was ample for downstreams, as it is by the door's default.
-const AMPLE: usize = 5;
-/// A connection that found the backlog full tries again after this long (RFC 6298, 2.1).
-pub const AGAIN: Micros = 1_000_000;
-/// Where usual clients come from.
-const USUAL: IpAddr = IpAddr::V4(Ipv4Addr::new(192, 0, 2, 1));
-
-/// What a guest of the crowd does once it is accepted.
+/// `EvictionPolicy::Quiet`, the policy of the proxy before `martenweir::admission`: how long a connection
+/// must have been quiet to be evicted, and the interval of the periodic check.
+const QUIET_PERIOD: Micros = 250_000;
+/// That version's timeouts for clients that send no command, that do not read their answers, and that are
+/// idle.
+const FIRST_COMMAND_TIMEOUT: Micros = 2_000_000;
+const UNREAD_ANSWER_TIMEOUT: Micros = 5_000_000;
+const IDLE_TIMEOUT: Micros = 60_000_000;
+/// `EvictionPolicy::Quiet` evicts once downstreams hold more than one in this many of the descriptors, the
+/// same part as the default of `martenweir::admission`.
+const EVICTION_THRESHOLD_DIVISOR: usize = 5;
+/// A connection that found the backlog full is retried after this long: the initial retransmission timeout of
+/// TCP (RFC 6298, 2.1).
+pub const SYN_RETRY: Micros = 1_000_000;
+/// The address of all regular clients.
+const REGULAR_CLIENT_ADDRESS: IpAddr = IpAddr::V4(Ipv4Addr::new(192, 0, 2, 1));
+
+/// What a client of the crowd does once its connection is accepted.
 #[derive(Clone, Copy, Debug)]
-enum Does {
+enum CrowdAction {
     Nothing,
     Ping,
-    Asks,
-    HalfACommand,
-    Nonsense,
-    Resets,
+    SendCommand,
+    PartialCommand,
+    MalformedCommand,
+    Reset,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Waiting {
-    Usual(TryNo),
-    Guest { does: Does, from: IpAddr, until: Micros },
+enum Pending {
+    Regular(TryNo),
+    Crowd { action: CrowdAction, from: IpAddr, until: Micros },
 }
 
 #[derive(Clone, Copy, Debug)]
-struct One {
-    /// `None`: a guest.
-    usual: Option<Usual>,
-    shown: Activity,
-    /// Quiet since then, and when it goes by itself.
-    quiet: Option<Micros>,
-    ends: Option<Micros>,
+struct Connection {
+    /// `None` for a connection of the crowd.
+    regular: Option<Regular>,
+    activity: Activity,
+    /// Since when the connection is quiet, and when it is closed without an eviction: by its client, or by a
+    /// timeout.
+    quiet_since: Option<Micros>,
+    ends_at: Option<Micros>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Usual {
+struct Regular {
     of: Option<TryNo>,
 }
 
-/// What becomes of a try that wants a connection.
+/// The result of requesting a connection for a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// It has one.
-    Taken,
-    /// It waits to be accepted: [`Downstreams::step`] tells when it is.
-    Waits,
-    /// The backlog is full.
-    Full,
+pub enum Admittance {
+    /// The try is assigned to an idle connection.
+    Assigned,
+    /// Its new connection is in the backlog; [`Downstreams::step`] reports when it is accepted.
+    Queued,
+    /// The backlog is full; the client retries after [`SYN_RETRY`].
+    BacklogFull,
 }
 
+/// The downstream connections of one proxy process, with their backlog and eviction policy.
 pub struct Downstreams {
     crowd: Crowd,
-    /// Between two guests, in microseconds.
-    gap: f64,
+    /// Mean time between two connections of the crowd, in microseconds.
+    mean_interval: f64,
     rng: Random,
-    next_guest: Micros,
-    backlog: VecDeque<Waiting>,
-    /// Of the usual tries in the backlog, those whose clients have left.
+    next_crowd_arrival: Micros,
+    backlog: VecDeque<Pending>,
+    /// Tries in the backlog whose clients have closed their connections meanwhile.
     left: BTreeSet<TryNo>,
     waiting: BTreeSet<TryNo>,
-    open: Map<DownstreamId, One>,
-    /// Usual clients' idle connections, the last used at the end.
+    open: Map<DownstreamId, Connection>,
+    /// Idle connections of regular clients, the most recently used last.
     idle: Vec<DownstreamId>,
-    carries: Map<TryNo, DownstreamId>,
-    /// Without streams, by the time since when they are quiet.
-    quiet: BTreeSet<(Micros, DownstreamId)>,
-    ends: BTreeSet<(Micros, DownstreamId)>,
-    last: u64,
-    /// The proxy is busy with accepting until then.
-    busy: Micros,
-    sweeps: Micros,
+    connection_of: Map<TryNo, DownstreamId>,
+    /// Connections without streams, by the time since when they are quiet.
+    by_quiet_since: BTreeSet<(Micros, DownstreamId)>,
+    by_end: BTreeSet<(Micros, DownstreamId)>,
+    last_id: u64,
+    /// The proxy is busy accepting a connection until then.
+    busy_until: Micros,
+    next_check: Micros,
     budget: Budget,
-    nodes: usize,
-    ample: usize,
-    door: Option<Admission>,
-    bytes: usize,
+    node_connections: usize,
+    eviction_threshold: usize,
+    admission: Option<Admission>,
+    held_bytes: usize,
     pub counts: ConnectionCounts,
 }
 
 impl Downstreams {
-    /// For one of `proxies`, from `now` on.
+    /// Creates the connections of one of `proxies` proxies, which share the crowd evenly.
     pub fn new(
         crowd: &Crowd,
         proxies: u32,
@@ -115,133 +122,141 @@
     ) -> Self {
         let (descriptors, memory) = (sockets as usize, (memory_mb as usize) << 20);
         let limits = Limits { descriptors, memory, side_ports: 0 };
-        let door =
+        let admission =
             (crowd.judge == EvictionPolicy::Door).then(|| Admission::new(&Settings::default(), limits));
-        let gap = f64::from(proxies) * 1e6 / crowd.connections_per_s;
-        let next_guest = after(now, gap, &mut rng);
+        let mean_interval = f64::from(proxies) * 1e6 / crowd.connections_per_s;
+        let next_crowd_arrival = next_arrival(now, mean_interval, &mut rng);
         Downstreams {
             crowd: crowd.clone(),
-            gap,
+            mean_interval,
             rng,
-            next_guest,
+            next_crowd_arrival,
             backlog: VecDeque::new(),
             left: BTreeSet::new(),
             waiting: BTreeSet::new(),
             open: Map::default(),
             idle: Vec::new(),
-            carries: Map::default(),
-            quiet: BTreeSet::new(),
-            ends: BTreeSet::new(),
-            last: 0,
-            busy: now,
-            sweeps: now + QUIET,
+            connection_of: Map::default(),
+            by_quiet_since: BTreeSet::new(),
+            by_end: BTreeSet::new(),
+            last_id: 0,
+            busy_until: now,
+            next_check: now + QUIET_PERIOD,
             budget: Budget::new(descriptors, 0),
-            nodes: 0,
-            ample: descriptors / AMPLE,
-            door,
-            bytes: 0,
+            node_connections: 0,
+            eviction_threshold: descriptors / EVICTION_THRESHOLD_DIVISOR,
+            admission,
+            held_bytes: 0,
             counts: ConnectionCounts::default(),
         }
     }
 
-    /// A try wants a connection.
-    pub fn asks(&mut self, now: Micros, of: TryNo) -> Way {
+    /// Requests a connection for a try: an idle one, or else a new one by way of the backlog.
+    pub fn request_connection(&mut self, now: Micros, of: TryNo) -> Admittance {
         if let Some(id) = self.idle.pop() {
-            self.carry(now, id, of);
-            return Way::Taken;
+            self.assign(now, id, of);
+            return Admittance::Assigned;
         }
-        if !self.queue(Waiting::Usual(of)) {
-            return Way::Full;
+        if !self.enqueue(Pending::Regular(of)) {
+            return Admittance::BacklogFull;
         }
         self.waiting.insert(of);
-        Way::Waits
+        Admittance::Queued
     }
 
-    /// A try has its answer: its connection is idle, or carries the first that waits for one.
+    /// Ends the try on its connection. Returns the first waiting try, which the connection carries next;
+    /// without one the connection becomes idle.
     pub fn answered(&mut self, now: Micros, of: TryNo) -> Option<TryNo> {
-        let id = self.carries.remove(&of)?;
-        self.change(now, id, |one| {
-            one.usual = Some(Usual { of: None });
-            one.shown.waiting_for = WaitingFor::Nothing;
-            one.shown.steps += 1;
-            one.quiet = Some(now);
-            one.ends = Some(now + IDLE);
+        let id = self.connection_of.remove(&of)?;
+        self.change(now, id, |connection| {
+            connection.regular = Some(Regular { of: None });
+            connection.activity.waiting_for = WaitingFor::Nothing;
+            connection.activity.steps += 1;
+            connection.quiet_since = Some(now);
+            connection.ends_at = Some(now + IDLE_TIMEOUT);
         });
-        let next =
-            self.backlog.iter().position(|w| matches!(w, Waiting::Usual(of) if !self.left.contains(of)));
-        if let Some(Waiting::Usual(next)) = next.and_then(|place| self.backlog.remove(place)) {
+        let next = self
+            .backlog
+            .iter()
+            .position(|pending| matches!(pending, Pending::Regular(of) if !self.left.contains(of)));
+        if let Some(Pending::Regular(next)) = next.and_then(|place| self.backlog.remove(place)) {
             self.waiting.remove(&next);
-            self.carry(now, id, next);
+            self.assign(now, id, next);
             return Some(next);
         }
         self.idle.push(id);
         None
     }
 
-    /// The client of a try has closed its connection, or will have by the time it is accepted.
+    /// Handles a client that closes the connection of a try; one that is still in the backlog is found closed
+    /// when it is accepted.
     pub fn left(&mut self, of: TryNo) {
         if self.waiting.contains(&of) {
             self.left.insert(of);
         }
-        if let Some(id) = self.carries.remove(&of) {
+        if let Some(id) = self.connection_of.remove(&of) {
             self.remove(id);
-            if let Some(door) = &mut self.door {
-                door.left(id);
+            if let Some(admission) = &mut self.admission {
+                admission.left(id);
             }
         }
     }
 
-    /// When there may be something to do.
+    /// When [`Self::step`] is to be called next; there may be nothing to do by then.
     pub fn next(&self, now: Micros) -> Micros {
-        let ends = self.ends.first().map_or(Micros::MAX, |(at, _)| *at);
+        let next_end = self.by_end.first().map_or(Micros::MAX, |(at, _)| *at);
         let accepts = match self.backlog.is_empty() || !self.has_room() {
             true => Micros::MAX,
-            false => self.busy,
+            false => self.busy_until,
         };
-        let judge = match &self.door {
-            Some(door) => door.next_deadline(now).unwrap_or(Micros::MAX),
-            None => self.sweeps,
+        let policy = match &self.admission {
+            Some(admission) => admission.next_deadline(now).unwrap_or(Micros::MAX),
+            None => self.next_check,
         };
-        self.next_guest.min(ends).min(accepts).min(judge).max(now + 1)
+        self.next_crowd_arrival.min(next_end).min(accepts).min(policy).max(now + 1)
     }
 
-    /// All that happens by now, with so many connections to nodes. Tries that have got a connection are told.
-    pub fn step(&mut self, now: Micros, nodes: usize, taken: &mut Vec<TryNo>) {
-        self.nodes = nodes;
-        while self.next_guest <= now {
-            let at = self.next_guest;
-            self.next_guest = after(at, self.gap, &mut self.rng);
-            let guest = self.guest(at);
-            self.queue(guest);
+    /// Carries out all that is due by `now`, while the proxy has `nodes` connections to nodes. Tries whose
+    /// connections are accepted are appended to `taken`.
+    pub fn step(&mut self, now: Micros, node_connections: usize, taken: &mut Vec<TryNo>) {
+        self.node_connections = node_connections;
+        while self.next_crowd_arrival <= now {
+            let at = self.next_crowd_arrival;
+            self.next_crowd_arrival = next_arrival(at, self.mean_interval, &mut self.rng);
+            let connection = self.draw_crowd_connection(at);
+            self.enqueue(connection);
         }
-        while let Some((_, id)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
+        while let Some((_, id)) = self.by_end.first().copied().filter(|(at, _)| *at <= now) {
             self.remove(id);
-            if let Some(door) = &mut self.door {
-                door.left(id);
+            if let Some(admission) = &mut self.admission {
+                admission.left(id);
             }
         }
-        self.make_room(now, false);
-        while self.busy <= now && self.has_room() {
+        self.evict(now, false);
+        while self.busy_until <= now && self.has_room() {
             let Some(waiting) = self.backlog.pop_front() else { break };
-            self.busy = now + (self.crowd.accept_us as Micros).max(1);
+            self.busy_until = now + (self.crowd.accept_us as Micros).max(1);
             self.accept(now, waiting, taken);
-            self.make_room(now, true);
+            self.evict(now, true);
         }
     }
 
     // ---- connections
 
-    fn most(&self) -> usize {
-        self.door.as_ref().map_or(self.budget.downstream_limit(self.nodes), |door| door.limit(PortKind::Main))
+    fn max_open(&self) -> usize {
+        self.admission.as_ref().map_or(self.budget.downstream_limit(self.node_connections), |admission| {
+            admission.limit(PortKind::Main)
+        })
     }
 
-    /// For the proxy, and for the front before it.
+    /// Whether one more connection fits: under the proxy's limit, and under that of the load balancer before
+    /// it.
     fn has_room(&self) -> bool {
         let front = if self.crowd.connections == 0 { usize::MAX } else { self.crowd.connections as usize };
-        self.open.len() < self.most().min(front)
+        self.open.len() < self.max_open().min(front)
     }
 
-    fn queue(&mut self, waiting: Waiting) -> bool {
+    fn enqueue(&mut self, waiting: Pending) -> bool {
         let room = self.backlog.len() < self.crowd.backlog as usize;
         match room {
             true => self.backlog.push_back(waiting),
@@ -250,205 +265,221 @@
         room
     }
 
-    /// One more of the crowd.
-    fn guest(&mut self, at: Micros) -> Waiting {
+    /// Draws the next connection of the crowd.
+    fn draw_crowd_connection(&mut self, at: Micros) -> Pending {
         let n = self.rng_below(6);
-        let does = match self.crowd.manner {
-            CrowdBehavior::Silent => Does::Nothing,
-            CrowdBehavior::Ping => Does::Ping,
-            CrowdBehavior::Mixed => [Does::Nothing, Does::Ping][n as usize % 2],
-            CrowdBehavior::SlowReader => Does::Asks,
-            CrowdBehavior::Rude => [Does::HalfACommand, Does::Nonsense, Does::Resets][n as usize % 3],
+        let action = match self.crowd.manner {
+            CrowdBehavior::Silent => CrowdAction::Nothing,
+            CrowdBehavior::Ping => CrowdAction::Ping,
+            CrowdBehavior::Mixed => [CrowdAction::Nothing, CrowdAction::Ping][n as usize % 2],
+            CrowdBehavior::SlowReader => CrowdAction::SendCommand,
+            CrowdBehavior::Rude => {
+                [CrowdAction::PartialCommand, CrowdAction::MalformedCommand, CrowdAction::Reset]
+                    [n as usize % 3]
+            }
         };
         let from = match self.crowd.sources {
-            0 => USUAL,
+            0 => REGULAR_CLIENT_ADDRESS,
             sources => {
                 let [_, a, b, c] = self.rng_below(sources).to_be_bytes();
                 IpAddr::V4(Ipv4Addr::new(10u8.wrapping_add(a), b, c, 1))
             }
         };
-        Waiting::Guest { does, from, until: at + seconds(self.crowd.hold_s) }
+        Pending::Crowd { action, from, until: at + seconds(self.crowd.hold_s) }
     }
 
     fn rng_below(&mut self, n: u32) -> u32 {
         (world::random::within([0.0, f64::from(n)], &mut self.rng) as u32).min(n.saturating_sub(1))
     }
 
-    fn accept(&mut self, now: Micros, waiting: Waiting, taken: &mut Vec<TryNo>) {
-        self.last += 1;
-        let id = DownstreamId(self.last);
+    fn accept(&mut self, now: Micros, waiting: Pending, taken: &mut Vec<TryNo>) {
+        self.last_id += 1;
+        let id = DownstreamId(self.last_id);
         let from = match waiting {
-            Waiting::Usual(_) => USUAL,
-            Waiting::Guest { from, .. } => from,
+            Pending::Regular(_) => REGULAR_CLIENT_ADDRESS,
+            Pending::Crowd { from, .. } => from,
         };
-        if let Some(door) = &mut self.door {
-            door.accepted(now, id, PortKind::Main, from, WaitingFor::Command);
+        if let Some(admission) = &mut self.admission {
+            admission.accepted(now, id, PortKind::Main, from, WaitingFor::Command);
         }
-        let one = One { usual: None, shown: Activity::default(), quiet: None, ends: None };
-        self.open.insert(id, one);
+        let connection =
+            Connection { regular: None, activity: Activity::default(), quiet_since: None, ends_at: None };
+        self.open.insert(id, connection);
         match waiting {
-            Waiting::Usual(of) => {
+            Pending::Regular(of) => {
                 self.counts.usual += 1;
                 self.waiting.remove(&of);
                 if self.left.remove(&of) {
-                    return self.leaves(id);
+                    return self.client_closed(id);
                 }
-                self.carry(now, id, of);
+                self.assign(now, id, of);
                 taken.push(of);
             }
-            Waiting::Guest { does, until, .. } => {
+            Pending::Crowd { action, until, .. } => {
                 self.counts.crowd += 1;
-                if matches!(does, Does::Resets) || until <= now {
-                    return self.leaves(id);
+                if matches!(action, CrowdAction::Reset) || until <= now {
+                    return self.client_closed(id);
                 }
-                self.acts(now, id, does, until);
+                self.start_crowd_action(now, id, action, until);
             }
         }
     }
 
-    fn acts(&mut self, now: Micros, id: DownstreamId, does: Does, until: Micros) {
-        let bytes = self.crowd.bytes as usize;
+    fn start_crowd_action(&mut self, now: Micros, id: DownstreamId, action: CrowdAction, until: Micros) {
+        let crowd_bytes = self.crowd.bytes as usize;
         let first = Activity::default();
-        let (shown, limit) = match does {
-            Does::Nothing | Does::Resets => (first, SPEECHLESS),
-            Does::Ping => {
-                (Activity { waiting_for: WaitingFor::Nothing, steps: 2, local_replies: 1, ..first }, IDLE)
-            }
-            Does::Asks => (
-                Activity { waiting_for: WaitingFor::Peer, steps: 1, streams: 1, held_bytes: bytes, ..first },
-                UNREAD,
+        let (activity, limit) = match action {
+            CrowdAction::Nothing | CrowdAction::Reset => (first, FIRST_COMMAND_TIMEOUT),
+            CrowdAction::Ping => (
+                Activity { waiting_for: WaitingFor::Nothing, steps: 2, local_replies: 1, ..first },
+                IDLE_TIMEOUT,
             ),
-            Does::HalfACommand => (Activity { partial_bytes: 20, held_bytes: 20, ..first }, SPEECHLESS),
-            Does::Nonsense => {
-                (Activity { waiting_for: WaitingFor::Close, steps: 1, malformed: true, ..first }, SPEECHLESS)
+            CrowdAction::SendCommand => (
+                Activity {
+                    waiting_for: WaitingFor::Peer,
+                    steps: 1,
+                    streams: 1,
+                    held_bytes: crowd_bytes,
+                    ..first
+                },
+                UNREAD_ANSWER_TIMEOUT,
+            ),
+            CrowdAction::PartialCommand => {
+                (Activity { partial_bytes: 20, held_bytes: 20, ..first }, FIRST_COMMAND_TIMEOUT)
             }
+            CrowdAction::MalformedCommand => (
+                Activity { waiting_for: WaitingFor::Close, steps: 1, malformed: true, ..first },
+                FIRST_COMMAND_TIMEOUT,
+            ),
         };
-        // The door has times of its own.
-        let until = if self.door.is_some() { until } else { until.min(now + limit) };
-        self.change(now, id, |one| {
-            one.shown = shown;
-            one.quiet = Some(now).filter(|_| shown.waiting_for != WaitingFor::Peer);
-            one.ends = Some(until);
+        // The admission module applies its own timeouts.
+        let until = if self.admission.is_some() { until } else { until.min(now + limit) };
+        self.change(now, id, |connection| {
+            connection.activity = activity;
+            connection.quiet_since = Some(now).filter(|_| activity.waiting_for != WaitingFor::Peer);
+            connection.ends_at = Some(until);
         });
     }
 
-    fn carry(&mut self, now: Micros, id: DownstreamId, of: TryNo) {
-        self.carries.insert(of, id);
-        self.change(now, id, |one| {
-            one.usual = Some(Usual { of: Some(of) });
-            one.shown.waiting_for = WaitingFor::Answer;
-            one.shown.steps += 1;
-            one.shown.streams += 1;
-            (one.quiet, one.ends) = (None, None);
+    fn assign(&mut self, now: Micros, id: DownstreamId, of: TryNo) {
+        self.connection_of.insert(of, id);
+        self.change(now, id, |connection| {
+            connection.regular = Some(Regular { of: Some(of) });
+            connection.activity.waiting_for = WaitingFor::Answer;
+            connection.activity.steps += 1;
+            connection.activity.streams += 1;
+            (connection.quiet_since, connection.ends_at) = (None, None);
         });
     }
 
-    /// The one place where what is known of a connection changes.
-    fn change(&mut self, now: Micros, id: DownstreamId, change: impl FnOnce(&mut One)) {
-        let Some(one) = self.open.get_mut(&id) else { return };
-        let before = *one;
-        change(one);
-        let one = *one;
-        self.forget(id, &before);
-        self.quiet.extend(one.quiet.map(|at| (at, id)));
-        self.ends.extend(one.ends.map(|at| (at, id)));
-        self.bytes += one.shown.held_bytes;
-        self.counts.most_bytes = self.counts.most_bytes.max(self.bytes as u64);
-        if let Some(door) = &mut self.door {
-            door.update(now, id, one.shown);
+    /// Changes the state of a connection and updates all indexes. No other code changes that state.
+    fn change(&mut self, now: Micros, id: DownstreamId, change: impl FnOnce(&mut Connection)) {
+        let Some(connection) = self.open.get_mut(&id) else { return };
+        let before = *connection;
+        change(connection);
+        let connection = *connection;
+        self.unindex(id, &before);
+        self.by_quiet_since.extend(connection.quiet_since.map(|at| (at, id)));
+        self.by_end.extend(connection.ends_at.map(|at| (at, id)));
+        self.held_bytes += connection.activity.held_bytes;
+        self.counts.most_bytes = self.counts.most_bytes.max(self.held_bytes as u64);
+        if let Some(admission) = &mut self.admission {
+            admission.update(now, id, connection.activity);
         }
     }
 
-    fn forget(&mut self, id: DownstreamId, one: &One) {
-        if let Some(at) = one.quiet {
-            self.quiet.remove(&(at, id));
+    fn unindex(&mut self, id: DownstreamId, connection: &Connection) {
+        if let Some(at) = connection.quiet_since {
+            self.by_quiet_since.remove(&(at, id));
         }
-        if let Some(at) = one.ends {
-            self.ends.remove(&(at, id));
+        if let Some(at) = connection.ends_at {
+            self.by_end.remove(&(at, id));
         }
-        self.bytes -= one.shown.held_bytes;
+        self.held_bytes -= connection.activity.held_bytes;
     }
 
-    /// The one place where a connection is given back.
-    fn remove(&mut self, id: DownstreamId) -> Option<One> {
-        let one = self.open.remove(&id)?;
-        self.forget(id, &one);
-        match one.usual {
-            Some(Usual { of: Some(of) }) => drop(self.carries.remove(&of)),
-            Some(Usual { of: None }) => self.idle.retain(|idle| *idle != id),
+    /// Removes a connection from all indexes. No other code removes one.
+    fn remove(&mut self, id: DownstreamId) -> Option<Connection> {
+        let connection = self.open.remove(&id)?;
+        self.unindex(id, &connection);
+        match connection.regular {
+            Some(Regular { of: Some(of) }) => drop(self.connection_of.remove(&of)),
+            Some(Regular { of: None }) => self.idle.retain(|idle| *idle != id),
             None => {}
         }
-        Some(one)
+        Some(connection)
     }
 
-    /// It has closed by itself.
-    fn leaves(&mut self, id: DownstreamId) {
+    /// Handles a connection that its client closes.
+    fn client_closed(&mut self, id: DownstreamId) {
         self.remove(id);
-        if let Some(door) = &mut self.door {
-            door.left(id);
+        if let Some(admission) = &mut self.admission {
+            admission.left(id);
         }
     }
 
-    /// The proxy closes one.
+    /// Closes a connection on the proxy's side.
     fn close(&mut self, id: DownstreamId) {
-        if self.remove(id).is_some_and(|one| one.usual.is_some()) {
+        if self.remove(id).is_some_and(|connection| connection.regular.is_some()) {
             self.counts.usual_closed += 1;
         }
     }
 
-    // ---- the judges
+    // ---- eviction policies
 
-    fn make_room(&mut self, now: Micros, accepted: bool) {
+    fn evict(&mut self, now: Micros, accepted: bool) {
         match self.crowd.judge {
             EvictionPolicy::Off => {}
-            EvictionPolicy::Quiet => self.close_quiet(now, accepted),
-            EvictionPolicy::Door => self.keep_door(now),
+            EvictionPolicy::Quiet => self.evict_quiet(now, accepted),
+            EvictionPolicy::Door => self.run_admission(now),
         }
-        if now >= self.sweeps {
-            self.sweeps = now + QUIET;
+        if now >= self.next_check {
+            self.next_check = now + QUIET_PERIOD;
         }
     }
 
-    /// One for each that is accepted, however short it has been quiet if none more fits; all that are too many
-    /// when it is time to look.
-    fn close_quiet(&mut self, now: Micros, accepted: bool) {
-        let over = self.open.len().saturating_sub(self.ample);
-        let most = if now >= self.sweeps { over } else { over.min(usize::from(accepted)) };
-        let room = self.open.len() < self.most();
-        for _ in 0..most {
-            let quiet = if room { QUIET } else { 0 };
-            let first = self.quiet.first().copied().filter(|(since, _)| now - since >= quiet);
+    /// Evicts down to the threshold at a periodic check, and otherwise at most one connection per accepted
+    /// one. While one more connection fits, only connections that have been quiet for [`QUIET_PERIOD`] are
+    /// evicted.
+    fn evict_quiet(&mut self, now: Micros, accepted: bool) {
+        let over = self.open.len().saturating_sub(self.eviction_threshold);
+        let count = if now >= self.next_check { over } else { over.min(usize::from(accepted)) };
+        let room = self.open.len() < self.max_open();
+        for _ in 0..count {
+            let min_quiet = if room { QUIET_PERIOD } else { 0 };
+            let first = self.by_quiet_since.first().copied().filter(|(since, _)| now - since >= min_quiet);
             let Some((_, id)) = first else { return };
             self.close(id);
         }
     }
 
-    /// As the proxy's owner does it.
-    fn keep_door(&mut self, now: Micros) {
-        let Some(mut door) = self.door.take() else { return };
-        door.set_node_connections(self.nodes);
-        while let Some((id, why)) = door.next_timeout(now) {
-            door.closed(id, why);
+    /// Applies the timeouts, evictions and memory actions of `martenweir::admission`, as the proxy's owner
+    /// task does.
+    fn run_admission(&mut self, now: Micros) {
+        let Some(mut admission) = self.admission.take() else { return };
+        admission.set_node_connections(self.node_connections);
+        while let Some((id, why)) = admission.next_timeout(now) {
+            admission.closed(id, why);
             self.close(id);
         }
-        while let Some((id, why)) = door.next_eviction(now, false) {
-            door.closed(id, why);
+        while let Some((id, why)) = admission.next_eviction(now, false) {
+            admission.closed(id, why);
             self.close(id);
         }
-        while let Some(feed) = door.next_memory_action() {
-            if let MemoryAction::Close(id) = feed {
-                door.closed(id, martenweir::admission::CloseReason::Bytes);
+        while let Some(memory_action) = admission.next_memory_action() {
+            if let MemoryAction::Close(id) = memory_action {
+                admission.closed(id, martenweir::admission::CloseReason::Bytes);
                 self.close(id);
             }
         }
-        self.door = Some(door);
+        self.admission = Some(admission);
     }
 }
 
-/// When the next guest comes (a Poisson process).
-fn after(now: Micros, gap: f64, rng: &mut Random) -> Micros {
-    match gap.is_finite() {
-        true => now.saturating_add((gap * exponential(rng)) as Micros),
+/// When the next connection of the crowd arrives (a Poisson process).
+fn next_arrival(now: Micros, mean_interval: f64, rng: &mut Random) -> Micros {
+    match mean_interval.is_finite() {
+        true => now.saturating_add((mean_interval * exponential(rng)) as Micros),
         false => Micros::MAX,
     }
 }
--- a/crates/lab/src/virtual_host/links.rs
+++ b/crates/lab/src/virtual_host/links.rs
@@ -1,115 +1,129 @@
-//! Connections between proxies and nodes, and the attempts on them: tables whose places are used again, and whose
-//! numbers are not, so that what is on its way to one that is gone finds nothing.
+//! Tables of the connections between proxies and nodes and of the attempts on them. Slots are reused, but
+//! handles are not: an event for an entry that was removed finds nothing.
 
 use martenweir::core::ConnectionId;
 use martenweir::interface::Micros;
 use world::facts::{NodeNo, ProxyNo, TryNo};
 use world::node::NodeRequest;
 
-/// A number in a table: a place, and how often it was used.
+/// A handle of an entry: the index of its slot, and the generation, which counts how often the slot was
+/// reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ref(u64);
+pub struct Handle(u64);
 
-impl Ref {
+impl Handle {
     pub fn number(self) -> u64 {
         self.0
     }
 
     pub fn from(number: u64) -> Self {
-        Ref(number)
+        Handle(number)
     }
 
-    fn new(place: usize, used: u32) -> Self {
-        Ref(place as u64 | u64::from(used) << 32)
+    fn new(index: usize, generation: u32) -> Self {
+        Handle(index as u64 | u64::from(generation) << 32)
     }
 
-    fn place(self) -> usize {
+    fn index(self) -> usize {
         (self.0 & 0xffff_ffff) as usize
     }
 
-    fn used(self) -> u32 {
+    fn generation(self) -> u32 {
         (self.0 >> 32) as u32
     }
 }
 
-/// Things by numbers that are never used twice (up to 2^32 times a place).
+/// A table whose handles are unique until a slot has been reused 2^32 times.
 #[derive(Debug)]
-pub struct Table<T> {
-    places: Vec<(u32, Option<T>)>,
+pub struct SlotTable<T> {
+    slots: Vec<(u32, Option<T>)>,
     free: Vec<usize>,
 }
 
-impl<T> Table<T> {
+impl<T> SlotTable<T> {
     pub fn new() -> Self {
-        Table { places: Vec::new(), free: Vec::new() }
+        SlotTable { slots: Vec::new(), free: Vec::new() }
     }
 
-    pub fn insert(&mut self, thing: T) -> Ref {
-        let place = self.free.pop().unwrap_or_else(|| {
-            self.places.push((0, None));
-            self.places.len() - 1
+    pub fn insert(&mut self, entry: T) -> Handle {
+        let index = self.free.pop().unwrap_or_else(|| {
+            self.slots.push((0, None));
+            self.slots.len() - 1
         });
-        let (used, slot) = &mut self.places[place];
-        *slot = Some(thing);
-        Ref::new(place, *used)
+        let (generation, slot) = &mut self.slots[index];
+        *slot = Some(entry);
+        Handle::new(index, *generation)
     }
 
-    pub fn get(&self, r: Ref) -> Option<&T> {
-        self.places.get(r.place()).filter(|(used, _)| *used == r.used())?.1.as_ref()
+    pub fn get(&self, handle: Handle) -> Option<&T> {
+        self.slots
+            .get(handle.index())
+            .filter(|(generation, _)| *generation == handle.generation())?
+            .1
+            .as_ref()
     }
 
-    pub fn get_mut(&mut self, r: Ref) -> Option<&mut T> {
-        self.places.get_mut(r.place()).filter(|(used, _)| *used == r.used())?.1.as_mut()
+    pub fn get_mut(&mut self, handle: Handle) -> Option<&mut T> {
+        self.slots
+            .get_mut(handle.index())
+            .filter(|(generation, _)| *generation == handle.generation())?
+            .1
+            .as_mut()
     }
 
-    pub fn remove(&mut self, r: Ref) -> Option<T> {
-        let (used, slot) = self.places.get_mut(r.place()).filter(|(used, _)| *used == r.used())?;
-        let thing = slot.take()?;
-        *used = used.wrapping_add(1);
-        self.free.push(r.place());
-        Some(thing)
+    pub fn remove(&mut self, handle: Handle) -> Option<T> {
+        let (generation, slot) = self
+            .slots
+            .get_mut(handle.index())
+            .filter(|(generation, _)| *generation == handle.generation())?;
+        let entry = slot.take()?;
+        *generation = generation.wrapping_add(1);
+        self.free.push(handle.index());
+        Some(entry)
     }
 
-    /// All of a kind, in the order of their places.
-    pub fn which(&self, wanted: impl Fn(&T) -> bool) -> Vec<Ref> {
-        let with = |(i, (used, slot)): (usize, &(u32, Option<T>))| {
-            slot.as_ref().filter(|t| wanted(t)).map(|_| Ref::new(i, *used))
+    /// Returns the handles of all matching entries, in the order of their slots.
+    pub fn find_all(&self, matches: impl Fn(&T) -> bool) -> Vec<Handle> {
+        let matching = |(i, (generation, slot)): (usize, &(u32, Option<T>))| {
+            slot.as_ref().filter(|t| matches(t)).map(|_| Handle::new(i, *generation))
         };
-        self.places.iter().enumerate().filter_map(with).collect()
+        self.slots.iter().enumerate().filter_map(matching).collect()
     }
 
     #[cfg(test)]
     pub fn len(&self) -> usize {
-        self.places.len() - self.free.len()
+        self.slots.len() - self.free.len()
     }
 }
 
-/// A connection, as both of its ends see it.
+/// A connection, with the state at both of its ends.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
     pub proxy: ProxyNo,
     pub connection: ConnectionId,
     pub node: NodeNo,
-    /// The proxy has it open; and the node had accepted it.
+    /// Whether the proxy holds it open.
     pub open: bool,
+    /// Whether the node has accepted it.
     pub accepted: bool,
-    /// Something on it was lost on the way: it stays silent until it is broken.
+    /// Whether a message on it was lost. It then carries nothing more, until it breaks when the cut is over.
     pub lost: bool,
-    /// The node's end is gone, and the proxy will hear of it.
+    /// Whether the node's end is gone, which the proxy will detect.
     pub broken: bool,
-    pub attempt: Option<Ref>,
-    /// Nothing overtakes on a connection: when the last message out, and the last one in, arrives.
+    pub attempt: Option<Handle>,
+    /// When the last message from the proxy and the last one to it arrive: messages on a connection stay in
+    /// order.
     pub out_at: Micros,
     pub in_at: Micros,
 }
 
-/// An attempt, or a probe, that was written.
+/// An attempt or a probe that a proxy has written.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
-    pub link: Ref,
+    pub link: Handle,
     /// `None` for a probe.
     pub of: Option<TryNo>,
-    pub ask: NodeRequest,
+    pub node_request: NodeRequest,
     pub after: Option<NodeNo>,
 }
 
--- a/crates/lab/src/virtual_host/links/tests.rs
+++ b/crates/lab/src/virtual_host/links/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 #[test]
-fn a_number_that_was_given_back_finds_nothing() {
-    let mut t = Table::new();
+fn a_removed_handle_finds_nothing_after_its_slot_is_reused() {
+    let mut t = SlotTable::new();
     let a = t.insert('a');
     assert_eq!(t.remove(a), Some('a'));
     let b = t.insert('b');
--- a/crates/lab/src/virtual_host/mod.rs
+++ b/crates/lab/src/virtual_host/mod.rs
@@ -1,12 +1,12 @@
 //! The virtual host: plays a scenario in virtual time, with the proxy's own core.
 //!
-//! A discrete-event engine. It owns the proxies' processes, the connections between them and the nodes, and
-//! everything that is on its way; what happens at the ends belongs to [`world::world::World`] and to the core. One
-//! run is one thread and depends on nothing but the scenario, the seed and the program: the same two give the same
-//! [`Run`] to the byte, on any machine.
+//! A discrete-event engine owns the proxies' processes, the connections between them and the nodes, and all
+//! messages in transit. The clients' and nodes' behaviour belongs to [`world::world::World`], that of the
+//! proxies to the core. A run uses one thread and depends only on the scenario, the seed and the program: the
+//! same scenario and seed give the same [`Run`] to the byte, on any machine.
 //!
-//! It plays the core, not the sockets: what a codec or the owner's queue does wrong is for the loopback host to
-//! find. Nor does it count the proxy's CPU.
+//! It runs the core without sockets, so faults of a codec or of the owner task's queue are found by the
+//! loopback host only. The proxy's CPU time is not modelled either.
 
 mod downstreams;
 mod engine;
@@ -27,7 +27,7 @@
 use world::scenario::{Problem, Scenario};
 use world::world::World;
 
-/// Why there is no result.
+/// Why a run gave no result.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
     #[error(transparent)]
@@ -37,12 +37,12 @@
     Crashed(String),
 }
 
-/// The virtual world as a place to play in.
+/// The host that plays scenarios in virtual time.
 pub struct Virtual<'a> {
     pub subjects: &'a dyn Subjects,
 }
 
-/// With the proxy as it is.
+/// Plays with the unmodified proxy core.
 impl Default for Virtual<'_> {
     fn default() -> Self {
         Virtual { subjects: &Real }
@@ -60,8 +60,8 @@
     }
 }
 
-/// Plays a scenario with this seed and these proxies. `progress` hears now and then which part of the time has
-/// been played.
+/// Plays a scenario with this seed and these proxies. `progress` is called now and then with the fraction of
+/// the scenario's time that has passed.
 pub fn run(
     scenario: &Scenario,
     seed: u64,
@@ -71,16 +71,15 @@
     play(World::new(scenario, seed, 0)?, subjects, progress)
 }
 
-/// Plays a world made by [`World::builder`], with its scripted peers.
+/// Plays a world made by [`World::builder`], with its scripted nodes.
 ///
 /// ```
 /// use lab::virtual_host::{play, Real};
 /// use world::node::{Answer, Script, Step};
 /// use world::world::World;
 ///
-/// // One proxy, one node that answers all with errors: only the few reads are served that the proxy fetches past
-/// // it, and no rule is broken.
-/// let world = World::builder()
+/// // One proxy and one node that answers every request with an error: only the few reads that the proxy
+/// sends to // the origin instead are served, and no rule is broken. let world = World::builder()
 ///     .seconds(2.0)
 ///     .proxies(1)
 ///     .nodes("full-node", 1, |_| {})
@@ -97,6 +96,6 @@
     catch_unwind(AssertUnwindSafe(|| Engine::new(world, subjects).run(progress))).map_err(|panic| {
         let text = panic.downcast_ref::<String>().cloned();
         let text = text.or_else(|| panic.downcast_ref::<&str>().map(|t| (*t).to_owned()));
-        Failure::Crashed(text.unwrap_or_else(|| "no reason given".into()))
+        Failure::Crashed(text.unwrap_or_else(|| "the panic has no message".into()))
     })
 }
--- a/crates/lab/src/virtual_host/queue.rs
+++ b/crates/lab/src/virtual_host/queue.rs
@@ -1,21 +1,22 @@
-//! What is to happen, by time and then by the order in which it was planned.
+//! The event queue: events ordered by time, and at equal times by the order in which they were planned.
 //!
-//! Two lanes. Most plans are messages that arrive soon: a binary heap. Giving up on a try is planned for every try,
-//! seconds ahead, and hardly ever happens: those lie in buckets of a millisecond until their time is near, so that
-//! they do not make the heap deep.
+//! Most events are messages that arrive soon; they are kept in a binary heap. A timeout is planned for every
+//! try, seconds ahead, and hardly ever fires. Timeouts are kept in buckets of one millisecond until their
+//! time is near, so that they do not enlarge the heap.
 
 use martenweir::interface::Micros;
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BinaryHeap, VecDeque};
 
+/// The width of a bucket.
 const BUCKET: Micros = 1_000;
-/// Buckets ahead at the most; what is later waits in the heap.
-const AHEAD: usize = 1 << 16;
+/// The number of buckets at most; an event beyond the last one is kept in the heap.
+const MAX_BUCKETS: usize = 1 << 16;
 
 struct Planned<T> {
     at: Micros,
     order: u64,
-    what: T,
+    event: T,
 }
 
 impl<T> PartialEq for Planned<T> {
@@ -38,18 +39,20 @@
     }
 }
 
+/// An event queue in virtual time.
 pub struct Queue<T> {
-    soon: BinaryHeap<Reverse<Planned<T>>>,
-    /// The first bucket is that of `first`, in buckets since the start.
-    later: VecDeque<Vec<Planned<T>>>,
-    first: i64,
-    in_later: usize,
+    heap: BinaryHeap<Reverse<Planned<T>>>,
+    /// Buckets of events that are far ahead. The first one covers the time from `first_bucket` times
+    /// [`BUCKET`] on.
+    buckets: VecDeque<Vec<Planned<T>>>,
+    first_bucket: i64,
+    in_buckets: usize,
     order: u64,
 }
 
 impl<T> Default for Queue<T> {
     fn default() -> Self {
-        Queue { soon: BinaryHeap::new(), later: VecDeque::new(), first: 0, in_later: 0, order: 0 }
+        Queue { heap: BinaryHeap::new(), buckets: VecDeque::new(), first_bucket: 0, in_buckets: 0, order: 0 }
     }
 }
 
@@ -58,47 +61,48 @@
         Queue::default()
     }
 
-    pub fn plan(&mut self, at: Micros, what: T) {
+    pub fn plan(&mut self, at: Micros, event: T) {
         self.order += 1;
-        self.soon.push(Reverse(Planned { at, order: self.order, what }));
+        self.heap.push(Reverse(Planned { at, order: self.order, event }));
     }
 
-    /// For what is far ahead and will most likely be idle by then.
-    pub fn plan_late(&mut self, at: Micros, what: T) {
-        let ahead = at / BUCKET - self.first;
-        if ahead < 0 || ahead as usize >= AHEAD {
-            return self.plan(at, what);
+    /// Plans an event that is far ahead and most likely no longer relevant by then, such as a timeout.
+    pub fn plan_late(&mut self, at: Micros, event: T) {
+        let ahead = at / BUCKET - self.first_bucket;
+        if ahead < 0 || ahead as usize >= MAX_BUCKETS {
+            return self.plan(at, event);
         }
         self.order += 1;
         let ahead = ahead as usize;
-        if self.later.len() <= ahead {
-            self.later.resize_with(ahead + 1, Vec::new);
+        if self.buckets.len() <= ahead {
+            self.buckets.resize_with(ahead + 1, Vec::new);
         }
-        self.later[ahead].push(Planned { at, order: self.order, what });
-        self.in_later += 1;
+        self.buckets[ahead].push(Planned { at, order: self.order, event });
+        self.in_buckets += 1;
     }
 
-    /// When the next thing happens, or may.
+    /// The time of the next event, or an earlier one: a bucket counts with its start, even if it is empty.
     pub fn next(&self) -> Micros {
-        let soon = self.soon.peek().map_or(Micros::MAX, |p| p.0.at);
-        if self.in_later == 0 {
-            return soon;
+        let heap = self.heap.peek().map_or(Micros::MAX, |p| p.0.at);
+        if self.in_buckets == 0 {
+            return heap;
         }
-        soon.min(self.first * BUCKET)
+        heap.min(self.first_bucket * BUCKET)
     }
 
-    /// What happens by now, the first of it. `stands` says of a late one whether it still matters.
-    pub fn take(&mut self, now: Micros, stands: impl Fn(&T) -> bool) -> Option<(Micros, T)> {
-        while self.first * BUCKET <= now {
-            let bucket = self.later.pop_front().unwrap_or_default();
-            self.first += 1;
-            self.in_later -= bucket.len();
-            self.soon.extend(bucket.into_iter().filter(|p| stands(&p.what)).map(Reverse));
+    /// Removes the first event that is due by `now`. An event from a bucket is dropped unless
+    /// `still_relevant` holds for it when its bucket is moved to the heap.
+    pub fn take(&mut self, now: Micros, still_relevant: impl Fn(&T) -> bool) -> Option<(Micros, T)> {
+        while self.first_bucket * BUCKET <= now {
+            let bucket = self.buckets.pop_front().unwrap_or_default();
+            self.first_bucket += 1;
+            self.in_buckets -= bucket.len();
+            self.heap.extend(bucket.into_iter().filter(|p| still_relevant(&p.event)).map(Reverse));
         }
-        if self.soon.peek()?.0.at > now {
+        if self.heap.peek()?.0.at > now {
             return None;
         }
-        self.soon.pop().map(|Reverse(p)| (p.at, p.what))
+        self.heap.pop().map(|Reverse(p)| (p.at, p.event))
     }
 }
 
--- a/crates/lab/src/virtual_host/queue/tests.rs
+++ b/crates/lab/src/virtual_host/queue/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn both_lanes_come_in_the_order_of_time_and_plan() {
+fn heap_and_buckets_keep_the_order_of_time_and_planning() {
     let mut q = Queue::new();
     q.plan(5_500, 'c');
     q.plan_late(5_400, 'b');
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_no_longer_matters_is_left_out() {
+fn events_that_are_no_longer_relevant_are_dropped() {
     let mut q = Queue::new();
     (0..10).for_each(|i| q.plan_late(1_000_000 + i, i));
     assert_eq!(q.take(999_999, |_| true), None);
--- a/crates/lab/src/virtual_host/site.rs
+++ b/crates/lab/src/virtual_host/site.rs
@@ -1,4 +1,4 @@
-//! A world in the proxy's words: its settings, and discovery's lists.
+//! Translates the simulated world into the proxy's types: its settings, addresses and discovery's lists.
 
 use martenweir::codec::discovery::{hash_id, Cluster, Listed};
 use martenweir::interface::*;
@@ -6,16 +6,16 @@
 use world::discovery::Entry;
 use world::facts::{ProxyNo, Status};
 use world::random::{ms, seconds};
-use world::scenario::{Proxies, Repeat as Runs, Scenario};
+use world::scenario::{Proxies, Repeat as RepeatPolicy, Scenario};
 use world::world::World;
 
-/// Descriptors that a proxy keeps for what is no connection to a node, and the part of the others that it gives to
-/// nodes; as its owner task has them.
-const RESERVE: u32 = 32;
-const TO_NODES: (usize, usize) = (2, 5);
+/// Descriptors that a proxy reserves for other uses than connections, and the part of the others (numerator
+/// and denominator) that it uses for connections to nodes; as in its owner task.
+const RESERVED_DESCRIPTORS: u32 = 32;
+const NODE_SHARE: (usize, usize) = (2, 5);
 const PORT: u16 = 6379;
 
-/// What a proxy is told of the site.
+/// The settings of one proxy.
 pub fn settings(world: &World, proxy: ProxyNo) -> Settings {
     let s = world.scenario();
     let (p, r) = (&s.proxies, &s.rules);
@@ -23,9 +23,9 @@
         target_latency: ms(c.aim_ms),
         limit: ms(c.patience_ms),
         repeat: match c.repeat {
-            Runs::Safe => Repeat::Retryable,
-            Runs::Keyed => Repeat::Dedup,
-            Runs::Unsafe => Repeat::Fragile,
+            RepeatPolicy::Safe => Repeat::Retryable,
+            RepeatPolicy::Keyed => Repeat::Dedup,
+            RepeatPolicy::Unsafe => Repeat::Fragile,
         },
         window: ms(c.window_ms),
         value: c.worth,
@@ -50,7 +50,7 @@
         max_open: p.max_open,
         max_retry_after: Some(ms(p.max_retry_after_ms)).filter(|t| *t > 0),
         connect_timeout: ms(p.dial_timeout_ms),
-        keep_alive: seconds(idle_close(s)),
+        keep_alive: seconds(min_idle_close_s(s)),
         period: ms(p.period_ms),
         answer_grace: ms(r.answer_grace_ms),
         slow_start_from: r.cold_from,
@@ -62,23 +62,23 @@
     }
 }
 
-/// When the first nodes close idle connections.
-fn idle_close(s: &Scenario) -> f64 {
+/// The shortest idle timeout of all node groups in seconds, at most 3600.
+fn min_idle_close_s(s: &Scenario) -> f64 {
     s.nodes.iter().map(|g| g.idle_close_s).fold(f64::INFINITY, f64::min).min(3600.0)
 }
 
-/// Connections to nodes that a proxy may hold.
+/// The maximum number of connections to nodes that a proxy may hold.
 pub fn max_node_connections(p: &Proxies) -> usize {
-    p.sockets.saturating_sub(RESERVE) as usize * TO_NODES.0 / TO_NODES.1
+    p.sockets.saturating_sub(RESERVED_DESCRIPTORS) as usize * NODE_SHARE.0 / NODE_SHARE.1
 }
 
-/// An address of the world as a socket's.
+/// Converts an address number of the world to a socket address.
 pub fn address(number: u32) -> SocketAddr {
     let [_, a, b, c] = number.to_be_bytes();
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, a, b, c)), PORT)
 }
 
-/// The number of an address that [`address`] made.
+/// Converts a socket address made by [`address`] back to its number.
 pub fn address_number(address: SocketAddr) -> Option<u32> {
     match address.ip() {
         IpAddr::V4(ip) => Some(u32::from(ip) & 0x00ff_ffff),
@@ -86,7 +86,7 @@
     }
 }
 
-/// Entries of discovery as the proxy reads them.
+/// Converts entries of discovery to a list as the proxy decodes it.
 pub fn cluster(world: &World, revision: u64, complete: bool, entries: &[Entry]) -> Cluster {
     let listed = |e: &Entry| {
         let m = world.member(e.node);
--- a/crates/lab/src/virtual_host/subject.rs
+++ b/crates/lab/src/virtual_host/subject.rs
@@ -1,4 +1,4 @@
-//! What the engine drives: the proxy's core, or something in its place that fails in a known way.
+//! The system under test that the engine drives: the proxy's core, or a substitute with a known fault.
 
 use martenweir::codec::discovery::Cluster;
 use martenweir::core::status::Size;
@@ -6,16 +6,17 @@
 use martenweir::interface::{Micros, Settings};
 use world::facts::ProxyNo;
 
-/// A proxy's process without its sockets, as the owner task of the real program sees it: inputs in, effects out,
-/// and a tick now and then.
+/// A proxy's process without its sockets, with the interface that the owner task of the real program uses:
+/// inputs, effects and a periodic tick.
 pub trait Subject {
     fn input(&mut self, now: Micros, input: Input);
     fn tick(&mut self, now: Micros);
-    /// Puts what is to be carried out since the last call into an empty list, in order.
+    /// Moves the effects since the last call into `into`, which is empty, in the order in which they are to
+    /// be applied.
     fn take_effects(&mut self, into: &mut Vec<Effect>);
     fn open_streams(&self) -> usize;
 
-    /// The tables that it keeps, and how many things each holds.
+    /// The names of its tables, each with the number of its entries.
     fn sizes(&self) -> Vec<Size> {
         Vec::new()
     }
@@ -43,7 +44,7 @@
     }
 }
 
-/// What a proxy is started with.
+/// The parameters with which a proxy is started.
 #[derive(Clone, Debug)]
 pub struct Start {
     pub proxy: ProxyNo,
@@ -51,15 +52,17 @@
     pub settings: Settings,
     pub seed: u64,
     pub max_node_connections: usize,
+    /// The nodes that discovery lists at the start.
     pub known: Cluster,
 }
 
-/// Makes the proxies of a run, also those that start anew. One maker serves many runs at once.
+/// Creates the proxies of a run, including those that are restarted. One factory can serve several runs at
+/// once.
 pub trait Subjects: Sync {
     fn start(&self, start: Start) -> Box<dyn Subject>;
 }
 
-/// The proxy as it is.
+/// Creates proxies with the unmodified core.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Real;
 
