--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,14 +1,20 @@
-//! Experiments with the proxy in a world of our own: the parts of the program `lab`.
+//! The library of the program `lab`, which runs experiments with the proxy in a simulated environment.
 //!
-//! [`host`] is where a scenario is played; [`fleet`] is many real processes and the faults between them; [`input`] reads what users hand in; [`experiment`] and [`search`] are
-//! what is made of many runs; [`capacity`] is how a fleet grows with its size; [`report`] is what users get to see; [`commands`] put them together. Nothing in
-//! here is a model of the world: those are in the `world` package. `docs/lab.md` is the page for users.
+//! - [`host`] is the interface of the hosts that play scenarios: [`virtual_host`] and [`loopback`].
+//! - [`fleet`] runs many real processes, with faults between them.
+//! - [`input`] reads the files and arguments of users.
+//! - [`experiment`] and [`search`] evaluate many runs.
+//! - [`capacity`] measures how resource use grows with the size of a fleet.
+//! - [`report`] produces the output for users.
+//! - [`commands`] combines these parts into the subcommands.
+//!
+//! The models of clients, nodes and networks are in the `world` package. `docs/lab.md` is the page for users.
 
 #![forbid(unsafe_code)]
 
 #[cfg(doctest)]
 #[doc = include_str!("../../../docs/lab.md")]
-struct Page;
+struct DocExamples;
 
 pub mod capacity;
 pub mod commands;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,15 +1,16 @@
-//! The program `lab`; all of it is in the library, so that tests and other programs can use its parts.
+//! The program `lab`. Its code is in the library, so that tests and other programs can use the parts.
 
 #![forbid(unsafe_code)]
 
 use lab::loopback::children::guard;
 use std::process::ExitCode;
 
-/// Counts for `lab capacity`; two additions to cells of the thread for each allocation.
+/// Counts allocations for `lab capacity`, at the cost of two additions to thread-local counters per
+/// allocation.
 #[global_allocator]
 static ALLOCATOR: cost::counting::CountingAllocator = cost::counting::CountingAllocator;
 
 fn main() -> ExitCode {
-    // The proxies of a run on loopback are this same program, started by itself.
+    // The loopback host starts this same program as a child process for each proxy.
     guard::asked().unwrap_or_else(lab::commands::main)
 }
--- a/crates/lab/src/virtual_host/fault_injection.rs
+++ b/crates/lab/src/virtual_host/fault_injection.rs
@@ -1,8 +1,8 @@
-//! The proxy with a fault planted in it: what the checkers of the rules, and the search, must find.
+//! Proxies with an injected fault, which the checkers of the rules and the search must find.
 //!
-//! Each wraps the real core, lets it do its work, and breaks one rule at its edge: an answer that is held back, a
-//! command that is sent once more. Connections of its own have numbers that no core gives. For tests of the lab
-//! only.
+//! A faulty proxy wraps the real core and breaks one rule in the inputs and effects that pass between the
+//! core and the engine: it drops an answer, or sends a command once more. Connections that it opens itself
+//! have numbers that the core never assigns. For tests of the lab only.
 
 use super::subject::{Real, Start, Subject, Subjects};
 use martenweir::codec::discovery::Cluster;
@@ -13,180 +13,199 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What is wrong with a proxy.
+/// The fault of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyFault {
-    /// One answer in so many never leaves it.
+    /// One answer in `one_in` is dropped.
     LosesAnswer { one_in: u64 },
-    /// One write in so many is sent to the ledger once more, this long after the first time.
+    /// One write in `one_in` is sent to the same address, that of the origin, once more, `after` the first
+    /// time.
     RunsAgain { one_in: u64, after: Micros },
-    /// A request goes to a node this long after the word that it drains.
+    /// A request is sent to a node this long after discovery reported that it drains.
     SendsAfterDrain { after: Micros },
-    /// A node that has just started is sent all that it takes.
+    /// A node that has just started is flooded with commands on many connections.
     FloodsCold,
-    /// The same, at the pace of answers, and each miss there is fetched from the ledger at once.
+    /// The same with more commands, each sent when the one before it on its connection is answered, and each
+    /// miss is fetched from the origin at once.
     FetchesForCold,
-    /// One answer in so many is that of the request before.
+    /// One answer in `one_in` carries the value of the answer before it.
     SwapsAnswer { one_in: u64 },
-    /// What it refuses is answered with a value that no node made.
+    /// A refusal is replaced by a value that no node sent.
     InventsAnswer,
-    /// Answers are lost, but only while one node drains and others answer with one error after another: no single
-    /// kind of fault does both.
+    /// Answers are dropped, but only while one node drains and nodes answer with one error after another. No
+    /// single kind of fault in a scenario causes both.
     LosesWhileDrainedAndFailing,
-    /// One answer in so many is kept for good, in a table of the fault's own. Breaks no rule.
+    /// One answer in `one_in` is kept for ever in a table: a memory leak. Breaks no rule.
     KeepsAnswers { one_in: u64 },
-    /// Nodes that are gone drain for ever: the core is never told that they left. Breaks no rule.
+    /// Nodes that are gone are reported to the core as draining, so that it keeps them for ever. Breaks no
+    /// rule.
     KeepsGone,
 }
 
-/// Makes every proxy of a run with this fault.
+/// Creates the proxies of a run, each with this fault.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultyProxies(pub ProxyFault);
 
 impl Subjects for FaultyProxies {
     fn start(&self, start: Start) -> Box<dyn Subject> {
         let now = start.now;
-        let mut planted = Box::new(Faulty {
-            plant: self.0,
+        let mut faulty = Box::new(Faulty {
+            fault: self.0,
             inner: Real.start(start),
-            own: Vec::new(),
+            effects: Vec::new(),
             count: 0,
-            last_own: 0,
+            last_own_connection: 0,
             addresses: BTreeMap::new(),
-            ledger: None,
-            plans: Vec::new(),
-            connections: BTreeMap::new(),
+            origin_address: None,
+            planned_commands: Vec::new(),
+            own_connections: BTreeMap::new(),
             message: None,
-            before: Vec::new(),
-            drained: Vec::new(),
-            failed: now - LATELY,
-            failures: 0,
+            previous_value: Vec::new(),
+            draining: Vec::new(),
+            last_error_at: now - MAX_ERROR_GAP,
+            consecutive_errors: 0,
             kept: Vec::new(),
         });
-        planted.inner.take_effects(&mut planted.own);
-        planted
+        faulty.inner.take_effects(&mut faulty.effects);
+        faulty
     }
 }
 
-/// Numbers of connections that are the fault's own.
-const OWN: u64 = 1 << 63;
-/// Connections and commands of a flood, and of one that fetches.
-const FLOOD: usize = 60;
-const FLOODED: usize = 600;
-const FETCHED: usize = 6_000;
-/// Errors follow one another if no more time than this lies between them; so many are many.
-const LATELY: Micros = 1_000_000;
-const MANY: u32 = 3;
+/// The bit that marks the numbers of connections opened by the fault.
+const OWN_CONNECTION_BIT: u64 = 1 << 63;
+/// The number of connections of a flood, and its commands in total for `FloodsCold` and for `FetchesForCold`.
+const FLOOD_CONNECTIONS: usize = 60;
+const FLOOD_COMMANDS: usize = 600;
+const FETCHING_FLOOD_COMMANDS: usize = 6_000;
+/// Errors are consecutive if less time than this lies between them; this many in a row trigger
+/// `LosesWhileDrainedAndFailing`. The time also serves as the patience of the fault's own commands.
+const MAX_ERROR_GAP: Micros = 1_000_000;
+const MIN_CONSECUTIVE_ERRORS: u32 = 3;
 
-/// To be sent somewhere at a time.
-struct Plan {
+/// A command to be sent to an address at a time; `None` for the last command written elsewhere.
+struct PlannedCommand {
     at: Micros,
     address: SocketAddr,
     message: Option<Rc<Message>>,
 }
 
-/// A connection of the fault's own.
-struct Own {
-    /// What goes out on it, or else what went out last elsewhere; and how often yet.
+/// A connection opened by the fault.
+struct OwnConnection {
+    /// The command to send; `None` for the last command that the core has written.
     message: Option<Rc<Message>>,
-    times: usize,
-    /// What is out on it.
+    /// How many more times a command is sent.
+    remaining: usize,
+    /// The command that was sent last.
     sent: Option<Rc<Message>>,
 }
 
+/// A proxy with an injected fault.
 struct Faulty {
-    plant: ProxyFault,
+    fault: ProxyFault,
     inner: Box<dyn Subject>,
-    /// Effects that are the fault's, or that the core had when it was made.
-    own: Vec<Effect>,
-    /// What the fault counts: answers or writes.
+    /// The effects to be taken next: those of the core that were passed on, and the fault's own.
+    effects: Vec<Effect>,
+    /// The number of answers or writes so far, whichever the fault counts.
     count: u64,
-    last_own: u64,
-    /// Where the core's connections lead, and whether that is the origin.
+    last_own_connection: u64,
+    /// The addresses of the core's connections, and whether each is the origin's.
     addresses: BTreeMap<ConnectionId, (SocketAddr, bool)>,
-    ledger: Option<SocketAddr>,
-    plans: Vec<Plan>,
-    connections: BTreeMap<ConnectionId, Own>,
-    /// The last command written, and the last value answered.
+    origin_address: Option<SocketAddr>,
+    planned_commands: Vec<PlannedCommand>,
+    own_connections: BTreeMap<ConnectionId, OwnConnection>,
+    /// The last command that the core has written.
     message: Option<Rc<Message>>,
-    before: Vec<u8>,
-    /// Nodes that drain, as last heard; when a node last answered with an error, and how many did by then.
-    drained: Vec<SocketAddr>,
-    failed: Micros,
-    failures: u32,
+    /// The last value answered.
+    previous_value: Vec<u8>,
+    /// The nodes that discovery last reported as draining.
+    draining: Vec<SocketAddr>,
+    /// When a node last answered with an error.
+    last_error_at: Micros,
+    /// The number of consecutive errors.
+    consecutive_errors: u32,
+    /// The answers that `KeepsAnswers` keeps.
     kept: Vec<Vec<u8>>,
 }
 
 impl Faulty {
-    fn listed(&mut self, now: Micros, list: &Cluster) {
+    fn handle_list(&mut self, now: Micros, list: &Cluster) {
         for node in &list.nodes {
             let phase = node.member.phase;
-            self.drained.retain(|a| *a != node.address);
+            self.draining.retain(|a| *a != node.address);
             if phase == Phase::Draining {
-                self.drained.push(node.address);
+                self.draining.push(node.address);
             }
-            match self.plant {
+            match self.fault {
                 ProxyFault::SendsAfterDrain { after } if phase == Phase::Draining => {
-                    self.plans.push(Plan { at: now + after, address: node.address, message: None });
+                    self.planned_commands.push(PlannedCommand {
+                        at: now + after,
+                        address: node.address,
+                        message: None,
+                    });
                 }
                 ProxyFault::FloodsCold | ProxyFault::FetchesForCold
                     if phase == Phase::Ready && node.member.started.is_some() =>
                 {
-                    let all = if self.plant == ProxyFault::FloodsCold { FLOODED } else { FETCHED };
-                    (0..FLOOD).for_each(|_| self.dial(node.address, None, all / FLOOD));
+                    let commands = if self.fault == ProxyFault::FloodsCold {
+                        FLOOD_COMMANDS
+                    } else {
+                        FETCHING_FLOOD_COMMANDS
+                    };
+                    (0..FLOOD_CONNECTIONS)
+                        .for_each(|_| self.dial(node.address, None, commands / FLOOD_CONNECTIONS));
                 }
                 _ => {}
             }
         }
     }
 
-    fn dial(&mut self, address: SocketAddr, message: Option<Rc<Message>>, times: usize) {
-        self.last_own += 1;
-        let connection = ConnectionId(OWN | self.last_own);
-        self.connections.insert(connection, Own { message, times, sent: None });
-        self.own.push(Effect::Dial { connection, address, origin: false });
+    fn dial(&mut self, address: SocketAddr, message: Option<Rc<Message>>, remaining: usize) {
+        self.last_own_connection += 1;
+        let connection = ConnectionId(OWN_CONNECTION_BIT | self.last_own_connection);
+        self.own_connections.insert(connection, OwnConnection { message, remaining, sent: None });
+        self.effects.push(Effect::Dial { connection, address, origin: false });
     }
 
-    /// One of the fault's connections is free: it carries the next command, or is closed.
-    fn go_on(&mut self, connection: ConnectionId) {
+    /// Sends the next command on an idle connection of the fault, or closes it after the last one.
+    fn send_next(&mut self, connection: ConnectionId) {
         let last = self.message.clone();
-        let next = self.connections.get_mut(&connection).filter(|c| c.times > 0).and_then(|c| {
-            c.times -= 1;
+        let next = self.own_connections.get_mut(&connection).filter(|c| c.remaining > 0).and_then(|c| {
+            c.remaining -= 1;
             c.sent = c.message.clone().or(last);
             c.sent.clone()
         });
         match next {
             Some(message) => {
-                let job = Job::Stream { message, patience: LATELY };
-                self.own.push(Effect::Write { connection, job });
+                let job = Job::Stream { message, patience: MAX_ERROR_GAP };
+                self.effects.push(Effect::Write { connection, job });
             }
             None => {
-                self.connections.remove(&connection);
-                self.own.push(Effect::Close { connection });
+                self.own_connections.remove(&connection);
+                self.effects.push(Effect::Close { connection });
             }
         }
     }
 
-    fn is_at_a_node(&self, connection: &ConnectionId) -> bool {
+    fn is_to_node(&self, connection: &ConnectionId) -> bool {
         self.addresses.get(connection).is_some_and(|(_, origin)| !origin)
     }
 
-    fn each(&mut self, one_in: u64) -> bool {
+    fn is_nth(&mut self, one_in: u64) -> bool {
         self.count += 1;
         self.count.is_multiple_of(one_in.max(1))
     }
 
-    /// An effect of the core, as it leaves the proxy; `None` if it does not.
-    fn pass(&mut self, now: Micros, effect: Effect) -> Option<Effect> {
+    /// Applies the fault to an effect of the core. Returns `None` if the effect is dropped.
+    fn apply_to_effect(&mut self, now: Micros, effect: Effect) -> Option<Effect> {
         match effect {
             Effect::Answer { downstream, place, answer } => {
-                let own = downstream.0.to_be_bytes();
-                let answer = self.answer(now, answer, &own)?;
+                let own_value = downstream.0.to_be_bytes();
+                let answer = self.apply_to_answer(now, answer, &own_value)?;
                 Some(Effect::Answer { downstream, place, answer })
             }
             Effect::Dial { connection, address, origin } => {
                 self.addresses.insert(connection, (address, origin));
-                self.ledger = self.ledger.or(Some(address).filter(|_| origin));
+                self.origin_address = self.origin_address.or(Some(address).filter(|_| origin));
                 Some(Effect::Dial { connection, address, origin })
             }
             Effect::Close { connection } => {
@@ -195,11 +214,15 @@
             }
             Effect::Write { connection, job: Job::Stream { message, patience } } => {
                 self.message = Some(message.clone());
-                if let (ProxyFault::RunsAgain { one_in, after }, true) = (self.plant, message.value.is_some())
+                if let (ProxyFault::RunsAgain { one_in, after }, true) = (self.fault, message.value.is_some())
                 {
                     let address = self.addresses.get(&connection).copied();
-                    if let Some((address, _)) = address.filter(|_| self.each(one_in)) {
-                        self.plans.push(Plan { at: now + after, address, message: Some(message.clone()) });
+                    if let Some((address, _)) = address.filter(|_| self.is_nth(one_in)) {
+                        self.planned_commands.push(PlannedCommand {
+                            at: now + after,
+                            address,
+                            message: Some(message.clone()),
+                        });
                     }
                 }
                 Some(Effect::Write { connection, job: Job::Stream { message, patience } })
@@ -208,21 +231,27 @@
         }
     }
 
-    /// `own` is the value that a node would have made for this request.
-    fn answer(&mut self, now: Micros, answer: Answer, own: &[u8]) -> Option<Answer> {
-        match (self.plant, answer) {
-            (ProxyFault::LosesAnswer { one_in }, answer) => (!self.each(one_in)).then_some(answer),
+    /// Applies the fault to an answer. `own_value` is the value that a node would have sent for this request.
+    fn apply_to_answer(&mut self, now: Micros, answer: Answer, own_value: &[u8]) -> Option<Answer> {
+        match (self.fault, answer) {
+            (ProxyFault::LosesAnswer { one_in }, answer) => (!self.is_nth(one_in)).then_some(answer),
             (ProxyFault::LosesWhileDrainedAndFailing, answer) => {
-                let both = !self.drained.is_empty() && now - self.failed < LATELY && self.failures >= MANY;
+                let both = !self.draining.is_empty()
+                    && now - self.last_error_at < MAX_ERROR_GAP
+                    && self.consecutive_errors >= MIN_CONSECUTIVE_ERRORS;
                 (!both).then_some(answer)
             }
             (ProxyFault::SwapsAnswer { one_in }, Answer::Value(value)) => {
-                let before = std::mem::replace(&mut self.before, value.clone());
-                Some(Answer::Value(if self.each(one_in) && !before.is_empty() { before } else { value }))
+                let previous_value = std::mem::replace(&mut self.previous_value, value.clone());
+                Some(Answer::Value(if self.is_nth(one_in) && !previous_value.is_empty() {
+                    previous_value
+                } else {
+                    value
+                }))
             }
-            (ProxyFault::InventsAnswer, Answer::Busy(_)) => Some(Answer::Value(own.to_vec())),
+            (ProxyFault::InventsAnswer, Answer::Busy(_)) => Some(Answer::Value(own_value.to_vec())),
             (ProxyFault::KeepsAnswers { one_in }, Answer::Value(value)) => {
-                if self.each(one_in) {
+                if self.is_nth(one_in) {
                     self.kept.push(value.clone());
                 }
                 Some(Answer::Value(value))
@@ -231,12 +260,12 @@
         }
     }
 
-    fn gather(&mut self, now: Micros) {
+    fn collect_effects(&mut self, now: Micros) {
         let mut effects = Vec::new();
         self.inner.take_effects(&mut effects);
         for effect in effects {
-            let effect = self.pass(now, effect);
-            self.own.extend(effect);
+            let effect = self.apply_to_effect(now, effect);
+            self.effects.extend(effect);
         }
     }
 }
@@ -244,48 +273,49 @@
 impl Subject for Faulty {
     fn input(&mut self, now: Micros, input: Input) {
         match &input {
-            Input::Cluster(Some(list)) => self.listed(now, list),
-            Input::Replied(c, reply) if reply.verdict == Verdict::Error && self.is_at_a_node(c) => {
-                self.failures = if now - self.failed < LATELY { self.failures + 1 } else { 1 };
-                self.failed = now;
+            Input::Cluster(Some(list)) => self.handle_list(now, list),
+            Input::Replied(c, reply) if reply.verdict == Verdict::Error && self.is_to_node(c) => {
+                self.consecutive_errors =
+                    if now - self.last_error_at < MAX_ERROR_GAP { self.consecutive_errors + 1 } else { 1 };
+                self.last_error_at = now;
             }
             _ => {}
         }
         match input {
-            Input::Connected(c) if c.0 & OWN != 0 => self.go_on(c),
-            Input::Replied(c, reply) if c.0 & OWN != 0 => {
-                let fetched = ProxyFault::FetchesForCold == self.plant && reply.verdict == Verdict::Miss;
-                let missed = self.connections.get(&c).and_then(|c| c.sent.clone());
-                if let (Some(address), Some(message)) = (self.ledger, missed.filter(|_| fetched)) {
+            Input::Connected(c) if c.0 & OWN_CONNECTION_BIT != 0 => self.send_next(c),
+            Input::Replied(c, reply) if c.0 & OWN_CONNECTION_BIT != 0 => {
+                let fetched = ProxyFault::FetchesForCold == self.fault && reply.verdict == Verdict::Miss;
+                let missed = self.own_connections.get(&c).and_then(|c| c.sent.clone());
+                if let (Some(address), Some(message)) = (self.origin_address, missed.filter(|_| fetched)) {
                     self.dial(address, Some(message), 1);
                 }
-                self.go_on(c);
+                self.send_next(c);
             }
-            Input::Broken(c, _) if c.0 & OWN != 0 => {
-                self.connections.remove(&c);
+            Input::Broken(c, _) if c.0 & OWN_CONNECTION_BIT != 0 => {
+                self.own_connections.remove(&c);
             }
-            Input::Cluster(Some(mut list)) if self.plant == ProxyFault::KeepsGone => {
+            Input::Cluster(Some(mut list)) if self.fault == ProxyFault::KeepsGone => {
                 let gone = list.nodes.iter_mut().filter(|n| n.member.phase == Phase::Gone);
                 gone.for_each(|n| n.member.phase = Phase::Draining);
                 self.inner.input(now, Input::Cluster(Some(list)));
             }
             input => self.inner.input(now, input),
         }
-        self.gather(now);
+        self.collect_effects(now);
     }
 
     fn tick(&mut self, now: Micros) {
         self.inner.tick(now);
-        self.gather(now);
-        let (due, later) = std::mem::take(&mut self.plans).into_iter().partition(|p| p.at <= now);
-        self.plans = later;
-        for Plan { address, message, .. } in due {
+        self.collect_effects(now);
+        let (due, later) = std::mem::take(&mut self.planned_commands).into_iter().partition(|p| p.at <= now);
+        self.planned_commands = later;
+        for PlannedCommand { address, message, .. } in due {
             self.dial(address, message, 1);
         }
     }
 
     fn take_effects(&mut self, into: &mut Vec<Effect>) {
-        into.append(&mut self.own);
+        into.append(&mut self.effects);
     }
 
     fn open_streams(&self) -> usize {
--- a/crates/lab/src/virtual_host/mod.rs
+++ b/crates/lab/src/virtual_host/mod.rs
@@ -32,7 +32,7 @@
 pub enum Failure {
     #[error(transparent)]
     Scenario(#[from] Problem),
-    /// The code under test panicked, which would have been a crash in service.
+    /// The code under test panicked, which in production would have been a crash.
     #[error("the proxy crashed: {0}")]
     Crashed(String),
 }
--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -1,10 +1,11 @@
-//! Proxies with planners, in virtual time: the proxy's own core and its forwarder beside real planners, with the
-//! messages between them encoded, counted and delayed.
+//! Proxies with planners in virtual time: the proxy's core with its forwarder, and real planners. The
+//! messages between them are delayed, and their encoded sizes are counted.
 //!
-//! Use it to compare a scenario with planners and without. One [`Fleet`] serves one run. The way to planners is
-//! not the world's network: messages take [`MESSAGE_DELAY`], and a cut of halls (told by the scenario) loses them, as it
-//! loses those between proxies and nodes. Beside that it takes a plan of faults of a fleet ([`Fleet::with_faults`]), in the
-//! same words and by the same model of links as `lab fleet` has for real processes.
+//! Use it to compare a scenario with planners and without. One [`Fleet`] serves one run. Messages to and from
+//! planners do not use the network of the simulated world: they take [`MESSAGE_DELAY`], and are lost while
+//! the scenario cuts off a zone between their ends, like those between proxies and nodes.
+//! [`Fleet::with_faults`] adds a plan of faults, with the same fault kinds and the same model of links that
+//! `lab fleet` uses for real processes.
 
 use super::{Start, Subject, Subjects};
 use martenweir::core::status::Size;
@@ -23,84 +24,88 @@
 use world::random::seconds;
 use world::scenario::{FaultKind, Scenario};
 
-/// How long a message takes.
+/// The one-way delay of a message.
 pub const MESSAGE_DELAY: Micros = 1_000;
-/// A connection on which nothing comes for so long is closed, as sockets have it.
-const SILENCE: Micros = 5_000_000;
+/// A connection on which a forwarder receives nothing for this long is closed, as in the real program.
+const RECEIVE_TIMEOUT: Micros = 5_000_000;
 
-/// A forwarder's connection to a planner; never the same number again.
+/// The number of a forwarder's connection to a planner; numbers are never reused.
 type Link = u64;
 
 #[derive(Clone, Copy)]
-enum To {
+enum Recipient {
     Planner,
     Forwarder,
 }
 
-struct Open {
+struct Connection {
     proxy: u32,
     slot: usize,
-    hall: u16,
-    /// When the forwarder last heard something on it.
-    heard: Micros,
+    zone: u16,
+    /// When the forwarder last received a message on it.
+    last_received: Micros,
 }
 
-/// What planners heard and said, and when proxies avoided what.
+/// The traffic of the planners, and when the proxies avoided nodes and zones.
 #[derive(Clone, Debug, Default)]
 pub struct PlanningStats {
-    /// Bytes of frames.
+    /// Bytes of encoded frames from forwarders to planners.
     pub bytes_to_planners: u64,
+    /// Bytes of encoded frames from planners to forwarders.
     pub bytes_from_planners: u64,
-    /// When each proxy first avoided so many matters, by proxy, then by how many.
+    /// By proxy: at index n, when it first had n + 1 marks in force at once.
     pub avoided_since: BTreeMap<u32, Vec<Micros>>,
-    /// Marks that came or went, over all proxies.
+    /// The number of marks that came into force or were lifted, over all proxies.
     pub mark_changes: u64,
 }
 
+/// The planners of a run, and the messages between them and the proxies.
 struct Hub {
-    /// None where one does not run.
+    /// `None` for a planner that does not run.
     planners: Vec<Option<Planner>>,
-    open: BTreeMap<Link, Open>,
-    last: Link,
-    /// Messages on their way, by time and order.
-    way: BTreeMap<(Micros, u64), (To, Link, Message)>,
+    open: BTreeMap<Link, Connection>,
+    last_link: Link,
+    /// Messages in transit, by time of arrival and order of sending.
+    in_transit: BTreeMap<(Micros, u64), (Recipient, Link, Message)>,
     order: u64,
-    /// What has arrived at each proxy.
-    mail: BTreeMap<u32, Vec<(Link, usize, Message)>>,
-    /// When halls are cut from each other: from, until, the hall.
+    /// Messages that have arrived at each proxy and are not handled yet.
+    inbox: BTreeMap<u32, Vec<(Link, usize, Message)>>,
+    /// When zones are cut off: from, until, the zone.
     cuts: Vec<(Micros, Micros, u16)>,
-    /// Directions with faults, by proxy, planner and which of them hears.
-    ways: BTreeMap<(u32, usize, bool), Way>,
-    /// When planners end and start, the next one last.
-    lives: Vec<(Micros, usize, bool)>,
+    /// The directions of links that have faults, by proxy, planner, and whether the planner is the receiver.
+    link_directions: BTreeMap<(u32, usize, bool), LinkDirection>,
+    /// When planners end (`false`) and start (`true`), in reverse order of time.
+    planner_changes: Vec<(Micros, usize, bool)>,
     rules: plan::Rules,
     stats: PlanningStats,
 }
 
-/// One direction of a link.
-struct Way {
-    /// What befalls it from each moment on.
+/// One direction of a link with faults.
+struct LinkDirection {
+    /// The condition that applies from each time on, in order of time.
     conditions: Vec<(Micros, Condition)>,
     line: Line,
-    /// When the last message arrives: nothing overtakes it.
-    last: Micros,
+    /// When the last message arrives; later messages do not overtake it.
+    last_delivery: Micros,
 }
 
-impl Way {
+impl LinkDirection {
     fn condition(&self, at: Micros) -> Condition {
         let now = self.conditions.iter().take_while(|(from, _)| *from <= at).last();
         now.map(|(_, c)| c.clone()).unwrap_or_default()
     }
 
-    /// When what is sent now arrives, if ever: a connection loses nothing while it lasts.
+    /// Returns when a message that is sent now arrives. A connection loses no data while it is open: a
+    /// message that the link holds is sent again at the next change of condition. `None` if no such change
+    /// follows.
     fn arrives(&mut self, now: Micros, bytes: usize) -> Option<Micros> {
         let mut at = now;
         loop {
             let condition = self.condition(at);
-            match self.line.chunk(at, bytes, &condition, self.last) {
+            match self.line.chunk(at, bytes, &condition, self.last_delivery) {
                 ChunkFate::Due(delivery) => {
-                    self.last = delivery.at_us;
-                    return Some(self.last.saturating_add(MESSAGE_DELAY));
+                    self.last_delivery = delivery.at_us;
+                    return Some(self.last_delivery.saturating_add(MESSAGE_DELAY));
                 }
                 ChunkFate::Held => {
                     at = self.conditions.iter().map(|(from, _)| *from).find(|from| *from > at)?;
@@ -111,7 +116,7 @@
     }
 }
 
-/// What of plans is withheld from the module, to see what each is worth.
+/// The parts of plans that are withheld from the decision module, to measure the benefit of each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WithheldPlanParts {
     pub marks: bool,
@@ -122,7 +127,7 @@
 }
 
 impl WithheldPlanParts {
-    fn from(self, plan: &mut Plan) {
+    fn remove_from(self, plan: &mut Plan) {
         if self.marks {
             plan.key_fractions.clear();
         }
@@ -154,40 +159,41 @@
 }
 
 impl Fleet {
-    /// So many planners, in the halls in turn.
+    /// Creates `planners` planners, spread over the zones in turn.
     ///
     /// # Errors
     ///
-    /// Where the rules contradict each other.
+    /// If the rules of the plan contradict each other.
     pub fn new(scenario: &Scenario, planners: usize) -> Result<Fleet, &'static str> {
         let rules = plan::Rules { forwarders: scenario.proxies.count.max(1), ..plan::Rules::default() };
-        let made = (0..planners as u64).map(|p| Planner::new(p as Micros * 1_000, rules.clone(), 1 + p));
-        let hall = |name: &Option<String>| {
+        let created = (0..planners as u64).map(|p| Planner::new(p as Micros * 1_000, rules.clone(), 1 + p));
+        let zone = |name: &Option<String>| {
             let at = |n: &String| scenario.halls.iter().position(|h| h == n);
             name.as_ref().and_then(at).unwrap_or(0) as u16
         };
         let cut = |f: &&world::scenario::Fault| f.kind == FaultKind::HallCut;
         let cuts = scenario.faults.iter().filter(cut);
-        let cuts = cuts.map(|f| (seconds(f.at_s), seconds(f.at_s + f.for_s), hall(&f.hall))).collect();
+        let cuts = cuts.map(|f| (seconds(f.at_s), seconds(f.at_s + f.for_s), zone(&f.hall))).collect();
         let hub = Hub {
-            planners: made.map(|p| p.map(Some)).collect::<Result<_, _>>()?,
+            planners: created.map(|p| p.map(Some)).collect::<Result<_, _>>()?,
             open: BTreeMap::new(),
-            last: 0,
-            way: BTreeMap::new(),
+            last_link: 0,
+            in_transit: BTreeMap::new(),
             order: 0,
-            mail: BTreeMap::new(),
+            inbox: BTreeMap::new(),
             cuts,
-            ways: BTreeMap::new(),
-            lives: Vec::new(),
+            link_directions: BTreeMap::new(),
+            planner_changes: Vec::new(),
             rules,
             stats: PlanningStats::default(),
         };
         Ok(Fleet { hub: Arc::new(Mutex::new(hub)), planners, withheld: WithheldPlanParts::default() })
     }
 
-    /// The same, under the faults of a plan between planners `p0`, `p1`, … and proxies, which it calls `f0`, `f1`, …:
-    /// what befalls their links, and planners that end and start again, empty. Pauses, forwarders that end, garbled
-    /// bytes and nodes are left out: those are real processes' (`lab fleet`), and the scenario's.
+    /// Adds the faults of a plan: those of the links between planners `p0`, `p1`, … and proxies, which the
+    /// plan calls `f0`, `f1`, …, and planners that end and are restarted with empty state. Pauses, forwarders
+    /// that end, resets and faults of nodes are ignored: they need real processes (`lab fleet`) or are part
+    /// of the scenario.
     pub fn with_faults(self, faults: &Faults, seed: u64) -> Fleet {
         let mut hub = lock(&self.hub);
         let place = |member: usize, role: Role| faults.of(role).position(|m| m == member);
@@ -198,27 +204,27 @@
                     let down = place(*to, Role::Forwarder).zip(place(*from, Role::Planner));
                     let Some((f, p)) = up.or(down) else { continue };
                     let line = Line::new(seed, faults.name(*from), faults.name(*to));
-                    let new = Way { conditions: Vec::new(), line, last: Micros::MIN };
-                    let way = hub.ways.entry((f as u32, p, up.is_some())).or_insert(new);
-                    way.conditions.push((step.at, condition.clone()));
+                    let new = LinkDirection { conditions: Vec::new(), line, last_delivery: Micros::MIN };
+                    let direction = hub.link_directions.entry((f as u32, p, up.is_some())).or_insert(new);
+                    direction.conditions.push((step.at, condition.clone()));
                 }
                 Action::Process { who, what } => {
                     let Some(p) = place(*who, Role::Planner) else { continue };
                     match what {
-                        Act::Kill | Act::Terminate => hub.lives.push((step.at, p, false)),
-                        Act::Start { .. } => hub.lives.push((step.at, p, true)),
+                        Act::Kill | Act::Terminate => hub.planner_changes.push((step.at, p, false)),
+                        Act::Start { .. } => hub.planner_changes.push((step.at, p, true)),
                         _ => {}
                     }
                 }
                 Action::Reset { .. } | Action::Node { .. } => {}
             }
         }
-        hub.lives.reverse();
+        hub.planner_changes.reverse();
         drop(hub);
         self
     }
 
-    /// The same, with some of its plans withheld from the module.
+    /// Withholds parts of the plans from the decision module.
     pub fn withholding(self, withheld: WithheldPlanParts) -> Fleet {
         Fleet { withheld, ..self }
     }
@@ -229,46 +235,47 @@
 }
 
 impl Hub {
-    /// Planners stand in the halls in turn; there are two.
-    fn cut(&self, now: Micros, slot: usize, hall: u16) -> bool {
+    /// Whether a cut separates a planner from `zone`. Planners are spread over the two zones in turn.
+    fn is_cut_off(&self, now: Micros, slot: usize, zone: u16) -> bool {
         let there = (slot % 2) as u16;
-        let parts = |of: u16| (hall == of) != (there == of);
-        self.cuts.iter().any(|(from, until, of)| (*from..*until).contains(&now) && parts(*of))
+        let separates = |of: u16| (zone == of) != (there == of);
+        self.cuts.iter().any(|(from, until, of)| (*from..*until).contains(&now) && separates(*of))
     }
 
-    fn send(&mut self, now: Micros, to: To, link: Link, message: Message) {
-        let Some((slot, hall, proxy)) = self.open.get(&link).map(|o| (o.slot, o.hall, o.proxy)) else {
+    fn send(&mut self, now: Micros, to: Recipient, link: Link, message: Message) {
+        let Some((slot, zone, proxy)) = self.open.get(&link).map(|o| (o.slot, o.zone, o.proxy)) else {
             return;
         };
-        // All that goes has been made by these machines: it can be encoded.
+        // The message comes from the planner's or forwarder's own code, so that it can be encoded.
         let bytes = frame::encode(&message).map_or(0, |b| b.len() as u64);
         match to {
-            To::Planner => self.stats.bytes_to_planners += bytes,
-            To::Forwarder => self.stats.bytes_from_planners += bytes,
+            Recipient::Planner => self.stats.bytes_to_planners += bytes,
+            Recipient::Forwarder => self.stats.bytes_from_planners += bytes,
         }
-        let arrives = match self.ways.get_mut(&(proxy, slot, matches!(to, To::Planner))) {
-            Some(way) => way.arrives(now, bytes as usize),
+        let arrives = match self.link_directions.get_mut(&(proxy, slot, matches!(to, Recipient::Planner))) {
+            Some(direction) => direction.arrives(now, bytes as usize),
             None => Some(now + MESSAGE_DELAY),
         };
-        if let Some(at) = arrives.filter(|_| !self.cut(now, slot, hall)) {
+        if let Some(at) = arrives.filter(|_| !self.is_cut_off(now, slot, zone)) {
             self.order += 1;
-            self.way.insert((at, self.order), (to, link, message));
+            self.in_transit.insert((at, self.order), (to, link, message));
         }
     }
 
-    /// Whether a connection comes up.
-    fn reaches(&self, now: Micros, proxy: u32, slot: usize) -> bool {
-        let condition = |up| self.ways.get(&(proxy, slot, up)).map(|w| w.condition(now)).unwrap_or_default();
+    /// Whether a connection from a proxy to a planner can be established.
+    fn can_connect(&self, now: Micros, proxy: u32, slot: usize) -> bool {
+        let condition =
+            |up| self.link_directions.get(&(proxy, slot, up)).map(|w| w.condition(now)).unwrap_or_default();
         let (out, back) = (condition(true), condition(false));
-        let runs = self.planners.get(slot).is_some_and(Option::is_some);
-        runs && !out.refuse && !out.holds_all() && !back.holds_all()
+        let running = self.planners.get(slot).is_some_and(Option::is_some);
+        running && !out.refuse && !out.holds_all() && !back.holds_all()
     }
 
-    /// A planner ends, and all that it knew with it; or another one starts in its place.
-    fn turn(&mut self, at: Micros, slot: usize, starts: bool) {
+    /// Ends a planner, whose state is lost, or starts a new one in its place.
+    fn set_running(&mut self, at: Micros, slot: usize, starts: bool) {
         let Some(planner) = self.planners.get_mut(slot) else { return };
         match (starts, planner.is_some()) {
-            // Its epoch is a clock's milliseconds, as in service.
+            // The epoch is taken from the clock in milliseconds, as in production.
             (true, false) => {
                 *planner = Planner::new(at, self.rules.clone(), 1_000 + at.unsigned_abs() / 1_000).ok()
             }
@@ -280,31 +287,31 @@
         }
     }
 
-    /// Delivers what has arrived and lets planners do what is due, in the order of time.
+    /// Delivers the messages that are due and ticks the planners, in the order of time.
     fn advance(&mut self, now: Micros) {
         loop {
-            let message = self.way.first_key_value().map_or(Micros::MAX, |(at, _)| at.0);
+            let message = self.in_transit.first_key_value().map_or(Micros::MAX, |(at, _)| at.0);
             let tick = self.planners.iter().flatten().map(Planner::next).min().unwrap_or(Micros::MAX);
-            let turn = self.lives.last().map_or(Micros::MAX, |(at, ..)| *at);
-            let at = message.min(tick).min(turn);
+            let change = self.planner_changes.last().map_or(Micros::MAX, |(at, ..)| *at);
+            let at = message.min(tick).min(change);
             if at > now {
                 return;
             }
-            if turn == at {
-                let (_, slot, starts) = self.lives.pop().unwrap_or_default();
-                self.turn(at, slot, starts);
+            if change == at {
+                let (_, slot, starts) = self.planner_changes.pop().unwrap_or_default();
+                self.set_running(at, slot, starts);
                 continue;
             }
             let mut out = Vec::new();
             if message <= tick {
-                let Some((_, (to, link, message))) = self.way.pop_first() else { return };
+                let Some((_, (to, link, message))) = self.in_transit.pop_first() else { return };
                 let Some(open) = self.open.get_mut(&link) else { continue };
                 match to {
-                    To::Forwarder => {
-                        open.heard = at;
-                        self.mail.entry(open.proxy).or_default().push((link, open.slot, message));
+                    Recipient::Forwarder => {
+                        open.last_received = at;
+                        self.inbox.entry(open.proxy).or_default().push((link, open.slot, message));
                     }
-                    To::Planner => {
+                    Recipient::Planner => {
                         let Some(Some(planner)) = self.planners.get_mut(open.slot) else { continue };
                         if planner.message(at, link, &message, &mut out).is_err() {
                             planner.down(link);
@@ -321,9 +328,11 @@
             }
             for output in out {
                 match output {
-                    Output::Send(link, message) => self.send(at, To::Forwarder, link, message),
+                    Output::Send(link, message) => self.send(at, Recipient::Forwarder, link, message),
                     Output::Terms(links, message) => {
-                        links.into_iter().for_each(|l| self.send(at, To::Forwarder, l, message.clone()));
+                        links
+                            .into_iter()
+                            .for_each(|l| self.send(at, Recipient::Forwarder, l, message.clone()));
                     }
                     Output::Close(link, _) => drop(self.open.remove(&link)),
                 }
@@ -338,16 +347,16 @@
     }
 }
 
-/// A proxy with planners.
-struct Planned {
+/// A proxy whose forwarder is connected to planners.
+struct ProxyWithPlanners {
     core: Core,
-    forwarding: ForwarderDriver,
+    forwarder: ForwarderDriver,
     hub: Arc<Mutex<Hub>>,
     proxy: u32,
-    hall: u16,
+    zone: u16,
     now: Micros,
     links: BTreeMap<usize, Link>,
-    wishes: Vec<HostAction>,
+    actions: Vec<HostAction>,
     withheld: WithheldPlanParts,
     in_force: BTreeSet<MarkTarget>,
 }
@@ -359,69 +368,70 @@
             (0..self.planners).map(|p| SocketAddr::from((Ipv4Addr::LOCALHOST, 7400 + p as u16))).collect();
         let settings = Settings { planners, forwarders: None };
         debug_assert_eq!(rules(None, &s.settings).forwarders, s.settings.routers);
-        let (name, known, hall) = (format!("p{}", s.proxy.0), (s.known.revision, nodes), s.settings.zone.0);
-        let made = ForwarderDriver::new(s.now.max(1), settings, &name, &s.settings, known, s.seed);
+        let (name, known, zone) = (format!("p{}", s.proxy.0), (s.known.revision, nodes), s.settings.zone.0);
+        let created = ForwarderDriver::new(s.now.max(1), settings, &name, &s.settings, known, s.seed);
         let mut core = Core::new(s.now, s.settings, s.seed, s.max_node_connections, s.known);
-        let Ok(forwarding) = made else { return Box::new(core) };
+        let Ok(forwarder) = created else { return Box::new(core) };
         (core.wants_node_events, core.wants_records) = (true, true);
-        Box::new(Planned {
+        Box::new(ProxyWithPlanners {
             core,
-            forwarding,
+            forwarder,
             hub: self.hub.clone(),
             proxy: s.proxy.0,
-            hall,
+            zone,
             now: s.now,
             links: BTreeMap::new(),
-            wishes: Vec::new(),
+            actions: Vec::new(),
             withheld: self.withheld,
             in_force: BTreeSet::new(),
         })
     }
 }
 
-impl Planned {
-    /// What the owner and the connections of the real program do.
-    fn plan(&mut self, now: Micros) {
+impl ProxyWithPlanners {
+    /// Exchanges messages with the planners, as the owner task and the connections of the real program do.
+    fn exchange_with_planners(&mut self, now: Micros) {
         let hub = self.hub.clone();
         let mut hub = lock(&hub);
         hub.advance(now);
-        for (link, slot, message) in hub.mail.remove(&self.proxy).unwrap_or_default() {
+        for (link, slot, message) in hub.inbox.remove(&self.proxy).unwrap_or_default() {
             if self.links.get(&slot) == Some(&link) {
-                self.forwarding.handle_message(now, slot, &message, &mut self.wishes);
+                self.forwarder.handle_message(now, slot, &message, &mut self.actions);
             }
         }
-        let over = |(_, link): &(&usize, &Link)| {
-            hub.open.get(link).is_none_or(|o| now.saturating_sub(o.heard) > SILENCE)
+        let timed_out = |(_, link): &(&usize, &Link)| {
+            hub.open.get(link).is_none_or(|o| now.saturating_sub(o.last_received) > RECEIVE_TIMEOUT)
         };
-        let over: Vec<(usize, Link)> = self.links.iter().filter(over).map(|(s, l)| (*s, *l)).collect();
-        for (slot, link) in over {
+        let timed_out: Vec<(usize, Link)> =
+            self.links.iter().filter(timed_out).map(|(s, l)| (*s, *l)).collect();
+        for (slot, link) in timed_out {
             hub.close(link);
             self.links.remove(&slot);
-            self.forwarding.down(now, slot, "silence");
+            self.forwarder.down(now, slot, "silence");
         }
-        self.forwarding.tick(now, &mut self.wishes);
-        for wish in std::mem::take(&mut self.wishes) {
-            match wish {
+        self.forwarder.tick(now, &mut self.actions);
+        for action in std::mem::take(&mut self.actions) {
+            match action {
                 HostAction::Dial(slot)
-                    if hub.cut(now, slot, self.hall) || !hub.reaches(now, self.proxy, slot) =>
+                    if hub.is_cut_off(now, slot, self.zone) || !hub.can_connect(now, self.proxy, slot) =>
                 {
-                    self.forwarding.down(now, slot, "cut off");
+                    self.forwarder.down(now, slot, "cut off");
                 }
                 HostAction::Dial(slot) => {
-                    hub.last += 1;
-                    let link = hub.last;
-                    let open = Open { proxy: self.proxy, slot, hall: self.hall, heard: now };
+                    hub.last_link += 1;
+                    let link = hub.last_link;
+                    let open = Connection { proxy: self.proxy, slot, zone: self.zone, last_received: now };
                     hub.open.insert(link, open);
                     self.links.insert(slot, link);
                     let planner = hub.planners.get_mut(slot).and_then(Option::as_mut);
                     let accepted = planner.is_some_and(|p| p.up(now, link).is_ok());
                     if accepted {
-                        self.forwarding.up(now, slot);
+                        self.forwarder.up(now, slot);
                     }
                 }
                 HostAction::Send(slot, message) => {
                     if let Some(link) = self.links.get(&slot) {
-                        hub.send(now, To::Planner, *link, message);
+                        hub.send(now, Recipient::Planner, *link, message);
                     }
                 }
                 HostAction::Close(slot) => {
@@ -430,12 +440,12 @@
                     }
                 }
                 HostAction::Plan(mut plan) => {
-                    self.withheld.from(&mut plan);
+                    self.withheld.remove_from(&mut plan);
                     self.core.input(now, Input::Plan(plan));
                 }
             }
         }
-        let in_force: BTreeSet<MarkTarget> = self.forwarding.in_force().collect();
+        let in_force: BTreeSet<MarkTarget> = self.forwarder.in_force().collect();
         hub.stats.mark_changes += in_force.symmetric_difference(&self.in_force).count() as u64;
         let times = hub.stats.avoided_since.entry(self.proxy).or_default();
         times.resize(times.len().max(in_force.len()), now);
@@ -443,7 +453,7 @@
     }
 }
 
-impl Subject for Planned {
+impl Subject for ProxyWithPlanners {
     fn input(&mut self, now: Micros, input: Input) {
         self.now = now;
         self.core.input(now, input);
@@ -452,19 +462,19 @@
     fn tick(&mut self, now: Micros) {
         self.now = now;
         self.core.tick(now);
-        self.plan(now);
+        self.exchange_with_planners(now);
     }
 
     fn take_effects(&mut self, into: &mut Vec<Effect>) {
         self.core.swap_effects(into);
-        let (forwarding, now) = (&mut self.forwarding, self.now);
+        let (forwarder, now) = (&mut self.forwarder, self.now);
         into.retain(|effect| match effect {
             Effect::NodeEvent(seen) => {
-                forwarding.handle_node_event(now, seen.clone());
+                forwarder.handle_node_event(now, seen.clone());
                 false
             }
             Effect::StreamEnded(record) => {
-                forwarding.record(record);
+                forwarder.record(record);
                 false
             }
             _ => true,
@@ -480,7 +490,7 @@
     }
 }
 
-impl Drop for Planned {
+impl Drop for ProxyWithPlanners {
     fn drop(&mut self) {
         let mut hub = lock(&self.hub);
         self.links.values().for_each(|link| hub.close(*link));
--- a/crates/lab/tests/slow_start.rs
+++ b/crates/lab/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Servers in slow start before a fleet of proxies in virtual time: a seeded soak of the scenario whose loopback play is the
-//! reproduction of incident 437179.
+//! Servers in slow start behind several proxies in virtual time. Runs the scenario that reproduces incident
+//! 437179 on loopback, with a range of seeds.
 
 use lab::virtual_host::{run, Real};
 use world::outcome::Rule;
@@ -7,7 +7,7 @@
 
 const BURST: &str = include_str!("../../../scenarios/slow_start_burst.toml");
 
-/// The seeds with which what all proxies sent together overloaded a server in slow start.
+/// Returns the seeds with which the proxies together overloaded a server in slow start.
 fn overloaded(scenario: &Scenario, seeds: std::ops::Range<u64>) -> Vec<u64> {
     let breaks = |seed: &u64| {
         let run = run(scenario, *seed, &Real, &mut |_| {}).expect("a run");
@@ -31,17 +31,18 @@
     assert!(seeds.is_empty(), "overloaded with seeds {seeds:?}");
 }
 
-/// Servers of one weight differ, misses take a tenth of the work of a hit, and traffic stays over capacity: a slow server in
-/// slow start fell over. A proxy took every answer of warm servers for a request that they can do, so that misses passed for
-/// capacity. What showed it: with `--set nodes.0.miss_work=1.0` a search with `--kinds hall_cut` breaks 0 runs of 300 where 240
-/// break without; with answers that hit alone counted, 0 of 300 as it stands.
+/// Guards against an overload of a slow server in slow start, when servers of equal weight differ in speed, a
+/// miss costs a tenth of the work of a hit, and the load stays above capacity. A proxy counted every answer
+/// of warm servers towards their capacity, also cheap misses, and so overestimated it. A search with `--kinds
+/// hall_cut` broke rules in 240 of 300 runs; with `--set nodes.0.miss_work=1.0` in 0 of 300; with only hits
+/// counted, in 0 of 300 of the unchanged scenario.
 #[test]
-fn unequal_servers_with_misses_of_next_to_no_work_are_not_overloaded() {
+fn servers_of_unequal_speed_with_cheap_misses_are_not_overloaded() {
     let mut scenario = burst();
     scenario.rules.fall_multiple = 2.0;
     scenario.nodes[0].miss_work = 0.1;
     scenario.nodes[0].speed_spread = 0.18;
-    // The scenario as it is, with the seeds that a soak of fifty found.
+    // The unchanged scenario, with the seeds that failed among fifty.
     let mut seeds = overloaded(&burst(), 1020..1022);
     seeds.extend(overloaded(&scenario, 1..25));
     assert!(seeds.is_empty(), "overloaded with seeds {seeds:?}");
