--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -28,7 +28,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use world::fleet::fault::Role;
-use world::fleet::schedule::{Act, Action, Folder, NodeAct, Plan, Schedule, Step};
+use world::fleet::schedule::{Action, Folder, NodeAction, Plan, ProcessAction, Schedule, Step};
 use world::random::{seconds, seed_of};
 use world::Micros;
 
@@ -112,7 +112,7 @@
     fleet.wait_ready(&plan)?;
     let machine = Machine::watch(Some(fleet.processes.roster())).map_err(failed("a thread"))?;
     fleet.links.lateness();
-    fleet.clock.forward(0);
+    fleet.clock.advance_to(0);
     progress.phase(&setting.schedule.name);
     let end = plan.over.max(seconds(setting.schedule.seconds));
     let most = plan.over.max(0) + seconds(setting.schedule.expect.converge_s) + BEYOND;
@@ -192,7 +192,8 @@
         let log = Log::new(clock.clone());
         let processes = Processes::in_temporary(&log).map_err(failed("a folder"))?;
         let links = Arc::new(Links::start(setting.seed).map_err(failed("links"))?);
-        let names = |role: Role| -> Vec<String> { plan.of(role).map(|m| plan.name(m).to_owned()).collect() };
+        let names =
+            |role: Role| -> Vec<String> { plan.with_role(role).map(|m| plan.name(m).to_owned()).collect() };
         let (planners, forwarders, nodes) = (names(Role::Planner), names(Role::Forwarder), names(Role::Node));
         let stage = Stage::start(
             clock.clone(),
@@ -217,7 +218,7 @@
             names: planners.iter().chain(&forwarders).cloned().collect(),
             forwarders,
         };
-        let older = schedule.older();
+        let older = schedule.members_on_old_version();
         let program = |name: &str| -> (Program, Option<Program>) {
             let is_old = older.iter().any(|m| plan.name(*m) == name);
             match setting.old.as_ref().filter(|_| is_old) {
@@ -291,7 +292,7 @@
     /// Until all forwarders listen and hear all planners, and these may have opinions.
     fn wait_ready(&self, plan: &Plan) -> Result<(), HostError> {
         let begun = Instant::now();
-        let planners = plan.of(Role::Planner).count();
+        let planners = plan.with_role(Role::Planner).count();
         let (mark, until) = (Mark::default(), Instant::now() + PATIENCE);
         let mut left: BTreeSet<&String> = self.forwarders.iter().collect();
         for (i, name) in self.forwarders.iter().enumerate() {
@@ -355,12 +356,12 @@
                 let _ = self.links.reset(plan.name(*from), plan.name(*to));
             }
             Action::Node { who, what } => {
-                let first = plan.of(Role::Node).next().unwrap_or(0);
+                let first = plan.with_role(Role::Node).next().unwrap_or(0);
                 self.stage.node(who - first, *what);
                 let word = match what {
-                    NodeAct::Hang => "hangs",
-                    NodeAct::Crash => "crashes",
-                    NodeAct::Serve => "serves",
+                    NodeAction::Hang => "hangs",
+                    NodeAction::Crash => "crashes",
+                    NodeAction::Serve => "serves",
                 };
                 self.log.tell(&Arc::from(plan.name(*who)), 1, "lab_node", word.to_owned());
             }
@@ -374,7 +375,7 @@
     }
 
     /// What another fault has undone already, or a process that is gone, is no error of the run: it is in the log.
-    fn act(&self, name: &str, what: Act) -> Result<(), super::processes::ProcessError> {
+    fn act(&self, name: &str, what: ProcessAction) -> Result<(), super::processes::ProcessError> {
         let p = &self.processes;
         let spec = |limit: bool| {
             let (mut spec, newer) = self.specs.get(name).cloned()?;
@@ -387,15 +388,15 @@
             Some(spec)
         };
         match what {
-            Act::Terminate => p.terminate(name),
-            Act::Kill => p.kill(name),
-            Act::Stop => p.stop(name),
-            Act::Resume => p.resume(name),
-            Act::Start { folder: Folder::Empty } => {
+            ProcessAction::Terminate => p.terminate(name),
+            ProcessAction::Kill => p.kill(name),
+            ProcessAction::Stop => p.stop(name),
+            ProcessAction::Resume => p.resume(name),
+            ProcessAction::Start { folder: Folder::Empty } => {
                 let how = Restart { folder: super::processes::Folder::Empty, ..Restart::default() };
                 p.restart(name, how)
             }
-            Act::Start { folder: Folder::Kept } => {
+            ProcessAction::Start { folder: Folder::Kept } => {
                 let Some(spec) = spec(false) else { return Ok(()) };
                 if matches!(p.state(name)?, State::Ended(_)) {
                     return p.start(spec).map(drop);
@@ -403,13 +404,13 @@
                 self.start_once_ended(spec);
                 Ok(())
             }
-            Act::StartLimited => {
+            ProcessAction::StartLimited => {
                 let _ = p.wait(name, KILLED);
                 spec(true).map_or(Ok(()), |spec| p.start(spec).map(drop))
             }
-            Act::Twin => p.twin(name, None, Twin::SameFolder).map(drop),
-            Act::EndTwin => p.kill(&format!("{name}~2")),
-            Act::Damage { rot, seed } => {
+            ProcessAction::Twin => p.twin(name, None, Twin::SameFolder).map(drop),
+            ProcessAction::EndTwin => p.kill(&format!("{name}~2")),
+            ProcessAction::Damage { rot, seed } => {
                 let _ = p.wait(name, KILLED);
                 let seed = seed.into();
                 p.damage(
@@ -538,8 +539,8 @@
         json!({ "id": plan.name(m), "host_port": address.to_string(), "locality": fleet.halls.get(hall(m)),
             "flavor": "node", "cell": 0, "phase": "SERVING", "size": 1.0, "up_since_ms": 0 })
     };
-    let members: Vec<Value> = plan.of(Role::Node).zip(reached).map(member).collect();
-    let zone = plan.of(Role::Forwarder).nth(me).map_or(0, hall);
+    let members: Vec<Value> = plan.with_role(Role::Node).zip(reached).map(member).collect();
+    let zone = plan.with_role(Role::Forwarder).nth(me).map_or(0, hall);
     let limit = stage::PATIENCE.as_millis() as f64;
     let class =
         json!({ "name": "lookup", "onTimeMs": limit / 2.0, "hardLimitMs": limit, "repeat": "retryable" });
--- a/crates/lab/src/fleet/report.rs
+++ b/crates/lab/src/fleet/report.rs
@@ -10,7 +10,7 @@
 use crate::report::table::Table;
 use serde::Serialize;
 use std::fmt::Write as _;
-use world::fleet::fault::{Role, Strikes};
+use world::fleet::fault::{FaultTarget, Role};
 use world::fleet::schedule::Schedule;
 use world::outcome::FaultMark;
 use world::Micros;
@@ -141,7 +141,7 @@
         let p = self.played;
         let end = p.until;
         let most = (f64::from(self.schedule.fleet.nodes) * PART).max(1.0);
-        let planners = p.plan.of(Role::Planner).count();
+        let planners = p.plan.with_role(Role::Planner).count();
         let one = |m: usize| {
             let name = p.plan.name(m);
             let hall = p.plan.members.get(m).and_then(|m| self.schedule.fleet.halls.get(usize::from(m.hall)));
@@ -165,14 +165,14 @@
             }
             lane
         };
-        let processes = p.plan.of(Role::Planner).chain(p.plan.of(Role::Forwarder));
+        let processes = p.plan.with_role(Role::Planner).chain(p.plan.with_role(Role::Forwarder));
         processes.map(one).collect()
     }
 
     fn marks(&self) -> Vec<FaultMark> {
         let mark = |f: &world::fleet::fault::Fault| {
-            let whom = match f.kind.reads().strikes {
-                Strikes::Links => f.between.as_ref().map(|b| b.to_string()).or_else(|| {
+            let whom = match f.kind.reads().target {
+                FaultTarget::Links => f.between.as_ref().map(|b| b.to_string()).or_else(|| {
                     let word = |s: &Option<world::fleet::fault::Select>| s.as_ref().map(ToString::to_string);
                     let way = if f.both { "<>" } else { ">" };
                     Some(format!("{} {way} {}", word(&f.from)?, word(&f.to)?))
--- a/crates/lab/src/loopback/cost/always.rs
+++ b/crates/lab/src/loopback/cost/stub_servers.rs
@@ -1,7 +1,8 @@
-//! Nodes that hit always, and a discovery that has nothing new: no model behind them, and no more work than it takes.
+//! Nodes that always hit, and a discovery server whose list never changes: no model, and as little work as
+//! possible.
 
 use super::protocol::Protocol;
-use crate::loopback::socket::speech;
+use crate::loopback::socket::wire;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -13,16 +14,16 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// Listeners served by threads of their own. Dropped, all of it ends.
+/// Listeners served by their own threads. Dropping it stops the threads.
 #[derive(Debug)]
-struct Threads {
+struct ListenerThreads {
     addresses: Vec<SocketAddr>,
     stop: Option<Sender<()>>,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Threads {
-    /// Ports are spread over the threads; `serve` carries one connection to its end.
+impl ListenerThreads {
+    /// Distributes the ports over the threads; `serve` handles one connection until it ends.
     fn start<F>(
         threads: usize,
         ports: usize,
@@ -37,7 +38,7 @@
         }
         let addresses = listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        // More threads than ports share one: each accepts what it gets hold of.
+        // With more threads than ports, all threads accept on every port.
         let mut started = Vec::new();
         for n in 0..threads {
             let mine = listeners.iter().enumerate().filter(|(i, _)| ports < threads || i % threads == n);
@@ -55,7 +56,7 @@
                 }));
             }));
         }
-        Ok(Threads { addresses, stop: Some(stop), threads: started })
+        Ok(ListenerThreads { addresses, stop: Some(stop), threads: started })
     }
 }
 
@@ -75,7 +76,7 @@
     }
 }
 
-impl Drop for Threads {
+impl Drop for ListenerThreads {
     fn drop(&mut self) {
         self.stop = None;
         for thread in self.threads.drain(..) {
@@ -84,14 +85,15 @@
     }
 }
 
-/// Cache nodes that hit always.
+/// Cache nodes that always hit.
 #[derive(Debug)]
-pub struct Always(Threads);
+pub struct StubNodes(ListenerThreads);
 
-impl Always {
+impl StubNodes {
     pub fn start(threads: usize, nodes: usize, protocol: Protocol, value_bytes: usize) -> io::Result<Self> {
         let value = vec![b'v'; value_bytes.clamp(1, resp::MAX_VALUE)];
-        Threads::start(threads, nodes, move |socket| hit(socket, protocol, value.clone())).map(Always)
+        ListenerThreads::start(threads, nodes, move |socket| serve_hits(socket, protocol, value.clone()))
+            .map(StubNodes)
     }
 
     pub fn addresses(&self) -> &[SocketAddr] {
@@ -99,7 +101,7 @@
     }
 }
 
-async fn hit(mut socket: Async<TcpStream>, protocol: Protocol, value: Vec<u8>) {
+async fn serve_hits(mut socket: Async<TcpStream>, protocol: Protocol, value: Vec<u8>) {
     let (mut input, mut bytes, mut out) = (Vec::new(), vec![0; 16 * 1024], Vec::new());
     loop {
         match socket.read(&mut bytes).await {
@@ -122,13 +124,13 @@
     }
 }
 
-/// A discovery that only shows that it lives.
+/// A discovery server that only sends heartbeats.
 #[derive(Debug)]
-pub struct Discovery(Threads);
+pub struct StubDiscovery(ListenerThreads);
 
-impl Discovery {
+impl StubDiscovery {
     pub fn start() -> io::Result<Self> {
-        Threads::start(1, 1, watch).map(Discovery)
+        ListenerThreads::start(1, 1, watch).map(StubDiscovery)
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -142,9 +144,9 @@
         return;
     }
     let mut out = Vec::new();
-    speech::put_stream(&mut out);
+    wire::put_stream(&mut out);
     loop {
-        speech::put_chunk(&mut out, b"\n");
+        wire::put_chunk(&mut out, b"\n");
         if socket.write_all(&out).await.is_err() {
             return;
         }
--- a/crates/lab/src/loopback/socket/speech/tests.rs
+++ b/crates/lab/src/loopback/socket/wire/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn commands_come_whole_or_not_at_all() {
+fn incomplete_commands_are_not_parsed() {
     let mut bytes = Vec::new();
     resp::put_command(&mut bytes, &[b"CACHE.SET", b"7f", b"id", b"c=put,d=5", b"v"]);
     let whole = Command::Keyed {
@@ -11,7 +11,7 @@
         value: Some(b"v".to_vec()),
     };
     let put = b"PUT /7f HTTP/1.1\r\nX-Trace-Id: id\r\nx-props: c=put,d=5\r\nContent-Length: 1\r\n\r\nv";
-    for (dialect, bytes) in [(Dialect::Cache, bytes.as_slice()), (Dialect::Ledger, put)] {
+    for (dialect, bytes) in [(Dialect::Cache, bytes.as_slice()), (Dialect::Origin, put)] {
         for n in 0..bytes.len() {
             assert_eq!(dialect.command(&bytes[..n]), None, "{dialect:?}, {n} bytes");
         }
@@ -23,18 +23,18 @@
 }
 
 #[test]
-fn what_nobody_may_send_is_told_as_such() {
+fn malformed_commands_are_reported() {
     let malformed = |dialect: Dialect, bytes: &[u8]| matches!(dialect.command(bytes), Some((Command::Malformed(_), n)) if n == bytes.len());
     assert!(malformed(Dialect::Cache, b"GET / HTTP/1.1\r\n"));
     assert!(malformed(Dialect::Cache, b"*2\r\n$9\r\nCACHE.GET\r\n$1\r\n7\r\n"));
-    assert!(malformed(Dialect::Ledger, b"GET /7f HTTP/1.1\r\nHost: l\r\n\r\n"), "no id");
-    assert!(malformed(Dialect::Ledger, b"GET /7f HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"));
-    assert!(malformed(Dialect::Ledger, &[b'a'; LINE + 1]));
-    assert!(malformed(Dialect::Ledger, b"PUT /7f HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"));
+    assert!(malformed(Dialect::Origin, b"GET /7f HTTP/1.1\r\nHost: l\r\n\r\n"), "no id");
+    assert!(malformed(Dialect::Origin, b"GET /7f HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"));
+    assert!(malformed(Dialect::Origin, &[b'a'; MAX_LINE_BYTES + 1]));
+    assert!(malformed(Dialect::Origin, b"PUT /7f HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n"));
 }
 
 #[test]
-fn a_value_tells_whose_it_is() {
+fn a_value_identifies_its_key_and_try() {
     let id = TryId { of: TryNo(77), work: 90_000, bytes: 300 };
     assert_eq!(TryId::read(id.write().as_bytes()), Some(id));
     let made = value(b"7f3a", id.write().as_bytes(), 300);
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -12,5 +12,5 @@
 
 fn main() -> ExitCode {
     // The loopback host starts this same program as a child process for each proxy.
-    guard::asked().unwrap_or_else(lab::commands::main)
+    guard::run_if_child().unwrap_or_else(lab::commands::main)
 }
--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -20,7 +20,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use world::fleet::fault::Role;
 use world::fleet::link::{ChunkFate, Condition, Line};
-use world::fleet::schedule::{Act, Action, Plan as Faults};
+use world::fleet::schedule::{Action, Plan as Faults, ProcessAction};
 use world::random::seconds;
 use world::scenario::{FaultKind, Scenario};
 
@@ -192,11 +192,11 @@
 
     /// Adds the faults of a plan: those of the links between planners `p0`, `p1`, … and proxies, which the
     /// plan calls `f0`, `f1`, …, and planners that end and are restarted with empty state. Pauses, forwarders
-    /// that end, resets and faults of nodes are ignored: they need real processes (`lab fleet`) or are part
-    /// of the scenario.
+    /// that end, garbled bytes, resets and faults of nodes are ignored: they need real processes (`lab
+    /// fleet`) or are part of the scenario.
     pub fn with_faults(self, faults: &Faults, seed: u64) -> Fleet {
         let mut hub = lock(&self.hub);
-        let place = |member: usize, role: Role| faults.of(role).position(|m| m == member);
+        let place = |member: usize, role: Role| faults.with_role(role).position(|m| m == member);
         for step in &faults.steps {
             match &step.action {
                 Action::Link { from, to, condition } => {
@@ -211,8 +211,10 @@
                 Action::Process { who, what } => {
                     let Some(p) = place(*who, Role::Planner) else { continue };
                     match what {
-                        Act::Kill | Act::Terminate => hub.planner_changes.push((step.at, p, false)),
-                        Act::Start { .. } => hub.planner_changes.push((step.at, p, true)),
+                        ProcessAction::Kill | ProcessAction::Terminate => {
+                            hub.planner_changes.push((step.at, p, false))
+                        }
+                        ProcessAction::Start { .. } => hub.planner_changes.push((step.at, p, true)),
                         _ => {}
                     }
                 }
@@ -268,7 +270,7 @@
             |up| self.link_directions.get(&(proxy, slot, up)).map(|w| w.condition(now)).unwrap_or_default();
         let (out, back) = (condition(true), condition(false));
         let running = self.planners.get(slot).is_some_and(Option::is_some);
-        running && !out.refuse && !out.holds_all() && !back.holds_all()
+        running && !out.refuse && !out.blocks_all() && !back.blocks_all()
     }
 
     /// Ends a planner, whose state is lost, or starts a new one in its place.
