--- a/crates/lab/src/virtual_host/downstreams.rs
+++ b/crates/lab/src/virtual_host/downstreams.rs
@@ -216,8 +216,8 @@
         self.next_crowd_arrival.min(next_end).min(accepts).min(policy).max(now + 1)
     }
 
-    /// Carries out all that is due by `now`, while the proxy has `nodes` connections to nodes. Tries whose
-    /// connections are accepted are appended to `taken`.
+    /// Carries out all that is due by `now`, while the proxy has `node_connections` connections to nodes.
+    /// Tries whose connections are accepted are appended to `taken`.
     pub fn step(&mut self, now: Micros, node_connections: usize, taken: &mut Vec<TryNo>) {
         self.node_connections = node_connections;
         while self.next_crowd_arrival <= now {
