--- a/crates/lab/examples/operators_planners.rs
+++ b/crates/lab/examples/operators_planners.rs
@@ -8,7 +8,7 @@
 //! its: trials, which are seconds apart, are none. What its clients lose is told beside it. Processes are this
 //! very program, guarded; they end when this one does. Whether the machine was the cause is told as well.
 
-use lab::fleet::log::{Log, Mark, Wanted};
+use lab::fleet::log::{LineFilter, Log, Mark};
 use lab::fleet::machine::{Bound, Machine, Seen};
 use lab::fleet::processes::{Processes, Spec};
 use lab::loopback::children::{guard, Program};
@@ -206,7 +206,7 @@
 /// Where a process listens, once it does.
 fn listening(processes: &Processes, name: &str, event: &str) -> io::Result<SocketAddr> {
     let line =
-        processes.hear(name, Mark::default(), &Wanted::event(event), READY).map_err(io::Error::other)?;
+        processes.hear(name, Mark::default(), &LineFilter::event(event), READY).map_err(io::Error::other)?;
     line.address().ok_or_else(|| io::Error::other(format!("{name} does not tell where it listens")))
 }
 
--- a/crates/lab/src/commands/fleet.rs
+++ b/crates/lab/src/commands/fleet.rs
@@ -2,9 +2,9 @@
 
 use super::output::{complain, say, Bar, Out};
 use super::{CommandError, Finding};
-use crate::fleet::play::{play, Played, Setting};
-use crate::fleet::report::Shown;
-use crate::fleet::search::{self, Failure, Found, Ground};
+use crate::fleet::play::{play, RunResult, Setting};
+use crate::fleet::report::RunReport;
+use crate::fleet::search::{self, Failure, Found, RunContext};
 use crate::input::file;
 use crate::loopback::children::Program;
 use crate::report::html::{Page, Tone};
@@ -56,7 +56,7 @@
 }
 
 impl Programs {
-    fn ground(&self) -> Result<Ground, CommandError> {
+    fn ground(&self) -> Result<RunContext, CommandError> {
         let io = |what: &str| {
             let what = what.to_owned();
             move |source| CommandError::Io { what, source }
@@ -76,7 +76,7 @@
         if let Some(name) = &self.plant {
             crate::fleet::plant::known(name).map_err(CommandError::Usage)?;
         }
-        Ok(Ground { program, old, plant: self.plant.clone() })
+        Ok(RunContext { program, old, plant: self.plant.clone() })
     }
 }
 
@@ -107,15 +107,15 @@
 }
 
 /// Plays one run, says what came of it and writes the files.
-fn one(ground: &Ground, schedule: &Schedule, seed: u64, out: &Out) -> Result<Finding, CommandError> {
+fn one(ground: &RunContext, schedule: &Schedule, seed: u64, out: &Out) -> Result<Finding, CommandError> {
     let drawn = schedule.plan(seed).to_string();
     say(&format!("{}: the plan of seed {seed}\n{drawn}\n", schedule.name));
     let bar = Bar::of_a_run(&schedule.name);
-    let Ground { program, old, plant } = ground.clone();
+    let RunContext { program, old, plant } = ground.clone();
     let played = play(&Setting { schedule, seed, program, old, plant, out: out.folder() }, &bar);
     drop(bar);
     let played = played?;
-    let shown = Shown { schedule, seed, played: &played };
+    let shown = RunReport { schedule, seed, played: &played };
     say(&shown.summary());
     out.write(|| {
         Ok::<_, CommandError>(vec![
@@ -250,7 +250,7 @@
             tries: self.tries,
         };
         let bar = Bar::of_runs(plan.runs, &base.name);
-        let done = |position: u64, played: &Played| {
+        let done = |position: u64, played: &RunResult| {
             bar.one_more_before("shrinking");
             let first = played.breaches.first().map(|b| format!("{}: {}", b.rule.name(), b.what));
             if let Some(what) = played.void.clone().map(|why| format!("void: {why}")).or(first) {
@@ -294,7 +294,7 @@
         &self,
         base: &Schedule,
         plan: &search::Plan,
-        ground: &Ground,
+        ground: &RunContext,
         found: &Found,
     ) -> Vec<(String, String)> {
         let title = format!("{}: {} runs, {} failures", base.name, plan.runs, found.failures.len());
--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -13,7 +13,7 @@
 //! | `avoided` | where the schedule has a bound: all avoid what is silent to all within it |
 //! | `served` | where the schedule has a bound: no more requests go without a value |
 
-use super::stage::{End, Met};
+use super::stage::{ClientEvent, End};
 use super::view::{Now, Track, What};
 use history::converge::{self, Sample, View};
 use history::{finals, marks, Verdict};
@@ -27,18 +27,18 @@
 
 /// Whoever found a node silent may act on it for this long after it answers again: the age of evidence, of a plan's
 /// basis and the way in, with some room for a busy machine.
-const LATELY: Micros = 5_000_000;
+const EVIDENCE_GRACE: Micros = 5_000_000;
 /// Without planners for so long of the time before, marks may fade: what stands holds 5 s and fades over 10.
-const FADES: Micros = 16_000_000;
-const UNGUIDED: Micros = 8_000_000;
+const MARK_FADE: Micros = 16_000_000;
+const MAX_UNGUIDED: Micros = 8_000_000;
 /// How late a line of a log may be read.
-const READ: Micros = 100_000;
+const LOG_DELAY: Micros = 100_000;
 /// A node is surely silent to a forwarder if it has been for this long.
-const SILENT: Micros = 1_500_000;
+const CERTAIN_SILENCE: Micros = 1_500_000;
 /// Windows in which changes of marks are counted.
 const WINDOWS: [Micros; 6] = [1_000_000, 2_000_000, 5_000_000, 10_000_000, 20_000_000, 60_000_000];
 /// Breaches of one rule that are listed.
-const LISTED: usize = 8;
+const MAX_LISTED: usize = 8;
 
 /// What must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -105,7 +105,7 @@
     pub plan: &'a Plan,
     pub expect: &'a Expect,
     pub tracks: &'a BTreeMap<String, Track>,
-    pub met: &'a [Met],
+    pub met: &'a [ClientEvent],
     /// When watching ended.
     pub until: Micros,
     pub rules: &'a plan::Rules,
@@ -131,7 +131,7 @@
     breaches.retain(|b| {
         let count = counts.entry(b.rule).or_default();
         *count += 1;
-        *count <= LISTED
+        *count <= MAX_LISTED
     });
     (figures, breaches)
 }
@@ -167,12 +167,12 @@
         let forwarders = self.forwarders();
         for met in self.met {
             match *met {
-                Met::Asked { id, at, forwarder } => {
+                ClientEvent::Asked { id, at, forwarder } => {
                     figures.requests += 1;
                     asked.insert(id, (at, forwarder));
                     events.push(finals::Event::Taken { id, at_us: at });
                 }
-                Met::Ended { id, at, end } => {
+                ClientEvent::Ended { id, at, end } => {
                     let answered = finals::Event::Answered { id, at_us: at, last: true };
                     match end {
                         End::Value => figures.values += 1,
@@ -183,7 +183,7 @@
                     let (since, forwarder) = asked.get(&id).copied().unwrap_or((at, usize::MAX));
                     let excused = || {
                         let member = forwarders.get(forwarder).copied().unwrap_or(usize::MAX);
-                        self.disturbed(member, since - READ, at + READ)
+                        self.disturbed(member, since - LOG_DELAY, at + LOG_DELAY)
                     };
                     match end {
                         End::Value | End::Refused | End::Failed => events.push(answered),
@@ -193,14 +193,16 @@
                         End::Broken | End::Late => {}
                     }
                 }
-                Met::Stray { id, at } => {
+                ClientEvent::Stray { id, at } => {
                     events.push(finals::Event::Answered { id, at_us: at, last: true });
                     events.push(finals::Event::Answered { id, at_us: at, last: true });
                 }
             }
         }
         let end = self.met.last().map_or(0, |m| match m {
-            Met::Asked { at, .. } | Met::Ended { at, .. } | Met::Stray { at, .. } => *at,
+            ClientEvent::Asked { at, .. } | ClientEvent::Ended { at, .. } | ClientEvent::Stray { at, .. } => {
+                *at
+            }
         });
         match finals::judge(&events, end) {
             Verdict::Held(_) => {}
@@ -237,7 +239,7 @@
     }
 
     /// What a forwarder says, in words that are the same for all: nodes that it avoids, planners that it lacks.
-    fn words(&self, now: &Now, planners: &BTreeSet<&str>) -> View {
+    fn view_of(&self, now: &Now, planners: &BTreeSet<&str>) -> View {
         let avoided = now.avoids.iter().map(|m| (m.clone(), "avoided".to_owned()));
         let lacking = planners.iter().filter(|p| !now.hears.contains(**p));
         avoided.chain(lacking.map(|p| ((*p).to_owned(), "not heard".to_owned()))).collect()
@@ -251,7 +253,7 @@
             .iter()
             .filter_map(|f| self.track(*f))
             .map(Track::now)
-            .all(|now| !now.runs || (!now.stopped && self.words(&now, &planners).is_empty()))
+            .all(|now| !now.runs || (!now.stopped && self.view_of(&now, &planners).is_empty()))
     }
 
     /// Planners that run in the end.
@@ -267,7 +269,7 @@
         for f in &forwarders {
             let Some(track) = self.track(*f) else { continue };
             for (at_us, now) in track.states() {
-                let view = now.runs.then(|| self.words(&now, &planners));
+                let view = now.runs.then(|| self.view_of(&now, &planners));
                 samples.push(Sample { at_us, observer: self.plan.name(*f).to_owned(), view });
             }
         }
@@ -332,7 +334,7 @@
         changes.sort_by_key(|c| c.at_us);
         figures.changes = changes.len() as u64;
         for window in WINDOWS {
-            let most = self.rules.max_changes(window + READ);
+            let most = self.rules.max_changes(window + LOG_DELAY);
             match marks::flapping(&changes, window, most) {
                 Verdict::Held(busiest) if window == 10_000_000 => {
                     figures.changes_in_10_s = busiest.changes as u64;
@@ -371,7 +373,7 @@
             let mut steps: Vec<(Micros, i64)> = Vec::new();
             for f in &forwarders {
                 for (from, until, _) in self.track(*f).map(|t| t.avoided(name)).unwrap_or_default() {
-                    if !doubtful.touch(from - LATELY, from) {
+                    if !doubtful.touch(from - EVIDENCE_GRACE, from) {
                         figures.wrong += 1;
                     }
                     steps.push((from, 1));
@@ -436,8 +438,8 @@
                     let Some(at) = until else { continue };
                     let returned =
                         track.changes.iter().any(|c| c.at == at && matches!(&c.what, What::Returns(_)));
-                    let still = silent.hold(at - SILENT, at + READ);
-                    if returned && still && unguided.within(at - FADES, at) < UNGUIDED {
+                    let still = silent.hold(at - CERTAIN_SILENCE, at + LOG_DELAY);
+                    if returned && still && unguided.within(at - MARK_FADE, at) < MAX_UNGUIDED {
                         let (who, name) = (self.plan.name(f), self.plan.name(node));
                         let what = format!("{who} goes back to {name}, which is still silent to it");
                         breaches.push(Breach { rule: Rule::Kept, at_s: s(at), what });
--- a/crates/lab/src/fleet/judge/tests.rs
+++ b/crates/lab/src/fleet/judge/tests.rs
@@ -9,7 +9,7 @@
 struct Seen {
     schedule: Schedule,
     tracks: BTreeMap<String, Track>,
-    met: Vec<Met>,
+    met: Vec<ClientEvent>,
 }
 
 impl Seen {
@@ -28,8 +28,8 @@
             seen.say(name, 11 * S, What::Returns("s0".into()));
         }
         seen.met = vec![
-            Met::Asked { id: 0, at: S, forwarder: 0 },
-            Met::Ended { id: 0, at: S + 5_000, end: End::Value },
+            ClientEvent::Asked { id: 0, at: S, forwarder: 0 },
+            ClientEvent::Ended { id: 0, at: S + 5_000, end: End::Value },
         ];
         seen
     }
@@ -66,14 +66,14 @@
 #[test]
 fn each_rule_is_broken_by_what_breaks_it() {
     let mut lost = Seen::right();
-    lost.met[1] = Met::Ended { id: 0, at: 3 * S, end: End::Late };
+    lost.met[1] = ClientEvent::Ended { id: 0, at: 3 * S, end: End::Late };
     assert_eq!(lost.broken(), [Rule::OneOutcome]);
     lost.say("f0", 2 * S, What::Stopped);
     lost.say("f0", 2 * S + 1, What::Resumed);
     assert_eq!(lost.broken(), [], "it stood still meanwhile");
 
     let mut twice = Seen::right();
-    twice.met.push(Met::Stray { id: 0, at: 2 * S });
+    twice.met.push(ClientEvent::Stray { id: 0, at: 2 * S });
     assert_eq!(twice.broken(), [Rule::OneOutcome]);
 
     let mut deaf = Seen::right();
@@ -104,6 +104,6 @@
 
     let mut poor = Seen::right();
     poor.schedule.expect.lost = Some(0.1);
-    poor.met[1] = Met::Ended { id: 0, at: S + 5_000, end: End::Refused };
+    poor.met[1] = ClientEvent::Ended { id: 0, at: S + 5_000, end: End::Refused };
     assert_eq!(poor.broken(), [Rule::Served]);
 }
--- a/crates/lab/src/fleet/links/room.rs
+++ b/crates/lab/src/fleet/links/context.rs
@@ -14,7 +14,7 @@
 /// Between two beats, which notice a pause while nothing is on its way.
 const BEAT_US: Micros = 5_000;
 /// Bytes that are read at once.
-pub const READ: usize = 64 * 1024;
+pub const READ_SIZE: usize = 64 * 1024;
 const HOUR_US: u64 = 3_600_000_000;
 
 /// How much later than due the relays did things: deliveries that had a delay, and a beat every 5 ms.
@@ -31,7 +31,7 @@
     pub(super) const UNKNOWN: Lateness = Lateness { p99_us: HOUR_US, worst_us: HOUR_US, void: true };
 }
 
-pub struct Room {
+pub struct RelayContext {
     start: Instant,
     late: RefCell<Histogram<u64>>,
     /// When the next beat is due.
@@ -39,13 +39,13 @@
     pub scratch: RefCell<Vec<u8>>,
 }
 
-impl Room {
+impl RelayContext {
     pub fn new() -> Option<Self> {
-        Some(Room {
+        Some(RelayContext {
             start: Instant::now(),
             late: RefCell::new(Histogram::new_with_bounds(1, HOUR_US, 2).ok()?),
             beat_us: Cell::new(BEAT_US),
-            scratch: RefCell::new(vec![0; READ]),
+            scratch: RefCell::new(vec![0; READ_SIZE]),
         })
     }
 
--- a/crates/lab/src/fleet/links/way.rs
+++ b/crates/lab/src/fleet/links/direction.rs
@@ -1,6 +1,6 @@
 //! One direction between two processes, shared by all relays that carry it: its condition, its line, its counts.
 
-use super::room::Room;
+use super::context::RelayContext;
 use event_listener::Event;
 use futures_lite::future;
 use std::cell::{Cell, RefCell};
@@ -31,7 +31,7 @@
     pub garbled: u64,
 }
 
-pub struct Way {
+pub struct Direction {
     condition: RefCell<Condition>,
     /// Counts conditions, so that whoever is on the way sees that there is another one.
     version: Cell<u64>,
@@ -40,9 +40,9 @@
     traffic: Cell<Traffic>,
 }
 
-impl Way {
+impl Direction {
     pub fn new(seed: u64, from: &str, to: &str) -> Self {
-        Way {
+        Direction {
             condition: RefCell::default(),
             version: Cell::new(0),
             changed: Event::new(),
@@ -79,7 +79,7 @@
         self.condition.borrow().refuse
     }
 
-    pub fn most_at_once(&self, most: usize) -> usize {
+    pub fn max_read(&self, most: usize) -> usize {
         self.condition.borrow().most_at_once(most)
     }
 
@@ -102,16 +102,16 @@
     }
 
     /// Until something without bytes of its own (a part of a handshake, a reset) has gone this way.
-    pub async fn pass(&self, room: &Room) {
+    pub async fn pass(&self, context: &RelayContext) {
         loop {
             let version = self.version();
-            match self.chunk(room.now(), 0, Micros::MIN) {
+            match self.chunk(context.now(), 0, Micros::MIN) {
                 ChunkFate::Held => self.changes().await,
-                ChunkFate::Due(d) if d.at_us <= room.now() => return,
+                ChunkFate::Due(d) if d.at_us <= context.now() => return,
                 ChunkFate::Due(d) => {
-                    future::or(self.changes(), room.until(Some(d.at_us))).await;
+                    future::or(self.changes(), context.until(Some(d.at_us))).await;
                     if self.version() == version {
-                        return room.done(d.at_us);
+                        return context.done(d.at_us);
                     }
                 }
             }
--- a/crates/lab/src/fleet/links/mod.rs
+++ b/crates/lab/src/fleet/links/mod.rs
@@ -5,14 +5,14 @@
 //! It starts no process and reads nothing that it carries: frames, names and meanings are unknown to it. Not for
 //! stand-ins, which have a network of their own ([`crate::loopback`]).
 
+mod context;
+mod direction;
 mod owner;
-mod room;
 mod tcp;
 mod udp;
-mod way;
 
-pub use room::{Lateness, VOID_P99_US, VOID_WORST_US};
-pub use way::Traffic;
+pub use context::{Lateness, VOID_P99_US, VOID_WORST_US};
+pub use direction::Traffic;
 pub use world::fleet::link::{Condition, Delay};
 
 use async_channel::Sender;
@@ -23,7 +23,7 @@
 use std::thread::JoinHandle;
 
 /// Orders that may wait for the relays' thread.
-const ORDERS: usize = 64;
+const MAX_PENDING_ORDERS: usize = 64;
 
 /// The relays of a fleet. All methods may be called from any thread, and wait for the relays' thread: what
 /// is set holds for all that happens after the call.
@@ -39,7 +39,7 @@
     ///
     /// The system gives no thread.
     pub fn start(seed: u64) -> io::Result<Links> {
-        let (orders, told) = async_channel::bounded(ORDERS);
+        let (orders, told) = async_channel::bounded(MAX_PENDING_ORDERS);
         let thread =
             std::thread::Builder::new().name("links".into()).spawn(move || owner::run(seed, &told))?;
         Ok(Links { orders, thread: Some(thread) })
--- a/crates/lab/src/fleet/links/owner.rs
+++ b/crates/lab/src/fleet/links/owner.rs
@@ -1,9 +1,9 @@
 //! The thread of the relays: it owns all of them, their sockets and tasks, and carries out one order at a time.
 
-use super::room::{Lateness, Room};
+use super::context::{Lateness, RelayContext};
+use super::direction::{Direction, Traffic};
 use super::tcp;
-use super::udp::Post;
-use super::way::{Traffic, Way};
+use super::udp::UdpDirection;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -18,13 +18,13 @@
 use world::fleet::link::Condition;
 
 /// Relays of one [`super::Links`].
-pub const RELAYS: usize = 8192;
+pub const MAX_RELAYS: usize = 8192;
 /// Connections through one relay that are up or coming up.
-pub const CONNECTIONS: usize = 1024;
+pub const MAX_CONNECTIONS: usize = 1024;
 /// Connections that may wait to be accepted.
 const BACKLOG: i32 = 1024;
 /// Things heard that may wait for the owner before sockets wait in their turn.
-const HEARD: usize = 1024;
+const MAX_PENDING_EVENTS: usize = 1024;
 
 /// The ends of a link and the port it is for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -50,7 +50,7 @@
     Sleep(Duration, Sender<()>),
 }
 
-enum Heard {
+enum RelayEvent {
     Accepted(Name, Async<TcpStream>),
     Ended(u64),
 }
@@ -65,8 +65,8 @@
     /// The process there is known to listen no more.
     shut: bool,
     up: usize,
-    there: Rc<Way>,
-    back: Rc<Way>,
+    forward: Rc<Direction>,
+    backward: Rc<Direction>,
 }
 
 struct UdpRelay {
@@ -87,24 +87,24 @@
 
 /// Until the orders end. All that is left then goes with the executor.
 pub fn run(seed: u64, orders: &Receiver<Order>) {
-    let Some(room) = Room::new() else { return };
+    let Some(context) = RelayContext::new() else { return };
     let executor = LocalExecutor::new();
-    let room = Rc::new(room);
-    let (tell, heard) = async_channel::bounded(HEARD);
+    let context = Rc::new(context);
+    let (events, heard) = async_channel::bounded(MAX_PENDING_EVENTS);
     let beat = executor.spawn({
-        let room = room.clone();
-        async move { room.beat().await }
+        let context = context.clone();
+        async move { context.beat().await }
     });
     let mut owner = Owner {
         executor: &executor,
         seed,
-        room,
-        ways: BTreeMap::new(),
+        context,
+        directions: BTreeMap::new(),
         tcp: BTreeMap::new(),
         udp: BTreeMap::new(),
         connections: HashMap::new(),
         count: 0,
-        tell,
+        events,
     };
     async_io::block_on(executor.run(owner.run(orders, &heard)));
     drop(beat);
@@ -113,31 +113,31 @@
 struct Owner<'a> {
     executor: &'a LocalExecutor<'static>,
     seed: u64,
-    room: Rc<Room>,
-    ways: BTreeMap<(String, String), Rc<Way>>,
+    context: Rc<RelayContext>,
+    directions: BTreeMap<(String, String), Rc<Direction>>,
     tcp: BTreeMap<Name, TcpRelay>,
     udp: BTreeMap<Name, UdpRelay>,
     connections: HashMap<u64, Connection>,
     count: u64,
-    tell: Sender<Heard>,
+    events: Sender<RelayEvent>,
 }
 
 impl Owner<'_> {
-    async fn run(&mut self, orders: &Receiver<Order>, heard: &Receiver<Heard>) {
+    async fn run(&mut self, orders: &Receiver<Order>, heard: &Receiver<RelayEvent>) {
         enum Next {
             Order(Option<Order>),
-            Heard(Option<Heard>),
+            RelayEvent(Option<RelayEvent>),
         }
         loop {
             let order = async { Next::Order(orders.recv().await.ok()) };
-            let hears = async { Next::Heard(heard.recv().await.ok()) };
+            let hears = async { Next::RelayEvent(heard.recv().await.ok()) };
             match future::or(order, hears).await {
-                Next::Order(None) | Next::Heard(None) => return,
-                Next::Heard(Some(heard)) => self.hear(heard),
+                Next::Order(None) | Next::RelayEvent(None) => return,
+                Next::RelayEvent(Some(heard)) => self.handle_event(heard),
                 Next::Order(Some(order)) => {
                     // What came before the order is not to outlive it.
                     while let Ok(heard) = heard.try_recv() {
-                        self.hear(heard);
+                        self.handle_event(heard);
                     }
                     self.carry_out(order).await;
                 }
@@ -145,10 +145,10 @@
         }
     }
 
-    fn hear(&mut self, heard: Heard) {
+    fn handle_event(&mut self, heard: RelayEvent) {
         match heard {
-            Heard::Accepted(name, socket) => self.accepted(name, socket),
-            Heard::Ended(id) => {
+            RelayEvent::Accepted(name, socket) => self.accepted(name, socket),
+            RelayEvent::Ended(id) => {
                 if let Some(relay) = self.connections.remove(&id).and_then(|c| self.tcp.get_mut(&c.relay)) {
                     relay.up -= 1;
                 }
@@ -166,12 +166,12 @@
             Order::Aim(to, port, target, reply) => answer(&reply, self.aim(&to, &port, target).await),
             Order::Set(from, to, condition, reply) => answer(&reply, self.set(from, to, condition).await),
             Order::Get(from, to, reply) => {
-                answer(&reply, self.ways.get(&(from, to)).map(|w| w.condition()).unwrap_or_default());
+                answer(&reply, self.directions.get(&(from, to)).map(|w| w.condition()).unwrap_or_default());
             }
             Order::Reset(from, to, reply) => answer(&reply, self.reset(&from, &to).await),
-            Order::Lateness(reply) => answer(&reply, self.room.lateness()),
+            Order::Lateness(reply) => answer(&reply, self.context.lateness()),
             Order::Traffic(from, to, reply) => {
-                answer(&reply, self.ways.get(&(from, to)).map(|w| w.traffic()).unwrap_or_default());
+                answer(&reply, self.directions.get(&(from, to)).map(|w| w.traffic()).unwrap_or_default());
             }
             #[cfg(test)]
             Order::Sleep(time, reply) => {
@@ -181,15 +181,15 @@
         }
     }
 
-    fn way(&mut self, from: &str, to: &str) -> Rc<Way> {
+    fn direction(&mut self, from: &str, to: &str) -> Rc<Direction> {
         let seed = self.seed;
-        let way = self.ways.entry((from.to_owned(), to.to_owned()));
-        way.or_insert_with(|| Rc::new(Way::new(seed, from, to))).clone()
+        let direction = self.directions.entry((from.to_owned(), to.to_owned()));
+        direction.or_insert_with(|| Rc::new(Direction::new(seed, from, to))).clone()
     }
 
     fn has_room(&self) -> io::Result<()> {
-        if self.tcp.len() + self.udp.len() >= RELAYS {
-            return Err(io::Error::other(format!("more than {RELAYS} links")));
+        if self.tcp.len() + self.udp.len() >= MAX_RELAYS {
+            return Err(io::Error::other(format!("more than {MAX_RELAYS} links")));
         }
         Ok(())
     }
@@ -199,7 +199,7 @@
             relay.target.set(target);
             relay.shut = false;
             let address = relay.address;
-            self.settle(&name).await?;
+            self.update_listener(&name).await?;
             return Ok(address);
         }
         self.has_room()?;
@@ -213,18 +213,18 @@
             listens: None,
             shut: false,
             up: 0,
-            there: self.way(&name.from, &name.to),
-            back: self.way(&name.to, &name.from),
+            forward: self.direction(&name.from, &name.to),
+            backward: self.direction(&name.to, &name.from),
         };
         self.tcp.insert(name.clone(), relay);
-        self.settle(&name).await?;
+        self.update_listener(&name).await?;
         Ok(address)
     }
 
     /// Listens, or refuses: as it is to be now.
-    async fn settle(&mut self, name: &Name) -> io::Result<()> {
+    async fn update_listener(&mut self, name: &Name) -> io::Result<()> {
         let Some(relay) = self.tcp.get_mut(name) else { return Ok(()) };
-        let listens = !relay.shut && !relay.there.refuses();
+        let listens = !relay.shut && !relay.forward.refuses();
         if listens == relay.listens.is_some() {
             return Ok(());
         }
@@ -236,29 +236,30 @@
         let socket = bound(relay.address.port())?;
         socket.listen(BACKLOG)?;
         let listener = Rc::new(Async::new(TcpListener::from(socket))?);
-        let task = self.executor.spawn(accept(listener.clone(), name.clone(), self.tell.clone()));
+        let task = self.executor.spawn(accept(listener.clone(), name.clone(), self.events.clone()));
         relay.listens = Some((listener, task));
         Ok(())
     }
 
     fn accepted(&mut self, name: Name, socket: Async<TcpStream>) {
         let Some(relay) = self.tcp.get_mut(&name) else { return };
-        relay.there.count(|t| t.connections += 1);
-        if relay.listens.is_none() || relay.up >= CONNECTIONS {
+        relay.forward.count(|t| t.connections += 1);
+        if relay.listens.is_none() || relay.up >= MAX_CONNECTIONS {
             // Dropped, it is reset.
-            relay.there.count(|t| t.refused += 1);
+            relay.forward.count(|t| t.refused += 1);
             return;
         }
         relay.up += 1;
         self.count += 1;
-        let (id, tell) = (self.count, self.tell.clone());
-        let (there, back) = (relay.there.clone(), relay.back.clone());
+        let (id, events) = (self.count, self.events.clone());
+        let (forward, backward) = (relay.forward.clone(), relay.backward.clone());
         // Known now: the link may be healed before the task has its first turn.
-        let held = there.holds_all() || back.holds_all();
-        let work = tcp::connection(socket, held, relay.target.clone(), there, back, self.room.clone());
+        let held = forward.holds_all() || backward.holds_all();
+        let work =
+            tcp::connection(socket, held, relay.target.clone(), forward, backward, self.context.clone());
         let task = self.executor.spawn(async move {
             work.await;
-            let _ = tell.send(Heard::Ended(id)).await;
+            let _ = events.send(RelayEvent::Ended(id)).await;
         });
         self.connections.insert(id, Connection { relay: name, task });
     }
@@ -284,23 +285,23 @@
         let (near, far) = (socket()?, socket()?);
         let addresses = (near.get_ref().local_addr()?, far.get_ref().local_addr()?);
         let (at_from, at_to) = (Rc::new(Cell::new(from)), Rc::new(Cell::new(Some(to))));
-        let there = Post {
+        let forward = UdpDirection {
             from: near.clone(),
             by: far.clone(),
             to: at_to.clone(),
             learn: from.is_none().then(|| at_from.clone()),
-            way: self.way(&name.from, &name.to),
-            room: self.room.clone(),
+            direction: self.direction(&name.from, &name.to),
+            context: self.context.clone(),
         };
-        let back = Post {
+        let backward = UdpDirection {
             from: far,
             by: near,
             to: at_from.clone(),
             learn: None,
-            way: self.way(&name.to, &name.from),
-            room: self.room.clone(),
+            direction: self.direction(&name.to, &name.from),
+            context: self.context.clone(),
         };
-        let tasks = [self.executor.spawn(there.run()), self.executor.spawn(back.run())];
+        let tasks = [self.executor.spawn(forward.run()), self.executor.spawn(backward.run())];
         let (near, far) = addresses;
         let relay = UdpRelay { near, far, at_from, at_to, learns: from.is_none(), _tasks: tasks };
         self.udp.insert(name, relay);
@@ -309,14 +310,14 @@
 
     async fn aim(&mut self, to: &str, port: &str, target: Option<SocketAddr>) -> io::Result<()> {
         let mut found = false;
-        let mut settle = Vec::new();
+        let mut update_listener = Vec::new();
         for (name, relay) in self.tcp.iter_mut().filter(|(n, _)| n.to == to && n.port == port) {
             found = true;
             relay.shut = target.is_none();
             if let Some(target) = target {
                 relay.target.set(target);
             }
-            settle.push(name.clone());
+            update_listener.push(name.clone());
         }
         for (_, relay) in self.udp.iter().filter(|(n, _)| n.to == to && n.port == port) {
             found = true;
@@ -330,18 +331,18 @@
         if !found {
             return Err(io::Error::other(format!("no link to {to}'s port {port}")));
         }
-        for name in settle {
-            self.settle(&name).await?;
+        for name in update_listener {
+            self.update_listener(&name).await?;
         }
         Ok(())
     }
 
     async fn set(&mut self, from: String, to: String, condition: Condition) -> io::Result<()> {
         condition.check().map_err(io::Error::other)?;
-        self.way(&from, &to).set(condition);
+        self.direction(&from, &to).set(condition);
         let of: Vec<Name> = self.tcp.keys().filter(|n| n.from == from && n.to == to).cloned().collect();
         for name in of {
-            self.settle(&name).await?;
+            self.update_listener(&name).await?;
         }
         Ok(())
     }
@@ -353,7 +354,7 @@
         for (_, relay) in self.tcp.iter().filter(|(n, _)| between(n)) {
             let Some((listener, _)) = &relay.listens else { continue };
             while let Ok((socket, _)) = listener.get_ref().accept() {
-                relay.there.count(|t| t.connections += 1);
+                relay.forward.count(|t| t.connections += 1);
                 tcp::prepare(&socket);
                 count += 1;
             }
@@ -385,13 +386,13 @@
     Ok(socket)
 }
 
-async fn accept(listener: Rc<Async<TcpListener>>, name: Name, tell: Sender<Heard>) {
+async fn accept(listener: Rc<Async<TcpListener>>, name: Name, events: Sender<RelayEvent>) {
     let mut incoming = Box::pin(listener.incoming());
     while let Some(socket) = incoming.next().await {
         match socket {
             Ok(socket) => {
                 tcp::prepare(socket.get_ref());
-                if tell.send(Heard::Accepted(name.clone(), socket)).await.is_err() {
+                if events.send(RelayEvent::Accepted(name.clone(), socket)).await.is_err() {
                     return;
                 }
             }
--- a/crates/lab/src/fleet/links/tcp.rs
+++ b/crates/lab/src/fleet/links/tcp.rs
@@ -4,8 +4,8 @@
 //! on as that and does not touch the other. Both sockets are set to end with a reset, so that whoever drops a
 //! connection resets it; only one that both sides have ended is closed.
 
-use super::room::{Room, READ};
-use super::way::Way;
+use super::context::{RelayContext, READ_SIZE};
+use super::direction::Direction;
 use async_io::Async;
 use event_listener::Event;
 use futures_lite::future;
@@ -21,19 +21,19 @@
 use world::Micros;
 
 /// Bytes of one direction that a relay holds; beyond that it reads no more, and the sender's system fills up.
-pub const BUFFERED: usize = 256 * 1024;
+pub const MAX_BUFFERED: usize = 256 * 1024;
 /// What the system is to keep for a socket of a relay, each way. Linux takes twice as much, for what it adds to bytes.
-const KERNEL: usize = 128 * 1024;
+const SOCKET_BUFFER: usize = 128 * 1024;
 /// How often a connection that is held before it came up is looked at: whether its opener is still there.
-const LOOK_US: Micros = 200_000;
+const HELD_CHECK_US: Micros = 200_000;
 
 /// Takes over a socket: small buffers, no waiting for more bytes, a reset when it is dropped.
 pub fn prepare(socket: &TcpStream) {
     let _ = socket.set_nodelay(true);
     let s = SockRef::from(socket);
     let _ = s.set_linger(Some(Duration::ZERO));
-    let _ = s.set_recv_buffer_size(KERNEL);
-    let _ = s.set_send_buffer_size(KERNEL);
+    let _ = s.set_recv_buffer_size(SOCKET_BUFFER);
+    let _ = s.set_send_buffer_size(SOCKET_BUFFER);
 }
 
 /// As [`Async::connect`], but prepared from the start: a target may have accepted it before it is known here to be up.
@@ -55,68 +55,74 @@
 }
 
 /// Whether the other side has ended its direction or all of it, even if there are bytes before that.
-fn has_left(socket: &TcpStream) -> bool {
+fn peer_has_closed(socket: &TcpStream) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::RDHUP)];
     let now = Timespec { tv_sec: 0, tv_nsec: 0 };
     rustix::event::poll(&mut fds, Some(&now)).is_ok_and(|n| n > 0)
 }
 
-/// Carries an accepted connection to its end. `there` is the direction of its opener; `held`, whether a handshake
+/// Carries an accepted connection to its end. `forward` is the direction of its opener; `held`, whether a handshake
 /// could not have passed when it was accepted.
 pub async fn connection(
     near: Async<TcpStream>,
     held: bool,
     target: Rc<Cell<SocketAddr>>,
-    there: Rc<Way>,
-    back: Rc<Way>,
-    room: Rc<Room>,
+    forward: Rc<Direction>,
+    backward: Rc<Direction>,
+    context: Rc<RelayContext>,
 ) {
-    if !comes_up(&near, held, &there, &back, &room).await {
+    if !complete_handshake(&near, held, &forward, &backward, &context).await {
         return;
     }
     let Ok(far) = dial(target.get()).await else {
         // The refusal has its way to go, as an answer would.
-        back.pass(&room).await;
-        there.count(|t| t.refused += 1);
+        backward.pass(&context).await;
+        forward.count(|t| t.refused += 1);
         return;
     };
     let ends = Ends::default();
     let near = End { socket: &near, dead: &ends.near_dead, done: &ends.near_done };
     let far = End { socket: &far, dead: &ends.far_dead, done: &ends.far_done };
-    let there = async {
+    let forward = async {
         // The opener may send once the answer to its handshake is back.
-        back.pass(&room).await;
-        Stream::new(near, far, &ends.changed, &there, &room).run().await
+        backward.pass(&context).await;
+        Stream::new(near, far, &ends.changed, &forward, &context).run().await
     };
-    let back = Stream::new(far, near, &ends.changed, &back, &room).run();
-    if future::try_zip(there, back).await.is_ok() {
+    let backward = Stream::new(far, near, &ends.changed, &backward, &context).run();
+    if future::try_zip(forward, backward).await.is_ok() {
         let _ = SockRef::from(near.socket.get_ref()).set_linger(None);
         let _ = SockRef::from(far.socket.get_ref()).set_linger(None);
     }
 }
 
 /// A handshake needs both directions. Whether it is done; not if the opener has left while it was held.
-async fn comes_up(near: &Async<TcpStream>, mut held: bool, there: &Way, back: &Way, room: &Room) -> bool {
+async fn complete_handshake(
+    near: &Async<TcpStream>,
+    mut held: bool,
+    forward: &Direction,
+    backward: &Direction,
+    context: &RelayContext,
+) -> bool {
     loop {
-        if there.holds_all() || back.holds_all() {
+        if forward.holds_all() || backward.holds_all() {
             held = true;
-            let look = room.until(Some(room.now() + LOOK_US));
-            future::or(future::or(there.changes(), back.changes()), look).await;
-            if has_left(near.get_ref()) {
+            let look = context.until(Some(context.now() + HELD_CHECK_US));
+            future::or(future::or(forward.changes(), backward.changes()), look).await;
+            if peer_has_closed(near.get_ref()) {
                 return false;
             }
             continue;
         }
         let passed = async {
-            there.pass(room).await;
+            forward.pass(context).await;
             true
         };
         let cut = async {
-            back.changes().await;
+            backward.changes().await;
             false
         };
-        if future::or(passed, cut).await && !there.holds_all() && !back.holds_all() {
-            return !held || !has_left(near.get_ref());
+        if future::or(passed, cut).await && !forward.holds_all() && !backward.holds_all() {
+            return !held || !peer_has_closed(near.get_ref());
         }
     }
 }
@@ -144,7 +150,7 @@
 /// The connection is to be reset.
 struct Reset;
 
-enum What {
+enum ItemKind {
     Bytes { bytes: Vec<u8>, written: usize, garbled: Option<usize> },
     End,
     Reset,
@@ -155,14 +161,14 @@
     due_us: Option<Micros>,
     /// Whether it could not go at once, so that its lateness counts.
     delayed: bool,
-    what: What,
+    what: ItemKind,
 }
 
 impl Item {
     fn len(&self) -> usize {
         match &self.what {
-            What::Bytes { bytes, written, .. } => bytes.len() - written,
-            What::End | What::Reset => 0,
+            ItemKind::Bytes { bytes, written, .. } => bytes.len() - written,
+            ItemKind::End | ItemKind::Reset => 0,
         }
     }
 }
@@ -172,8 +178,8 @@
     from: End<'a>,
     to: End<'a>,
     changed: &'a Event,
-    way: &'a Way,
-    room: &'a Room,
+    direction: &'a Direction,
+    context: &'a RelayContext,
     version: u64,
     queue: VecDeque<Item>,
     /// Bytes in the queue.
@@ -198,19 +204,25 @@
 impl Drop for Stream<'_> {
     fn drop(&mut self) {
         let waiting = self.waiting as u64;
-        self.way.count(|t| t.waiting -= waiting);
+        self.direction.count(|t| t.waiting -= waiting);
     }
 }
 
 impl<'a> Stream<'a> {
-    fn new(from: End<'a>, to: End<'a>, changed: &'a Event, way: &'a Way, room: &'a Room) -> Self {
+    fn new(
+        from: End<'a>,
+        to: End<'a>,
+        changed: &'a Event,
+        direction: &'a Direction,
+        context: &'a RelayContext,
+    ) -> Self {
         Stream {
             from,
             to,
             changed,
-            way,
-            room,
-            version: way.version(),
+            direction,
+            context,
+            version: direction.version(),
             queue: VecDeque::new(),
             waiting: 0,
             last_us: Micros::MIN,
@@ -235,7 +247,7 @@
         // Its sender may still reset the whole.
         while !self.to.done.get() {
             if self.from.dead.get() {
-                self.way.pass(self.room).await;
+                self.direction.pass(self.context).await;
                 return Err(Reset);
             }
             self.changed.listen().await;
@@ -245,68 +257,69 @@
 
     /// Reads once, if there is room. Whether anything came.
     fn read(&mut self) -> bool {
-        self.look_at_condition();
-        if !self.open || self.to.dead.get() || self.waiting >= BUFFERED {
+        self.apply_new_condition();
+        if !self.open || self.to.dead.get() || self.waiting >= MAX_BUFFERED {
             return false;
         }
-        let room = self.room;
-        let mut scratch = room.scratch.borrow_mut();
-        let most = self.way.most_at_once(READ).min(BUFFERED - self.waiting);
+        let context = self.context;
+        let mut scratch = context.scratch.borrow_mut();
+        let most = self.direction.max_read(READ_SIZE).min(MAX_BUFFERED - self.waiting);
         let what = match self.from.socket.get_ref().read(&mut scratch[..most]) {
-            Ok(0) if self.from.dead.get() => What::Reset,
-            Ok(0) => What::End,
+            Ok(0) if self.from.dead.get() => ItemKind::Reset,
+            Ok(0) => ItemKind::End,
             Ok(n) => {
-                self.way.count(|t| t.waiting += n as u64);
+                self.direction.count(|t| t.waiting += n as u64);
                 self.waiting += n;
-                What::Bytes { bytes: scratch[..n].to_vec(), written: 0, garbled: None }
+                ItemKind::Bytes { bytes: scratch[..n].to_vec(), written: 0, garbled: None }
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return true,
-            Err(_) => What::Reset,
+            Err(_) => ItemKind::Reset,
         };
-        self.open = matches!(what, What::Bytes { .. });
+        self.open = matches!(what, ItemKind::Bytes { .. });
         let mut item = Item { due_us: None, delayed: false, what };
-        self.last_us = plan(&mut item, self.way, room.now(), self.last_us);
+        self.last_us = plan(&mut item, self.direction, context.now(), self.last_us);
         self.queue.push_back(item);
         true
     }
 
     /// Under another condition, all that has not arrived sets out anew.
-    fn look_at_condition(&mut self) {
-        if self.version == self.way.version() {
+    fn apply_new_condition(&mut self) {
+        if self.version == self.direction.version() {
             return;
         }
-        self.version = self.way.version();
+        self.version = self.direction.version();
         self.last_us = Micros::MIN;
-        let now = self.room.now();
+        let now = self.context.now();
         for item in &mut self.queue {
-            self.last_us = plan(item, self.way, now, self.last_us);
+            self.last_us = plan(item, self.direction, now, self.last_us);
         }
     }
 
     /// Writes what is due, as far as the receiver takes it.
     fn write(&mut self) -> Result<Turn, Reset> {
-        self.look_at_condition();
-        let now = self.room.now();
+        self.apply_new_condition();
+        let now = self.context.now();
         let Some(item) = self.queue.front_mut() else { return Ok(Turn::Idle) };
         let Some(due) = item.due_us.filter(|due| *due <= now) else { return Ok(Turn::Idle) };
         let delayed = std::mem::take(&mut item.delayed);
         let (whole, turn) = match &mut item.what {
-            What::Reset => return Err(Reset),
-            What::End => {
+            ItemKind::Reset => return Err(Reset),
+            ItemKind::End => {
                 let _ = self.to.socket.get_ref().shutdown(Shutdown::Write);
                 (true, Turn::Ended)
             }
-            What::Bytes { bytes, written, garbled } => {
+            ItemKind::Bytes { bytes, written, garbled } => {
                 if let Some(at) = garbled.take() {
                     garble(bytes, at);
-                    self.way.count(|t| t.garbled += 1);
+                    self.direction.count(|t| t.garbled += 1);
                 }
                 match self.to.socket.get_ref().write(&bytes[*written..]) {
                     Ok(n) => {
                         *written += n;
                         self.waiting -= n;
-                        self.way.count(|t| (t.bytes, t.waiting) = (t.bytes + n as u64, t.waiting - n as u64));
+                        self.direction
+                            .count(|t| (t.bytes, t.waiting) = (t.bytes + n as u64, t.waiting - n as u64));
                         (*written == bytes.len(), Turn::Moved)
                     }
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => (false, Turn::Full),
@@ -315,14 +328,14 @@
                         // The reset goes the other way, under the conditions there. Nothing more can go this way.
                         self.to.dead.set(true);
                         self.changed.notify(usize::MAX);
-                        self.give_up();
+                        self.discard_queue();
                         return Ok(Turn::Idle);
                     }
                 }
             }
         };
         if delayed {
-            self.room.done(due);
+            self.context.done(due);
         }
         if whole {
             self.queue.pop_front();
@@ -330,16 +343,16 @@
         Ok(turn)
     }
 
-    fn give_up(&mut self) {
+    fn discard_queue(&mut self) {
         let waiting = std::mem::take(&mut self.waiting) as u64;
-        self.way.count(|t| t.waiting -= waiting);
+        self.direction.count(|t| t.waiting -= waiting);
         self.queue.clear();
         self.open = false;
     }
 
     /// Until there may be something to do.
     async fn wait(&self, full: bool) {
-        let reads = self.open && !self.to.dead.get() && self.waiting < BUFFERED;
+        let reads = self.open && !self.to.dead.get() && self.waiting < MAX_BUFFERED;
         let readable = async {
             match reads {
                 // An error shows when it is read.
@@ -354,16 +367,16 @@
             }
         };
         let due = self.queue.front().and_then(|i| i.due_us).filter(|_| !full);
-        let due = self.room.until(due);
+        let due = self.context.until(due);
         let other = async { self.changed.listen().await };
         let io = future::or(readable, writable);
-        future::or(future::or(io, due), future::or(self.way.changes(), other)).await;
+        future::or(future::or(io, due), future::or(self.direction.changes(), other)).await;
     }
 }
 
 /// Asks the line when something that sets out now arrives. When it does; what comes behind does not overtake it.
-fn plan(item: &mut Item, way: &Way, now_us: Micros, behind_us: Micros) -> Micros {
-    match way.chunk(now_us, item.len(), behind_us) {
+fn plan(item: &mut Item, direction: &Direction, now_us: Micros, behind_us: Micros) -> Micros {
+    match direction.chunk(now_us, item.len(), behind_us) {
         ChunkFate::Held => {
             item.due_us = None;
             behind_us
@@ -371,7 +384,7 @@
         ChunkFate::Due(delivery) => {
             item.due_us = Some(delivery.at_us);
             item.delayed = delivery.at_us > now_us;
-            if let What::Bytes { written, garbled, .. } = &mut item.what {
+            if let ItemKind::Bytes { written, garbled, .. } = &mut item.what {
                 *garbled = delivery.garbled.map(|at| at + *written);
             }
             delivery.at_us
--- a/crates/lab/src/fleet/links/udp.rs
+++ b/crates/lab/src/fleet/links/udp.rs
@@ -2,8 +2,8 @@
 //!
 //! What has set out keeps its time when the condition changes; only a condition under which nothing passes takes it.
 
-use super::room::Room;
-use super::way::Way;
+use super::context::RelayContext;
+use super::direction::Direction;
 use async_io::Async;
 use futures_lite::future;
 use std::cell::Cell;
@@ -18,10 +18,10 @@
 pub const IN_FLIGHT: usize = 1024;
 pub const IN_FLIGHT_BYTES: usize = 4 * 1024 * 1024;
 /// Datagrams that are read before others have their turn.
-const AT_ONCE: usize = 32;
+const MAX_READS_PER_TURN: usize = 32;
 
 /// One direction of a relay.
-pub struct Post {
+pub struct UdpDirection {
     /// The sender sends to this one.
     pub from: Rc<Async<UdpSocket>>,
     /// The receiver sees it come from this one.
@@ -29,46 +29,46 @@
     pub to: Rc<Cell<Option<SocketAddr>>>,
     /// Where the sender was heard last is kept here, for what goes the other way.
     pub learn: Option<Rc<Cell<Option<SocketAddr>>>>,
-    pub way: Rc<Way>,
-    pub room: Rc<Room>,
+    pub direction: Rc<Direction>,
+    pub context: Rc<RelayContext>,
 }
 
 /// What is on its way, by when it is due and in the order in which it set out.
 #[derive(Default)]
-struct Flight {
+struct InFlight {
     all: BTreeMap<(Micros, u64), Vec<u8>>,
     bytes: usize,
     count: u64,
 }
 
-impl Post {
+impl UdpDirection {
     pub async fn run(self) {
-        let mut flight = Flight::default();
-        let mut version = self.way.version();
+        let mut in_flight = InFlight::default();
+        let mut version = self.direction.version();
         loop {
-            if version != self.way.version() {
-                version = self.way.version();
-                if self.way.holds_all() {
-                    self.way.count(|t| t.lost += flight.all.len() as u64);
-                    flight = Flight::default();
+            if version != self.direction.version() {
+                version = self.direction.version();
+                if self.direction.holds_all() {
+                    self.direction.count(|t| t.lost += in_flight.all.len() as u64);
+                    in_flight = InFlight::default();
                 }
             }
-            let more = self.read(&mut flight);
-            self.deliver(&mut flight);
+            let more = self.read(&mut in_flight);
+            self.deliver(&mut in_flight);
             if more {
                 future::yield_now().await;
                 continue;
             }
-            let due = flight.all.keys().next().map(|(at, _)| *at);
+            let due = in_flight.all.keys().next().map(|(at, _)| *at);
             let readable = async { drop(self.from.readable().await) };
-            future::or(self.way.changes(), future::or(readable, self.room.until(due))).await;
+            future::or(self.direction.changes(), future::or(readable, self.context.until(due))).await;
         }
     }
 
     /// Reads what has come, up to a bound; whether that was reached.
-    fn read(&self, flight: &mut Flight) -> bool {
-        let mut scratch = self.room.scratch.borrow_mut();
-        for _ in 0..AT_ONCE {
+    fn read(&self, in_flight: &mut InFlight) -> bool {
+        let mut scratch = self.context.scratch.borrow_mut();
+        for _ in 0..MAX_READS_PER_TURN {
             let (len, sender) = match self.from.get_ref().recv_from(&mut scratch) {
                 Ok(heard) => heard,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
@@ -78,13 +78,13 @@
             if let Some(learn) = &self.learn {
                 learn.set(Some(sender));
             }
-            let now = self.room.now();
-            let deliveries = self.way.datagram(now, len);
+            let now = self.context.now();
+            let deliveries = self.direction.datagram(now, len);
             if deliveries.is_lost() {
-                self.way.count(|t| t.lost += 1);
+                self.direction.count(|t| t.lost += 1);
             }
             for (nth, delivery) in deliveries.iter().enumerate() {
-                self.way.count(|t| {
+                self.direction.count(|t| {
                     t.duplicated += u64::from(nth > 0);
                     t.garbled += u64::from(delivery.garbled.is_some());
                 });
@@ -94,33 +94,33 @@
                 }
                 if delivery.at_us <= now {
                     self.send(&bytes);
-                } else if flight.all.len() >= IN_FLIGHT || flight.bytes + len > IN_FLIGHT_BYTES {
-                    self.way.count(|t| t.dropped += 1);
+                } else if in_flight.all.len() >= IN_FLIGHT || in_flight.bytes + len > IN_FLIGHT_BYTES {
+                    self.direction.count(|t| t.dropped += 1);
                 } else {
-                    flight.count += 1;
-                    flight.bytes += len;
-                    flight.all.insert((delivery.at_us, flight.count), bytes);
+                    in_flight.count += 1;
+                    in_flight.bytes += len;
+                    in_flight.all.insert((delivery.at_us, in_flight.count), bytes);
                 }
             }
         }
         true
     }
 
-    fn deliver(&self, flight: &mut Flight) {
-        while let Some(first) = flight.all.first_entry() {
+    fn deliver(&self, in_flight: &mut InFlight) {
+        while let Some(first) = in_flight.all.first_entry() {
             let (at, _) = *first.key();
-            if at > self.room.now() {
+            if at > self.context.now() {
                 return;
             }
             let bytes = first.remove();
-            flight.bytes -= bytes.len();
-            self.room.done(at);
+            in_flight.bytes -= bytes.len();
+            self.context.done(at);
             self.send(&bytes);
         }
     }
 
     fn send(&self, bytes: &[u8]) {
         let sent = self.to.get().is_some_and(|to| self.by.get_ref().send_to(bytes, to).is_ok());
-        self.way.count(|t| if sent { t.messages += 1 } else { t.dropped += 1 });
+        self.direction.count(|t| if sent { t.messages += 1 } else { t.dropped += 1 });
     }
 }
--- a/crates/lab/src/fleet/log.rs
+++ b/crates/lab/src/fleet/log.rs
@@ -3,7 +3,7 @@
 //! It owns the lines: those that processes write to standard error (`--log-format json`, an object a line with `event`
 //! as the word that names what happened; what is no such object is kept as text), and what the lab itself did to a
 //! process, under the same clock. All that is held is bounded, the oldest lines go first and are counted. Nobody polls: who waits is
-//! woken by each line that comes. Not the client operations' history, which is a file of its own ([`Written`]).
+//! woken by each line that comes. Not the client operations' history, which is a file of its own ([`JsonLinesWriter`]).
 //!
 //! A line bears the moment at which the lab read it. The process's own `at_ms` is among its fields; it is of the same
 //! machine's clock ([`Clock::unix`]), so that the two tell how late the reader was.
@@ -22,10 +22,10 @@
 use world::Micros;
 
 /// Lines that are held, of all processes together, and bytes of what they said.
-const MOST_LINES: usize = 100_000;
-const MOST_BYTES: usize = 64 << 20;
+const MAX_LINES: usize = 100_000;
+const MAX_BYTES: usize = 64 << 20;
 /// Lines of a process that a message about what was not seen quotes.
-const QUOTED: usize = 8;
+const MAX_QUOTED: usize = 8;
 
 /// Who says a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -99,7 +99,7 @@
 
 /// What is looked for: a line that is all that was asked for.
 #[derive(Clone, Default)]
-pub struct Wanted {
+pub struct LineFilter {
     process: Option<String>,
     life: Option<u32>,
     event: Option<String>,
@@ -107,35 +107,35 @@
     test: Option<Arc<Test>>,
 }
 
-impl Wanted {
+impl LineFilter {
     /// Any line.
-    pub fn any() -> Wanted {
-        Wanted::default()
+    pub fn any() -> LineFilter {
+        LineFilter::default()
     }
 
     /// A line of this event, from a process or from the lab.
-    pub fn event(name: &str) -> Wanted {
-        Wanted { event: Some(name.to_owned()), ..Wanted::default() }
+    pub fn event(name: &str) -> LineFilter {
+        LineFilter { event: Some(name.to_owned()), ..LineFilter::default() }
     }
 
     /// Of this process alone.
-    pub fn of(self, process: &str) -> Wanted {
-        Wanted { process: Some(process.to_owned()), ..self }
+    pub fn of(self, process: &str) -> LineFilter {
+        LineFilter { process: Some(process.to_owned()), ..self }
     }
 
     /// Of that process of the name alone; [`super::processes::Processes::life`] tells which one runs.
-    pub fn in_life(self, life: u32) -> Wanted {
-        Wanted { life: Some(life), ..self }
+    pub fn in_life(self, life: u32) -> LineFilter {
+        LineFilter { life: Some(life), ..self }
     }
 
     /// Whose message holds this.
-    pub fn saying(self, text: &str) -> Wanted {
-        Wanted { says: Some(text.to_owned()), ..self }
+    pub fn saying(self, text: &str) -> LineFilter {
+        LineFilter { says: Some(text.to_owned()), ..self }
     }
 
     /// Of which this holds.
-    pub fn when(self, test: impl Fn(&Line) -> bool + Send + Sync + 'static) -> Wanted {
-        Wanted { test: Some(Arc::new(test)), ..self }
+    pub fn when(self, test: impl Fn(&Line) -> bool + Send + Sync + 'static) -> LineFilter {
+        LineFilter { test: Some(Arc::new(test)), ..self }
     }
 
     pub fn is(&self, line: &Line) -> bool {
@@ -147,7 +147,7 @@
     }
 }
 
-impl fmt::Debug for Wanted {
+impl fmt::Debug for LineFilter {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str("a line")?;
         self.process.iter().try_for_each(|p| write!(f, " of {p}"))?;
@@ -161,7 +161,7 @@
 /// What was waited for did not come in time. Tells the last lines of who was to say it.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("not seen within {within:?}: {wanted}{lost}; last:{last}")]
-pub struct NotSeen {
+pub struct WaitTimeout {
     within: Duration,
     wanted: String,
     lost: String,
@@ -249,7 +249,7 @@
         held.next += 1;
         held.bytes += bytes;
         held.lines.push_back((bytes, Arc::new(line)));
-        while held.lines.len() > MOST_LINES || held.bytes > MOST_BYTES {
+        while held.lines.len() > MAX_LINES || held.bytes > MAX_BYTES {
             let Some((bytes, line)) = held.lines.pop_front() else { break };
             held.bytes -= bytes;
             *held.lost.entry(line.process.clone()).or_default() += 1;
@@ -264,7 +264,7 @@
     }
 
     /// The lines behind a mark that are wanted and still held, in the order in which they came.
-    pub fn lines(&self, since: Mark, wanted: &Wanted) -> Vec<Arc<Line>> {
+    pub fn lines(&self, since: Mark, wanted: &LineFilter) -> Vec<Arc<Line>> {
         self.held().since(since).filter(|l| wanted.is(l)).cloned().collect()
     }
 
@@ -278,7 +278,12 @@
     /// # Errors
     ///
     /// None came, or it was let go before anyone looked, which the error tells.
-    pub fn wait_for(&self, since: Mark, wanted: &Wanted, most: Duration) -> Result<Arc<Line>, NotSeen> {
+    pub fn wait_for(
+        &self,
+        since: Mark,
+        wanted: &LineFilter,
+        most: Duration,
+    ) -> Result<Arc<Line>, WaitTimeout> {
         let until = Instant::now().checked_add(most);
         let (mut held, mut from, mut missed) = (self.held(), since, 0);
         loop {
@@ -294,7 +299,7 @@
             held = self.shared.came.wait_timeout(held, left).unwrap_or_else(PoisonError::into_inner).0;
         }
         let whose = |l: &&Arc<Line>| wanted.process.as_deref().is_none_or(|p| p == &*l.process);
-        let last: Vec<_> = held.lines.iter().rev().map(|(_, l)| l).filter(whose).take(QUOTED).collect();
+        let last: Vec<_> = held.lines.iter().rev().map(|(_, l)| l).filter(whose).take(MAX_QUOTED).collect();
         let last = match last.is_empty() {
             true => " nothing was said".to_owned(),
             false => last.iter().rev().map(|l| format!("\n  {l}")).collect(),
@@ -303,7 +308,7 @@
             0 => String::new(),
             n => format!(" ({n} lines were let go unseen)"),
         };
-        Err(NotSeen { within: most, wanted: format!("{wanted:?}"), lost, last })
+        Err(WaitTimeout { within: most, wanted: format!("{wanted:?}"), lost, last })
     }
 
     /// The first line with this event that a process has said since the log began.
@@ -311,8 +316,8 @@
     /// # Errors
     ///
     /// As [`Log::wait_for`].
-    pub fn event(&self, process: &str, event: &str, most: Duration) -> Result<Arc<Line>, NotSeen> {
-        self.wait_for(Mark::default(), &Wanted::event(event).of(process), most)
+    pub fn event(&self, process: &str, event: &str, most: Duration) -> Result<Arc<Line>, WaitTimeout> {
+        self.wait_for(Mark::default(), &LineFilter::event(event).of(process), most)
     }
 
     /// Writes all lines that are held to a file, an object a line.
@@ -321,31 +326,31 @@
     ///
     /// Those of the file.
     pub fn write(&self, path: &Path) -> io::Result<()> {
-        let lines = self.lines(Mark::default(), &Wanted::any());
-        let written = Written::create(path)?;
+        let lines = self.lines(Mark::default(), &LineFilter::any());
+        let written = JsonLinesWriter::create(path)?;
         lines.iter().try_for_each(|line| written.push(&**line))?;
         written.finish().map(drop)
     }
 }
 
 /// Records a file of JSON lines, from several threads: the history of client operations, say. It holds nothing back but what
-/// a buffer of the system's usual size holds, and stops at [`MOST_WRITTEN`] records.
+/// a buffer of the system's usual size holds, and stops at [`MAX_RECORDS`] records.
 #[derive(Debug)]
-pub struct Written {
+pub struct JsonLinesWriter {
     to: Mutex<(BufWriter<File>, u64)>,
 }
 
 /// Records that a file may have, as many as the judges of histories take.
-pub const MOST_WRITTEN: u64 = 1 << 20;
+pub const MAX_RECORDS: u64 = 1 << 20;
 
-impl Written {
+impl JsonLinesWriter {
     /// A new file; one that is there is begun anew.
     ///
     /// # Errors
     ///
     /// Those of the file.
-    pub fn create(path: &Path) -> io::Result<Written> {
-        Ok(Written { to: Mutex::new((BufWriter::new(File::create(path)?), 0)) })
+    pub fn create(path: &Path) -> io::Result<JsonLinesWriter> {
+        Ok(JsonLinesWriter { to: Mutex::new((BufWriter::new(File::create(path)?), 0)) })
     }
 
     /// Adds a record. Those of one thread are in its order.
@@ -357,7 +362,7 @@
         let mut text = serde_json::to_vec(record)?;
         text.push(b'\n');
         let mut to = self.to.lock().unwrap_or_else(PoisonError::into_inner);
-        if to.1 == MOST_WRITTEN {
+        if to.1 == MAX_RECORDS {
             return Err(io::Error::new(
                 io::ErrorKind::QuotaExceeded,
                 "the file has as many records as it may",
--- a/crates/lab/src/fleet/machine.rs
+++ b/crates/lab/src/fleet/machine.rs
@@ -19,8 +19,8 @@
 use world::Micros;
 
 /// Between two beats, and between two looks at the processes.
-const BEAT: Duration = Duration::from_millis(10);
-const LOOK: Duration = Duration::from_millis(500);
+const BEAT_INTERVAL: Duration = Duration::from_millis(10);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What the machine may do to a run before it is void.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
@@ -109,9 +109,9 @@
     pub fn watch(roster: Option<Roster>) -> io::Result<Machine> {
         let shared = Arc::<Mutex<Shared>>::default();
         let mut machine = Machine { shared: shared.clone(), ends: Vec::new(), threads: Vec::new() };
-        let beaten = shared.clone();
-        machine.spawn("beat", move |end| beat(end, &beaten))?;
-        machine.spawn("look", move |end| look(end, &shared, roster.as_ref()))?;
+        let for_beat = shared.clone();
+        machine.spawn("beat", move |end| beat(end, &for_beat))?;
+        machine.spawn("look", move |end| sample(end, &shared, roster.as_ref()))?;
         Ok(machine)
     }
 
@@ -151,20 +151,20 @@
 }
 
 fn beat(end: &Receiver<()>, shared: &Mutex<Shared>) {
-    let mut due = Instant::now() + BEAT;
+    let mut due = Instant::now() + BEAT_INTERVAL;
     while until(due, end) {
         let late = due.elapsed();
         let us = late.as_micros() as Micros;
         let mut shared = shared.lock().unwrap_or_else(PoisonError::into_inner);
         // Beats that it slept through were late as well, each by less than the one before.
-        let missed = (late.as_micros() / BEAT.as_micros()).min(100_000) as Micros;
-        (0..=missed).for_each(|n| shared.late.add(us - n * BEAT.as_micros() as Micros));
+        let missed = (late.as_micros() / BEAT_INTERVAL.as_micros()).min(100_000) as Micros;
+        (0..=missed).for_each(|n| shared.late.add(us - n * BEAT_INTERVAL.as_micros() as Micros));
         shared.worst_us = shared.worst_us.max(us.unsigned_abs());
-        due += BEAT * (missed as u32 + 1);
+        due += BEAT_INTERVAL * (missed as u32 + 1);
     }
 }
 
-fn look(end: &Receiver<()>, shared: &Mutex<Shared>, roster: Option<&Roster>) {
+fn sample(end: &Receiver<()>, shared: &Mutex<Shared>, roster: Option<&Roster>) {
     /// Time for which a process had waited at the last look, and what was added then.
     type Waited = BTreeMap<(Arc<str>, u32), (Duration, Duration)>;
     let mut before = Waited::new();
@@ -194,7 +194,7 @@
                 }
             }
         }
-        if !until(Instant::now() + LOOK, end) {
+        if !until(Instant::now() + SAMPLE_INTERVAL, end) {
             return;
         }
     }
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -8,10 +8,10 @@
 
 use super::judge::{judge, Breach, Case, Figures};
 use super::links::{Lateness, Links};
-use super::log::{By, Line, Log, Mark, Wanted};
+use super::log::{By, Line, LineFilter, Log, Mark};
 use super::machine::{Bound, Machine, Seen};
-use super::processes::{told, Damage, Processes, Restart, Spec, State, Twin};
-use super::stage::{self, Met, Stage};
+use super::processes::{lab_event, Damage, Processes, Restart, Spec, State, Twin};
+use super::stage::{self, ClientEvent, Stage};
 use super::view::{self, Planners, Track};
 use crate::host::{HostError, Progress};
 use crate::loopback::children::Program;
@@ -33,22 +33,22 @@
 use world::Micros;
 
 /// The clock before all is ready.
-const BEFORE: Micros = -3_600_000_000;
+const CLOCK_BEFORE_READY: Micros = -3_600_000_000;
 /// No step of the start takes longer.
-const PATIENCE: Duration = Duration::from_secs(40);
+const STEP_TIMEOUT: Duration = Duration::from_secs(40);
 /// Planners give opinions 3.5 s after their start; clients ask by then.
-const WARM: Duration = Duration::from_millis(4_000);
+const PLANNER_WARMUP: Duration = Duration::from_millis(4_000);
 /// How long all views must be right before a run is over, and how often that is looked at.
-const SETTLED: Micros = 1_500_000;
-const LOOK: Duration = Duration::from_millis(100);
+const SETTLE_TIME: Micros = 1_500_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// After the bound of convergence, so that what is late is seen to be.
-const BEYOND: Micros = 500_000;
+const CONVERGENCE_MARGIN: Micros = 500_000;
 /// How long processes have to end when all is over.
-const ENDS: Duration = Duration::from_secs(5);
+const TERMINATE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long one that was killed may take to be gone.
-const KILLED: Duration = Duration::from_secs(2);
+const KILL_TIMEOUT: Duration = Duration::from_secs(2);
 /// A step that was carried out later than this voids a run.
-const LATE: Micros = 250_000;
+const MAX_STEP_DELAY: Micros = 250_000;
 /// The variable that plants a fault in a guarded proxy of a lab that was built to have some.
 pub const PLANT: &str = "LAB_PLANT";
 
@@ -68,7 +68,7 @@
 
 /// What came of it.
 #[derive(Debug)]
-pub struct Played {
+pub struct RunResult {
     pub plan: Plan,
     pub tracks: BTreeMap<String, Track>,
     pub figures: Figures,
@@ -82,7 +82,7 @@
     pub took: Duration,
 }
 
-impl Played {
+impl RunResult {
     /// Whether all held in a run that says something.
     pub fn is_good(&self) -> bool {
         self.void.is_none() && self.breaches.is_empty()
@@ -103,19 +103,19 @@
 ///
 /// [`HostError`] where there is no run to speak of. A run in which something did not hold is none, nor is one that is
 /// void.
-pub fn play(setting: &Setting<'_>, progress: &dyn Progress) -> Result<Played, HostError> {
+pub fn play(setting: &Setting<'_>, progress: &dyn Progress) -> Result<RunResult, HostError> {
     let started = Instant::now();
     let plan = setting.schedule.plan(setting.seed);
     progress.phase("starting");
     let fleet = Fleet::start(setting, &plan)?;
-    let usher = Usher::start(&fleet)?;
+    let target_updater = TargetUpdater::start(&fleet)?;
     fleet.wait_ready(&plan)?;
     let machine = Machine::watch(Some(fleet.processes.roster())).map_err(failed("a thread"))?;
     fleet.links.lateness();
     fleet.clock.forward(0);
     progress.phase(&setting.schedule.name);
     let end = plan.over.max(seconds(setting.schedule.seconds));
-    let most = plan.over.max(0) + seconds(setting.schedule.expect.converge_s) + BEYOND;
+    let most = plan.over.max(0) + seconds(setting.schedule.expect.converge_s) + CONVERGENCE_MARGIN;
     let most = most.max(end);
     let late = fleet.carry_out(&plan, end, most, progress);
     let until = fleet.settle(setting, &plan, end, most, progress);
@@ -128,8 +128,8 @@
         fleet.write(dir, &met)?;
     }
     fleet.all_started();
-    let killed = fleet.processes.end(ENDS).unwrap_or_default();
-    drop(usher);
+    let killed = fleet.processes.end(TERMINATE_TIMEOUT).unwrap_or_default();
+    drop(target_updater);
     let rules = fleet.rules(setting.schedule);
     let case = Case {
         plan: &plan,
@@ -150,7 +150,7 @@
             ms(lateness.worst_us)
         ));
     }
-    if late > LATE {
+    if late > MAX_STEP_DELAY {
         why.push(format!("a step was carried out {} ms late", late / 1_000));
     }
     let broken = fleet.broken();
@@ -160,7 +160,7 @@
     }
     let void = (!why.is_empty()).then(|| why.join("; "));
     let took = started.elapsed();
-    Ok(Played { plan, tracks, figures, breaches, void, lateness, machine: seen, until, took })
+    Ok(RunResult { plan, tracks, figures, breaches, void, lateness, machine: seen, until, took })
 }
 
 /// All that runs.
@@ -182,13 +182,13 @@
 }
 
 /// The port of a planner, as links name it, and of a node.
-const PLANS: &str = "plans";
-const CACHE: &str = "cache";
+const PLANNER_PORT: &str = "plans";
+const NODE_PORT: &str = "cache";
 
 impl Fleet {
     fn start(setting: &Setting<'_>, plan: &Plan) -> Result<Fleet, HostError> {
         let schedule = setting.schedule;
-        let clock = Clock::start(BEFORE);
+        let clock = Clock::start(CLOCK_BEFORE_READY);
         let log = Log::new(clock.clone());
         let processes = Processes::in_temporary(&log).map_err(failed("a folder"))?;
         let links = Arc::new(Links::start(setting.seed).map_err(failed("links"))?);
@@ -241,13 +241,14 @@
             let mut lines = format!("planforwarders {count}\n");
             for planner in &planners {
                 let Some(target) = at.get(planner) else { continue };
-                let relay = fleet.links.tcp(name, planner, PLANS, *target).map_err(failed("a link"))?;
+                let relay =
+                    fleet.links.tcp(name, planner, PLANNER_PORT, *target).map_err(failed("a link"))?;
                 let _ = writeln!(lines, "planner {relay}");
                 fleet.planners.insert((name.clone(), relay.to_string()), planner.clone());
             }
             let mut reached = Vec::new();
             for (node, target) in nodes.iter().zip(fleet.stage.nodes()) {
-                reached.push(fleet.links.tcp(name, node, CACHE, *target).map_err(failed("a link"))?);
+                reached.push(fleet.links.tcp(name, node, NODE_PORT, *target).map_err(failed("a link"))?);
             }
             let conf = fleet.setting(name, "forwarder.conf", &lines)?;
             let config = configuration(setting, plan, me, fleet.stage.discovery(), &reached);
@@ -284,7 +285,7 @@
     /// Where a process says that it listens.
     fn address(&self, name: &str, event: &str) -> Result<SocketAddr, HostError> {
         let error = |what: String| HostError::Child { name: name.to_owned(), what };
-        let line = self.log.event(name, event, PATIENCE).map_err(|e| error(e.to_string()))?;
+        let line = self.log.event(name, event, STEP_TIMEOUT).map_err(|e| error(e.to_string()))?;
         line.address().ok_or_else(|| error(format!("no address in: {line}")))
     }
 
@@ -292,7 +293,7 @@
     fn wait_ready(&self, plan: &Plan) -> Result<(), HostError> {
         let begun = Instant::now();
         let planners = plan.of(Role::Planner).count();
-        let (mark, until) = (Mark::default(), Instant::now() + PATIENCE);
+        let (mark, until) = (Mark::default(), Instant::now() + STEP_TIMEOUT);
         let mut left: BTreeSet<&String> = self.forwarders.iter().collect();
         for (i, name) in self.forwarders.iter().enumerate() {
             self.stage.at(i, Some(self.address(name, "listening")?));
@@ -300,7 +301,7 @@
         self.stage.begin();
         while !left.is_empty() {
             left.retain(|name| {
-                let up = self.log.lines(mark, &Wanted::event("planner_up").of(name));
+                let up = self.log.lines(mark, &LineFilter::event("planner_up").of(name));
                 let to: BTreeSet<_> =
                     up.iter().filter_map(|l| l.text("planner").map(str::to_owned)).collect();
                 to.len() < planners
@@ -312,7 +313,7 @@
             std::thread::sleep(Duration::from_millis(20));
         }
         if planners > 0 {
-            std::thread::sleep(WARM.saturating_sub(begun.elapsed()));
+            std::thread::sleep(PLANNER_WARMUP.saturating_sub(begun.elapsed()));
         }
         Ok(())
     }
@@ -335,7 +336,7 @@
             if now >= at {
                 return;
             }
-            std::thread::sleep(Duration::from_micros((at - now) as u64).min(LOOK));
+            std::thread::sleep(Duration::from_micros((at - now) as u64).min(POLL_INTERVAL));
         }
     }
 
@@ -404,13 +405,13 @@
                 Ok(())
             }
             Act::StartLimited => {
-                let _ = p.wait(name, KILLED);
+                let _ = p.wait(name, KILL_TIMEOUT);
                 spec(true).map_or(Ok(()), |spec| p.start(spec).map(drop))
             }
             Act::Twin => p.twin(name, None, Twin::SameFolder).map(drop),
             Act::EndTwin => p.kill(&format!("{name}~2")),
             Act::Damage { rot, seed } => {
-                let _ = p.wait(name, KILLED);
+                let _ = p.wait(name, KILL_TIMEOUT);
                 let seed = seed.into();
                 p.damage(
                     name,
@@ -424,15 +425,15 @@
     /// nothing and runs on.
     fn start_once_ended(&self, spec: Spec) {
         let (processes, name) = (self.processes.clone(), spec.name.clone());
-        let told = self.log.lines(Mark::default(), &Wanted::event(told::TOLD_TO_END).of(&name));
+        let told = self.log.lines(Mark::default(), &LineFilter::event(lab_event::TOLD_TO_END).of(&name));
         let life = processes.life(&name).unwrap_or(0);
         if !told.iter().any(|l| l.life == life) {
             return;
         }
         let work = move || {
-            if processes.wait(&name, ENDS).is_err() {
+            if processes.wait(&name, TERMINATE_TIMEOUT).is_err() {
                 let _ = processes.kill(&name);
-                let _ = processes.wait(&name, KILLED);
+                let _ = processes.wait(&name, KILL_TIMEOUT);
             }
             let _ = processes.start(spec);
         };
@@ -462,10 +463,10 @@
             let expect = &setting.schedule.expect;
             let case = Case { plan, expect, tracks: &tracks, met: &[], until: now, rules: &rules };
             right = case.is_settled().then(|| right.unwrap_or(now));
-            if now >= most || right.is_some_and(|since| now - since >= SETTLED) {
+            if now >= most || right.is_some_and(|since| now - since >= SETTLE_TIME) {
                 return now;
             }
-            self.wait_until(now + LOOK.as_micros() as Micros, most, progress);
+            self.wait_until(now + POLL_INTERVAL.as_micros() as Micros, most, progress);
         }
     }
 
@@ -474,7 +475,7 @@
     }
 
     fn tracks(&self) -> BTreeMap<String, Track> {
-        let lines = self.log.lines(Mark::default(), &Wanted::any().when(view::wanted));
+        let lines = self.log.lines(Mark::default(), &LineFilter::any().when(view::wanted));
         let names: Vec<&str> = self.names.iter().map(String::as_str).collect();
         view::tracks(&lines, &names, &self.planners, &self.nodes)
     }
@@ -482,7 +483,7 @@
     /// What makes a run worthless that no rule would tell.
     fn broken(&self) -> Option<String> {
         let lost: u64 = self.log.lost().values().sum();
-        let failed = self.log.lines(Mark::default(), &Wanted::event(told::FAILED));
+        let failed = self.log.lines(Mark::default(), &LineFilter::event(lab_event::FAILED));
         let mut why = Vec::new();
         if lost > 0 {
             why.push(format!("{lost} lines of the log had to go"));
@@ -491,11 +492,11 @@
         (!why.is_empty()).then(|| why.join("; "))
     }
 
-    fn write(&self, dir: &Path, met: &[Met]) -> Result<(), HostError> {
+    fn write(&self, dir: &Path, met: &[ClientEvent]) -> Result<(), HostError> {
         std::fs::create_dir_all(dir).map_err(failed("the folder of --out"))?;
         self.log.write(&dir.join("log.jsonl")).map_err(failed("log.jsonl"))?;
-        let records =
-            super::log::Written::create(&dir.join("requests.jsonl")).map_err(failed("requests.jsonl"))?;
+        let records = super::log::JsonLinesWriter::create(&dir.join("requests.jsonl"))
+            .map_err(failed("requests.jsonl"))?;
         for met in met {
             records.push(&Record::of(met)).map_err(failed("requests.jsonl"))?;
         }
@@ -513,13 +514,13 @@
 }
 
 impl Record {
-    fn of(met: &Met) -> Record {
+    fn of(met: &ClientEvent) -> Record {
         match *met {
-            Met::Asked { id, at, forwarder } => Record::Asked { id, at_us: at, forwarder },
-            Met::Ended { id, at, end } => {
+            ClientEvent::Asked { id, at, forwarder } => Record::Asked { id, at_us: at, forwarder },
+            ClientEvent::Ended { id, at, end } => {
                 Record::Ended { id, at_us: at, end: format!("{end:?}").to_lowercase() }
             }
-            Met::Stray { id, at } => Record::Stray { id, at_us: at },
+            ClientEvent::Stray { id, at } => Record::Stray { id, at_us: at },
         }
     }
 }
@@ -540,7 +541,7 @@
     };
     let members: Vec<Value> = plan.of(Role::Node).zip(reached).map(member).collect();
     let zone = plan.of(Role::Forwarder).nth(me).map_or(0, hall);
-    let limit = stage::PATIENCE.as_millis() as f64;
+    let limit = stage::REQUEST_TIMEOUT.as_millis() as f64;
     let class =
         json!({ "name": "lookup", "onTimeMs": limit / 2.0, "hardLimitMs": limit, "repeat": "retryable" });
     json!({
@@ -562,13 +563,13 @@
 }
 
 /// Shows the way to processes that were started anew: they listen elsewhere. A thread of its own, so that nobody waits.
-struct Usher {
+struct TargetUpdater {
     over: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Usher {
-    fn start(fleet: &Fleet) -> Result<Usher, HostError> {
+impl TargetUpdater {
+    fn start(fleet: &Fleet) -> Result<TargetUpdater, HostError> {
         let over = Arc::new(AtomicBool::new(false));
         let (ends, log) = (over.clone(), fleet.log.clone());
         let (links, stage) = (fleet.links.clone(), fleet.stage.clone());
@@ -577,26 +578,30 @@
         let thread = thread.spawn(move || {
             let mut next = 0;
             while !ends.load(Ordering::Acquire) {
-                let events = ["planning", "listening", told::ENDED];
+                let events = ["planning", "listening", lab_event::ENDED];
                 let news = move |l: &Line| l.number >= next && events.contains(&l.event.as_str());
                 let since = Mark::default();
-                let Ok(line) = log.wait_for(since, &Wanted::any().when(news), LOOK) else { continue };
+                let Ok(line) = log.wait_for(since, &LineFilter::any().when(news), POLL_INTERVAL) else {
+                    continue;
+                };
                 next = line.number + 1;
                 let forwarder = forwarders.iter().position(|f| **f == *line.process);
                 match (line.by, line.event.as_str(), line.address(), forwarder) {
-                    (By::Process, "planning", Some(at), _) => drop(links.aim(&line.process, PLANS, at)),
+                    (By::Process, "planning", Some(at), _) => {
+                        drop(links.aim(&line.process, PLANNER_PORT, at))
+                    }
                     (By::Process, "listening", Some(at), Some(f)) => stage.at(f, Some(at)),
-                    (By::Lab, told::ENDED, _, Some(f)) => stage.at(f, None),
-                    (By::Lab, told::ENDED, _, None) => drop(links.shut(&line.process, PLANS)),
+                    (By::Lab, lab_event::ENDED, _, Some(f)) => stage.at(f, None),
+                    (By::Lab, lab_event::ENDED, _, None) => drop(links.shut(&line.process, PLANNER_PORT)),
                     _ => {}
                 }
             }
         });
-        Ok(Usher { over, thread: Some(thread.map_err(failed("a thread"))?) })
+        Ok(TargetUpdater { over, thread: Some(thread.map_err(failed("a thread"))?) })
     }
 }
 
-impl Drop for Usher {
+impl Drop for TargetUpdater {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
--- a/crates/lab/src/fleet/processes/damage.rs
+++ b/crates/lab/src/fleet/processes/damage.rs
@@ -8,7 +8,7 @@
 use std::path::{Component, Path, PathBuf};
 
 /// Files of a folder that are looked at.
-const FILES: usize = 10_000;
+const MAX_FILES: usize = 10_000;
 
 /// What befalls a file. Its path is that within the folder of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 
 impl Damage {
     /// Does it; what was done, for the log.
-    pub(super) fn befall(&self, folder: &Path) -> Result<String, ProcessError> {
+    pub(super) fn apply(&self, folder: &Path) -> Result<String, ProcessError> {
         match self {
             Damage::CutShort { file, to } => {
                 let (path, bytes) = regular(folder, file)?;
@@ -47,11 +47,11 @@
             }
             Damage::AnyCutShort { seed } => {
                 let (file, at) = draw(folder, *seed)?;
-                Damage::CutShort { file, to: at }.befall(folder)
+                Damage::CutShort { file, to: at }.apply(folder)
             }
             Damage::AnyByteChanged { seed } => {
                 let (file, at) = draw(folder, *seed)?;
-                Damage::ByteChanged { file, at }.befall(folder)
+                Damage::ByteChanged { file, at }.apply(folder)
             }
         }
     }
@@ -102,7 +102,7 @@
             let about = fs::symlink_metadata(entry.path()).map_err(io)?;
             if about.is_dir() {
                 folders.push(entry.path());
-            } else if about.is_file() && about.len() > 0 && files.len() < FILES {
+            } else if about.is_file() && about.len() > 0 && files.len() < MAX_FILES {
                 files.push((entry.path(), about.len()));
             }
         }
--- a/crates/lab/src/fleet/processes/damage/tests.rs
+++ b/crates/lab/src/fleet/processes/damage/tests.rs
@@ -9,22 +9,22 @@
     fs::write(folder.join(&file), "0123456789").expect("a file");
     std::os::unix::fs::symlink("../other", folder.join("link")).expect("a link");
     let read = || fs::read(folder.join(&file)).expect("a file");
-    Damage::ByteChanged { file: file.clone(), at: 3 }.befall(&folder).expect("changed");
+    Damage::ByteChanged { file: file.clone(), at: 3 }.apply(&folder).expect("changed");
     assert_eq!(read(), b"012\xcc456789");
-    Damage::CutShort { file: file.clone(), to: 4 }.befall(&folder).expect("cut");
+    Damage::CutShort { file: file.clone(), to: 4 }.apply(&folder).expect("cut");
     assert_eq!(read(), b"012\xcc");
     // The same seed, the same damage.
     let drawn = Damage::AnyByteChanged { seed: 7 };
-    drawn.befall(&folder).expect("drawn");
+    drawn.apply(&folder).expect("drawn");
     assert_ne!(read(), b"012\xcc");
-    drawn.befall(&folder).expect("drawn again");
+    drawn.apply(&folder).expect("drawn again");
     assert_eq!(read(), b"012\xcc");
-    Damage::AnyCutShort { seed: 7 }.befall(&folder).expect("drawn");
+    Damage::AnyCutShort { seed: 7 }.apply(&folder).expect("drawn");
     assert!(read().len() < 4);
     for file in ["../other", "link", "state", "state/../../other", "none"] {
         let damage = Damage::CutShort { file: file.into(), to: 0 };
-        damage.befall(&folder).expect_err("it is refused");
+        damage.apply(&folder).expect_err("it is refused");
     }
-    Damage::CutShort { file, to: 400 }.befall(&folder).expect_err("it is not longer");
+    Damage::CutShort { file, to: 400 }.apply(&folder).expect_err("it is not longer");
     assert_eq!(fs::read(dir.path().join("other")).expect("a file"), b"whole");
 }
--- a/crates/lab/src/fleet/processes/keeper.rs
+++ b/crates/lab/src/fleet/processes/keeper.rs
@@ -3,7 +3,7 @@
 //! It sleeps until somebody asks for something, a process ends (a pidfd becomes readable) or something is due.
 
 use super::home::Home;
-use super::{told, Damage, Folder, ProcessError, Restart, Spec, State, Twin, GRACE, MOST};
+use super::{lab_event, Damage, Folder, ProcessError, Restart, Spec, State, Twin, GRACE, MAX_PROCESSES};
 use crate::fleet::log::Log;
 use crate::loopback::children::Child;
 use rustix::event::{eventfd, poll, EventfdFlags, PollFd, PollFlags, Timespec};
@@ -93,14 +93,14 @@
 
 /// What is held of a keeper. Dropped, it has the keeper end all processes and waits for that.
 #[derive(Debug)]
-pub(super) struct Reins {
+pub(super) struct KeeperHandle {
     jobs: Option<Sender<Job>>,
     wake: Arc<OwnedFd>,
     pub(super) roster: Roster,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Reins {
+impl KeeperHandle {
     /// Has the keeper do something and waits for it.
     pub(super) fn ask<T: Send + 'static>(
         &self,
@@ -118,7 +118,7 @@
     }
 }
 
-impl Drop for Reins {
+impl Drop for KeeperHandle {
     fn drop(&mut self) {
         drop(self.jobs.take());
         self.wake();
@@ -129,11 +129,11 @@
 }
 
 /// Tells that nobody can say any more, when the child's reader lets go of it.
-struct HeardOut(Log, Arc<str>, u32);
+struct OutputEndNotice(Log, Arc<str>, u32);
 
-impl Drop for HeardOut {
+impl Drop for OutputEndNotice {
     fn drop(&mut self) {
-        self.0.tell(&self.1, self.2, told::HEARD_OUT, String::new());
+        self.0.tell(&self.1, self.2, lab_event::HEARD_OUT, String::new());
     }
 }
 
@@ -151,20 +151,20 @@
 }
 
 impl Keeper {
-    pub(super) fn start(log: Log, home: Arc<Home>) -> io::Result<Reins> {
+    pub(super) fn start(log: Log, home: Arc<Home>) -> io::Result<KeeperHandle> {
         let (jobs, asked) = channel();
         let wake = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
         let (roster, woken) = (Roster::default(), wake.clone());
         let (slots, due) = (BTreeMap::new(), BTreeMap::new());
         let mut keeper = Keeper { log, home, roster: roster.clone(), slots, due, next: 0 };
         let thread = thread::Builder::new().name("keeper".into()).spawn(move || {
-            keeper.keep(&asked, &woken);
+            keeper.run(&asked, &woken);
         })?;
-        Ok(Reins { jobs: Some(jobs), wake, roster, thread: Some(thread) })
+        Ok(KeeperHandle { jobs: Some(jobs), wake, roster, thread: Some(thread) })
     }
 
     /// Until nobody is left who could ask.
-    fn keep(&mut self, asked: &Receiver<Job>, woken: &OwnedFd) {
+    fn run(&mut self, asked: &Receiver<Job>, woken: &OwnedFd) {
         loop {
             loop {
                 match asked.try_recv() {
@@ -173,7 +173,7 @@
                     Err(TryRecvError::Disconnected) => return,
                 }
             }
-            self.look();
+            self.reap();
             self.carry_out();
             self.sleep(woken);
         }
@@ -192,7 +192,7 @@
     }
 
     /// Sees who has ended.
-    fn look(&mut self) {
+    fn reap(&mut self) {
         let names: Vec<String> = self.slots.keys().cloned().collect();
         for name in names {
             let Some(slot) = self.slots.get_mut(&name) else { continue };
@@ -208,7 +208,7 @@
         slot.running = None;
         slot.last = Some(status);
         self.roster.set(&slot.name, None);
-        self.log.tell(&slot.name, slot.life, told::ENDED, status.to_string());
+        self.log.tell(&slot.name, slot.life, lab_event::ENDED, status.to_string());
         let Some(again) = slot.again.take() else { return };
         let (life, folder) = (slot.life, slot.folder.clone());
         let label = slot.name.clone();
@@ -217,8 +217,8 @@
         }
         if again.folder == Folder::Lost {
             let (event, said) = match remove(&folder) {
-                Ok(()) => (told::FOLDER_GONE, String::new()),
-                Err(why) => (told::FAILED, why.to_string()),
+                Ok(()) => (lab_event::FOLDER_GONE, String::new()),
+                Err(why) => (lab_event::FAILED, why.to_string()),
             };
             self.log.tell(&label, life, event, said);
         }
@@ -244,7 +244,7 @@
                     Some(slot) if slot.life == life && slot.running.is_some() => self.kill(&name),
                     _ => Ok(()),
                 },
-                Due::Start(name, life, folder) => self.come_back(&name, life, folder),
+                Due::Start(name, life, folder) => self.start_again(&name, life, folder),
                 Due::Restart(name, how) => {
                     let done = self.restart(&name, how);
                     done.inspect_err(|why| self.failed(&name, why))
@@ -257,7 +257,7 @@
 
     fn failed(&self, name: &str, why: &ProcessError) {
         if let Some(slot) = self.slots.get(name) {
-            self.log.tell(&slot.name, slot.life, told::FAILED, why.to_string());
+            self.log.tell(&slot.name, slot.life, lab_event::FAILED, why.to_string());
         }
     }
 
@@ -290,8 +290,8 @@
         slot.again = None;
         let (label, life) = (slot.name.clone(), slot.life);
         // Told before the process can say anything, and taken back by `FAILED`.
-        log.tell(&label, life, told::STARTED, String::new());
-        let heard_out = HeardOut(log.clone(), label.clone(), life);
+        log.tell(&label, life, lab_event::STARTED, String::new());
+        let heard_out = OutputEndNotice(log.clone(), label.clone(), life);
         let hear = move |line: &str| heard_out.0.hear(&heard_out.1, heard_out.2, line);
         let Spec { program, arguments, variables, limits, .. } = &slot.spec;
         let variables: Vec<(&str, String)> = variables.iter().map(|(k, v)| (&**k, v.clone())).collect();
@@ -327,7 +327,7 @@
     }
 
     fn add(&mut self, name: &str, spec: Spec, folder: PathBuf) -> Result<(), ProcessError> {
-        if self.slots.len() >= MOST {
+        if self.slots.len() >= MAX_PROCESSES {
             return Err(ProcessError::TooMany);
         }
         let (label, running, last, again) = (name.into(), None, None, None);
@@ -365,14 +365,14 @@
 
     pub(super) fn terminate(&mut self, name: &str) -> Result<(), ProcessError> {
         let (log, slot) = self.running(name)?;
-        log.tell(&slot.name, slot.life, told::TOLD_TO_END, String::new());
+        log.tell(&slot.name, slot.life, lab_event::TOLD_TO_END, String::new());
         slot.running.iter_mut().for_each(|r| r.child.terminate());
         Ok(())
     }
 
     pub(super) fn kill(&mut self, name: &str) -> Result<(), ProcessError> {
         let (log, slot) = self.running(name)?;
-        log.tell(&slot.name, slot.life, told::KILLED, String::new());
+        log.tell(&slot.name, slot.life, lab_event::KILLED, String::new());
         match slot.running.as_mut().and_then(|r| r.child.end()) {
             Some(status) => self.ended(name, status),
             None => return Err(ProcessError::Runs(name.to_owned())),
@@ -393,7 +393,7 @@
         };
         if running.held.replace(hold).is_none() {
             running.child.stop();
-            log.tell(&label, life, told::STOPPED, String::new());
+            log.tell(&label, life, lab_event::STOPPED, String::new());
         }
         if let Some(how_long) = how_long {
             self.at(how_long, Due::Resume(name.to_owned(), life));
@@ -414,7 +414,7 @@
         let Some(running) = &mut slot.running else { return Ok(()) };
         if running.held.take().is_some() {
             // Told first: what it says then comes behind it.
-            log.tell(&slot.name, slot.life, told::RESUMED, String::new());
+            log.tell(&slot.name, slot.life, lab_event::RESUMED, String::new());
             running.child.resume();
         }
         Ok(())
@@ -455,7 +455,7 @@
     }
 
     /// The start that was due after an end.
-    fn come_back(&mut self, name: &str, life: u32, folder: Folder) -> Result<(), ProcessError> {
+    fn start_again(&mut self, name: &str, life: u32, folder: Folder) -> Result<(), ProcessError> {
         let slot = self.slot(name)?;
         if slot.life != life || slot.running.is_some() {
             return Ok(());
@@ -496,7 +496,7 @@
             Some(bytes) => format!("files of {bytes} bytes at most"),
             None => "files of any size".to_owned(),
         };
-        log.tell(&slot.name, slot.life, told::DISK, said);
+        log.tell(&slot.name, slot.life, lab_event::DISK, said);
         Ok(())
     }
 
@@ -508,10 +508,10 @@
         if let Some(other) = self.shares(name, &folder) {
             return Err(ProcessError::Runs(other));
         }
-        let done = damage.befall(&folder)?;
+        let done = damage.apply(&folder)?;
         let slot = self.slot(name)?;
         let (label, life) = (slot.name.clone(), slot.life);
-        self.log.tell(&label, life, told::DAMAGED, done);
+        self.log.tell(&label, life, lab_event::DAMAGED, done);
         Ok(())
     }
 
--- a/crates/lab/src/fleet/processes/mod.rs
+++ b/crates/lab/src/fleet/processes/mod.rs
@@ -5,7 +5,7 @@
 //! after a while) is done whatever the callers do, and the system ends the children with the keeper's thread
 //! ([`crate::loopback::children::guard`]) where nobody is left to. Dropped, it ends every process, stopped ones too,
 //! before it returns. What it does and what it sees is told in the fleet's log by the same clock as the processes' own
-//! lines; the events are named in [`told`].
+//! lines; the events are named in [`lab_event`].
 //!
 //! Not the addresses that processes speak to each other by, nor what is written to their configuration: what the
 //! platform would give a new machine belongs into [`Processes::settings`], which is lost with no disk.
@@ -17,11 +17,11 @@
 pub use damage::Damage;
 pub use keeper::Roster;
 
-use super::log::{Line, Log, Mark, NotSeen, Wanted};
+use super::log::{Line, LineFilter, Log, Mark, WaitTimeout};
 use crate::host::HostError;
 use crate::loopback::children::{Limits, Program, Usage};
 use home::Home;
-use keeper::{Keeper, Reins};
+use keeper::{Keeper, KeeperHandle};
 use std::collections::BTreeMap;
 use std::ffi::OsString;
 use std::io;
@@ -31,14 +31,14 @@
 use std::time::{Duration, Instant};
 
 /// Processes of a fleet, those that are down as well.
-pub const MOST: usize = 256;
+pub const MAX_PROCESSES: usize = 256;
 /// Letters of a name.
-const LETTERS: usize = 40;
+const MAX_NAME_LENGTH: usize = 40;
 /// How long one that was told to end in order to be started again has for it, before it is killed.
 pub const GRACE: Duration = Duration::from_secs(10);
 
 /// The events that the lab tells of a process.
-pub mod told {
+pub mod lab_event {
     pub const STARTED: &str = "lab_started";
     /// A start that was due did not succeed.
     pub const FAILED: &str = "lab_failed";
@@ -58,7 +58,7 @@
 /// Why nothing was done.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    #[error("{0:?} is no name of a process: letters, digits, - and _, {LETTERS} at most")]
+    #[error("{0:?} is no name of a process: letters, digits, - and _, {MAX_NAME_LENGTH} at most")]
     Name(String),
     #[error("there is no process {0}")]
     Unknown(String),
@@ -68,7 +68,7 @@
     Down(String),
     #[error("{0}: it was started without a limit of files, whose breach would end it")]
     Unlimited(String),
-    #[error("{MOST} processes at most")]
+    #[error("{MAX_PROCESSES} processes at most")]
     TooMany,
     #[error("{file}: {why}")]
     Damage { file: String, why: &'static str },
@@ -77,7 +77,7 @@
     #[error(transparent)]
     Host(#[from] HostError),
     #[error(transparent)]
-    NotSeen(#[from] NotSeen),
+    WaitTimeout(#[from] WaitTimeout),
     #[error("nobody keeps the processes any more")]
     Gone,
 }
@@ -160,7 +160,7 @@
 pub struct Processes {
     log: Log,
     /// Dropped before the folders are.
-    keeper: Reins,
+    keeper: KeeperHandle,
     home: Arc<Home>,
 }
 
@@ -210,7 +210,7 @@
     ///
     /// Those of the folder, and a name that is none.
     pub fn settings(&self, name: &str) -> Result<PathBuf, ProcessError> {
-        self.home.settings(&named(name)?)
+        self.home.settings(&valid_name(name)?)
     }
 
     /// Starts a process with the folder that it has, an empty one if it has none. Which process of its name it is,
@@ -220,7 +220,7 @@
     ///
     /// One of its name runs; a name that is none; too many; those of the system.
     pub fn start(&self, spec: Spec) -> Result<u32, ProcessError> {
-        named(&spec.name)?;
+        valid_name(&spec.name)?;
         self.keeper.ask(move |keeper| keeper.start_one(spec))
     }
 
@@ -231,7 +231,7 @@
     ///
     /// As [`Processes::start`]; what was started by then runs.
     pub fn start_many(&self, specs: Vec<Spec>) -> Result<Duration, ProcessError> {
-        specs.iter().try_for_each(|spec| named(&spec.name).map(drop))?;
+        specs.iter().try_for_each(|spec| valid_name(&spec.name).map(drop))?;
         self.keeper.ask(move |keeper| keeper.start_many(specs))
     }
 
@@ -298,7 +298,7 @@
     }
 
     /// Ends a process and starts it again, as `how` has it; one that is down is started. Returns once it is on its way: the log tells
-    /// [`told::STARTED`] of the next life, or [`told::FAILED`].
+    /// [`lab_event::STARTED`] of the next life, or [`lab_event::FAILED`].
     ///
     /// # Errors
     ///
@@ -309,7 +309,7 @@
     }
 
     /// Restarts processes in steps, the first now, each other one `every` after the one before it. A step whose start
-    /// fails is told in the log ([`told::FAILED`]).
+    /// fails is told in the log ([`lab_event::FAILED`]).
     ///
     /// # Errors
     ///
@@ -388,16 +388,16 @@
         &self,
         name: &str,
         since: Mark,
-        wanted: &Wanted,
+        wanted: &LineFilter,
         most: Duration,
     ) -> Result<Arc<Line>, ProcessError> {
         let life = self.life(name)?;
         let wanted = wanted.clone().of(name).in_life(life);
         let both = wanted.clone();
-        let either = move |line: &Line| both.is(line) || line.event == told::HEARD_OUT;
-        let either = Wanted::any().of(name).in_life(life).when(either);
+        let either = move |line: &Line| both.is(line) || line.event == lab_event::HEARD_OUT;
+        let either = LineFilter::any().of(name).in_life(life).when(either);
         // A process that was heard out before the mark is not heard behind it.
-        let over = Wanted::event(told::HEARD_OUT).of(name).in_life(life);
+        let over = LineFilter::event(lab_event::HEARD_OUT).of(name).in_life(life);
         let most = if self.log.lines(Mark::default(), &over).is_empty() { most } else { Duration::ZERO };
         let line = self.log.wait_for(since, &either, most)?;
         match wanted.is(&line) {
@@ -413,8 +413,8 @@
     /// There is none of this name; it has not ended within `most`.
     pub fn wait(&self, name: &str, most: Duration) -> Result<ExitStatus, ProcessError> {
         let life = self.life(name)?;
-        for event in [told::ENDED, told::HEARD_OUT] {
-            let ended = Wanted::event(event).of(name).in_life(life);
+        for event in [lab_event::ENDED, lab_event::HEARD_OUT] {
+            let ended = LineFilter::event(event).of(name).in_life(life);
             self.log.wait_for(Mark::default(), &ended, most)?;
         }
         match self.state(name)? {
@@ -435,7 +435,7 @@
         let mut killed = Vec::new();
         for (name, life) in told {
             let left = until.saturating_duration_since(Instant::now());
-            let ended = Wanted::event(told::ENDED).of(&name).in_life(life);
+            let ended = LineFilter::event(lab_event::ENDED).of(&name).in_life(life);
             if self.log.wait_for(Mark::default(), &ended, left).is_err() && self.kill(&name).is_ok() {
                 killed.push(name);
             }
@@ -445,9 +445,9 @@
 }
 
 /// A name that can be a folder's.
-fn named(name: &str) -> Result<String, ProcessError> {
+fn valid_name(name: &str) -> Result<String, ProcessError> {
     let letter = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    match (1..=LETTERS).contains(&name.len()) && name.bytes().all(letter) && name != home::SETTINGS {
+    match (1..=MAX_NAME_LENGTH).contains(&name.len()) && name.bytes().all(letter) && name != home::SETTINGS {
         true => Ok(name.to_owned()),
         false => Err(ProcessError::Name(name.to_owned())),
     }
--- a/crates/lab/src/fleet/report.rs
+++ b/crates/lab/src/fleet/report.rs
@@ -4,7 +4,7 @@
 use super::judge::{Breach, Figures};
 use super::links::Lateness;
 use super::machine::Seen;
-use super::play::Played;
+use super::play::RunResult;
 use crate::report::html::{Page, Tone};
 use crate::report::plot::{lanes, Lane, PlotError};
 use crate::report::table::Table;
@@ -36,10 +36,10 @@
 
 /// A run with what was asked for.
 #[derive(Clone, Copy, Debug)]
-pub struct Shown<'a> {
+pub struct RunReport<'a> {
     pub schedule: &'a Schedule,
     pub seed: u64,
-    pub played: &'a Played,
+    pub played: &'a RunResult,
 }
 
 fn s(at: Micros) -> f64 {
@@ -55,7 +55,7 @@
     (sorted.get(sorted.len() / 2).copied(), sorted.last().copied())
 }
 
-impl Shown<'_> {
+impl RunReport<'_> {
     pub fn result(&self) -> ResultFile<'_> {
         let p = self.played;
         ResultFile {
--- a/crates/lab/src/fleet/search.rs
+++ b/crates/lab/src/fleet/search.rs
@@ -5,7 +5,7 @@
 //! how often it failed again.
 
 use super::judge::{Breach, Rule};
-use super::play::{play, Played, Setting};
+use super::play::{play, RunResult, Setting};
 use crate::host::{HostError, Silent};
 use crate::loopback::children::Program;
 use crate::search::shrink::{shrink, Search, Shrink, Timed};
@@ -31,7 +31,7 @@
 
 /// What every run of a search has.
 #[derive(Clone, Debug)]
-pub struct Ground {
+pub struct RunContext {
     pub program: Program,
     pub old: Option<Program>,
     pub plant: Option<String>,
@@ -55,13 +55,13 @@
     pub void: Vec<(u64, String)>,
 }
 
-impl Ground {
+impl RunContext {
     /// Plays one schedule.
     ///
     /// # Errors
     ///
     /// As [`play`].
-    pub fn play(&self, schedule: &Schedule, seed: u64) -> Result<Played, HostError> {
+    pub fn play(&self, schedule: &Schedule, seed: u64) -> Result<RunResult, HostError> {
         let (program, old, plant) = (self.program.clone(), self.old.clone(), self.plant.clone());
         play(&Setting { schedule, seed, program, old, plant, out: None }, &Silent)
     }
@@ -73,10 +73,10 @@
 ///
 /// Where a fleet cannot be started at all.
 pub fn search(
-    ground: &Ground,
+    ground: &RunContext,
     base: &Schedule,
     plan: &Plan,
-    done: &dyn Fn(u64, &Played),
+    done: &dyn Fn(u64, &RunResult),
 ) -> Result<Found, HostError> {
     let mut found = Found::default();
     for position in plan.first..plan.first + plan.runs {
@@ -100,7 +100,7 @@
     Ok(found)
 }
 
-fn breaks(ground: &Ground, schedule: &Schedule, seed: u64, rule: Rule, tries: usize) -> Option<Breach> {
+fn breaks(ground: &RunContext, schedule: &Schedule, seed: u64, rule: Rule, tries: usize) -> Option<Breach> {
     (0..tries.max(1)).find_map(|_| {
         // A fleet that cannot be started has not shown that it fails; nor has a void run.
         let played = ground.play(schedule, seed).ok().filter(|p| p.void.is_none())?;
@@ -108,7 +108,7 @@
     })
 }
 
-fn smallest(ground: &Ground, failure: &Failure, plan: &Plan) -> (Token<Schedule>, Breach) {
+fn smallest(ground: &RunContext, failure: &Failure, plan: &Plan) -> (Token<Schedule>, Breach) {
     let mut how = failure.how.clone();
     let (seed, rule) = (failure.token.seed, failure.how.rule);
     let whole = &failure.token.scenario;
--- a/crates/lab/src/fleet/stage.rs
+++ b/crates/lab/src/fleet/stage.rs
@@ -25,19 +25,19 @@
 use world::Micros;
 
 /// What clients say that they wait, and for how long after that an answer still counts.
-pub const PATIENCE: Duration = Duration::from_millis(1_000);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 const GRACE: Duration = Duration::from_millis(1_000);
 /// Requests of one forwarder's clients that are out at a time; more are not sent.
-const MOST_OUT: usize = 64;
+const MAX_IN_FLIGHT: usize = 64;
 /// Events that are kept.
-const MOST_MET: usize = history::MOST;
+const MAX_EVENTS: usize = history::MOST;
 /// Bytes of a value.
-const VALUE: u32 = 64;
-const KEYS: u32 = 100_000;
+const VALUE_BYTES: u32 = 64;
+const KEY_COUNT: u32 = 100_000;
 /// A sign of life of discovery comes this often.
-const LIFE: Duration = Duration::from_secs(2);
+const DISCOVERY_KEEPALIVE: Duration = Duration::from_secs(2);
 /// Tries to listen at an address again.
-const TRIES: usize = 100;
+const LISTEN_TRIES: usize = 100;
 
 /// What is set up.
 #[derive(Clone, Copy, Debug)]
@@ -65,7 +65,7 @@
 
 /// What clients met, in the order of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
+pub enum ClientEvent {
     Asked {
         id: u64,
         at: Micros,
@@ -89,7 +89,7 @@
     At(usize, Option<SocketAddr>),
     Begin,
     /// No more requests; what was met so far is handed out once all that are out have ended.
-    End(Sender<Vec<Met>>),
+    End(Sender<Vec<ClientEvent>>),
 }
 
 /// See the file's comment. Dropped, it ends.
@@ -122,8 +122,8 @@
         let nodes = addresses.clone();
         let thread = std::thread::Builder::new().name("fleet-stage".into()).spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
-            let scene = Scene::new(clock, setting, addresses, executor.clone());
-            async_io::block_on(executor.run(scene.work(listeners, taken)));
+            let state = StageState::new(clock, setting, addresses, executor.clone());
+            async_io::block_on(executor.run(state.work(listeners, taken)));
         })?;
         Ok(Stage { orders, nodes, discovery, thread: Some(thread) })
     }
@@ -159,9 +159,9 @@
     }
 
     /// Clients ask no more. What they met, once nothing is out.
-    pub fn end(&self) -> Vec<Met> {
-        let (met, told) = async_channel::bounded(1);
-        self.order(Order::End(met));
+    pub fn end(&self) -> Vec<ClientEvent> {
+        let (events, told) = async_channel::bounded(1);
+        self.order(Order::End(events));
         told.recv_blocking().unwrap_or_default()
     }
 }
@@ -178,44 +178,44 @@
 /// A connection of a client that waits for its next request, with the last one that went over it.
 type Idle = (Async<TcpStream>, u64);
 
-struct Scene {
+struct StageState {
     clock: Clock,
     setting: Setting,
     addresses: Vec<SocketAddr>,
     executor: Rc<LocalExecutor<'static>>,
     acts: Vec<Cell<NodeAct>>,
     /// Of each node: who listens, and its connections.
-    doors: RefCell<Vec<Option<Task<()>>>>,
-    visitors: RefCell<Vec<Vec<Task<()>>>>,
+    accept_tasks: RefCell<Vec<Option<Task<()>>>>,
+    connection_tasks: RefCell<Vec<Vec<Task<()>>>>,
     forwarders: RefCell<Vec<Option<SocketAddr>>>,
     idle: RefCell<Vec<Vec<Idle>>>,
     out: Cell<usize>,
-    asked: Cell<u64>,
-    asks: Cell<bool>,
-    met: RefCell<Vec<Met>>,
+    next_id: Cell<u64>,
+    sending: Cell<bool>,
+    events: RefCell<Vec<ClientEvent>>,
 }
 
-impl Scene {
+impl StageState {
     fn new(
         clock: Clock,
         setting: Setting,
         addresses: Vec<SocketAddr>,
         executor: Rc<LocalExecutor<'static>>,
-    ) -> Rc<Scene> {
-        Rc::new(Scene {
+    ) -> Rc<StageState> {
+        Rc::new(StageState {
             clock,
             setting,
             addresses,
             executor,
             acts: (0..setting.nodes).map(|_| Cell::new(NodeAct::Serve)).collect(),
-            doors: RefCell::new((0..setting.nodes).map(|_| None).collect()),
-            visitors: RefCell::new((0..setting.nodes).map(|_| Vec::new()).collect()),
+            accept_tasks: RefCell::new((0..setting.nodes).map(|_| None).collect()),
+            connection_tasks: RefCell::new((0..setting.nodes).map(|_| Vec::new()).collect()),
             forwarders: RefCell::new(vec![None; setting.forwarders]),
             idle: RefCell::new((0..setting.forwarders).map(|_| Vec::new()).collect()),
             out: Cell::new(0),
-            asked: Cell::new(0),
-            asks: Cell::new(false),
-            met: RefCell::default(),
+            next_id: Cell::new(0),
+            sending: Cell::new(false),
+            events: RefCell::default(),
         })
     }
 
@@ -242,18 +242,18 @@
                     }
                 }
                 Order::Begin => {
-                    self.asks.set(true);
+                    self.sending.set(true);
                     let one = |f| self.executor.spawn(self.clone().clients(f));
                     clients = (0..self.setting.forwarders).map(one).collect();
                 }
-                Order::End(met) => {
-                    self.asks.set(false);
-                    let scene = self.clone();
+                Order::End(events) => {
+                    self.sending.set(false);
+                    let state = self.clone();
                     let end = async move {
-                        while scene.out.get() > 0 {
+                        while state.out.get() > 0 {
                             Timer::after(Duration::from_millis(20)).await;
                         }
-                        let _ = met.send(scene.met.take()).await;
+                        let _ = events.send(state.events.take()).await;
                     };
                     self.executor.spawn(end).detach();
                 }
@@ -261,14 +261,14 @@
             let _ = done.send(()).await;
         }
         drop((clients, discovery));
-        self.doors.borrow_mut().clear();
-        self.visitors.borrow_mut().clear();
+        self.accept_tasks.borrow_mut().clear();
+        self.connection_tasks.borrow_mut().clear();
     }
 
     fn open(self: &Rc<Self>, node: usize, listener: Async<TcpListener>) {
-        let task = self.executor.spawn(self.clone().door(node, listener));
-        if let Some(door) = self.doors.borrow_mut().get_mut(node) {
-            *door = Some(task);
+        let task = self.executor.spawn(self.clone().accept_loop(node, listener));
+        if let Some(accept_loop) = self.accept_tasks.borrow_mut().get_mut(node) {
+            *accept_loop = Some(task);
         }
     }
 
@@ -276,11 +276,11 @@
         let (Some(now), Some(address)) = (self.acts.get(node), self.addresses.get(node)) else { return };
         let before = now.replace(act);
         if act == NodeAct::Crash {
-            let door = self.doors.borrow_mut().get_mut(node).and_then(Option::take);
-            let visitors = self.visitors.borrow_mut().get_mut(node).map(std::mem::take);
-            drop((door, visitors));
+            let accept_loop = self.accept_tasks.borrow_mut().get_mut(node).and_then(Option::take);
+            let connection_tasks = self.connection_tasks.borrow_mut().get_mut(node).map(std::mem::take);
+            drop((accept_loop, connection_tasks));
         } else if before == NodeAct::Crash {
-            for _ in 0..TRIES {
+            for _ in 0..LISTEN_TRIES {
                 if let Ok(listener) = listen(*address) {
                     return self.open(node, listener);
                 }
@@ -289,23 +289,23 @@
         }
     }
 
-    async fn door(self: Rc<Self>, node: usize, listener: Async<TcpListener>) {
+    async fn accept_loop(self: Rc<Self>, node: usize, listener: Async<TcpListener>) {
         loop {
             let Ok((socket, _)) = listener.accept().await else {
                 Timer::after(Duration::from_millis(50)).await;
                 continue;
             };
             let _ = socket.get_ref().set_nodelay(true);
-            let task = self.executor.spawn(self.clone().visit(node, socket));
-            if let Some(visitors) = self.visitors.borrow_mut().get_mut(node) {
-                visitors.retain(|t| !t.is_finished());
-                visitors.push(task);
+            let task = self.executor.spawn(self.clone().serve_connection(node, socket));
+            if let Some(connection_tasks) = self.connection_tasks.borrow_mut().get_mut(node) {
+                connection_tasks.retain(|t| !t.is_finished());
+                connection_tasks.push(task);
             }
         }
     }
 
     /// Serves a connection to a node until it ends.
-    async fn visit(self: Rc<Self>, node: usize, socket: Async<TcpStream>) {
+    async fn serve_connection(self: Rc<Self>, node: usize, socket: Async<TcpStream>) {
         let (mut socket, mut input, mut bytes) = (socket, Vec::new(), [0; 4096]);
         let hangs = || self.acts.get(node).is_some_and(|a| a.get() == NodeAct::Hang);
         loop {
@@ -318,7 +318,7 @@
                 match command {
                     Command::Keyed { key, id, .. } => {
                         Timer::after(self.setting.service).await;
-                        let value = speech::value(&key, &id, VALUE as usize);
+                        let value = speech::value(&key, &id, VALUE_BYTES as usize);
                         speech::put_array(&mut out, [Some(&value), Some(b"hit"), None]);
                     }
                     Command::Load => resp::put_bulk(&mut out, b"util=0.1,eps=0"),
@@ -354,17 +354,17 @@
                         return;
                     }
                     out.clear();
-                    Timer::after(LIFE).await;
+                    Timer::after(DISCOVERY_KEEPALIVE).await;
                 }
             };
             self.executor.spawn(told).detach();
         }
     }
 
-    fn meet(&self, met: Met) {
-        let mut all = self.met.borrow_mut();
-        if all.len() < MOST_MET {
-            all.push(met);
+    fn record(&self, events: ClientEvent) {
+        let mut all = self.events.borrow_mut();
+        if all.len() < MAX_EVENTS {
+            all.push(events);
         }
     }
 
@@ -373,24 +373,24 @@
         let mut random = stream(self.setting.seed, "clients", forwarder as u64);
         let mut due = self.clock.now();
         let out = Rc::new(Cell::new(0_usize));
-        while self.asks.get() {
+        while self.sending.get() {
             due += (exponential(&mut random) * 1e6 / self.setting.rate) as Micros;
             Timer::at(self.clock.instant(due)).await;
             let address = self.forwarders.borrow().get(forwarder).copied().flatten();
-            let (Some(address), true) = (address, out.get() < MOST_OUT) else { continue };
-            if !self.asks.get() {
+            let (Some(address), true) = (address, out.get() < MAX_IN_FLIGHT) else { continue };
+            if !self.sending.get() {
                 break;
             }
-            let id = self.asked.get();
-            self.asked.set(id + 1);
-            let key = format!("{:x}", random.random_range(1..KEYS));
-            let (scene, out) = (self.clone(), out.clone());
+            let id = self.next_id.get();
+            self.next_id.set(id + 1);
+            let key = format!("{:x}", random.random_range(1..KEY_COUNT));
+            let (state, out) = (self.clone(), out.clone());
             out.set(out.get() + 1);
             self.out.set(self.out.get() + 1);
             let request = async move {
-                scene.request(forwarder, address, id, &key).await;
+                state.request(forwarder, address, id, &key).await;
                 out.set(out.get() - 1);
-                scene.out.set(scene.out.get() - 1);
+                state.out.set(state.out.get() - 1);
             };
             self.executor.spawn(request).detach();
         }
@@ -402,7 +402,7 @@
             let (socket, last) = self.idle.borrow_mut().get_mut(forwarder)?.pop()?;
             match socket.get_ref().peek(&mut [0]) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Some(socket),
-                Ok(n) if n > 0 => self.meet(Met::Stray { id: last, at: self.clock.now() }),
+                Ok(n) if n > 0 => self.record(ClientEvent::Stray { id: last, at: self.clock.now() }),
                 _ => {}
             }
         }
@@ -418,19 +418,19 @@
             },
         };
         let _ = socket.get_ref().set_nodelay(true);
-        let word = TryId { of: TryNo(id), work: 0, bytes: VALUE }.write();
-        let properties = format!("c=lookup,d={}", PATIENCE.as_millis());
+        let word = TryId { of: TryNo(id), work: 0, bytes: VALUE_BYTES }.write();
+        let properties = format!("c=lookup,d={}", REQUEST_TIMEOUT.as_millis());
         let mut command = Vec::new();
         let words = [&b"CACHE.GET"[..], key.as_bytes(), word.as_bytes(), properties.as_bytes()];
         resp::put_command(&mut command, &words);
-        self.meet(Met::Asked { id, at: self.clock.now(), forwarder });
+        self.record(ClientEvent::Asked { id, at: self.clock.now(), forwarder });
         let late = async {
-            Timer::after(PATIENCE + GRACE).await;
+            Timer::after(REQUEST_TIMEOUT + GRACE).await;
             End::Late
         };
         let mut idle = None;
         let end = future::or(self.exchange(socket, id, key, &command, &mut idle), late).await;
-        self.meet(Met::Ended { id, at: self.clock.now(), end });
+        self.record(ClientEvent::Ended { id, at: self.clock.now(), end });
         let same = self.forwarders.borrow().get(forwarder).copied().flatten() == Some(address);
         if let (Some(socket), true) = (idle, same) {
             if let Some(all) = self.idle.borrow_mut().get_mut(forwarder) {
@@ -460,7 +460,7 @@
             let Ok(parsed) = resp::reply(&input) else { return End::Failed };
             let Some((reply, taken)) = parsed else { continue };
             if taken < input.len() {
-                self.meet(Met::Stray { id, at: self.clock.now() });
+                self.record(ClientEvent::Stray { id, at: self.clock.now() });
             }
             let value = match reply {
                 Reply::Bulk(value) => value,
@@ -473,7 +473,7 @@
             };
             let Some(value) = value else { return End::Failed };
             if speech::made_for(&value) != Some((key.as_bytes(), TryNo(id))) {
-                self.meet(Met::Stray { id, at: self.clock.now() });
+                self.record(ClientEvent::Stray { id, at: self.clock.now() });
             }
             *idle = Some(socket);
             return End::Value;
--- a/crates/lab/src/fleet/view.rs
+++ b/crates/lab/src/fleet/view.rs
@@ -4,7 +4,7 @@
 //! Pure: lines in, changes out. What is true, and whether a view is right, is for [`super::judge`].
 
 use super::log::{By, Line};
-use super::processes::told;
+use super::processes::lab_event;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use world::Micros;
@@ -106,7 +106,7 @@
 
 /// The events that views are made of.
 pub fn wanted(line: &Line) -> bool {
-    let lab = [told::STARTED, told::ENDED, told::STOPPED, told::RESUMED];
+    let lab = [lab_event::STARTED, lab_event::ENDED, lab_event::STOPPED, lab_event::RESUMED];
     let own = ["plan_avoids", "plan_returns", "planner_up", "planner_down", "silent", "lives"];
     match line.by {
         By::Lab => lab.contains(&line.event.as_str()),
@@ -136,10 +136,10 @@
         };
         let node = || line.number("node").and_then(|n| nodes.get(&n).cloned()).unwrap_or_default();
         let what = match (line.by, line.event.as_str()) {
-            (By::Lab, told::STARTED) => What::Started,
-            (By::Lab, told::ENDED) => What::Ended,
-            (By::Lab, told::STOPPED) => What::Stopped,
-            (By::Lab, told::RESUMED) => What::Resumed,
+            (By::Lab, lab_event::STARTED) => What::Started,
+            (By::Lab, lab_event::ENDED) => What::Ended,
+            (By::Lab, lab_event::STOPPED) => What::Stopped,
+            (By::Lab, lab_event::RESUMED) => What::Resumed,
             (By::Process, "plan_avoids") => What::Avoids(matter()),
             (By::Process, "plan_returns") => What::Returns(matter()),
             (By::Process, "planner_up") => What::Hears(planner()),
--- a/crates/lab/tests/fleet_links.rs
+++ b/crates/lab/tests/fleet_links.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// A wait for what must come ends here, as a failure.
-const PATIENCE: Duration = Duration::from_secs(40);
+const TIMEOUT: Duration = Duration::from_secs(40);
 
 fn links() -> Links {
     Links::start(11).expect("a thread")
@@ -22,7 +22,7 @@
 fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let from = Instant::now();
     while !holds() {
-        assert!(from.elapsed() < PATIENCE, "never: {what}");
+        assert!(from.elapsed() < TIMEOUT, "never: {what}");
         thread::sleep(Duration::from_millis(1));
     }
 }
@@ -37,8 +37,8 @@
 }
 
 fn ready(socket: &TcpStream) {
-    socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    socket.set_write_timeout(Some(PATIENCE)).expect("a time-out");
+    socket.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
+    socket.set_write_timeout(Some(TIMEOUT)).expect("a time-out");
     socket.set_nodelay(true).expect("no delay");
 }
 
@@ -65,27 +65,27 @@
         Pair { links, listener, address, a, b }
     }
 
-    fn set(&self, way: Way, condition: Condition) {
-        let (from, to) = way.names();
+    fn set(&self, direction: Direction, condition: Condition) {
+        let (from, to) = direction.names();
         self.links.set(from, to, condition).expect("it is set");
     }
 
-    fn traffic(&self, way: Way) -> Traffic {
-        let (from, to) = way.names();
+    fn traffic(&self, direction: Direction) -> Traffic {
+        let (from, to) = direction.names();
         self.links.traffic(from, to)
     }
 
     /// The ends of a way: who sends, who receives.
-    fn ends(&mut self, way: Way) -> (&mut TcpStream, &mut TcpStream) {
-        match way {
-            Way::There => (&mut self.a, &mut self.b),
-            Way::Back => (&mut self.b, &mut self.a),
+    fn ends(&mut self, direction: Direction) -> (&mut TcpStream, &mut TcpStream) {
+        match direction {
+            Direction::Forward => (&mut self.a, &mut self.b),
+            Direction::Backward => (&mut self.b, &mut self.a),
         }
     }
 
     /// What is sent arrives and is what was sent.
-    fn flows(&mut self, way: Way) -> bool {
-        let (from, to) = self.ends(way);
+    fn flows(&mut self, direction: Direction) -> bool {
+        let (from, to) = self.ends(direction);
         from.write_all(b"0123456789").expect("it is taken");
         let mut got = [0; 10];
         to.read_exact(&mut got).expect("it arrives");
@@ -93,15 +93,15 @@
     }
 
     /// Sends, and waits until the relay holds it: whether nothing of it has arrived then.
-    fn is_held(&mut self, way: Way, bytes: &[u8]) -> bool {
-        let (waiting, passed) = (self.traffic(way).waiting, self.traffic(way).bytes);
-        self.ends(way).0.write_all(bytes).expect("it is taken");
+    fn is_held(&mut self, direction: Direction, bytes: &[u8]) -> bool {
+        let (waiting, passed) = (self.traffic(direction).waiting, self.traffic(direction).bytes);
+        self.ends(direction).0.write_all(bytes).expect("it is taken");
         let all = waiting + passed + bytes.len() as u64;
         until("the relay has read it", || {
-            let t = self.traffic(way);
+            let t = self.traffic(direction);
             t.waiting + t.bytes >= all
         });
-        is_silent(self.ends(way).1)
+        is_silent(self.ends(direction).1)
     }
 }
 
@@ -114,23 +114,23 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    Forward,
+    Backward,
 }
 
-impl Way {
+impl Direction {
     fn names(self) -> (&'static str, &'static str) {
         match self {
-            Way::There => ("a", "b"),
-            Way::Back => ("b", "a"),
+            Direction::Forward => ("a", "b"),
+            Direction::Backward => ("b", "a"),
         }
     }
 
-    fn other(self) -> Way {
+    fn other(self) -> Direction {
         match self {
-            Way::There => Way::Back,
-            Way::Back => Way::There,
+            Direction::Forward => Direction::Backward,
+            Direction::Backward => Direction::Forward,
         }
     }
 }
@@ -139,38 +139,38 @@
 fn a_direction_that_is_held_holds_its_bytes_and_no_others(
     #[values(Condition::cut(), Condition::stall(), Condition { lose: 1.0, ..Condition::default() })]
     fault: Condition,
-    #[values(Way::There, Way::Back)] way: Way,
+    #[values(Direction::Forward, Direction::Backward)] direction: Direction,
 ) {
     let mut pair = Pair::new();
-    assert!(pair.flows(way) && pair.flows(way.other()));
+    assert!(pair.flows(direction) && pair.flows(direction.other()));
     // The cut comes in the middle of a frame.
     let frame: Vec<u8> = (0..40_000u32).map(|n| (n % 251) as u8).collect();
-    let (from, to) = pair.ends(way);
+    let (from, to) = pair.ends(direction);
     from.write_all(&frame[..7]).expect("it is taken");
     let mut got = vec![0; 7];
     to.read_exact(&mut got).expect("it arrives");
-    pair.set(way, fault);
-    assert!(pair.is_held(way, &frame[7..]), "it passed a link that is cut");
+    pair.set(direction, fault);
+    assert!(pair.is_held(direction, &frame[7..]), "it passed a link that is cut");
     // The other direction of the same connection goes on.
-    assert!(pair.flows(way.other()) && pair.flows(way.other()));
-    assert!(is_silent(pair.ends(way).1));
-    pair.set(way, Condition::default());
-    let (from, to) = pair.ends(way);
+    assert!(pair.flows(direction.other()) && pair.flows(direction.other()));
+    assert!(is_silent(pair.ends(direction).1));
+    pair.set(direction, Condition::default());
+    let (from, to) = pair.ends(direction);
     got.resize(frame.len(), 0);
     to.read_exact(&mut got[7..]).expect("it arrives");
     assert!(got == frame, "bytes of the frame were lost, doubled or put out of order");
     assert!(is_silent(to) && is_silent(from));
-    assert!(pair.flows(way) && pair.flows(way.other()));
+    assert!(pair.flows(direction) && pair.flows(direction.other()));
 }
 
 #[test]
 fn what_holds_nothing_is_not_seen_to_hold() {
     let mut pair = Pair::new();
-    assert!(!pair.is_held(Way::There, b"whole"), "no fault, and the check says there is one");
+    assert!(!pair.is_held(Direction::Forward, b"whole"), "no fault, and the check says there is one");
     let mut got = [0; 5];
     pair.b.read_exact(&mut got).expect("it arrives");
-    pair.set(Way::Back, Condition::cut());
-    assert!(!pair.is_held(Way::There, b"whole"), "the fault is in the other direction");
+    pair.set(Direction::Backward, Condition::cut());
+    assert!(!pair.is_held(Direction::Forward, b"whole"), "the fault is in the other direction");
 }
 
 /// Bytes of a sender who is never at the same place twice.
@@ -183,7 +183,7 @@
     #[values(Condition::cut(), Condition::stall())] fault: Condition,
 ) {
     let mut pair = Pair::new();
-    pair.set(Way::There, fault);
+    pair.set(Direction::Forward, fault);
     let all = pattern(4 << 20);
     // All that the systems and the relay take, until the sender's is full.
     pair.a.set_nonblocking(true).expect("a mode");
@@ -193,7 +193,7 @@
         match pair.a.write(&all[sent..]) {
             Ok(n) => sent += n,
             Err(e) if e.kind() == ErrorKind::WouldBlock => {
-                let waiting = pair.traffic(Way::There).waiting;
+                let waiting = pair.traffic(Direction::Forward).waiting;
                 if waiting == last && waiting > 0 {
                     break;
                 }
@@ -204,35 +204,35 @@
         }
     }
     assert!(sent < all.len(), "a link that is cut takes no end of bytes");
-    let held = pair.traffic(Way::There);
+    let held = pair.traffic(Direction::Forward);
     assert!(held.waiting <= 256 * 1024, "the relay holds {}", held.waiting);
     pair.a.set_nonblocking(false).expect("a mode");
-    assert!(is_silent(&pair.b) && pair.flows(Way::Back));
+    assert!(is_silent(&pair.b) && pair.flows(Direction::Backward));
     let mut rest = pair.a.try_clone().expect("a handle");
     let tail = all[sent..].to_vec();
     let writer = thread::spawn(move || rest.write_all(&tail).and_then(|()| rest.shutdown(Shutdown::Write)));
-    pair.set(Way::There, Condition::default());
+    pair.set(Direction::Forward, Condition::default());
     let mut got = Vec::new();
     pair.b.read_to_end(&mut got).expect("all arrives");
     writer.join().expect("it ends").expect("all is taken");
     assert!(got == all, "{} of {} bytes", got.len(), all.len());
-    assert_eq!(pair.traffic(Way::There).waiting, 0);
+    assert_eq!(pair.traffic(Direction::Forward).waiting, 0);
 }
 
 #[test]
 fn a_half_close_stays_one_and_waits_for_a_cut_as_bytes_do() {
     let mut pair = Pair::new();
-    pair.set(Way::There, Condition::cut());
-    assert!(pair.is_held(Way::There, b"last words"));
+    pair.set(Direction::Forward, Condition::cut());
+    assert!(pair.is_held(Direction::Forward, b"last words"));
     pair.a.shutdown(Shutdown::Write).expect("a half-close");
-    assert!(pair.flows(Way::Back));
+    assert!(pair.flows(Direction::Backward));
     assert!(is_silent(&pair.b), "the end overtook the bytes, or passed a cut");
-    pair.set(Way::There, Condition::default());
+    pair.set(Direction::Forward, Condition::default());
     let mut got = String::new();
     pair.b.read_to_string(&mut got).expect("the end of one direction");
     assert_eq!(got, "last words");
     for _ in 0..3 {
-        assert!(pair.flows(Way::Back), "the other direction is open still");
+        assert!(pair.flows(Direction::Backward), "the other direction is open still");
     }
     pair.b.shutdown(Shutdown::Write).expect("a half-close");
     assert_eq!(pair.a.read(&mut [0]).expect("an end, no reset"), 0);
@@ -260,7 +260,7 @@
     assert_eq!((ending(&mut cb), pair.links.reset("a", "b").expect("none is left")), ("bytes", 0));
     pair.a = connect(pair.address);
     pair.b = accept(&pair.listener);
-    assert!(pair.flows(Way::There) && pair.flows(Way::Back));
+    assert!(pair.flows(Direction::Forward) && pair.flows(Direction::Backward));
     // Not one: a connection that a peer closes.
     drop(pair.a);
     assert_eq!(ending(&mut pair.b), "closed");
@@ -269,15 +269,17 @@
 #[test]
 fn a_peers_own_reset_is_passed_on_as_one_and_waits_for_a_cut() {
     let mut pair = Pair::new();
-    pair.set(Way::There, Condition::cut());
-    assert!(pair.is_held(Way::There, b"before"));
+    pair.set(Direction::Forward, Condition::cut());
+    assert!(pair.is_held(Direction::Forward, b"before"));
     let a = socket2::Socket::from(pair.a.try_clone().expect("a handle"));
     a.set_linger(Some(Duration::ZERO)).expect("an option");
     drop(a);
     drop(std::mem::replace(&mut pair.a, connect(pair.address)));
-    until("the relay has seen what came after the reset", || pair.traffic(Way::There).connections == 2);
+    until("the relay has seen what came after the reset", || {
+        pair.traffic(Direction::Forward).connections == 2
+    });
     assert!(is_silent(&pair.b), "a reset passed a cut");
-    pair.set(Way::There, Condition::default());
+    pair.set(Direction::Forward, Condition::default());
     let mut got = [0; 6];
     pair.b.read_exact(&mut got).expect("what was sent before the reset");
     assert_eq!((&got, ending(&mut pair.b)), (b"before", "reset"));
@@ -287,25 +289,27 @@
 fn refused_connections_do_not_touch_those_that_are_up() {
     let mut pair = Pair::new();
     let refused = |pair: &Pair| TcpStream::connect(pair.address).err().map(|e| e.kind());
-    pair.set(Way::Back, Condition { refuse: true, ..Condition::default() });
+    pair.set(Direction::Backward, Condition { refuse: true, ..Condition::default() });
     assert_eq!(refused(&pair), None, "it is for those that the other opens");
     drop(accept(&pair.listener));
-    pair.set(Way::There, Condition { refuse: true, ..Condition::default() });
+    pair.set(Direction::Forward, Condition { refuse: true, ..Condition::default() });
     assert_eq!(refused(&pair), Some(ErrorKind::ConnectionRefused));
-    assert!(pair.flows(Way::There) && pair.flows(Way::Back));
+    assert!(pair.flows(Direction::Forward) && pair.flows(Direction::Backward));
     // With those that are up, if they are to go too.
     assert_eq!(pair.links.reset("a", "b").expect("it is done"), 1);
     assert_eq!(ending(&mut pair.a), "reset");
-    pair.set(Way::There, Condition::default());
+    pair.set(Direction::Forward, Condition::default());
     pair.a = connect(pair.address);
     pair.b = accept(&pair.listener);
-    assert!(pair.flows(Way::There) && pair.flows(Way::Back));
+    assert!(pair.flows(Direction::Forward) && pair.flows(Direction::Backward));
 }
 
 #[rstest]
-fn a_connection_comes_up_across_a_cut_only_when_it_is_over(#[values(Way::There, Way::Back)] way: Way) {
+fn a_connection_comes_up_across_a_cut_only_when_it_is_over(
+    #[values(Direction::Forward, Direction::Backward)] direction: Direction,
+) {
     let pair = Pair::new();
-    pair.set(way, Condition::cut());
+    pair.set(direction, Condition::cut());
     let mut a = connect(pair.address);
     a.write_all(b"hello").expect("it is taken");
     // One whose opener gives up before it is up never was.
@@ -313,12 +317,12 @@
     let mut gone = connect(pair.address);
     gone.write_all(b"stale").expect("it is taken");
     drop(gone);
-    until("the relay has accepted them", || pair.traffic(Way::There).connections == 4);
+    until("the relay has accepted them", || pair.traffic(Direction::Forward).connections == 4);
     pair.listener.set_nonblocking(true).expect("a mode");
     let early = pair.listener.accept();
     assert!(matches!(early, Err(e) if e.kind() == ErrorKind::WouldBlock), "it was dialled across a cut");
     pair.listener.set_nonblocking(false).expect("a mode");
-    pair.set(way, Condition::default());
+    pair.set(direction, Condition::default());
     let mut b = accept(&pair.listener);
     let mut got = [0; 5];
     b.read_exact(&mut got).expect("it arrives");
@@ -338,7 +342,7 @@
     drop(std::mem::replace(&mut pair.listener, TcpListener::bind("127.0.0.1:0").expect("a port")));
     let mut a = connect(pair.address);
     assert_eq!(ending(&mut a), "reset");
-    until("it is counted", || pair.traffic(Way::There).refused == 1);
+    until("it is counted", || pair.traffic(Direction::Forward).refused == 1);
     pair.links.shut("b", "main").expect("a link");
     let refused = TcpStream::connect(pair.address).map_err(|e| e.kind());
     assert_eq!(refused.err(), Some(ErrorKind::ConnectionRefused));
@@ -347,7 +351,7 @@
     assert!(pair.links.aim("b", "other", pair.address).is_err(), "there is no such link");
     pair.a = connect(pair.address);
     pair.b = accept(&pair.listener);
-    assert!(pair.flows(Way::There) && pair.flows(Way::Back));
+    assert!(pair.flows(Direction::Forward) && pair.flows(Direction::Backward));
 }
 
 #[test]
@@ -358,8 +362,8 @@
     let copy = all.clone();
     let mut a = pair.a.try_clone().expect("a handle");
     let writer = thread::spawn(move || a.write_all(&copy));
-    until("its system takes no more", || pair.traffic(Way::There).waiting > 128 * 1024);
-    assert!(pair.traffic(Way::There).bytes > 0 && pair.flows(Way::Back));
+    until("its system takes no more", || pair.traffic(Direction::Forward).waiting > 128 * 1024);
+    assert!(pair.traffic(Direction::Forward).bytes > 0 && pair.flows(Direction::Backward));
     let mut got = vec![0; all.len()];
     pair.b.read_exact(&mut got).expect("all arrives");
     writer.join().expect("it ends").expect("all is taken");
@@ -375,39 +379,41 @@
         Condition { duplicate: 1.0, reorder: 1.0, ..Condition::default() }
     )]
     fault: Condition,
-    #[values(Way::There, Way::Back)] way: Way,
+    #[values(Direction::Forward, Direction::Backward)] direction: Direction,
 ) {
     let mut pair = Pair::new();
-    pair.set(way, fault);
+    pair.set(direction, fault);
     let all = pattern(8_000);
     let copy = all.clone();
-    let (from, to) = pair.ends(way);
+    let (from, to) = pair.ends(direction);
     let mut from = from.try_clone().expect("a handle");
     let writer = thread::spawn(move || from.write_all(&copy));
     let mut got = vec![0; all.len()];
     to.read_exact(&mut got).expect("all arrives");
     writer.join().expect("it ends").expect("all is taken");
     assert!(got == all, "bytes were lost, doubled or put out of order");
-    pair.set(way, Condition::default());
-    assert!(pair.flows(way) && pair.flows(way.other()) && is_silent(pair.ends(way).1));
+    pair.set(direction, Condition::default());
+    assert!(pair.flows(direction) && pair.flows(direction.other()) && is_silent(pair.ends(direction).1));
 }
 
 #[rstest]
-fn a_fixed_delay_is_kept_in_its_direction_and_ends_with_it(#[values(Way::There, Way::Back)] way: Way) {
+fn a_fixed_delay_is_kept_in_its_direction_and_ends_with_it(
+    #[values(Direction::Forward, Direction::Backward)] direction: Direction,
+) {
     const DELAY: Duration = Duration::from_millis(60);
     let mut pair = Pair::new();
-    pair.set(way, Condition::delayed(60.0));
+    pair.set(direction, Condition::delayed(60.0));
     let from = Instant::now();
-    assert!(pair.flows(way));
+    assert!(pair.flows(direction));
     assert!(from.elapsed() >= DELAY, "it came before its time");
     // Of an hour's delay nothing is left once it is lifted, for what is on its way neither.
-    pair.set(way, Condition::delayed(3_600_000.0));
-    assert!(pair.is_held(way, b"late") && pair.flows(way.other()));
-    pair.set(way, Condition::default());
+    pair.set(direction, Condition::delayed(3_600_000.0));
+    assert!(pair.is_held(direction, b"late") && pair.flows(direction.other()));
+    pair.set(direction, Condition::default());
     let mut got = [0; 4];
-    pair.ends(way).1.read_exact(&mut got).expect("it arrives");
+    pair.ends(direction).1.read_exact(&mut got).expect("it arrives");
     assert_eq!(&got, b"late");
-    assert!(pair.flows(way));
+    assert!(pair.flows(direction));
 }
 
 /// Bytes that differ from what was sent.
@@ -417,35 +423,37 @@
 }
 
 #[rstest]
-fn one_byte_of_a_chunk_is_garbled_in_its_direction(#[values(Way::There, Way::Back)] way: Way) {
+fn one_byte_of_a_chunk_is_garbled_in_its_direction(
+    #[values(Direction::Forward, Direction::Backward)] direction: Direction,
+) {
     let mut pair = Pair::new();
-    let exchange = |pair: &mut Pair, way: Way| {
-        let (from, to) = pair.ends(way);
+    let exchange = |pair: &mut Pair, direction: Direction| {
+        let (from, to) = pair.ends(direction);
         from.write_all(b"0123456789").expect("it is taken");
         let mut got = [0; 10];
         to.read_exact(&mut got).expect("it arrives");
         changed(&got, b"0123456789")
     };
-    pair.set(way, Condition { garble: 1.0, ..Condition::default() });
+    pair.set(direction, Condition { garble: 1.0, ..Condition::default() });
     // Ten bytes are one chunk.
-    assert_eq!((exchange(&mut pair, way), exchange(&mut pair, way.other())), (1, 0));
-    assert_eq!(pair.traffic(way).garbled, 1);
-    pair.set(way, Condition::default());
-    assert_eq!((exchange(&mut pair, way), exchange(&mut pair, way.other())), (0, 0));
+    assert_eq!((exchange(&mut pair, direction), exchange(&mut pair, direction.other())), (1, 0));
+    assert_eq!(pair.traffic(direction).garbled, 1);
+    pair.set(direction, Condition::default());
+    assert_eq!((exchange(&mut pair, direction), exchange(&mut pair, direction.other())), (0, 0));
 }
 
 #[test]
 fn links_that_are_dropped_leave_no_connection_and_no_port() {
     let mut pair = Pair::new();
-    pair.set(Way::There, Condition::delayed(3_600_000.0));
-    assert!(pair.is_held(Way::There, b"never"));
+    pair.set(Direction::Forward, Condition::delayed(3_600_000.0));
+    assert!(pair.is_held(Direction::Forward, b"never"));
     drop(std::mem::replace(&mut pair.links, links()));
     assert_eq!((ending(&mut pair.a), ending(&mut pair.b)), ("reset", "reset"));
     assert_eq!(TcpStream::connect(pair.address).err().map(|e| e.kind()), Some(ErrorKind::ConnectionRefused));
 }
 
 /// `a` and `b` each have one socket; `a` sends to `to_b`, and `b` to what it is told.
-struct Posts {
+struct UdpPeers {
     links: Links,
     a: UdpSocket,
     b: UdpSocket,
@@ -453,39 +461,39 @@
     to_b: SocketAddr,
 }
 
-impl Posts {
+impl UdpPeers {
     fn new() -> Self {
         let links = links();
         let socket = || {
             let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-            socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+            socket.set_read_timeout(Some(TIMEOUT)).expect("a time-out");
             socket
         };
         let (a, b) = (socket(), socket());
         let at = |s: &UdpSocket| s.local_addr().expect("an address");
         let (to_b, to_a) = links.udp_pair("a", "b", "gossip", at(&a), at(&b)).expect("a link");
-        Posts { links, a, b, to_a, to_b }
+        UdpPeers { links, a, b, to_a, to_b }
     }
 
-    fn set(&self, way: Way, condition: Condition) {
-        let (from, to) = way.names();
+    fn set(&self, direction: Direction, condition: Condition) {
+        let (from, to) = direction.names();
         self.links.set(from, to, condition).expect("it is set");
     }
 
-    fn send(&self, way: Way, n: u8) {
-        let sent = match way {
-            Way::There => self.a.send_to(&[n; 16], self.to_b),
-            Way::Back => self.b.send_to(&[n; 16], self.to_a),
+    fn send(&self, direction: Direction, n: u8) {
+        let sent = match direction {
+            Direction::Forward => self.a.send_to(&[n; 16], self.to_b),
+            Direction::Backward => self.b.send_to(&[n; 16], self.to_a),
         };
         assert_eq!(sent.expect("it is taken"), 16);
     }
 
     /// Sends numbers from 0 and tells what comes of them, in that order: until the relay has dealt with each, and as
     /// many have come as it passed on.
-    fn exchange(&self, way: Way, count: u8) -> Vec<Vec<u8>> {
-        let (from, to) = way.names();
+    fn exchange(&self, direction: Direction, count: u8) -> Vec<Vec<u8>> {
+        let (from, to) = direction.names();
         let before = self.links.traffic(from, to);
-        (0..count).for_each(|n| self.send(way, n));
+        (0..count).for_each(|n| self.send(direction, n));
         let mut after = before;
         until("the relay has dealt with all", || {
             after = self.links.traffic(from, to);
@@ -494,9 +502,9 @@
             dealt == u64::from(count) + twice
         });
         assert_eq!(after.dropped, before.dropped);
-        let (receiver, source) = match way {
-            Way::There => (&self.b, self.to_a),
-            Way::Back => (&self.a, self.to_b),
+        let (receiver, source) = match direction {
+            Direction::Forward => (&self.b, self.to_a),
+            Direction::Backward => (&self.a, self.to_b),
         };
         let mut got = Vec::new();
         for _ in 0..after.messages - before.messages {
@@ -551,44 +559,44 @@
         (Condition { bytes_per_s: Some(4_000), ..Condition::default() }, Seen::default())
     )]
     fault: (Condition, Seen),
-    #[values(Way::There, Way::Back)] way: Way,
+    #[values(Direction::Forward, Direction::Backward)] direction: Direction,
 ) {
     const COUNT: u8 = 40;
-    let posts = Posts::new();
+    let peers = UdpPeers::new();
     let (condition, expected) = fault;
     let all_lost = condition.holds_all();
-    let nothing = |way| assert_eq!(seen(&posts.exchange(way, COUNT), COUNT), Seen::default());
-    nothing(way);
-    posts.set(way, condition);
-    let got = posts.exchange(way, COUNT);
+    let nothing = |direction| assert_eq!(seen(&peers.exchange(direction, COUNT), COUNT), Seen::default());
+    nothing(direction);
+    peers.set(direction, condition);
+    let got = peers.exchange(direction, COUNT);
     assert_eq!(seen(&got, COUNT), expected);
     assert_eq!(got.is_empty(), all_lost);
-    nothing(way.other());
-    posts.set(way, Condition::default());
-    nothing(way);
+    nothing(direction.other());
+    peers.set(direction, Condition::default());
+    nothing(direction);
 }
 
 #[test]
 fn a_datagram_is_not_early_and_a_cut_takes_those_on_their_way() {
-    let posts = Posts::new();
-    posts.set(Way::There, Condition::delayed(50.0));
+    let peers = UdpPeers::new();
+    peers.set(Direction::Forward, Condition::delayed(50.0));
     let from = Instant::now();
-    assert_eq!(posts.exchange(Way::There, 1), [[0; 16]]);
+    assert_eq!(peers.exchange(Direction::Forward, 1), [[0; 16]]);
     assert!(from.elapsed() >= Duration::from_millis(50), "it came before its time");
-    posts.set(Way::There, Condition::delayed(3_600_000.0));
+    peers.set(Direction::Forward, Condition::delayed(3_600_000.0));
     // More than may be on their way: what is over is dropped, and the rest is lost to the cut.
     let mut sent = 0;
     until("some found no room", || {
-        posts.send(Way::There, 1);
+        peers.send(Direction::Forward, 1);
         sent += 1;
-        posts.links.traffic("a", "b").dropped > 0
+        peers.links.traffic("a", "b").dropped > 0
     });
-    posts.set(Way::There, Condition::cut());
+    peers.set(Direction::Forward, Condition::cut());
     let gone = |t: Traffic| t.lost + t.dropped;
-    until("those on their way are lost", || gone(posts.links.traffic("a", "b")) == sent);
-    assert!(posts.links.traffic("a", "b").lost >= 1024);
-    posts.set(Way::There, Condition::default());
-    assert_eq!(posts.exchange(Way::There, 1), [[0; 16]]);
+    until("those on their way are lost", || gone(peers.links.traffic("a", "b")) == sent);
+    assert!(peers.links.traffic("a", "b").lost >= 1024);
+    peers.set(Direction::Forward, Condition::default());
+    assert_eq!(peers.exchange(Direction::Forward, 1), [[0; 16]]);
 }
 
 #[test]
@@ -596,7 +604,7 @@
     let links = links();
     let socket = || -> io::Result<UdpSocket> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
-        socket.set_read_timeout(Some(PATIENCE))?;
+        socket.set_read_timeout(Some(TIMEOUT))?;
         Ok(socket)
     };
     let (a, b, c) = (socket()?, socket()?, socket()?);
--- a/crates/lab/tests/fleet_play.rs
+++ b/crates/lab/tests/fleet_play.rs
@@ -1,8 +1,8 @@
 //! A small fleet of real processes under a few faults, from its start to its judgement. What is asserted is what must
 //! hold; how soon it came about is not.
 
-use lab::fleet::play::{play, Played, Setting};
-use lab::fleet::report::Shown;
+use lab::fleet::play::{play, RunResult, Setting};
+use lab::fleet::report::RunReport;
 use lab::host::Silent;
 use lab::loopback::children::Program;
 use std::path::Path;
@@ -44,7 +44,7 @@
     schedule
 }
 
-fn played(schedule: &Schedule) -> Played {
+fn played(schedule: &Schedule) -> RunResult {
     let program = Program::of_lab(Path::new(env!("CARGO_BIN_EXE_lab"))).expect("the lab");
     let setting = Setting { schedule, seed: 1, program, old: None, plant: None, out: None };
     play(&setting, &Silent).expect("a run")
@@ -68,7 +68,7 @@
     }
     let lives = played.tracks["p1"].changes.last().map(|c| c.life);
     assert_eq!(lives, Some(2), "it was killed and started again");
-    let shown = Shown { schedule: &schedule, seed: 1, played: &played };
+    let shown = RunReport { schedule: &schedule, seed: 1, played: &played };
     let page = shown.page().expect("a page");
     for text in ["hang s0", "cut role:planner &gt; f2", "restart p1", "p0 hofdi", "f2 hofdi"] {
         assert!(page.contains(text), "{text}");
--- a/crates/lab/tests/fleet_processes.rs
+++ b/crates/lab/tests/fleet_processes.rs
@@ -2,9 +2,9 @@
 //!
 //! Children are small scripts, or this very program ([`peer`], [`lab_with_children`]). Every wait is for a line of the log.
 
-use lab::fleet::log::{By, Line, Log, Mark, Wanted};
+use lab::fleet::log::{By, Line, LineFilter, Log, Mark};
 use lab::fleet::machine::{Bound, Machine, Seen};
-use lab::fleet::processes::{told, Damage, Folder, ProcessError, Processes, Restart, Spec, State, Twin};
+use lab::fleet::processes::{lab_event, Damage, Folder, ProcessError, Processes, Restart, Spec, State, Twin};
 use lab::loopback::children::{Limits, Program};
 use lab::loopback::Clock;
 use rstest::rstest;
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// No step waits longer; far more than any needs.
-const PATIENCE: Duration = Duration::from_secs(40);
+const TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A process of shell. `life`, told with `up`, counts the processes that had its folder.
 const UP: &str = r#"
@@ -45,24 +45,24 @@
     Processes::in_temporary(&Log::new(Clock::start(0))).expect("a fleet")
 }
 
-fn await_line(log: &Log, since: Mark, wanted: Wanted) -> Arc<Line> {
-    log.wait_for(since, &wanted, PATIENCE).unwrap_or_else(|why| panic!("{why}"))
+fn await_line(log: &Log, since: Mark, wanted: LineFilter) -> Arc<Line> {
+    log.wait_for(since, &wanted, TIMEOUT).unwrap_or_else(|why| panic!("{why}"))
 }
 
 /// Waits until a process of this life is up; which of those that had its folder it is.
 fn up(fleet: &Processes, name: &str, life: u32) -> u64 {
-    let line = await_line(fleet.log(), Mark::default(), Wanted::event("up").of(name).in_life(life));
+    let line = await_line(fleet.log(), Mark::default(), LineFilter::event("up").of(name).in_life(life));
     line.number("life").expect("a number")
 }
 
 /// Events of a process, by whoever, in the order of the log.
 fn events(log: &Log, name: &str) -> Vec<String> {
-    let lines = log.lines(Mark::default(), &Wanted::any().of(name));
+    let lines = log.lines(Mark::default(), &LineFilter::any().of(name));
     lines.iter().map(|l| l.event.clone()).filter(|e| !e.is_empty() && e != "beat").collect()
 }
 
 /// The letter of a process's state, as proc_pid_stat(5) has it; `None` once it is gone.
-fn letter(pid: u32) -> Option<char> {
+fn state_letter(pid: u32) -> Option<char> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     stat.rsplit_once(") ")?.1.chars().next().filter(|state| *state != 'Z')
 }
@@ -76,16 +76,18 @@
     }
     fleet.terminate("f0").expect("it runs");
     fleet.kill("f1").expect("it runs");
-    assert_eq!(fleet.wait("f0", PATIENCE).expect("an end").code(), Some(0));
-    assert_eq!(fleet.wait("f1", PATIENCE).expect("an end").signal(), Some(9));
+    assert_eq!(fleet.wait("f0", TIMEOUT).expect("an end").code(), Some(0));
+    assert_eq!(fleet.wait("f1", TIMEOUT).expect("an end").signal(), Some(9));
     let of = |name| events(fleet.log(), name);
     assert_eq!(of("f0").iter().filter(|e| *e == "told").count(), 1);
     assert!(!of("f1").contains(&"told".to_owned()));
-    assert_eq!(of("f2"), [told::STARTED, "up"], "nothing befell it");
+    assert_eq!(of("f2"), [lab_event::STARTED, "up"], "nothing befell it");
     assert_eq!(fleet.state("f2").expect("it is there"), State::Runs);
-    for (name, event) in [("f0", told::TOLD_TO_END), ("f1", told::KILLED)] {
+    for (name, event) in [("f0", lab_event::TOLD_TO_END), ("f1", lab_event::KILLED)] {
         let at = |event| of(name).iter().position(|e| e == event);
-        assert!(at(told::STARTED) < at("up") && at("up") < at(event) && at(event) < at(told::ENDED));
+        assert!(
+            at(lab_event::STARTED) < at("up") && at("up") < at(event) && at(event) < at(lab_event::ENDED)
+        );
     }
     assert!(matches!(fleet.kill("f1"), Err(ProcessError::Down(_))));
     assert!(matches!(fleet.kill("f9"), Err(ProcessError::Unknown(_))));
@@ -120,7 +122,7 @@
 fn a_process_that_is_held_takes_nothing_while_its_kernel_takes_bytes_for_it() {
     let fleet = fleet();
     fleet.start_many(vec![this("f0", "peer"), this("f1", "peer")]).expect("they start");
-    let listening = |name| fleet.log().event(name, "listening", PATIENCE).expect("it listens").address();
+    let listening = |name| fleet.log().event(name, "listening", TIMEOUT).expect("it listens").address();
     let send = |name| {
         let mut socket = TcpStream::connect(listening(name).expect("an address")).expect("it connects");
         socket.write_all(&[0; 1000]).expect("the kernel takes it");
@@ -128,23 +130,23 @@
     let (held, other) = (fleet.running()["f0"], fleet.running()["f1"]);
     listening("f0");
     fleet.stop("f0").expect("it runs");
-    assert_eq!(letter(held), Some('T'));
-    assert_ne!(letter(other), Some('T'));
+    assert_eq!(state_letter(held), Some('T'));
+    assert_ne!(state_letter(other), Some('T'));
     assert_eq!(fleet.state("f0").expect("it is there"), State::Stopped);
     send("f0");
     send("f1");
     // The one beside it has taken its bytes: the first would have, too.
-    fleet.log().event("f1", "taken", PATIENCE).expect("bytes");
-    assert_eq!(fleet.log().lines(Mark::default(), &Wanted::event("taken").of("f0")).len(), 0);
+    fleet.log().event("f1", "taken", TIMEOUT).expect("bytes");
+    assert_eq!(fleet.log().lines(Mark::default(), &LineFilter::event("taken").of("f0")).len(), 0);
     fleet.resume("f0").expect("it runs");
-    let taken = fleet.log().event("f0", "taken", PATIENCE).expect("bytes");
+    let taken = fleet.log().event("f0", "taken", TIMEOUT).expect("bytes");
     assert_eq!(taken.number("bytes"), Some(1000));
 }
 
 /// How long a process was held, by the log; `None` if the log does not have exactly one stop and one resumption.
 fn held_for(log: &Log, name: &str) -> Option<Duration> {
-    let lines = |event| log.lines(Mark::default(), &Wanted::event(event).of(name));
-    let (stopped, resumed) = (lines(told::STOPPED), lines(told::RESUMED));
+    let lines = |event| log.lines(Mark::default(), &LineFilter::event(event).of(name));
+    let (stopped, resumed) = (lines(lab_event::STOPPED), lines(lab_event::RESUMED));
     match (&*stopped, &*resumed) {
         ([stopped], [resumed]) => Some(Duration::from_micros((resumed.at_us - stopped.at_us) as u64)),
         _ => None,
@@ -165,11 +167,12 @@
     pause("f2", 50);
     fleet.stop("f2").expect("it runs");
     for (name, least) in [("f0", 150), ("f1", 300)] {
-        let resumed = await_line(fleet.log(), Mark::default(), Wanted::event(told::RESUMED).of(name));
+        let resumed =
+            await_line(fleet.log(), Mark::default(), LineFilter::event(lab_event::RESUMED).of(name));
         await_line(
             fleet.log(),
             Mark::default(),
-            Wanted::event("beat").of(name).when(move |l| l.number > resumed.number),
+            LineFilter::event("beat").of(name).when(move |l| l.number > resumed.number),
         );
         let held = held_for(fleet.log(), name).expect("one pause");
         assert!(held >= Duration::from_millis(least), "{name}: {held:?}");
@@ -177,11 +180,11 @@
     // It is held until it is resumed, whatever pause was before: that is over, as a later one is.
     let pid = fleet.running()["f2"];
     pause("f3", 100);
-    await_line(fleet.log(), Mark::default(), Wanted::event(told::RESUMED).of("f3"));
-    assert_eq!((letter(pid), held_for(fleet.log(), "f2")), (Some('T'), None));
+    await_line(fleet.log(), Mark::default(), LineFilter::event(lab_event::RESUMED).of("f3"));
+    assert_eq!((state_letter(pid), held_for(fleet.log(), "f2")), (Some('T'), None));
     // It ends all the same, and hears before that it was told to, once it goes on.
-    assert_eq!(fleet.end(PATIENCE).expect("they end"), Vec::<String>::new());
-    assert_eq!(fleet.wait("f2", PATIENCE).expect("it is heard out").code(), Some(0));
+    assert_eq!(fleet.end(TIMEOUT).expect("they end"), Vec::<String>::new());
+    assert_eq!(fleet.wait("f2", TIMEOUT).expect("it is heard out").code(), Some(0));
     assert!(events(fleet.log(), "f2").contains(&"told".to_owned()));
 }
 
@@ -201,10 +204,13 @@
     assert!(settings.exists(), "what the platform gives is not on the disk");
     let events = events(fleet.log(), "f0");
     let at = |event| events.iter().rposition(|e| e == event);
-    assert!(at(told::KILLED) < at(told::ENDED) && at(told::ENDED) < at(told::STARTED), "{events:?}");
-    let gone = at(told::FOLDER_GONE);
+    assert!(
+        at(lab_event::KILLED) < at(lab_event::ENDED) && at(lab_event::ENDED) < at(lab_event::STARTED),
+        "{events:?}"
+    );
+    let gone = at(lab_event::FOLDER_GONE);
     assert_eq!(gone.is_some(), folder == Folder::Lost);
-    assert!(gone.is_none() || at(told::ENDED) < gone && gone < at(told::STARTED), "{events:?}");
+    assert!(gone.is_none() || at(lab_event::ENDED) < gone && gone < at(lab_event::STARTED), "{events:?}");
     assert_eq!((fleet.life("f0").expect("it is there"), fleet.life("f1").expect("it is there")), (2, 1));
 }
 
@@ -220,8 +226,8 @@
     up(&fleet, "f0", 1);
     drop(dir);
     fleet.restart("f0", Restart::default()).expect("it is on its way");
-    let failed = await_line(fleet.log(), Mark::default(), Wanted::event(told::FAILED).of("f0"));
-    let waits = fleet.hear("f0", Mark::default(), &Wanted::event("never"), Duration::MAX);
+    let failed = await_line(fleet.log(), Mark::default(), LineFilter::event(lab_event::FAILED).of("f0"));
+    let waits = fleet.hear("f0", Mark::default(), &LineFilter::event("never"), Duration::MAX);
     assert!(waits.is_err(), "nobody is left to say it, so that it is not waited for");
     assert_eq!((failed.by, failed.life), (By::Lab, 2));
     assert!(matches!(fleet.state("f0"), Err(ProcessError::Down(_))));
@@ -236,7 +242,7 @@
     up(&fleet, "f0", 1);
     let twin = fleet.twin("f0", None, folder).expect("it starts");
     assert_eq!((&*twin, up(&fleet, &twin, 1)), ("f0~2", lives));
-    let name = fleet.log().event(&twin, "up", PATIENCE).expect("it is up");
+    let name = fleet.log().event(&twin, "up", TIMEOUT).expect("it is up");
     assert_eq!(name.text("name"), Some("f0"), "its own name is that of the first");
     assert_eq!(fleet.running().len(), 2);
     // With the first gone, its folder is still in use where they share it.
@@ -256,7 +262,7 @@
     let specs = names.iter().map(|name| script(name, BEATS).variable("BUILD", "old")).collect();
     let took = fleet.start_many(specs).expect("they start");
     assert!(names.iter().all(|name| up(&fleet, name, 1) == 1));
-    let started = fleet.log().lines(Mark::default(), &Wanted::event(told::STARTED));
+    let started = fleet.log().lines(Mark::default(), &LineFilter::event(lab_event::STARTED));
     let span = Duration::from_micros((started[19].at_us - started[0].at_us) as u64);
     assert!(started.len() == 20 && span <= took, "{span:?} of {took:?}");
 
@@ -274,11 +280,11 @@
     fleet.roll(&rolled, every, &how).expect("it is on its way");
     for name in rolled {
         assert_eq!(up(&fleet, name, 2), 2);
-        let lines = fleet.log().lines(Mark::default(), &Wanted::event("up").of(name));
+        let lines = fleet.log().lines(Mark::default(), &LineFilter::event("up").of(name));
         assert_eq!(lines.iter().map(|l| l.text("build")).collect::<Vec<_>>(), [Some("old"), Some("new")]);
         assert!(events(fleet.log(), name).contains(&"told".to_owned()));
     }
-    let told: Vec<_> = fleet.log().lines(Mark::default(), &Wanted::event(told::TOLD_TO_END));
+    let told: Vec<_> = fleet.log().lines(Mark::default(), &LineFilter::event(lab_event::TOLD_TO_END));
     assert_eq!(told.iter().map(|l| &*l.process).collect::<Vec<_>>(), rolled);
     // None before its step; how late each is, is the machine's.
     let due = |step| begun + step * every.as_micros() as i64;
@@ -292,19 +298,19 @@
     let writes =
         "while :; do if (echo line >>file) 2>/dev/null; then say wrote; else say full; fi; sleep 0.01; done";
     fleet.start_many(vec![script("f0", writes), script("f1", writes)]).expect("they start");
-    let wrote = |name, since| await_line(fleet.log(), since, Wanted::event("wrote").of(name));
+    let wrote = |name, since| await_line(fleet.log(), since, LineFilter::event("wrote").of(name));
     wrote("f0", Mark::default());
     wrote("f1", Mark::default());
-    assert_eq!(fleet.log().lines(Mark::default(), &Wanted::event("full")).len(), 0);
+    assert_eq!(fleet.log().lines(Mark::default(), &LineFilter::event("full")).len(), 0);
     fleet.limit_files("f0", Some(7)).expect("limited");
-    await_line(fleet.log(), Mark::default(), Wanted::event("full").of("f0"));
+    await_line(fleet.log(), Mark::default(), LineFilter::event("full").of("f0"));
     let full = fleet.log().mark();
-    await_line(fleet.log(), full, Wanted::event("full").of("f0"));
+    await_line(fleet.log(), full, LineFilter::event("full").of("f0"));
     wrote("f1", full);
-    assert_eq!(fleet.log().lines(full, &Wanted::event("wrote").of("f0")).len(), 0);
+    assert_eq!(fleet.log().lines(full, &LineFilter::event("wrote").of("f0")).len(), 0);
     fleet.limit_files("f0", None).expect("not limited");
     wrote("f0", fleet.log().mark());
-    assert_eq!(fleet.log().lines(Mark::default(), &Wanted::event("full").of("f1")).len(), 0);
+    assert_eq!(fleet.log().lines(Mark::default(), &LineFilter::event("full").of("f1")).len(), 0);
     assert_eq!(fleet.life("f0").expect("it is there"), 1);
 
     // What was started without a limit would be ended by one.
@@ -318,7 +324,7 @@
     let script = format!(r#"echo >>lives; {writes}"#).replace("say full", r#"echo '{"event":"full"}' >&2"#);
     let spec = Spec { limits: few, ..Spec::new("f3", &shell()).arg("-c").arg(script) };
     fleet.start(spec).expect("it starts");
-    fleet.log().event("f3", "full", PATIENCE).expect("no room");
+    fleet.log().event("f3", "full", TIMEOUT).expect("no room");
 }
 
 #[test]
@@ -329,7 +335,7 @@
     let own = Program::of_lab(lab()).expect("the lab's program");
     let spec = Spec::new("p0", &own).arg("planner").arg("--conf").arg(nowhere);
     fleet.start(spec.arg("--log-format").arg("json")).expect("it starts");
-    let planning = fleet.log().event("p0", "planning", PATIENCE).expect("a planner");
+    let planning = fleet.log().event("p0", "planning", TIMEOUT).expect("a planner");
     assert!(planning.address().is_some() && planning.by == By::Process, "{planning}");
     fleet.start(script("f0", BEATS)).expect("it starts");
     up(&fleet, "f0", 1);
@@ -341,8 +347,8 @@
         u64::from_str_radix(mask.trim(), 16).expect("a number") >> 24 & 1 == 1
     };
     assert!(mask("p0", "SigCgt:") && mask("f0", "SigIgn:"));
-    assert_eq!(fleet.end(PATIENCE).expect("they end"), Vec::<String>::new());
-    assert_eq!(fleet.wait("p0", PATIENCE).expect("an end").code(), Some(0));
+    assert_eq!(fleet.end(TIMEOUT).expect("they end"), Vec::<String>::new());
+    assert_eq!(fleet.wait("p0", TIMEOUT).expect("an end").code(), Some(0));
 }
 
 #[test]
@@ -352,7 +358,7 @@
     let with = |then: &str| script("f0", &format!("[ -e data ] || echo 0123456789 >data; {then}"));
     let reads = with(&reads.replace("lives", "data"));
     fleet.start(reads).expect("it starts");
-    fleet.log().event("f0", "sum-11", PATIENCE).expect("all its bytes");
+    fleet.log().event("f0", "sum-11", TIMEOUT).expect("all its bytes");
     let cut = Damage::CutShort { file: "data".into(), to: 4 };
     assert!(matches!(fleet.damage("f0", cut.clone()), Err(ProcessError::Runs(_))));
     fleet.stop("f0").expect("it runs");
@@ -362,8 +368,8 @@
     fleet.damage("f0", Damage::ByteChanged { file: "data".into(), at: 0 }).expect("it is down");
     assert_eq!(std::fs::read(fleet.folder("f0").join("data")).expect("a file"), b"\xcf123");
     fleet.restart("f0", Restart::default()).expect("it is on its way");
-    fleet.log().event("f0", "sum-4", PATIENCE).expect("what was left");
-    assert_eq!(events(fleet.log(), "f0").iter().filter(|e| *e == told::DAMAGED).count(), 2);
+    fleet.log().event("f0", "sum-4", TIMEOUT).expect("what was left");
+    assert_eq!(events(fleet.log(), "f0").iter().filter(|e| *e == lab_event::DAMAGED).count(), 2);
 }
 
 /// A lab in a process of its own: this very program, which starts three children, one of them stopped.
@@ -412,7 +418,7 @@
 fn a_lab_that_is_killed_leaves_no_process_and_the_next_one_removes_its_folder() {
     let temporary = tempfile::tempdir().expect("a folder");
     let mut lab = KilledLab::start(temporary.path());
-    let states: Vec<_> = lab.children.iter().map(|pid| letter(*pid)).collect();
+    let states: Vec<_> = lab.children.iter().map(|pid| state_letter(*pid)).collect();
     assert!(states.len() == 3 && states[0].is_some() && states[1..] == [Some('T'); 2], "{states:?}");
     // The next one leaves a folder alone while its lab lives.
     let next = Command::new(std::env::current_exe().expect("this program"));
@@ -426,11 +432,11 @@
     lab.process.kill().expect("killed");
     lab.process.wait().expect("it ends");
     // Their kernel ends them; nobody tells us when they are gone.
-    let until = std::time::Instant::now() + PATIENCE;
-    while lab.children.iter().any(|pid| letter(*pid).is_some()) && std::time::Instant::now() < until {
+    let until = std::time::Instant::now() + TIMEOUT;
+    while lab.children.iter().any(|pid| state_letter(*pid).is_some()) && std::time::Instant::now() < until {
         std::thread::yield_now();
     }
-    assert!(!lab.children.iter().any(|pid| letter(*pid).is_some()), "a child has outlived the lab");
+    assert!(!lab.children.iter().any(|pid| state_letter(*pid).is_some()), "a child has outlived the lab");
     assert!(lab.root.exists(), "nobody was left to remove it");
     begins_and_ends(Command::new(std::env::current_exe().expect("this program")));
     assert!(!lab.root.exists());
@@ -460,9 +466,9 @@
         told.send((fleet.root().to_owned(), fleet.running())).expect("somebody listens");
         panic!("planted");
     });
-    let (root, running) = what.recv_timeout(PATIENCE).expect("it began");
+    let (root, running) = what.recv_timeout(TIMEOUT).expect("it began");
     panics.join().expect_err("it panics");
-    assert!(running.len() == 3 && !running.values().any(|pid| letter(*pid).is_some()));
+    assert!(running.len() == 3 && !running.values().any(|pid| state_letter(*pid).is_some()));
     assert!(!root.exists());
 }
 
@@ -478,7 +484,7 @@
     );
     log.hear(&name, 1, "thread 'main' panicked");
     log.hear(&name, 1, "[1, 2]");
-    let lines = log.lines(mark, &Wanted::any());
+    let lines = log.lines(mark, &LineFilter::any());
     assert_eq!(
         (&*lines[0].event, &*lines[0].message, lines[0].number("at_ms")),
         ("planning", "here", Some(5))
@@ -488,11 +494,11 @@
     assert_eq!(lines[2].message, "[1, 2]");
     assert!(lines.windows(2).all(|w| w[0].at_us <= w[1].at_us));
     // Planted: each part of what is wanted is looked at.
-    let seen = |wanted: Wanted| log.wait_for(mark, &wanted, Duration::ZERO).is_ok();
-    let planning = || Wanted::event("planning").of("f0").in_life(1).saying("her");
+    let seen = |wanted: LineFilter| log.wait_for(mark, &wanted, Duration::ZERO).is_ok();
+    let planning = || LineFilter::event("planning").of("f0").in_life(1).saying("her");
     assert!(seen(planning()) && seen(planning().when(|l| l.text("level") == Some("INFO"))));
     assert!(!seen(planning().of("f1")) && !seen(planning().in_life(2)) && !seen(planning().saying("there")));
-    assert!(!seen(planning().when(|_| false)) && !seen(Wanted::event("plannin")));
+    assert!(!seen(planning().when(|_| false)) && !seen(LineFilter::event("plannin")));
     assert!(log.wait_for(log.mark(), &planning(), Duration::ZERO).is_err(), "it came before the mark");
     let why = log.event("f0", "silent", Duration::ZERO).expect_err("nobody said so").to_string();
     assert!(why.contains(r#"a line of f0 with event "silent""#) && why.contains("panicked"), "{why}");
@@ -500,7 +506,7 @@
     // Bounded: the oldest go, and are counted.
     let other: Arc<str> = "f1".into();
     (0..100_000).for_each(|_| log.hear(&other, 1, "noise"));
-    assert_eq!(log.lines(mark, &Wanted::any()).len(), 100_000);
+    assert_eq!(log.lines(mark, &LineFilter::any()).len(), 100_000);
     assert_eq!((log.lost().get(&name), log.lost().get(&other)), (Some(&3), None));
     let why = log.wait_for(mark, &planning(), Duration::ZERO).expect_err("it is gone").to_string();
     assert!(why.contains("3 lines were let go unseen"), "{why}");
@@ -522,7 +528,7 @@
         (0..100).for_each(|n| other.hear(&"f0".into(), 1, &format!(r#"{{"event":"n","n":{n}}}"#)));
     });
     begin.send(()).expect("it waits");
-    let line = await_line(&log, Mark::default(), Wanted::event("n").when(|l| l.number("n") == Some(99)));
+    let line = await_line(&log, Mark::default(), LineFilter::event("n").when(|l| l.number("n") == Some(99)));
     assert_eq!(line.number, 99);
     says.join().expect("it ends");
 }
@@ -553,9 +559,9 @@
 fn a_lab_that_stood_still_notices_it() {
     let fleet = fleet();
     fleet.start(this("lab", "watches_the_machine")).expect("it starts");
-    fleet.log().event("lab", "watches", PATIENCE).expect("it watches");
+    fleet.log().event("lab", "watches", TIMEOUT).expect("it watches");
     fleet.pause("lab", Duration::from_millis(600)).expect("it runs");
-    let late = fleet.log().event("lab", "late", PATIENCE).expect("it was held");
+    let late = fleet.log().event("lab", "late", TIMEOUT).expect("it was held");
     assert!(late.fields["void"] == true && late.number("us") >= Some(500_000), "{late}");
 }
 
--- a/tests/dissemination.rs
+++ b/tests/dissemination.rs
@@ -4,7 +4,7 @@
 
 use dissemination::frame::{CloseReason, Reader};
 use lab::fleet::links::{Condition, Links};
-use lab::fleet::log::{Line, Log, Mark, Wanted};
+use lab::fleet::log::{Line, LineFilter, Log, Mark};
 use lab::fleet::processes::{Processes, Spec};
 use lab::loopback::children::{guard::in_a_test, Program};
 use lab::loopback::Clock;
@@ -161,10 +161,10 @@
 
     /// Waits for a log event of a process after the previously awaited one.
     fn wait_for_event(&mut self, name: &str, event: &str) -> Arc<Line> {
-        self.wait_for_line(name, Wanted::event(event))
+        self.wait_for_line(name, LineFilter::event(event))
     }
 
-    fn wait_for_line(&mut self, name: &str, wanted: Wanted) -> Arc<Line> {
+    fn wait_for_line(&mut self, name: &str, wanted: LineFilter) -> Arc<Line> {
         let since = self.log_position.entry(name.to_owned()).or_default();
         let line = self.processes.hear(name, *since, &wanted, TIMEOUT);
         let line = line.unwrap_or_else(|why| panic!("{why}"));
@@ -322,7 +322,7 @@
     let mut file = std::fs::OpenOptions::new().append(true).open(store).expect("the file");
     file.write_all(&[9, 0, 0, 0, 1]).expect("the bytes are written");
     fleet.start_controls(&all);
-    let torn = fleet.processes.log().lines(Mark::default(), &Wanted::event("torn"));
+    let torn = fleet.processes.log().lines(Mark::default(), &LineFilter::event("torn"));
     assert_eq!(torn.iter().map(|l| (&*l.process, l.number("bytes"))).collect::<Vec<_>>(), [("c2", Some(5))]);
     for change in &last {
         fleet.wait_for_all(&(change.0.clone(), *change.1));
@@ -350,7 +350,7 @@
     fleet.start_follower("f1");
     for setting in ["tapsample", "tapbuffer"] {
         let first = fleet.log_position.get("f1").copied().unwrap_or_default();
-        let wanted = Wanted::event("configured").when(move |l| l.text("setting") == Some(setting));
+        let wanted = LineFilter::event("configured").when(move |l| l.text("setting") == Some(setting));
         fleet.wait_for_line("f1", wanted);
         // They are numbered by different stores and may arrive in any order.
         fleet.log_position.insert("f1".into(), first);
@@ -370,7 +370,7 @@
     all.iter().for_each(|at| fleet.kill(&control(*at)));
     all.iter().for_each(|at| fleet.configure(*at, 2));
     fleet.start_controls(&all);
-    let raised = fleet.processes.log().lines(Mark::default(), &Wanted::event("epoch_raised"));
+    let raised = fleet.processes.log().lines(Mark::default(), &LineFilter::event("epoch_raised"));
     assert_eq!(raised.len(), CONTROLS);
     for name in fleet.followers.clone() {
         fleet.wait_for_event(&name, "begun_anew");
--- a/tests/planners.rs
+++ b/tests/planners.rs
@@ -2,7 +2,7 @@
 //! they refuse, and how they shut down. The test plays the nodes, discovery and the clients. It only waits
 //! for events, with a generous timeout.
 
-use lab::fleet::log::{Line, Log, Mark, Wanted};
+use lab::fleet::log::{Line, LineFilter, Log, Mark};
 use lab::fleet::processes::{Processes, Spec};
 use lab::loopback::children::{guard::in_a_test, Program};
 use lab::loopback::Clock;
@@ -59,7 +59,7 @@
         };
         let spec = words.iter().fold(spec, |spec, word| spec.arg(word));
         self.processes.start(spec).expect("it starts");
-        self.wait_for_line(name, Wanted::event(event)).address().expect("an address")
+        self.wait_for_line(name, LineFilter::event(event)).address().expect("an address")
     }
 
     fn planner(&mut self, name: &str, forwarders: usize) -> SocketAddr {
@@ -76,7 +76,7 @@
     }
 
     /// Waits for a log line of a process after the last one that was waited for.
-    fn wait_for_line(&mut self, name: &str, wanted: Wanted) -> Arc<Line> {
+    fn wait_for_line(&mut self, name: &str, wanted: LineFilter) -> Arc<Line> {
         let since = self.log_marks.entry(name.to_owned()).or_default();
         let line = self.processes.hear(name, *since, &wanted, TIMEOUT);
         let line = line.unwrap_or_else(|why| panic!("{why}"));
@@ -86,7 +86,7 @@
 
     fn terminate(&mut self, name: &str) {
         self.processes.terminate(name).expect("it runs");
-        self.wait_for_line(name, Wanted::event("ended"));
+        self.wait_for_line(name, LineFilter::event("ended"));
         let status = self.processes.wait(name, TIMEOUT).expect("an end");
         assert!(status.success(), "{name}: {status}");
     }
@@ -214,7 +214,7 @@
     assert_eq!(shown["silent"], json!([]), "{shown:#}");
 
     silent.store(true, Ordering::SeqCst);
-    let what = |event| Wanted::event(event).when(|l| l.text("what") == Some("node s-0"));
+    let what = |event| LineFilter::event(event).when(|l| l.text("what") == Some("node s-0"));
     names.iter().for_each(|name| drop(fleet.wait_for_line(name, what("plan_avoids"))));
     let table = String::from_utf8(show(planners[0], &[]).stdout).expect("text");
     assert!(table.contains("witnesses\n") && table.contains(" all "), "{table}");
