--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -1,17 +1,19 @@
-//! What must hold of a fleet, held against what was seen.
+//! Checks the rules of a fleet run against what was observed.
 //!
-//! Views of processes ([`super::view`]) and what clients met ([`super::stage`]) are judged against what the plan made
-//! true ([`world::fleet::truth`]), with the judges of the `history` package where these have one. Pure.
+//! Compares the views of processes ([`super::view`]) and the events of clients ([`super::stage`]) with the
+//! state of the world that the plan implies ([`world::fleet::truth`]), using the checkers of the `history`
+//! package where they exist. Pure: no I/O.
 //!
 //! | rule | |
 //! | --- | --- |
-//! | `one_outcome` | each request has one answer, unless its forwarder died or stood still |
-//! | `converged` | within a bound after the last fault all avoid nothing that answers and hear all planners that run |
-//! | `no_flapping` | marks come and go no more often than [`plan::Rules::max_changes`] allows |
-//! | `no_wrong_avoidance` | most do not avoid a node that answers them all for longer than a bound |
-//! | `kept` | no forwarder goes back to a node that is still silent to it while planners guide it |
-//! | `avoided` | where the schedule has a bound: all avoid what is silent to all within it |
-//! | `served` | where the schedule has a bound: no more requests go without a value |
+//! | `one_outcome` | each request has exactly one answer, unless its forwarder died or was stopped |
+//! | `converged` | within a bound after the last fault, every forwarder avoids no responsive node and is
+//! connected to all running planners |
+//! | `no_flapping` | marks change no more often than [`plan::Rules::max_changes`] allows |
+//! | `no_wrong_avoidance` | no majority avoids, for longer than a bound, a node that answers all forwarders |
+//! | `kept` | no forwarder returns to a node that is still silent to it while planners guide it |
+//! | `avoided` | if the schedule sets a bound: every forwarder avoids what is silent to all within it |
+//! | `served` | if the schedule sets a bound: no larger share of requests ends without a value |
 
 use super::stage::{ClientEvent, End};
 use super::view::{Now, Track, What};
@@ -25,22 +27,23 @@
 use world::random::seconds;
 use world::Micros;
 
-/// Whoever found a node silent may act on it for this long after it answers again: the age of evidence, of a plan's
-/// basis and the way in, with some room for a busy machine.
+/// For this long after a node answers again, avoiding it is still justified: the age of evidence, the age of
+/// a plan's basis and the time for delivery, with a margin for a busy machine.
 const EVIDENCE_GRACE: Micros = 5_000_000;
-/// Without planners for so long of the time before, marks may fade: what stands holds 5 s and fades over 10.
+/// Marks may fade if a forwarder had no planner for [`MAX_UNGUIDED`] within this period: marks hold for 5 s
+/// and fade over 10 s.
 const MARK_FADE: Micros = 16_000_000;
 const MAX_UNGUIDED: Micros = 8_000_000;
-/// How late a line of a log may be read.
+/// Maximum delay between writing and reading a log line.
 const LOG_DELAY: Micros = 100_000;
-/// A node is surely silent to a forwarder if it has been for this long.
+/// After this long without an answer, a node certainly counts as silent to a forwarder.
 const CERTAIN_SILENCE: Micros = 1_500_000;
-/// Windows in which changes of marks are counted.
+/// Windows over which mark changes are counted.
 const WINDOWS: [Micros; 6] = [1_000_000, 2_000_000, 5_000_000, 10_000_000, 20_000_000, 60_000_000];
-/// Breaches of one rule that are listed.
+/// Maximum number of breaches listed per rule.
 const MAX_LISTED: usize = 8;
 
-/// What must hold.
+/// The rules that a run is checked against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
@@ -67,46 +70,49 @@
     }
 }
 
-/// A rule that did not hold.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Breach {
     pub rule: Rule,
-    /// When, since the fleet was ready.
+    /// Time of the violation, in seconds since the fleet was ready.
     pub at_s: f64,
     pub what: String,
 }
 
-/// What was measured.
+/// Measurements of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
     pub requests: u64,
     pub values: u64,
     pub refused: u64,
     pub failed: u64,
-    /// Their connection broke, or no answer came in time.
+    /// The connection broke, or no answer came in time.
     pub unanswered: u64,
-    /// Of nodes silent to all: from then until each forwarder avoided all that fell silent at once. Sorted.
+    /// For nodes silent to all: time until each forwarder avoided the whole group that fell silent at once.
+    /// Sorted.
     pub avoided_s: Vec<f64>,
-    /// Forwarders that never did.
+    /// Number of cases in which a forwarder never avoided such a group.
     pub never_avoided: u64,
-    /// Marks that began though the node had answered all for a while, over all forwarders.
+    /// Marks set although the node had been answering all forwarders for a while, summed over forwarders.
     pub wrong: u64,
-    /// The longest time for which most forwarders avoided a node that answered all.
+    /// The longest time for which a majority of forwarders avoided a node that answered all.
     pub wrong_most_s: f64,
-    /// Changes of marks, over all forwarders; and the most of one at one forwarder in any ten seconds.
+    /// Mark changes over all forwarders; and the most for one subject at one forwarder within any ten
+    /// seconds.
     pub changes: u64,
     pub changes_in_10_s: u64,
-    /// From the end of the last fault until all views were right for good; none where they never were.
+    /// Time from the end of the last fault until all views were right and stayed right; `None` if that never
+    /// happened.
     pub converged_s: Option<f64>,
 }
 
-/// All that is judged.
+/// The inputs of the check.
 pub struct Case<'a> {
     pub plan: &'a Plan,
     pub expect: &'a Expect,
     pub tracks: &'a BTreeMap<String, Track>,
     pub met: &'a [ClientEvent],
-    /// When watching ended.
+    /// When observation ended.
     pub until: Micros,
     pub rules: &'a plan::Rules,
 }
@@ -115,7 +121,7 @@
     (at as f64 / 1e3).round() / 1e3
 }
 
-/// What was measured, and what did not hold: the first few of each rule.
+/// Returns the measurements and the first few violations of each rule.
 pub fn judge(case: &Case<'_>) -> (Figures, Vec<Breach>) {
     let truth = Truth::of(case.plan);
     let mut figures = Figures::default();
@@ -149,7 +155,7 @@
         self.plan.of(Role::Node).collect()
     }
 
-    /// Whether a forwarder stood still, was away, or came up during this time, by its log.
+    /// Whether a forwarder was stopped, down or starting during this time, according to its log.
     fn disturbed(&self, forwarder: usize, from: Micros, until: Micros) -> bool {
         let Some(track) = self.track(forwarder) else { return true };
         let (mut was_well, mut disturbed) = (false, false);
@@ -238,14 +244,15 @@
         }
     }
 
-    /// What a forwarder says, in words that are the same for all: nodes that it avoids, planners that it lacks.
+    /// A forwarder's view in a form comparable across forwarders: nodes that it avoids and planners that it
+    /// is not connected to.
     fn view_of(&self, now: &Now, planners: &BTreeSet<&str>) -> View {
         let avoided = now.avoids.iter().map(|m| (m.clone(), "avoided".to_owned()));
         let lacking = planners.iter().filter(|p| !now.hears.contains(**p));
         avoided.chain(lacking.map(|p| ((*p).to_owned(), "not heard".to_owned()))).collect()
     }
 
-    /// Whether all views are right now, as far as logs go.
+    /// Whether all views are currently right, as far as the logs show.
     pub fn is_settled(&self) -> bool {
         let truth = Truth::of(self.plan);
         let planners = self.last_planners(&truth);
@@ -256,7 +263,7 @@
             .all(|now| !now.runs || (!now.stopped && self.view_of(&now, &planners).is_empty()))
     }
 
-    /// Planners that run in the end.
+    /// Planners that are running after the last fault.
     fn last_planners(&self, truth: &Truth) -> BTreeSet<&str> {
         let there = |p: &usize| !truth.away(*p).hold(self.plan.over + 1, self.plan.over + 2);
         self.plan.of(Role::Planner).filter(there).map(|p| self.plan.name(p)).collect()
@@ -285,7 +292,8 @@
         let at_s = s(self.plan.over + bound.within_us);
         match converge::judge(&samples, &names, &bound) {
             Verdict::Held(held) => {
-                // Views may be right and wrong again within the bound: for good is from the last change on.
+                // Views may become right and wrong again within the bound; convergence counts from the last
+                // change on.
                 let last = samples.iter().filter(|s| s.view.as_ref().is_some_and(|v| !v.is_empty()));
                 let last = last.map(|w| {
                     let next = samples.iter().find(|n| n.observer == w.observer && n.at_us > w.at_us);
@@ -303,7 +311,7 @@
                     }
                 }
                 if !apart.silent.is_empty() {
-                    what += &format!("; no word of {}", apart.silent.first.join(" "));
+                    what += &format!("; no view of {}", apart.silent.first.join(" "));
                 }
                 breaches.push(Breach { rule: Rule::Converged, at_s, what });
             }
@@ -347,7 +355,7 @@
                     }
                     for f in &found.first {
                         let what = format!(
-                            "{} changed its mind of {} {} times within {} s, {most} at most are allowed",
+                            "{} changed its mark of {} {} times within {} s, at most {most} are allowed",
                             f.observer,
                             f.subject,
                             f.changes,
@@ -369,7 +377,7 @@
         for node in self.nodes() {
             let name = self.plan.name(node);
             let doubtful = truth.doubtful_to_any(node);
-            // How many avoid it, from each moment on.
+            // Changes in the number of forwarders that avoid the node.
             let mut steps: Vec<(Micros, i64)> = Vec::new();
             for f in &forwarders {
                 for (from, until, _) in self.track(*f).map(|t| t.avoided(name)).unwrap_or_default() {
@@ -398,7 +406,8 @@
         }
     }
 
-    /// Most avoided a node all this time: for how long of it nothing was wrong with it.
+    /// A majority avoided the node from `from` until `until`: records the parts of that time in which nothing
+    /// was wrong with it.
     fn wrong_for(
         &self,
         name: &str,
@@ -449,7 +458,7 @@
         }
     }
 
-    /// Nodes that fall silent to all at once, and when each forwarder avoids all of them.
+    /// Measures, for nodes that fall silent to all at once, when each forwarder avoids the whole group.
     fn avoided(&self, truth: &Truth, figures: &mut Figures, breaches: &mut Vec<Breach>) {
         let mut groups = BTreeMap::<Micros, Vec<(usize, Micros)>>::new();
         for node in self.nodes() {
--- a/crates/lab/src/fleet/judge/tests.rs
+++ b/crates/lab/src/fleet/judge/tests.rs
@@ -5,7 +5,8 @@
 
 const S: Micros = 1_000_000;
 
-/// What a fleet of three forwarders and a planner saw of a node that hung from the 1st to the 9th second, and of a planner.
+/// Observations of a fleet of three forwarders and a planner, in which one node hung from the 1st to the 9th
+/// second.
 struct Seen {
     schedule: Schedule,
     tracks: BTreeMap<String, Track>,
@@ -35,7 +36,7 @@
     }
 
     fn say(&mut self, name: &str, at: Micros, what: What) {
-        let changes = &mut self.tracks.get_mut(name).expect("a process").changes;
+        let changes = &mut self.tracks.get_mut(name).expect("the process is known").changes;
         changes.push(Change { at, life: 1, what });
         changes.sort_by_key(|c| c.at);
     }
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn what_is_right_breaks_nothing_and_is_measured() {
+fn a_correct_run_breaks_no_rule_and_is_measured() {
     let seen = Seen::right();
     assert_eq!(seen.broken(), []);
     let (plan, rules) = (seen.schedule.plan(1), plan::Rules::default());
@@ -64,13 +65,13 @@
 }
 
 #[test]
-fn each_rule_is_broken_by_what_breaks_it() {
+fn each_rule_detects_its_violation() {
     let mut lost = Seen::right();
     lost.met[1] = ClientEvent::Ended { id: 0, at: 3 * S, end: End::Late };
     assert_eq!(lost.broken(), [Rule::OneOutcome]);
     lost.say("f0", 2 * S, What::Stopped);
     lost.say("f0", 2 * S + 1, What::Resumed);
-    assert_eq!(lost.broken(), [], "it stood still meanwhile");
+    assert_eq!(lost.broken(), [], "the forwarder was stopped meanwhile");
 
     let mut twice = Seen::right();
     twice.met.push(ClientEvent::Stray { id: 0, at: 2 * S });
--- a/crates/lab/src/fleet/links/direction.rs
+++ b/crates/lab/src/fleet/links/direction.rs
@@ -1,4 +1,5 @@
-//! One direction between two processes, shared by all relays that carry it: its condition, its line, its counts.
+//! One direction between two processes, shared by all relays that carry it: its condition, its [`Line`] and
+//! its counters.
 
 use super::context::RelayContext;
 use event_listener::Event;
@@ -7,33 +8,33 @@
 use world::fleet::link::{ChunkFate, Condition, Deliveries, Line};
 use world::Micros;
 
-/// What went one way so far.
+/// Traffic in one direction so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Traffic {
-    /// Connections that the sender of this direction opened and that came up at the relay.
+    /// Connections opened by the sender of this direction that were accepted by the relay.
     pub connections: u64,
-    /// Of them those that were reset because the target refused, was not to be reached, or too many were up. Those that
-    /// the system refused are not seen.
+    /// Those of them that were reset because the target refused, was unreachable, or there were too many.
+    /// Connections refused by the operating system are not counted.
     pub refused: u64,
-    /// Bytes of connections handed to the receiver's system.
+    /// Stream bytes handed to the receiver's socket.
     pub bytes: u64,
-    /// Bytes of connections that the relays have read and not yet handed on.
+    /// Stream bytes that the relays have read and not yet forwarded.
     pub waiting: u64,
-    /// Datagrams handed to the receiver's system.
+    /// Datagrams handed to the receiver's socket.
     pub messages: u64,
-    /// Datagrams that the condition lost.
+    /// Datagrams lost because of the condition.
     pub lost: u64,
-    /// Datagrams that found no room on the way, or no receiver: too many at once, or nobody known to send them to.
+    /// Datagrams dropped because too many were in flight or no receiver was known.
     pub dropped: u64,
-    /// Datagrams that were sent a second time.
+    /// Datagrams sent a second time.
     pub duplicated: u64,
-    /// Chunks of connections and datagrams of which a byte was changed.
+    /// Stream chunks and datagrams with one changed byte.
     pub garbled: u64,
 }
 
 pub struct Direction {
     condition: RefCell<Condition>,
-    /// Counts conditions, so that whoever is on the way sees that there is another one.
+    /// Incremented with each new condition, so that tasks notice the change.
     version: Cell<u64>,
     changed: Event,
     line: RefCell<Line>,
@@ -66,7 +67,7 @@
         self.version.get()
     }
 
-    /// Until another condition is set. What has been set before the call does not count.
+    /// Waits until another condition is set. Conditions set before the call do not count.
     pub async fn changes(&self) {
         self.changed.listen().await;
     }
@@ -101,7 +102,7 @@
         self.traffic.get()
     }
 
-    /// Until something without bytes of its own (a part of a handshake, a reset) has gone this way.
+    /// Waits until an item without payload (part of a handshake, a reset) has passed in this direction.
     pub async fn pass(&self, context: &RelayContext) {
         loop {
             let version = self.version();
--- a/crates/lab/src/fleet/links/mod.rs
+++ b/crates/lab/src/fleet/links/mod.rs
@@ -1,8 +1,8 @@
-//! Links between processes: relays of our own on loopback, one for each ordered pair of processes and each port.
+//! Links between processes: relays on loopback, one for each ordered pair of processes and each port.
 //!
-//! [`Links`] owns one thread with all relays, their sockets and what is on its way; dropped, all of it ends. What
-//! befalls a direction is a [`Condition`], and what becomes of each message is drawn by [`world::fleet::link::Line`].
-//! It starts no process and reads nothing that it carries: frames, names and meanings are unknown to it. Not for
+//! [`Links`] owns one thread with all relays, their sockets and the data in flight; dropping it ends all of
+//! them. A [`Condition`] sets the faults of a direction, and [`world::fleet::link::Line`] draws the fate of
+//! each message. This module starts no processes and does not parse what it carries. It is not used for
 //! stand-ins, which have a network of their own ([`crate::loopback`]).
 
 mod context;
@@ -22,22 +22,22 @@
 use std::net::SocketAddr;
 use std::thread::JoinHandle;
 
-/// Orders that may wait for the relays' thread.
+/// Maximum number of orders queued for the relay thread.
 const MAX_PENDING_ORDERS: usize = 64;
 
-/// The relays of a fleet. All methods may be called from any thread, and wait for the relays' thread: what
-/// is set holds for all that happens after the call.
+/// The relays of a fleet. All methods may be called from any thread and wait for the relay thread: a setting
+/// applies to everything that happens after the call returns.
 pub struct Links {
     orders: Sender<Order>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Links {
-    /// Starts the thread of the relays. `seed` decides all that is drawn.
+    /// Starts the relay thread. `seed` determines all random draws.
     ///
     /// # Errors
     ///
-    /// The system gives no thread.
+    /// The thread cannot be started.
     pub fn start(seed: u64) -> io::Result<Links> {
         let (orders, told) = async_channel::bounded(MAX_PENDING_ORDERS);
         let thread =
@@ -45,18 +45,19 @@
         Ok(Links { orders, thread: Some(thread) })
     }
 
-    /// The address that `from`'s configuration names for `to`'s port; `target` is where `to` listens. Names are the
-    /// caller's. Asked again for the same three, it is the same address with another target.
+    /// Returns the address to put into `from`'s configuration for `to`'s port; `target` is where `to`
+    /// listens. The caller chooses the names. A repeated call with the same three names returns the same
+    /// address and replaces the target.
     ///
     /// # Errors
     ///
-    /// No socket to be had, too many relays, or the relays' thread has ended.
+    /// No socket is available, there are too many relays, or the relay thread has ended.
     pub fn tcp(&self, from: &str, to: &str, port: &str, target: SocketAddr) -> io::Result<SocketAddr> {
         self.ask(|reply| Order::Tcp(name(from, to, port), target, reply))?
     }
 
-    /// As [`Links::tcp`] for datagrams. `to` sees them come from a socket of the relay's own; what it sends there goes
-    /// to the socket that `from` sent from last.
+    /// Like [`Links::tcp`], for datagrams. `to` sees them come from a socket of the relay; replies to that
+    /// socket go to the address that `from` last sent from.
     ///
     /// # Errors
     ///
@@ -65,8 +66,9 @@
         self.ask(|reply| Order::Udp(name(from, to, port), target, reply))?
     }
 
-    /// For protocols in which an address names a member: `a` and `b` each have one socket, at `at_a` and `at_b`. The
-    /// first address is what `a` sends to, and what `a` sees `b`'s datagrams come from; the second is the same for `b`.
+    /// For protocols that identify a member by its address: `a` and `b` each have one socket, at `at_a` and
+    /// `at_b`. The first returned address is the one `a` sends to and sees `b`'s datagrams come from; the
+    /// second is the same for `b`.
     ///
     /// # Errors
     ///
@@ -82,17 +84,18 @@
         self.ask(|reply| Order::UdpPair(name(a, b, port), [at_a, at_b], reply))?
     }
 
-    /// `to` was started anew and listens elsewhere. Ends a [`Links::shut`]. Connections that are up stay as they are.
+    /// Sets a new target after `to` was restarted on another address. Reverts [`Links::shut`]. Established
+    /// connections are unaffected.
     ///
     /// # Errors
     ///
-    /// There is no such link, or the relays' thread has ended.
+    /// There is no such link, or the relay thread has ended.
     pub fn aim(&self, to: &str, port: &str, target: SocketAddr) -> io::Result<()> {
         self.ask(|reply| Order::Aim(to.into(), port.into(), Some(target), reply))?
     }
 
-    /// Nobody listens on `to`'s port: new connections are refused by the system itself, as where the process has
-    /// ended. Without it they come up, and are reset when the target refuses them.
+    /// Marks `to`'s port as closed: the operating system refuses new connections, as it does for an ended
+    /// process. Without this call they are accepted, and reset when the target refuses them.
     ///
     /// # Errors
     ///
@@ -101,43 +104,43 @@
         self.ask(|reply| Order::Aim(to.into(), port.into(), None, reply))?
     }
 
-    /// What befalls messages from `from` to `to` from now on, on every link between the two, whichever of them opened
-    /// it; links that are made later too.
+    /// Sets the condition for messages from `from` to `to` on every link between the two, whichever opened
+    /// it, including links created later.
     ///
     /// # Errors
     ///
-    /// The condition makes no sense, or the relays' thread has ended.
+    /// The condition is invalid, or the relay thread has ended.
     pub fn set(&self, from: &str, to: &str, condition: Condition) -> io::Result<()> {
         self.ask(|reply| Order::Set(from.into(), to.into(), condition, reply))?
     }
 
-    /// What was set last; a whole link if nothing was.
+    /// The condition set last; the default condition if none was set.
     pub fn get(&self, from: &str, to: &str) -> Condition {
         self.ask(|reply| Order::Get(from.into(), to.into(), reply)).unwrap_or_default()
     }
 
-    /// Resets the connections between the two that are up or coming up, at both ends, whoever opened them, whatever the
-    /// conditions; how many.
+    /// Resets, at both ends, all established and pending connections between the two, whoever opened them and
+    /// whatever the conditions. Returns how many there were.
     ///
     /// # Errors
     ///
-    /// The relays' thread has ended.
+    /// The relay thread has ended.
     pub fn reset(&self, from: &str, to: &str) -> io::Result<u64> {
         self.ask(|reply| Order::Reset(from.into(), to.into(), reply))
     }
 
-    /// How late the relays were so far.
+    /// Lateness of the relays so far.
     pub fn lateness(&self) -> Lateness {
         self.ask(Order::Lateness).unwrap_or(Lateness::UNKNOWN)
     }
 
-    /// What went from `from` to `to` so far.
+    /// Traffic from `from` to `to` so far.
     pub fn traffic(&self, from: &str, to: &str) -> Traffic {
         self.ask(|reply| Order::Traffic(from.into(), to.into(), reply)).unwrap_or_default()
     }
 
     fn ask<T>(&self, order: impl FnOnce(Sender<T>) -> Order) -> io::Result<T> {
-        let ended = |_| io::Error::other("the thread of the links has ended");
+        let ended = |_| io::Error::other("the relay thread has ended");
         let (reply, answer) = async_channel::bounded(1);
         self.orders.send_blocking(order(reply)).map_err(|_| ended(async_channel::RecvError))?;
         answer.recv_blocking().map_err(ended)
@@ -148,7 +151,7 @@
     fn drop(&mut self) {
         self.orders.close();
         if let Some(thread) = self.thread.take() {
-            // One that panicked has said so.
+            // A panic has already been printed.
             let _ = thread.join();
         }
     }
--- a/crates/lab/src/fleet/links/owner.rs
+++ b/crates/lab/src/fleet/links/owner.rs
@@ -1,4 +1,4 @@
-//! The thread of the relays: it owns all of them, their sockets and tasks, and carries out one order at a time.
+//! The relay thread: owns all relays, their sockets and tasks, and executes one order at a time.
 
 use super::context::{Lateness, RelayContext};
 use super::direction::{Direction, Traffic};
@@ -17,16 +17,16 @@
 use std::time::Duration;
 use world::fleet::link::Condition;
 
-/// Relays of one [`super::Links`].
+/// Maximum number of relays of one [`super::Links`].
 pub const MAX_RELAYS: usize = 8192;
-/// Connections through one relay that are up or coming up.
+/// Maximum number of established and pending connections through one relay.
 pub const MAX_CONNECTIONS: usize = 1024;
-/// Connections that may wait to be accepted.
+/// Listen backlog of a relay.
 const BACKLOG: i32 = 1024;
-/// Things heard that may wait for the owner before sockets wait in their turn.
+/// Maximum number of queued events from relay tasks; beyond it the tasks wait.
 const MAX_PENDING_EVENTS: usize = 1024;
 
-/// The ends of a link and the port it is for.
+/// The two ends of a link and the name of its port.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Name {
     pub from: String,
@@ -38,14 +38,14 @@
     Tcp(Name, SocketAddr, Sender<io::Result<SocketAddr>>),
     Udp(Name, SocketAddr, Sender<io::Result<SocketAddr>>),
     UdpPair(Name, [SocketAddr; 2], Sender<io::Result<(SocketAddr, SocketAddr)>>),
-    /// `None`: nobody listens there.
+    /// Sets the target; `None` means that nobody listens there.
     Aim(String, String, Option<SocketAddr>, Sender<io::Result<()>>),
     Set(String, String, Condition, Sender<io::Result<()>>),
     Get(String, String, Sender<Condition>),
     Reset(String, String, Sender<u64>),
     Lateness(Sender<Lateness>),
     Traffic(String, String, Sender<Traffic>),
-    /// The thread does nothing for so long.
+    /// Blocks the thread for this long.
     #[cfg(test)]
     Sleep(Duration, Sender<()>),
 }
@@ -57,12 +57,12 @@
 
 struct TcpRelay {
     target: Rc<Cell<SocketAddr>>,
-    /// Keeps the number while nobody listens.
+    /// Reserves the port number while nobody listens.
     _held: Socket,
     address: SocketAddr,
-    /// The task owns the listener, of which this is a second handle.
+    /// The listener and its accept task, which holds the other handle.
     listens: Option<(Rc<Async<TcpListener>>, Task<()>)>,
-    /// The process there is known to listen no more.
+    /// Whether the target process is known not to listen any more.
     shut: bool,
     up: usize,
     forward: Rc<Direction>,
@@ -72,10 +72,10 @@
 struct UdpRelay {
     near: SocketAddr,
     far: SocketAddr,
-    /// Where the process `from` and the process `to` are.
+    /// Addresses of the processes `from` and `to`.
     at_from: Rc<Cell<Option<SocketAddr>>>,
     at_to: Rc<Cell<Option<SocketAddr>>>,
-    /// Whether `from` is where it was heard last.
+    /// Whether `at_from` follows the source address of the last datagram.
     learns: bool,
     _tasks: [Task<()>; 2],
 }
@@ -85,7 +85,7 @@
     task: Task<()>,
 }
 
-/// Until the orders end. All that is left then goes with the executor.
+/// Runs until the order channel closes. Remaining tasks are dropped with the executor.
 pub fn run(seed: u64, orders: &Receiver<Order>) {
     let Some(context) = RelayContext::new() else { return };
     let executor = LocalExecutor::new();
@@ -135,7 +135,7 @@
                 Next::Order(None) | Next::RelayEvent(None) => return,
                 Next::RelayEvent(Some(heard)) => self.handle_event(heard),
                 Next::Order(Some(order)) => {
-                    // What came before the order is not to outlive it.
+                    // Handle events that preceded the order first, so that the order applies to them too.
                     while let Ok(heard) = heard.try_recv() {
                         self.handle_event(heard);
                     }
@@ -189,7 +189,7 @@
 
     fn has_room(&self) -> io::Result<()> {
         if self.tcp.len() + self.udp.len() >= MAX_RELAYS {
-            return Err(io::Error::other(format!("more than {MAX_RELAYS} links")));
+            return Err(io::Error::other(format!("too many links: at most {MAX_RELAYS} are allowed")));
         }
         Ok(())
     }
@@ -203,7 +203,7 @@
             return Ok(address);
         }
         self.has_room()?;
-        // Two sockets share the number: this one holds it, the one that listens comes and goes.
+        // Two sockets share the port: this one reserves it, the listening one is opened and closed as needed.
         let held = bound(0)?;
         let address = held.local_addr()?.as_socket().ok_or(io::ErrorKind::AddrNotAvailable)?;
         let relay = TcpRelay {
@@ -221,7 +221,7 @@
         Ok(address)
     }
 
-    /// Listens, or refuses: as it is to be now.
+    /// Opens or closes the listener to match the current state of the relay.
     async fn update_listener(&mut self, name: &Name) -> io::Result<()> {
         let Some(relay) = self.tcp.get_mut(name) else { return Ok(()) };
         let listens = !relay.shut && !relay.forward.refuses();
@@ -245,7 +245,7 @@
         let Some(relay) = self.tcp.get_mut(&name) else { return };
         relay.forward.count(|t| t.connections += 1);
         if relay.listens.is_none() || relay.up >= MAX_CONNECTIONS {
-            // Dropped, it is reset.
+            // Dropping the socket resets the connection.
             relay.forward.count(|t| t.refused += 1);
             return;
         }
@@ -253,7 +253,7 @@
         self.count += 1;
         let (id, events) = (self.count, self.events.clone());
         let (forward, backward) = (relay.forward.clone(), relay.backward.clone());
-        // Known now: the link may be healed before the task has its first turn.
+        // Evaluated here because the condition may be lifted before the task first runs.
         let held = forward.holds_all() || backward.holds_all();
         let work =
             tcp::connection(socket, held, relay.target.clone(), forward, backward, self.context.clone());
@@ -272,7 +272,9 @@
     ) -> io::Result<(SocketAddr, SocketAddr)> {
         if let Some(relay) = self.udp.get_mut(&name) {
             if relay.learns == from.is_some() {
-                return Err(io::Error::other("that link exists and is of the other kind, alone or a pair"));
+                return Err(io::Error::other(
+                    "a UDP link with these names exists already, but of the other kind (single or pair)",
+                ));
             }
             relay.at_to.set(Some(to));
             if from.is_some() {
@@ -329,7 +331,7 @@
             relay.at_from.set(target);
         }
         if !found {
-            return Err(io::Error::other(format!("no link to {to}'s port {port}")));
+            return Err(io::Error::other(format!("there is no link to port {port} of {to}")));
         }
         for name in update_listener {
             self.update_listener(&name).await?;
@@ -349,7 +351,7 @@
 
     async fn reset(&mut self, from: &str, to: &str) -> u64 {
         let between = |n: &Name| (n.from == from && n.to == to) || (n.from == to && n.to == from);
-        // Those that nobody has accepted yet are up for their opener.
+        // Connections not yet accepted here are already established for their opener.
         let mut count = 0;
         for (_, relay) in self.tcp.iter().filter(|(n, _)| between(n)) {
             let Some((listener, _)) = &relay.listens else { continue };
@@ -366,19 +368,19 @@
             if let Some(relay) = self.tcp.get_mut(&connection.relay) {
                 relay.up -= 1;
             }
-            // One that has just ended by itself is none of them.
+            // A connection that has just ended by itself does not count.
             count += u64::from(connection.task.cancel().await.is_none());
         }
         count
     }
 }
 
-/// Whoever asked may be gone: an answer that finds nobody is dropped.
+/// Sends a reply; it is dropped if the caller has gone.
 fn answer<T>(reply: &Sender<T>, with: T) {
     let _ = reply.try_send(with);
 }
 
-/// A socket on a port of 127.0.0.1, which others may share as long as one of them listens.
+/// Binds a socket to a port of 127.0.0.1 that others may share as long as only one of them listens.
 fn bound(port: u16) -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -396,7 +398,7 @@
                     return;
                 }
             }
-            // No descriptors, or a connection that is gone already: the next one may do better.
+            // Out of descriptors, or the connection has already been aborted: try again after a pause.
             Err(_) => drop(Timer::after(Duration::from_millis(5)).await),
         }
     }
--- a/crates/lab/src/fleet/links/tcp.rs
+++ b/crates/lab/src/fleet/links/tcp.rs
@@ -1,8 +1,9 @@
-//! A connection through a relay: both its sockets, and for each direction what has been read and not yet written.
+//! A TCP connection through a relay: its two sockets and, for each direction, the bytes read and not yet
+//! written.
 //!
-//! Bytes are neither lost nor doubled nor put out of order, whatever the conditions. The end of one direction is passed
-//! on as that and does not touch the other. Both sockets are set to end with a reset, so that whoever drops a
-//! connection resets it; only one that both sides have ended is closed.
+//! Bytes are never lost, duplicated or reordered, whatever the conditions. The end of one direction is
+//! forwarded as a half-close and does not affect the other. Both sockets have a zero linger time, so that
+//! dropping a connection resets it; only a connection ended by both sides is closed normally.
 
 use super::context::{RelayContext, READ_SIZE};
 use super::direction::Direction;
@@ -20,14 +21,15 @@
 use world::fleet::link::{garble, ChunkFate};
 use world::Micros;
 
-/// Bytes of one direction that a relay holds; beyond that it reads no more, and the sender's system fills up.
+/// Maximum number of bytes that a relay buffers per direction; beyond it the relay stops reading, and the
+/// sender's socket buffers fill up.
 pub const MAX_BUFFERED: usize = 256 * 1024;
-/// What the system is to keep for a socket of a relay, each way. Linux takes twice as much, for what it adds to bytes.
+/// Socket buffer size of a relay in each direction. Linux doubles the value for its own overhead.
 const SOCKET_BUFFER: usize = 128 * 1024;
-/// How often a connection that is held before it came up is looked at: whether its opener is still there.
+/// While a handshake is held back, how often to check whether the opener is still there.
 const HELD_CHECK_US: Micros = 200_000;
 
-/// Takes over a socket: small buffers, no waiting for more bytes, a reset when it is dropped.
+/// Configures a socket: small buffers, no Nagle delay, reset on drop.
 pub fn prepare(socket: &TcpStream) {
     let _ = socket.set_nodelay(true);
     let s = SockRef::from(socket);
@@ -36,7 +38,8 @@
     let _ = s.set_send_buffer_size(SOCKET_BUFFER);
 }
 
-/// As [`Async::connect`], but prepared from the start: a target may have accepted it before it is known here to be up.
+/// Like [`Async::connect`], but configures the socket before connecting: the target may accept the connection
+/// before the relay learns that it is established.
 async fn dial(target: SocketAddr) -> io::Result<Async<TcpStream>> {
     let socket = Socket::new(Domain::for_address(target), Type::STREAM, None)?;
     let socket = TcpStream::from(socket);
@@ -54,15 +57,15 @@
     }
 }
 
-/// Whether the other side has ended its direction or all of it, even if there are bytes before that.
+/// Whether the peer has closed its direction or the whole connection, even if unread bytes precede that.
 fn peer_has_closed(socket: &TcpStream) -> bool {
     let mut fds = [PollFd::new(socket, PollFlags::RDHUP)];
     let now = Timespec { tv_sec: 0, tv_nsec: 0 };
     rustix::event::poll(&mut fds, Some(&now)).is_ok_and(|n| n > 0)
 }
 
-/// Carries an accepted connection to its end. `forward` is the direction of its opener; `held`, whether a handshake
-/// could not have passed when it was accepted.
+/// Relays an accepted connection until it ends. `forward` is the direction from its opener; `held` tells
+/// whether a handshake could not have passed when it was accepted.
 pub async fn connection(
     near: Async<TcpStream>,
     held: bool,
@@ -75,7 +78,7 @@
         return;
     }
     let Ok(far) = dial(target.get()).await else {
-        // The refusal has its way to go, as an answer would.
+        // The refusal is subject to the conditions of the way back, like an answer.
         backward.pass(&context).await;
         forward.count(|t| t.refused += 1);
         return;
@@ -84,7 +87,7 @@
     let near = End { socket: &near, dead: &ends.near_dead, done: &ends.near_done };
     let far = End { socket: &far, dead: &ends.far_dead, done: &ends.far_done };
     let forward = async {
-        // The opener may send once the answer to its handshake is back.
+        // The opener may send once the handshake's answer has passed.
         backward.pass(&context).await;
         Stream::new(near, far, &ends.changed, &forward, &context).run().await
     };
@@ -95,7 +98,8 @@
     }
 }
 
-/// A handshake needs both directions. Whether it is done; not if the opener has left while it was held.
+/// Waits until the handshake has passed in both directions. Returns false if the opener left while it was
+/// held.
 async fn complete_handshake(
     near: &Async<TcpStream>,
     mut held: bool,
@@ -127,7 +131,7 @@
     }
 }
 
-/// What the two directions tell each other.
+/// State shared by the two directions.
 #[derive(Default)]
 struct Ends {
     near_dead: Cell<bool>,
@@ -137,17 +141,17 @@
     changed: Event,
 }
 
-/// A socket with what is known of it.
+/// A socket and its state.
 #[derive(Clone, Copy)]
 struct End<'a> {
     socket: &'a Async<TcpStream>,
-    /// Writing to it failed: its peer has reset it.
+    /// Writing to it failed: the peer has reset it.
     dead: &'a Cell<bool>,
-    /// All that its peer sent has been passed on, the end too.
+    /// Everything the peer sent, including the end of its stream, has been forwarded.
     done: &'a Cell<bool>,
 }
 
-/// The connection is to be reset.
+/// Error: the connection has to be reset.
 struct Reset;
 
 enum ItemKind {
@@ -157,9 +161,9 @@
 }
 
 struct Item {
-    /// `None` while it is held.
+    /// Time at which it is due; `None` while it is held.
     due_us: Option<Micros>,
-    /// Whether it could not go at once, so that its lateness counts.
+    /// Whether it had to wait, so that its lateness is recorded.
     delayed: bool,
     what: ItemKind,
 }
@@ -182,21 +186,21 @@
     context: &'a RelayContext,
     version: u64,
     queue: VecDeque<Item>,
-    /// Bytes in the queue.
+    /// Number of bytes in the queue.
     waiting: usize,
-    /// When the last of the queue is due.
+    /// Due time of the last item of the queue.
     last_us: Micros,
-    /// Whether more may come.
+    /// Whether the sender may still send.
     open: bool,
 }
 
-/// What a turn came to.
+/// Result of one attempt to write.
 enum Turn {
-    /// Something moved; there may be more.
+    /// Progress was made; there may be more to do.
     Moved,
-    /// The receiver takes no more.
+    /// The receiver's socket is full.
     Full,
-    /// Until the first of the queue is due, or for something else to happen.
+    /// Nothing to do until the first item is due or some other event occurs.
     Idle,
     Ended,
 }
@@ -244,7 +248,7 @@
         }
         self.from.done.set(true);
         self.changed.notify(usize::MAX);
-        // Its sender may still reset the whole.
+        // The sender may still reset the connection.
         while !self.to.done.get() {
             if self.from.dead.get() {
                 self.direction.pass(self.context).await;
@@ -255,7 +259,7 @@
         Ok(())
     }
 
-    /// Reads once, if there is room. Whether anything came.
+    /// Reads once if the buffer has space. Returns whether anything was read.
     fn read(&mut self) -> bool {
         self.apply_new_condition();
         if !self.open || self.to.dead.get() || self.waiting >= MAX_BUFFERED {
@@ -283,7 +287,7 @@
         true
     }
 
-    /// Under another condition, all that has not arrived sets out anew.
+    /// After a change of condition, reschedules everything that has not arrived.
     fn apply_new_condition(&mut self) {
         if self.version == self.direction.version() {
             return;
@@ -296,7 +300,7 @@
         }
     }
 
-    /// Writes what is due, as far as the receiver takes it.
+    /// Writes the first item if it is due, as far as the receiver's socket accepts it.
     fn write(&mut self) -> Result<Turn, Reset> {
         self.apply_new_condition();
         let now = self.context.now();
@@ -325,7 +329,8 @@
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => (false, Turn::Full),
                     Err(e) if e.kind() == io::ErrorKind::Interrupted => (false, Turn::Moved),
                     Err(_) => {
-                        // The reset goes the other way, under the conditions there. Nothing more can go this way.
+                        // The reset travels in the opposite direction under the conditions there. Nothing
+                        // more can be sent in this one.
                         self.to.dead.set(true);
                         self.changed.notify(usize::MAX);
                         self.discard_queue();
@@ -350,12 +355,12 @@
         self.open = false;
     }
 
-    /// Until there may be something to do.
+    /// Waits until there may be something to do.
     async fn wait(&self, full: bool) {
         let reads = self.open && !self.to.dead.get() && self.waiting < MAX_BUFFERED;
         let readable = async {
             match reads {
-                // An error shows when it is read.
+                // An error is reported by the next read.
                 true => drop(self.from.socket.readable().await),
                 false => future::pending().await,
             }
@@ -374,7 +379,7 @@
     }
 }
 
-/// Asks the line when something that sets out now arrives. When it does; what comes behind does not overtake it.
+/// Schedules an item that departs now and returns its due time; an item never overtakes the one before it.
 fn plan(item: &mut Item, direction: &Direction, now_us: Micros, behind_us: Micros) -> Micros {
     match direction.chunk(now_us, item.len(), behind_us) {
         ChunkFate::Held => {
--- a/crates/lab/src/fleet/links/tests.rs
+++ b/crates/lab/src/fleet/links/tests.rs
@@ -2,8 +2,8 @@
 use std::time::Duration;
 
 #[test]
-fn a_pause_of_the_relays_thread_is_noticed_and_voids_a_run() {
-    let links = Links::start(1).expect("a thread");
+fn a_pause_of_the_relay_thread_voids_a_run() {
+    let links = Links::start(1).expect("the thread starts");
     let pause = Duration::from_micros(VOID_WORST_US) + Duration::from_millis(50);
     links.ask(|reply| Order::Sleep(pause, reply)).expect("it slept");
     let late = links.lateness();
@@ -11,8 +11,8 @@
 }
 
 #[test]
-fn relays_that_have_ended_say_so() {
-    let links = Links::start(1).expect("a thread");
+fn calls_fail_after_the_relay_thread_has_ended() {
+    let links = Links::start(1).expect("the thread starts");
     assert_eq!(links.set("a", "b", Condition::cut()).ok(), Some(()));
     links.orders.close();
     assert!(links.set("a", "b", Condition::cut()).is_err() && links.lateness().void);
--- a/crates/lab/src/fleet/links/udp.rs
+++ b/crates/lab/src/fleet/links/udp.rs
@@ -1,6 +1,8 @@
-//! Datagrams through a relay: two sockets, one that each side sends to, and what is on its way between them.
+//! Datagrams through a relay: two sockets, one for each side to send to, and the datagrams in flight between
+//! them.
 //!
-//! What has set out keeps its time when the condition changes; only a condition under which nothing passes takes it.
+//! Datagrams in flight keep their due time when the condition changes; they are lost only if the new
+//! condition lets nothing pass.
 
 use super::context::RelayContext;
 use super::direction::Direction;
@@ -14,26 +16,26 @@
 use world::fleet::link::garble;
 use world::Micros;
 
-/// Datagrams of a relay that may be on their way in one direction, and their bytes.
+/// Maximum number of datagrams, and of their bytes, in flight per relay and direction.
 pub const IN_FLIGHT: usize = 1024;
 pub const IN_FLIGHT_BYTES: usize = 4 * 1024 * 1024;
-/// Datagrams that are read before others have their turn.
+/// Datagrams read before other tasks get a turn.
 const MAX_READS_PER_TURN: usize = 32;
 
-/// One direction of a relay.
+/// One direction of a UDP relay.
 pub struct UdpDirection {
-    /// The sender sends to this one.
+    /// The socket that the sender sends to.
     pub from: Rc<Async<UdpSocket>>,
-    /// The receiver sees it come from this one.
+    /// The socket that the receiver sees datagrams come from.
     pub by: Rc<Async<UdpSocket>>,
     pub to: Rc<Cell<Option<SocketAddr>>>,
-    /// Where the sender was heard last is kept here, for what goes the other way.
+    /// Stores the sender's last source address, as the target of the opposite direction.
     pub learn: Option<Rc<Cell<Option<SocketAddr>>>>,
     pub direction: Rc<Direction>,
     pub context: Rc<RelayContext>,
 }
 
-/// What is on its way, by when it is due and in the order in which it set out.
+/// Datagrams in flight, ordered by due time and then by departure.
 #[derive(Default)]
 struct InFlight {
     all: BTreeMap<(Micros, u64), Vec<u8>>,
@@ -65,14 +67,14 @@
         }
     }
 
-    /// Reads what has come, up to a bound; whether that was reached.
+    /// Reads pending datagrams up to a limit; returns whether the limit was reached.
     fn read(&self, in_flight: &mut InFlight) -> bool {
         let mut scratch = self.context.scratch.borrow_mut();
         for _ in 0..MAX_READS_PER_TURN {
             let (len, sender) = match self.from.get_ref().recv_from(&mut scratch) {
                 Ok(heard) => heard,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return false,
-                // What the system tells of datagrams sent earlier is no matter of theirs.
+                // Errors reported for datagrams sent earlier do not concern reading.
                 Err(_) => continue,
             };
             if let Some(learn) = &self.learn {
--- a/crates/lab/src/fleet/log.rs
+++ b/crates/lab/src/fleet/log.rs
@@ -1,12 +1,14 @@
-//! What the processes of a fleet say, line by line, by one clock; and what tests wait for in it.
+//! The combined log of a fleet: all lines of its processes under one clock, with waiting for lines.
 //!
-//! It owns the lines: those that processes write to standard error (`--log-format json`, an object a line with `event`
-//! as the word that names what happened; what is no such object is kept as text), and what the lab itself did to a
-//! process, under the same clock. All that is held is bounded, the oldest lines go first and are counted. Nobody polls: who waits is
-//! woken by each line that comes. Not the client operations' history, which is a file of its own ([`JsonLinesWriter`]).
+//! It holds the lines that processes write to standard error (`--log-format json`: one JSON object per line,
+//! with `event` naming what happened; anything else is kept as text) and the lab's own actions on the
+//! processes, under the same clock. Its size is bounded: the oldest lines are dropped and counted. Waiting is
+//! not polling: each new line wakes the waiters. The history of client operations is not part of it but a
+//! file of its own ([`JsonLinesWriter`]).
 //!
-//! A line bears the moment at which the lab read it. The process's own `at_ms` is among its fields; it is of the same
-//! machine's clock ([`Clock::unix`]), so that the two tell how late the reader was.
+//! A line carries the time at which the lab read it. The process's own `at_ms` is among its fields and comes
+//! from the clock of the same machine ([`Clock::unix`]), so that the difference shows how late the reader
+//! was.
 
 use crate::loopback::Clock;
 use serde::Serialize;
@@ -21,39 +23,39 @@
 use std::time::{Duration, Instant};
 use world::Micros;
 
-/// Lines that are held, of all processes together, and bytes of what they said.
+/// Maximum number of lines kept for all processes together, and of the bytes of their text.
 const MAX_LINES: usize = 100_000;
 const MAX_BYTES: usize = 64 << 20;
-/// Lines of a process that a message about what was not seen quotes.
+/// Maximum number of a process's last lines quoted in a [`WaitTimeout`].
 const MAX_QUOTED: usize = 8;
 
-/// Who says a line.
+/// The author of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum By {
-    /// The process, on its standard error.
+    /// Written by the process to standard error.
     Process,
-    /// The lab, of what it did to the process or saw of it.
+    /// Written by the lab about an action on the process or an observation of it.
     Lab,
 }
 
-/// One line.
+/// One line of the log.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Counts all lines of a log from 0.
+    /// Position of the line in the log, counted from 0.
     pub number: u64,
-    /// When the lab had it, in microseconds of the log's clock.
+    /// When the lab read it, in microseconds of the log's clock.
     pub at_us: Micros,
-    /// The process by the name that the lab knows it by.
+    /// The lab's name for the process.
     pub process: Arc<str>,
-    /// Which process of this name, from 1: one that was started again is another one.
+    /// Incarnation of the process, counted from 1; each restart increments it.
     pub life: u32,
     pub by: By,
-    /// The word that names what happened; empty in what is no JSON.
+    /// Name of the event; empty if the line was not JSON.
     pub event: String,
-    /// For people; the whole line in what is no JSON.
+    /// Human-readable message; the whole line if it was not JSON.
     pub message: String,
-    /// All else that the line has, by its names.
+    /// All other fields of the line by name.
     pub fields: Map<String, Value>,
 }
 
@@ -63,22 +65,22 @@
         Line { number: 0, at_us: 0, process: process.clone(), life, by, event, message, fields }
     }
 
-    /// A field that is text.
+    /// Returns a string field.
     pub fn text(&self, field: &str) -> Option<&str> {
         self.fields.get(field)?.as_str()
     }
 
-    /// A field that is a whole number.
+    /// Returns an unsigned integer field.
     pub fn number(&self, field: &str) -> Option<u64> {
         self.fields.get(field)?.as_u64()
     }
 
-    /// The place behind this line.
+    /// Returns the position after this line.
     pub fn mark(&self) -> Mark {
         Mark(self.number + 1)
     }
 
-    /// The address that the line tells: where somebody listens, in `listening`, `planning` and `side_port`.
+    /// Returns the listening address reported by a `listening`, `planning` or `side_port` event.
     pub fn address(&self) -> Option<SocketAddr> {
         self.text("address")?.parse().ok()
     }
@@ -91,13 +93,13 @@
     }
 }
 
-/// A place in a log: the lines behind it are those that came later.
+/// A position in the log; the lines after it are those that came later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Mark(u64);
 
 type Test = dyn Fn(&Line) -> bool + Send + Sync;
 
-/// What is looked for: a line that is all that was asked for.
+/// Selects lines. A line matches if it meets all criteria that are set.
 #[derive(Clone, Default)]
 pub struct LineFilter {
     process: Option<String>,
@@ -108,32 +110,33 @@
 }
 
 impl LineFilter {
-    /// Any line.
+    /// Matches every line.
     pub fn any() -> LineFilter {
         LineFilter::default()
     }
 
-    /// A line of this event, from a process or from the lab.
+    /// Matches lines with this event, from a process or from the lab.
     pub fn event(name: &str) -> LineFilter {
         LineFilter { event: Some(name.to_owned()), ..LineFilter::default() }
     }
 
-    /// Of this process alone.
+    /// Restricts to this process.
     pub fn of(self, process: &str) -> LineFilter {
         LineFilter { process: Some(process.to_owned()), ..self }
     }
 
-    /// Of that process of the name alone; [`super::processes::Processes::life`] tells which one runs.
+    /// Restricts to one incarnation of the process; [`super::processes::Processes::life`] returns the current
+    /// one.
     pub fn in_life(self, life: u32) -> LineFilter {
         LineFilter { life: Some(life), ..self }
     }
 
-    /// Whose message holds this.
+    /// Restricts to messages that contain this text.
     pub fn saying(self, text: &str) -> LineFilter {
         LineFilter { says: Some(text.to_owned()), ..self }
     }
 
-    /// Of which this holds.
+    /// Restricts to lines that satisfy this predicate.
     pub fn when(self, test: impl Fn(&Line) -> bool + Send + Sync + 'static) -> LineFilter {
         LineFilter { test: Some(Arc::new(test)), ..self }
     }
@@ -158,9 +161,9 @@
     }
 }
 
-/// What was waited for did not come in time. Tells the last lines of who was to say it.
+/// The awaited line did not appear in time. Quotes the last lines of the process concerned.
 #[derive(Clone, Debug, thiserror::Error)]
-#[error("not seen within {within:?}: {wanted}{lost}; last:{last}")]
+#[error("not seen within {within:?}: {wanted}{lost}; last lines:{last}")]
 pub struct WaitTimeout {
     within: Duration,
     wanted: String,
@@ -171,15 +174,15 @@
 #[derive(Debug, Default)]
 struct Held {
     lines: VecDeque<(usize, Arc<Line>)>,
-    /// Number of the next line.
+    /// Number that the next line gets.
     next: u64,
     bytes: usize,
-    /// Lines that had to go, by process.
+    /// Number of dropped lines per process.
     lost: BTreeMap<Arc<str>, u64>,
 }
 
 impl Held {
-    /// Number of the first line that is still here.
+    /// Number of the oldest line still kept.
     fn first(&self) -> u64 {
         self.next - self.lines.len() as u64
     }
@@ -197,14 +200,14 @@
     came: Condvar,
 }
 
-/// The log of a fleet; copies are the same log.
+/// The log of a fleet; clones share the same lines.
 #[derive(Clone, Debug)]
 pub struct Log {
     shared: Arc<Shared>,
 }
 
 impl Log {
-    /// An empty log whose times are those of `clock`.
+    /// Creates an empty log with times from `clock`.
     pub fn new(clock: Clock) -> Log {
         Log { shared: Arc::new(Shared { clock, held: Mutex::default(), came: Condvar::new() }) }
     }
@@ -217,7 +220,7 @@
         self.shared.held.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What a process said, as it was read.
+    /// Adds a line read from a process.
     pub fn hear(&self, process: &Arc<str>, life: u32, said: &str) {
         let object = serde_json::from_str::<Value>(said).ok();
         let (event, message, fields) = match object {
@@ -235,16 +238,16 @@
         self.push(said.len(), line);
     }
 
-    /// What the lab did to a process, or saw of it.
+    /// Adds a line about the lab's own action or observation.
     pub fn tell(&self, process: &Arc<str>, life: u32, event: &str, message: String) {
         let bytes = event.len() + message.len();
         self.push(bytes, Line { event: event.to_owned(), message, ..Line::of(process, life, By::Lab) });
     }
 
-    /// Numbers a line, which had so many bytes, and keeps it.
+    /// Numbers and stores a line of the given size in bytes.
     fn push(&self, bytes: usize, line: Line) {
         let mut held = self.held();
-        // The time is read under the lock, so that times rise with numbers.
+        // Read under the lock so that times increase with line numbers.
         let line = Line { number: held.next, at_us: self.shared.clock.now(), ..line };
         held.next += 1;
         held.bytes += bytes;
@@ -258,26 +261,26 @@
         self.shared.came.notify_all();
     }
 
-    /// The end of the log as it is now.
+    /// Returns the current end of the log.
     pub fn mark(&self) -> Mark {
         Mark(self.held().next)
     }
 
-    /// The lines behind a mark that are wanted and still held, in the order in which they came.
+    /// Returns the matching lines after a mark that are still kept, in order of arrival.
     pub fn lines(&self, since: Mark, wanted: &LineFilter) -> Vec<Arc<Line>> {
         self.held().since(since).filter(|l| wanted.is(l)).cloned().collect()
     }
 
-    /// Lines that were let go for want of room, by process.
+    /// Number of dropped lines per process.
     pub fn lost(&self) -> BTreeMap<Arc<str>, u64> {
         self.held().lost.clone()
     }
 
-    /// The first wanted line behind a mark, whether it is there already or comes within `most`.
+    /// Returns the first matching line after a mark, waiting up to `most` for it.
     ///
     /// # Errors
     ///
-    /// None came, or it was let go before anyone looked, which the error tells.
+    /// No matching line came, or it was dropped before it could be seen; the error tells how many lines were.
     pub fn wait_for(
         &self,
         since: Mark,
@@ -301,17 +304,17 @@
         let whose = |l: &&Arc<Line>| wanted.process.as_deref().is_none_or(|p| p == &*l.process);
         let last: Vec<_> = held.lines.iter().rev().map(|(_, l)| l).filter(whose).take(MAX_QUOTED).collect();
         let last = match last.is_empty() {
-            true => " nothing was said".to_owned(),
+            true => " none".to_owned(),
             false => last.iter().rev().map(|l| format!("\n  {l}")).collect(),
         };
         let lost = match missed {
             0 => String::new(),
-            n => format!(" ({n} lines were let go unseen)"),
+            n => format!(" ({n} lines were dropped unseen)"),
         };
         Err(WaitTimeout { within: most, wanted: format!("{wanted:?}"), lost, last })
     }
 
-    /// The first line with this event that a process has said since the log began.
+    /// Returns the first line with this event of a process since the start of the log.
     ///
     /// # Errors
     ///
@@ -320,11 +323,11 @@
         self.wait_for(Mark::default(), &LineFilter::event(event).of(process), most)
     }
 
-    /// Writes all lines that are held to a file, an object a line.
+    /// Writes all kept lines to a file as JSON lines.
     ///
     /// # Errors
     ///
-    /// Those of the file.
+    /// I/O errors of the file.
     pub fn write(&self, path: &Path) -> io::Result<()> {
         let lines = self.lines(Mark::default(), &LineFilter::any());
         let written = JsonLinesWriter::create(path)?;
@@ -333,31 +336,31 @@
     }
 }
 
-/// Records a file of JSON lines, from several threads: the history of client operations, say. It holds nothing back but what
-/// a buffer of the system's usual size holds, and stops at [`MAX_RECORDS`] records.
+/// Writes a file of JSON lines from several threads, for example the history of client operations. It buffers no
+/// more than a usual write buffer holds, and refuses records beyond [`MAX_RECORDS`].
 #[derive(Debug)]
 pub struct JsonLinesWriter {
     to: Mutex<(BufWriter<File>, u64)>,
 }
 
-/// Records that a file may have, as many as the judges of histories take.
+/// Maximum number of records of a file; the checkers of histories accept no more.
 pub const MAX_RECORDS: u64 = 1 << 20;
 
 impl JsonLinesWriter {
-    /// A new file; one that is there is begun anew.
+    /// Creates a file; an existing one is truncated.
     ///
     /// # Errors
     ///
-    /// Those of the file.
+    /// I/O errors of the file.
     pub fn create(path: &Path) -> io::Result<JsonLinesWriter> {
         Ok(JsonLinesWriter { to: Mutex::new((BufWriter::new(File::create(path)?), 0)) })
     }
 
-    /// Adds a record. Those of one thread are in its order.
+    /// Appends a record. Records of one thread keep their order.
     ///
     /// # Errors
     ///
-    /// Those of the file; a record that is no JSON; a file that is full.
+    /// I/O errors of the file; a record that cannot be serialized; a file with [`MAX_RECORDS`] records.
     pub fn push(&self, record: &impl Serialize) -> io::Result<()> {
         let mut text = serde_json::to_vec(record)?;
         text.push(b'\n');
@@ -365,18 +368,18 @@
         if to.1 == MAX_RECORDS {
             return Err(io::Error::new(
                 io::ErrorKind::QuotaExceeded,
-                "the file has as many records as it may",
+                "the file has reached its maximum number of records",
             ));
         }
         to.1 += 1;
         to.0.write_all(&text)
     }
 
-    /// Writes out what is left; how many records there are.
+    /// Flushes the file and returns the number of records.
     ///
     /// # Errors
     ///
-    /// Those of the file.
+    /// I/O errors of the file.
     pub fn finish(self) -> io::Result<u64> {
         let (mut to, records) = self.to.into_inner().unwrap_or_else(PoisonError::into_inner);
         to.flush()?;
--- a/crates/lab/src/fleet/machine.rs
+++ b/crates/lab/src/fleet/machine.rs
@@ -1,9 +1,10 @@
-//! Whether the machine that a fleet runs on is the cause of what was seen.
+//! Detects whether the machine that the fleet runs on, rather than the program, explains what was observed.
 //!
-//! It owns two threads. One wakes up at an even pace and notes how late it came: a machine without a core to spare, or one that stood
-//! still (the lab stopped, a laptop asleep), shows there. The other asks the system how long the fleet's processes could
-//! have run and had no core (schedstat); and the load. A run with more of that than [`Bound`] allows is void: what was
-//! seen in it is no verdict on the program. Not the lateness of the links' relays, which tell their own.
+//! It owns two threads. One wakes up at a fixed interval and records how late it was, which reveals a machine
+//! without a spare core or one that paused (the lab was stopped, a laptop slept). The other samples how long
+//! the fleet's processes were runnable without a core (schedstat), and the load. A run that exceeds [`Bound`]
+//! is void: it gives no verdict on the program. The lateness of the link relays is measured by the relays
+//! themselves.
 
 use super::processes::Roster;
 use crate::loopback::children::Usage;
@@ -18,43 +19,43 @@
 use world::outcome::Latencies;
 use world::Micros;
 
-/// Between two beats, and between two looks at the processes.
+/// Intervals between two beats and between two samples of the processes.
 const BEAT_INTERVAL: Duration = Duration::from_millis(10);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What the machine may do to a run before it is void.
+/// Limits beyond which a run is void.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Bound {
-    /// Lateness of a beat, the 99th percentile and the worst, in microseconds.
+    /// Lateness of a beat, 99th percentile and maximum, in microseconds.
     pub p99_us: u64,
     pub worst_us: u64,
-    /// The longest that one process, all its threads together, waits for a core within two looks.
+    /// Maximum time that one process, summed over its threads, may wait for a core within two samples.
     pub starved_us: u64,
 }
 
 impl Default for Bound {
-    /// The lateness is that which voids runs of the loopback host. A process that lacks a core for a quarter of a second may
-    /// miss the time-outs of its peers.
+    /// The lateness limits are those of the loopback host. A process that lacks a core for a quarter of a
+    /// second may miss the timeouts of its peers.
     fn default() -> Self {
         Bound { p99_us: 20_000, worst_us: 1_000_000, starved_us: 250_000 }
     }
 }
 
-/// What was seen of the machine so far.
+/// Observations of the machine so far.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Seen {
     pub beats: u64,
     pub p99_us: u64,
     pub worst_us: u64,
-    /// The process that waited longest for a core within two looks, and how long.
+    /// The process that waited longest for a core within two samples, and that time in microseconds.
     pub starved: Option<(String, u64)>,
-    /// The highest load of the last minute (`/proc/loadavg`), and the cores there are.
+    /// The highest one-minute load average seen (`/proc/loadavg`), and the number of cores.
     pub load: f64,
     pub cores: usize,
 }
 
 impl Seen {
-    /// Why the run is void, if it is.
+    /// Returns why the run is void, if it is.
     pub fn void(&self, bound: &Bound) -> Option<String> {
         let mut why = Vec::new();
         let ms = |us: u64| us as f64 / 1000.0;
@@ -91,17 +92,17 @@
     load: f64,
 }
 
-/// Watches the machine until it is dropped.
+/// Observes the machine until it is dropped.
 #[derive(Debug)]
 pub struct Machine {
     shared: Arc<Mutex<Shared>>,
-    /// Dropped, it ends the threads.
+    /// Dropping the senders ends the threads.
     ends: Vec<Sender<()>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Machine {
-    /// Begins to watch the machine, and the processes of `roster` where there is one.
+    /// Starts observing the machine and, if given, the processes of `roster`.
     ///
     /// # Errors
     ///
@@ -123,7 +124,7 @@
         Ok(())
     }
 
-    /// What was seen so far.
+    /// Returns the observations so far.
     pub fn seen(&self) -> Seen {
         let shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
         Seen {
@@ -144,7 +145,7 @@
     }
 }
 
-/// Waits until then; whether it goes on.
+/// Waits until `at`; returns false if the thread is to end.
 fn until(at: Instant, end: &Receiver<()>) -> bool {
     let left = at.saturating_duration_since(Instant::now());
     matches!(end.recv_timeout(left), Err(RecvTimeoutError::Timeout))
@@ -156,7 +157,7 @@
         let late = due.elapsed();
         let us = late.as_micros() as Micros;
         let mut shared = shared.lock().unwrap_or_else(PoisonError::into_inner);
-        // Beats that it slept through were late as well, each by less than the one before.
+        // Beats missed during a pause count as late too, each by one interval less than the one before.
         let missed = (late.as_micros() / BEAT_INTERVAL.as_micros()).min(100_000) as Micros;
         (0..=missed).for_each(|n| shared.late.add(us - n * BEAT_INTERVAL.as_micros() as Micros));
         shared.worst_us = shared.worst_us.max(us.unsigned_abs());
@@ -165,7 +166,7 @@
 }
 
 fn sample(end: &Receiver<()>, shared: &Mutex<Shared>, roster: Option<&Roster>) {
-    /// Time for which a process had waited at the last look, and what was added then.
+    /// Total wait of each process at the last sample, and what it gained in that sample.
     type Waited = BTreeMap<(Arc<str>, u32), (Duration, Duration)>;
     let mut before = Waited::new();
     loop {
@@ -175,7 +176,7 @@
             let Some(waited) = Usage::of(pid).map(|u| u.waited) else { continue };
             let (last, added) = before.get(&(name.clone(), pid)).copied().unwrap_or((waited, Duration::ZERO));
             let new = waited.saturating_sub(last);
-            // A wait may lie across the border between two looks.
+            // A wait may span the border between two samples, so the two are added.
             if worst.as_ref().is_none_or(|(_, most)| new + added > *most) {
                 worst = Some((name.clone(), new + added));
             }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of real processes on loopback, with faults between them. Each part says in its file what it owns.
+//! Runs a fleet of real processes on loopback and injects faults between them.
 
 pub mod judge;
 pub mod links;
--- a/crates/lab/src/fleet/plant.rs
+++ b/crates/lab/src/fleet/plant.rs
@@ -1,25 +1,25 @@
-//! Faults that a lab built with the feature `planted` can plant in its own guarded proxies, to show that what must hold
-//! can break and that a search finds it. The program `martenweir` has none of this: the guard plants before it becomes
-//! the proxy.
+//! Faults that a lab built with the feature `planted` can inject into its own guarded proxies, to show that
+//! the rules can be violated and that a search finds the violation. The program `martenweir` contains none of
+//! this: the guard plants the fault before it becomes the proxy.
 
 #[cfg(feature = "planted")]
 use plan::rules::Planted;
 
-/// Faults by name, and what they do.
+/// Plantable faults by name.
 #[cfg(feature = "planted")]
 const FAULTS: [(&str, Planted); 3] = [
-    // What a planner that has just started does not say counts as its word that nodes live: it takes a node that is
-    // silent and planners that start anew meanwhile.
+    // The silence of a planner that has just started counts as a statement that nodes are alive. To show, it
+    // needs a silent node and planners that restart meanwhile.
     ("empty_counts", Planted::EmptyCounts),
     ("no_stay", Planted::NoStay),
     ("one_witness", Planted::OneWitness),
 ];
 
-/// Whether there is a fault of this name here; else what is wanted.
+/// Checks that a fault of this name exists.
 ///
 /// # Errors
 ///
-/// There is none.
+/// There is no such fault; the message lists the known ones.
 #[cfg(feature = "planted")]
 pub fn known(name: &str) -> Result<(), String> {
     let names: Vec<&str> = FAULTS.iter().map(|(n, _)| *n).collect();
@@ -29,17 +29,18 @@
     Err(format!("no planted fault '{name}', there are {}", names.join(", ")))
 }
 
-/// See the other.
+/// Always fails: faults exist only with the feature `planted`.
 ///
 /// # Errors
 ///
-/// This lab was built without any.
+/// This lab was built without the feature.
 #[cfg(not(feature = "planted"))]
 pub fn known(name: &str) -> Result<(), String> {
     Err(format!("no planted fault '{name}': this lab was built without the feature 'planted'"))
 }
 
-/// Plants in this process what the lab that started it names in [`super::play::PLANT`]. Nothing without the feature.
+/// Plants the fault named by the variable [`super::play::PLANT`] in this process. Does nothing without the
+/// feature.
 pub fn plant() {
     #[cfg(feature = "planted")]
     if let Some(name) = std::env::var(super::play::PLANT).ok().filter(|n| !n.is_empty()) {
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -1,10 +1,12 @@
-//! Plays a schedule: real planners and forwarders as child processes, every link between them and to the stand-in nodes
-//! through a relay, the plan's steps at their moments, and a judgement at the end.
+//! Plays a schedule: real planners and forwarders run as child processes, every link between them and to the
+//! stand-in nodes goes through a relay, the steps of the plan are executed at their times, and the rules are
+//! checked at the end.
 //!
-//! It owns the order of a run: what is started, in which configuration, and when it is over. What is done at which
-//! moment is the plan's ([`world::fleet::schedule::Plan`]); links, processes, log and clients have owners of their own.
-//! A run goes on after the last fault until all views are right, or should have been: so it is as long as it must be,
-//! and no verdict hangs on how long something took but where the schedule has a bound for it.
+//! It owns the sequence of a run: what is started, with which configuration, and when it is over. The plan
+//! determines the steps and their times ([`world::fleet::schedule::Plan`]); links, processes, log and clients
+//! live in modules of their own. A run continues after the last fault until all views are right or the time
+//! for that is up, so that it takes only as long as necessary and no verdict depends on a duration unless the
+//! schedule sets a bound for it.
 
 use super::judge::{judge, Breach, Case, Figures};
 use super::links::{Lateness, Links};
@@ -32,58 +34,59 @@
 use world::random::{seconds, seed_of};
 use world::Micros;
 
-/// The clock before all is ready.
+/// Start value of the clock; it is set to 0 when the fleet is ready.
 const CLOCK_BEFORE_READY: Micros = -3_600_000_000;
-/// No step of the start takes longer.
+/// Timeout of each step of the startup.
 const STEP_TIMEOUT: Duration = Duration::from_secs(40);
-/// Planners give opinions 3.5 s after their start; clients ask by then.
+/// Planners publish opinions 3.5 s after their start; runs begin after that.
 const PLANNER_WARMUP: Duration = Duration::from_millis(4_000);
-/// How long all views must be right before a run is over, and how often that is looked at.
+/// How long all views must stay right before a run ends, and the polling interval.
 const SETTLE_TIME: Micros = 1_500_000;
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// After the bound of convergence, so that what is late is seen to be.
+/// Additional time after the convergence bound, so that late convergence is observed as such.
 const CONVERGENCE_MARGIN: Micros = 500_000;
-/// How long processes have to end when all is over.
+/// Time that processes have to terminate at the end of a run.
 const TERMINATE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long one that was killed may take to be gone.
+/// Time that a killed process may take to disappear.
 const KILL_TIMEOUT: Duration = Duration::from_secs(2);
-/// A step that was carried out later than this voids a run.
+/// A step executed later than this makes the run void.
 const MAX_STEP_DELAY: Micros = 250_000;
-/// The variable that plants a fault in a guarded proxy of a lab that was built to have some.
+/// Environment variable that names the fault to plant in a guarded proxy, for a lab built with the feature
+/// `planted`.
 pub const PLANT: &str = "LAB_PLANT";
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Setting<'a> {
     pub schedule: &'a Schedule,
     pub seed: u64,
     pub program: Program,
-    /// The older program, where the schedule has some run it.
+    /// The older program, if the schedule runs some processes with it.
     pub old: Option<Program>,
-    /// The name of a planted fault, for a lab that was built to have some.
+    /// Name of the fault to plant; requires a lab built with the feature `planted`.
     pub plant: Option<String>,
-    /// Where the log and what clients met are written to, if anywhere.
+    /// Folder for the log and the client events, if they are to be written.
     pub out: Option<&'a Path>,
 }
 
-/// What came of it.
+/// Result of a run.
 #[derive(Debug)]
 pub struct RunResult {
     pub plan: Plan,
     pub tracks: BTreeMap<String, Track>,
     pub figures: Figures,
     pub breaches: Vec<Breach>,
-    /// Why what was seen says nothing of the program, if so.
+    /// Why the run gives no verdict on the program, if so.
     pub void: Option<String>,
     pub lateness: Lateness,
     pub machine: Seen,
-    /// When watching ended.
+    /// When observation ended.
     pub until: Micros,
     pub took: Duration,
 }
 
 impl RunResult {
-    /// Whether all held in a run that says something.
+    /// Whether the run is valid and all rules held.
     pub fn is_good(&self) -> bool {
         self.void.is_none() && self.breaches.is_empty()
     }
@@ -97,12 +100,11 @@
     move |error| HostError::Child { name: name.to_owned(), what: error.to_string() }
 }
 
-/// Plays a schedule from its beginning to its end.
+/// Plays a schedule from start to end.
 ///
 /// # Errors
 ///
-/// [`HostError`] where there is no run to speak of. A run in which something did not hold is none, nor is one that is
-/// void.
+/// [`HostError`] if the run could not take place. Neither a violated rule nor a void run is an error.
 pub fn play(setting: &Setting<'_>, progress: &dyn Progress) -> Result<RunResult, HostError> {
     let started = Instant::now();
     let plan = setting.schedule.plan(setting.seed);
@@ -156,24 +158,24 @@
     let broken = fleet.broken();
     why.extend(broken);
     if !killed.is_empty() && plan.steps.is_empty() {
-        why.push(format!("{} did not end when told to", killed.join(" ")));
+        why.push(format!("{} did not end within the time allowed after SIGTERM", killed.join(" ")));
     }
     let void = (!why.is_empty()).then(|| why.join("; "));
     let took = started.elapsed();
     Ok(RunResult { plan, tracks, figures, breaches, void, lateness, machine: seen, until, took })
 }
 
-/// All that runs.
+/// Everything that a run starts.
 struct Fleet {
-    // Dropped in this order: processes end before what surrounds them.
+    // Fields drop in this order: processes end before the links and clients around them.
     processes: Arc<Processes>,
-    /// What waits for processes to end, to start them again.
+    /// Threads that wait for a process to end in order to start it again.
     starting: Mutex<Vec<JoinHandle<()>>>,
     links: Arc<Links>,
     stage: Arc<Stage>,
     log: Log,
     clock: Clock,
-    /// By name.
+    /// Specification of each process and the program for its restart, by name.
     specs: BTreeMap<String, (Spec, Option<Program>)>,
     planners: Planners,
     nodes: BTreeMap<u64, String>,
@@ -181,7 +183,7 @@
     forwarders: Vec<String>,
 }
 
-/// The port of a planner, as links name it, and of a node.
+/// Names of the ports of a planner and of a node in [`Links`].
 const PLANNER_PORT: &str = "plans";
 const NODE_PORT: &str = "cache";
 
@@ -260,7 +262,7 @@
         Ok(fleet)
     }
 
-    /// A file that a process is configured with; its name in full.
+    /// Writes a configuration file of a process and returns its path.
     fn setting(&self, name: &str, file: &str, text: &str) -> Result<std::ffi::OsString, HostError> {
         let path = self.processes.settings(name).map_err(child(name))?.join(file);
         std::fs::write(&path, text).map_err(failed("a configuration"))?;
@@ -282,14 +284,15 @@
         self.processes.start(spec).map(drop).map_err(child(name))
     }
 
-    /// Where a process says that it listens.
+    /// Returns the address that a process reports with this event.
     fn address(&self, name: &str, event: &str) -> Result<SocketAddr, HostError> {
         let error = |what: String| HostError::Child { name: name.to_owned(), what };
         let line = self.log.event(name, event, STEP_TIMEOUT).map_err(|e| error(e.to_string()))?;
         line.address().ok_or_else(|| error(format!("no address in: {line}")))
     }
 
-    /// Until all forwarders listen and hear all planners, and these may have opinions.
+    /// Waits until all forwarders listen and are connected to all planners, and the planners may publish
+    /// opinions.
     fn wait_ready(&self, plan: &Plan) -> Result<(), HostError> {
         let begun = Instant::now();
         let planners = plan.of(Role::Planner).count();
@@ -307,7 +310,7 @@
                 to.len() < planners
             });
             if let Some(name) = left.first().filter(|_| Instant::now() > until) {
-                let what = "does not hear all planners".to_owned();
+                let what = "did not connect to all planners in time".to_owned();
                 return Err(HostError::Child { name: (*name).clone(), what });
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -318,7 +321,7 @@
         Ok(())
     }
 
-    /// Does what the plan has; by how much a step was late at most.
+    /// Executes the steps of the plan; returns the largest delay of a step.
     fn carry_out(&self, plan: &Plan, end: Micros, most: Micros, progress: &dyn Progress) -> Micros {
         let mut late = 0;
         for step in &plan.steps {
@@ -349,7 +352,7 @@
             Action::Link { from, to, condition } => {
                 let (from, to) = (plan.name(*from), plan.name(*to));
                 if let Err(why) = self.links.set(from, to, condition.clone()) {
-                    tell(from, format!("the link to {to} is not set: {why}"));
+                    tell(from, format!("the condition of the link to {to} could not be set: {why}"));
                 }
             }
             Action::Reset { from, to } => {
@@ -374,7 +377,8 @@
         }
     }
 
-    /// What another fault has undone already, or a process that is gone, is no error of the run: it is in the log.
+    /// Applies an action to a process. A failure, for example because the process is gone or another fault
+    /// has already done the same, is no error of the run; the caller logs it.
     fn act(&self, name: &str, what: Act) -> Result<(), super::processes::ProcessError> {
         let p = &self.processes;
         let spec = |limit: bool| {
@@ -421,8 +425,8 @@
         }
     }
 
-    /// One that was told to end may take its time, which must not hold up other steps. Nothing is done where it was told
-    /// nothing and runs on.
+    /// Starts a process again once it has ended, in a thread, as a slow end must not delay other steps. Does
+    /// nothing if the process was not told to end and still runs.
     fn start_once_ended(&self, spec: Spec) {
         let (processes, name) = (self.processes.clone(), spec.name.clone());
         let told = self.log.lines(Mark::default(), &LineFilter::event(lab_event::TOLD_TO_END).of(&name));
@@ -445,7 +449,7 @@
         starting.drain(..).for_each(|thread| drop(thread.join()));
     }
 
-    /// Until all views are right and stay so, or should have been; when that was.
+    /// Waits until all views are right and stay right, or the time is up; returns when that was.
     fn settle(
         &self,
         setting: &Setting<'_>,
@@ -480,13 +484,13 @@
         view::tracks(&lines, &names, &self.planners, &self.nodes)
     }
 
-    /// What makes a run worthless that no rule would tell.
+    /// Problems that make the run void and that no rule reports.
     fn broken(&self) -> Option<String> {
         let lost: u64 = self.log.lost().values().sum();
         let failed = self.log.lines(Mark::default(), &LineFilter::event(lab_event::FAILED));
         let mut why = Vec::new();
         if lost > 0 {
-            why.push(format!("{lost} lines of the log had to go"));
+            why.push(format!("{lost} lines of the log were dropped"));
         }
         why.extend(failed.first().map(|l| format!("{}: {}", l.process, l.message)));
         (!why.is_empty()).then(|| why.join("; "))
@@ -504,7 +508,7 @@
     }
 }
 
-/// A line of the history of client operations.
+/// One line of `requests.jsonl`.
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case", tag = "met")]
 enum Record {
@@ -525,7 +529,7 @@
     }
 }
 
-/// What a forwarder is told at its start, in the platform's words.
+/// The configuration of a forwarder as the platform provides it.
 fn configuration(
     setting: &Setting<'_>,
     plan: &Plan,
@@ -562,7 +566,8 @@
     })
 }
 
-/// Shows the way to processes that were started anew: they listen elsewhere. A thread of its own, so that nobody waits.
+/// Updates the targets of links and clients when a restarted process listens on another address. It has a
+/// thread of its own so that nothing waits for it.
 struct TargetUpdater {
     over: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
--- a/crates/lab/src/fleet/processes/damage.rs
+++ b/crates/lab/src/fleet/processes/damage.rs
@@ -1,4 +1,4 @@
-//! Damage to the files of a process that is down.
+//! Damages the files of a process that is not running.
 
 use super::ProcessError;
 use rand::{RngExt, SeedableRng};
@@ -7,43 +7,43 @@
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Component, Path, PathBuf};
 
-/// Files of a folder that are looked at.
+/// Maximum number of files of a folder that are considered.
 const MAX_FILES: usize = 10_000;
 
-/// What befalls a file. Its path is that within the folder of the process.
+/// Kinds of damage. Paths are relative to the folder of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Damage {
-    /// Only its first bytes are left.
+    /// Truncates the file to `to` bytes.
     CutShort { file: PathBuf, to: u64 },
-    /// A byte is another one.
+    /// Inverts the byte at this offset.
     ByteChanged { file: PathBuf, at: u64 },
-    /// As `CutShort`, a file and a place drawn with this seed.
+    /// Like `CutShort`, with file and offset drawn with this seed.
     AnyCutShort { seed: u64 },
-    /// As `ByteChanged`, a file and a place drawn with this seed.
+    /// Like `ByteChanged`, with file and offset drawn with this seed.
     AnyByteChanged { seed: u64 },
 }
 
 impl Damage {
-    /// Does it; what was done, for the log.
+    /// Applies the damage and returns a description for the log.
     pub(super) fn apply(&self, folder: &Path) -> Result<String, ProcessError> {
         match self {
             Damage::CutShort { file, to } => {
                 let (path, bytes) = regular(folder, file)?;
                 if *to >= bytes {
-                    return Err(refused(file, "it is not longer"));
+                    return Err(refused(file, "the file is not longer than that"));
                 }
                 let io = |source| ProcessError::Io { what: path.display().to_string(), source };
                 OpenOptions::new().write(true).open(&path).and_then(|f| f.set_len(*to)).map_err(io)?;
-                Ok(format!("{} is cut from {bytes} bytes to {to}", file.display()))
+                Ok(format!("{} truncated from {bytes} to {to} bytes", file.display()))
             }
             Damage::ByteChanged { file, at } => {
                 let (path, bytes) = regular(folder, file)?;
                 if *at >= bytes {
-                    return Err(refused(file, "it is not as long"));
+                    return Err(refused(file, "the offset is beyond the end of the file"));
                 }
                 let io = |source| ProcessError::Io { what: path.display().to_string(), source };
                 let (was, is) = change(&path, *at).map_err(io)?;
-                Ok(format!("byte {at} of {} is {is:#04x} and was {was:#04x}", file.display()))
+                Ok(format!("byte {at} of {} changed to {is:#04x} from {was:#04x}", file.display()))
             }
             Damage::AnyCutShort { seed } => {
                 let (file, at) = draw(folder, *seed)?;
@@ -61,21 +61,22 @@
     ProcessError::Damage { file: file.display().to_string(), why }
 }
 
-/// A file of the folder and its length; nothing outside of it, and no link.
+/// Returns the path and length of a regular file in the folder; rejects symbolic links and paths that leave
+/// the folder.
 fn regular(folder: &Path, file: &Path) -> Result<(PathBuf, u64), ProcessError> {
     if !file.components().all(|part| matches!(part, Component::Normal(_))) {
-        return Err(refused(file, "it leads out of the folder"));
+        return Err(refused(file, "the path leaves the folder of the process"));
     }
     let mut path = folder.to_owned();
     for part in file.components() {
         path.push(part);
         if path.is_symlink() {
-            return Err(refused(file, "a link leads there"));
+            return Err(refused(file, "the path contains a symbolic link"));
         }
     }
     match fs::symlink_metadata(&path) {
         Ok(about) if about.is_file() => Ok((path, about.len())),
-        Ok(_) => Err(refused(file, "it is no file")),
+        Ok(_) => Err(refused(file, "it is not a regular file")),
         Err(source) => Err(ProcessError::Io { what: path.display().to_string(), source }),
     }
 }
@@ -91,7 +92,7 @@
     Ok((was, !was))
 }
 
-/// A file with something in it and a place in it, the same for the same files and seed.
+/// Draws a non-empty file and an offset in it; the result depends only on the files and the seed.
 fn draw(folder: &Path, seed: u64) -> Result<(PathBuf, u64), ProcessError> {
     let mut files = Vec::new();
     let mut folders = vec![folder.to_owned()];
@@ -110,7 +111,7 @@
     files.sort();
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
     if files.is_empty() {
-        return Err(refused(folder, "no file there has anything in it"));
+        return Err(refused(folder, "the folder contains no non-empty file"));
     }
     let (path, bytes) = &files[random.random_range(0..files.len())];
     let file = path.strip_prefix(folder).unwrap_or(path).to_owned();
--- a/crates/lab/src/fleet/processes/home.rs
+++ b/crates/lab/src/fleet/processes/home.rs
@@ -1,8 +1,8 @@
-//! Where the folders of a fleet are, and that none is left behind.
+//! The root folder of a fleet, and the cleanup of folders left behind.
 //!
-//! A folder of our own holds a file `lock`, which the lab that made it has locked for as long as it lives (flock(2);
-//! no child inherits it). A folder whose lock nobody holds is that of a lab that was killed: whoever makes the next
-//! folder removes it.
+//! A temporary root contains a file `lock`, locked by the lab that created it for as long as that lab lives
+//! (flock(2); children do not inherit it). A folder whose lock is free belongs to a killed lab and is removed
+//! when the next one is created.
 
 use super::ProcessError;
 use rustix::fs::{flock, FlockOperation};
@@ -10,17 +10,17 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What folders of our own begin with, and what they hold.
+/// Name prefix of temporary roots, and the names of their lock file.
 const PREFIX: &str = "lab-fleet-";
 const LOCK: &str = "lock";
 const LOCK_TO_BE: &str = "lock-to-be";
-/// The folder of what processes are configured with; no name of a process.
+/// Folder of the configuration files; reserved, so it cannot be the name of a process.
 pub(super) const SETTINGS: &str = "settings";
 
 #[derive(Debug)]
 pub(super) struct Home {
     path: PathBuf,
-    /// Of a folder of our own. The lock is let go before the folder is removed.
+    /// Lock and folder of a temporary root. The lock is released before the folder is removed.
     _own: Option<(File, tempfile::TempDir)>,
 }
 
@@ -37,7 +37,7 @@
     fn temporary_in(place: &Path) -> io::Result<Home> {
         sweep(place);
         let folder = tempfile::Builder::new().prefix(PREFIX).tempdir_in(place)?;
-        // Under its name only once it is locked: a folder without it is not swept.
+        // The file gets its final name only once it is locked: folders without a lock file are not swept.
         let (to_be, lock) = (folder.path().join(LOCK_TO_BE), folder.path().join(LOCK));
         let file = File::create(&to_be)?;
         flock(&file, FlockOperation::NonBlockingLockExclusive)?;
@@ -61,11 +61,11 @@
     }
 }
 
-/// Removes what labs that were killed have left here. What cannot be removed, or is not ours, stays.
+/// Removes the roots of killed labs. Skips what is not a root of ours or cannot be removed.
 fn sweep(place: &Path) {
     for entry in fs::read_dir(place).into_iter().flatten().flatten() {
         let ours = entry.file_name().to_str().is_some_and(|name| name.starts_with(PREFIX));
-        // The entry's own type: a link to a folder is none.
+        // The type of the entry itself: symbolic links to folders are skipped.
         if !ours || !entry.file_type().is_ok_and(|t| t.is_dir()) {
             continue;
         }
--- a/crates/lab/src/fleet/processes/keeper.rs
+++ b/crates/lab/src/fleet/processes/keeper.rs
@@ -1,6 +1,7 @@
-//! The thread that keeps the processes: it alone has them, so that nothing here is shared or locked.
+//! The keeper thread: the sole owner of the processes, so that their state is neither shared nor locked.
 //!
-//! It sleeps until somebody asks for something, a process ends (a pidfd becomes readable) or something is due.
+//! It sleeps until a caller submits a job, a process ends (its pidfd becomes readable) or a timed action is
+//! due.
 
 use super::home::Home;
 use super::{lab_event, Damage, Folder, ProcessError, Restart, Spec, State, Twin, GRACE, MAX_PROCESSES};
@@ -18,13 +19,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What is due later than this is not going to be.
+/// Longest delay of a timed action; in effect never.
 const NEVER: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
 
-/// Something that a caller has done here.
+/// A job that a caller submits to the keeper.
 type Job = Box<dyn FnOnce(&mut Keeper) + Send>;
 
-/// The numbers of the processes that run, for who watches them from another thread.
+/// The PIDs of the running processes, for observers in other threads.
 #[derive(Clone, Debug, Default)]
 pub struct Roster(Arc<Mutex<BTreeMap<Arc<str>, u32>>>);
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Until when a process is held.
+/// How long a process stays stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Hold {
     Until(Instant),
@@ -61,21 +62,21 @@
     name: Arc<str>,
     spec: Spec,
     folder: PathBuf,
-    /// Of the process that runs, or was the last to.
+    /// Incarnation of the current or the last process.
     life: u32,
     running: Option<Running>,
     last: Option<ExitStatus>,
-    /// How it comes back, once it has ended.
+    /// How to restart the process once it has ended.
     again: Option<Restart>,
 }
 
-/// What is done at a time.
+/// A timed action.
 #[derive(Debug)]
 enum Due {
-    /// The end of a pause, and of the time to end in; of that life alone.
+    /// End of a pause, and end of the grace period, of that incarnation only.
     Resume(String, u32),
     Kill(String, u32),
-    /// A start, if the process that ended is still the last.
+    /// A start, if the process that ended is still the last incarnation.
     Start(String, u32, Folder),
     Restart(String, Restart),
 }
@@ -87,11 +88,11 @@
     roster: Roster,
     slots: BTreeMap<String, Slot>,
     due: BTreeMap<(Instant, u64), Due>,
-    /// Tells apart what is due at once.
+    /// Distinguishes actions that are due at the same time.
     next: u64,
 }
 
-/// What is held of a keeper. Dropped, it has the keeper end all processes and waits for that.
+/// Handle to the keeper thread. Dropping it makes the keeper end all processes, and waits for that.
 #[derive(Debug)]
 pub(super) struct KeeperHandle {
     jobs: Option<Sender<Job>>,
@@ -101,7 +102,7 @@
 }
 
 impl KeeperHandle {
-    /// Has the keeper do something and waits for it.
+    /// Runs a job on the keeper thread and waits for its result.
     pub(super) fn ask<T: Send + 'static>(
         &self,
         job: impl FnOnce(&mut Keeper) -> Result<T, ProcessError> + Send + 'static,
@@ -128,7 +129,7 @@
     }
 }
 
-/// Tells that nobody can say any more, when the child's reader lets go of it.
+/// Logs, when the child's reader drops it, that no more output can come.
 struct OutputEndNotice(Log, Arc<str>, u32);
 
 impl Drop for OutputEndNotice {
@@ -142,7 +143,7 @@
     move |source| ProcessError::Io { what, source }
 }
 
-/// All that is in a folder.
+/// Removes a folder with its contents; a missing folder is no error.
 fn remove(folder: &Path) -> Result<(), ProcessError> {
     match fs::remove_dir_all(folder) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => Err(io(folder)(e)),
@@ -163,7 +164,7 @@
         Ok(KeeperHandle { jobs: Some(jobs), wake, roster, thread: Some(thread) })
     }
 
-    /// Until nobody is left who could ask.
+    /// Runs until all handles are dropped.
     fn run(&mut self, asked: &Receiver<Job>, woken: &OwnedFd) {
         loop {
             loop {
@@ -184,14 +185,14 @@
         let all = [woken.as_fd()].into_iter().chain(ends);
         let mut all: Vec<PollFd> = all.map(|fd| PollFd::from_borrowed_fd(fd, PollFlags::IN)).collect();
         let left = self.due.keys().next().map(|(at, _)| at.saturating_duration_since(Instant::now()));
-        // A little late rather than again and again.
+        // Rounded up slightly to avoid waking up repeatedly just before the deadline.
         let left = left.map(|left| left + Duration::from_micros(50));
         let left = left.map(|l| Timespec { tv_sec: l.as_secs() as i64, tv_nsec: l.subsec_nanos().into() });
         let _ = poll(&mut all, left.as_ref());
         let _ = rustix::io::read(woken, &mut [0; 8]);
     }
 
-    /// Sees who has ended.
+    /// Detects processes that have ended.
     fn reap(&mut self) {
         let names: Vec<String> = self.slots.keys().cloned().collect();
         for name in names {
@@ -202,7 +203,7 @@
         }
     }
 
-    /// The one place where a process is given back.
+    /// Handles the end of a process; the only place where a running process is released.
     fn ended(&mut self, name: &str, status: ExitStatus) {
         let Some(slot) = self.slots.get_mut(name) else { return };
         slot.running = None;
@@ -250,7 +251,8 @@
                     done.inspect_err(|why| self.failed(&name, why))
                 }
             };
-            // What a caller has asked for has been told to it; this has nobody but the log.
+            // Callers get errors as results; timed actions have no caller, so their errors only go to the
+            // log.
             let _ = done;
         }
     }
@@ -265,9 +267,9 @@
         self.slots.get_mut(name).ok_or_else(|| ProcessError::Unknown(name.to_owned()))
     }
 
-    /// One that runs.
+    /// Returns the slot of a running process.
     fn running(&mut self, name: &str) -> Result<(&Log, &mut Slot), ProcessError> {
-        // It may have ended since the last look.
+        // It may have ended since the last check.
         if let Some(status) = self.slot(name)?.running.as_mut().and_then(|r| r.child.ended()) {
             self.ended(name, status);
         }
@@ -275,7 +277,7 @@
         slot.map(|slot| (&self.log, slot)).ok_or_else(|| ProcessError::Down(name.to_owned()))
     }
 
-    /// Another process that has this folder and runs.
+    /// Returns another running process that uses this folder.
     fn shares(&self, name: &str, folder: &Path) -> Option<String> {
         let mut others = self.slots.iter().filter(|(other, slot)| *other != name && slot.running.is_some());
         others.find(|(_, slot)| slot.folder == folder).map(|(other, _)| other.clone())
@@ -289,7 +291,7 @@
         slot.last = None;
         slot.again = None;
         let (label, life) = (slot.name.clone(), slot.life);
-        // Told before the process can say anything, and taken back by `FAILED`.
+        // Logged before the process can write anything; a failed start is followed by `FAILED`.
         log.tell(&label, life, lab_event::STARTED, String::new());
         let heard_out = OutputEndNotice(log.clone(), label.clone(), life);
         let hear = move |line: &str| heard_out.0.hear(&heard_out.1, heard_out.2, line);
@@ -318,7 +320,7 @@
         self.spawn(&name).inspect_err(|why| self.failed(&name, why))
     }
 
-    /// Whether one of this name may be started.
+    /// Checks that no process of this name is running.
     fn free(&mut self, name: &str) -> Result<(), ProcessError> {
         match self.slots.contains_key(name) && self.running(name).is_ok() {
             true => Err(ProcessError::Runs(name.to_owned())),
@@ -413,7 +415,7 @@
         let (log, slot) = self.running(name)?;
         let Some(running) = &mut slot.running else { return Ok(()) };
         if running.held.take().is_some() {
-            // Told first: what it says then comes behind it.
+            // Logged first, so that the output of the process comes after it.
             log.tell(&slot.name, slot.life, lab_event::RESUMED, String::new());
             running.child.resume();
         }
@@ -440,7 +442,7 @@
                 Ok(())
             }
             (false, _) => {
-                // As if it ended now.
+                // The process is not running: proceed as if it had ended now.
                 let Some(again) = slot.again.take() else { return Ok(()) };
                 if let Some(program) = again.program {
                     slot.spec.program = program;
@@ -454,7 +456,7 @@
         }
     }
 
-    /// The start that was due after an end.
+    /// Performs the start that was scheduled after an end.
     fn start_again(&mut self, name: &str, life: u32, folder: Folder) -> Result<(), ProcessError> {
         let slot = self.slot(name)?;
         if slot.life != life || slot.running.is_some() {
@@ -491,10 +493,10 @@
         }
         let Some(running) = &mut slot.running else { return Ok(()) };
         let limited = running.child.limit_files(bytes.unwrap_or(u64::MAX));
-        limited.map_err(|source| ProcessError::Io { what: format!("the files of {name}"), source })?;
+        limited.map_err(|source| ProcessError::Io { what: format!("file size limit of {name}"), source })?;
         let said = match bytes {
-            Some(bytes) => format!("files of {bytes} bytes at most"),
-            None => "files of any size".to_owned(),
+            Some(bytes) => format!("file size limit set to {bytes} bytes"),
+            None => "file size limit removed".to_owned(),
         };
         log.tell(&slot.name, slot.life, lab_event::DISK, said);
         Ok(())
@@ -522,7 +524,7 @@
             (Some(running), _) if running.held.is_some() => Ok(State::Stopped),
             (Some(_), _) => Ok(State::Runs),
             (None, Some(status)) => Ok(State::Ended(status)),
-            // Its start has failed.
+            // The start failed.
             (None, None) => Err(ProcessError::Down(name.to_owned())),
         }
     }
@@ -531,7 +533,7 @@
         Ok(self.slot(name)?.life)
     }
 
-    /// Nothing that is due comes any more.
+    /// Cancels all timed actions and sends SIGTERM to all processes; returns those that were running.
     pub(super) fn tell_all_to_end(&mut self) -> Vec<(String, u32)> {
         self.due.clear();
         self.slots.values_mut().for_each(|slot| slot.again = None);
@@ -548,7 +550,7 @@
 
 impl Drop for Keeper {
     fn drop(&mut self) {
-        // All at once; each is waited for as it is dropped.
+        // Signal all first; dropping each one waits for its end.
         for running in self.slots.values_mut().filter_map(|s| s.running.as_mut()) {
             running.child.kill();
         }
--- a/crates/lab/src/fleet/processes/mod.rs
+++ b/crates/lab/src/fleet/processes/mod.rs
@@ -1,14 +1,14 @@
-//! The processes of a fleet: started, held, ended, started again, and what befalls their disks.
+//! The processes of a fleet: starts, stops, ends and restarts them, and damages or limits their disks.
 //!
-//! It owns the processes and their folders, `ROOT/NAME` each, where a process is started and which is its `TMPDIR`. All is done
-//! by one thread, the keeper: so whoever calls may come and go, what is due (the end of a pause, a start
-//! after a while) is done whatever the callers do, and the system ends the children with the keeper's thread
-//! ([`crate::loopback::children::guard`]) where nobody is left to. Dropped, it ends every process, stopped ones too,
-//! before it returns. What it does and what it sees is told in the fleet's log by the same clock as the processes' own
-//! lines; the events are named in [`lab_event`].
+//! It owns the processes and their folders `ROOT/NAME`, which are their working directory and `TMPDIR`. One
+//! thread, the keeper, does all the work: timed actions (the end of a pause, a delayed start) happen whatever
+//! the callers do, and if the lab dies the system ends the children with the keeper's thread
+//! ([`crate::loopback::children::guard`]). Dropping [`Processes`] ends every process, including stopped ones,
+//! before it returns. Actions and observations are written to the fleet's log under the same clock as the
+//! processes' own lines; [`lab_event`] names the events.
 //!
-//! Not the addresses that processes speak to each other by, nor what is written to their configuration: what the
-//! platform would give a new machine belongs into [`Processes::settings`], which is lost with no disk.
+//! It manages neither the addresses that processes use nor the contents of their configuration: what the
+//! platform would give a new machine belongs into [`Processes::settings`], which is not lost with a disk.
 
 mod damage;
 mod home;
@@ -30,17 +30,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Processes of a fleet, those that are down as well.
+/// Maximum number of processes of a fleet, including those that are down.
 pub const MAX_PROCESSES: usize = 256;
-/// Letters of a name.
+/// Maximum length of a process name.
 const MAX_NAME_LENGTH: usize = 40;
-/// How long one that was told to end in order to be started again has for it, before it is killed.
+/// Time that a process has to terminate before a restart kills it.
 pub const GRACE: Duration = Duration::from_secs(10);
 
-/// The events that the lab tells of a process.
+/// The events that the lab logs about a process.
 pub mod lab_event {
     pub const STARTED: &str = "lab_started";
-    /// A start that was due did not succeed.
+    /// A scheduled start failed.
     pub const FAILED: &str = "lab_failed";
     /// SIGTERM was sent.
     pub const TOLD_TO_END: &str = "lab_told_to_end";
@@ -48,27 +48,27 @@
     pub const STOPPED: &str = "lab_stopped";
     pub const RESUMED: &str = "lab_resumed";
     pub const ENDED: &str = "lab_ended";
-    /// All that it said has been read.
+    /// All output of the process has been read.
     pub const HEARD_OUT: &str = "lab_heard_out";
     pub const FOLDER_GONE: &str = "lab_folder_gone";
     pub const DISK: &str = "lab_disk";
     pub const DAMAGED: &str = "lab_damaged";
 }
 
-/// Why nothing was done.
+/// Errors of the operations on processes.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    #[error("{0:?} is no name of a process: letters, digits, - and _, {MAX_NAME_LENGTH} at most")]
+    #[error("invalid process name {0:?}: use 1 to {MAX_NAME_LENGTH} letters, digits, - or _")]
     Name(String),
-    #[error("there is no process {0}")]
+    #[error("unknown process {0}")]
     Unknown(String),
-    #[error("{0} runs")]
+    #[error("process {0} is running")]
     Runs(String),
-    #[error("{0} does not run")]
+    #[error("process {0} is not running")]
     Down(String),
-    #[error("{0}: it was started without a limit of files, whose breach would end it")]
+    #[error("process {0} was started without a file size limit; exceeding one set now would end it")]
     Unlimited(String),
-    #[error("{MAX_PROCESSES} processes at most")]
+    #[error("too many processes: at most {MAX_PROCESSES} are allowed")]
     TooMany,
     #[error("{file}: {why}")]
     Damage { file: String, why: &'static str },
@@ -78,15 +78,15 @@
     Host(#[from] HostError),
     #[error(transparent)]
     WaitTimeout(#[from] WaitTimeout),
-    #[error("nobody keeps the processes any more")]
+    #[error("the keeper thread has ended")]
     Gone,
 }
 
-/// What is started as a process.
+/// Specification of a process.
 #[derive(Clone, Debug)]
 pub struct Spec {
     pub name: String,
-    /// An older or a newer build is another program.
+    /// The executable; older and newer builds are different programs.
     pub program: Program,
     pub arguments: Vec<OsString>,
     pub variables: Vec<(String, String)>,
@@ -94,7 +94,8 @@
 }
 
 impl Spec {
-    /// A process with no arguments, no variables, 1,024 descriptors and a disk that may be limited.
+    /// A specification without arguments and variables, with 1,024 descriptors and a file size that can be
+    /// limited later.
     pub fn new(name: &str, program: &Program) -> Spec {
         let limits = Limits { memory_kb: u64::MAX, descriptors: 1024, file_bytes: Some(u64::MAX) };
         let (arguments, variables) = (Vec::new(), Vec::new());
@@ -107,79 +108,80 @@
         self
     }
 
-    /// Adds a variable.
+    /// Adds an environment variable.
     pub fn variable(mut self, name: &str, value: impl Into<String>) -> Spec {
         self.variables.push((name.to_owned(), value.into()));
         self
     }
 }
 
-/// What becomes of the folder of a process that is started again.
+/// What happens to the folder of a process when it is restarted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Folder {
     #[default]
     Kept,
-    /// Gone as soon as the process is, as a machine with its disk.
+    /// Removed as soon as the process has ended, like a machine lost with its disk.
     Lost,
-    /// Emptied when the process is started again.
+    /// Emptied just before the process is started again.
     Empty,
 }
 
-/// Whose folder a second process of one name has.
+/// The folder of a second process with the same name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Twin {
-    /// That of the first: two processes on one disk.
+    /// The folder of the first: two processes on one disk.
     SameFolder,
-    /// An empty one of its own: the platform has started the name on another machine.
+    /// An empty folder of its own: the platform has started the name on another machine.
     OwnFolder,
 }
 
-/// How a process is ended and started again. The default: killed, and back at once with its folder.
+/// How to end a process and start it again. By default it is killed and started again at once with its
+/// folder.
 #[derive(Clone, Debug, Default)]
 pub struct Restart {
-    /// Told to end by SIGTERM, and killed after [`GRACE`]; otherwise killed.
+    /// Whether to send SIGTERM first and kill only after [`GRACE`].
     pub told: bool,
     pub folder: Folder,
-    /// From its end to its start.
+    /// Time between its end and its start.
     pub down: Duration,
-    /// What is started in its place with the same words: a newer or an older build.
+    /// Program to start instead with the same arguments: a newer or an older build.
     pub program: Option<Program>,
 }
 
-/// How a process is.
+/// State of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     Runs,
-    /// Held by SIGSTOP.
+    /// Stopped by SIGSTOP.
     Stopped,
     Ended(ExitStatus),
 }
 
-/// The processes of a fleet. Its methods may be called from any thread; each returns when what it says is done.
+/// The processes of a fleet. Methods may be called from any thread and return once the operation is done.
 #[derive(Debug)]
 pub struct Processes {
     log: Log,
-    /// Dropped before the folders are.
+    /// Must be dropped before `home`, which removes the folders.
     keeper: KeeperHandle,
     home: Arc<Home>,
 }
 
 impl Processes {
-    /// No process yet. Their folders are made in `root`, which stays when all is over.
+    /// Starts without processes. Their folders are created in `root`, which is kept.
     ///
     /// # Errors
     ///
-    /// Those of the folder and of a thread's start.
+    /// The folder cannot be created, or the thread cannot be started.
     pub fn new(root: &Path, log: &Log) -> io::Result<Processes> {
         Processes::at(Home::given(root)?, log)
     }
 
-    /// No process yet. Their folders are made in one of its own in the system's folder for such, which goes when
-    /// this is dropped. Where nobody could drop it (a lab that was killed), it goes when the next is made.
+    /// Starts without processes. Their folders are created in a temporary folder, which is removed when this is
+    /// dropped. If the lab was killed, the next lab to create one removes it.
     ///
     /// # Errors
     ///
-    /// Those of the folder and of a thread's start.
+    /// The folder cannot be created, or the thread cannot be started.
     pub fn in_temporary(log: &Log) -> io::Result<Processes> {
         Processes::at(Home::temporary()?, log)
     }
@@ -194,59 +196,59 @@
         &self.log
     }
 
-    /// Where all folders are.
+    /// The root folder.
     pub fn root(&self) -> &Path {
         self.home.path()
     }
 
-    /// The folder of a process: its disk.
+    /// The folder of a process, which stands for its disk.
     pub fn folder(&self, name: &str) -> PathBuf {
         self.home.folder(name)
     }
 
-    /// A folder for what a process is configured with, which no fault touches. It is made if it is not there.
+    /// Returns the folder for the configuration of a process, which no fault touches. Creates it if
+    /// necessary.
     ///
     /// # Errors
     ///
-    /// Those of the folder, and a name that is none.
+    /// I/O errors, and an invalid name.
     pub fn settings(&self, name: &str) -> Result<PathBuf, ProcessError> {
         self.home.settings(&valid_name(name)?)
     }
 
-    /// Starts a process with the folder that it has, an empty one if it has none. Which process of its name it is,
-    /// from 1.
+    /// Starts a process with its existing folder, or an empty one. Returns its incarnation, counted from 1.
     ///
     /// # Errors
     ///
-    /// One of its name runs; a name that is none; too many; those of the system.
+    /// A process of this name runs; the name is invalid; there are too many; system errors.
     pub fn start(&self, spec: Spec) -> Result<u32, ProcessError> {
         valid_name(&spec.name)?;
         self.keeper.ask(move |keeper| keeper.start_one(spec))
     }
 
-    /// Starts processes one right after the other, and tells how long that took from the first start to the last. All
-    /// are checked before one is started.
+    /// Starts processes one after the other and returns the time from the first start to the last. All are
+    /// validated before the first is started.
     ///
     /// # Errors
     ///
-    /// As [`Processes::start`]; what was started by then runs.
+    /// As [`Processes::start`]; processes started before the error keep running.
     pub fn start_many(&self, specs: Vec<Spec>) -> Result<Duration, ProcessError> {
         specs.iter().try_for_each(|spec| valid_name(&spec.name).map(drop))?;
         self.keeper.ask(move |keeper| keeper.start_many(specs))
     }
 
-    /// Starts a second process of a name, that of the first's [`Spec`] or another one; by what name the lab knows it
-    /// (`f3~2`). Whoever listens at an address that is written down wants another [`Spec`].
+    /// Starts a second process under the same name, with the [`Spec`] of the first or another one; returns
+    /// the lab's name for it (`f3~2`). A process with a fixed listening address needs another [`Spec`].
     ///
     /// # Errors
     ///
-    /// The first does not run; too many; those of the system.
+    /// The first does not run; there are too many; system errors.
     pub fn twin(&self, name: &str, with: Option<Spec>, folder: Twin) -> Result<String, ProcessError> {
         let name = name.to_owned();
         self.keeper.ask(move |keeper| keeper.twin(&name, with, folder))
     }
 
-    /// Tells a process to end (SIGTERM). One that is stopped hears it when it goes on.
+    /// Sends SIGTERM to a process. A stopped process receives it when it is resumed.
     ///
     /// # Errors
     ///
@@ -256,7 +258,7 @@
         self.keeper.ask(move |keeper| keeper.terminate(&name))
     }
 
-    /// Ends a process at once (SIGKILL), and what it has started.
+    /// Kills a process (SIGKILL) and what it has started.
     ///
     /// # Errors
     ///
@@ -266,8 +268,8 @@
         self.keeper.ask(move |keeper| keeper.kill(&name))
     }
 
-    /// Holds a process (SIGSTOP) until it is resumed; the kernel goes on taking bytes for it. Returns once it stands
-    /// still.
+    /// Stops a process (SIGSTOP) until it is resumed; the kernel keeps receiving bytes for it. Returns once
+    /// it is stopped.
     ///
     /// # Errors
     ///
@@ -277,7 +279,7 @@
         self.keeper.ask(move |keeper| keeper.stop(&name, None))
     }
 
-    /// Holds a process for a time; of two pauses that overlap, the one that ends later counts.
+    /// Stops a process for a time; of two overlapping pauses, the one that ends later counts.
     ///
     /// # Errors
     ///
@@ -287,7 +289,7 @@
         self.keeper.ask(move |keeper| keeper.stop(&name, Some(how_long)))
     }
 
-    /// Has a process that is held go on (SIGCONT).
+    /// Resumes a stopped process (SIGCONT).
     ///
     /// # Errors
     ///
@@ -297,32 +299,34 @@
         self.keeper.ask(move |keeper| keeper.resume(&name))
     }
 
-    /// Ends a process and starts it again, as `how` has it; one that is down is started. Returns once it is on its way: the log tells
-    /// [`lab_event::STARTED`] of the next life, or [`lab_event::FAILED`].
+    /// Ends a process and starts it again as `how` says; one that is down is just started. Returns once that
+    /// is under way: the log then has [`lab_event::STARTED`] of the next incarnation, or
+    /// [`lab_event::FAILED`].
     ///
     /// # Errors
     ///
-    /// There is none of this name; its folder is to go and another process has it too.
+    /// There is no such process; or its folder is to be removed while another process uses it.
     pub fn restart(&self, name: &str, how: Restart) -> Result<(), ProcessError> {
         let name = name.to_owned();
         self.keeper.ask(move |keeper| keeper.restart(&name, how))
     }
 
-    /// Restarts processes in steps, the first now, each other one `every` after the one before it. A step whose start
-    /// fails is told in the log ([`lab_event::FAILED`]).
+    /// Restarts processes one by one, the first now and each further one `every` after the one before. A
+    /// failed start is logged as [`lab_event::FAILED`].
     ///
     /// # Errors
     ///
-    /// There is none of one of these names.
+    /// One of the names is unknown.
     pub fn roll(&self, names: &[&str], every: Duration, how: &Restart) -> Result<(), ProcessError> {
         let names: Vec<String> = names.iter().map(|&name| name.to_owned()).collect();
         let how = how.clone();
         self.keeper.ask(move |keeper| keeper.roll(names, every, how))
     }
 
-    /// Bytes that any file of a running process may have from now on; `None` for any number. A write past them fails
-    /// with EFBIG, as one to a full disk fails with ENOSPC. Files may still be made, renamed and removed; with 0 nothing is
-    /// written at all, not even over what is there. The process that comes after it has room again.
+    /// Limits the size of any file that a running process writes; `None` removes the limit. A write beyond it
+    /// fails with EFBIG, as one to a full disk fails with ENOSPC. Files can still be created, renamed and
+    /// removed; with 0 nothing can be written at all, not even over existing bytes. The next incarnation
+    /// starts without the limit.
     ///
     /// # Errors
     ///
@@ -332,17 +336,17 @@
         self.keeper.ask(move |keeper| keeper.limit_files(&name, bytes))
     }
 
-    /// Damages a file in the folder of a process that is down; which one and how is in the log.
+    /// Damages a file in the folder of a process that is down; the log tells which file and how.
     ///
     /// # Errors
     ///
-    /// A process with this folder runs; there is no such file, or nothing in it.
+    /// A process that uses this folder runs; there is no such file, or it is empty.
     pub fn damage(&self, name: &str, damage: Damage) -> Result<(), ProcessError> {
         let name = name.to_owned();
         self.keeper.ask(move |keeper| keeper.damage(&name, &damage))
     }
 
-    /// How a process is.
+    /// Returns the state of a process.
     ///
     /// # Errors
     ///
@@ -352,7 +356,7 @@
         self.keeper.ask(move |keeper| keeper.state(&name))
     }
 
-    /// Which process of its name runs, or was the last to.
+    /// Returns the current or the last incarnation of a process.
     ///
     /// # Errors
     ///
@@ -362,28 +366,28 @@
         self.keeper.ask(move |keeper| keeper.life(&name))
     }
 
-    /// The numbers that the system knows the running processes by.
+    /// Returns the PIDs of the running processes.
     pub fn running(&self) -> BTreeMap<Arc<str>, u32> {
         self.keeper.roster.now()
     }
 
-    /// What each running process has used.
+    /// Returns the resource usage of each running process.
     pub fn usage(&self) -> BTreeMap<Arc<str>, Usage> {
         let of = |(name, pid)| Some((name, Usage::of(pid)?));
         self.running().into_iter().filter_map(of).collect()
     }
 
-    /// What [`super::machine::Machine`] watches.
+    /// Returns the PIDs in the form that [`super::machine::Machine`] observes.
     pub fn roster(&self) -> Roster {
         self.keeper.roster.clone()
     }
 
-    /// The first wanted line behind a mark that the process which runs under this name has said, or says within `most`;
-    /// it is not waited for once that process can say no more.
+    /// Returns the first matching line after a mark from the current incarnation of this process, waiting up
+    /// to `most`, but no longer than that process can still write lines.
     ///
     /// # Errors
     ///
-    /// There is none of this name; nothing of the kind was said.
+    /// There is no such process; no matching line came.
     pub fn hear(
         &self,
         name: &str,
@@ -396,7 +400,7 @@
         let both = wanted.clone();
         let either = move |line: &Line| both.is(line) || line.event == lab_event::HEARD_OUT;
         let either = LineFilter::any().of(name).in_life(life).when(either);
-        // A process that was heard out before the mark is not heard behind it.
+        // If its output ended before the mark, nothing can come after it.
         let over = LineFilter::event(lab_event::HEARD_OUT).of(name).in_life(life);
         let most = if self.log.lines(Mark::default(), &over).is_empty() { most } else { Duration::ZERO };
         let line = self.log.wait_for(since, &either, most)?;
@@ -406,11 +410,11 @@
         }
     }
 
-    /// Waits until a process has ended and all that it said has been heard; how it ended.
+    /// Waits until a process has ended and all its output has been read; returns its exit status.
     ///
     /// # Errors
     ///
-    /// There is none of this name; it has not ended within `most`.
+    /// There is no such process; it has not ended within `most`.
     pub fn wait(&self, name: &str, most: Duration) -> Result<ExitStatus, ProcessError> {
         let life = self.life(name)?;
         for event in [lab_event::ENDED, lab_event::HEARD_OUT] {
@@ -423,8 +427,8 @@
         }
     }
 
-    /// Tells all processes to end, those that are held too, and kills what has not ended within `grace`. Those that had to
-    /// be killed.
+    /// Sends SIGTERM to all processes, resuming the stopped ones, and kills those that have not ended within
+    /// `grace`. Returns the names of those killed.
     ///
     /// # Errors
     ///
@@ -444,7 +448,7 @@
     }
 }
 
-/// A name that can be a folder's.
+/// Checks that a name is valid as the name of a folder.
 fn valid_name(name: &str) -> Result<String, ProcessError> {
     let letter = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
     match (1..=MAX_NAME_LENGTH).contains(&name.len()) && name.bytes().all(letter) && name != home::SETTINGS {
--- a/crates/lab/src/fleet/report.rs
+++ b/crates/lab/src/fleet/report.rs
@@ -1,5 +1,5 @@
-//! What users get to see of a run: a summary for the terminal, `result.json`, and a page with the faults and each
-//! process's own view over time in one picture.
+//! The output of a run: a summary for the terminal, `result.json`, and a page with one picture of the faults
+//! and each process's view over time.
 
 use super::judge::{Breach, Figures};
 use super::links::Lateness;
@@ -15,16 +15,16 @@
 use world::outcome::FaultMark;
 use world::Micros;
 
-/// Of so many nodes avoided a lane is as dark as it gets: a third of them.
+/// Share of avoided nodes at which a lane reaches its darkest shade: a third.
 const PART: f64 = 1.0 / 3.0;
 
-/// `result.json` of a run.
+/// Contents of `result.json`.
 #[derive(Debug, Serialize)]
 pub struct ResultFile<'a> {
     pub name: &'a str,
     pub seed: u64,
     pub faults: Vec<String>,
-    /// Why what was seen says nothing of the program.
+    /// Why the run gives no verdict on the program, if so.
     pub void: Option<&'a str>,
     pub rules_broken: &'a [Breach],
     pub figures: &'a Figures,
@@ -34,7 +34,7 @@
     pub wall_s: f64,
 }
 
-/// A run with what was asked for.
+/// A run result with its schedule and seed, for output.
 #[derive(Clone, Copy, Debug)]
 pub struct RunReport<'a> {
     pub schedule: &'a Schedule,
@@ -50,7 +50,7 @@
     x.map_or_else(|| "-".into(), |x| format!("{x:.2} s"))
 }
 
-/// The middle one (of two, the later) and the longest.
+/// Returns the median (of two middle values the larger) and the maximum.
 pub fn median_and_worst(sorted: &[f64]) -> (Option<f64>, Option<f64>) {
     (sorted.get(sorted.len() / 2).copied(), sorted.last().copied())
 }
@@ -78,7 +78,7 @@
         text
     }
 
-    /// The verdict in a word or two.
+    /// A short text of the verdict.
     pub fn verdict(&self) -> String {
         let p = self.played;
         match (&p.void, p.breaches.len()) {
@@ -108,7 +108,7 @@
         table
     }
 
-    /// For the terminal.
+    /// The summary for the terminal.
     pub fn summary(&self) -> String {
         let p = self.played;
         let (fleet, name) = (&self.schedule.fleet, &self.schedule.name);
@@ -136,7 +136,7 @@
         text
     }
 
-    /// A lane for each process.
+    /// One lane of the picture per process.
     fn lanes(&self) -> Vec<Lane> {
         let p = self.played;
         let end = p.until;
@@ -189,7 +189,7 @@
         self.schedule.faults.iter().map(mark).collect()
     }
 
-    /// The page.
+    /// The HTML page.
     ///
     /// # Errors
     ///
--- a/crates/lab/src/fleet/search.rs
+++ b/crates/lab/src/fleet/search.rs
@@ -1,8 +1,7 @@
-//! Looking for schedules that a fleet does not survive, and for the fewest faults that it takes.
+//! Searches for schedules that make a fleet violate a rule, and shrinks them to the fewest faults needed.
 //!
-//! As [`crate::search`], for real processes: runs go one after the other, and a run may differ from the last one of the
-//! same seed. So a smaller schedule counts as failing if it fails in one of a few tries, and what is found is told with
-//! how often it failed again.
+//! Like [`crate::search`], but for real processes: runs are sequential, and a run may differ from another one
+//! with the same seed. Therefore a smaller schedule counts as failing if it fails in one of a few tries.
 
 use super::judge::{Breach, Rule};
 use super::play::{play, RunResult, Setting};
@@ -14,22 +13,22 @@
 use world::fleet::fault::Fault;
 use world::fleet::schedule::Schedule;
 
-/// What is looked for, and how hard.
+/// Parameters of a search.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Of the draws; the first so many are left out.
+    /// Seed of the draws, and the position of the first schedule to play.
     pub seed: u64,
     pub first: u64,
     pub runs: u64,
     pub bounds: Bounds,
-    /// The first so many failures are shrunk, each with at most so many runs.
+    /// Number of failures to shrink, and the maximum number of runs for each.
     pub shrunk: usize,
     pub shrink_runs: usize,
-    /// Tries of a smaller schedule before it counts as one that holds.
+    /// Tries of a smaller schedule before it counts as passing.
     pub tries: usize,
 }
 
-/// What every run of a search has.
+/// Programs and planted fault that all runs of a search share.
 #[derive(Clone, Debug)]
 pub struct RunContext {
     pub program: Program,
@@ -43,15 +42,15 @@
     pub position: u64,
     pub how: Breach,
     pub token: Token<Schedule>,
-    /// The smallest one found that breaks the same rule.
+    /// The smallest schedule found that breaks the same rule.
     pub small: Option<(Token<Schedule>, Breach)>,
 }
 
-/// What came of a search.
+/// Result of a search.
 #[derive(Clone, Debug, Default)]
 pub struct Found {
     pub failures: Vec<Failure>,
-    /// Runs that say nothing, by their position, and why.
+    /// Positions of void runs, and why they are void.
     pub void: Vec<(u64, String)>,
 }
 
@@ -67,11 +66,12 @@
     }
 }
 
-/// Draws and plays `plan.runs` schedules round `base`, and shrinks the first that fail. `done` hears of each run.
+/// Draws `plan.runs` variations of `base` and plays them, then shrinks the first failures. `done` is called
+/// after each run.
 ///
 /// # Errors
 ///
-/// Where a fleet cannot be started at all.
+/// The fleet cannot be started.
 pub fn search(
     ground: &RunContext,
     base: &Schedule,
@@ -82,7 +82,7 @@
     for position in plan.first..plan.first + plan.runs {
         let (schedule, seed) = draw(base, &plan.bounds, plan.seed, position);
         let mut played = ground.play(&schedule, seed)?;
-        // A busy machine: once more, when it may be quieter.
+        // The machine was busy: retry once.
         if played.void.is_some() {
             played = ground.play(&schedule, seed)?;
         }
@@ -102,7 +102,7 @@
 
 fn breaks(ground: &RunContext, schedule: &Schedule, seed: u64, rule: Rule, tries: usize) -> Option<Breach> {
     (0..tries.max(1)).find_map(|_| {
-        // A fleet that cannot be started has not shown that it fails; nor has a void run.
+        // Neither a fleet that cannot be started nor a void run counts as a failure.
         let played = ground.play(schedule, seed).ok().filter(|p| p.void.is_none())?;
         played.breaches.into_iter().find(|b| b.rule == rule)
     })
@@ -141,7 +141,7 @@
         &mut self.every_s
     }
 
-    /// Whom it strikes is a word.
+    /// The target of a fault is a selector, not a number that could be reduced.
     fn struck(&mut self) -> Option<&mut u32> {
         None
     }
@@ -154,7 +154,7 @@
 impl Shrink for Schedule {
     type Fault = Fault;
 
-    /// A run takes its time to start and to settle, however short.
+    /// Moving faults earlier saves little: startup and settling take their time however short the run is.
     const SOONER: bool = false;
 
     fn seconds(&mut self) -> &mut f64 {
@@ -169,7 +169,8 @@
         self.validate().is_ok() && is_fair(self)
     }
 
-    /// Fewer processes. The last of them go first; a fault that names one of these keeps it.
+    /// Reduces the number of processes, removing the last ones first; a smaller fleet is rejected if a fault
+    /// names a process that it lacks.
     fn smaller(search: &mut Search<'_, Self>) {
         while search.with(|s| s.fleet.forwarders = (s.fleet.forwarders / 2).max(1)) {}
         while search.with(|s| s.fleet.nodes = (s.fleet.nodes / 2).max(1)) {}
--- a/crates/lab/src/fleet/search/tests.rs
+++ b/crates/lab/src/fleet/search/tests.rs
@@ -6,7 +6,7 @@
     Fault { who: who.parse().ok(), down_s, ..Fault::new(kind, at_s, for_s) }
 }
 
-/// Fails where planners are away while a node hangs.
+/// Fails if planners restart while a node hangs.
 fn fails(s: &Schedule) -> bool {
     let of = |kind| s.faults.iter().find(|f| f.kind == kind);
     let (Some(hang), Some(restart)) = (of(Kind::Hang), of(Kind::Restart)) else { return false };
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_schedule_is_shrunk_to_the_two_faults_that_it_takes() {
+fn a_schedule_is_shrunk_to_the_two_faults_needed() {
     let cut = Fault { between: "ring".parse().ok(), ..Fault::new(Kind::Cut, 1.0, 2.0) };
     let schedule = Schedule {
         faults: vec![
--- a/crates/lab/src/fleet/stage.rs
+++ b/crates/lab/src/fleet/stage.rs
@@ -1,9 +1,10 @@
-//! What surrounds a fleet: stand-in cache nodes, discovery, and clients with a small steady load.
+//! The surroundings of a fleet: stand-in cache nodes, discovery, and clients with a small steady load.
 //!
-//! It owns one thread with all their sockets, and what was seen on them. Nodes answer everything after a fixed time with
-//! a value that names its key and request; they hang or are away when they are told to. Clients have one request at a
-//! time on a connection, so that each answer is of a known one. No models of machines in here: where service,
-//! stores and queues matter, play a scenario ([`crate::loopback`]).
+//! It owns one thread with all their sockets and records the events of the clients. Nodes answer every
+//! request after a fixed time with a value that names its key and request; on command they hang or go away. A
+//! client connection carries one request at a time, so that each answer can be attributed. There are no
+//! models of machines here: where service times, stores and queues matter, use a scenario
+//! ([`crate::loopback`]).
 
 use crate::loopback::socket::speech::{self, Command, Dialect, TryId};
 use crate::loopback::Clock;
@@ -24,28 +25,28 @@
 use world::random::{exponential, stream};
 use world::Micros;
 
-/// What clients say that they wait, and for how long after that an answer still counts.
+/// The timeout that clients declare, and how much longer an answer is still accepted.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 const GRACE: Duration = Duration::from_millis(1_000);
-/// Requests of one forwarder's clients that are out at a time; more are not sent.
+/// Maximum number of requests in flight per forwarder; further ones are not sent.
 const MAX_IN_FLIGHT: usize = 64;
-/// Events that are kept.
+/// Maximum number of events kept.
 const MAX_EVENTS: usize = history::MOST;
-/// Bytes of a value.
+/// Size of a value in bytes.
 const VALUE_BYTES: u32 = 64;
 const KEY_COUNT: u32 = 100_000;
-/// A sign of life of discovery comes this often.
+/// Interval of the keepalives of discovery.
 const DISCOVERY_KEEPALIVE: Duration = Duration::from_secs(2);
-/// Tries to listen at an address again.
+/// Number of attempts to listen on an address again.
 const LISTEN_TRIES: usize = 100;
 
-/// What is set up.
+/// Parameters of the stage.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
     pub nodes: usize,
     pub forwarders: usize,
     pub service: Duration,
-    /// Requests a second to each forwarder.
+    /// Requests per second to each forwarder.
     pub rate: f64,
     pub seed: u64,
 }
@@ -54,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     Value,
-    /// Refused, or failed, with an answer that says so.
+    /// The answer was an error: `BUSY`, or any other failure.
     Refused,
     Failed,
     /// The connection broke before an answer came.
@@ -63,7 +64,7 @@
     Late,
 }
 
-/// What clients met, in the order of time.
+/// Events of the clients, in order of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientEvent {
     Asked {
@@ -76,7 +77,7 @@
         at: Micros,
         end: End,
     },
-    /// Something came after the answer, or an answer to another request.
+    /// Extra data came after the answer, or the answer was for another request.
     Stray {
         id: u64,
         at: Micros,
@@ -85,14 +86,14 @@
 
 enum Order {
     Node(usize, NodeAct),
-    /// Where a forwarder listens now.
+    /// Sets the address of a forwarder.
     At(usize, Option<SocketAddr>),
     Begin,
-    /// No more requests; what was met so far is handed out once all that are out have ended.
+    /// Stops sending requests; replies with the events once all requests in flight have ended.
     End(Sender<Vec<ClientEvent>>),
 }
 
-/// See the file's comment. Dropped, it ends.
+/// See the module documentation. Dropping it ends the thread.
 #[derive(Debug)]
 pub struct Stage {
     orders: Sender<(Order, Sender<()>)>,
@@ -110,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// No socket or no thread to be had.
+    /// No socket or no thread is available.
     pub fn start(clock: Clock, setting: Setting) -> io::Result<Stage> {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let listeners: Vec<Async<TcpListener>> =
@@ -143,22 +144,22 @@
         }
     }
 
-    /// What a node does from now on.
+    /// Sets the behaviour of a node.
     pub fn node(&self, node: usize, act: NodeAct) {
         self.order(Order::Node(node, act));
     }
 
-    /// Where a forwarder listens now, if it does.
+    /// Sets the address of a forwarder; `None` if it does not listen.
     pub fn at(&self, forwarder: usize, address: Option<SocketAddr>) {
         self.order(Order::At(forwarder, address));
     }
 
-    /// Clients begin to ask.
+    /// Starts the clients.
     pub fn begin(&self) {
         self.order(Order::Begin);
     }
 
-    /// Clients ask no more. What they met, once nothing is out.
+    /// Stops the clients; returns their events once no request is in flight.
     pub fn end(&self) -> Vec<ClientEvent> {
         let (events, told) = async_channel::bounded(1);
         self.order(Order::End(events));
@@ -175,7 +176,7 @@
     }
 }
 
-/// A connection of a client that waits for its next request, with the last one that went over it.
+/// An idle client connection, and the id of its last request.
 type Idle = (Async<TcpStream>, u64);
 
 struct StageState {
@@ -184,7 +185,7 @@
     addresses: Vec<SocketAddr>,
     executor: Rc<LocalExecutor<'static>>,
     acts: Vec<Cell<NodeAct>>,
-    /// Of each node: who listens, and its connections.
+    /// Accept task and connection tasks of each node.
     accept_tasks: RefCell<Vec<Option<Task<()>>>>,
     connection_tasks: RefCell<Vec<Vec<Task<()>>>>,
     forwarders: RefCell<Vec<Option<SocketAddr>>>,
@@ -219,7 +220,7 @@
         })
     }
 
-    /// Until nobody gives orders any more.
+    /// Runs until the order channel closes.
     async fn work(
         self: Rc<Self>,
         mut listeners: Vec<Async<TcpListener>>,
@@ -338,7 +339,7 @@
         }
     }
 
-    /// The list is in the configurations already, and nothing about it changes.
+    /// Sends keepalives only: the member list is part of the configuration and does not change.
     async fn discover(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             let Ok((mut socket, _)) = listener.accept().await else {
@@ -368,7 +369,7 @@
         }
     }
 
-    /// The clients of a forwarder: requests at a steady rate with drawn gaps.
+    /// Sends requests to a forwarder at a steady mean rate with exponentially distributed gaps.
     async fn clients(self: Rc<Self>, forwarder: usize) {
         let mut random = stream(self.setting.seed, "clients", forwarder as u64);
         let mut due = self.clock.now();
@@ -396,7 +397,7 @@
         }
     }
 
-    /// A connection that waits and has nothing to say.
+    /// Takes an idle connection without pending data.
     fn idle(&self, forwarder: usize) -> Option<Async<TcpStream>> {
         loop {
             let (socket, last) = self.idle.borrow_mut().get_mut(forwarder)?.pop()?;
@@ -413,7 +414,7 @@
             Some(socket) => socket,
             None => match Async::<TcpStream>::connect(address).await {
                 Ok(socket) => socket,
-                // Nobody has taken it.
+                // The request was never sent, so it is not recorded.
                 Err(_) => return,
             },
         };
--- a/crates/lab/src/fleet/view.rs
+++ b/crates/lab/src/fleet/view.rs
@@ -1,7 +1,7 @@
-//! What each process of a fleet says that it sees, over time, from its log: which nodes are avoided and which
-//! planners are heard, and whether the process itself runs.
+//! The view of each process of a fleet over time, taken from its log: which nodes it avoids, which planners
+//! it is connected to, and whether it runs.
 //!
-//! Pure: lines in, changes out. What is true, and whether a view is right, is for [`super::judge`].
+//! Pure: turns lines into changes. Whether a view is right is checked by [`super::judge`].
 
 use super::log::{By, Line};
 use super::processes::lab_event;
@@ -9,18 +9,18 @@
 use std::sync::Arc;
 use world::Micros;
 
-/// One thing that changed for a process.
+/// A change of the state or the view of a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum What {
-    /// Another life of it begins.
+    /// A new incarnation starts.
     Started,
     Ended,
     Stopped,
     Resumed,
-    /// It sends nothing to a node, or to a hall, at planners' word.
+    /// On the planners' decision it stops sending to a node or a hall, or sends to it again.
     Avoids(String),
     Returns(String),
-    /// A planner is connected to it, or no longer.
+    /// It becomes connected to a planner, or loses the connection.
     Hears(String),
     Misses(String),
 }
@@ -32,7 +32,7 @@
     pub what: What,
 }
 
-/// How a process is and what it sees at a moment.
+/// State and view of a process at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Now {
     pub runs: bool,
@@ -56,14 +56,14 @@
     }
 }
 
-/// The changes of one process, in the order of time.
+/// The changes of one process in order of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Track {
     pub changes: Vec<Change>,
 }
 
 impl Track {
-    /// Each state and from when on it holds.
+    /// Returns each state with the time from which it holds.
     pub fn states(&self) -> impl Iterator<Item = (Micros, Now)> + '_ {
         let mut now = Now::default();
         self.changes.iter().map(move |c| {
@@ -72,12 +72,13 @@
         })
     }
 
-    /// The last state.
+    /// Returns the last state.
     pub fn now(&self) -> Now {
         self.states().last().map(|(_, now)| now).unwrap_or_default()
     }
 
-    /// When it avoided a matter: from, until (`None`: to the end), and which life of it.
+    /// Returns the spans in which it avoided a node or hall: start, end (`None` if it never ended) and
+    /// incarnation.
     pub fn avoided(&self, matter: &str) -> Vec<(Micros, Option<Micros>, u32)> {
         let mut spans: Vec<(Micros, Option<Micros>, u32)> = Vec::new();
         let mut out = false;
@@ -101,10 +102,10 @@
     }
 }
 
-/// By whom a forwarder knows a planner: `(forwarder, address)` to the planner's name.
+/// Maps `(forwarder, address)` to the name of the planner that the forwarder reaches at that address.
 pub type Planners = BTreeMap<(String, String), String>;
 
-/// The events that views are made of.
+/// Whether the line is one of the events that views are built from.
 pub fn wanted(line: &Line) -> bool {
     let lab = [lab_event::STARTED, lab_event::ENDED, lab_event::STOPPED, lab_event::RESUMED];
     let own = ["plan_avoids", "plan_returns", "planner_up", "planner_down", "silent", "lives"];
@@ -114,7 +115,8 @@
     }
 }
 
-/// The tracks of these processes. `nodes` names the nodes by the numbers that planners know them by.
+/// Builds the tracks of these processes. `nodes` maps the numeric ids that planners use to the names of
+/// nodes.
 pub fn tracks(
     lines: &[Arc<Line>],
     processes: &[&str],
--- a/crates/lab/src/fleet/view/tests.rs
+++ b/crates/lab/src/fleet/view/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_process_that_starts_anew_sees_nothing_yet() {
+fn a_restarted_process_has_an_empty_view() {
     let change = |at, life, what| Change { at, life, what };
     let track = Track {
         changes: vec![
--- a/crates/lab/tests/fleet_play.rs
+++ b/crates/lab/tests/fleet_play.rs
@@ -1,5 +1,5 @@
-//! A small fleet of real processes under a few faults, from its start to its judgement. What is asserted is what must
-//! hold; how soon it came about is not.
+//! Plays a small fleet of real processes with a few faults from startup to verdict. The tests assert the
+//! rules that must hold, not how fast that came about.
 
 use lab::fleet::play::{play, RunResult, Setting};
 use lab::fleet::report::RunReport;
@@ -9,7 +9,8 @@
 use std::process::Command;
 use world::fleet::schedule::Schedule;
 
-/// A node hangs, the planners are cut from a forwarder one way, a planner is killed and comes back.
+/// A node hangs, the direction from the planners to one forwarder is cut, and a planner is killed and
+/// restarted.
 const SMALL: &str = "\
 seconds = 2.5
 [fleet]
@@ -51,14 +52,14 @@
 }
 
 #[test]
-fn a_small_fleet_survives_a_hang_a_one_sided_cut_and_a_planner_that_dies() {
+fn a_small_fleet_survives_a_hang_a_one_way_cut_and_a_killed_planner() {
     let schedule = schedule();
     let played = played(&schedule);
-    // A machine that is too busy voids a run; what was seen then says nothing.
+    // An overloaded machine makes the run void, and its observations mean nothing.
     if played.void.is_none() {
         assert_eq!(played.breaches, []);
         assert!(played.figures.values > 0 && played.figures.requests > 0);
-        // All found the node silent, and took it back.
+        // No forwarder still avoids the node.
         for f in ["f0", "f1", "f2"] {
             let spans = played.tracks[f].avoided("s0");
             assert!(spans.iter().all(|(_, until, _)| until.is_some()), "{f}: {spans:?}");
@@ -78,8 +79,8 @@
 }
 
 #[test]
-fn what_is_wrong_with_a_schedule_is_one_line_with_its_place() {
-    let dir = tempfile::tempdir().expect("a folder");
+fn a_schedule_error_is_one_line_with_its_position() {
+    let dir = tempfile::tempdir().expect("the folder is accessible");
     let path = dir.path().join("s.toml");
     std::fs::write(&path, "seconds = 3\n\n[[faults]]\nkind = \"hang\"\nat_s = 1\nfor_s = 1\nwho = \"p9\"\n")
         .expect("written");
@@ -87,7 +88,7 @@
         .args(["fleet", "check"])
         .arg(&path)
         .output()
-        .expect("it starts");
+        .expect("the process starts");
     let said = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{said}");
     assert_eq!(said.lines().count(), 1, "{said}");
@@ -95,11 +96,11 @@
 }
 
 #[test]
-fn all_schedules_of_the_repository_are_right_and_their_plans_are_the_same_each_time() {
+fn all_schedules_of_the_repository_are_valid_and_give_reproducible_plans() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/fleet");
     let mut count = 0;
     for entry in std::fs::read_dir(folder).expect("schedules") {
-        let path = entry.expect("a file").path();
+        let path = entry.expect("the file is accessible").path();
         let schedule: Schedule = lab::input::file::read(&path).unwrap_or_else(|e| panic!("{e}"));
         assert_eq!(schedule.plan(3), schedule.plan(3), "{path:?}");
         count += 1;
