--- a/crates/lab/src/fleet/links/owner.rs
+++ b/crates/lab/src/fleet/links/owner.rs
@@ -254,7 +254,7 @@
         let (id, events) = (self.count, self.events.clone());
         let (forward, backward) = (relay.forward.clone(), relay.backward.clone());
         // Evaluated here because the condition may be lifted before the task first runs.
-        let held = forward.holds_all() || backward.holds_all();
+        let held = forward.blocks_all() || backward.blocks_all();
         let work =
             tcp::connection(socket, held, relay.target.clone(), forward, backward, self.context.clone());
         let task = self.executor.spawn(async move {
--- a/crates/lab/src/fleet/links/tcp.rs
+++ b/crates/lab/src/fleet/links/tcp.rs
@@ -108,7 +108,7 @@
     context: &RelayContext,
 ) -> bool {
     loop {
-        if forward.holds_all() || backward.holds_all() {
+        if forward.blocks_all() || backward.blocks_all() {
             held = true;
             let look = context.until(Some(context.now() + HELD_CHECK_US));
             future::or(future::or(forward.changes(), backward.changes()), look).await;
@@ -125,7 +125,7 @@
             backward.changes().await;
             false
         };
-        if future::or(passed, cut).await && !forward.holds_all() && !backward.holds_all() {
+        if future::or(passed, cut).await && !forward.blocks_all() && !backward.blocks_all() {
             return !held || !peer_has_closed(near.get_ref());
         }
     }
@@ -267,7 +267,7 @@
         }
         let context = self.context;
         let mut scratch = context.scratch.borrow_mut();
-        let most = self.direction.max_read(READ_SIZE).min(MAX_BUFFERED - self.waiting);
+        let most = self.direction.max_chunk_len(READ_SIZE).min(MAX_BUFFERED - self.waiting);
         let what = match self.from.socket.get_ref().read(&mut scratch[..most]) {
             Ok(0) if self.from.dead.get() => ItemKind::Reset,
             Ok(0) => ItemKind::End,
--- a/crates/lab/src/fleet/links/udp.rs
+++ b/crates/lab/src/fleet/links/udp.rs
@@ -50,7 +50,7 @@
         loop {
             if version != self.direction.version() {
                 version = self.direction.version();
-                if self.direction.holds_all() {
+                if self.direction.blocks_all() {
                     self.direction.count(|t| t.lost += in_flight.all.len() as u64);
                     in_flight = InFlight::default();
                 }
--- a/crates/lab/src/fleet/stage.rs
+++ b/crates/lab/src/fleet/stage.rs
@@ -6,7 +6,7 @@
 //! models of machines here: where service times, stores and queues matter, use a scenario
 //! ([`crate::loopback`]).
 
-use crate::loopback::socket::speech::{self, Command, Dialect, TryId};
+use crate::loopback::socket::wire::{self, Command, Dialect, TryId};
 use crate::loopback::Clock;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -21,7 +21,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 use world::facts::TryNo;
-use world::fleet::schedule::NodeAct;
+use world::fleet::schedule::NodeAction;
 use world::random::{exponential, stream};
 use world::Micros;
 
@@ -31,7 +31,7 @@
 /// Maximum number of requests in flight per forwarder; further ones are not sent.
 const MAX_IN_FLIGHT: usize = 64;
 /// Maximum number of events kept.
-const MAX_EVENTS: usize = history::MOST;
+const MAX_EVENTS: usize = history::MAX_ITEMS;
 /// Size of a value in bytes.
 const VALUE_BYTES: u32 = 64;
 const KEY_COUNT: u32 = 100_000;
@@ -85,7 +85,7 @@
 }
 
 enum Order {
-    Node(usize, NodeAct),
+    Node(usize, NodeAction),
     /// Sets the address of a forwarder.
     At(usize, Option<SocketAddr>),
     Begin,
@@ -145,7 +145,7 @@
     }
 
     /// Sets the behaviour of a node.
-    pub fn node(&self, node: usize, act: NodeAct) {
+    pub fn node(&self, node: usize, act: NodeAction) {
         self.order(Order::Node(node, act));
     }
 
@@ -184,7 +184,7 @@
     setting: Setting,
     addresses: Vec<SocketAddr>,
     executor: Rc<LocalExecutor<'static>>,
-    acts: Vec<Cell<NodeAct>>,
+    acts: Vec<Cell<NodeAction>>,
     /// Accept task and connection tasks of each node.
     accept_tasks: RefCell<Vec<Option<Task<()>>>>,
     connection_tasks: RefCell<Vec<Vec<Task<()>>>>,
@@ -208,7 +208,7 @@
             setting,
             addresses,
             executor,
-            acts: (0..setting.nodes).map(|_| Cell::new(NodeAct::Serve)).collect(),
+            acts: (0..setting.nodes).map(|_| Cell::new(NodeAction::Serve)).collect(),
             accept_tasks: RefCell::new((0..setting.nodes).map(|_| None).collect()),
             connection_tasks: RefCell::new((0..setting.nodes).map(|_| Vec::new()).collect()),
             forwarders: RefCell::new(vec![None; setting.forwarders]),
@@ -273,14 +273,14 @@
         }
     }
 
-    async fn act(self: &Rc<Self>, node: usize, act: NodeAct) {
+    async fn act(self: &Rc<Self>, node: usize, act: NodeAction) {
         let (Some(now), Some(address)) = (self.acts.get(node), self.addresses.get(node)) else { return };
         let before = now.replace(act);
-        if act == NodeAct::Crash {
+        if act == NodeAction::Crash {
             let accept_loop = self.accept_tasks.borrow_mut().get_mut(node).and_then(Option::take);
             let connection_tasks = self.connection_tasks.borrow_mut().get_mut(node).map(std::mem::take);
             drop((accept_loop, connection_tasks));
-        } else if before == NodeAct::Crash {
+        } else if before == NodeAction::Crash {
             for _ in 0..LISTEN_TRIES {
                 if let Ok(listener) = listen(*address) {
                     return self.open(node, listener);
@@ -308,7 +308,7 @@
     /// Serves a connection to a node until it ends.
     async fn serve_connection(self: Rc<Self>, node: usize, socket: Async<TcpStream>) {
         let (mut socket, mut input, mut bytes) = (socket, Vec::new(), [0; 4096]);
-        let hangs = || self.acts.get(node).is_some_and(|a| a.get() == NodeAct::Hang);
+        let hangs = || self.acts.get(node).is_some_and(|a| a.get() == NodeAction::Hang);
         loop {
             while let Some((command, taken)) = Dialect::Cache.command(&input) {
                 input.drain(..taken);
@@ -319,12 +319,12 @@
                 match command {
                     Command::Keyed { key, id, .. } => {
                         Timer::after(self.setting.service).await;
-                        let value = speech::value(&key, &id, VALUE_BYTES as usize);
-                        speech::put_array(&mut out, [Some(&value), Some(b"hit"), None]);
+                        let value = wire::value(&key, &id, VALUE_BYTES as usize);
+                        wire::put_array(&mut out, [Some(&value), Some(b"hit"), None]);
                     }
                     Command::Load => resp::put_bulk(&mut out, b"util=0.1,eps=0"),
                     Command::Ping => out.extend_from_slice(b"+PONG\r\n"),
-                    Command::Courtesy => out.extend_from_slice(b"+OK\r\n"),
+                    Command::ClientSetup => out.extend_from_slice(b"+OK\r\n"),
                     _ => return,
                 }
                 if !hangs() && socket.write_all(&out).await.is_err() {
@@ -348,9 +348,9 @@
             };
             let told = async move {
                 let mut out = Vec::new();
-                speech::put_stream(&mut out);
+                wire::put_stream(&mut out);
                 loop {
-                    speech::put_chunk(&mut out, b"\n");
+                    wire::put_chunk(&mut out, b"\n");
                     if socket.write_all(&out).await.is_err() {
                         return;
                     }
@@ -473,7 +473,7 @@
                 _ => None,
             };
             let Some(value) = value else { return End::Failed };
-            if speech::made_for(&value) != Some((key.as_bytes(), TryNo(id))) {
+            if wire::made_for(&value) != Some((key.as_bytes(), TryNo(id))) {
                 self.record(ClientEvent::Stray { id, at: self.clock.now() });
             }
             *idle = Some(socket);
--- a/crates/lab/src/loopback/cost/load.rs
+++ b/crates/lab/src/loopback/cost/load.rs
@@ -1,8 +1,8 @@
-//! Clients in a closed loop: on each connection the next request goes out when the answer is there.
+//! Closed-loop clients: each connection sends its next request once the previous one is answered.
 
 use super::protocol::{Protocol, Read};
-use super::{Plan, PATIENCE, TENANT};
-use crate::loopback::socket::speech::{Properties, TryId};
+use super::{Plan, CLIENT_TIMEOUT, TENANT};
+use crate::loopback::socket::wire::{Properties, TryId};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -18,11 +18,11 @@
 use world::outcome::Latencies;
 use world::random::mix;
 
-/// Keys that are asked for, evenly.
-const KEYS: u64 = 20_000;
+/// Number of keys, requested in uniform distribution.
+const KEY_COUNT: u64 = 20_000;
 
 #[derive(Clone, Debug, Default)]
-pub struct Counted {
+pub struct LoadCounts {
     pub served: u64,
     pub failed: u64,
     pub latency: Latencies,
@@ -36,20 +36,20 @@
 }
 
 #[derive(Debug)]
-pub struct Load {
+pub struct LoadGenerator {
     shared: Arc<Shared>,
-    threads: Vec<JoinHandle<Counted>>,
+    threads: Vec<JoinHandle<LoadCounts>>,
 }
 
-impl Load {
+impl LoadGenerator {
     pub fn start(address: SocketAddr, threads: usize, plan: Plan) -> io::Result<Self> {
         let shared = Arc::<Shared>::default();
-        let mut load = Load { shared: shared.clone(), threads: Vec::new() };
+        let mut load = LoadGenerator { shared: shared.clone(), threads: Vec::new() };
         for n in 0..threads {
             let connections = (plan.connections + threads - 1 - n) / threads;
             let shared = shared.clone();
             let run = move || {
-                let counted = Rc::<RefCell<Counted>>::default();
+                let counted = Rc::<RefCell<LoadCounts>>::default();
                 let executor = LocalExecutor::new();
                 let all: Vec<_> = (0..connections)
                     .map(|_| {
@@ -68,15 +68,15 @@
         Ok(load)
     }
 
-    /// Whether what is answered now counts.
+    /// Sets whether answers are counted from now on.
     pub fn count(&self, counts: bool) {
         self.shared.counts.store(counts, Ordering::Relaxed);
     }
 
-    /// Ends all clients once each has its answer.
-    pub fn end(mut self) -> Counted {
+    /// Stops all clients once each has its answer, and returns the totals.
+    pub fn end(mut self) -> LoadCounts {
         self.shared.ends.store(true, Ordering::Relaxed);
-        let mut all = Counted::default();
+        let mut all = LoadCounts::default();
         for counted in self.threads.drain(..).filter_map(|t| t.join().ok()) {
             all.served += counted.served;
             all.failed += counted.failed;
@@ -86,23 +86,23 @@
     }
 }
 
-impl Drop for Load {
+impl Drop for LoadGenerator {
     fn drop(&mut self) {
         self.shared.ends.store(true, Ordering::Relaxed);
     }
 }
 
-/// Goes on until the end; a connection that breaks is a failure, and another one is made.
+/// Sends requests until the end of the measurement; a broken connection counts as a failure and is replaced.
 async fn connection(
     address: SocketAddr,
     protocol: Protocol,
     shared: Arc<Shared>,
-    counted: Rc<RefCell<Counted>>,
+    counted: Rc<RefCell<LoadCounts>>,
 ) {
     let properties = Properties {
         class: "lookup".into(),
         tenant: TENANT.into(),
-        patience: PATIENCE.as_micros() as i64,
+        patience: CLIENT_TIMEOUT.as_micros() as i64,
         ..Properties::default()
     };
     let properties = properties.write();
@@ -130,17 +130,17 @@
     }
 }
 
-/// Asks for a key; whether a value came. `None` where the connection is of no more use.
+/// Reads one key and tells whether a value came; `None` if the connection can no longer be used.
 async fn exchange(
     socket: &mut Async<TcpStream>,
     protocol: Protocol,
     no: u64,
     properties: &str,
 ) -> Option<bool> {
-    let key = format!("{:016x}", mix(no % KEYS + 1));
+    let key = format!("{:016x}", mix(no % KEY_COUNT + 1));
     let id = TryId { of: TryNo(no + 1), work: 0, bytes: 0 }.write();
     let mut out = Vec::new();
-    // Its lowest bits tell it from those before it on this connection.
+    // The low bits are unique among recent requests on this connection.
     let read = Read { number: no as u32, key: &key, id: &id, properties };
     protocol.put_read(&mut out, &read).ok()?;
     socket.write_all(&out).await.ok()?;
--- a/crates/lab/src/loopback/cost/mod.rs
+++ b/crates/lab/src/loopback/cost/mod.rs
@@ -1,57 +1,58 @@
-//! What a request through the proxy costs, beside one straight to a node: CPU, throughput, latency.
+//! Measures the cost of a request through the proxy against one sent directly to a node: CPU, throughput,
+//! latency.
 //!
-//! Nodes here are none of the `world`: they answer every read at once with the same value, so that nothing but the
-//! way there is measured. Clients go in a closed loop, one request at a time on each connection, as fast as they
-//! can. Not for how well a proxy serves: play a scenario for that.
+//! The nodes do not use the models of `world`: they answer every read at once with the same value, so that
+//! only the path to them is measured. Clients run a closed loop, one request at a time on each connection, as
+//! fast as they can. To judge how well a proxy serves, play a scenario instead.
 
-mod always;
 mod load;
 mod protocol;
+mod stub_servers;
 
-use super::children::{Child, Limits, Program, Pulse};
+use super::children::{Child, HealthCheck, Limits, Program};
 use super::settings;
-use super::socket::door::Held;
+use super::socket::port::ReservedPort;
 use crate::host::HostError;
-use always::{Always, Discovery};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 pub use protocol::Protocol;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
+use stub_servers::{StubDiscovery, StubNodes};
 use world::facts::{NodeNo, ProxyNo, ORIGIN};
 use world::outcome::Latencies;
 use world::world::World;
 
-/// What is measured, and for how long.
+/// What to measure, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Plan {
-    /// Each way, without the time that it takes to get going.
+    /// Duration of each measurement, without the warm-up.
     pub seconds: f64,
     pub connections: usize,
     /// Size of a value.
     pub value_bytes: usize,
-    /// What clients speak.
+    /// Protocol of the clients.
     pub clients: Protocol,
-    /// What the nodes behind a proxy speak; one that is asked straight speaks what its clients do.
+    /// Protocol of the nodes behind a proxy; a node that is measured directly uses the clients' protocol.
     pub nodes: Protocol,
 }
 
-/// Threads that clients and nodes run on, each.
+/// Number of threads for the clients, and the same number for the nodes.
 const THREADS: usize = 2;
-const NODES: u32 = 4;
-const KIND: &str = "full-node";
-/// As whom memcached clients ask, who cannot say it; the others say the same.
+const NODE_COUNT: u32 = 4;
+const NODE_KIND: &str = "full-node";
+/// Tenant of memcached clients, whose protocol cannot name one; the other clients send the same.
 const TENANT: &str = "nordurbanki";
-/// How long a client waits.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Not counted at the start of each way.
+/// Client timeout.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time at the start of each measurement that is not counted.
 const WARM_UP: Duration = Duration::from_millis(500);
-const READY: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One way, measured.
+/// Result of one measurement.
 #[derive(Clone, Debug)]
 pub struct Measured {
-    /// Answered with a value, and in any other way.
+    /// Requests answered with a value, and all others.
     pub served: u64,
     pub failed: u64,
     pub seconds: f64,
@@ -67,12 +68,12 @@
         self.served as f64 / self.seconds
     }
 
-    /// Of the proxy, in microseconds a request.
+    /// CPU time of the proxy for each request, in microseconds.
     pub fn proxy_us(&self) -> Option<f64> {
         self.proxy_cpu.map(|cpu| cpu.as_secs_f64() * 1e6 / (self.served + self.failed).max(1) as f64)
     }
 
-    /// As one measurement that went on for both times. Memory is that of the larger one.
+    /// Adds another measurement as if both were one longer measurement. Memory is the larger of the two.
     pub fn merge(&mut self, other: &Measured) {
         self.served += other.served;
         self.failed += other.failed;
@@ -83,77 +84,83 @@
         self.proxy_memory_kb = self.proxy_memory_kb.max(other.proxy_memory_kb);
     }
 
-    /// Of the clients and nodes, in microseconds a request.
+    /// CPU time of the clients and nodes for each request, in microseconds.
     pub fn own_us(&self) -> f64 {
         self.own_cpu.as_secs_f64() * 1e6 / (self.served + self.failed).max(1) as f64
     }
 }
 
-fn system(what: &'static str) -> impl Fn(std::io::Error) -> HostError {
+fn io_error(what: &'static str) -> impl Fn(std::io::Error) -> HostError {
     move |source| HostError::Io { what: what.into(), source }
 }
 
-/// Clients straight at a node.
+/// Measures clients that connect directly to a node.
 pub fn direct(plan: Plan) -> Result<Measured, HostError> {
-    let nodes = Always::start(THREADS, 1, plan.clients, plan.value_bytes).map_err(system("nodes"))?;
+    let nodes = StubNodes::start(THREADS, 1, plan.clients, plan.value_bytes)
+        .map_err(io_error("cannot start the nodes"))?;
     measure(plan, nodes.addresses()[0], None)
 }
 
-/// Clients at one proxy, nodes behind it.
+/// Measures clients that connect to one proxy with nodes behind it.
 pub fn through(plan: Plan, program: &Program) -> Result<Measured, HostError> {
     let world = World::builder()
         .halls(["hofdi"])
         .proxies(1)
-        .nodes(KIND, NODES, |_| {})
-        // No tenant is above its share, whatever it sends.
+        .nodes(NODE_KIND, NODE_COUNT, |_| {})
+        // A high enough rate that no tenant exceeds its share.
         .rate(1e6)
         .build(1)
         .map_err(|problem| HostError::Unplayable(problem.to_string()))?;
-    let nodes = Always::start(THREADS, NODES as usize, plan.nodes, plan.value_bytes);
-    let nodes = nodes.map_err(system("nodes"))?;
-    let discovery = Discovery::start().map_err(system("discovery"))?;
-    let held = Held::take().map_err(system("a port for the proxy"))?;
-    // Nothing misses, so nobody asks the ledger: any node will do for it.
+    let nodes = StubNodes::start(THREADS, NODE_COUNT as usize, plan.nodes, plan.value_bytes);
+    let nodes = nodes.map_err(io_error("cannot start the nodes"))?;
+    let discovery = StubDiscovery::start().map_err(io_error("cannot start discovery"))?;
+    let reserved = ReservedPort::reserve().map_err(io_error("cannot reserve a port for the proxy"))?;
+    // Every read hits, so the origin is never asked and any node's address will do for it.
     let address = |node: NodeNo| nodes.addresses()[if node == ORIGIN { 0 } else { node.0 as usize }];
-    let place = settings::Place {
+    let start = settings::ProxyStart {
         proxy: ProxyNo(0),
-        listen: held.address(),
+        listen: reserved.address(),
         discovery: discovery.address(),
         seed: 1,
     };
-    let configuration = settings::configuration(&world, place, &settings::serving(&world, address));
-    let dir = tempfile::Builder::new().prefix("lab-").tempdir().map_err(system("a folder"))?;
+    let configuration = settings::configuration(&world, start, &settings::serving_list(&world, address));
+    let dir = tempfile::Builder::new()
+        .prefix("lab-")
+        .tempdir()
+        .map_err(io_error("cannot create a temporary directory"))?;
     let path = dir.path().join("config.json");
-    std::fs::write(&path, configuration.to_string()).map_err(system("the configuration"))?;
-    let side = Held::take().map_err(system("a port for memcached clients"))?;
+    std::fs::write(&path, configuration.to_string()).map_err(io_error("cannot write the configuration"))?;
+    let memcached_port =
+        ReservedPort::reserve().map_err(io_error("cannot reserve a port for memcached clients"))?;
     let features = dir.path().join("martenweir.conf");
-    std::fs::write(&features, own_file(plan, side.address())).map_err(system("the proxy's own file"))?;
+    std::fs::write(&features, feature_config(plan, memcached_port.address()))
+        .map_err(io_error("cannot write the proxy's configuration file"))?;
     let limits = Limits { memory_kb: u64::MAX, descriptors: 4096, file_bytes: None };
     let variables = [
         ("NODE_NAME", "n0".to_owned()),
-        ("NODE_LISTEN", held.address().to_string()),
+        ("NODE_LISTEN", reserved.address().to_string()),
         ("NODE_DISCOVERY", discovery.address().to_string()),
         ("NODE_CONFIG", path.display().to_string()),
     ];
     let arguments = ["--conf".into(), features.into()];
     let mut proxy = Child::start("n0", program, limits, dir.path(), &variables, &arguments)?;
-    wait_until_ready(&mut proxy, held.address())?;
+    wait_until_ready(&mut proxy, reserved.address())?;
     let address = match plan.clients {
-        Protocol::Resp => held.address(),
-        Protocol::Memcached => side.address(),
+        Protocol::Resp => reserved.address(),
+        Protocol::Memcached => memcached_port.address(),
     };
     measure(plan, address, Some(&mut proxy))
 }
 
-/// What turns on what is measured, and nothing else.
-fn own_file(plan: Plan, side: SocketAddr) -> String {
+/// The proxy's configuration file: enables the features under measurement and nothing else.
+fn feature_config(plan: Plan, memcached_port: SocketAddr) -> String {
     let mut lines = String::new();
     if plan.clients == Protocol::Memcached {
-        let (port, wait) = (side.port(), PATIENCE.as_millis());
+        let (port, wait) = (memcached_port.port(), CLIENT_TIMEOUT.as_millis());
         lines += &format!("memcacheport {port}\nmemcachetenant {TENANT}\nmemcachereadwait {wait} ms\n");
     }
     if plan.nodes == Protocol::Memcached {
-        lines += &format!("memcachenodes kind {KIND}\n");
+        lines += &format!("memcachenodes kind {NODE_KIND}\n");
     }
     lines
 }
@@ -162,13 +169,13 @@
     let executor = LocalExecutor::new();
     let since = Instant::now();
     async_io::block_on(executor.run(async {
-        let pulse = Pulse::watch(address, &executor);
-        while !pulse.is_ready() {
+        let health = HealthCheck::watch(address, &executor);
+        while !health.is_ready() {
             if let Some(status) = proxy.ended() {
                 return Err(proxy.error(&format!("died ({status})")));
             }
-            if since.elapsed() >= READY {
-                return Err(proxy.error("is not ready"));
+            if since.elapsed() >= READY_TIMEOUT {
+                return Err(proxy.error("did not become ready in time"));
             }
             Timer::after(Duration::from_millis(10)).await;
         }
@@ -177,7 +184,8 @@
 }
 
 fn measure(plan: Plan, address: SocketAddr, mut proxy: Option<&mut Child>) -> Result<Measured, HostError> {
-    let load = load::Load::start(address, THREADS, plan).map_err(system("clients"))?;
+    let load =
+        load::LoadGenerator::start(address, THREADS, plan).map_err(io_error("cannot start the clients"))?;
     std::thread::sleep(WARM_UP);
     let used = |proxy: &Option<&mut Child>| {
         let own = super::children::Usage::of(std::process::id()).unwrap_or_default();
--- a/crates/lab/src/loopback/cost/protocol.rs
+++ b/crates/lab/src/loopback/cost/protocol.rs
@@ -1,14 +1,14 @@
-//! What is spoken in a measurement: RESP2, or the memcached binary protocol. Reads alone, and what nodes that hit
-//! always answer to them and to probes.
+//! Protocols of a measurement: RESP2 or the memcached binary protocol. Covers only reads, and the answers of
+//! nodes that always hit to reads and probes.
 
-use crate::loopback::socket::speech::{self, Command, Dialect};
+use crate::loopback::socket::wire::{self, Command, Dialect};
 use martenweir::codec::resp::{self, Reply};
 use martenweir::codec::Malformed;
 use memcached::{frame, Limits, Opcode, Request, Response, Status, Step};
 
 const LIMITS: Limits = Limits { key: frame::MAX_KEY_LEN, value: resp::MAX_VALUE };
 
-/// What clients or nodes speak.
+/// Protocol of clients or nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Protocol {
     /// RESP2.
@@ -18,13 +18,13 @@
     Memcached,
 }
 
-/// A read as a client says it.
+/// A read as the client sends it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Read<'a> {
-    /// Tells it apart from others; memcached's answers bear it.
+    /// Distinguishes the read from others; memcached answers carry it.
     pub number: u32,
     pub key: &'a str,
-    /// What the memcached protocol has no words for.
+    /// The memcached protocol has no field for the id and the properties.
     pub id: &'a str,
     pub properties: &'a str,
 }
@@ -50,11 +50,11 @@
                 resp::put_command(out, &words);
                 Ok(())
             }
-            Protocol::Memcached => read.frame().put(out).map_err(|_| Malformed("a key that does not fit")),
+            Protocol::Memcached => read.frame().put(out).map_err(|_| Malformed("the key is too long")),
         }
     }
 
-    /// Whether the answer to a read brings a value; `None` while it is not whole.
+    /// Whether the answer to a read carries a value; `None` while it is incomplete.
     pub(super) fn served(self, bytes: &[u8], read: &Read) -> Result<Option<bool>, Malformed> {
         match self {
             Protocol::Resp => {
@@ -67,13 +67,13 @@
                     response.answers(&read.frame()).map_err(Malformed)?;
                     Ok(Some(response.status == Status::OK))
                 }
-                Err(_) => Err(Malformed("no answer of the memcached protocol")),
+                Err(_) => Err(Malformed("not a memcached response")),
             },
         }
     }
 
-    /// Answers what a node is asked first, every read with `value`; how many bytes that took, `None` while it is not
-    /// whole.
+    /// Answers the first request in `bytes`, every read with `value`, as a node does. Returns the number of
+    /// bytes consumed; `None` while the request is incomplete.
     pub(super) fn answer(
         self,
         bytes: &[u8],
@@ -84,7 +84,7 @@
             Protocol::Resp => {
                 let Some((command, taken)) = Dialect::Cache.command(bytes) else { return Ok(None) };
                 match command {
-                    Command::Keyed { .. } => speech::put_array(out, [Some(value), Some(b"hit"), None]),
+                    Command::Keyed { .. } => wire::put_array(out, [Some(value), Some(b"hit"), None]),
                     Command::Load => resp::put_bulk(out, b"eps=0,util=0.1"),
                     Command::Ping => out.extend_from_slice(b"+PONG\r\n"),
                     Command::Malformed(why) => return Err(Malformed(why)),
@@ -96,7 +96,7 @@
                 let (request, taken) = match frame::request(bytes, &LIMITS) {
                     Ok(Step::Incomplete(_)) => return Ok(None),
                     Ok(Step::Complete(request, taken)) => (request, taken),
-                    Err(_) => return Err(Malformed("no request of the memcached protocol")),
+                    Err(_) => return Err(Malformed("not a memcached request")),
                 };
                 let response = Response::new(request.opcode, request.opaque);
                 let response = match request.opcode {
@@ -104,7 +104,7 @@
                     Opcode::NOOP => response,
                     _ => Response { status: Status::UNKNOWN_COMMAND, ..response },
                 };
-                response.put(out).map_err(|_| Malformed("a value that does not fit"))?;
+                response.put(out).map_err(|_| Malformed("the value is too long"))?;
                 Ok(Some(taken))
             }
         }
--- a/crates/lab/src/loopback/host.rs
+++ b/crates/lab/src/loopback/host.rs
@@ -1,10 +1,10 @@
-//! A run from its beginning to its end: the thread of the world, the proxies' processes, and who waits for both.
+//! A whole run: the thread that runs the world, the proxy processes, and the code that waits for both.
 
 use super::children::{Limits, Program, Usage};
 use super::clock::Clock;
-use super::fleet::{Fleet, READY};
-use super::socket::door::Held;
-use super::stage::{Directive, Notice, Parts, Stage, Ways};
+use super::event_loop::{Channels, EventLoop, EventLoopParts, Notice, ProcessCommand};
+use super::fleet::{Fleet, READY_TIMEOUT};
+use super::socket::port::ReservedPort;
 use crate::host::{Host, HostError, Progress};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -20,38 +20,40 @@
 use world::world::World;
 use world::Micros;
 
-/// What real time may add to the limits of time in the rules: the platform's page grants as much. Where
-/// something was later than this for want of a core, a rule that was broken voids the run instead.
+/// Tolerance added to the time limits of the rules because of real time; the platform documents the same
+/// tolerance. If the machine itself was later than this for lack of a CPU, a broken rule makes the run void
+/// instead.
 pub const SLACK_MS: f64 = 50.0;
-/// The clock's first time, well before 0: it is set to 0 when all proxies are ready and clients begin to come.
-const FIRST: Micros = -2 * READY.as_micros() as Micros;
-/// How often processes are looked after.
-const LOOK: Duration = Duration::from_millis(50);
-/// What the threads of a run tell one another about processes: a few for each of them.
-const QUEUE: usize = 1024;
-/// Beyond its time a run lasts this much longer at the most.
-const TAIL: Duration = Duration::from_secs(60);
-/// Descriptors of this process for what is neither a port nor a connection.
-const OWN: u64 = 256;
+/// Initial clock time, well below 0: the clock is set to 0 when all proxies are ready and client traffic
+/// starts.
+const CLOCK_START: Micros = -2 * READY_TIMEOUT.as_micros() as Micros;
+/// Interval between checks of the processes.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Capacity of the queues between the threads of a run; a run sends only a few messages for each process.
+const QUEUE_LEN: usize = 1024;
+/// Longest time that a run may exceed its duration.
+const END_TIMEOUT: Duration = Duration::from_secs(60);
+/// Descriptors of this process other than ports and connections.
+const OWN_DESCRIPTORS: u64 = 256;
 
-/// What is played against.
+/// The proxies that a run is played against.
 #[derive(Clone, Debug)]
 pub enum Proxies {
     /// A process of this program for each proxy of the scenario.
     Program(Program),
-    /// Somebody who listens at these addresses already, one for each: scripted proxies.
-    Elsewhere(Vec<SocketAddr>),
+    /// Scripted proxies that already listen at these addresses, one for each proxy of the scenario.
+    External(Vec<SocketAddr>),
 }
 
-/// A run, and what the proxies used for it.
+/// A run, and the resource usage of its proxies.
 #[derive(Clone, Debug)]
 pub struct Played {
     pub run: Run,
-    /// By proxy; empty where they are elsewhere.
+    /// By proxy; empty for external proxies.
     pub usage: Vec<Usage>,
 }
 
-/// The host on loopback.
+/// The loopback host.
 #[derive(Clone, Debug)]
 pub struct Loopback {
     program: Program,
@@ -66,11 +68,13 @@
 impl Host for Loopback {
     fn run(&self, scenario: &Scenario, seed: u64, progress: &dyn Progress) -> Result<Run, HostError> {
         if scenario.sizes_every_s.is_some() {
-            return Err(HostError::Unplayable("sizes of tables are taken in virtual time only".into()));
+            return Err(HostError::Unplayable(
+                "table sizes are measured in virtual time only (sizes_every_s)".into(),
+            ));
         }
         if scenario.crowd.is_some() {
             return Err(HostError::Unplayable(
-                "a crowd of connections is played in virtual time only".into(),
+                "a crowd of connections is played in virtual time only (crowd)".into(),
             ));
         }
         let world = World::new(scenario, seed, ms(SLACK_MS));
@@ -83,66 +87,71 @@
     }
 }
 
-/// Plays a world that was made, with its scripted peers, in real time.
+/// Plays a prepared world, including its scripted peers, in real time.
 ///
 /// # Errors
 ///
-/// As [`Host::run`]: where a process dies, hangs, leaks or takes more than its limits, or the system refuses.
+/// Those of [`Host::run`]: if a process dies, hangs, leaks or exceeds its limits, or a system call fails.
 pub fn play(world: World, proxies: &Proxies, progress: &dyn Progress) -> Result<Played, HostError> {
     let count = world.proxies().len();
     let system = |what: &'static str| move |source| HostError::Io { what: what.into(), source };
-    make_room(&world)?;
-    let (held, addresses) = match proxies {
+    raise_descriptor_limit(&world)?;
+    let (reserved, addresses) = match proxies {
         Proxies::Program(_) => {
-            let held: Result<Vec<Held>, _> = (0..count).map(|_| Held::take()).collect();
-            let held = held.map_err(system("ports for the proxies"))?;
-            let addresses = held.iter().map(Held::address).collect();
-            (held, addresses)
+            let reserved: Result<Vec<ReservedPort>, _> =
+                (0..count).map(|_| ReservedPort::reserve()).collect();
+            let reserved = reserved.map_err(system("cannot reserve ports for the proxies"))?;
+            let addresses = reserved.iter().map(ReservedPort::address).collect();
+            (reserved, addresses)
         }
-        Proxies::Elsewhere(addresses) if addresses.len() == count => (Vec::new(), addresses.clone()),
-        Proxies::Elsewhere(addresses) => {
-            let what = format!("{} proxies are there, the scenario wants {count}", addresses.len());
+        Proxies::External(addresses) if addresses.len() == count => (Vec::new(), addresses.clone()),
+        Proxies::External(addresses) => {
+            let what =
+                format!("{} proxy addresses were given, the scenario has {count} proxies", addresses.len());
             return Err(HostError::Unplayable(what));
         }
     };
-    let dir = tempfile::Builder::new().prefix("lab-").tempdir().map_err(system("a folder for the run"))?;
+    let dir = tempfile::Builder::new()
+        .prefix("lab-")
+        .tempdir()
+        .map_err(system("cannot create a temporary directory for the run"))?;
     let scenario = world.scenario().clone();
     let limits = Limits {
         memory_kb: u64::from(scenario.proxies.memory_mb) * 1024,
         descriptors: u64::from(scenario.proxies.sockets),
         file_bytes: None,
     };
-    let clock = Clock::start(FIRST);
-    let mut theatre = Theatre::open(world, &addresses, &clock)?;
+    let clock = Clock::start(CLOCK_START);
+    let mut world_thread = WorldThread::open(world, &addresses, &clock)?;
     let mut fleet = match proxies {
         Proxies::Program(program) => {
-            Some(Fleet::new(program, limits, dir.path(), &addresses, theatre.notices.clone()))
+            Some(Fleet::new(program, limits, dir.path(), &addresses, world_thread.notices.clone()))
         }
-        Proxies::Elsewhere(_) => None,
+        Proxies::External(_) => None,
     };
-    let conduct = Conduct { clock, seconds: scenario.seconds, progress };
+    let driver = RunDriver { clock, seconds: scenario.seconds, progress };
     let executor = LocalExecutor::new();
-    let conducted = async_io::block_on(executor.run(conduct.play(&mut theatre, fleet.as_mut(), &executor)));
-    if conducted.is_err() {
-        let _ = theatre.notices.try_send(Notice::Stop);
+    let driven = async_io::block_on(executor.run(driver.play(&mut world_thread, fleet.as_mut(), &executor)));
+    if driven.is_err() {
+        let _ = world_thread.notices.try_send(Notice::Stop);
     }
     let usage = fleet.as_ref().map(Fleet::usage).unwrap_or_default();
-    let run = theatre.close();
-    conducted?;
+    let run = world_thread.close();
+    driven?;
     let mut run = run?;
     if let Some(fleet) = &mut fleet {
-        fleet.look_for_leaks()?;
-        let starved = fleet.starved().as_micros() as Micros;
-        run.late.max_us = run.late.max_us.max(starved);
+        fleet.check_for_leaks()?;
+        let max_cpu_wait = fleet.max_cpu_wait().as_micros() as Micros;
+        run.late.max_us = run.late.max_us.max(max_cpu_wait);
     }
-    drop(held);
-    // A rule that was broken by less than this machine may have been late itself is no verdict on a proxy.
+    drop(reserved);
+    // A rule broken by less than the lateness of this machine says nothing about a proxy.
     run.late.void |= run.breaches > 0 && run.late.max_us > ms(SLACK_MS);
     Ok(Played { run, usage })
 }
 
-/// Two descriptors a port, and as many connections as may be open at once.
-fn make_room(world: &World) -> Result<(), HostError> {
+/// Raises the descriptor limit: two for each port, and as many connections as may be open at once.
+fn raise_descriptor_limit(world: &World) -> Result<(), HostError> {
     let s = world.scenario();
     let grown = |f: &world::scenario::Fault| match f.kind {
         FaultKind::Grow => u64::from(f.nodes.unwrap_or(0)),
@@ -150,7 +159,7 @@
     };
     let nodes = world.members().len() as u64 + 1 + s.faults.iter().map(grown).sum::<u64>();
     let proxies = world.proxies().len() as u64;
-    let wanted = OWN + 2 * proxies * (nodes + 1) + 2 * proxies * u64::from(s.proxies.sockets);
+    let wanted = OWN_DESCRIPTORS + 2 * proxies * (nodes + 1) + 2 * proxies * u64::from(s.proxies.sockets);
     let limit = getrlimit(Resource::Nofile);
     if limit.current.is_none_or(|current| current >= wanted) {
         return Ok(());
@@ -160,44 +169,46 @@
     if !enough || setrlimit(Resource::Nofile, raised).is_err() {
         let most = limit.maximum.unwrap_or(0);
         return Err(HostError::Unplayable(format!(
-            "{nodes} nodes and {proxies} proxies want {wanted} descriptors, {most} are allowed"
+            "{nodes} nodes and {proxies} proxies need {wanted} descriptors, the hard limit is {most}"
         )));
     }
     Ok(())
 }
 
-/// The thread of the world.
-struct Theatre {
+/// The thread that runs the world.
+struct WorldThread {
     thread: Option<JoinHandle<Result<Run, HostError>>>,
-    directives: async_channel::Receiver<Directive>,
+    process_commands: async_channel::Receiver<ProcessCommand>,
     notices: async_channel::Sender<Notice>,
     configurations: Vec<String>,
 }
 
-impl Theatre {
+impl WorldThread {
     fn open(world: World, proxies: &[SocketAddr], clock: &Clock) -> Result<Self, HostError> {
-        let (tell, directives) = async_channel::bounded(QUEUE);
-        let (notices, hear) = async_channel::bounded(QUEUE);
+        let (command_sender, process_commands) = async_channel::bounded(QUEUE_LEN);
+        let (notices, notice_receiver) = async_channel::bounded(QUEUE_LEN);
         let (opened, open) = std::sync::mpsc::channel();
-        let parts = Parts {
+        let parts = EventLoopParts {
             clock: clock.clone(),
             world,
             proxies: proxies.to_vec(),
-            ways: Ways { directives: tell, notices: hear },
+            channels: Channels { process_commands: command_sender, notices: notice_receiver },
         };
         let thread = thread::Builder::new().name("world".into()).spawn(move || {
-            let (stage, configurations) = Stage::open(parts)?;
+            let (event_loop, configurations) = EventLoop::open(parts)?;
             let _ = opened.send(configurations);
-            stage.run()
+            event_loop.run()
         });
-        let thread = thread.map_err(|source| HostError::Io { what: "a thread".into(), source })?;
-        let mut theatre = Theatre { thread: Some(thread), directives, notices, configurations: Vec::new() };
+        let thread = thread
+            .map_err(|source| HostError::Io { what: "cannot start the world thread".into(), source })?;
+        let mut world_thread =
+            WorldThread { thread: Some(thread), process_commands, notices, configurations: Vec::new() };
         match open.recv() {
-            Ok(configurations) => theatre.configurations = configurations,
-            // It has ended before it was open, and says why.
-            Err(_) => drop(theatre.close()?),
+            Ok(configurations) => world_thread.configurations = configurations,
+            // The thread failed during setup and returns its error.
+            Err(_) => drop(world_thread.close()?),
         }
-        Ok(theatre)
+        Ok(world_thread)
     }
 
     fn is_over(&self) -> bool {
@@ -208,75 +219,78 @@
         let ended = self.thread.take().map(JoinHandle::join);
         match ended {
             Some(Ok(run)) => run,
-            // It has panicked, and said why.
-            Some(Err(_)) | None => Err(HostError::Unplayable("the stand-ins have failed".into())),
+            // The thread panicked; the panic message was printed.
+            Some(Err(_)) | None => Err(HostError::Unplayable("the world thread panicked".into())),
         }
     }
 }
 
-/// Whoever waits for the run.
-struct Conduct<'a> {
+/// Waits for the run and supervises the processes.
+struct RunDriver<'a> {
     clock: Clock,
     seconds: f64,
     progress: &'a dyn Progress,
 }
 
-impl Conduct<'_> {
+impl RunDriver<'_> {
     async fn play(
         &self,
-        theatre: &mut Theatre,
+        world_thread: &mut WorldThread,
         mut fleet: Option<&mut Fleet<'_>>,
         executor: &LocalExecutor<'_>,
     ) -> Result<(), HostError> {
         let signals = Signals::new([Signal::Int, Signal::Term]);
-        let mut signals = signals.map_err(|source| HostError::Io { what: "signals".into(), source })?;
+        let mut signals = signals
+            .map_err(|source| HostError::Io { what: "cannot register signal handlers".into(), source })?;
         let interrupted = async {
             signals.next().await;
             Err(HostError::Interrupted)
         };
         let play = async {
             if let Some(fleet) = &mut fleet {
-                self.progress.phase(&format!("starting {} proxies", theatre.configurations.len()));
-                for (i, configuration) in theatre.configurations.iter().enumerate() {
+                self.progress.phase(&format!("starting {} proxies", world_thread.configurations.len()));
+                for (i, configuration) in world_thread.configurations.iter().enumerate() {
                     fleet.start(world::facts::ProxyNo(i as u32), configuration, executor)?;
                 }
                 while !fleet.is_ready() {
-                    fleet.look()?;
-                    if theatre.is_over() {
-                        // It says why.
+                    fleet.check()?;
+                    if world_thread.is_over() {
+                        // The thread returns the error.
                         return Ok(());
                     }
                     Timer::after(Duration::from_millis(10)).await;
                 }
-                fleet.look()?;
+                fleet.check()?;
             }
             self.progress.phase("playing");
-            let _ = theatre.notices.send(Notice::Begin).await;
-            let until = Instant::now() + Duration::from_secs_f64(self.seconds) + TAIL;
-            while !theatre.is_over() {
+            let _ = world_thread.notices.send(Notice::Begin).await;
+            let until = Instant::now() + Duration::from_secs_f64(self.seconds) + END_TIMEOUT;
+            while !world_thread.is_over() {
                 if let Some(fleet) = &mut fleet {
-                    fleet.look()?;
+                    fleet.check()?;
                 }
                 self.progress.part((self.clock.now() as f64 / 1e6 / self.seconds).clamp(0.0, 1.0));
                 if Instant::now() >= until {
-                    return Err(HostError::Unplayable("the run does not come to its end".into()));
+                    return Err(HostError::Unplayable(
+                        "the run did not end in time after its last second".into(),
+                    ));
                 }
-                let directive = async {
-                    match theatre.directives.recv().await {
-                        Ok(directive) => Some(directive),
+                let process_command = async {
+                    match world_thread.process_commands.recv().await {
+                        Ok(process_command) => Some(process_command),
                         // The thread is about to end.
                         Err(_) => future::pending().await,
                     }
                 };
-                let look = async {
-                    Timer::after(LOOK).await;
+                let check = async {
+                    Timer::after(CHECK_INTERVAL).await;
                     None
                 };
-                let Some(directive) = future::or(directive, look).await else { continue };
+                let Some(process_command) = future::or(process_command, check).await else { continue };
                 match &mut fleet {
-                    Some(fleet) => fleet.obey(&directive, executor)?,
+                    Some(fleet) => fleet.apply(&process_command, executor)?,
                     None => {
-                        let what = "the proxies are not the lab's to end or start".into();
+                        let what = "external proxies cannot be ended or started by the lab".into();
                         return Err(HostError::Unplayable(what));
                     }
                 }
--- a/crates/lab/src/loopback/socket/speech.rs
+++ b/crates/lab/src/loopback/socket/wire.rs
@@ -1,27 +1,28 @@
-//! What is said on sockets: commands as cache nodes (RESP2) and the ledger and discovery (HTTP/1.1) read them, and
-//! their answers as bytes. Pure, incremental and bounded, as the parsers of the proxy are.
+//! Wire formats: parses commands to cache nodes (RESP2) and to the origin and discovery (HTTP/1.1), and
+//! encodes their answers. Pure, incremental and bounded, like the parsers of the proxy.
 //!
-//! RESP goes through the proxy's own codec, which has recorded exchanges of its own. The side of HTTP that serves is
-//! here: the proxy has only the other one. Source of the forms: the platform's page on the protocol.
+//! RESP uses the proxy's own codec, which is tested against recorded exchanges. The server side of HTTP is
+//! here because the proxy has only the client side. Source of the formats: the platform's documentation of
+//! the protocol.
 
 use martenweir::codec::{http, resp, Malformed, Parsed};
 use world::facts::TryNo;
 use world::Micros;
 
-/// The longest line of an HTTP request, and the most bytes of its head.
-const LINE: usize = 8 * 1024;
-const HEAD: usize = http::MAX_HEAD;
-const HEADERS: usize = 64;
+/// Longest line of an HTTP request, and the most bytes and headers of its head.
+const MAX_LINE_BYTES: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = http::MAX_HEAD;
+const MAX_HEADERS: usize = 64;
 
-/// What somebody speaks who listens.
+/// The protocol of a stand-in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dialect {
     Cache,
-    Ledger,
+    Origin,
     Discovery,
 }
 
-/// A command as it was read.
+/// A parsed command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// A read, or a write with its value.
@@ -34,26 +35,28 @@
     /// Asks for the load.
     Load,
     Ping,
-    /// `CLIENT` and `SELECT`, which libraries send by themselves.
-    Courtesy,
-    /// Discovery's whole list, or all changes after a revision for as long as the connection lasts.
+    /// `CLIENT` and `SELECT`, which client libraries send on their own.
+    ClientSetup,
+    /// Discovery's whole list, or a watch: all changes after a revision for as long as the connection lasts.
     List,
     Watch {
         after: Option<u64>,
     },
-    /// What the protocol has no word for, but is well formed.
+    /// Well formed, but not part of the protocol.
     Unknown,
-    /// A form that nobody may send; why.
+    /// Malformed; says why.
     Malformed(&'static str),
 }
 
 impl Dialect {
-    /// The next command; one that is malformed takes all bytes.
+    /// Parses the next command; a malformed one consumes all bytes.
     pub fn command(self, bytes: &[u8]) -> Option<(Command, usize)> {
         let parsed = match self {
-            Dialect::Cache => words(bytes),
-            Dialect::Ledger | Dialect::Discovery => request(bytes).map(|r| {
-                r.map(|(r, taken)| (if self == Dialect::Ledger { ledger(r) } else { discovery(&r) }, taken))
+            Dialect::Cache => resp_command(bytes),
+            Dialect::Origin | Dialect::Discovery => request(bytes).map(|r| {
+                r.map(|(r, taken)| {
+                    (if self == Dialect::Origin { origin_command(r) } else { discovery_command(&r) }, taken)
+                })
             }),
         };
         match parsed {
@@ -63,21 +66,21 @@
     }
 }
 
-fn words(bytes: &[u8]) -> Parsed<Command> {
+fn resp_command(bytes: &[u8]) -> Parsed<Command> {
     let Some((words, taken)) = resp::command(bytes)? else { return Ok(None) };
-    let verb = words.first().map(|w| w.to_ascii_uppercase()).unwrap_or_default();
+    let name = words.first().map(|w| w.to_ascii_uppercase()).unwrap_or_default();
     let mut rest = words.into_iter().skip(1);
     let count = rest.len();
     let mut next = || rest.next().unwrap_or_default();
-    let command = match (verb.as_slice(), count) {
+    let command = match (name.as_slice(), count) {
         (b"CACHE.GET", 3) => Command::Keyed { key: next(), id: next(), properties: next(), value: None },
         (b"CACHE.SET", 4) => {
             Command::Keyed { key: next(), id: next(), properties: next(), value: Some(next()) }
         }
         (b"PING", 0) => Command::Ping,
         (b"INFO", 1) if next().eq_ignore_ascii_case(b"load") => Command::Load,
-        (b"CLIENT" | b"SELECT", _) => Command::Courtesy,
-        (b"CACHE.GET" | b"CACHE.SET", _) => Command::Malformed("a wrong number of words"),
+        (b"CLIENT" | b"SELECT", _) => Command::ClientSetup,
+        (b"CACHE.GET" | b"CACHE.SET", _) => Command::Malformed("wrong number of arguments"),
         _ => Command::Unknown,
     };
     Ok(Some((command, taken)))
@@ -98,18 +101,22 @@
     }
 }
 
-/// A whole request with a body of a told length (RFC 9112, 2.1, 6.2).
+/// Parses a complete request whose body length is given by Content-Length (RFC 9112, 2.1, 6.2).
 pub fn request(bytes: &[u8]) -> Parsed<Request> {
     let mut at = 0;
     let mut line = || -> Result<Option<String>, Malformed> {
         let rest = &bytes[at..];
-        let Some(end) = rest.iter().take(LINE).position(|b| *b == b'\n') else {
-            return if rest.len() >= LINE { Err(Malformed("a line is too long")) } else { Ok(None) };
+        let Some(end) = rest.iter().take(MAX_LINE_BYTES).position(|b| *b == b'\n') else {
+            return if rest.len() >= MAX_LINE_BYTES {
+                Err(Malformed("a line is too long"))
+            } else {
+                Ok(None)
+            };
         };
         let text = rest[..end].strip_suffix(b"\r").ok_or(Malformed("a line does not end in CRLF"))?;
-        let text = std::str::from_utf8(text).map_err(|_| Malformed("a head that is no text"))?;
+        let text = std::str::from_utf8(text).map_err(|_| Malformed("the head is not valid UTF-8"))?;
         at += end + 1;
-        if at > HEAD {
+        if at > MAX_HEAD_BYTES {
             return Err(Malformed("the headers are too long"));
         }
         Ok(Some(text.to_owned()))
@@ -122,7 +129,7 @@
         || parts.next() != Some("HTTP/1.1")
         || parts.next().is_some()
     {
-        return Err(Malformed("not a request of HTTP/1.1"));
+        return Err(Malformed("not an HTTP/1.1 request line"));
     }
     let mut request =
         Request { method: method.to_owned(), path: path.to_owned(), headers: Vec::new(), body: Vec::new() };
@@ -131,14 +138,14 @@
         if text.is_empty() {
             break;
         }
-        if request.headers.len() >= HEADERS {
+        if request.headers.len() >= MAX_HEADERS {
             return Err(Malformed("too many headers"));
         }
         let (name, value) = text.split_once(':').ok_or(Malformed("a header without a colon"))?;
         request.headers.push((name.to_owned(), value.trim().to_owned()));
     }
     if request.header("transfer-encoding").is_some() {
-        return Err(Malformed("a request in chunks"));
+        return Err(Malformed("chunked requests are not supported"));
     }
     let length = match request.header("content-length") {
         None => 0,
@@ -146,14 +153,14 @@
         Some(_) => usize::MAX,
     };
     if length > resp::MAX_VALUE {
-        return Err(Malformed("an invalid or oversized content-length"));
+        return Err(Malformed("invalid or oversized content-length"));
     }
     let Some(body) = bytes.get(at..at + length) else { return Ok(None) };
     request.body = body.to_vec();
     Ok(Some((request, at + length)))
 }
 
-fn ledger(request: Request) -> Command {
+fn origin_command(request: Request) -> Command {
     let word = |name: &str| request.header(name).unwrap_or_default().as_bytes().to_vec();
     let key = request.path.as_bytes()[1..].to_vec();
     let (id, properties) = (word("X-Trace-Id"), word("X-Props"));
@@ -169,7 +176,7 @@
     }
 }
 
-fn discovery(request: &Request) -> Command {
+fn discovery_command(request: &Request) -> Command {
     let (path, query) = request.path.split_once('?').unwrap_or((&request.path, ""));
     if request.method != "GET" || path != "/registry/instances" {
         return Command::Unknown;
@@ -183,7 +190,7 @@
     }
 }
 
-/// A response with a body of a told length.
+/// Encodes a response with a Content-Length.
 pub fn put_response(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], body: &[u8]) {
     let reason = match status {
         200 => "OK",
@@ -199,7 +206,7 @@
     out.extend_from_slice(body);
 }
 
-/// The head of an answer that goes on for as long as its connection lasts, and a piece of it.
+/// Encodes the head of a chunked response that lasts as long as its connection; [`put_chunk`] adds to it.
 pub fn put_stream(out: &mut Vec<u8>) {
     out.extend_from_slice(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
 }
@@ -210,7 +217,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// An answer of a cache node: the value or null, how the read went, the load or null.
+/// Encodes a cache node's answer: the value or null, the result of the read, the load or null.
 pub fn put_array(out: &mut Vec<u8>, items: [Option<&[u8]>; 3]) {
     out.extend_from_slice(b"*3\r\n");
     for item in items {
@@ -221,8 +228,8 @@
     }
 }
 
-/// What a try is, as its id tells the stand-ins: no proxy reads it, and no table has to be kept in step with it.
-/// Written `TRY.WORK.BYTES` in hexadecimal.
+/// A description of a try, carried in its id for the stand-ins: no proxy reads it, and no shared table is
+/// needed. Written `TRY.WORK.BYTES` in hexadecimal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TryId {
     pub of: TryNo,
@@ -245,35 +252,36 @@
     }
 }
 
-/// The value that is made for a try: it names the key and the try, so that whoever gets it can tell whose it is.
+/// The value returned for a try: it contains the key and the id, so that the receiver can tell which try it
+/// belongs to.
 pub fn value(key: &[u8], id: &[u8], bytes: usize) -> Vec<u8> {
     let mut value = [key, b" ", id, b" "].concat();
     value.resize(bytes.clamp(value.len(), resp::MAX_VALUE.max(value.len())), b'.');
     value
 }
 
-/// The key and the try that a value was made for.
+/// The key and the try that a value was created for.
 pub fn made_for(value: &[u8]) -> Option<(&[u8], TryNo)> {
     let mut parts = value.splitn(3, |b| *b == b' ');
     let (key, id) = (parts.next()?, parts.next()?);
     Some((key, TryId::read(id)?.of))
 }
 
-/// The names and values that come with a request.
+/// The properties that are sent with a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Properties {
     pub class: String,
     pub tenant: String,
-    /// How long whoever sends it waits, in microseconds.
+    /// How long the sender waits, in microseconds.
     pub patience: Micros,
     /// An idempotency key.
     pub repeat: Option<u64>,
-    /// A client's retry.
+    /// Whether this is a client's retry.
     pub again: bool,
 }
 
 impl Properties {
-    /// `None` where what every request has is missing or makes no sense.
+    /// `None` if a required property is missing or invalid.
     pub fn read(text: &[u8]) -> Option<Properties> {
         let mut p = Properties::default();
         for pair in std::str::from_utf8(text).ok()?.split(',') {
--- a/crates/lab/tests/fleet_links.rs
+++ b/crates/lab/tests/fleet_links.rs
@@ -572,7 +572,7 @@
     const COUNT: u8 = 40;
     let peers = UdpPeers::new();
     let (condition, expected) = fault;
-    let all_lost = condition.holds_all();
+    let all_lost = condition.blocks_all();
     let nothing = |direction| assert_eq!(seen(&peers.exchange(direction, COUNT), COUNT), Seen::default());
     nothing(direction);
     peers.set(direction, condition);
