--- a/crates/lab/src/fleet/judge/tests.rs
+++ b/crates/lab/src/fleet/judge/tests.rs
@@ -5,11 +5,12 @@
 
 const S: Micros = 1_000_000;
 
-/// What a fleet of three forwarders and a planner saw of a node that hung from the 1st to the 9th second, and of a planner.
+/// Observations of a fleet of three forwarders and a planner, in which one node hung from the 1st to the 9th
+/// second.
 struct Seen {
     schedule: Schedule,
     tracks: BTreeMap<String, Track>,
-    met: Vec<Met>,
+    met: Vec<ClientEvent>,
 }
 
 impl Seen {
@@ -28,14 +29,14 @@
             seen.say(name, 11 * S, What::Returns("s0".into()));
         }
         seen.met = vec![
-            Met::Asked { id: 0, at: S, forwarder: 0 },
-            Met::Ended { id: 0, at: S + 5_000, end: End::Value },
+            ClientEvent::Asked { id: 0, at: S, forwarder: 0 },
+            ClientEvent::Ended { id: 0, at: S + 5_000, end: End::Value },
         ];
         seen
     }
 
     fn say(&mut self, name: &str, at: Micros, what: What) {
-        let changes = &mut self.tracks.get_mut(name).expect("a process").changes;
+        let changes = &mut self.tracks.get_mut(name).expect("the process is known").changes;
         changes.push(Change { at, life: 1, what });
         changes.sort_by_key(|c| c.at);
     }
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn what_is_right_breaks_nothing_and_is_measured() {
+fn a_correct_run_breaks_no_rule_and_is_measured() {
     let seen = Seen::right();
     assert_eq!(seen.broken(), []);
     let (plan, rules) = (seen.schedule.plan(1), plan::Rules::default());
@@ -64,16 +65,16 @@
 }
 
 #[test]
-fn each_rule_is_broken_by_what_breaks_it() {
+fn each_rule_detects_its_violation() {
     let mut lost = Seen::right();
-    lost.met[1] = Met::Ended { id: 0, at: 3 * S, end: End::Late };
+    lost.met[1] = ClientEvent::Ended { id: 0, at: 3 * S, end: End::Late };
     assert_eq!(lost.broken(), [Rule::OneOutcome]);
     lost.say("f0", 2 * S, What::Stopped);
     lost.say("f0", 2 * S + 1, What::Resumed);
-    assert_eq!(lost.broken(), [], "it stood still meanwhile");
+    assert_eq!(lost.broken(), [], "the forwarder was stopped meanwhile");
 
     let mut twice = Seen::right();
-    twice.met.push(Met::Stray { id: 0, at: 2 * S });
+    twice.met.push(ClientEvent::Stray { id: 0, at: 2 * S });
     assert_eq!(twice.broken(), [Rule::OneOutcome]);
 
     let mut deaf = Seen::right();
@@ -104,6 +105,6 @@
 
     let mut poor = Seen::right();
     poor.schedule.expect.lost = Some(0.1);
-    poor.met[1] = Met::Ended { id: 0, at: S + 5_000, end: End::Refused };
+    poor.met[1] = ClientEvent::Ended { id: 0, at: S + 5_000, end: End::Refused };
     assert_eq!(poor.broken(), [Rule::Served]);
 }
--- a/crates/lab/src/fleet/stage.rs
+++ b/crates/lab/src/fleet/stage.rs
@@ -1,9 +1,10 @@
-//! What surrounds a fleet: stand-in cache nodes, discovery, and clients with a small steady load.
+//! The surroundings of a fleet: stand-in cache nodes, discovery, and clients with a small steady load.
 //!
-//! It owns one thread with all their sockets, and what was seen on them. Nodes answer everything after a fixed time with
-//! a value that names its key and request; they hang or are away when they are told to. Clients have one request at a
-//! time on a connection, so that each answer is of a known one. No models of machines in here: where service,
-//! stores and queues matter, play a scenario ([`crate::loopback`]).
+//! It owns one thread with all their sockets and records the events of the clients. Nodes answer every
+//! request after a fixed time with a value that names its key and request; on command they hang or go away. A
+//! client connection carries one request at a time, so that each answer can be attributed. There are no
+//! models of machines here: where service times, stores and queues matter, use a scenario
+//! ([`crate::loopback`]).
 
 use crate::loopback::socket::wire::{self, Command, Dialect, TryId};
 use crate::loopback::Clock;
@@ -24,28 +25,28 @@
 use world::random::{exponential, stream};
 use world::Micros;
 
-/// What clients say that they wait, and for how long after that an answer still counts.
-pub const PATIENCE: Duration = Duration::from_millis(1_000);
+/// The timeout that clients declare, and how much longer an answer is still accepted.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_000);
 const GRACE: Duration = Duration::from_millis(1_000);
-/// Requests of one forwarder's clients that are out at a time; more are not sent.
-const MOST_OUT: usize = 64;
-/// Events that are kept.
-const MOST_MET: usize = history::MAX_ITEMS;
-/// Bytes of a value.
-const VALUE: u32 = 64;
-const KEYS: u32 = 100_000;
-/// A sign of life of discovery comes this often.
-const LIFE: Duration = Duration::from_secs(2);
-/// Tries to listen at an address again.
-const TRIES: usize = 100;
+/// Maximum number of requests in flight per forwarder; further ones are not sent.
+const MAX_IN_FLIGHT: usize = 64;
+/// Maximum number of events kept.
+const MAX_EVENTS: usize = history::MAX_ITEMS;
+/// Size of a value in bytes.
+const VALUE_BYTES: u32 = 64;
+const KEY_COUNT: u32 = 100_000;
+/// Interval of the keepalives of discovery.
+const DISCOVERY_KEEPALIVE: Duration = Duration::from_secs(2);
+/// Number of attempts to listen on an address again.
+const LISTEN_TRIES: usize = 100;
 
-/// What is set up.
+/// Parameters of the stage.
 #[derive(Clone, Copy, Debug)]
 pub struct Setting {
     pub nodes: usize,
     pub forwarders: usize,
     pub service: Duration,
-    /// Requests a second to each forwarder.
+    /// Requests per second to each forwarder.
     pub rate: f64,
     pub seed: u64,
 }
@@ -54,7 +55,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     Value,
-    /// Refused, or failed, with an answer that says so.
+    /// The answer was an error: `BUSY`, or any other failure.
     Refused,
     Failed,
     /// The connection broke before an answer came.
@@ -63,9 +64,9 @@
     Late,
 }
 
-/// What clients met, in the order of time.
+/// Events of the clients, in order of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
+pub enum ClientEvent {
     Asked {
         id: u64,
         at: Micros,
@@ -76,7 +77,7 @@
         at: Micros,
         end: End,
     },
-    /// Something came after the answer, or an answer to another request.
+    /// Extra data came after the answer, or the answer was for another request.
     Stray {
         id: u64,
         at: Micros,
@@ -85,14 +86,14 @@
 
 enum Order {
     Node(usize, NodeAction),
-    /// Where a forwarder listens now.
+    /// Sets the address of a forwarder.
     At(usize, Option<SocketAddr>),
     Begin,
-    /// No more requests; what was met so far is handed out once all that are out have ended.
-    End(Sender<Vec<Met>>),
+    /// Stops sending requests; replies with the events once all requests in flight have ended.
+    End(Sender<Vec<ClientEvent>>),
 }
 
-/// See the file's comment. Dropped, it ends.
+/// See the module documentation. Dropping it ends the thread.
 #[derive(Debug)]
 pub struct Stage {
     orders: Sender<(Order, Sender<()>)>,
@@ -110,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// No socket or no thread to be had.
+    /// No socket or no thread is available.
     pub fn start(clock: Clock, setting: Setting) -> io::Result<Stage> {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let listeners: Vec<Async<TcpListener>> =
@@ -122,8 +123,8 @@
         let nodes = addresses.clone();
         let thread = std::thread::Builder::new().name("fleet-stage".into()).spawn(move || {
             let executor = Rc::new(LocalExecutor::new());
-            let scene = Scene::new(clock, setting, addresses, executor.clone());
-            async_io::block_on(executor.run(scene.work(listeners, taken)));
+            let state = StageState::new(clock, setting, addresses, executor.clone());
+            async_io::block_on(executor.run(state.work(listeners, taken)));
         })?;
         Ok(Stage { orders, nodes, discovery, thread: Some(thread) })
     }
@@ -143,25 +144,25 @@
         }
     }
 
-    /// What a node does from now on.
+    /// Sets the behaviour of a node.
     pub fn node(&self, node: usize, act: NodeAction) {
         self.order(Order::Node(node, act));
     }
 
-    /// Where a forwarder listens now, if it does.
+    /// Sets the address of a forwarder; `None` if it does not listen.
     pub fn at(&self, forwarder: usize, address: Option<SocketAddr>) {
         self.order(Order::At(forwarder, address));
     }
 
-    /// Clients begin to ask.
+    /// Starts the clients.
     pub fn begin(&self) {
         self.order(Order::Begin);
     }
 
-    /// Clients ask no more. What they met, once nothing is out.
-    pub fn end(&self) -> Vec<Met> {
-        let (met, told) = async_channel::bounded(1);
-        self.order(Order::End(met));
+    /// Stops the clients; returns their events once no request is in flight.
+    pub fn end(&self) -> Vec<ClientEvent> {
+        let (events, told) = async_channel::bounded(1);
+        self.order(Order::End(events));
         told.recv_blocking().unwrap_or_default()
     }
 }
@@ -175,51 +176,51 @@
     }
 }
 
-/// A connection of a client that waits for its next request, with the last one that went over it.
+/// An idle client connection, and the id of its last request.
 type Idle = (Async<TcpStream>, u64);
 
-struct Scene {
+struct StageState {
     clock: Clock,
     setting: Setting,
     addresses: Vec<SocketAddr>,
     executor: Rc<LocalExecutor<'static>>,
     acts: Vec<Cell<NodeAction>>,
-    /// Of each node: who listens, and its connections.
-    doors: RefCell<Vec<Option<Task<()>>>>,
-    visitors: RefCell<Vec<Vec<Task<()>>>>,
+    /// Accept task and connection tasks of each node.
+    accept_tasks: RefCell<Vec<Option<Task<()>>>>,
+    connection_tasks: RefCell<Vec<Vec<Task<()>>>>,
     forwarders: RefCell<Vec<Option<SocketAddr>>>,
     idle: RefCell<Vec<Vec<Idle>>>,
     out: Cell<usize>,
-    asked: Cell<u64>,
-    asks: Cell<bool>,
-    met: RefCell<Vec<Met>>,
+    next_id: Cell<u64>,
+    sending: Cell<bool>,
+    events: RefCell<Vec<ClientEvent>>,
 }
 
-impl Scene {
+impl StageState {
     fn new(
         clock: Clock,
         setting: Setting,
         addresses: Vec<SocketAddr>,
         executor: Rc<LocalExecutor<'static>>,
-    ) -> Rc<Scene> {
-        Rc::new(Scene {
+    ) -> Rc<StageState> {
+        Rc::new(StageState {
             clock,
             setting,
             addresses,
             executor,
             acts: (0..setting.nodes).map(|_| Cell::new(NodeAction::Serve)).collect(),
-            doors: RefCell::new((0..setting.nodes).map(|_| None).collect()),
-            visitors: RefCell::new((0..setting.nodes).map(|_| Vec::new()).collect()),
+            accept_tasks: RefCell::new((0..setting.nodes).map(|_| None).collect()),
+            connection_tasks: RefCell::new((0..setting.nodes).map(|_| Vec::new()).collect()),
             forwarders: RefCell::new(vec![None; setting.forwarders]),
             idle: RefCell::new((0..setting.forwarders).map(|_| Vec::new()).collect()),
             out: Cell::new(0),
-            asked: Cell::new(0),
-            asks: Cell::new(false),
-            met: RefCell::default(),
+            next_id: Cell::new(0),
+            sending: Cell::new(false),
+            events: RefCell::default(),
         })
     }
 
-    /// Until nobody gives orders any more.
+    /// Runs until the order channel closes.
     async fn work(
         self: Rc<Self>,
         mut listeners: Vec<Async<TcpListener>>,
@@ -242,18 +243,18 @@
                     }
                 }
                 Order::Begin => {
-                    self.asks.set(true);
+                    self.sending.set(true);
                     let one = |f| self.executor.spawn(self.clone().clients(f));
                     clients = (0..self.setting.forwarders).map(one).collect();
                 }
-                Order::End(met) => {
-                    self.asks.set(false);
-                    let scene = self.clone();
+                Order::End(events) => {
+                    self.sending.set(false);
+                    let state = self.clone();
                     let end = async move {
-                        while scene.out.get() > 0 {
+                        while state.out.get() > 0 {
                             Timer::after(Duration::from_millis(20)).await;
                         }
-                        let _ = met.send(scene.met.take()).await;
+                        let _ = events.send(state.events.take()).await;
                     };
                     self.executor.spawn(end).detach();
                 }
@@ -261,14 +262,14 @@
             let _ = done.send(()).await;
         }
         drop((clients, discovery));
-        self.doors.borrow_mut().clear();
-        self.visitors.borrow_mut().clear();
+        self.accept_tasks.borrow_mut().clear();
+        self.connection_tasks.borrow_mut().clear();
     }
 
     fn open(self: &Rc<Self>, node: usize, listener: Async<TcpListener>) {
-        let task = self.executor.spawn(self.clone().door(node, listener));
-        if let Some(door) = self.doors.borrow_mut().get_mut(node) {
-            *door = Some(task);
+        let task = self.executor.spawn(self.clone().accept_loop(node, listener));
+        if let Some(accept_loop) = self.accept_tasks.borrow_mut().get_mut(node) {
+            *accept_loop = Some(task);
         }
     }
 
@@ -276,11 +277,11 @@
         let (Some(now), Some(address)) = (self.acts.get(node), self.addresses.get(node)) else { return };
         let before = now.replace(act);
         if act == NodeAction::Crash {
-            let door = self.doors.borrow_mut().get_mut(node).and_then(Option::take);
-            let visitors = self.visitors.borrow_mut().get_mut(node).map(std::mem::take);
-            drop((door, visitors));
+            let accept_loop = self.accept_tasks.borrow_mut().get_mut(node).and_then(Option::take);
+            let connection_tasks = self.connection_tasks.borrow_mut().get_mut(node).map(std::mem::take);
+            drop((accept_loop, connection_tasks));
         } else if before == NodeAction::Crash {
-            for _ in 0..TRIES {
+            for _ in 0..LISTEN_TRIES {
                 if let Ok(listener) = listen(*address) {
                     return self.open(node, listener);
                 }
@@ -289,23 +290,23 @@
         }
     }
 
-    async fn door(self: Rc<Self>, node: usize, listener: Async<TcpListener>) {
+    async fn accept_loop(self: Rc<Self>, node: usize, listener: Async<TcpListener>) {
         loop {
             let Ok((socket, _)) = listener.accept().await else {
                 Timer::after(Duration::from_millis(50)).await;
                 continue;
             };
             let _ = socket.get_ref().set_nodelay(true);
-            let task = self.executor.spawn(self.clone().visit(node, socket));
-            if let Some(visitors) = self.visitors.borrow_mut().get_mut(node) {
-                visitors.retain(|t| !t.is_finished());
-                visitors.push(task);
+            let task = self.executor.spawn(self.clone().serve_connection(node, socket));
+            if let Some(connection_tasks) = self.connection_tasks.borrow_mut().get_mut(node) {
+                connection_tasks.retain(|t| !t.is_finished());
+                connection_tasks.push(task);
             }
         }
     }
 
     /// Serves a connection to a node until it ends.
-    async fn visit(self: Rc<Self>, node: usize, socket: Async<TcpStream>) {
+    async fn serve_connection(self: Rc<Self>, node: usize, socket: Async<TcpStream>) {
         let (mut socket, mut input, mut bytes) = (socket, Vec::new(), [0; 4096]);
         let hangs = || self.acts.get(node).is_some_and(|a| a.get() == NodeAction::Hang);
         loop {
@@ -318,7 +319,7 @@
                 match command {
                     Command::Keyed { key, id, .. } => {
                         Timer::after(self.setting.service).await;
-                        let value = wire::value(&key, &id, VALUE as usize);
+                        let value = wire::value(&key, &id, VALUE_BYTES as usize);
                         wire::put_array(&mut out, [Some(&value), Some(b"hit"), None]);
                     }
                     Command::Load => resp::put_bulk(&mut out, b"util=0.1,eps=0"),
@@ -338,7 +339,7 @@
         }
     }
 
-    /// The list is in the configurations already, and nothing about it changes.
+    /// Sends keepalives only: the member list is part of the configuration and does not change.
     async fn discover(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             let Ok((mut socket, _)) = listener.accept().await else {
@@ -354,55 +355,55 @@
                         return;
                     }
                     out.clear();
-                    Timer::after(LIFE).await;
+                    Timer::after(DISCOVERY_KEEPALIVE).await;
                 }
             };
             self.executor.spawn(told).detach();
         }
     }
 
-    fn meet(&self, met: Met) {
-        let mut all = self.met.borrow_mut();
-        if all.len() < MOST_MET {
-            all.push(met);
+    fn record(&self, events: ClientEvent) {
+        let mut all = self.events.borrow_mut();
+        if all.len() < MAX_EVENTS {
+            all.push(events);
         }
     }
 
-    /// The clients of a forwarder: requests at a steady rate with drawn gaps.
+    /// Sends requests to a forwarder at a steady mean rate with exponentially distributed gaps.
     async fn clients(self: Rc<Self>, forwarder: usize) {
         let mut random = stream(self.setting.seed, "clients", forwarder as u64);
         let mut due = self.clock.now();
         let out = Rc::new(Cell::new(0_usize));
-        while self.asks.get() {
+        while self.sending.get() {
             due += (exponential(&mut random) * 1e6 / self.setting.rate) as Micros;
             Timer::at(self.clock.instant(due)).await;
             let address = self.forwarders.borrow().get(forwarder).copied().flatten();
-            let (Some(address), true) = (address, out.get() < MOST_OUT) else { continue };
-            if !self.asks.get() {
+            let (Some(address), true) = (address, out.get() < MAX_IN_FLIGHT) else { continue };
+            if !self.sending.get() {
                 break;
             }
-            let id = self.asked.get();
-            self.asked.set(id + 1);
-            let key = format!("{:x}", random.random_range(1..KEYS));
-            let (scene, out) = (self.clone(), out.clone());
+            let id = self.next_id.get();
+            self.next_id.set(id + 1);
+            let key = format!("{:x}", random.random_range(1..KEY_COUNT));
+            let (state, out) = (self.clone(), out.clone());
             out.set(out.get() + 1);
             self.out.set(self.out.get() + 1);
             let request = async move {
-                scene.request(forwarder, address, id, &key).await;
+                state.request(forwarder, address, id, &key).await;
                 out.set(out.get() - 1);
-                scene.out.set(scene.out.get() - 1);
+                state.out.set(state.out.get() - 1);
             };
             self.executor.spawn(request).detach();
         }
     }
 
-    /// A connection that waits and has nothing to say.
+    /// Takes an idle connection without pending data.
     fn idle(&self, forwarder: usize) -> Option<Async<TcpStream>> {
         loop {
             let (socket, last) = self.idle.borrow_mut().get_mut(forwarder)?.pop()?;
             match socket.get_ref().peek(&mut [0]) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return Some(socket),
-                Ok(n) if n > 0 => self.meet(Met::Stray { id: last, at: self.clock.now() }),
+                Ok(n) if n > 0 => self.record(ClientEvent::Stray { id: last, at: self.clock.now() }),
                 _ => {}
             }
         }
@@ -413,24 +414,24 @@
             Some(socket) => socket,
             None => match Async::<TcpStream>::connect(address).await {
                 Ok(socket) => socket,
-                // Nobody has taken it.
+                // The request was never sent, so it is not recorded.
                 Err(_) => return,
             },
         };
         let _ = socket.get_ref().set_nodelay(true);
-        let word = TryId { of: TryNo(id), work: 0, bytes: VALUE }.write();
-        let properties = format!("c=lookup,d={}", PATIENCE.as_millis());
+        let word = TryId { of: TryNo(id), work: 0, bytes: VALUE_BYTES }.write();
+        let properties = format!("c=lookup,d={}", REQUEST_TIMEOUT.as_millis());
         let mut command = Vec::new();
         let words = [&b"CACHE.GET"[..], key.as_bytes(), word.as_bytes(), properties.as_bytes()];
         resp::put_command(&mut command, &words);
-        self.meet(Met::Asked { id, at: self.clock.now(), forwarder });
+        self.record(ClientEvent::Asked { id, at: self.clock.now(), forwarder });
         let late = async {
-            Timer::after(PATIENCE + GRACE).await;
+            Timer::after(REQUEST_TIMEOUT + GRACE).await;
             End::Late
         };
         let mut idle = None;
         let end = future::or(self.exchange(socket, id, key, &command, &mut idle), late).await;
-        self.meet(Met::Ended { id, at: self.clock.now(), end });
+        self.record(ClientEvent::Ended { id, at: self.clock.now(), end });
         let same = self.forwarders.borrow().get(forwarder).copied().flatten() == Some(address);
         if let (Some(socket), true) = (idle, same) {
             if let Some(all) = self.idle.borrow_mut().get_mut(forwarder) {
@@ -460,7 +461,7 @@
             let Ok(parsed) = resp::reply(&input) else { return End::Failed };
             let Some((reply, taken)) = parsed else { continue };
             if taken < input.len() {
-                self.meet(Met::Stray { id, at: self.clock.now() });
+                self.record(ClientEvent::Stray { id, at: self.clock.now() });
             }
             let value = match reply {
                 Reply::Bulk(value) => value,
@@ -473,7 +474,7 @@
             };
             let Some(value) = value else { return End::Failed };
             if wire::made_for(&value) != Some((key.as_bytes(), TryNo(id))) {
-                self.meet(Met::Stray { id, at: self.clock.now() });
+                self.record(ClientEvent::Stray { id, at: self.clock.now() });
             }
             *idle = Some(socket);
             return End::Value;
