--- a/crates/lab/src/virtual_host/mod.rs
+++ b/crates/lab/src/virtual_host/mod.rs
@@ -79,7 +79,8 @@
 /// use world::world::World;
 ///
 /// // One proxy and one node that answers every request with an error: only the few reads that the proxy
-/// sends to // the origin instead are served, and no rule is broken. let world = World::builder()
+/// // sends to the origin instead are served, and no rule is broken.
+/// let world = World::builder()
 ///     .seconds(2.0)
 ///     .proxies(1)
 ///     .nodes("full-node", 1, |_| {})
