--- a/crates/lab/examples/operators_planners.rs
+++ b/crates/lab/examples/operators_planners.rs
@@ -205,8 +205,9 @@
 
 /// Where a process listens, once it does.
 fn listening(processes: &Processes, name: &str, event: &str) -> io::Result<SocketAddr> {
-    let line =
-        processes.hear(name, Mark::default(), &LineFilter::event(event), READY).map_err(io::Error::other)?;
+    let line = processes
+        .wait_for_line(name, Mark::default(), &LineFilter::event(event), READY)
+        .map_err(io::Error::other)?;
     line.address().ok_or_else(|| io::Error::other(format!("{name} does not tell where it listens")))
 }
 
--- a/crates/lab/src/fleet/judge.rs
+++ b/crates/lab/src/fleet/judge.rs
@@ -326,7 +326,7 @@
         for f in self.forwarders() {
             let Some(track) = self.track(f) else { continue };
             for c in &track.changes {
-                let (matter, says) = match &c.what {
+                let (subject, says) = match &c.what {
                     What::Avoids(m) => (m, "avoided"),
                     What::Returns(m) => (m, "taken back"),
                     _ => continue,
@@ -334,7 +334,7 @@
                 changes.push(failure_detection::Change {
                     at_us: c.at,
                     observer: format!("{}/{}", self.plan.name(f), c.life),
-                    subject: matter.clone(),
+                    subject: subject.clone(),
                     says: says.into(),
                 });
             }
--- a/crates/lab/src/fleet/judge/tests.rs
+++ b/crates/lab/src/fleet/judge/tests.rs
@@ -24,7 +24,7 @@
             seen.say(name, -9 * S, What::Started);
         }
         for name in ["f0", "f1", "f2"] {
-            seen.say(name, -8 * S, What::Hears("p0".into()));
+            seen.say(name, -8 * S, What::Connected("p0".into()));
             seen.say(name, 2 * S, What::Avoids("s0".into()));
             seen.say(name, 11 * S, What::Returns("s0".into()));
         }
@@ -78,7 +78,7 @@
     assert_eq!(twice.broken(), [Rule::OneOutcome]);
 
     let mut deaf = Seen::right();
-    deaf.say("f1", 12 * S, What::Misses("p0".into()));
+    deaf.say("f1", 12 * S, What::Disconnected("p0".into()));
     assert_eq!(deaf.broken(), [Rule::Converged]);
 
     let mut flaps = Seen::right();
--- a/crates/lab/src/fleet/log.rs
+++ b/crates/lab/src/fleet/log.rs
@@ -132,7 +132,7 @@
     }
 
     /// Restricts to messages that contain this text.
-    pub fn saying(self, text: &str) -> LineFilter {
+    pub fn containing(self, text: &str) -> LineFilter {
         LineFilter { says: Some(text.to_owned()), ..self }
     }
 
@@ -141,7 +141,7 @@
         LineFilter { test: Some(Arc::new(test)), ..self }
     }
 
-    pub fn is(&self, line: &Line) -> bool {
+    pub fn matches(&self, line: &Line) -> bool {
         self.process.as_deref().is_none_or(|p| p == &*line.process)
             && self.life.is_none_or(|l| l == line.life)
             && self.event.as_deref().is_none_or(|e| e == line.event)
@@ -221,7 +221,7 @@
     }
 
     /// Adds a line read from a process.
-    pub fn hear(&self, process: &Arc<str>, life: u32, said: &str) {
+    pub fn push_output(&self, process: &Arc<str>, life: u32, said: &str) {
         let object = serde_json::from_str::<Value>(said).ok();
         let (event, message, fields) = match object {
             Some(Value::Object(mut fields)) => {
@@ -239,7 +239,7 @@
     }
 
     /// Adds a line about the lab's own action or observation.
-    pub fn tell(&self, process: &Arc<str>, life: u32, event: &str, message: String) {
+    pub fn push_event(&self, process: &Arc<str>, life: u32, event: &str, message: String) {
         let bytes = event.len() + message.len();
         self.push(bytes, Line { event: event.to_owned(), message, ..Line::of(process, life, By::Lab) });
     }
@@ -268,7 +268,7 @@
 
     /// Returns the matching lines after a mark that are still kept, in order of arrival.
     pub fn lines(&self, since: Mark, wanted: &LineFilter) -> Vec<Arc<Line>> {
-        self.held().since(since).filter(|l| wanted.is(l)).cloned().collect()
+        self.held().since(since).filter(|l| wanted.matches(l)).cloned().collect()
     }
 
     /// Number of dropped lines per process.
@@ -291,7 +291,7 @@
         let (mut held, mut from, mut missed) = (self.held(), since, 0);
         loop {
             missed += held.first().saturating_sub(from.0);
-            if let Some(line) = held.since(from).find(|l| wanted.is(l)) {
+            if let Some(line) = held.since(from).find(|l| wanted.matches(l)) {
                 return Ok(line.clone());
             }
             from = Mark(held.next);
--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -347,7 +347,7 @@
     fn step(&self, plan: &Plan, step: &Step) {
         let tell = |name: &str, what: String| {
             let life = self.processes.life(name).unwrap_or(0);
-            self.log.tell(&Arc::from(name), life, "lab_step", what);
+            self.log.push_event(&Arc::from(name), life, "lab_step", what);
         };
         match &step.action {
             Action::Link { from, to, condition } => {
@@ -367,7 +367,7 @@
                     NodeAction::Crash => "crashes",
                     NodeAction::Serve => "serves",
                 };
-                self.log.tell(&Arc::from(plan.name(*who)), 1, "lab_node", word.to_owned());
+                self.log.push_event(&Arc::from(plan.name(*who)), 1, "lab_node", word.to_owned());
             }
             Action::Process { who, what } => {
                 let name = plan.name(*who);
@@ -430,7 +430,7 @@
     /// nothing if the process was not told to end and still runs.
     fn start_once_ended(&self, spec: Spec) {
         let (processes, name) = (self.processes.clone(), spec.name.clone());
-        let told = self.log.lines(Mark::default(), &LineFilter::event(lab_event::TOLD_TO_END).of(&name));
+        let told = self.log.lines(Mark::default(), &LineFilter::event(lab_event::TERMINATED).of(&name));
         let life = processes.life(&name).unwrap_or(0);
         if !told.iter().any(|l| l.life == life) {
             return;
--- a/crates/lab/src/fleet/processes/keeper.rs
+++ b/crates/lab/src/fleet/processes/keeper.rs
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 struct Running {
     child: Child,
-    its_end: OwnedFd,
+    exit_descriptor: OwnedFd,
     held: Option<Hold>,
 }
 
@@ -109,9 +109,13 @@
     ) -> Result<T, ProcessError> {
         let (answer, answered) = sync_channel(1);
         let job: Job = Box::new(move |keeper| drop(answer.send(job(keeper))));
-        self.jobs.as_ref().ok_or(ProcessError::Gone)?.send(job).map_err(|_| ProcessError::Gone)?;
+        self.jobs
+            .as_ref()
+            .ok_or(ProcessError::KeeperEnded)?
+            .send(job)
+            .map_err(|_| ProcessError::KeeperEnded)?;
         self.wake();
-        answered.recv().map_err(|_| ProcessError::Gone)?
+        answered.recv().map_err(|_| ProcessError::KeeperEnded)?
     }
 
     fn wake(&self) {
@@ -134,7 +138,7 @@
 
 impl Drop for OutputEndNotice {
     fn drop(&mut self) {
-        self.0.tell(&self.1, self.2, lab_event::HEARD_OUT, String::new());
+        self.0.push_event(&self.1, self.2, lab_event::OUTPUT_ENDED, String::new());
     }
 }
 
@@ -181,7 +185,7 @@
     }
 
     fn sleep(&self, woken: &OwnedFd) {
-        let ends = self.slots.values().filter_map(|s| s.running.as_ref()).map(|r| r.its_end.as_fd());
+        let ends = self.slots.values().filter_map(|s| s.running.as_ref()).map(|r| r.exit_descriptor.as_fd());
         let all = [woken.as_fd()].into_iter().chain(ends);
         let mut all: Vec<PollFd> = all.map(|fd| PollFd::from_borrowed_fd(fd, PollFlags::IN)).collect();
         let left = self.due.keys().next().map(|(at, _)| at.saturating_duration_since(Instant::now()));
@@ -209,7 +213,7 @@
         slot.running = None;
         slot.last = Some(status);
         self.roster.set(&slot.name, None);
-        self.log.tell(&slot.name, slot.life, lab_event::ENDED, status.to_string());
+        self.log.push_event(&slot.name, slot.life, lab_event::ENDED, status.to_string());
         let Some(again) = slot.again.take() else { return };
         let (life, folder) = (slot.life, slot.folder.clone());
         let label = slot.name.clone();
@@ -218,10 +222,10 @@
         }
         if again.folder == Folder::Lost {
             let (event, said) = match remove(&folder) {
-                Ok(()) => (lab_event::FOLDER_GONE, String::new()),
+                Ok(()) => (lab_event::FOLDER_REMOVED, String::new()),
                 Err(why) => (lab_event::FAILED, why.to_string()),
             };
-            self.log.tell(&label, life, event, said);
+            self.log.push_event(&label, life, event, said);
         }
         self.at(again.down, Due::Start(name.to_owned(), life, again.folder));
     }
@@ -259,7 +263,7 @@
 
     fn failed(&self, name: &str, why: &ProcessError) {
         if let Some(slot) = self.slots.get(name) {
-            self.log.tell(&slot.name, slot.life, lab_event::FAILED, why.to_string());
+            self.log.push_event(&slot.name, slot.life, lab_event::FAILED, why.to_string());
         }
     }
 
@@ -292,9 +296,9 @@
         slot.again = None;
         let (label, life) = (slot.name.clone(), slot.life);
         // Logged before the process can write anything; a failed start is followed by `FAILED`.
-        log.tell(&label, life, lab_event::STARTED, String::new());
-        let heard_out = OutputEndNotice(log.clone(), label.clone(), life);
-        let hear = move |line: &str| heard_out.0.hear(&heard_out.1, heard_out.2, line);
+        log.push_event(&label, life, lab_event::STARTED, String::new());
+        let notice = OutputEndNotice(log.clone(), label.clone(), life);
+        let on_line = move |line: &str| notice.0.push_output(&notice.1, notice.2, line);
         let Spec { program, arguments, variables, limits, .. } = &slot.spec;
         let variables: Vec<(&str, String)> = variables.iter().map(|(k, v)| (&**k, v.clone())).collect();
         let child = Child::start_with_line_handler(
@@ -304,12 +308,12 @@
             &slot.folder,
             &variables,
             arguments,
-            hear,
+            on_line,
         )?;
-        let its_end =
+        let exit_descriptor =
             child.exit_descriptor().map_err(|source| ProcessError::Io { what: name.to_owned(), source })?;
         roster.set(&label, Some(child.pid()));
-        slot.running = Some(Running { child, its_end, held: None });
+        slot.running = Some(Running { child, exit_descriptor, held: None });
         Ok(life)
     }
 
@@ -376,14 +380,14 @@
 
     pub(super) fn terminate(&mut self, name: &str) -> Result<(), ProcessError> {
         let (log, slot) = self.running(name)?;
-        log.tell(&slot.name, slot.life, lab_event::TOLD_TO_END, String::new());
+        log.push_event(&slot.name, slot.life, lab_event::TERMINATED, String::new());
         slot.running.iter_mut().for_each(|r| r.child.terminate());
         Ok(())
     }
 
     pub(super) fn kill(&mut self, name: &str) -> Result<(), ProcessError> {
         let (log, slot) = self.running(name)?;
-        log.tell(&slot.name, slot.life, lab_event::KILLED, String::new());
+        log.push_event(&slot.name, slot.life, lab_event::KILLED, String::new());
         match slot.running.as_mut().and_then(|r| r.child.end()) {
             Some(status) => self.ended(name, status),
             None => return Err(ProcessError::Runs(name.to_owned())),
@@ -404,7 +408,7 @@
         };
         if running.held.replace(hold).is_none() {
             running.child.stop();
-            log.tell(&label, life, lab_event::STOPPED, String::new());
+            log.push_event(&label, life, lab_event::STOPPED, String::new());
         }
         if let Some(how_long) = how_long {
             self.at(how_long, Due::Resume(name.to_owned(), life));
@@ -425,7 +429,7 @@
         let Some(running) = &mut slot.running else { return Ok(()) };
         if running.held.take().is_some() {
             // Logged first, so that the output of the process comes after it.
-            log.tell(&slot.name, slot.life, lab_event::RESUMED, String::new());
+            log.push_event(&slot.name, slot.life, lab_event::RESUMED, String::new());
             running.child.resume();
         }
         Ok(())
@@ -507,7 +511,7 @@
             Some(bytes) => format!("file size limit set to {bytes} bytes"),
             None => "file size limit removed".to_owned(),
         };
-        log.tell(&slot.name, slot.life, lab_event::DISK, said);
+        log.push_event(&slot.name, slot.life, lab_event::DISK, said);
         Ok(())
     }
 
@@ -522,7 +526,7 @@
         let done = damage.apply(&folder)?;
         let slot = self.slot(name)?;
         let (label, life) = (slot.name.clone(), slot.life);
-        self.log.tell(&label, life, lab_event::DAMAGED, done);
+        self.log.push_event(&label, life, lab_event::DAMAGED, done);
         Ok(())
     }
 
@@ -543,7 +547,7 @@
     }
 
     /// Cancels all timed actions and sends SIGTERM to all processes; returns those that were running.
-    pub(super) fn tell_all_to_end(&mut self) -> Vec<(String, u32)> {
+    pub(super) fn terminate_all(&mut self) -> Vec<(String, u32)> {
         self.due.clear();
         self.slots.values_mut().for_each(|slot| slot.again = None);
         let names: Vec<String> = self.slots.keys().cloned().collect();
--- a/crates/lab/src/fleet/processes/mod.rs
+++ b/crates/lab/src/fleet/processes/mod.rs
@@ -43,14 +43,14 @@
     /// A scheduled start failed.
     pub const FAILED: &str = "lab_failed";
     /// SIGTERM was sent.
-    pub const TOLD_TO_END: &str = "lab_told_to_end";
+    pub const TERMINATED: &str = "lab_told_to_end";
     pub const KILLED: &str = "lab_killed";
     pub const STOPPED: &str = "lab_stopped";
     pub const RESUMED: &str = "lab_resumed";
     pub const ENDED: &str = "lab_ended";
     /// All output of the process has been read.
-    pub const HEARD_OUT: &str = "lab_heard_out";
-    pub const FOLDER_GONE: &str = "lab_folder_gone";
+    pub const OUTPUT_ENDED: &str = "lab_heard_out";
+    pub const FOLDER_REMOVED: &str = "lab_folder_gone";
     pub const DISK: &str = "lab_disk";
     pub const DAMAGED: &str = "lab_damaged";
 }
@@ -79,7 +79,7 @@
     #[error(transparent)]
     WaitTimeout(#[from] WaitTimeout),
     #[error("the keeper thread has ended")]
-    Gone,
+    KeeperEnded,
 }
 
 /// Specification of a process.
@@ -388,7 +388,7 @@
     /// # Errors
     ///
     /// There is no such process; no matching line came.
-    pub fn hear(
+    pub fn wait_for_line(
         &self,
         name: &str,
         since: Mark,
@@ -398,13 +398,13 @@
         let life = self.life(name)?;
         let wanted = wanted.clone().of(name).in_life(life);
         let both = wanted.clone();
-        let either = move |line: &Line| both.is(line) || line.event == lab_event::HEARD_OUT;
+        let either = move |line: &Line| both.matches(line) || line.event == lab_event::OUTPUT_ENDED;
         let either = LineFilter::any().of(name).in_life(life).when(either);
         // If its output ended before the mark, nothing can come after it.
-        let over = LineFilter::event(lab_event::HEARD_OUT).of(name).in_life(life);
+        let over = LineFilter::event(lab_event::OUTPUT_ENDED).of(name).in_life(life);
         let most = if self.log.lines(Mark::default(), &over).is_empty() { most } else { Duration::ZERO };
         let line = self.log.wait_for(since, &either, most)?;
-        match wanted.is(&line) {
+        match wanted.matches(&line) {
             true => Ok(line),
             false => Ok(self.log.wait_for(since, &wanted, Duration::ZERO)?),
         }
@@ -417,7 +417,7 @@
     /// There is no such process; it has not ended within `most`.
     pub fn wait(&self, name: &str, most: Duration) -> Result<ExitStatus, ProcessError> {
         let life = self.life(name)?;
-        for event in [lab_event::ENDED, lab_event::HEARD_OUT] {
+        for event in [lab_event::ENDED, lab_event::OUTPUT_ENDED] {
             let ended = LineFilter::event(event).of(name).in_life(life);
             self.log.wait_for(Mark::default(), &ended, most)?;
         }
@@ -432,9 +432,9 @@
     ///
     /// # Errors
     ///
-    /// [`ProcessError::Gone`].
+    /// [`ProcessError::KeeperEnded`].
     pub fn end(&self, grace: Duration) -> Result<Vec<String>, ProcessError> {
-        let told = self.keeper.ask(|keeper| Ok(keeper.tell_all_to_end()))?;
+        let told = self.keeper.ask(|keeper| Ok(keeper.terminate_all()))?;
         let until = Instant::now() + grace;
         let mut killed = Vec::new();
         for (name, life) in told {
--- a/crates/lab/src/fleet/view.rs
+++ b/crates/lab/src/fleet/view.rs
@@ -21,8 +21,8 @@
     Avoids(String),
     Returns(String),
     /// It becomes connected to a planner, or loses the connection.
-    Hears(String),
-    Misses(String),
+    Connected(String),
+    Disconnected(String),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -42,16 +42,16 @@
 }
 
 impl Now {
-    fn take(&mut self, what: &What) {
+    fn apply(&mut self, what: &What) {
         match what {
             What::Started => *self = Now { runs: true, ..Now::default() },
             What::Ended => *self = Now::default(),
             What::Stopped => self.stopped = true,
             What::Resumed => self.stopped = false,
-            What::Avoids(matter) => drop(self.avoids.insert(matter.clone())),
-            What::Returns(matter) => drop(self.avoids.remove(matter)),
-            What::Hears(planner) => drop(self.hears.insert(planner.clone())),
-            What::Misses(planner) => drop(self.hears.remove(planner)),
+            What::Avoids(subject) => drop(self.avoids.insert(subject.clone())),
+            What::Returns(subject) => drop(self.avoids.remove(subject)),
+            What::Connected(planner) => drop(self.hears.insert(planner.clone())),
+            What::Disconnected(planner) => drop(self.hears.remove(planner)),
         }
     }
 }
@@ -67,7 +67,7 @@
     pub fn states(&self) -> impl Iterator<Item = (Micros, Now)> + '_ {
         let mut now = Now::default();
         self.changes.iter().map(move |c| {
-            now.take(&c.what);
+            now.apply(&c.what);
             (c.at, now.clone())
         })
     }
@@ -79,16 +79,16 @@
 
     /// Returns the spans in which it avoided a node or hall: start, end (`None` if it never ended) and
     /// incarnation.
-    pub fn avoided(&self, matter: &str) -> Vec<(Micros, Option<Micros>, u32)> {
+    pub fn avoided(&self, subject: &str) -> Vec<(Micros, Option<Micros>, u32)> {
         let mut spans: Vec<(Micros, Option<Micros>, u32)> = Vec::new();
         let mut out = false;
         for c in &self.changes {
             match &c.what {
-                What::Avoids(m) if m == matter && !out => {
+                What::Avoids(m) if m == subject && !out => {
                     spans.push((c.at, None, c.life));
                     out = true;
                 }
-                What::Returns(m) if m != matter => {}
+                What::Returns(m) if m != subject => {}
                 What::Returns(_) | What::Started | What::Ended => {
                     if let Some(last) = spans.last_mut().filter(|_| out) {
                         last.1 = Some(c.at);
@@ -132,7 +132,7 @@
             let known = planners.get(&(line.process.to_string(), address.clone()));
             known.cloned().unwrap_or(address)
         };
-        let matter = || {
+        let subject = || {
             let what = line.text("what").unwrap_or_default();
             what.strip_prefix("node ").unwrap_or(what).to_owned()
         };
@@ -142,10 +142,10 @@
             (By::Lab, lab_event::ENDED) => What::Ended,
             (By::Lab, lab_event::STOPPED) => What::Stopped,
             (By::Lab, lab_event::RESUMED) => What::Resumed,
-            (By::Process, "plan_avoids") => What::Avoids(matter()),
-            (By::Process, "plan_returns") => What::Returns(matter()),
-            (By::Process, "planner_up") => What::Hears(planner()),
-            (By::Process, "planner_down") => What::Misses(planner()),
+            (By::Process, "plan_avoids") => What::Avoids(subject()),
+            (By::Process, "plan_returns") => What::Returns(subject()),
+            (By::Process, "planner_up") => What::Connected(planner()),
+            (By::Process, "planner_down") => What::Disconnected(planner()),
             (By::Process, "silent") => What::Avoids(node()),
             (By::Process, "lives") => What::Returns(node()),
             _ => continue,
--- a/crates/lab/src/fleet/view/tests.rs
+++ b/crates/lab/src/fleet/view/tests.rs
@@ -6,7 +6,7 @@
     let track = Track {
         changes: vec![
             change(0, 1, What::Started),
-            change(1, 1, What::Hears("p0".into())),
+            change(1, 1, What::Connected("p0".into())),
             change(2, 1, What::Avoids("s1".into())),
             change(3, 1, What::Ended),
             change(4, 2, What::Started),
--- a/crates/lab/tests/fleet_processes.rs
+++ b/crates/lab/tests/fleet_processes.rs
@@ -86,7 +86,7 @@
     assert!(!of("f1").contains(&"told".to_owned()));
     assert_eq!(of("f2"), [lab_event::STARTED, "up"], "the process was not affected");
     assert_eq!(fleet.state("f2").expect("the process is known"), State::Runs);
-    for (name, event) in [("f0", lab_event::TOLD_TO_END), ("f1", lab_event::KILLED)] {
+    for (name, event) in [("f0", lab_event::TERMINATED), ("f1", lab_event::KILLED)] {
         let at = |event| of(name).iter().position(|e| e == event);
         assert!(
             at(lab_event::STARTED) < at("up") && at("up") < at(event) && at(event) < at(lab_event::ENDED)
@@ -214,7 +214,7 @@
         at(lab_event::KILLED) < at(lab_event::ENDED) && at(lab_event::ENDED) < at(lab_event::STARTED),
         "{events:?}"
     );
-    let gone = at(lab_event::FOLDER_GONE);
+    let gone = at(lab_event::FOLDER_REMOVED);
     assert_eq!(gone.is_some(), folder == Folder::Lost);
     assert!(gone.is_none() || at(lab_event::ENDED) < gone && gone < at(lab_event::STARTED), "{events:?}");
     assert_eq!(
@@ -236,7 +236,7 @@
     drop(dir);
     fleet.restart("f0", Restart::default()).expect("the restart is scheduled");
     let failed = await_line(fleet.log(), Mark::default(), LineFilter::event(lab_event::FAILED).of("f0"));
-    let waits = fleet.hear("f0", Mark::default(), &LineFilter::event("never"), Duration::MAX);
+    let waits = fleet.wait_for_line("f0", Mark::default(), &LineFilter::event("never"), Duration::MAX);
     assert!(waits.is_err(), "waiting must end as the process can write no more lines");
     assert_eq!((failed.by, failed.life), (By::Lab, 2));
     assert!(matches!(fleet.state("f0"), Err(ProcessError::Down(_))));
@@ -294,7 +294,7 @@
         assert_eq!(lines.iter().map(|l| l.text("build")).collect::<Vec<_>>(), [Some("old"), Some("new")]);
         assert!(events(fleet.log(), name).contains(&"told".to_owned()));
     }
-    let told: Vec<_> = fleet.log().lines(Mark::default(), &LineFilter::event(lab_event::TOLD_TO_END));
+    let told: Vec<_> = fleet.log().lines(Mark::default(), &LineFilter::event(lab_event::TERMINATED));
     assert_eq!(told.iter().map(|l| &*l.process).collect::<Vec<_>>(), rolled);
     // No step is early; how late it may be depends on the machine.
     let due = |step| begun + step * every.as_micros() as i64;
@@ -490,13 +490,13 @@
     let log = Log::new(Clock::start(0));
     let name: Arc<str> = "f0".into();
     let mark = log.mark();
-    log.hear(
+    log.push_output(
         &name,
         1,
         r#"{"at_ms":5,"level":"INFO","event":"planning","message":"here","address":"127.0.0.1:7"}"#,
     );
-    log.hear(&name, 1, "thread 'main' panicked");
-    log.hear(&name, 1, "[1, 2]");
+    log.push_output(&name, 1, "thread 'main' panicked");
+    log.push_output(&name, 1, "[1, 2]");
     let lines = log.lines(mark, &LineFilter::any());
     assert_eq!(
         (&*lines[0].event, &*lines[0].message, lines[0].number("at_ms")),
@@ -508,9 +508,11 @@
     assert!(lines.windows(2).all(|w| w[0].at_us <= w[1].at_us));
     // Each criterion of a filter must be able to reject the line.
     let seen = |wanted: LineFilter| log.wait_for(mark, &wanted, Duration::ZERO).is_ok();
-    let planning = || LineFilter::event("planning").of("f0").in_life(1).saying("her");
+    let planning = || LineFilter::event("planning").of("f0").in_life(1).containing("her");
     assert!(seen(planning()) && seen(planning().when(|l| l.text("level") == Some("INFO"))));
-    assert!(!seen(planning().of("f1")) && !seen(planning().in_life(2)) && !seen(planning().saying("there")));
+    assert!(
+        !seen(planning().of("f1")) && !seen(planning().in_life(2)) && !seen(planning().containing("there"))
+    );
     assert!(!seen(planning().when(|_| false)) && !seen(LineFilter::event("plannin")));
     assert!(log.wait_for(log.mark(), &planning(), Duration::ZERO).is_err(), "it came before the mark");
     let why = log.event("f0", "silent", Duration::ZERO).expect_err("nobody said so").to_string();
@@ -518,14 +520,14 @@
 
     // The log is bounded: the oldest lines are dropped and counted.
     let other: Arc<str> = "f1".into();
-    (0..100_000).for_each(|_| log.hear(&other, 1, "noise"));
+    (0..100_000).for_each(|_| log.push_output(&other, 1, "noise"));
     assert_eq!(log.lines(mark, &LineFilter::any()).len(), 100_000);
     assert_eq!((log.lost().get(&name), log.lost().get(&other)), (Some(&3), None));
     let why = log.wait_for(mark, &planning(), Duration::ZERO).expect_err("it is gone").to_string();
     assert!(why.contains("3 lines were dropped unseen"), "{why}");
 
     let dir = tempfile::tempdir().expect("the folder is accessible");
-    log.hear(&name, 2, r#"{"event":"last"}"#);
+    log.push_output(&name, 2, r#"{"event":"last"}"#);
     log.write(&dir.path().join("log")).expect("the file is accessible");
     let text = std::fs::read_to_string(dir.path().join("log")).expect("the file is accessible");
     let last: serde_json::Value = serde_json::from_str(text.lines().last().expect("a line")).expect("JSON");
@@ -538,7 +540,7 @@
     let (other, (begin, begun)) = (log.clone(), std::sync::mpsc::channel::<()>());
     let says = std::thread::spawn(move || {
         let _ = begun.recv();
-        (0..100).for_each(|n| other.hear(&"f0".into(), 1, &format!(r#"{{"event":"n","n":{n}}}"#)));
+        (0..100).for_each(|n| other.push_output(&"f0".into(), 1, &format!(r#"{{"event":"n","n":{n}}}"#)));
     });
     begin.send(()).expect("it waits");
     let line = await_line(&log, Mark::default(), LineFilter::event("n").when(|l| l.number("n") == Some(99)));
--- a/tests/dissemination.rs
+++ b/tests/dissemination.rs
@@ -166,7 +166,7 @@
 
     fn wait_for_line(&mut self, name: &str, wanted: LineFilter) -> Arc<Line> {
         let since = self.log_position.entry(name.to_owned()).or_default();
-        let line = self.processes.hear(name, *since, &wanted, TIMEOUT);
+        let line = self.processes.wait_for_line(name, *since, &wanted, TIMEOUT);
         let line = line.unwrap_or_else(|why| panic!("{why}"));
         *since = line.mark();
         line
--- a/tests/planners.rs
+++ b/tests/planners.rs
@@ -78,7 +78,7 @@
     /// Waits for a log line of a process after the last one that was waited for.
     fn wait_for_line(&mut self, name: &str, wanted: LineFilter) -> Arc<Line> {
         let since = self.log_marks.entry(name.to_owned()).or_default();
-        let line = self.processes.hear(name, *since, &wanted, TIMEOUT);
+        let line = self.processes.wait_for_line(name, *since, &wanted, TIMEOUT);
         let line = line.unwrap_or_else(|why| panic!("{why}"));
         *since = line.mark();
         line
