--- a/crates/lab/src/virtual_host/planned.rs
+++ b/crates/lab/src/virtual_host/planned.rs
@@ -138,7 +138,7 @@
             plan.quotas.clear();
         }
         if self.cold {
-            plan.cold = 1.0;
+            plan.slow_start_fraction = 1.0;
         }
         if self.fetches {
             plan.fetches = f64::INFINITY;
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -308,7 +308,7 @@
     fn permitted(&self, now: Micros, o: &OpenRequest, s: &Server, home: Option<ServerId>) -> bool {
         let allowed = o.may_repeat_on(now + self.settings.period, s) && o.placed_on(s);
         let open = allowed && s.weight > 0.0 && now < o.request.deadline && self.attempts_left(o) > 0;
-        open && (!s.cold || self.slow_start_admits(now, o, s, home))
+        open && (!s.in_slow_start || self.slow_start_admits(now, o, s, home))
     }
 
     /// Whether slow start admits a request to a server.
@@ -494,7 +494,7 @@
             f64::from(u8::from(s.evictions > 0 || s.avoided_fraction > 0.0)).min(self.trial_budget);
         // A request with far more than the mean work uses correspondingly more of a server's
         // allowance.
-        if s.cold {
+        if s.in_slow_start {
             s.allowance
                 .spend(o.request.hint.map_or(1.0, |h| (h / self.hint_moments.mean().max(1.0)).max(1.0)));
         }
@@ -665,7 +665,7 @@
             self.answered_in_time += f64::from(u8::from(good && end.elapsed <= on_time));
             // A miss takes an unknown fraction of the work of a hit. A server answers many more
             // misses than requests of mean work, so misses are no evidence of capacity.
-            zone.served += f64::from(u8::from(end.verdict == Verdict::Served && !s.cold));
+            zone.served += f64::from(u8::from(end.verdict == Verdict::Served && !s.in_slow_start));
         }
     }
 
--- a/src/choice/estimates.rs
+++ b/src/choice/estimates.rs
@@ -36,7 +36,8 @@
         self.update_quota_fraction(keep.powf(MEMORY / QUOTA_MEMORY));
         let (mut all_served, mut all_warm) = (0.0, 0.0);
         for (id, zone) in &mut self.zones {
-            let warm = self.servers.values().filter(|s| !s.origin && !s.cold && s.member.zone == *id);
+            let warm =
+                self.servers.values().filter(|s| !s.origin && !s.in_slow_start && s.member.zone == *id);
             let served = std::mem::take(&mut zone.served) / second;
             zone.warm_weight = warm.map(|s| s.weight).sum();
             zone.capacity.add(served, zone.warm_weight, keep);
@@ -60,7 +61,7 @@
 
     /// Issues this router's attempts at servers in slow start.
     pub(super) fn issue_allowances(&mut self, now: Micros) {
-        let starting = self.servers.values().filter(|s| s.cold);
+        let starting = self.servers.values().filter(|s| s.in_slow_start);
         let rates: Vec<_> = starting.map(|s| (s.member.server, self.slow_start_rate(s))).collect();
         let window = self.slow_start.window();
         for (server, rate) in rates {
@@ -72,7 +73,7 @@
 
     /// Attempts per second issued to this router at a server in slow start.
     pub(crate) fn slow_start_rate(&self, s: &Server) -> f64 {
-        self.slow_start.rate(s.weight, self.observed_capacity(s.member.zone), self.plan.cold())
+        self.slow_start.rate(s.weight, self.observed_capacity(s.member.zone), self.plan.slow_start_fraction())
     }
 
     /// Observed capacity of the warm caches of a zone, or of all zones if it has none.
@@ -108,7 +109,7 @@
                 Terms { rho, service, arrival_scv, service_scv }.with_planned(s.planned_terms, observed);
             s.origin = Some(s.member.kind) == self.settings.origin_kind;
             let ramp = self.slow_start.ramp(s.member.age(now)).filter(|_| !s.origin);
-            s.cold = ramp.is_some();
+            s.in_slow_start = ramp.is_some();
             s.listed_weight = Some(s.member.weight).filter(|w| w.is_finite() && *w > 0.0).unwrap_or(1.0);
             s.weight =
                 if s.member.phase == Phase::Ready { s.listed_weight * ramp.unwrap_or(1.0) } else { 0.0 };
@@ -116,7 +117,7 @@
         let far = self.remote_weight();
         let caches = || self.servers.values().filter(|s| !s.origin);
         let weights = caches().map(|s| s.weight * self.zone_factor(s, far)).sum();
-        let starting = caches().filter(|s| s.cold).count();
+        let starting = caches().filter(|s| s.in_slow_start).count();
         self.slow_start.set_ranking(weights, starting);
     }
 }
--- a/src/features/forwarder.rs
+++ b/src/features/forwarder.rs
@@ -312,7 +312,7 @@
             quotas: guidance.tenants,
             // Each proxy's own budget already is its share of the traffic; a share below the even one lowers
             // it.
-            cold: (guidance.cold / self.even_share).clamp(0.0, 1.0),
+            slow_start_fraction: (guidance.cold / self.even_share).clamp(0.0, 1.0),
             // The limit for all proxies together is what a single proxy alone may have in flight.
             fetches: guidance.origin * origin::MAX_LIMIT,
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -351,7 +351,7 @@
     /// This router's fraction of each tenant's quota, 0 to 1.
     pub quotas: Vec<f64>,
     /// Fraction of this router's share of servers in slow start that it may use, 0 to 1.
-    pub cold: f64,
+    pub slow_start_fraction: f64,
     /// This router's share of the fetches that may be out at origins, in requests.
     pub fetches: f64,
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -91,8 +91,8 @@
     }
 
     /// Fraction of this router's share of servers in slow start that it may use.
-    pub fn cold(&self) -> f64 {
-        blend(1.0, Some(self.cold), self.trust)
+    pub fn slow_start_fraction(&self) -> f64 {
+        blend(1.0, Some(self.slow_start_fraction), self.trust)
     }
 
     /// Whether planners allow another fetch beside `out` others; without trust only the router's own
@@ -128,7 +128,7 @@
     pub member: Member,
     /// Whether it is an origin (aside mode), or a cache in slow start.
     pub origin: bool,
-    pub cold: bool,
+    pub in_slow_start: bool,
     /// The listed weight, or 1 if that is not a positive number; and the listed weight scaled by the
     /// slow start ramp, 0 if the server is not ready.
     pub listed_weight: f64,
--- a/src/view.rs
+++ b/src/view.rs
@@ -13,7 +13,7 @@
             let health = match s.member.phase {
                 Phase::Ready if s.evictions > 0 => Health::Evicted,
                 Phase::Ready if self.is_hung(now, s) => Health::Silent,
-                Phase::Ready if s.cold => Health::Cold,
+                Phase::Ready if s.in_slow_start => Health::Cold,
                 Phase::Ready => Health::Serving,
                 Phase::Draining | Phase::Gone => Health::Draining,
             };
@@ -24,7 +24,7 @@
 
     /// The status of a server in slow start; `None` for any other.
     pub fn slow_start_status(&self, server: ServerId) -> Option<SlowStartStatus> {
-        let s = self.servers.get(&server).filter(|s| s.cold)?;
+        let s = self.servers.get(&server).filter(|s| s.in_slow_start)?;
         let ramp = if s.listed_weight > 0.0 { s.weight / s.listed_weight } else { 0.0 };
         Some(SlowStartStatus { ramp, allowance: s.allowance.attempts(), rate: self.slow_start_rate(s) })
     }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1263,7 +1263,7 @@
     let fetched = |trust| {
         let (s, entries) = aside();
         let mut r = Router::new(s, entries);
-        r.event(Event::Plan(Plan { trust, fetches: 1.0, cold: 1.0, ..Plan::default() }));
+        r.event(Event::Plan(Plan { trust, fetches: 1.0, slow_start_fraction: 1.0, ..Plan::default() }));
         let miss = |r: &mut Router, key| {
             let (id, _) = r.ask(Request { key: Key(key), ..Request::default() });
             server(&r.end_note(id, Verdict::Miss, MS, vec![], 2)) == Some(ORIGIN)
@@ -1278,7 +1278,12 @@
     let served = |part: f64, trust| {
         let s = Settings { routers: 100, quotas: vec![1e4, 1e4, 100.0], ..settings() };
         let mut r = Router::new(s, members(4));
-        r.event(Event::Plan(Plan { trust, quotas: vec![0.0, 0.0, part], cold: 1.0, ..Plan::default() }));
+        r.event(Event::Plan(Plan {
+            trust,
+            quotas: vec![0.0, 0.0, part],
+            slow_start_fraction: 1.0,
+            ..Plan::default()
+        }));
         let mut served = 0;
         for k in 0..1_000u64 {
             let tenant = TenantId((k % 3) as u32);
