--- a/src/choice.rs
+++ b/src/choice.rs
@@ -15,21 +15,23 @@
 use limits::{backoff, cold, Bucket, Budget, Extra, Limit, OriginLimit, PopularityCounter, Sample};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Candidate servers over which a key is spread (d). With 2 the shares of Eq. 7 differ the most.
+/// Candidate servers over which a key is spread (d). With d = 2 the split by Eq. 7 depends the most
+/// on the difference in load.
 pub const CANDIDATES: usize = 2;
 /// Candidates ranked per request: leaves room to overflow past the first d and to skip servers
 /// already tried.
 const MAX_RANKED: usize = 6 * CANDIDATES;
-/// Congestion index from which a server counts as busy: the paper's "approaches 1".
+/// Congestion index from which a server counts as busy: the mean wait equals the mean service time
+/// (the paper's "approaches 1").
 pub const CONGESTED: f64 = 1.0;
-/// Congestion index from which a server's keys are spread, while the origin has room for the extra
-/// misses: at this index a server with several cores has a wait near its service time. The effective
-/// threshold rises with the square of the room that the origin lacks.
+/// Congestion index from which a server's keys are spread, while the origin has headroom for the
+/// extra misses: at this index a server with several cores has a wait near its service time. The index
+/// is scaled by the squared headroom, so the effective threshold rises as the headroom falls.
 const SPREAD_THRESHOLD: f64 = 8.0;
-/// Weight factor of servers in other zones while the origin has room for a second copy of a key.
+/// Weight factor of servers in other zones while the origin has headroom for a second copy of a key.
 const REMOTE_WEIGHT: f64 = 0.05;
-/// Lower bound of the origin's room in the index calculation.
-const MIN_ROOM: f64 = 1e-3;
+/// Lower bound of the squared origin headroom by which the index is scaled.
+const MIN_HEADROOM: f64 = 1e-3;
 /// Upper bound of utilisation, so that 1 - rho is never zero.
 const RHO_MAX: f64 = 0.98;
 /// Utilisation from which a candidate counts as saturated and gets no more overflow.
@@ -55,17 +57,17 @@
 const RETRY_BURST: f64 = 10.0;
 /// Reads fetched from the origin because caches are full, as a fraction of the misses: at most twice
 /// the usual fetches.
-const SPILL_RATIO: f64 = 1.0;
+const OVERLOAD_FETCH_RATIO: f64 = 1.0;
 /// Fraction of attempts with a refused connection at which every connection is closed after use, and
 /// the number of attempts averaged over.
 const REFUSED_CONNECTIONS_HIGH: f64 = 0.1;
 const CONNECT_MEMORY: f64 = 20.0;
-/// Upper bound of the cost of probes, as a fraction of the service, and the age in us at which a
+/// Upper bound of the cost of probes, as a fraction of the service time, and the age in us at which a
 /// load report is probed for again.
 const PROBE_COST_RATIO: f64 = 0.004;
 const PROBE_INTERVAL: Micros = 5 * REFRESH_INTERVAL;
-/// Time without an answer, with two or more attempts out, after which a server counts as hung, in
-/// us. Longer than the pauses of a busy server.
+/// Time without an answer, with two or more attempts in flight, after which a server counts as hung,
+/// in us; also the lower bound for a zone. Longer than the pauses of a busy server.
 const HANG_SILENCE: Micros = 300_000;
 /// Averaging time of key popularity, in us, and the value of a recent request for a key relative to
 /// one that is waiting for it.
@@ -87,13 +89,13 @@
 /// Upper bound of the fraction that is shed: a fault that shedding does not cure must not starve
 /// what still works.
 const MAX_SHED: f64 = 0.95;
-/// Failure rate of caches from which the cause is taken to lie behind the fleet, and the number of
-/// outcomes averaged over.
+/// Failure rate of caches from which the cause is assumed to be a shared dependency, such as the
+/// origin, and not single servers; and the number of outcomes averaged over.
 const FLEET_FAILURE_RATE: f64 = 0.3;
 const FAILURE_MEMORY: f64 = 50.0;
-/// Interval of trial requests to a server that planners report as silent, in us: an answer clears
-/// the report for all routers.
-const MARKED_TRIAL_INTERVAL: Micros = 2_000_000;
+/// Interval of trial requests to a server for keys that planners exclude from it, in us: an answer
+/// from a server reported as unresponsive clears the report for all routers.
+const EXCLUDED_TRIAL_INTERVAL: Micros = 2_000_000;
 const REFRESH_TIMER: Token = Token(1 << 62);
 const SUBSCRIBE_TIMER: Token = Token(1 << 61);
 
@@ -118,7 +120,7 @@
     /// Recent fraction of cache outcomes that were errors or time-outs.
     failure_rate: f64,
     retries: Budget,
-    spills: Budget,
+    overload_fetches: Budget,
     trial_budget: f64,
     probe_budget: f64,
     /// The latency that few cache answers exceed, and the shortest target latency of any class.
@@ -127,14 +129,16 @@
     /// Recent fraction of attempts whose connection was refused by a live server.
     refused_connection_rate: f64,
     pub(crate) zones: BTreeMap<ZoneId, Zone>,
-    /// Aside mode: the requests that wait for each key's fetch, with the request that fetches first;
-    /// the queue for the origin; and the limit on origin requests.
+    /// Cache-aside, where this router fetches from the origin on a miss: the requests that share each
+    /// key's fetch, with the request that makes it (the leader) in front.
     pub(crate) fetches: BTreeMap<Key, VecDeque<RequestId>>,
+    /// Requests queued for the origin.
     pub(crate) origin_queue: Vec<RequestId>,
-    /// Keys with ordered requests: the queue of each key, and finished requests with an attempt
-    /// still out.
+    /// The queue of each key with ordered requests.
     pub(crate) key_queues: BTreeMap<Key, KeyQueue>,
-    pub(crate) lingering: BTreeMap<RequestId, OpenRequest>,
+    /// Finished requests of ordered keys with an attempt still in flight.
+    pub(crate) finished_in_flight: BTreeMap<RequestId, OpenRequest>,
+    /// The limit on attempts in flight at the origin.
     pub(crate) origin: OriginLimit,
     /// Recent response times of origins, and how often each key is requested.
     origin_time: Moments,
@@ -155,7 +159,7 @@
             quota_fraction,
             min_target_latency,
             retries: Budget::new(RETRY_RATIO, RETRY_BURST),
-            spills: Budget::new(SPILL_RATIO, cold::burst(settings.routers)),
+            overload_fetches: Budget::new(OVERLOAD_FETCH_RATIO, cold::burst(settings.routers)),
             origin: OriginLimit::for_fleet(settings.routers),
             slow_start: SlowStart::new(&settings),
             settings,
@@ -242,17 +246,17 @@
     }
 
     /// Closes idle connections to draining servers, when the notice arrives and after each later
-    /// outcome there. Also closes a fraction of them where connections are refused: an idle
-    /// connection there takes the place of another router's, and a router connected to few servers
-    /// reaches the copies of few keys. A new connection costs a handshake, a lost copy costs a
-    /// fetch.
+    /// outcome there. Also closes a fraction of them where connections are refused: idle
+    /// connections use up the server's connection limit, so that other routers cannot connect and
+    /// cannot reach the keys that it caches. A reconnect costs a handshake, which is cheaper than an
+    /// origin fetch.
     fn close_idle(&mut self, server: ServerId, out: &mut Vec<Action>) {
-        let scarce = self.refused_connection_rate > 0.0
+        let connection_limited = self.refused_connection_rate > 0.0
             && self.random() < self.refused_connection_rate / REFUSED_CONNECTIONS_HIGH;
         let ready = self.servers.get(&server).filter(|s| s.member.phase == Phase::Ready);
         let drained = self.settings.drain_close.is_some() && ready.is_none();
-        let scarce = scarce && ready.is_some_and(|s| s.limiter.out() == 0);
-        out.extend((drained || scarce).then_some(Action::Release { server }));
+        let connection_limited = connection_limited && ready.is_some_and(|s| s.limiter.out() == 0);
+        out.extend((drained || connection_limited).then_some(Action::Release { server }));
     }
 
     // ---- requests
@@ -297,9 +301,9 @@
 
     fn update_quota_fraction(&mut self, keep: f64) {
         let even = 1.0 / f64::from(self.settings.routers.max(1));
-        let second = keep * REFRESH_INTERVAL as f64 / 1e6 / (1.0 - keep);
+        let memory_seconds = keep * REFRESH_INTERVAL as f64 / 1e6 / (1.0 - keep);
         self.quota_fraction =
-            median_quota_use(&mut self.tenants, &self.settings.quotas, second, keep).max(even);
+            median_quota_use(&mut self.tenants, &self.settings.quotas, memory_seconds, keep).max(even);
     }
 
     /// Whether a server may receive a request now: it is listed as ready, the rules on repeats allow
@@ -337,7 +341,8 @@
         best.first().map(|s| s.member.server)
     }
 
-    /// Weight factor of servers in other zones: rises as the origin has less room for a second copy.
+    /// Weight factor of servers in other zones: rises as the origin has less headroom for the fetches
+    /// of a second copy.
     fn remote_weight(&self) -> f64 {
         REMOTE_WEIGHT.powf(self.origin.headroom())
     }
@@ -361,7 +366,7 @@
         (self.settings.max_attempts as usize).saturating_sub(o.attempts.len())
     }
 
-    /// The next step of a request without an attempt out: another attempt, a wait for a fetch, or
+    /// The next step of a request without an attempt in flight: another attempt, a wait for a fetch, or
     /// the final answer.
     fn advance(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id) else { return };
@@ -370,7 +375,7 @@
         let key_queue =
             o.ordered_key().filter(|_| o.attempts.is_empty()).and_then(|k| self.key_queues.get(&k));
         let start =
-            key_queue.map_or(0, |t| if t.queue.front() == Some(&id) { t.paused_until } else { Micros::MAX });
+            key_queue.map_or(0, |q| if q.queue.front() == Some(&id) { q.paused_until } else { Micros::MAX });
         if start > now {
             let after = (start.min(o.request.deadline - self.settings.period) - now).max(0);
             self.open.entry(id).and_modify(|o| o.queued = true);
@@ -384,28 +389,30 @@
             Some(server) => self.send(now, id, server, out),
             None => {
                 self.count_cache_demand(id, 0);
-                self.spill(now, id, out);
+                self.overload_fetch_or_finish(now, id, out);
             }
         }
     }
 
-    /// Counts a request as demand for a cache, once its first attempt has had time to be answered.
-    fn count_cache_demand(&mut self, id: RequestId, ended: usize) {
-        let first = self.open.get(&id).is_some_and(|o| !o.over_quota && o.attempts.len() == ended);
+    /// Counts a request within quota as demand for a cache if it has made exactly `attempts_made`
+    /// attempts: 1 when an attempt at a cache ends, so that the first one has had time to be answered;
+    /// 0 when no server could be chosen. The end of an attempt at an origin passes 0 and is not counted.
+    fn count_cache_demand(&mut self, id: RequestId, attempts_made: usize) {
+        let first = self.open.get(&id).is_some_and(|o| !o.over_quota && o.attempts.len() == attempts_made);
         self.cache_demand += f64::from(u8::from(first));
     }
 
     /// The ready candidates of a key by weighted rendezvous hashing, best first. All routers of a
     /// zone with the same list get the same order, and a list change moves only the keys that it
-    /// must. While the origin has room for a copy in each zone, servers in other zones weigh little;
-    /// as the room shrinks, all zones share one of the existing copies.
+    /// must. While the origin has headroom for a copy in each zone, servers in other zones weigh
+    /// little; as the headroom falls, the weights converge and all zones use the same server for a key.
     fn ranked(&self, now: Micros, key: u64, want: usize, usable: impl Fn(&Server) -> bool) -> Vec<&Server> {
         // Only a fraction of the requests try evicted servers: where most servers refuse connections
         // or are dead, a router uses those that it can reach. If none is reachable the fault lies
         // elsewhere and all are candidates.
         let reachable = |s: &Server| {
             let avoided = s.avoids(key);
-            let due = !avoided || s.last_send.is_none_or(|t| t + MARKED_TRIAL_INTERVAL <= now);
+            let due = !avoided || s.last_send.is_none_or(|t| t + EXCLUDED_TRIAL_INTERVAL <= now);
             let on_trial = due && s.evicted_until <= now && self.trial_budget >= 1.0;
             let in_reach = self
                 .zones
@@ -423,7 +430,8 @@
         }
     }
 
-    /// Time without an answer that is longer than ordinary pauses.
+    /// Time without an answer after which a zone counts as unreachable; `is_hung` has the shorter limit
+    /// for a server.
     fn silence_limit(&self) -> Micros {
         HANG_SILENCE.max(self.long_latency)
     }
@@ -450,33 +458,37 @@
         // sheds the rest early: requests queued beyond the target latency serve nobody, and a cache
         // that waits for an overloaded origin looks idle by its CPU. Requests over quota are shed
         // first.
-        let (index, excess) = (first.terms.congestion_index(), self.excess_demand());
-        let excess = o.attempts.is_empty() && excess >= SHED_THRESHOLD && (o.over_quota || refuse < excess);
-        if excess && (index >= CONGESTED || self.failure_rate >= FLEET_FAILURE_RATE) {
+        let (index, shed_fraction) = (first.terms.congestion_index(), self.excess_demand());
+        let shed = o.attempts.is_empty()
+            && shed_fraction >= SHED_THRESHOLD
+            && (o.over_quota || refuse < shed_fraction);
+        if shed && (index >= CONGESTED || self.failure_rate >= FLEET_FAILURE_RATE) {
             return None;
         }
-        // A copy on another server costs one more fetch: if the origin has no room for it, the key
-        // stays with its first candidate.
-        let room = self.origin.headroom() * (1.0 - self.origin.failure_ratio());
-        let index = index * room.powi(2).max(MIN_ROOM);
-        // The size cut-off falls from the mean hint as congestion grows past the threshold.
-        let small = o.request.hint.is_some_and(|h| h < self.hint_moments.mean() * SPREAD_THRESHOLD / index);
-        if index < SPREAD_THRESHOLD || small {
+        // A copy on another server costs one more fetch: if the origin has no headroom for it, the
+        // key stays with its first candidate.
+        let headroom = self.origin.headroom() * (1.0 - self.origin.failure_ratio());
+        let scaled_index = index * headroom.powi(2).max(MIN_HEADROOM);
+        // Requests with little expected work stay on the first candidate. The limit is the mean hint at
+        // the threshold and falls as congestion grows past it.
+        let small =
+            o.request.hint.is_some_and(|h| h < self.hint_moments.mean() * SPREAD_THRESHOLD / scaled_index);
+        if scaled_index < SPREAD_THRESHOLD || small {
             return Some(first.member.server);
         }
         // Overflow: a hot key can saturate its d candidates; the next d in rank order then take
         // over.
         let ranked = self.ranked(now, mix(key), MAX_RANKED, usable);
-        let full = |w: &&[&Server]| w.iter().all(|s| s.terms.rho >= RHO_SATURATED);
-        let window = ranked.chunks(CANDIDATES).find(|w| !full(w));
-        let window = window.unwrap_or(&ranked[..ranked.len().min(CANDIDATES)]);
-        let terms: Vec<Terms> = window.iter().map(|s| s.terms).collect();
-        let mut left = draw;
-        let drawn = window.iter().zip(shares(&terms)).find(|(_, share)| {
-            left -= share;
-            left < 0.0
+        let all_saturated = |w: &&[&Server]| w.iter().all(|s| s.terms.rho >= RHO_SATURATED);
+        let group = ranked.chunks(CANDIDATES).find(|w| !all_saturated(w));
+        let group = group.unwrap_or(&ranked[..ranked.len().min(CANDIDATES)]);
+        let terms: Vec<Terms> = group.iter().map(|s| s.terms).collect();
+        let mut remaining = draw;
+        let drawn = group.iter().zip(shares(&terms)).find(|(_, share)| {
+            remaining -= share;
+            remaining < 0.0
         });
-        drawn.map(|(s, _)| s).or(window.last()).map(|s| s.member.server)
+        drawn.map(|(s, _)| s).or(group.last()).map(|s| s.member.server)
     }
 
     fn send(&mut self, now: Micros, id: RequestId, server: ServerId, out: &mut Vec<Action>) {
@@ -512,21 +524,24 @@
         self.probe(now, server, out);
     }
 
-    /// Time after which an attempt is given up for another one. Where answers usually come well
-    /// within the target latency, an attempt that takes half of it is on a dead connection or at a
-    /// hung server. A second origin fetch needs an origin with room, and a request that must not run
-    /// twice needs a server to which it may still be sent by then.
+    /// Early time-out after which an attempt is given up for a retry, if any. Where answers usually
+    /// come well within the target latency, an attempt that takes half of it is on a dead connection or
+    /// at a hung server. A second origin fetch needs an origin with headroom, and a request that must
+    /// not run twice needs a server to which it may still be sent by then.
     fn attempt_timeout(&self, now: Micros, id: RequestId, server: ServerId) -> Option<Micros> {
         let (o, s) = (self.open.get(&id)?, self.servers.get(&server)?);
         let half = o.class.target_latency / 2;
-        let other = |x: &&Server| x.origin == s.origin && (s.origin || x.member.server != server);
-        let place = || self.servers.values().filter(other).any(|x| self.permitted(now + half, o, x, None));
-        let more = o.class.repeat == Repeat::Retryable || place();
-        let again = self.settings.may_copy && o.ordered_key().is_none() && more;
+        let is_other = |x: &&Server| x.origin == s.origin && (s.origin || x.member.server != server);
+        let has_other_server =
+            || self.servers.values().filter(is_other).any(|x| self.permitted(now + half, o, x, None));
+        let may_resend = o.class.repeat == Repeat::Retryable || has_other_server();
+        let retry_allowed = self.settings.may_copy && o.ordered_key().is_none() && may_resend;
         let origin = long_time(self.origin_time.shrunk(PRIOR_SAMPLES, half as f64 / 4.0, PRIOR_SCV));
         let usual = if s.origin { origin } else { self.long_latency };
-        let quick = usual <= half && !self.overloaded() && (!s.origin || self.origin.headroom() >= 1.0);
-        (again && quick && self.attempts_left(o) > 0 && self.retries.left() >= 1.0).then_some(half)
+        let usually_fast =
+            usual <= half && !self.overloaded() && (!s.origin || self.origin.headroom() >= 1.0);
+        (retry_allowed && usually_fast && self.attempts_left(o) > 0 && self.retries.left() >= 1.0)
+            .then_some(half)
     }
 
     /// Fraction of the demand for caches beyond what they answer in time, which is shed under
@@ -544,7 +559,7 @@
     fn on_outcome(&mut self, now: Micros, end: Outcome, out: &mut Vec<Action>) {
         let id = end.request;
         self.record_report(now, end.server, &end.report);
-        let open = self.open.get_mut(&id).or_else(|| self.lingering.get_mut(&id));
+        let open = self.open.get_mut(&id).or_else(|| self.finished_in_flight.get_mut(&id));
         let key = open.as_ref().and_then(|o| o.ordered_key());
         let attempt = open.and_then(|o| o.attempts.get_mut(usize::from(end.attempt)));
         let sent = attempt.as_ref().map_or(now - end.elapsed, |a| a.sent);
@@ -557,20 +572,20 @@
         }
         self.record_outcome(now, &end, sent);
         self.close_idle(end.server, out);
-        if self.lingering.get(&id).is_some_and(|o| !o.has_attempt_out()) {
-            self.lingering.remove(&id);
+        if self.finished_in_flight.get(&id).is_some_and(|o| !o.has_attempt_in_flight()) {
+            self.finished_in_flight.remove(&id);
             self.advance_key_queue(now, id, key, out);
         }
         let pending = pending && self.open.contains_key(&id);
         if pending && end.finished {
             self.close_request(now, id, out);
         } else if pending && end.verdict == Verdict::Miss && self.settings.origin_kind.is_some() {
-            self.spills.request(now);
+            self.overload_fetches.request(now);
             self.advance(now, id, out);
         } else if pending {
             match self.may_try_again(now, id, &end) {
                 true => self.advance(now, id, out),
-                false => self.spill(now, id, out),
+                false => self.overload_fetch_or_finish(now, id, out),
             }
         }
         self.drain_origin(now, out);
@@ -608,14 +623,14 @@
         let jitter = 0.5 + self.random();
         let (own, on_time) =
             self.open.get(&end.request).map_or((0, 0), |o| (o.class.target_latency, o.on_time_limit()));
-        let connection_only = |s: &Server| (s.answered_later_send(sent, end.verdict), usize::from(!s.origin));
-        let (connection_fault, first) = self.servers.get(&end.server).map_or((false, 0), connection_only);
+        let assess = |s: &Server| (s.answered_later_send(sent, end.verdict), usize::from(!s.origin));
+        let (connection_fault, expected_attempts) = self.servers.get(&end.server).map_or((false, 0), assess);
         if !connection_fault && !end.no_place {
             self.mark_busy(now, end.server, end.verdict);
         }
-        self.count_cache_demand(end.request, first);
-        // After twice the shortest target latency nobody waits for an answer, unless its own class
-        // does.
+        self.count_cache_demand(end.request, expected_attempts);
+        // An answer later than twice the shortest target latency counts as late, unless the target of
+        // the request's own class is longer.
         let (late, kept_waiting, silent) =
             ((self.min_target_latency * 2).max(own), !self.origin_queue.is_empty(), self.silence_limit());
         let Some(s) = self.servers.get_mut(&end.server) else { return };
@@ -624,12 +639,13 @@
         let zone = self.zones.entry(s.member.zone).or_default();
         zone.reachability.ended(!s.origin && end.process_responded());
         let lost = !s.origin && zone.reachability.is_lost(now, silent);
-        // A server that refused connections and answers now has too few of them; one that stays
-        // silent is gone.
+        // A server that refused connections and still responds has run out of connections; one that
+        // stays silent is gone.
         s.refused_connections += u32::from(end.verdict == Verdict::ConnectFailed && !lost);
-        let full = if end.process_responded() { std::mem::take(&mut s.refused_connections) } else { 0 };
+        let refused_while_alive =
+            if end.process_responded() { std::mem::take(&mut s.refused_connections) } else { 0 };
         self.refused_connection_rate +=
-            (f64::from(full.min(1)) - self.refused_connection_rate) / CONNECT_MEMORY;
+            (f64::from(refused_while_alive.min(1)) - self.refused_connection_rate) / CONNECT_MEMORY;
         let sample = Sample { now, sent, ending, out_at_send: s.limiter.out(), kept_waiting };
         s.limiter.ended(&sample);
         let (good, connection_fault) =
@@ -641,8 +657,8 @@
         // A process that answered a moment ago is alive: only that connection was lost.
         let alive = end.verdict == Verdict::Reset && s.last_answered_send + REFRESH_INTERVAL > now;
         let broken = matches!(end.verdict, Verdict::ConnectFailed | Verdict::Reset) && !alive && !lost;
-        // Errors and time-outs across the fleet are caused behind it, and moving keys would only add
-        // misses.
+        // Errors and time-outs across the fleet point to a shared dependency such as the origin, and
+        // moving keys would only add misses.
         s.failures += u32::from(broken || (bad && self.failure_rate < FLEET_FAILURE_RATE));
         if good {
             (s.failures, s.evictions, s.last_answered_send) = (0, 0, s.last_answered_send.max(sent));
@@ -658,7 +674,7 @@
         if s.origin {
             (end.verdict != Verdict::Moot).then(|| self.origin_time.add(end.elapsed as f64));
             self.origin.ended(&sample);
-            self.spills.ended(&sample);
+            self.overload_fetches.ended(&sample);
         } else if good || bad {
             self.failure_rate += (f64::from(u8::from(bad)) - self.failure_rate) / FAILURE_MEMORY;
             self.retries.ended(&sample);
@@ -694,14 +710,15 @@
         let Some(o) = self.open.remove(&id) else { return };
         self.share_fetch(now, id, &o, out);
         let key = o.ordered_key();
-        if key.is_some() && o.has_attempt_out() {
-            self.lingering.insert(id, o);
+        if key.is_some() && o.has_attempt_in_flight() {
+            self.finished_in_flight.insert(id, o);
         } else {
             self.advance_key_queue(now, id, key, out);
         }
     }
 
-    /// Starts the next request of an ordered key after a finished request that has no attempt out.
+    /// Starts the next request of an ordered key after a finished request that has no attempt in
+    /// flight.
     fn advance_key_queue(&mut self, now: Micros, id: RequestId, key: Option<Key>, out: &mut Vec<Action>) {
         let Some(key_queue) = key.and_then(|k| self.key_queues.get_mut(&k)) else { return };
         let was_first = key_queue.queue.front() == Some(&id);
--- a/src/choice/estimates.rs
+++ b/src/choice/estimates.rs
@@ -31,14 +31,14 @@
     }
 
     pub(super) fn refresh(&mut self, now: Micros) {
-        let second = REFRESH_INTERVAL as f64 / 1e6;
+        let interval_seconds = REFRESH_INTERVAL as f64 / 1e6;
         let keep = (-(REFRESH_INTERVAL as f64) / MEMORY).exp();
         self.update_quota_fraction(keep.powf(MEMORY / QUOTA_MEMORY));
         let (mut all_served, mut all_warm) = (0.0, 0.0);
         for (id, zone) in &mut self.zones {
             let warm =
                 self.servers.values().filter(|s| !s.origin && !s.in_slow_start && s.member.zone == *id);
-            let served = std::mem::take(&mut zone.served) / second;
+            let served = std::mem::take(&mut zone.served) / interval_seconds;
             zone.warm_weight = warm.map(|s| s.weight).sum();
             zone.capacity.add(served, zone.warm_weight, keep);
             (all_served, all_warm) = (all_served + served, all_warm + zone.warm_weight);
@@ -46,7 +46,7 @@
         self.capacity.add(all_served, all_warm, keep);
         (self.cache_demand, self.answered_in_time) = (self.cache_demand * keep, self.answered_in_time * keep);
         self.hint_moments.decay(keep);
-        self.key_queues.retain(|_, t| !t.queue.is_empty() || t.paused_until > now);
+        self.key_queues.retain(|_, entry| !entry.queue.is_empty() || entry.paused_until > now);
         self.origin_time.decay(keep);
         self.popularity.decay(keep.powf(MEMORY / POPULARITY_MEMORY));
         self.origin.observe_in_flight(now, self.origin_attempts());
--- a/src/choice/origin_fetches.rs
+++ b/src/choice/origin_fetches.rs
@@ -1,6 +1,6 @@
-//! Origin fetches for requests that missed at the caches, where the router makes them (aside mode).
-//! One fetch of a key serves all requests that wait for it; what the origin has no room for is
-//! queued or refused.
+//! Origin fetches for requests that missed at the caches, where the router makes them (cache-aside).
+//! Requests for a key are coalesced: one fetch, made by the leader, serves all requests that wait for
+//! it. Fetches beyond the origin's limit are queued or refused.
 
 use super::*;
 
@@ -44,15 +44,21 @@
     }
 
     /// Fetches a read within quota that caches refused, once, if the origin has spare room and
-    /// nothing is queued for it. Otherwise gives the final answer.
-    pub(super) fn spill(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
+    /// nothing is queued for it. Otherwise finishes the request with a refusal or a failure.
+    pub(super) fn overload_fetch_or_finish(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
         let (origin, idle) = (self.settings.origin_kind.is_some(), self.origin_queue.is_empty());
         let spare = origin && idle && self.origin.has_spare_capacity(now, self.origin_attempts());
-        let asked = |a: &Attempt| self.servers.get(&a.server).is_some_and(|s| s.origin);
-        let no = |o: &OpenRequest| {
-            o.request.write || o.over_quota || self.attempts_left(o) == 0 || o.attempts.iter().any(asked)
+        let tried_origin = |a: &Attempt| self.servers.get(&a.server).is_some_and(|s| s.origin);
+        let not_eligible = |o: &OpenRequest| {
+            o.request.write
+                || o.over_quota
+                || self.attempts_left(o) == 0
+                || o.attempts.iter().any(tried_origin)
         };
-        match spare && self.open.get(&id).is_some_and(|o| !no(o)) && self.spills.take(Extra::Retry) {
+        match spare
+            && self.open.get(&id).is_some_and(|o| !not_eligible(o))
+            && self.overload_fetches.take(Extra::Retry)
+        {
             true => self.fetch(now, id, out),
             false => self.finish(now, id, out),
         }
@@ -66,9 +72,9 @@
         let (key, write, left) = (o.request.key, o.request.write, o.request.deadline - now);
         out.push(Action::Timer { after: (left - self.settings.period).max(0), token: Token(id.0) });
         if !write && key != Key(0) {
-            // A miss joins a fetch of its key that is already out, as the origin can take few. Until
-            // it is sent, the request with the latest deadline leads: a fetch for a request that is
-            // over by then is not stored.
+            // A miss follows a fetch of its key that is already in flight, as the origin can take
+            // few. Until the fetch is sent, the waiter with the latest deadline leads, because a
+            // fetch whose request has ended is not cached.
             let waiting = self.fetches.entry(key).or_default();
             waiting.retain(|w| *w != id);
             let leader = waiting.front().map_or(id, |w| *w);
@@ -79,7 +85,7 @@
                 self.origin_queue.push(id);
             } else {
                 waiting.push_back(id);
-                // A request that waited behind a failed fetch leads now and has to be queued itself.
+                // After a failed fetch the next waiter is the leader and has to be queued itself.
                 let queued = !l.queued || self.origin_queue.contains(&leader);
                 self.origin_queue.extend((!queued).then_some(leader));
             }
@@ -92,9 +98,10 @@
     /// Gives up queued requests with less than half of the origin's usual response time left: their
     /// fetch would be in vain.
     pub(super) fn drop_late_waiters(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let least = now + self.origin.mean_latency().map_or(0, |pace| (pace / 2.0) as Micros);
+        let cutoff =
+            now + self.origin.mean_latency().map_or(0, |mean_latency| (mean_latency / 2.0) as Micros);
         let late =
-            |id: &RequestId| self.open.get(id).is_none_or(|o| !o.queued || o.request.deadline <= least);
+            |id: &RequestId| self.open.get(id).is_none_or(|o| !o.queued || o.request.deadline <= cutoff);
         let (late, queue) = std::mem::take(&mut self.origin_queue).into_iter().partition(late);
         self.origin_queue = queue;
         late.into_iter().for_each(|id: RequestId| self.finish(now, id, out));
@@ -105,20 +112,20 @@
     /// class; the value of a read is the number of requests waiting for its key plus a fraction of
     /// those expected. Requests over quota are scaled by `over_quota_value`.
     pub(super) fn drain_origin(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let takes = |m: &Self, out| m.origin.allows(now, out) && m.plan.allows_fetch(out);
+        let takes = |m: &Self, count| m.origin.allows(now, count) && m.plan.allows_fetch(count);
         while !self.origin_queue.is_empty() && takes(self, self.origin_attempts()) {
             self.origin_queue
                 .retain(|id| self.open.get(id).is_some_and(|o| o.queued && o.request.deadline > now));
-            let twice = now + (2.0 * self.origin_time.mean()) as Micros;
-            let worth = |id: &RequestId| {
+            let comfortable_deadline = now + (2.0 * self.origin_time.mean()) as Micros;
+            let priority = |id: &RequestId| {
                 let (r, o) = (&self.open[id].request, &self.open[id]);
                 let part = if o.over_quota { self.settings.over_quota_value } else { 1.0 };
                 let waiting = self.fetches.get(&r.key).map_or(0, VecDeque::len).max(1) as f64;
-                let worth = if r.write { o.class.value } else { waiting } * part;
-                let asked = if r.write { 0.0 } else { self.popularity.count(mix(r.key.0)) };
-                (r.deadline > twice, worth + POPULARITY_VALUE * asked)
+                let value = if r.write { o.class.value } else { waiting } * part;
+                let recent_requests = if r.write { 0.0 } else { self.popularity.count(mix(r.key.0)) };
+                (r.deadline > comfortable_deadline, value + POPULARITY_VALUE * recent_requests)
             };
-            let all = self.origin_queue.iter().map(worth).enumerate();
+            let all = self.origin_queue.iter().map(priority).enumerate();
             let best = all.max_by(|(_, a), (_, b)| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
             let Some((best, _)) = best else { return };
             let id = self.origin_queue.remove(best);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -19,7 +19,7 @@
 id!(/** Index into `Settings::quotas`. */ TenantId, u32);
 id!(/** Index into the deployment's list of zones. */ ZoneId, u16);
 id!(/** Index into the deployment's list of machine kinds. */ KindId, u16);
-id!(/** A small set of servers that share which keyed requests they have seen. */ CellId, u16);
+id!(/** A small set of servers that share one deduplication table of keyed requests. */ CellId, u16);
 id!(/** Identifies a timer; chosen by the module. */ Token, u64);
 
 /// What may be done with a request that may already have run.
@@ -131,29 +131,37 @@
     pub over_quota_value: f64,
     /// The list of servers is only sent to subscribers.
     pub must_subscribe: bool,
-    /// Kind of the list entries that are origins, from which routers fetch themselves (aside mode).
+    /// Kind of the list entries that are origins from which the routers, not the caches, fetch on a
+    /// miss (cache-aside).
     pub origin_kind: Option<KindId>,
     pub columns: Vec<Column>,
     pub reports: ReportSource,
     /// What the deployment permits.
     pub may_cancel: bool,
     pub may_probe: bool,
-    /// Cost of a probe, as a fraction of the service of a request.
+    /// Cost of a probe, as a fraction of the service time of a request.
     pub probe_price: f64,
     pub may_copy: bool,
     pub max_attempts: u32,
+    /// Maximum number of client requests open at this router.
     pub max_open: u32,
     /// The longest retry delay that clients honour; `None` if they honour none.
     pub max_retry_after: Option<Micros>,
     pub connect_timeout: Micros,
     pub keep_alive: Micros,
-    /// Minimum time between two batches of events.
+    /// Minimum time between two batches of events; deadlines are met with this margin.
     pub period: Micros,
-    /// Parameters of the rules by which a deployment is judged.
+    /// Parameters of the rules by which a deployment is judged, up to `overload_window`. This one:
+    /// how late the final answer of a request may be.
     pub answer_grace: Micros,
+    /// The longest back-off between discovery calls.
     pub discovery_retry_limit: Micros,
+    /// Fraction of its capacity that a server has when it starts, 0 to 1, and the time in which that
+    /// rises to 1.
     pub slow_start_from: f64,
     pub slow_start_duration: Micros,
+    /// Attempts that a server in slow start may receive within the window, as a multiple of its
+    /// capacity, and the window.
     pub overload_multiple: f64,
     pub overload_window: Micros,
     /// No new request goes to a server later than this after the notice that it is draining or gone.
@@ -161,7 +169,7 @@
     /// Idle connections to a draining server must be closed within this time; `None` if no rule
     /// requires it.
     pub drain_close: Option<Micros>,
-    /// How long an ordered key pauses after an attempt that may still run.
+    /// How long the next request of an ordered key is held back after an attempt that may still run.
     pub order_settle: Micros,
 }
 
@@ -302,7 +310,7 @@
     /// Refused by a server that has no room for another connection: it closed the new connection
     /// right after its answer.
     pub no_place: bool,
-    /// 1 hit, 2 miss, 3 miss while another fetch of the key is out.
+    /// 1 hit, 2 miss, 3 miss while a fetch of the key is already in flight.
     pub note: u32,
     /// Values in the order of `Settings::columns`; empty if there was no report.
     pub report: Vec<f32>,
@@ -327,7 +335,8 @@
     }
 }
 
-/// A server's terms as planners calculated them for the fleet, and the trust in them, 0 to 1.
+/// A server's terms as planners calculated them for the fleet; `trust` is their weight against this
+/// router's own estimate, 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlannedTerms {
     pub server: ServerId,
@@ -342,17 +351,17 @@
 /// carries none. It says nothing about readiness, which only the list does.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// Servers that take only a part of their keys, and that fraction; 0 for a server that is silent
-    /// or cut off.
+    /// Servers that should receive only a fraction of their keys, with that fraction; 0 for a server
+    /// that is unresponsive or unreachable.
     pub key_fractions: Vec<(ServerId, f64)>,
     pub solved: Vec<PlannedTerms>,
-    /// Trust in the fields below, 0 to 1.
+    /// Weight of the fields below against this router's own estimates, 0 to 1.
     pub trust: f64,
     /// This router's fraction of each tenant's quota, 0 to 1.
     pub quotas: Vec<f64>,
-    /// Fraction of this router's share of servers in slow start that it may use, 0 to 1.
+    /// Factor on this router's rate of attempts at servers in slow start, 0 to 1.
     pub slow_start_fraction: f64,
-    /// This router's share of the fetches that may be out at origins, in requests.
+    /// This router's share of the fetches that may be in flight at origins, in requests.
     pub fetches: f64,
 }
 
@@ -443,7 +452,7 @@
 pub struct ServerStatus {
     pub server: ServerId,
     pub health: Health,
-    /// Attempts out there.
+    /// Attempts in flight to it.
     pub out: u32,
     /// Utilisation as last reported, or as inferred from a later refusal or time-out, and when.
     pub rho: Option<(f64, Micros)>,
@@ -454,7 +463,7 @@
 pub struct OriginStatus {
     /// At least one origin is not evicted, silent or draining.
     pub available: bool,
-    /// Attempts out there, the limit on them, and requests queued for room.
+    /// Attempts in flight, the limit on them, and requests queued for the origin.
     pub out: u32,
     pub window: f64,
     pub waiting: u32,
--- a/src/servers.rs
+++ b/src/servers.rs
@@ -13,7 +13,7 @@
 pub struct Servers {
     slots: Vec<Option<Server>>,
     free: Vec<u32>,
-    found: IdMap<ServerId, u32>,
+    slot_by_id: IdMap<ServerId, u32>,
     /// Sorted by id.
     order: Vec<(ServerId, u32)>,
     origins: Vec<u32>,
@@ -22,11 +22,11 @@
 
 impl Servers {
     pub fn get(&self, id: &ServerId) -> Option<&Server> {
-        self.slots.get(*self.found.get(id)? as usize)?.as_ref()
+        self.slots.get(*self.slot_by_id.get(id)? as usize)?.as_ref()
     }
 
     pub fn get_mut(&mut self, id: &ServerId) -> Option<&mut Server> {
-        self.slots.get_mut(*self.found.get(id)? as usize)?.as_mut()
+        self.slots.get_mut(*self.slot_by_id.get(id)? as usize)?.as_mut()
     }
 
     /// Inserts a server, replacing one with the same id.
@@ -40,20 +40,20 @@
             Some(free) => *free = Some(server),
             None => self.slots.push(Some(server)),
         }
-        self.found.insert(id, slot);
+        self.slot_by_id.insert(id, slot);
         self.order.insert(self.order.partition_point(|(other, _)| *other < id), (id, slot));
     }
 
     /// Keeps the servers for which `keep` returns true. Slots are only freed here.
     pub fn retain(&mut self, mut keep: impl FnMut(&ServerId, &Server) -> bool) {
-        let Servers { slots, free, found, order, origins, index } = self;
+        let Servers { slots, free, slot_by_id, order, origins, index } = self;
         order.retain(|(id, slot)| {
-            let place = &mut slots[*slot as usize];
-            if place.as_ref().is_some_and(|s| keep(id, s)) {
+            let entry = &mut slots[*slot as usize];
+            if entry.as_ref().is_some_and(|s| keep(id, s)) {
                 return true;
             }
-            *place = None;
-            found.remove(id);
+            *entry = None;
+            slot_by_id.remove(id);
             free.push(*slot);
             origins.retain(|o| o != slot);
             index.set(*slot, None);
@@ -62,8 +62,8 @@
         index.update_floors();
     }
 
-    /// The number of slots (used or free), placed servers, keys with cached candidates, and retained
-    /// placement changes.
+    /// The number of slots (used or free), placed servers, keys with cached candidates, and
+    /// entries in the log of placement changes.
     pub fn sizes(&self) -> [usize; 4] {
         let (keys, changes) = self.index.cache_sizes();
         [self.slots.len(), self.index.len(), keys, changes]
@@ -120,7 +120,8 @@
     }
 
     /// The best caches for a key, by score, among those for which `weight` returns one. A weight
-    /// must not exceed the listed weight times the scale of the server's side, near or far.
+    /// must not exceed the listed weight times the scale of the server's side: `scales` has
+    /// that of the local zone first, then that of the remote zones.
     pub fn best(
         &self,
         key: u64,
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -5,22 +5,24 @@
 //! server. Which server a request prefers is decided elsewhere, and routers do not exchange
 //! information for it.
 //!
-//! A server for which N attempts are allowed within a window is overloaded by N + 2 √N + 2 attempts
-//! from all routers. Two mechanisms keep the sum below that without communication:
+//! A server for which N attempts are allowed within a window counts as overloaded at N + 2 √N + 2
+//! attempts from all routers: N, two standard deviations of a Poisson count, and 2. Two mechanisms
+//! keep the sum below that without communication:
 //!
 //! - **Rate.** Each router is issued attempts at its share of [`SHARE`] of N. The share follows from
 //!   what warm servers serve of the router's own requests, not counting misses, so the shares add up
 //!   to one however traffic is distributed. Nothing learnt from a server in slow start raises the
 //!   rate: it answers quickly until the moment it is overloaded, and many routers would raise their
 //!   rates together.
-//! - **Stock.** Issued but unused attempts also add up over the routers, and after a disturbance all
-//!   of them would spend theirs at once. So any request may use an issued attempt for a short time
-//!   only ([`Allowance::FRESH`]). After that it is reserved for [`Demand::Expected`], which the list
-//!   and the traffic limit by themselves: without this reserve a router with one request per minute
-//!   for the server would never have an attempt available for it.
+//! - **Unused attempts.** Issued but unused attempts also add up over the routers, and after a
+//!   disturbance all routers would use theirs at once. So any request may use an issued attempt only
+//!   for a fraction of the window ([`Allowance::FRESH`]). After that it is reserved for requests for
+//!   the server's own keys ([`Demand::Expected`]), which the list and the traffic limit by
+//!   themselves: without this reserve a router with one request per minute for the server would never
+//!   have an attempt available for it.
 //!
-//! Based on token buckets and on the deployment's fail-back rule, which defines the ramp, the
-//! multiple and the window.
+//! Based on token buckets and on the slow-start settings (`slow_start_*`, `overload_*`), which define
+//! the ramp, the multiple and the window.
 
 use crate::interface::{Micros, Settings};
 
@@ -57,11 +59,11 @@
     /// How long any request may use an issued attempt, as a fraction of the window.
     const FRESH: f64 = 0.4;
 
-    /// Creates the allowance of a newly listed server. Each router draws `phase`, 0 to 1, at random,
-    /// so that the first attempts of all routers are spread evenly over the interval between two
-    /// attempts.
-    pub fn new(phase: f64) -> Self {
-        Allowance { progress: phase.clamp(0.0, 1.0), ..Allowance::default() }
+    /// Creates the allowance of a newly listed server. Each router draws `initial_progress`,
+    /// 0 to 1, at random, so that the first attempts of all routers are spread evenly over the interval
+    /// between two attempts.
+    pub fn new(initial_progress: f64) -> Self {
+        Allowance { progress: initial_progress.clamp(0.0, 1.0), ..Allowance::default() }
     }
 
     /// Attempts available.
@@ -138,9 +140,9 @@
 
     /// Attempts per second issued to this router for a server of this weight, its ramp included,
     /// where warm servers of its zone serve `capacity` of this router's requests per second and unit
-    /// of weight, in requests of mean work. `part` is the fraction that planners leave, 0 to 1.
-    pub fn rate(&self, weight: f64, capacity: f64, part: f64) -> f64 {
-        SHARE * self.overload_multiple * weight * capacity * part
+    /// of weight, in requests of mean work. `planned_fraction` is the factor set by planners, 0 to 1.
+    pub fn rate(&self, weight: f64, capacity: f64, planned_fraction: f64) -> f64 {
+        SHARE * self.overload_multiple * weight * capacity * planned_fraction
     }
 
     /// Counts a request that needs a cache.
--- a/src/state.rs
+++ b/src/state.rs
@@ -57,14 +57,14 @@
 }
 
 impl Terms {
-    /// I = W_q/E[S] of the gathering queue, by Eq. 3.
+    /// I = W_q/E[S], the mean wait divided by the mean service time, by Eq. 3.
     pub fn congestion_index(&self) -> f64 {
         self.rho / (1.0 - self.rho) * (self.arrival_scv + self.service_scv) / 2.0
     }
 
-    /// These terms blended with those from planners, by the trust in them. `observed` is a utilisation
-    /// that this router has just observed: planners learn of it a second later, so it is a lower
-    /// bound.
+    /// These terms blended with those from planners; `PlannedTerms::trust` is the weight of the
+    /// latter. `observed` is a utilisation that this router has just observed: planners learn of it a
+    /// second later, so it is a lower bound.
     pub fn with_planned(self, planned: Option<PlannedTerms>, observed: f64) -> Terms {
         let Some(p) = planned else { return self };
         let blended = |own: f64, planned: f64| blend(own, Some(planned), p.trust);
@@ -77,7 +77,7 @@
     }
 }
 
-/// Blends a local value with one from planners, by the trust in the latter.
+/// Blends a local value with one from planners; `trust` is the weight of the latter, 0 to 1.
 fn blend(own: f64, planned: Option<f64>, trust: f64) -> f64 {
     planned.map_or(own, |planned| own + (planned - own) * trust)
 }
@@ -90,28 +90,33 @@
         blend(own, self.quotas.get(tenant).copied(), self.trust).max(own)
     }
 
-    /// Fraction of this router's share of servers in slow start that it may use.
+    /// Factor on this router's rate of attempts at servers in slow start.
     pub fn slow_start_fraction(&self) -> f64 {
         blend(1.0, Some(self.slow_start_fraction), self.trust)
     }
 
-    /// Whether planners allow another fetch beside `out` others; without trust only the router's own
-    /// limit counts.
-    pub fn allows_fetch(&self, out: u32) -> bool {
-        f64::from(out) * self.trust < self.fetches.max(1.0)
+    /// Whether planners allow another fetch beside `in_flight` others; without trust only the
+    /// router's own limit counts.
+    pub fn allows_fetch(&self, in_flight: u32) -> bool {
+        f64::from(in_flight) * self.trust < self.fetches.max(1.0)
     }
 }
 
-/// Each candidate's fraction of the key's spread traffic, the gathering queue first. Eq. 2 gives
-/// C_D^2 of the gathering queue; from R_i = 1/d Eq. 4 gives C_i^2, Eq. 5 the wait, Eq. 6 the queue;
-/// Eq. 7 averages the two ratios. R_i grows with the queue, so the fraction is (1 - R_i)/(d - 1).
+/// Splits a key's traffic over its d candidates, the first one in front, so that a candidate with a
+/// longer queue and wait gets less. The equations are those of the paper (`docs/design.md`), whose
+/// gathering queue is the first candidate. Eq. 2 gives C_D^2, the squared coefficient of variation
+/// (SCV) of its departures. With R_i = 1/d as the fraction routed to candidate i, Eq. 4 gives C_i^2,
+/// the SCV of the arrivals there, Eq. 5 the wait and Eq. 6 the queue. Eq. 7 sets R_i to the average of
+/// the candidate's parts of all waits and of all queues. That R_i grows with the queue, so the
+/// fraction returned is (1 - R_i)/(d - 1).
 pub fn shares(terms: &[Terms]) -> Vec<f64> {
     let d = terms.len() as f64;
     if terms.len() < 2 {
         return vec![1.0; terms.len()];
     }
-    let g = terms[0];
-    let departures = g.rho * g.rho * g.service_scv + (1.0 - g.rho * g.rho) * g.arrival_scv;
+    let first = terms[0];
+    let departures =
+        first.rho * first.rho * first.service_scv + (1.0 - first.rho * first.rho) * first.arrival_scv;
     let routed = departures / d + (1.0 - 1.0 / d);
     let queue = |t: &Terms| t.rho * t.rho / (1.0 - t.rho) * (routed + t.service_scv) / 2.0;
     let wait = |t: &Terms| t.service * t.rho / (1.0 - t.rho) * (routed + t.service_scv) / 2.0;
@@ -126,7 +131,7 @@
 #[derive(Default)]
 pub struct Server {
     pub member: Member,
-    /// Whether it is an origin (aside mode), or a cache in slow start.
+    /// Whether it is an origin (cache-aside), or a cache in slow start.
     pub origin: bool,
     pub in_slow_start: bool,
     /// The listed weight, or 1 if that is not a positive number; and the listed weight scaled by the
@@ -137,7 +142,7 @@
     pub reported: Option<Micros>,
     /// When it was last sent a probe.
     pub probed: Micros,
-    /// The attempts out there, the limit on them, and how long the server has not answered.
+    /// The attempts in flight to it, the limit on them, and how long the server has not answered.
     pub limiter: NodeLimit,
     pub inter_arrivals: Moments,
     pub last_send: Option<Micros>,
@@ -163,8 +168,8 @@
         self.avoided_fraction > 0.0 && unit(mix(mix(key) ^ self.member.server.0)) < self.avoided_fraction
     }
 
-    /// How an attempt ended, as the limiters classify it. A time-out although a later attempt was
-    /// answered only tells about its connection.
+    /// How an attempt ended, as the limiters classify it. If an attempt times out although a
+    /// later one was answered, only its connection is at fault.
     pub fn ending(&self, end: &Outcome, sent: Micros, late: Micros) -> Ending {
         match end.verdict {
             Verdict::Served | Verdict::Miss if end.elapsed < late => Ending::InTime,
@@ -216,13 +221,14 @@
     pub taken: Micros,
     pub over_quota: bool,
     pub attempts: Vec<Attempt>,
-    /// Waits for its key's turn, for another request's fetch of its key, or for room at the origin.
+    /// Waits for its turn in the key's queue, for another request's fetch of its key, or for the
+    /// origin.
     pub queued: bool,
     pub answering: bool,
 }
 
 /// The requests of an ordered key in order of arrival, and the time until which the key is paused.
-/// The first one runs and stays until it is finished and has no attempt out.
+/// The head of the queue runs, and stays queued until it is finished and has no attempt in flight.
 #[derive(Default)]
 pub struct KeyQueue {
     pub queue: VecDeque<RequestId>,
@@ -244,7 +250,7 @@
         }
     }
 
-    pub fn has_attempt_out(&self) -> bool {
+    pub fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|a| a.verdict.is_none())
     }
 
@@ -294,12 +300,13 @@
 }
 
 /// This router's fraction of the quotas: the weighted median, by quota, of each tenant's recent
-/// usage relative to its quota, as the median tenant is assumed to be within its share. `asked` is a
-/// decaying sum over `second` seconds and is decayed by `keep`. 0 without quotas.
-pub fn median_quota_use(tenants: &mut [Bucket], quotas: &[f64], second: f64, keep: f64) -> f64 {
+/// usage relative to its quota, as the median tenant is assumed to be within its share.
+/// `Bucket::requested` is a decaying sum over about `memory_seconds` seconds and is decayed by `keep`.
+/// 0 without quotas.
+pub fn median_quota_use(tenants: &mut [Bucket], quotas: &[f64], memory_seconds: f64, keep: f64) -> f64 {
     let mut used: Vec<(f64, f64)> = Vec::with_capacity(tenants.len());
     for (b, q) in tenants.iter_mut().zip(quotas).filter(|(_, q)| **q > 0.0 && q.is_finite()) {
-        used.push((b.requested / second / q, *q));
+        used.push((b.requested / memory_seconds / q, *q));
         b.requested *= keep;
     }
     used.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/src/view.rs
+++ b/src/view.rs
@@ -38,11 +38,12 @@
     /// popular keys) are left out.
     pub fn sizes(&self) -> [(&'static str, usize); 15] {
         let [slots, placed, keys, changes] = self.servers.sizes();
-        let attempts = self.open.values().chain(self.lingering.values()).map(|o| o.attempts.len()).sum();
+        let attempts =
+            self.open.values().chain(self.finished_in_flight.values()).map(|o| o.attempts.len()).sum();
         [
             ("module.requests", self.open.len()),
             ("module.attempts", attempts),
-            ("module.lingering", self.lingering.len()),
+            ("module.lingering", self.finished_in_flight.len()),
             ("module.fetches", self.fetches.len()),
             ("module.fetches_waiting", self.fetches.values().map(|w| w.len()).sum()),
             ("module.origin_queue", self.origin_queue.len()),
