--- a/fuzz/fuzz_targets/memcached.rs
+++ b/fuzz/fuzz_targets/memcached.rs
@@ -1,4 +1,4 @@
-//! The codec of the memcached binary protocol under any bytes, in any pieces.
+//! Feeds arbitrary bytes, split at arbitrary points, to the codec of the memcached binary protocol.
 
 #![no_main]
 
@@ -8,7 +8,7 @@
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|bytes: &[u8]| {
-    // The first bytes say how the rest comes in pieces.
+    // The first 4 bytes determine how the rest is split.
     let (lengths, bytes) = bytes.split_at(bytes.len().min(4));
     invariants::check_invariants(bytes, lengths);
 });
--- a/fuzz/fuzz_targets/snmp.rs
+++ b/fuzz/fuzz_targets/snmp.rs
@@ -1,4 +1,4 @@
-//! The SNMP agent, its listener and its manager under any datagram.
+//! Feeds arbitrary datagrams to the SNMP agent, its listener and its manager.
 
 #![no_main]
 
