--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -28,7 +28,7 @@
 //! - `config POINTER WORD`: replaces the file, `hup`: SIGHUP, `log TEXT`: waits for a line of the log.
 //!
 //! Exchanges in `either/` are written once and played in both protocols, on both sides; what is asked and answered
-//! is said in the words of `spoken.rs`, which also has steps that only the memcached protocol knows.
+//! is said in the words of `protocol_steps.rs`, which also has steps that only the memcached protocol knows.
 //!
 //! `c1` is a client's first connection, `m1` one to the multi-get port, `a2` the second that node `a` accepted; `{a}`
 //! and `{m}` are addresses, `{conf}` is our own file; `t1` is a watcher, `f1` a front; `d` and `e` are discovery's.
@@ -54,9 +54,9 @@
 /// What is told of a time is rounded down to a ms, and is a tick of the configuration (5 ms) shorter than the client's; in ms.
 const TICK: u128 = 6;
 
-#[path = "exchanges/spoken.rs"]
-mod spoken;
-use spoken::{Spoken, Tongue};
+#[path = "exchanges/protocol_steps.rs"]
+mod protocol_steps;
+use protocol_steps::{Spoken, Tongue};
 
 struct Play {
     program: Child,
@@ -191,7 +191,7 @@
         let lines = line("feature ").collect::<Vec<_>>().join("\n").replace("{u}", &collects.to_string());
         write(&conf, lines.replace("{dir}", &dir.display().to_string())).expect("a file");
         let secrets: String = line("secrets ").map(|l| format!("{l}\n")).collect();
-        spoken::secret_file(&dir.join("secrets"), &secrets);
+        protocol_steps::secret_file(&dir.join("secrets"), &secrets);
         let program = program.arg("--conf").arg(&conf).arg(&path);
         let mut program = program.stderr(Stdio::piped()).spawn().expect("the program starts");
         let mut log = BufReader::new(program.stderr.take().expect("its log"));
