--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -27,8 +27,8 @@
     Ok((from.read_line(&mut line)? > 0).then(|| line.trim_end().to_owned()))
 }
 
-/// Runs a cache node, which answers a key that it does not hold with a miss. The origin does not fill the nodes in
-/// this example, so the node stores the value itself after a miss.
+/// Runs a cache node, which answers a key that it does not hold with a miss. The origin does not fill the
+/// nodes in this example, so the node stores the value itself after a miss.
 fn serve_cache(socket: TcpStream, name: &str, store: &Store) -> Result<()> {
     let mut from = BufReader::new(socket.try_clone()?);
     let mut to = socket;
--- a/tests/exchanges.rs
+++ b/tests/exchanges.rs
@@ -1,37 +1,46 @@
-//! Plays the recorded exchanges in `tests/exchanges/` against the program: the runner is its clients, nodes
-//! and discovery, on loopback ports of the system's choice. A line of an exchange is one step:
+//! Replays the recorded exchanges in `tests/exchanges/` against the program. The runner plays the clients,
+//! the nodes and discovery on loopback ports that the system assigns. Each line of an exchange is one step:
 //!
-//! - `nodes a b o`: what is listed, `o` being the origin; `set POINTER JSON`: another configuration.
-//! - `NAME >> WORDS`: sends a command, or a chunk of discovery's; `NAME > TEXT`: sends bytes as they are.
-//! - `NAME << WORDS`, `NAME < TEXT`: expects just that; `#` stands for some digits in words.
-//!   In `NAME < TEXT` a time that is told stands as `#<N`: a whole number of ms from 1 to N; or as `#~N`: besides no less
-//!   than N without what has passed since a client last asked.
-//! - `NAME echoes WORDS`: expects that and answers with the id as the value, for when either may come first.
-//! - `NAME close`, `NAME closed`: closes, expects the end. `term`, `exit`: SIGTERM, expects a clean end.
-//! - `NAME shuts`: closes its sending side; `NAME resets`: closes with a reset.
-//! - `NAME full`: a node's backlog is filled, so that a dial to it stays pending; `NAME dialled`: waits for such a dial;
-//!   `NAME room`: the backlog is emptied. `NAME narrow`: a large value does not fit into the way to a node that does not
-//!   read; `NAME cut TEXT`: reads to the end, which comes before this. `stop`, `cont`: the program stands still, goes on.
-//! - `feature LINE`: a line of our own file. `NAME run WORDS`: starts a subcommand; `NAME says TEXT` expects its next
-//!   line, `NAME ends CODE` its end.
-//! - `NAME hears TEXT`: expects a line like this; `NAME tells TEXT`: reads to the end, whole lines of a watcher's
-//!   fields and this one last.
-//! - `NAME holds TEXT`: expects it in a file of the folder `{dir}`; `fifo NAME`, `remove NAME`: makes one, removes
-//!   one; `NAME absent`: it is not there. `deaf`: nobody reads the log any more; `mute`, `unmute`: nobody reads it for
-//!   now, though it is open. `pause MS`: lets time pass. `within MS STEP`: the step, which a rule gives that long.
-//! - `udp hears TEXT`: waits for a datagram with it at `{u}`; `udp shut`, `udp open`: nobody is there, somebody is.
-//! - `repeat N STEP && STEP`: the steps N times, `{i}` being 0, 1, 2 ...
-//! - `NAME gone`: a node is stopped.
-//! - `agent shows LINE`: waits till a walk with the community `ops` has the line.
-//! - `trap hears TEXT`: waits for a notification at `{u}`, which is the next one and holds this; informs are
+//! - `nodes a b o`: the members in the list, `o` being the origin; `set POINTER JSON`: overrides a setting of
+//!   the configuration.
+//! - `NAME >> WORDS`: sends a command, or a chunk as discovery; `NAME > TEXT`: sends raw bytes.
+//! - `NAME << WORDS`, `NAME < TEXT`: expects exactly this command or these bytes; in words, `#` matches one
+//!   or more digits. In `NAME < TEXT`, `#<N` matches a remaining time, a whole number of ms from 1 to N;
+//!   `#~N` also requires it to be at least N minus the time elapsed since a client last sent a request.
+//! - `NAME echoes WORDS`: expects this command and replies with its id as the value, for use where either of
+//!   two commands may come first.
+//! - `NAME close`, `NAME closed`: closes the connection, expects its end. `term`, `exit`: sends SIGTERM,
+//!   expects a successful exit.
+//! - `NAME shuts`: shuts down the sending side; `NAME resets`: closes with a reset.
+//! - `NAME full`: fills a node's accept backlog, so that a connect to it stays pending; `NAME dialled`: waits
+//!   for such a connect; `NAME room`: drains the backlog. `NAME narrow`: shrinks the receive buffer of a
+//!   node, so that a large value doesn't fit while the node does not read; `NAME cut TEXT`: reads to the end
+//!   of the connection, which must come before this text. `stop`, `cont`: send SIGSTOP and SIGCONT to the
+//!   program.
+//! - `feature LINE`: a line of the features file. `NAME run WORDS`: starts a subcommand; `NAME says TEXT`
+//!   expects its next line of output, `NAME ends CODE` its exit code.
+//! - `NAME hears TEXT`: expects a line that matches; `NAME tells TEXT`: reads to the end and expects complete
+//!   lines with a watcher's fields, this line being the last.
+//! - `NAME holds TEXT`: waits until a file in the directory `{dir}` contains the text; `fifo NAME`, `remove
+//!   NAME`: creates a FIFO, removes a file; `NAME absent`: expects that the file does not exist. `deaf`:
+//!   drops the reader of the log; `mute`, `unmute`: pauses and resumes reading the log, which stays open.
+//!   `pause MS`: sleeps. `within MS STEP`: runs the step and fails if it takes longer.
+//! - `udp hears TEXT`: waits for a datagram at `{u}` that contains the text; `udp shut`, `udp open`: closes
+//!   and reopens the receiving socket.
+//! - `repeat N STEP && STEP`: runs the steps N times, with `{i}` replaced by 0, 1, 2 ...
+//! - `NAME gone`: stops a node.
+//! - `agent shows LINE`: polls an SNMP walk with the community `ops` until it contains the line.
+//! - `trap hears TEXT`: receives the next notification at `{u}`, which must contain the text; informs are
 //!   acknowledged.
-//! - `config POINTER WORD`: replaces the file, `hup`: SIGHUP, `log TEXT`: waits for a line of the log.
+//! - `config POINTER WORD`: rewrites the configuration file, `hup`: sends SIGHUP, `log TEXT`: waits for a
+//!   line of the log that contains the text.
 //!
-//! Exchanges in `either/` are written once and played in both protocols, on both sides; what is asked and answered
-//! is said in the words of `protocol_steps.rs`, which also has steps that only the memcached protocol knows.
+//! Exchanges in `either/` are independent of the protocol and are run with both protocols on both sides.
+//! Their steps are defined in `protocol_steps.rs`, along with steps for the memcached protocol alone.
 //!
-//! `c1` is a client's first connection, `m1` one to the multi-get port, `a2` the second that node `a` accepted; `{a}`
-//! and `{m}` are addresses, `{conf}` is our own file; `t1` is a watcher, `f1` a front; `d` and `e` are discovery's.
+//! `c1` is a client's first connection, `m1` one to the multi-get port, `a2` the second that node `a`
+//! accepted; `{a}` and `{m}` are addresses, `{conf}` is the features file; `t1` is a watcher, `f1` a front;
+//! `d` and `e` are discovery servers.
 
 use rstest::rstest;
 use snmp::message::{Community, Kind, Pdu};
@@ -49,55 +58,56 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// No step waits longer; far more than any needs.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// What is told of a time is rounded down to a ms, and is a tick of the configuration (5 ms) shorter than the client's; in ms.
-const TICK: u128 = 6;
+/// Upper limit on the wait of any single step, far above what a step needs.
+const STEP_TIMEOUT: Duration = Duration::from_secs(20);
+/// Tolerance in ms for a remaining time: it is rounded down to a ms, and the configuration's tick (5 ms) is
+/// taken off the client's time.
+const ROUNDING_MS: u128 = 6;
 
 #[path = "exchanges/protocol_steps.rs"]
 mod protocol_steps;
-use protocol_steps::{Spoken, Tongue};
+use protocol_steps::{Protocol, Protocols};
 
-struct Play {
+struct Runner {
     program: Child,
-    /// What the program listens on, by the first letter of who connects there.
-    listen: BTreeMap<char, String>,
+    /// Addresses that the program listens on, by the first letter of the connections made to them.
+    program_addresses: BTreeMap<char, String>,
     listeners: BTreeMap<String, TcpListener>,
     connections: BTreeMap<String, TcpStream>,
     config: serde_json::Value,
     path: PathBuf,
     log: Receiver<String>,
-    mute: Arc<AtomicBool>,
-    commands: BTreeMap<String, (Child, BufReader<ChildStdout>)>,
+    log_paused: Arc<AtomicBool>,
+    subcommands: BTreeMap<String, (Child, BufReader<ChildStdout>)>,
     collector: Option<UdpSocket>,
-    collects: SocketAddr,
-    spoken: Spoken,
-    /// The notification heard last.
-    notified: Option<i32>,
-    /// When a client last asked for something: its time counts from then or later.
-    asked: Instant,
+    collector_address: SocketAddr,
+    protocols: Protocols,
+    /// Request id of the last notification, to skip retransmitted informs.
+    last_notification_id: Option<i32>,
+    /// When a client last sent a request: its time limit starts then or later.
+    last_request_at: Instant,
 }
 
-impl Drop for Play {
+impl Drop for Runner {
     fn drop(&mut self) {
-        let commands = self.commands.values_mut().map(|(child, _)| child);
-        for child in commands.chain([&mut self.program]) {
+        let subcommands = self.subcommands.values_mut().map(|(child, _)| child);
+        for child in subcommands.chain([&mut self.program]) {
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// Whose connection it is: its name without the number.
-fn base(name: &str) -> &str {
+/// Strips the number from a connection's name, which leaves the name of its peer.
+fn peer_name(name: &str) -> &str {
     name.trim_end_matches(|c: char| c.is_ascii_digit())
 }
 
-fn local(listener: &TcpListener) -> String {
+fn local_address(listener: &TcpListener) -> String {
     listener.local_addr().expect("an address").to_string()
 }
 
-fn member(name: &str, address: &str, phase: &str) -> String {
+fn member_json(name: &str, address: &str, phase: &str) -> String {
     let kind = if name == "o" { "origin" } else { "half-node" };
     format!(
         r#"{{"id":"s-{name}","host_port":"{address}","locality":"hofdi","flavor":"{kind}","cell":0,"phase":"{phase}","size":1.0,"up_since_ms":0}}"#
@@ -105,40 +115,40 @@
 }
 
 fn accept(listener: &TcpListener, name: &str) -> TcpStream {
-    listener.set_nonblocking(true).expect("no blocking");
-    for _ in 0..PATIENCE.as_millis() / 5 {
+    listener.set_nonblocking(true).expect("set non-blocking mode");
+    for _ in 0..STEP_TIMEOUT.as_millis() / 5 {
         if let Ok((socket, _)) = listener.accept() {
-            socket.set_nonblocking(false).expect("blocking");
+            socket.set_nonblocking(false).expect("set blocking mode");
             return socket;
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    panic!("{name} was not connected to");
+    panic!("the program did not connect to {name}");
 }
 
 fn connect(to: &str, from: u8) -> TcpStream {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let from: SocketAddr = format!("127.0.0.{from}:0").parse().expect("an address");
-    socket.bind(&from.into()).expect("a loopback address");
+    socket.bind(&from.into()).expect("bind a loopback address");
     let to: SocketAddr = to.parse().expect("an address");
-    socket.connect(&to.into()).expect("the program accepts");
+    socket.connect(&to.into()).expect("connect to the program");
     socket.into()
 }
 
 fn collector(at: SocketAddr) -> UdpSocket {
-    let collector = UdpSocket::bind(at).expect("a port");
-    collector.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    let collector = UdpSocket::bind(at).expect("bind a loopback port");
+    collector.set_read_timeout(Some(STEP_TIMEOUT)).expect("set the read timeout");
     collector
 }
 
 fn unescape(text: &str) -> Vec<u8> {
-    // A run of a letter stands for itself: {x*70000}.
+    // `{x*70000}` expands to 70000 times the letter x.
     let run = text.split_once("{x*").and_then(|(head, rest)| Some((head, rest.split_once('}')?)));
     let text = match run {
-        Some((head, (n, tail))) => [head, &"x".repeat(n.parse().expect("a count")), tail].concat(),
+        Some((head, (n, tail))) => [head, &"x".repeat(n.parse().expect("a number")), tail].concat(),
         None => text.to_owned(),
     };
-    // What stands behind a backslash: r, n or x with two digits.
+    // Escapes are \r, \n and \x with two hexadecimal digits.
     let mut parts = text.split('\\');
     let mut out = parts.next().unwrap_or_default().as_bytes().to_vec();
     for part in parts {
@@ -161,164 +171,170 @@
     digits > 0 && matches(tail, &rest[digits..])
 }
 
-impl Play {
-    fn start(script: &str, dir: &Path, spoken: Spoken) -> Play {
-        let script = &[script, &spoken.features(script)].concat();
+impl Runner {
+    fn start(script: &str, dir: &Path, protocols: Protocols) -> Runner {
+        let script = &[script, &protocols.feature_lines(script)].concat();
         let line = |word: &'static str| script.lines().filter_map(move |l| l.strip_prefix(word));
-        let names: Vec<&str> = line("nodes ").next().expect("a line of nodes").split(' ').collect();
-        let bind = |n: &&str| (n.to_string(), TcpListener::bind("127.0.0.1:0").expect("a port"));
+        let names: Vec<&str> = line("nodes ").next().expect("a `nodes` line").split(' ').collect();
+        let bind =
+            |n: &&str| (n.to_string(), TcpListener::bind("127.0.0.1:0").expect("bind a loopback port"));
         let listeners: BTreeMap<_, _> = names.iter().chain(&["d", "e"]).map(bind).collect();
-        let list =
-            names.iter().map(|n| member(n, &local(&listeners[*n]), "SERVING")).collect::<Vec<_>>().join(",");
-        let text = read_to_string("tests/exchanges/config.json").expect("the configuration");
-        let mut config: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+        let list = names
+            .iter()
+            .map(|n| member_json(n, &local_address(&listeners[*n]), "SERVING"))
+            .collect::<Vec<_>>()
+            .join(",");
+        let text = read_to_string("tests/exchanges/config.json").expect("read the configuration");
+        let mut config: serde_json::Value = serde_json::from_str(&text).expect("valid JSON");
         config["listen"] = "127.0.0.1:0".into();
-        config["discovery"] = local(&listeners["d"]).into();
-        config["known"]["members"] = serde_json::from_str(&format!("[{list}]")).expect("members");
+        config["discovery"] = local_address(&listeners["d"]).into();
+        config["known"]["members"] = serde_json::from_str(&format!("[{list}]")).expect("valid members");
         for (pointer, value) in line("set ").filter_map(|l| l.split_once(' ')) {
-            let value = serde_json::from_slice(&unescape(value)).expect("JSON");
-            *config.pointer_mut(pointer).expect("a setting") = value;
+            let value = serde_json::from_slice(&unescape(value)).expect("valid JSON");
+            *config.pointer_mut(pointer).expect("an existing setting") = value;
         }
         let path = dir.join("config.json");
-        write(&path, config.to_string()).expect("a file");
+        write(&path, config.to_string()).expect("access the file");
         let mut program = Command::new(env!("CARGO_BIN_EXE_martenweir"));
         let conf = dir.join("martenweir.conf");
         let collector = collector("127.0.0.1:0".parse().expect("an address"));
-        let collects = collector.local_addr().expect("an address");
+        let collector_address = collector.local_addr().expect("an address");
         for name in line("fifo ") {
             assert!(Command::new("mkfifo").arg(dir.join(name)).status().expect("mkfifo").success());
         }
-        let lines = line("feature ").collect::<Vec<_>>().join("\n").replace("{u}", &collects.to_string());
-        write(&conf, lines.replace("{dir}", &dir.display().to_string())).expect("a file");
+        let lines =
+            line("feature ").collect::<Vec<_>>().join("\n").replace("{u}", &collector_address.to_string());
+        write(&conf, lines.replace("{dir}", &dir.display().to_string())).expect("access the file");
         let secrets: String = line("secrets ").map(|l| format!("{l}\n")).collect();
-        protocol_steps::secret_file(&dir.join("secrets"), &secrets);
+        protocol_steps::write_private_file(&dir.join("secrets"), &secrets);
         let program = program.arg("--conf").arg(&conf).arg(&path);
-        let mut program = program.stderr(Stdio::piped()).spawn().expect("the program starts");
-        let mut log = BufReader::new(program.stderr.take().expect("its log"));
+        let mut program = program.stderr(Stdio::piped()).spawn().expect("start the program");
+        let mut log = BufReader::new(program.stderr.take().expect("the program's standard error"));
         let mut address = || {
-            let mut told = String::new();
-            log.read_line(&mut told).expect("a line");
-            let address = told.split("listening on ").nth(1).and_then(|t| t.trim().split(',').next());
-            // Listening on all addresses, it is reached as the others are.
-            address.expect("its address").replace("[::]", "127.0.0.1")
+            let mut line_read = String::new();
+            log.read_line(&mut line_read).expect("a line");
+            let address = line_read.split("listening on ").nth(1).and_then(|t| t.trim().split(',').next());
+            // A wildcard listener is reached through IPv4 loopback like the others.
+            address.expect("a line with the listening address").replace("[::]", "127.0.0.1")
         };
-        let mut listen = BTreeMap::from([('c', address())]);
+        let mut program_addresses = BTreeMap::from([('c', address())]);
         let ports = [("multigetport", 'm'), ("tapport", 't'), ("memcacheport", 'k'), ("snmpport", 's')];
         for (setting, name) in ports {
             if line("feature ").any(|l| l.starts_with(setting)) {
-                listen.insert(name, address());
+                program_addresses.insert(name, address());
             }
         }
-        let (said, heard) = std::sync::mpsc::channel();
-        let mute = Arc::new(AtomicBool::new(false));
-        let muted = mute.clone();
+        let (sender, receiver) = std::sync::mpsc::channel();
+        let log_paused = Arc::new(AtomicBool::new(false));
+        let paused = log_paused.clone();
         std::thread::spawn(move || {
             log.lines().map_while(Result::ok).try_for_each(|l| {
-                while muted.load(Ordering::Relaxed) {
+                while paused.load(Ordering::Relaxed) {
                     std::thread::sleep(Duration::from_millis(5));
                 }
-                said.send(l)
+                sender.send(l)
             })
         });
         let connections = BTreeMap::new();
-        let commands = BTreeMap::new();
-        let mut play = Play {
+        let subcommands = BTreeMap::new();
+        let mut runner = Runner {
             program,
-            listen,
+            program_addresses,
             listeners,
             connections,
             config,
             path,
-            log: heard,
-            mute,
-            commands,
+            log: receiver,
+            log_paused,
+            subcommands,
             collector: Some(collector),
-            collects,
-            spoken,
-            notified: None,
-            asked: Instant::now(),
+            collector_address,
+            protocols,
+            last_notification_id: None,
+            last_request_at: Instant::now(),
         };
         let head = format!(
             "GET /registry/instances?watch=1&after=1 HTTP/1.1\\r\\nHost: {}\\r\\n\\r\\n",
-            local(&play.listeners["d"])
+            local_address(&runner.listeners["d"])
         );
-        play.step(&format!("d1 < {head}"));
-        play.step("d1 > HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n");
-        play.step("d1 >> ");
-        // The first sweep after discovery's word makes it ready.
-        let pinged = |play: &mut Play| {
-            play.step("ready >> PING");
+        runner.run_step(&format!("d1 < {head}"));
+        runner.run_step("d1 > HTTP/1.1 200 OK\\r\\nTransfer-Encoding: chunked\\r\\n\\r\\n");
+        runner.run_step("d1 >> ");
+        // The program becomes ready with its first periodic sweep after discovery has responded.
+        let pinged = |runner: &mut Runner| {
+            runner.run_step("ready >> PING");
             let mut byte = [0; 1];
-            play.connection("ready").read_exact(&mut byte).expect("an answer to PING");
-            play.until("ready", b"\r\n");
+            runner.connection("ready").read_exact(&mut byte).expect("an answer to PING");
+            runner.read_until("ready", b"\r\n");
             byte == *b"+"
         };
-        while !pinged(&mut play) {
+        while !pinged(&mut runner) {
             std::thread::sleep(Duration::from_millis(20));
         }
-        play.connections.remove("ready");
-        play
+        runner.connections.remove("ready");
+        runner
     }
 
-    /// A connection by its name: a client's is opened at its first use, a node's accepted.
+    /// Returns a connection by name. On first use, a client's connection is opened and a node's is accepted.
     fn connection(&mut self, name: &str) -> &mut TcpStream {
         if !self.connections.contains_key(name) {
-            let listener = self.listeners.get(base(name));
+            let listener = self.listeners.get(peer_name(name));
             let socket = match listener {
                 Some(listener) => accept(listener, name),
                 None => {
-                    // `f` and `g` are fronts, on other loopback addresses; `h` is one at the multi-get port.
+                    // `f` and `g` are fronts, on other loopback addresses; `h` is one at the multi-get port,
+                    // `j` at the memcached port.
                     let (port, from) = match name.chars().next() {
                         Some('f') => ('c', 2),
                         Some('g') => ('c', 3),
                         Some('h') => ('m', 3),
                         Some('j') => ('k', 3),
-                        Some('c') if self.spoken.front == Tongue::Memcached => ('k', 1),
-                        Some(port) if self.listen.contains_key(&port) => (port, 1),
+                        Some('c') if self.protocols.clients == Protocol::Memcached => ('k', 1),
+                        Some(port) if self.program_addresses.contains_key(&port) => (port, 1),
                         _ => ('c', 1),
                     };
-                    connect(&self.listen[&port], from)
+                    connect(&self.program_addresses[&port], from)
                 }
             };
-            socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-            socket.set_nodelay(true).expect("no delay");
+            socket.set_read_timeout(Some(STEP_TIMEOUT)).expect("set the read timeout");
+            socket.set_nodelay(true).expect("set TCP_NODELAY");
             self.connections.insert(name.to_owned(), socket);
         }
-        self.connections.get_mut(name).expect("a connection")
+        self.connections.get_mut(name).expect("an open connection")
     }
 
-    fn until(&mut self, name: &str, end: &[u8]) -> String {
+    fn read_until(&mut self, name: &str, end: &[u8]) -> String {
         let (mut got, mut byte) = (Vec::new(), [0; 1]);
         while !got.ends_with(end) {
-            let n = self.connection(name).read(&mut byte).expect("more bytes");
+            let n = self.connection(name).read(&mut byte).expect("read from the connection");
             assert!(n > 0, "{name} was closed after {:?}", String::from_utf8_lossy(&got));
             got.push(byte[0]);
         }
         String::from_utf8_lossy(&got[..got.len() - end.len()]).into_owned()
     }
 
-    fn any_words(&mut self, name: &str) -> String {
-        let n = self.until(name, b"\r\n").trim_start_matches('*').parse().expect("an array");
+    fn read_command(&mut self, name: &str) -> String {
+        let n = self.read_until(name, b"\r\n").trim_start_matches('*').parse().expect("an array");
         let one = |_| {
-            self.until(name, b"\r\n");
-            self.until(name, b"\r\n")
+            self.read_until(name, b"\r\n");
+            self.read_until(name, b"\r\n")
         };
         (0..n).map(one).collect::<Vec<_>>().join(" ")
     }
 
-    /// The words of a command, which are to be these.
-    fn words(&mut self, name: &str, text: &str) -> String {
-        let words = self.any_words(name);
+    /// Reads a command and asserts that its words match.
+    fn expect_command(&mut self, name: &str, text: &str) -> String {
+        let words = self.read_command(name);
         assert!(matches(text, &words), "{name}: expected {text:?}, got {words:?}");
         words
     }
 
-    /// The bytes that come next are to be these.
-    fn exactly(&mut self, name: &str, wanted: &[u8]) {
+    /// Asserts that the next bytes are these.
+    fn expect_bytes(&mut self, name: &str, wanted: &[u8]) {
         let mut got = Vec::new();
         while got.len() < wanted.len() && wanted.starts_with(&got) {
             let mut byte = [0; 1];
-            let n = self.connection(name).read(&mut byte).expect("more bytes");
+            let n = self.connection(name).read(&mut byte).expect("read from the connection");
             got.extend_from_slice(&byte[..n]);
             let (wanted, got) = (String::from_utf8_lossy(wanted), String::from_utf8_lossy(&got));
             assert!(n > 0, "{name}: expected {wanted:?}, closed after {got:?}");
@@ -326,40 +342,40 @@
         assert_eq!(String::from_utf8_lossy(&got), String::from_utf8_lossy(wanted), "{name}");
     }
 
-    /// Fills a node's backlog with connections of our own, or takes them out again.
-    fn backlog(&mut self, name: &str, full: bool) {
-        let (listener, ours) = (&self.listeners[name], format!("{name} full "));
+    /// Fills a node's accept backlog with connections from the runner, or accepts and drops them again.
+    fn set_backlog(&mut self, name: &str, full: bool) {
+        let (listener, prefix) = (&self.listeners[name], format!("{name} full "));
         let address = listener.local_addr().expect("an address");
-        // The shortest backlog there is; else what the library asks for.
-        SockRef::from(listener).listen(if full { 0 } else { 128 }).expect("it listens");
-        let held = self.connections.keys().filter(|n| n.starts_with(&ours)).count();
+        // 0 is the shortest backlog possible, 128 what the standard library uses.
+        SockRef::from(listener).listen(if full { 0 } else { 128 }).expect("change the backlog");
+        let held = self.connections.keys().filter(|n| n.starts_with(&prefix)).count();
         (0..held).for_each(|_| drop(accept(listener, name)));
-        self.connections.retain(|n, _| !n.starts_with(&ours));
-        // The system connects at once while there is room, and says nothing from then on.
+        self.connections.retain(|n, _| !n.starts_with(&prefix));
+        // Connects succeed at once while the backlog has room and time out when it is full.
         let more = || TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
         let held = std::iter::from_fn(|| if full { more() } else { None }).collect::<Vec<_>>();
-        self.connections.extend(held.into_iter().enumerate().map(|(n, one)| (format!("{ours}{n}"), one)));
+        self.connections.extend(held.into_iter().enumerate().map(|(n, one)| (format!("{prefix}{n}"), one)));
     }
 
-    /// All that the agent shows.
-    fn walk(&self) -> String {
+    /// Returns the output of a walk over the whole SNMP agent.
+    fn snmp_walk(&self) -> String {
         let mut walk = Command::new(env!("CARGO_BIN_EXE_martenweir"));
-        let end = walk.args(["snmp", "walk", "--community", "ops", &self.listen[&'s']]).output();
-        String::from_utf8_lossy(&end.expect("a walk").stdout).into_owned()
+        let end = walk.args(["snmp", "walk", "--community", "ops", &self.program_addresses[&'s']]).output();
+        String::from_utf8_lossy(&end.expect("run `snmp walk`").stdout).into_owned()
     }
 
-    /// The next notification, as people read it. An inform that had to wait for its acknowledgement comes again.
-    fn notification(&mut self) -> String {
+    /// Returns the next notification as text. Informs are acknowledged, and retransmitted ones are skipped.
+    fn next_notification(&mut self) -> String {
         let (mut bytes, mib) = ([0; 65536], Mib::read(mib::TEXT));
-        let collector = self.collector.as_ref().expect("open");
+        let collector = self.collector.as_ref().expect("the UDP socket is open");
         let pdu = loop {
             let (n, from) = collector.recv_from(&mut bytes).expect("a notification");
-            let Community { community, pdu } = Community::read(&bytes[..n]).expect("a message");
+            let Community { community, pdu } = Community::read(&bytes[..n]).expect("a valid SNMP message");
             if pdu.kind == Kind::Inform {
                 let pdu = Pdu { kind: Kind::Response, ..pdu.clone() };
-                collector.send_to(&Community { community, pdu }.bytes(), from).expect("sent");
+                collector.send_to(&Community { community, pdu }.bytes(), from).expect("send");
             }
-            if self.notified.replace(pdu.request) != Some(pdu.request) {
+            if self.last_notification_id.replace(pdu.request) != Some(pdu.request) {
                 break pdu;
             }
         };
@@ -370,18 +386,19 @@
         shown.collect::<Vec<_>>().join(" ")
     }
 
-    fn step(&mut self, line: &str) {
-        let addresses = self.listeners.iter().map(|(n, l)| (format!("{{{n}}}"), local(l)));
+    fn run_step(&mut self, line: &str) {
+        let addresses = self.listeners.iter().map(|(n, l)| (format!("{{{n}}}"), local_address(l)));
         let conf = self.path.with_file_name("martenweir.conf").display().to_string();
         let addresses = addresses.chain([("{conf}".to_owned(), conf)]);
-        let addresses = addresses.chain(self.listen.iter().map(|(n, a)| (format!("{{{n}}}"), a.clone())));
+        let addresses =
+            addresses.chain(self.program_addresses.iter().map(|(n, a)| (format!("{{{n}}}"), a.clone())));
         let line = addresses.fold(line.to_owned(), |line, (n, address)| line.replace(&n, &address));
         let (name, rest) = line.split_once(' ').unwrap_or((&line, ""));
         let (verb, text) = rest.split_once(' ').unwrap_or((rest, ""));
         if verb == ">>" && name.starts_with('c') {
-            self.asked = Instant::now();
+            self.last_request_at = Instant::now();
         }
-        if self.speak(name, verb, text) {
+        if self.run_protocol_step(name, verb, text) {
             return;
         }
         match (name, verb) {
@@ -392,51 +409,59 @@
                 assert!(kill.expect("kill").success());
             }
             ("config", pointer) => {
-                *self.config.pointer_mut(pointer).expect("a setting") = text.into();
-                write(&self.path, self.config.to_string()).expect("a file");
+                *self.config.pointer_mut(pointer).expect("an existing setting") = text.into();
+                write(&self.path, self.config.to_string()).expect("access the file");
             }
             ("log", _) => {
-                let end = Instant::now() + PATIENCE;
-                while !self.log.recv_timeout(PATIENCE).expect("a line of the log").contains(rest) {
-                    assert!(Instant::now() < end, "the log does not say {rest:?}");
+                let end = Instant::now() + STEP_TIMEOUT;
+                while !self.log.recv_timeout(STEP_TIMEOUT).expect("a line of the log").contains(rest) {
+                    assert!(Instant::now() < end, "no line of the log contains {rest:?}");
                 }
             }
             ("repeat", times) => {
-                for i in 0..times.parse().expect("a count") {
-                    text.split(" && ").for_each(|step| self.step(&step.replace("{i}", &i.to_string())));
+                for i in 0..times.parse().expect("a number") {
+                    text.split(" && ").for_each(|step| self.run_step(&step.replace("{i}", &i.to_string())));
                 }
             }
             ("within", ms) => {
-                let (begun, most) = (Instant::now(), Duration::from_millis(ms.parse().expect("a time")));
-                self.step(text);
-                assert!(begun.elapsed() <= most, "{:?} for {text:?}", begun.elapsed());
+                let (start, most) =
+                    (Instant::now(), Duration::from_millis(ms.parse().expect("a number of ms")));
+                self.run_step(text);
+                assert!(start.elapsed() <= most, "took {:?} for {text:?}", start.elapsed());
             }
-            ("remove", file) => std::fs::remove_file(self.path.with_file_name(file)).expect("a file"),
-            (_, "absent") => assert!(!self.path.with_file_name(name).exists(), "{name} is there"),
+            ("remove", file) => {
+                std::fs::remove_file(self.path.with_file_name(file)).expect("access the file")
+            }
+            (_, "absent") => assert!(!self.path.with_file_name(name).exists(), "{name} exists"),
             ("deaf", _) => self.log = std::sync::mpsc::channel().1,
-            ("mute", _) => self.mute.store(true, Ordering::Relaxed),
-            ("unmute", _) => self.mute.store(false, Ordering::Relaxed),
-            ("pause", ms) => std::thread::sleep(Duration::from_millis(ms.parse().expect("a time"))),
+            ("mute", _) => self.log_paused.store(true, Ordering::Relaxed),
+            ("unmute", _) => self.log_paused.store(false, Ordering::Relaxed),
+            ("pause", ms) => std::thread::sleep(Duration::from_millis(ms.parse().expect("a number of ms"))),
             (_, "gone") => {
                 self.listeners.remove(name);
-                self.connections.retain(|n, _| base(n) != name);
+                self.connections.retain(|n, _| peer_name(n) != name);
             }
             ("agent", "shows") => {
-                let end = Instant::now() + PATIENCE;
-                while !self.walk().lines().any(|l| l == text) {
-                    assert!(Instant::now() < end, "the agent: {line}\n{}", self.walk());
+                let end = Instant::now() + STEP_TIMEOUT;
+                while !self.snmp_walk().lines().any(|l| l == text) {
+                    assert!(Instant::now() < end, "no such line in the walk: {line}\n{}", self.snmp_walk());
                     std::thread::sleep(Duration::from_millis(50));
                 }
             }
             ("trap", "hears") => {
-                let told = self.notification();
-                assert!(told.contains(text), "expected {text:?}, got {told:?}");
+                let received = self.next_notification();
+                assert!(received.contains(text), "expected {text:?}, got {received:?}");
             }
             ("udp", "shut") => self.collector = None,
-            ("udp", "open") => self.collector = Some(collector(self.collects)),
+            ("udp", "open") => self.collector = Some(collector(self.collector_address)),
             ("udp", _) => loop {
                 let mut bytes = [0; 65536];
-                let n = self.collector.as_ref().expect("open").recv(&mut bytes).expect("a datagram");
+                let n = self
+                    .collector
+                    .as_ref()
+                    .expect("the UDP socket is open")
+                    .recv(&mut bytes)
+                    .expect("a datagram");
                 let datagram = String::from_utf8_lossy(&bytes[..n]);
                 assert!(n <= 1400 && datagram.ends_with('\n'), "{datagram:?}");
                 if datagram.contains(text) {
@@ -445,26 +470,27 @@
             },
             (_, "holds") => {
                 let path = self.path.with_file_name(name);
-                let (said, heard) = std::sync::mpsc::channel();
+                let (sender, receiver) = std::sync::mpsc::channel();
                 std::thread::spawn(move || loop {
-                    // Again and again: the file grows.
+                    // Reread the file repeatedly, because it grows.
                     let file = std::fs::File::open(&path).map(BufReader::new);
                     let lines = file.into_iter().flat_map(BufRead::lines).map_while(Result::ok);
-                    if lines.into_iter().try_for_each(|l| said.send(l)).is_err() {
+                    if lines.into_iter().try_for_each(|l| sender.send(l)).is_err() {
                         return;
                     }
                     std::thread::sleep(Duration::from_millis(20));
                 });
-                while !heard.recv_timeout(PATIENCE).expect("a line of the file").contains(text) {}
+                while !receiver.recv_timeout(STEP_TIMEOUT).expect("a line of the file").contains(text) {}
             }
             (_, "hears") => {
-                let line = self.until(name, b"\n");
+                let line = self.read_until(name, b"\n");
                 assert!(matches(text, line.trim_end()), "{name}: expected {text:?}, got {line:?}");
             }
             (_, "tells") => {
                 let mut all = String::new();
-                self.connection(name).read_to_string(&mut all).expect("lines to the end");
-                let (before, last) = all.trim_end_matches('\n').rsplit_once('\n').expect("lines");
+                self.connection(name).read_to_string(&mut all).expect("read to the end");
+                let (before, last) =
+                    all.trim_end_matches('\n').rsplit_once('\n').expect("at least two lines");
                 assert_eq!((last, all.ends_with('\n')), (text, true), "{name}");
                 assert!(before.lines().all(|l| l.split(' ').count() == 8), "{name}: {before}");
             }
@@ -474,64 +500,64 @@
                     command.args(["-c", "exec \"$@\" 2>&1", "sh", env!("CARGO_BIN_EXE_martenweir")]);
                 let child = command.args(text.split(' ')).stdout(Stdio::piped());
                 let mut child = child.spawn().expect("a subcommand");
-                let said = BufReader::new(child.stdout.take().expect("what it says"));
-                self.commands.insert(name.to_owned(), (child, said));
+                let output = BufReader::new(child.stdout.take().expect("the subcommand's output"));
+                self.subcommands.insert(name.to_owned(), (child, output));
             }
             (_, "says") => {
-                let mut said = String::new();
-                let (_, from) = self.commands.get_mut(name).expect("a subcommand");
-                from.read_line(&mut said).expect("a line");
-                let said = said.trim_end();
-                assert!(text == said || matches(text, said), "{name}: expected {text:?}, got {said:?}");
+                let mut output = String::new();
+                let (_, from) = self.subcommands.get_mut(name).expect("a subcommand");
+                from.read_line(&mut output).expect("a line");
+                let output = output.trim_end();
+                assert!(text == output || matches(text, output), "{name}: expected {text:?}, got {output:?}");
             }
             (_, "ends") => {
-                let (mut child, _) = self.commands.remove(name).expect("a subcommand");
-                assert_eq!(child.wait().expect("an end").code(), text.parse().ok(), "{name}");
+                let (mut child, _) = self.subcommands.remove(name).expect("a subcommand");
+                assert_eq!(child.wait().expect("wait for the process").code(), text.parse().ok(), "{name}");
             }
-            ("exit", _) => assert!(self.program.wait().expect("an end").success()),
-            (_, ">>") if matches!(base(name), "d" | "e") => {
+            ("exit", _) => assert!(self.program.wait().expect("wait for the process").success()),
+            (_, ">>") if matches!(peer_name(name), "d" | "e") => {
                 let text = format!("{text}\n");
                 let chunk = format!("{:x}\r\n{text}\r\n", text.len());
-                self.connection(name).write_all(chunk.as_bytes()).expect("sent");
+                self.connection(name).write_all(chunk.as_bytes()).expect("send");
             }
             (_, ">>") => {
-                let text = String::from_utf8(unescape(text)).expect("text");
+                let text = String::from_utf8(unescape(text)).expect("valid UTF-8");
                 let words: Vec<&str> = text.split(' ').collect();
                 let words = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect::<Vec<_>>();
                 let command = format!("*{}\r\n{}", words.len(), words.concat());
-                self.connection(name).write_all(command.as_bytes()).expect("sent");
+                self.connection(name).write_all(command.as_bytes()).expect("send");
             }
-            (_, ">") => self.connection(name).write_all(&unescape(text)).expect("sent"),
-            (_, "<<") => drop(self.words(name, text)),
+            (_, ">") => self.connection(name).write_all(&unescape(text)).expect("send"),
+            (_, "<<") => drop(self.expect_command(name, text)),
             (_, "echoes") => {
-                let words = self.words(name, text);
+                let words = self.expect_command(name, text);
                 let id = words.split(' ').nth(2).expect("an id");
                 let answer = format!("*3\r\n${}\r\n{id}\r\n$-1\r\n$-1\r\n", id.len());
-                self.connection(name).write_all(answer.as_bytes()).expect("sent");
+                self.connection(name).write_all(answer.as_bytes()).expect("send");
             }
             (_, "<") => {
                 let wanted = unescape(text);
                 let mark = |mark: &[u8]| wanted.windows(mark.len()).position(|w| w == mark);
                 let (Some(at), whole) = (mark(b"#~").or(mark(b"#<")), mark(b"#~").is_some()) else {
-                    return self.exactly(name, &wanted);
+                    return self.expect_bytes(name, &wanted);
                 };
                 let rest = &wanted[at + 2..];
                 let digits = rest.iter().take_while(|b| b.is_ascii_digit()).count();
-                let most: u128 = String::from_utf8_lossy(&rest[..digits]).parse().expect("a time");
+                let most: u128 = String::from_utf8_lossy(&rest[..digits]).parse().expect("a number of ms");
                 let tail = &rest[digits..];
-                self.exactly(name, &wanted[..at]);
-                let told = self.until(name, &tail[..1]);
-                let passed = self.asked.elapsed().as_millis() + TICK;
+                self.expect_bytes(name, &wanted[..at]);
+                let received = self.read_until(name, &tail[..1]);
+                let passed = self.last_request_at.elapsed().as_millis() + ROUNDING_MS;
                 let least = if whole { most.saturating_sub(passed).max(1) } else { 1 };
-                let number = told.parse::<u128>().ok().filter(|n| n.to_string() == told);
+                let number = received.parse::<u128>().ok().filter(|n| n.to_string() == received);
                 assert!(
                     number.is_some_and(|n| (least..=most).contains(&n)),
-                    "{name}: {told:?} is told, {least} to {most} is left: {text:?}"
+                    "{name}: got a remaining time of {received:?}, expected {least} to {most}: {text:?}"
                 );
-                self.exactly(name, &tail[1..]);
+                self.expect_bytes(name, &tail[1..]);
             }
             (_, "busy") => {
-                // What is refused comes back spread: between a quarter and three quarters of the longest advice.
+                // The retry advice is jittered: between a quarter and three quarters of the longest advice.
                 let (mut got, mut byte) = (Vec::new(), [0; 1]);
                 while !got.ends_with(b"\r\n") && self.connection(name).read(&mut byte).expect("a line") == 1 {
                     got.push(byte[0]);
@@ -541,72 +567,81 @@
                 assert!(after.is_some_and(|ms| (250..=750).contains(&ms)), "{name}: {line:?}");
             }
             (_, "close") => drop(self.connections.remove(name)),
-            (_, "shuts") => self.connection(name).shutdown(Shutdown::Write).expect("shut"),
+            (_, "shuts") => {
+                self.connection(name).shutdown(Shutdown::Write).expect("shut down the sending side")
+            }
             (_, "resets") => {
-                let socket = Socket::from(self.connections.remove(name).expect("a connection"));
+                let socket = Socket::from(self.connections.remove(name).expect("an open connection"));
                 socket.set_linger(Some(Duration::ZERO)).expect("a socket");
             }
             (_, "narrow") => {
                 let socket = SockRef::from(&self.listeners[name]);
-                // The system's least, and packets as small as they were once: its peer holds tens of KB then.
+                // The smallest receive buffer and a small segment size limit what the peer can send to tens
+                // of KB.
                 socket.set_recv_buffer_size(1).expect("a socket");
                 socket.set_tcp_mss(536).expect("a socket");
             }
             (_, "cut") => {
                 let mut got = Vec::new();
-                self.connection(name).read_to_end(&mut got).expect("the end");
-                assert!(!got.ends_with(text.as_bytes()), "{name}: it came whole");
+                self.connection(name).read_to_end(&mut got).expect("read to the end");
+                assert!(!got.ends_with(text.as_bytes()), "{name}: the whole text arrived");
             }
-            (_, "full" | "room") => self.backlog(name, verb == "full"),
+            (_, "full" | "room") => self.set_backlog(name, verb == "full"),
             (_, "dialled") => {
                 let port = self.listeners[name].local_addr().expect("an address").port();
-                // Sent and not answered is 02.
+                // State 02 is SYN_SENT: the connect has no answer yet.
                 let pending = |l: &str| l.contains(&format!(":{port:04X} 02 "));
-                while !std::fs::read_to_string("/proc/net/tcp").expect("the table").lines().any(pending) {
+                while !std::fs::read_to_string("/proc/net/tcp")
+                    .expect("read /proc/net/tcp")
+                    .lines()
+                    .any(pending)
+                {
                     std::thread::sleep(Duration::from_millis(2));
                 }
             }
             (_, "closed") => {
                 let end = self.connection(name).read(&mut [0; 1]);
-                assert!(!matches!(end, Ok(1)), "{name}: expected the end");
+                assert!(!matches!(end, Ok(1)), "{name}: expected the connection to be closed");
                 self.connections.remove(name);
             }
-            _ => panic!("no such step: {line}"),
+            _ => panic!("unknown step: {line}"),
         }
     }
 }
 
 #[rstest]
 fn exchange(#[files("tests/exchanges/*.txt")] path: PathBuf) {
-    play(&path, Spoken::plain());
+    run_exchange(&path, Protocols::resp_only());
 }
 
-/// The same exchange with each protocol on each side: the outcomes are the same.
+/// Runs an exchange with each protocol on each side; the outcomes must be the same.
 #[rstest]
 fn either(
     #[files("tests/exchanges/either/*.txt")] path: PathBuf,
-    #[values(Tongue::Resp, Tongue::Memcached)] front: Tongue,
-    #[values(Tongue::Resp, Tongue::Memcached)] nodes: Tongue,
+    #[values(Protocol::Resp, Protocol::Memcached)] front: Protocol,
+    #[values(Protocol::Resp, Protocol::Memcached)] nodes: Protocol,
 ) {
-    play(&path, Spoken::either(front, nodes));
+    run_exchange(&path, Protocols::both(front, nodes));
 }
 
-fn play(path: &Path, spoken: Spoken) {
-    // With its folder: two exchanges may share a name, and are played side by side.
+fn run_exchange(path: &Path, protocols: Protocols) {
+    // Include the directory: two exchanges may share a file name and run concurrently.
     let name = path.with_extension("").display().to_string().replace('/', "-");
-    let name = format!("martenweir-{}-{name}-{:?}-{:?}", std::process::id(), spoken.front, spoken.nodes);
+    let name =
+        format!("martenweir-{}-{name}-{:?}-{:?}", std::process::id(), protocols.clients, protocols.nodes);
     let dir = std::env::temp_dir().join(name);
-    std::fs::create_dir_all(&dir).expect("a folder");
-    let script = read_to_string(path).expect("an exchange");
-    let mut play = Play::start(&script, &dir, spoken);
+    std::fs::create_dir_all(&dir).expect("create the directory");
+    let script = read_to_string(path).expect("read the exchange");
+    let mut runner = Runner::start(&script, &dir, protocols);
     for line in script.lines() {
-        play.step(line);
+        runner.run_step(line);
     }
-    drop(play);
-    std::fs::remove_dir_all(&dir).expect("the folder goes");
+    drop(runner);
+    std::fs::remove_dir_all(&dir).expect("remove the directory");
 }
 
-/// Our own file: what cannot be used is told in one line with its number, and nothing runs; `--check` reads it too.
+/// An invalid features file is reported in one line with the line number, and the program does not start;
+/// `--check` reads the file as well.
 #[rstest]
 #[case::fine(
     "# nothing\n multigetport 0 # but a port\n\tmultigetmaxkeys\t2\r\ntapbuffer 256 KB\ntapsample 0.5\n",
@@ -693,44 +728,48 @@
     "snmpuser u sha256 passphrase\nsnmpuser u sha256 passphrase",
     Some(":2: snmpuser: a user twice")
 )]
-fn own_file(#[case] text: &str, #[case] told: Option<&str>) {
-    // Cases run side by side, and two texts may be equally long.
+fn features_file(#[case] text: &str, #[case] expected: Option<&str>) {
+    // Cases run concurrently, so each needs a directory of its own; the texts' lengths are not unique.
     static CASE: AtomicUsize = AtomicUsize::new(0);
     let case = CASE.fetch_add(1, Ordering::Relaxed);
     let dir = std::env::temp_dir().join(format!("martenweir-{}-case-{case}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("create the directory");
     let path = dir.join("martenweir.conf");
-    write(&path, text).expect("a file");
+    write(&path, text).expect("access the file");
     let mut command = Command::new(env!("CARGO_BIN_EXE_martenweir"));
     let command = command.args(["--check", "--conf"]).arg(&path).arg("examples/config.json");
-    let end = command.output().expect("it runs");
-    let said = String::from_utf8_lossy(&end.stderr);
-    assert_eq!(end.status.success(), told.is_none(), "{said}");
-    assert_eq!(said.lines().count(), usize::from(told.is_some()), "{said}");
-    assert!(told.is_none_or(|t| said.contains(&format!("martenweir.conf{t}"))), "{said}");
+    let end = command.output().expect("run the program");
+    let output = String::from_utf8_lossy(&end.stderr);
+    assert_eq!(end.status.success(), expected.is_none(), "{output}");
+    assert_eq!(output.lines().count(), usize::from(expected.is_some()), "{output}");
+    assert!(expected.is_none_or(|t| output.contains(&format!("martenweir.conf{t}"))), "{output}");
     let _ = std::fs::remove_dir_all(&dir);
 }
 
-/// The files that the repository ships can be used.
+/// The features files in the repository are valid.
 #[rstest]
-fn shipped_file(#[values("deploy/martenweir.conf", "examples/martenweir.conf")] conf: &str) {
+fn shipped_features_file(#[values("deploy/martenweir.conf", "examples/martenweir.conf")] conf: &str) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_martenweir"));
-    let end = command.args(["--check", "--conf", conf, "examples/config.json"]).output().expect("it runs");
+    let end =
+        command.args(["--check", "--conf", conf, "examples/config.json"]).output().expect("run the program");
     assert!(end.status.success(), "{}", String::from_utf8_lossy(&end.stderr));
 }
 
-/// A configuration that cannot be used is told in one line, and the program does not run.
+/// An invalid configuration is reported in one line, and the program does not start.
 #[rstest]
 #[case::missing(None, "No such file")]
 #[case::no_json(Some("{"), "not JSON")]
 #[case::no_settings(Some(r#"{"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}"#), "settings is missing")]
 #[case::bad_settings(Some(r#"{"settings": {"classes": [{"name": "read"}]}}"#), "classes[0].")]
-fn unusable_configuration(#[case] text: Option<&str>, #[case] told: &str) {
+fn invalid_configuration(#[case] text: Option<&str>, #[case] expected: &str) {
     let name = format!("martenweir-{}-{}.json", std::process::id(), text.map_or(0, str::len));
     let path = std::env::temp_dir().join(name);
-    text.into_iter().for_each(|t| write(&path, t).expect("a file"));
-    let end = Command::new(env!("CARGO_BIN_EXE_martenweir")).arg(&path).output().expect("it runs");
-    let said = String::from_utf8_lossy(&end.stderr);
-    assert!(!end.status.success() && said.contains(told) && said.trim_end().lines().count() == 1, "{said}");
+    text.into_iter().for_each(|t| write(&path, t).expect("access the file"));
+    let end = Command::new(env!("CARGO_BIN_EXE_martenweir")).arg(&path).output().expect("run the program");
+    let output = String::from_utf8_lossy(&end.stderr);
+    assert!(
+        !end.status.success() && output.contains(expected) && output.trim_end().lines().count() == 1,
+        "{output}"
+    );
     let _ = std::fs::remove_file(&path);
 }
