--- a/crates/lab/src/fleet/play.rs
+++ b/crates/lab/src/fleet/play.rs
@@ -1,17 +1,19 @@
-//! Plays a schedule: real planners and forwarders as child processes, every link between them and to the stand-in nodes
-//! through a relay, the plan's steps at their moments, and a judgement at the end.
+//! Plays a schedule: real planners and forwarders run as child processes, every link between them and to the
+//! stand-in nodes goes through a relay, the steps of the plan are executed at their times, and the rules are
+//! checked at the end.
 //!
-//! It owns the order of a run: what is started, in which configuration, and when it is over. What is done at which
-//! moment is the plan's ([`world::fleet::schedule::Plan`]); links, processes, log and clients have owners of their own.
-//! A run goes on after the last fault until all views are right, or should have been: so it is as long as it must be,
-//! and no verdict hangs on how long something took but where the schedule has a bound for it.
+//! It owns the sequence of a run: what is started, with which configuration, and when it is over. The plan
+//! determines the steps and their times ([`world::fleet::schedule::Plan`]); links, processes, log and clients
+//! live in modules of their own. A run continues after the last fault until all views are right or the time
+//! for that is up, so that it takes only as long as necessary and no verdict depends on a duration unless the
+//! schedule sets a bound for it.
 
 use super::judge::{judge, Breach, Case, Figures};
 use super::links::{Lateness, Links};
-use super::log::{By, Line, Log, Mark, Wanted};
+use super::log::{By, Line, LineFilter, Log, Mark};
 use super::machine::{Bound, Machine, Seen};
-use super::processes::{told, Damage, Processes, Restart, Spec, State, Twin};
-use super::stage::{self, Met, Stage};
+use super::processes::{lab_event, Damage, Processes, Restart, Spec, State, Twin};
+use super::stage::{self, ClientEvent, Stage};
 use super::view::{self, Planners, Track};
 use crate::host::{HostError, Progress};
 use crate::loopback::children::Program;
@@ -32,58 +34,59 @@
 use world::random::{seconds, seed_of};
 use world::Micros;
 
-/// The clock before all is ready.
-const BEFORE: Micros = -3_600_000_000;
-/// No step of the start takes longer.
-const PATIENCE: Duration = Duration::from_secs(40);
-/// Planners give opinions 3.5 s after their start; clients ask by then.
-const WARM: Duration = Duration::from_millis(4_000);
-/// How long all views must be right before a run is over, and how often that is looked at.
-const SETTLED: Micros = 1_500_000;
-const LOOK: Duration = Duration::from_millis(100);
-/// After the bound of convergence, so that what is late is seen to be.
-const BEYOND: Micros = 500_000;
-/// How long processes have to end when all is over.
-const ENDS: Duration = Duration::from_secs(5);
-/// How long one that was killed may take to be gone.
-const KILLED: Duration = Duration::from_secs(2);
-/// A step that was carried out later than this voids a run.
-const LATE: Micros = 250_000;
-/// The variable that plants a fault in a guarded proxy of a lab that was built to have some.
+/// Start value of the clock; it is set to 0 when the fleet is ready.
+const CLOCK_BEFORE_READY: Micros = -3_600_000_000;
+/// Timeout of each step of the startup.
+const STEP_TIMEOUT: Duration = Duration::from_secs(40);
+/// Planners publish opinions 3.5 s after their start; runs begin after that.
+const PLANNER_WARMUP: Duration = Duration::from_millis(4_000);
+/// How long all views must stay right before a run ends, and the polling interval.
+const SETTLE_TIME: Micros = 1_500_000;
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Additional time after the convergence bound, so that late convergence is observed as such.
+const CONVERGENCE_MARGIN: Micros = 500_000;
+/// Time that processes have to terminate at the end of a run.
+const TERMINATE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time that a killed process may take to disappear.
+const KILL_TIMEOUT: Duration = Duration::from_secs(2);
+/// A step executed later than this makes the run void.
+const MAX_STEP_DELAY: Micros = 250_000;
+/// Environment variable that names the fault to plant in a guarded proxy, for a lab built with the feature
+/// `planted`.
 pub const PLANT: &str = "LAB_PLANT";
 
-/// What is played.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Setting<'a> {
     pub schedule: &'a Schedule,
     pub seed: u64,
     pub program: Program,
-    /// The older program, where the schedule has some run it.
+    /// The older program, if the schedule runs some processes with it.
     pub old: Option<Program>,
-    /// The name of a planted fault, for a lab that was built to have some.
+    /// Name of the fault to plant; requires a lab built with the feature `planted`.
     pub plant: Option<String>,
-    /// Where the log and what clients met are written to, if anywhere.
+    /// Folder for the log and the client events, if they are to be written.
     pub out: Option<&'a Path>,
 }
 
-/// What came of it.
+/// Result of a run.
 #[derive(Debug)]
-pub struct Played {
+pub struct RunResult {
     pub plan: Plan,
     pub tracks: BTreeMap<String, Track>,
     pub figures: Figures,
     pub breaches: Vec<Breach>,
-    /// Why what was seen says nothing of the program, if so.
+    /// Why the run gives no verdict on the program, if so.
     pub void: Option<String>,
     pub lateness: Lateness,
     pub machine: Seen,
-    /// When watching ended.
+    /// When observation ended.
     pub until: Micros,
     pub took: Duration,
 }
 
-impl Played {
-    /// Whether all held in a run that says something.
+impl RunResult {
+    /// Whether the run is valid and all rules held.
     pub fn is_good(&self) -> bool {
         self.void.is_none() && self.breaches.is_empty()
     }
@@ -97,25 +100,24 @@
     move |error| HostError::Child { name: name.to_owned(), what: error.to_string() }
 }
 
-/// Plays a schedule from its beginning to its end.
+/// Plays a schedule from start to end.
 ///
 /// # Errors
 ///
-/// [`HostError`] where there is no run to speak of. A run in which something did not hold is none, nor is one that is
-/// void.
-pub fn play(setting: &Setting<'_>, progress: &dyn Progress) -> Result<Played, HostError> {
+/// [`HostError`] if the run could not take place. Neither a violated rule nor a void run is an error.
+pub fn play(setting: &Setting<'_>, progress: &dyn Progress) -> Result<RunResult, HostError> {
     let started = Instant::now();
     let plan = setting.schedule.plan(setting.seed);
     progress.phase("starting");
     let fleet = Fleet::start(setting, &plan)?;
-    let usher = Usher::start(&fleet)?;
+    let target_updater = TargetUpdater::start(&fleet)?;
     fleet.wait_ready(&plan)?;
     let machine = Machine::watch(Some(fleet.processes.roster())).map_err(failed("a thread"))?;
     fleet.links.lateness();
     fleet.clock.advance_to(0);
     progress.phase(&setting.schedule.name);
     let end = plan.over.max(seconds(setting.schedule.seconds));
-    let most = plan.over.max(0) + seconds(setting.schedule.expect.converge_s) + BEYOND;
+    let most = plan.over.max(0) + seconds(setting.schedule.expect.converge_s) + CONVERGENCE_MARGIN;
     let most = most.max(end);
     let late = fleet.carry_out(&plan, end, most, progress);
     let until = fleet.settle(setting, &plan, end, most, progress);
@@ -128,8 +130,8 @@
         fleet.write(dir, &met)?;
     }
     fleet.all_started();
-    let killed = fleet.processes.end(ENDS).unwrap_or_default();
-    drop(usher);
+    let killed = fleet.processes.end(TERMINATE_TIMEOUT).unwrap_or_default();
+    drop(target_updater);
     let rules = fleet.rules(setting.schedule);
     let case = Case {
         plan: &plan,
@@ -150,30 +152,30 @@
             ms(lateness.worst_us)
         ));
     }
-    if late > LATE {
+    if late > MAX_STEP_DELAY {
         why.push(format!("a step was carried out {} ms late", late / 1_000));
     }
     let broken = fleet.broken();
     why.extend(broken);
     if !killed.is_empty() && plan.steps.is_empty() {
-        why.push(format!("{} did not end when told to", killed.join(" ")));
+        why.push(format!("{} did not end within the time allowed after SIGTERM", killed.join(" ")));
     }
     let void = (!why.is_empty()).then(|| why.join("; "));
     let took = started.elapsed();
-    Ok(Played { plan, tracks, figures, breaches, void, lateness, machine: seen, until, took })
+    Ok(RunResult { plan, tracks, figures, breaches, void, lateness, machine: seen, until, took })
 }
 
-/// All that runs.
+/// Everything that a run starts.
 struct Fleet {
-    // Dropped in this order: processes end before what surrounds them.
+    // Fields drop in this order: processes end before the links and clients around them.
     processes: Arc<Processes>,
-    /// What waits for processes to end, to start them again.
+    /// Threads that wait for a process to end in order to start it again.
     starting: Mutex<Vec<JoinHandle<()>>>,
     links: Arc<Links>,
     stage: Arc<Stage>,
     log: Log,
     clock: Clock,
-    /// By name.
+    /// Specification of each process and the program for its restart, by name.
     specs: BTreeMap<String, (Spec, Option<Program>)>,
     planners: Planners,
     nodes: BTreeMap<u64, String>,
@@ -181,14 +183,14 @@
     forwarders: Vec<String>,
 }
 
-/// The port of a planner, as links name it, and of a node.
-const PLANS: &str = "plans";
-const CACHE: &str = "cache";
+/// Names of the ports of a planner and of a node in [`Links`].
+const PLANNER_PORT: &str = "plans";
+const NODE_PORT: &str = "cache";
 
 impl Fleet {
     fn start(setting: &Setting<'_>, plan: &Plan) -> Result<Fleet, HostError> {
         let schedule = setting.schedule;
-        let clock = Clock::start(BEFORE);
+        let clock = Clock::start(CLOCK_BEFORE_READY);
         let log = Log::new(clock.clone());
         let processes = Processes::in_temporary(&log).map_err(failed("a folder"))?;
         let links = Arc::new(Links::start(setting.seed).map_err(failed("links"))?);
@@ -242,13 +244,14 @@
             let mut lines = format!("planforwarders {count}\n");
             for planner in &planners {
                 let Some(target) = at.get(planner) else { continue };
-                let relay = fleet.links.tcp(name, planner, PLANS, *target).map_err(failed("a link"))?;
+                let relay =
+                    fleet.links.tcp(name, planner, PLANNER_PORT, *target).map_err(failed("a link"))?;
                 let _ = writeln!(lines, "planner {relay}");
                 fleet.planners.insert((name.clone(), relay.to_string()), planner.clone());
             }
             let mut reached = Vec::new();
             for (node, target) in nodes.iter().zip(fleet.stage.nodes()) {
-                reached.push(fleet.links.tcp(name, node, CACHE, *target).map_err(failed("a link"))?);
+                reached.push(fleet.links.tcp(name, node, NODE_PORT, *target).map_err(failed("a link"))?);
             }
             let conf = fleet.setting(name, "forwarder.conf", &lines)?;
             let config = configuration(setting, plan, me, fleet.stage.discovery(), &reached);
@@ -260,7 +263,7 @@
         Ok(fleet)
     }
 
-    /// A file that a process is configured with; its name in full.
+    /// Writes a configuration file of a process and returns its path.
     fn setting(&self, name: &str, file: &str, text: &str) -> Result<std::ffi::OsString, HostError> {
         let path = self.processes.settings(name).map_err(child(name))?.join(file);
         std::fs::write(&path, text).map_err(failed("a configuration"))?;
@@ -282,18 +285,19 @@
         self.processes.start(spec).map(drop).map_err(child(name))
     }
 
-    /// Where a process says that it listens.
+    /// Returns the address that a process reports with this event.
     fn address(&self, name: &str, event: &str) -> Result<SocketAddr, HostError> {
         let error = |what: String| HostError::Child { name: name.to_owned(), what };
-        let line = self.log.event(name, event, PATIENCE).map_err(|e| error(e.to_string()))?;
+        let line = self.log.event(name, event, STEP_TIMEOUT).map_err(|e| error(e.to_string()))?;
         line.address().ok_or_else(|| error(format!("no address in: {line}")))
     }
 
-    /// Until all forwarders listen and hear all planners, and these may have opinions.
+    /// Waits until all forwarders listen and are connected to all planners, and the planners may publish
+    /// opinions.
     fn wait_ready(&self, plan: &Plan) -> Result<(), HostError> {
         let begun = Instant::now();
         let planners = plan.with_role(Role::Planner).count();
-        let (mark, until) = (Mark::default(), Instant::now() + PATIENCE);
+        let (mark, until) = (Mark::default(), Instant::now() + STEP_TIMEOUT);
         let mut left: BTreeSet<&String> = self.forwarders.iter().collect();
         for (i, name) in self.forwarders.iter().enumerate() {
             self.stage.at(i, Some(self.address(name, "listening")?));
@@ -301,24 +305,24 @@
         self.stage.begin();
         while !left.is_empty() {
             left.retain(|name| {
-                let up = self.log.lines(mark, &Wanted::event("planner_up").of(name));
+                let up = self.log.lines(mark, &LineFilter::event("planner_up").of(name));
                 let to: BTreeSet<_> =
                     up.iter().filter_map(|l| l.text("planner").map(str::to_owned)).collect();
                 to.len() < planners
             });
             if let Some(name) = left.first().filter(|_| Instant::now() > until) {
-                let what = "does not hear all planners".to_owned();
+                let what = "did not connect to all planners in time".to_owned();
                 return Err(HostError::Child { name: (*name).clone(), what });
             }
             std::thread::sleep(Duration::from_millis(20));
         }
         if planners > 0 {
-            std::thread::sleep(WARM.saturating_sub(begun.elapsed()));
+            std::thread::sleep(PLANNER_WARMUP.saturating_sub(begun.elapsed()));
         }
         Ok(())
     }
 
-    /// Does what the plan has; by how much a step was late at most.
+    /// Executes the steps of the plan; returns the largest delay of a step.
     fn carry_out(&self, plan: &Plan, end: Micros, most: Micros, progress: &dyn Progress) -> Micros {
         let mut late = 0;
         for step in &plan.steps {
@@ -332,24 +336,24 @@
     fn wait_until(&self, at: Micros, whole: Micros, progress: &dyn Progress) {
         loop {
             let now = self.clock.now();
-            progress.part(now as f64 / whole.max(1) as f64);
+            progress.set_fraction(now as f64 / whole.max(1) as f64);
             if now >= at {
                 return;
             }
-            std::thread::sleep(Duration::from_micros((at - now) as u64).min(LOOK));
+            std::thread::sleep(Duration::from_micros((at - now) as u64).min(POLL_INTERVAL));
         }
     }
 
     fn step(&self, plan: &Plan, step: &Step) {
         let tell = |name: &str, what: String| {
             let life = self.processes.life(name).unwrap_or(0);
-            self.log.tell(&Arc::from(name), life, "lab_step", what);
+            self.log.push_event(&Arc::from(name), life, "lab_step", what);
         };
         match &step.action {
             Action::Link { from, to, condition } => {
                 let (from, to) = (plan.name(*from), plan.name(*to));
                 if let Err(why) = self.links.set(from, to, condition.clone()) {
-                    tell(from, format!("the link to {to} is not set: {why}"));
+                    tell(from, format!("the condition of the link to {to} could not be set: {why}"));
                 }
             }
             Action::Reset { from, to } => {
@@ -363,7 +367,7 @@
                     NodeAction::Crash => "crashes",
                     NodeAction::Serve => "serves",
                 };
-                self.log.tell(&Arc::from(plan.name(*who)), 1, "lab_node", word.to_owned());
+                self.log.push_event(&Arc::from(plan.name(*who)), 1, "lab_node", word.to_owned());
             }
             Action::Process { who, what } => {
                 let name = plan.name(*who);
@@ -374,7 +378,8 @@
         }
     }
 
-    /// What another fault has undone already, or a process that is gone, is no error of the run: it is in the log.
+    /// Applies an action to a process. A failure, for example because the process is gone or another fault
+    /// has already done the same, is no error of the run; the caller logs it.
     fn act(&self, name: &str, what: ProcessAction) -> Result<(), super::processes::ProcessError> {
         let p = &self.processes;
         let spec = |limit: bool| {
@@ -405,13 +410,13 @@
                 Ok(())
             }
             ProcessAction::StartLimited => {
-                let _ = p.wait(name, KILLED);
+                let _ = p.wait(name, KILL_TIMEOUT);
                 spec(true).map_or(Ok(()), |spec| p.start(spec).map(drop))
             }
             ProcessAction::Twin => p.twin(name, None, Twin::SameFolder).map(drop),
             ProcessAction::EndTwin => p.kill(&format!("{name}~2")),
             ProcessAction::Damage { rot, seed } => {
-                let _ = p.wait(name, KILLED);
+                let _ = p.wait(name, KILL_TIMEOUT);
                 let seed = seed.into();
                 p.damage(
                     name,
@@ -421,19 +426,19 @@
         }
     }
 
-    /// One that was told to end may take its time, which must not hold up other steps. Nothing is done where it was told
-    /// nothing and runs on.
+    /// Starts a process again once it has ended, in a thread, as a slow end must not delay other steps. Does
+    /// nothing if the process was not told to end and still runs.
     fn start_once_ended(&self, spec: Spec) {
         let (processes, name) = (self.processes.clone(), spec.name.clone());
-        let told = self.log.lines(Mark::default(), &Wanted::event(told::TOLD_TO_END).of(&name));
+        let told = self.log.lines(Mark::default(), &LineFilter::event(lab_event::TERMINATED).of(&name));
         let life = processes.life(&name).unwrap_or(0);
         if !told.iter().any(|l| l.life == life) {
             return;
         }
         let work = move || {
-            if processes.wait(&name, ENDS).is_err() {
+            if processes.wait(&name, TERMINATE_TIMEOUT).is_err() {
                 let _ = processes.kill(&name);
-                let _ = processes.wait(&name, KILLED);
+                let _ = processes.wait(&name, KILL_TIMEOUT);
             }
             let _ = processes.start(spec);
         };
@@ -445,7 +450,7 @@
         starting.drain(..).for_each(|thread| drop(thread.join()));
     }
 
-    /// Until all views are right and stay so, or should have been; when that was.
+    /// Waits until all views are right and stay right, or the time is up; returns when that was.
     fn settle(
         &self,
         setting: &Setting<'_>,
@@ -463,10 +468,10 @@
             let expect = &setting.schedule.expect;
             let case = Case { plan, expect, tracks: &tracks, met: &[], until: now, rules: &rules };
             right = case.is_settled().then(|| right.unwrap_or(now));
-            if now >= most || right.is_some_and(|since| now - since >= SETTLED) {
+            if now >= most || right.is_some_and(|since| now - since >= SETTLE_TIME) {
                 return now;
             }
-            self.wait_until(now + LOOK.as_micros() as Micros, most, progress);
+            self.wait_until(now + POLL_INTERVAL.as_micros() as Micros, most, progress);
         }
     }
 
@@ -475,28 +480,28 @@
     }
 
     fn tracks(&self) -> BTreeMap<String, Track> {
-        let lines = self.log.lines(Mark::default(), &Wanted::any().when(view::wanted));
+        let lines = self.log.lines(Mark::default(), &LineFilter::any().when(view::wanted));
         let names: Vec<&str> = self.names.iter().map(String::as_str).collect();
         view::tracks(&lines, &names, &self.planners, &self.nodes)
     }
 
-    /// What makes a run worthless that no rule would tell.
+    /// Problems that make the run void and that no rule reports.
     fn broken(&self) -> Option<String> {
         let lost: u64 = self.log.lost().values().sum();
-        let failed = self.log.lines(Mark::default(), &Wanted::event(told::FAILED));
+        let failed = self.log.lines(Mark::default(), &LineFilter::event(lab_event::FAILED));
         let mut why = Vec::new();
         if lost > 0 {
-            why.push(format!("{lost} lines of the log had to go"));
+            why.push(format!("{lost} lines of the log were dropped"));
         }
         why.extend(failed.first().map(|l| format!("{}: {}", l.process, l.message)));
         (!why.is_empty()).then(|| why.join("; "))
     }
 
-    fn write(&self, dir: &Path, met: &[Met]) -> Result<(), HostError> {
+    fn write(&self, dir: &Path, met: &[ClientEvent]) -> Result<(), HostError> {
         std::fs::create_dir_all(dir).map_err(failed("the folder of --out"))?;
         self.log.write(&dir.join("log.jsonl")).map_err(failed("log.jsonl"))?;
-        let records =
-            super::log::Written::create(&dir.join("requests.jsonl")).map_err(failed("requests.jsonl"))?;
+        let records = super::log::JsonLinesWriter::create(&dir.join("requests.jsonl"))
+            .map_err(failed("requests.jsonl"))?;
         for met in met {
             records.push(&Record::of(met)).map_err(failed("requests.jsonl"))?;
         }
@@ -504,7 +509,7 @@
     }
 }
 
-/// A line of the history of client operations.
+/// One line of `requests.jsonl`.
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case", tag = "met")]
 enum Record {
@@ -514,18 +519,18 @@
 }
 
 impl Record {
-    fn of(met: &Met) -> Record {
+    fn of(met: &ClientEvent) -> Record {
         match *met {
-            Met::Asked { id, at, forwarder } => Record::Asked { id, at_us: at, forwarder },
-            Met::Ended { id, at, end } => {
+            ClientEvent::Asked { id, at, forwarder } => Record::Asked { id, at_us: at, forwarder },
+            ClientEvent::Ended { id, at, end } => {
                 Record::Ended { id, at_us: at, end: format!("{end:?}").to_lowercase() }
             }
-            Met::Stray { id, at } => Record::Stray { id, at_us: at },
+            ClientEvent::Stray { id, at } => Record::Stray { id, at_us: at },
         }
     }
 }
 
-/// What a forwarder is told at its start, in the platform's words.
+/// The configuration of a forwarder as the platform provides it.
 fn configuration(
     setting: &Setting<'_>,
     plan: &Plan,
@@ -541,7 +546,7 @@
     };
     let members: Vec<Value> = plan.with_role(Role::Node).zip(reached).map(member).collect();
     let zone = plan.with_role(Role::Forwarder).nth(me).map_or(0, hall);
-    let limit = stage::PATIENCE.as_millis() as f64;
+    let limit = stage::REQUEST_TIMEOUT.as_millis() as f64;
     let class =
         json!({ "name": "lookup", "onTimeMs": limit / 2.0, "hardLimitMs": limit, "repeat": "retryable" });
     json!({
@@ -562,14 +567,15 @@
     })
 }
 
-/// Shows the way to processes that were started anew: they listen elsewhere. A thread of its own, so that nobody waits.
-struct Usher {
+/// Updates the targets of links and clients when a restarted process listens on another address. It has a
+/// thread of its own so that nothing waits for it.
+struct TargetUpdater {
     over: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Usher {
-    fn start(fleet: &Fleet) -> Result<Usher, HostError> {
+impl TargetUpdater {
+    fn start(fleet: &Fleet) -> Result<TargetUpdater, HostError> {
         let over = Arc::new(AtomicBool::new(false));
         let (ends, log) = (over.clone(), fleet.log.clone());
         let (links, stage) = (fleet.links.clone(), fleet.stage.clone());
@@ -578,26 +584,30 @@
         let thread = thread.spawn(move || {
             let mut next = 0;
             while !ends.load(Ordering::Acquire) {
-                let events = ["planning", "listening", told::ENDED];
+                let events = ["planning", "listening", lab_event::ENDED];
                 let news = move |l: &Line| l.number >= next && events.contains(&l.event.as_str());
                 let since = Mark::default();
-                let Ok(line) = log.wait_for(since, &Wanted::any().when(news), LOOK) else { continue };
+                let Ok(line) = log.wait_for(since, &LineFilter::any().when(news), POLL_INTERVAL) else {
+                    continue;
+                };
                 next = line.number + 1;
                 let forwarder = forwarders.iter().position(|f| **f == *line.process);
                 match (line.by, line.event.as_str(), line.address(), forwarder) {
-                    (By::Process, "planning", Some(at), _) => drop(links.aim(&line.process, PLANS, at)),
+                    (By::Process, "planning", Some(at), _) => {
+                        drop(links.aim(&line.process, PLANNER_PORT, at))
+                    }
                     (By::Process, "listening", Some(at), Some(f)) => stage.at(f, Some(at)),
-                    (By::Lab, told::ENDED, _, Some(f)) => stage.at(f, None),
-                    (By::Lab, told::ENDED, _, None) => drop(links.shut(&line.process, PLANS)),
+                    (By::Lab, lab_event::ENDED, _, Some(f)) => stage.at(f, None),
+                    (By::Lab, lab_event::ENDED, _, None) => drop(links.shut(&line.process, PLANNER_PORT)),
                     _ => {}
                 }
             }
         });
-        Ok(Usher { over, thread: Some(thread.map_err(failed("a thread"))?) })
+        Ok(TargetUpdater { over, thread: Some(thread.map_err(failed("a thread"))?) })
     }
 }
 
-impl Drop for Usher {
+impl Drop for TargetUpdater {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Release);
         if let Some(thread) = self.thread.take() {
--- a/crates/lab/src/fleet/processes/keeper.rs
+++ b/crates/lab/src/fleet/processes/keeper.rs
@@ -1,9 +1,10 @@
-//! The thread that keeps the processes: it alone has them, so that nothing here is shared or locked.
+//! The keeper thread: the sole owner of the processes, so that their state is neither shared nor locked.
 //!
-//! It sleeps until somebody asks for something, a process ends (a pidfd becomes readable) or something is due.
+//! It sleeps until a caller submits a job, a process ends (its pidfd becomes readable) or a timed action is
+//! due.
 
 use super::home::Home;
-use super::{told, Damage, Folder, ProcessError, Restart, Spec, State, Twin, GRACE, MOST};
+use super::{lab_event, Damage, Folder, ProcessError, Restart, Spec, State, Twin, GRACE, MAX_PROCESSES};
 use crate::fleet::log::Log;
 use crate::loopback::children::Child;
 use rustix::event::{eventfd, poll, EventfdFlags, PollFd, PollFlags, Timespec};
@@ -18,13 +19,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What is due later than this is not going to be.
+/// Longest delay of a timed action; in effect never.
 const NEVER: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
 
-/// Something that a caller has done here.
+/// A job that a caller submits to the keeper.
 type Job = Box<dyn FnOnce(&mut Keeper) + Send>;
 
-/// The numbers of the processes that run, for who watches them from another thread.
+/// The PIDs of the running processes, for observers in other threads.
 #[derive(Clone, Debug, Default)]
 pub struct Roster(Arc<Mutex<BTreeMap<Arc<str>, u32>>>);
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Until when a process is held.
+/// How long a process stays stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Hold {
     Until(Instant),
@@ -52,7 +53,7 @@
 #[derive(Debug)]
 struct Running {
     child: Child,
-    its_end: OwnedFd,
+    exit_descriptor: OwnedFd,
     held: Option<Hold>,
 }
 
@@ -61,21 +62,21 @@
     name: Arc<str>,
     spec: Spec,
     folder: PathBuf,
-    /// Of the process that runs, or was the last to.
+    /// Incarnation of the current or the last process.
     life: u32,
     running: Option<Running>,
     last: Option<ExitStatus>,
-    /// How it comes back, once it has ended.
+    /// How to restart the process once it has ended.
     again: Option<Restart>,
 }
 
-/// What is done at a time.
+/// A timed action.
 #[derive(Debug)]
 enum Due {
-    /// The end of a pause, and of the time to end in; of that life alone.
+    /// End of a pause, and end of the grace period, of that incarnation only.
     Resume(String, u32),
     Kill(String, u32),
-    /// A start, if the process that ended is still the last.
+    /// A start, if the process that ended is still the last incarnation.
     Start(String, u32, Folder),
     Restart(String, Restart),
 }
@@ -87,30 +88,34 @@
     roster: Roster,
     slots: BTreeMap<String, Slot>,
     due: BTreeMap<(Instant, u64), Due>,
-    /// Tells apart what is due at once.
+    /// Distinguishes actions that are due at the same time.
     next: u64,
 }
 
-/// What is held of a keeper. Dropped, it has the keeper end all processes and waits for that.
+/// Handle to the keeper thread. Dropping it makes the keeper end all processes, and waits for that.
 #[derive(Debug)]
-pub(super) struct Reins {
+pub(super) struct KeeperHandle {
     jobs: Option<Sender<Job>>,
     wake: Arc<OwnedFd>,
     pub(super) roster: Roster,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Reins {
-    /// Has the keeper do something and waits for it.
+impl KeeperHandle {
+    /// Runs a job on the keeper thread and waits for its result.
     pub(super) fn ask<T: Send + 'static>(
         &self,
         job: impl FnOnce(&mut Keeper) -> Result<T, ProcessError> + Send + 'static,
     ) -> Result<T, ProcessError> {
         let (answer, answered) = sync_channel(1);
         let job: Job = Box::new(move |keeper| drop(answer.send(job(keeper))));
-        self.jobs.as_ref().ok_or(ProcessError::Gone)?.send(job).map_err(|_| ProcessError::Gone)?;
+        self.jobs
+            .as_ref()
+            .ok_or(ProcessError::KeeperEnded)?
+            .send(job)
+            .map_err(|_| ProcessError::KeeperEnded)?;
         self.wake();
-        answered.recv().map_err(|_| ProcessError::Gone)?
+        answered.recv().map_err(|_| ProcessError::KeeperEnded)?
     }
 
     fn wake(&self) {
@@ -118,7 +123,7 @@
     }
 }
 
-impl Drop for Reins {
+impl Drop for KeeperHandle {
     fn drop(&mut self) {
         drop(self.jobs.take());
         self.wake();
@@ -128,12 +133,12 @@
     }
 }
 
-/// Tells that nobody can say any more, when the child's reader lets go of it.
-struct HeardOut(Log, Arc<str>, u32);
+/// Logs, when the child's reader drops it, that no more output can come.
+struct OutputEndNotice(Log, Arc<str>, u32);
 
-impl Drop for HeardOut {
+impl Drop for OutputEndNotice {
     fn drop(&mut self) {
-        self.0.tell(&self.1, self.2, told::HEARD_OUT, String::new());
+        self.0.push_event(&self.1, self.2, lab_event::OUTPUT_ENDED, String::new());
     }
 }
 
@@ -142,7 +147,7 @@
     move |source| ProcessError::Io { what, source }
 }
 
-/// All that is in a folder.
+/// Removes a folder with its contents; a missing folder is no error.
 fn remove(folder: &Path) -> Result<(), ProcessError> {
     match fs::remove_dir_all(folder) {
         Err(e) if e.kind() != io::ErrorKind::NotFound => Err(io(folder)(e)),
@@ -151,20 +156,20 @@
 }
 
 impl Keeper {
-    pub(super) fn start(log: Log, home: Arc<Home>) -> io::Result<Reins> {
+    pub(super) fn start(log: Log, home: Arc<Home>) -> io::Result<KeeperHandle> {
         let (jobs, asked) = channel();
         let wake = Arc::new(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?);
         let (roster, woken) = (Roster::default(), wake.clone());
         let (slots, due) = (BTreeMap::new(), BTreeMap::new());
         let mut keeper = Keeper { log, home, roster: roster.clone(), slots, due, next: 0 };
         let thread = thread::Builder::new().name("keeper".into()).spawn(move || {
-            keeper.keep(&asked, &woken);
+            keeper.run(&asked, &woken);
         })?;
-        Ok(Reins { jobs: Some(jobs), wake, roster, thread: Some(thread) })
+        Ok(KeeperHandle { jobs: Some(jobs), wake, roster, thread: Some(thread) })
     }
 
-    /// Until nobody is left who could ask.
-    fn keep(&mut self, asked: &Receiver<Job>, woken: &OwnedFd) {
+    /// Runs until all handles are dropped.
+    fn run(&mut self, asked: &Receiver<Job>, woken: &OwnedFd) {
         loop {
             loop {
                 match asked.try_recv() {
@@ -173,26 +178,26 @@
                     Err(TryRecvError::Disconnected) => return,
                 }
             }
-            self.look();
+            self.reap();
             self.carry_out();
             self.sleep(woken);
         }
     }
 
     fn sleep(&self, woken: &OwnedFd) {
-        let ends = self.slots.values().filter_map(|s| s.running.as_ref()).map(|r| r.its_end.as_fd());
+        let ends = self.slots.values().filter_map(|s| s.running.as_ref()).map(|r| r.exit_descriptor.as_fd());
         let all = [woken.as_fd()].into_iter().chain(ends);
         let mut all: Vec<PollFd> = all.map(|fd| PollFd::from_borrowed_fd(fd, PollFlags::IN)).collect();
         let left = self.due.keys().next().map(|(at, _)| at.saturating_duration_since(Instant::now()));
-        // A little late rather than again and again.
+        // Rounded up slightly to avoid waking up repeatedly just before the deadline.
         let left = left.map(|left| left + Duration::from_micros(50));
         let left = left.map(|l| Timespec { tv_sec: l.as_secs() as i64, tv_nsec: l.subsec_nanos().into() });
         let _ = poll(&mut all, left.as_ref());
         let _ = rustix::io::read(woken, &mut [0; 8]);
     }
 
-    /// Sees who has ended.
-    fn look(&mut self) {
+    /// Detects processes that have ended.
+    fn reap(&mut self) {
         let names: Vec<String> = self.slots.keys().cloned().collect();
         for name in names {
             let Some(slot) = self.slots.get_mut(&name) else { continue };
@@ -202,13 +207,13 @@
         }
     }
 
-    /// The one place where a process is given back.
+    /// Handles the end of a process; the only place where a running process is released.
     fn ended(&mut self, name: &str, status: ExitStatus) {
         let Some(slot) = self.slots.get_mut(name) else { return };
         slot.running = None;
         slot.last = Some(status);
         self.roster.set(&slot.name, None);
-        self.log.tell(&slot.name, slot.life, told::ENDED, status.to_string());
+        self.log.push_event(&slot.name, slot.life, lab_event::ENDED, status.to_string());
         let Some(again) = slot.again.take() else { return };
         let (life, folder) = (slot.life, slot.folder.clone());
         let label = slot.name.clone();
@@ -217,10 +222,10 @@
         }
         if again.folder == Folder::Lost {
             let (event, said) = match remove(&folder) {
-                Ok(()) => (told::FOLDER_GONE, String::new()),
-                Err(why) => (told::FAILED, why.to_string()),
+                Ok(()) => (lab_event::FOLDER_REMOVED, String::new()),
+                Err(why) => (lab_event::FAILED, why.to_string()),
             };
-            self.log.tell(&label, life, event, said);
+            self.log.push_event(&label, life, event, said);
         }
         self.at(again.down, Due::Start(name.to_owned(), life, again.folder));
     }
@@ -244,20 +249,21 @@
                     Some(slot) if slot.life == life && slot.running.is_some() => self.kill(&name),
                     _ => Ok(()),
                 },
-                Due::Start(name, life, folder) => self.come_back(&name, life, folder),
+                Due::Start(name, life, folder) => self.start_again(&name, life, folder),
                 Due::Restart(name, how) => {
                     let done = self.restart(&name, how);
                     done.inspect_err(|why| self.failed(&name, why))
                 }
             };
-            // What a caller has asked for has been told to it; this has nobody but the log.
+            // Callers get errors as results; timed actions have no caller, so their errors only go to the
+            // log.
             let _ = done;
         }
     }
 
     fn failed(&self, name: &str, why: &ProcessError) {
         if let Some(slot) = self.slots.get(name) {
-            self.log.tell(&slot.name, slot.life, told::FAILED, why.to_string());
+            self.log.push_event(&slot.name, slot.life, lab_event::FAILED, why.to_string());
         }
     }
 
@@ -265,9 +271,9 @@
         self.slots.get_mut(name).ok_or_else(|| ProcessError::Unknown(name.to_owned()))
     }
 
-    /// One that runs.
+    /// Returns the slot of a running process.
     fn running(&mut self, name: &str) -> Result<(&Log, &mut Slot), ProcessError> {
-        // It may have ended since the last look.
+        // It may have ended since the last check.
         if let Some(status) = self.slot(name)?.running.as_mut().and_then(|r| r.child.ended()) {
             self.ended(name, status);
         }
@@ -275,7 +281,7 @@
         slot.map(|slot| (&self.log, slot)).ok_or_else(|| ProcessError::Down(name.to_owned()))
     }
 
-    /// Another process that has this folder and runs.
+    /// Returns another running process that uses this folder.
     fn shares(&self, name: &str, folder: &Path) -> Option<String> {
         let mut others = self.slots.iter().filter(|(other, slot)| *other != name && slot.running.is_some());
         others.find(|(_, slot)| slot.folder == folder).map(|(other, _)| other.clone())
@@ -289,10 +295,10 @@
         slot.last = None;
         slot.again = None;
         let (label, life) = (slot.name.clone(), slot.life);
-        // Told before the process can say anything, and taken back by `FAILED`.
-        log.tell(&label, life, told::STARTED, String::new());
-        let heard_out = HeardOut(log.clone(), label.clone(), life);
-        let hear = move |line: &str| heard_out.0.hear(&heard_out.1, heard_out.2, line);
+        // Logged before the process can write anything; a failed start is followed by `FAILED`.
+        log.push_event(&label, life, lab_event::STARTED, String::new());
+        let notice = OutputEndNotice(log.clone(), label.clone(), life);
+        let on_line = move |line: &str| notice.0.push_output(&notice.1, notice.2, line);
         let Spec { program, arguments, variables, limits, .. } = &slot.spec;
         let variables: Vec<(&str, String)> = variables.iter().map(|(k, v)| (&**k, v.clone())).collect();
         let child = Child::start_with_line_handler(
@@ -302,12 +308,12 @@
             &slot.folder,
             &variables,
             arguments,
-            hear,
+            on_line,
         )?;
-        let its_end =
+        let exit_descriptor =
             child.exit_descriptor().map_err(|source| ProcessError::Io { what: name.to_owned(), source })?;
         roster.set(&label, Some(child.pid()));
-        slot.running = Some(Running { child, its_end, held: None });
+        slot.running = Some(Running { child, exit_descriptor, held: None });
         Ok(life)
     }
 
@@ -327,7 +333,7 @@
         self.spawn(&name).inspect_err(|why| self.failed(&name, why))
     }
 
-    /// Whether one of this name may be started.
+    /// Checks that no process of this name is running.
     fn free(&mut self, name: &str) -> Result<(), ProcessError> {
         match self.slots.contains_key(name) && self.running(name).is_ok() {
             true => Err(ProcessError::Runs(name.to_owned())),
@@ -336,7 +342,7 @@
     }
 
     fn add(&mut self, name: &str, spec: Spec, folder: PathBuf) -> Result<(), ProcessError> {
-        if self.slots.len() >= MOST {
+        if self.slots.len() >= MAX_PROCESSES {
             return Err(ProcessError::TooMany);
         }
         let (label, running, last, again) = (name.into(), None, None, None);
@@ -374,14 +380,14 @@
 
     pub(super) fn terminate(&mut self, name: &str) -> Result<(), ProcessError> {
         let (log, slot) = self.running(name)?;
-        log.tell(&slot.name, slot.life, told::TOLD_TO_END, String::new());
+        log.push_event(&slot.name, slot.life, lab_event::TERMINATED, String::new());
         slot.running.iter_mut().for_each(|r| r.child.terminate());
         Ok(())
     }
 
     pub(super) fn kill(&mut self, name: &str) -> Result<(), ProcessError> {
         let (log, slot) = self.running(name)?;
-        log.tell(&slot.name, slot.life, told::KILLED, String::new());
+        log.push_event(&slot.name, slot.life, lab_event::KILLED, String::new());
         match slot.running.as_mut().and_then(|r| r.child.end()) {
             Some(status) => self.ended(name, status),
             None => return Err(ProcessError::Runs(name.to_owned())),
@@ -402,7 +408,7 @@
         };
         if running.held.replace(hold).is_none() {
             running.child.stop();
-            log.tell(&label, life, told::STOPPED, String::new());
+            log.push_event(&label, life, lab_event::STOPPED, String::new());
         }
         if let Some(how_long) = how_long {
             self.at(how_long, Due::Resume(name.to_owned(), life));
@@ -422,8 +428,8 @@
         let (log, slot) = self.running(name)?;
         let Some(running) = &mut slot.running else { return Ok(()) };
         if running.held.take().is_some() {
-            // Told first: what it says then comes behind it.
-            log.tell(&slot.name, slot.life, told::RESUMED, String::new());
+            // Logged first, so that the output of the process comes after it.
+            log.push_event(&slot.name, slot.life, lab_event::RESUMED, String::new());
             running.child.resume();
         }
         Ok(())
@@ -449,7 +455,7 @@
                 Ok(())
             }
             (false, _) => {
-                // As if it ended now.
+                // The process is not running: proceed as if it had ended now.
                 let Some(again) = slot.again.take() else { return Ok(()) };
                 if let Some(program) = again.program {
                     slot.spec.program = program;
@@ -463,8 +469,8 @@
         }
     }
 
-    /// The start that was due after an end.
-    fn come_back(&mut self, name: &str, life: u32, folder: Folder) -> Result<(), ProcessError> {
+    /// Performs the start that was scheduled after an end.
+    fn start_again(&mut self, name: &str, life: u32, folder: Folder) -> Result<(), ProcessError> {
         let slot = self.slot(name)?;
         if slot.life != life || slot.running.is_some() {
             return Ok(());
@@ -500,12 +506,12 @@
         }
         let Some(running) = &mut slot.running else { return Ok(()) };
         let limited = running.child.limit_files(bytes.unwrap_or(u64::MAX));
-        limited.map_err(|source| ProcessError::Io { what: format!("the files of {name}"), source })?;
+        limited.map_err(|source| ProcessError::Io { what: format!("file size limit of {name}"), source })?;
         let said = match bytes {
-            Some(bytes) => format!("files of {bytes} bytes at most"),
-            None => "files of any size".to_owned(),
+            Some(bytes) => format!("file size limit set to {bytes} bytes"),
+            None => "file size limit removed".to_owned(),
         };
-        log.tell(&slot.name, slot.life, told::DISK, said);
+        log.push_event(&slot.name, slot.life, lab_event::DISK, said);
         Ok(())
     }
 
@@ -517,10 +523,10 @@
         if let Some(other) = self.shares(name, &folder) {
             return Err(ProcessError::Runs(other));
         }
-        let done = damage.befall(&folder)?;
+        let done = damage.apply(&folder)?;
         let slot = self.slot(name)?;
         let (label, life) = (slot.name.clone(), slot.life);
-        self.log.tell(&label, life, told::DAMAGED, done);
+        self.log.push_event(&label, life, lab_event::DAMAGED, done);
         Ok(())
     }
 
@@ -531,7 +537,7 @@
             (Some(running), _) if running.held.is_some() => Ok(State::Stopped),
             (Some(_), _) => Ok(State::Runs),
             (None, Some(status)) => Ok(State::Ended(status)),
-            // Its start has failed.
+            // The start failed.
             (None, None) => Err(ProcessError::Down(name.to_owned())),
         }
     }
@@ -540,8 +546,8 @@
         Ok(self.slot(name)?.life)
     }
 
-    /// Nothing that is due comes any more.
-    pub(super) fn tell_all_to_end(&mut self) -> Vec<(String, u32)> {
+    /// Cancels all timed actions and sends SIGTERM to all processes; returns those that were running.
+    pub(super) fn terminate_all(&mut self) -> Vec<(String, u32)> {
         self.due.clear();
         self.slots.values_mut().for_each(|slot| slot.again = None);
         let names: Vec<String> = self.slots.keys().cloned().collect();
@@ -557,7 +563,7 @@
 
 impl Drop for Keeper {
     fn drop(&mut self) {
-        // All at once; each is waited for as it is dropped.
+        // Signal all first; dropping each one waits for its end.
         for running in self.slots.values_mut().filter_map(|s| s.running.as_mut()) {
             running.child.kill();
         }
--- a/crates/lab/src/fleet/view.rs
+++ b/crates/lab/src/fleet/view.rs
@@ -1,28 +1,28 @@
-//! What each process of a fleet says that it sees, over time, from its log: which nodes are avoided and which
-//! planners are heard, and whether the process itself runs.
+//! The view of each process of a fleet over time, taken from its log: which nodes it avoids, which planners
+//! it is connected to, and whether it runs.
 //!
-//! Pure: lines in, changes out. What is true, and whether a view is right, is for [`super::judge`].
+//! Pure: turns lines into changes. Whether a view is right is checked by [`super::judge`].
 
 use super::log::{By, Line};
-use super::processes::told;
+use super::processes::lab_event;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use world::Micros;
 
-/// One thing that changed for a process.
+/// A change of the state or the view of a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum What {
-    /// Another life of it begins.
+    /// A new incarnation starts.
     Started,
     Ended,
     Stopped,
     Resumed,
-    /// It sends nothing to a node, or to a hall, at planners' word.
+    /// On the planners' decision it stops sending to a node or a hall, or sends to it again.
     Avoids(String),
     Returns(String),
-    /// A planner is connected to it, or no longer.
-    Hears(String),
-    Misses(String),
+    /// It becomes connected to a planner, or loses the connection.
+    Connected(String),
+    Disconnected(String),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     pub what: What,
 }
 
-/// How a process is and what it sees at a moment.
+/// State and view of a process at one moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Now {
     pub runs: bool,
@@ -42,52 +42,53 @@
 }
 
 impl Now {
-    fn take(&mut self, what: &What) {
+    fn apply(&mut self, what: &What) {
         match what {
             What::Started => *self = Now { runs: true, ..Now::default() },
             What::Ended => *self = Now::default(),
             What::Stopped => self.stopped = true,
             What::Resumed => self.stopped = false,
-            What::Avoids(matter) => drop(self.avoids.insert(matter.clone())),
-            What::Returns(matter) => drop(self.avoids.remove(matter)),
-            What::Hears(planner) => drop(self.hears.insert(planner.clone())),
-            What::Misses(planner) => drop(self.hears.remove(planner)),
+            What::Avoids(subject) => drop(self.avoids.insert(subject.clone())),
+            What::Returns(subject) => drop(self.avoids.remove(subject)),
+            What::Connected(planner) => drop(self.hears.insert(planner.clone())),
+            What::Disconnected(planner) => drop(self.hears.remove(planner)),
         }
     }
 }
 
-/// The changes of one process, in the order of time.
+/// The changes of one process in order of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Track {
     pub changes: Vec<Change>,
 }
 
 impl Track {
-    /// Each state and from when on it holds.
+    /// Returns each state with the time from which it holds.
     pub fn states(&self) -> impl Iterator<Item = (Micros, Now)> + '_ {
         let mut now = Now::default();
         self.changes.iter().map(move |c| {
-            now.take(&c.what);
+            now.apply(&c.what);
             (c.at, now.clone())
         })
     }
 
-    /// The last state.
+    /// Returns the last state.
     pub fn now(&self) -> Now {
         self.states().last().map(|(_, now)| now).unwrap_or_default()
     }
 
-    /// When it avoided a matter: from, until (`None`: to the end), and which life of it.
-    pub fn avoided(&self, matter: &str) -> Vec<(Micros, Option<Micros>, u32)> {
+    /// Returns the spans in which it avoided a node or hall: start, end (`None` if it never ended) and
+    /// incarnation.
+    pub fn avoided(&self, subject: &str) -> Vec<(Micros, Option<Micros>, u32)> {
         let mut spans: Vec<(Micros, Option<Micros>, u32)> = Vec::new();
         let mut out = false;
         for c in &self.changes {
             match &c.what {
-                What::Avoids(m) if m == matter && !out => {
+                What::Avoids(m) if m == subject && !out => {
                     spans.push((c.at, None, c.life));
                     out = true;
                 }
-                What::Returns(m) if m != matter => {}
+                What::Returns(m) if m != subject => {}
                 What::Returns(_) | What::Started | What::Ended => {
                     if let Some(last) = spans.last_mut().filter(|_| out) {
                         last.1 = Some(c.at);
@@ -101,12 +102,12 @@
     }
 }
 
-/// By whom a forwarder knows a planner: `(forwarder, address)` to the planner's name.
+/// Maps `(forwarder, address)` to the name of the planner that the forwarder reaches at that address.
 pub type Planners = BTreeMap<(String, String), String>;
 
-/// The events that views are made of.
+/// Whether the line is one of the events that views are built from.
 pub fn wanted(line: &Line) -> bool {
-    let lab = [told::STARTED, told::ENDED, told::STOPPED, told::RESUMED];
+    let lab = [lab_event::STARTED, lab_event::ENDED, lab_event::STOPPED, lab_event::RESUMED];
     let own = ["plan_avoids", "plan_returns", "planner_up", "planner_down", "silent", "lives"];
     match line.by {
         By::Lab => lab.contains(&line.event.as_str()),
@@ -114,7 +115,8 @@
     }
 }
 
-/// The tracks of these processes. `nodes` names the nodes by the numbers that planners know them by.
+/// Builds the tracks of these processes. `nodes` maps the numeric ids that planners use to the names of
+/// nodes.
 pub fn tracks(
     lines: &[Arc<Line>],
     processes: &[&str],
@@ -130,20 +132,20 @@
             let known = planners.get(&(line.process.to_string(), address.clone()));
             known.cloned().unwrap_or(address)
         };
-        let matter = || {
+        let subject = || {
             let what = line.text("what").unwrap_or_default();
             what.strip_prefix("node ").unwrap_or(what).to_owned()
         };
         let node = || line.number("node").and_then(|n| nodes.get(&n).cloned()).unwrap_or_default();
         let what = match (line.by, line.event.as_str()) {
-            (By::Lab, told::STARTED) => What::Started,
-            (By::Lab, told::ENDED) => What::Ended,
-            (By::Lab, told::STOPPED) => What::Stopped,
-            (By::Lab, told::RESUMED) => What::Resumed,
-            (By::Process, "plan_avoids") => What::Avoids(matter()),
-            (By::Process, "plan_returns") => What::Returns(matter()),
-            (By::Process, "planner_up") => What::Hears(planner()),
-            (By::Process, "planner_down") => What::Misses(planner()),
+            (By::Lab, lab_event::STARTED) => What::Started,
+            (By::Lab, lab_event::ENDED) => What::Ended,
+            (By::Lab, lab_event::STOPPED) => What::Stopped,
+            (By::Lab, lab_event::RESUMED) => What::Resumed,
+            (By::Process, "plan_avoids") => What::Avoids(subject()),
+            (By::Process, "plan_returns") => What::Returns(subject()),
+            (By::Process, "planner_up") => What::Connected(planner()),
+            (By::Process, "planner_down") => What::Disconnected(planner()),
             (By::Process, "silent") => What::Avoids(node()),
             (By::Process, "lives") => What::Returns(node()),
             _ => continue,
--- a/crates/lab/src/fleet/view/tests.rs
+++ b/crates/lab/src/fleet/view/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn a_process_that_starts_anew_sees_nothing_yet() {
+fn a_restarted_process_has_an_empty_view() {
     let change = |at, life, what| Change { at, life, what };
     let track = Track {
         changes: vec![
             change(0, 1, What::Started),
-            change(1, 1, What::Hears("p0".into())),
+            change(1, 1, What::Connected("p0".into())),
             change(2, 1, What::Avoids("s1".into())),
             change(3, 1, What::Ended),
             change(4, 2, What::Started),
